--- a/onyxwick/admin/durable.py
+++ b/onyxwick/admin/durable.py
@@ -135,7 +135,7 @@
                 if member not in self.core.members.listed:
                     raise HttpError(404, f"no member '{member}' on the list")
                 reason = str(request.json().get("reason", ""))[:256]
-                since = self.core.members.listed[member].since_us
+                since = self.core.members.listed[member].started_at_us
                 drain = Drain(member, "operator", since, reason, self.core.now())
                 self.pending = drain
                 return 200, {"member": member, "draining": True}, [self.durable.drain_op(drain)]
--- a/onyxwick/cells/admission.py
+++ b/onyxwick/cells/admission.py
@@ -5,26 +5,29 @@
 import random
 from collections.abc import Iterable
 
-from onyxwick import interface as i
 from onyxwick.cells.limits import Gate, Pool, Rates
 from onyxwick.cells.model import Plan, Tenant
 from onyxwick.cells.unit import Home, Unit
+from onyxwick.interface import Idempotency, RequestClass, RouterSettings
 
 S = 1_000_000
 SPARE = 0.5  # of a cell's limit up to which it takes in the requests of a cell that fell back on it
 LEAST_WAIT_US = 50_000
 
 
-def priorities(classes: Iterable[i.RequestClass]) -> dict[str, float]:
+def priorities(classes: Iterable[RequestClass]) -> dict[str, float]:
     """0 for the class that is shed first, 1 for the last one: what may not run twice, then by worth."""
-    order = sorted(classes, key=lambda c: (c.repeat is i.Repeat.UNSAFE or c.write, c.worth, c.name))
+    order = sorted(
+        classes,
+        key=lambda c: (c.idempotency is Idempotency.NON_IDEMPOTENT or c.write, c.priority_weight, c.name),
+    )
     return {c.name: n / max(1, len(order) - 1) for n, c in enumerate(order)}
 
 
 class Admission:
     """The bounds of one director's cells. No cell's overload reaches another's reserve of any of them."""
 
-    def __init__(self, settings: i.Settings, most_open: int, seed: int) -> None:
+    def __init__(self, settings: RouterSettings, most_open: int, seed: int) -> None:
         self.limits, self.most_open = settings.limits, most_open
         self.random = random.Random(seed)
         self.now = 0
@@ -47,7 +50,7 @@
                 unit.gate.adaptive.bound(self.pool.most(name))
         self.rates.set({t.name: t.rate_per_s for t in plan.tenants.values()})
 
-    def refusal(self, unit: Unit, tenant: Tenant, kind: i.RequestClass, guest: bool) -> str | None:
+    def refusal(self, unit: Unit, tenant: Tenant, kind: RequestClass, guest: bool) -> str | None:
         """Why a request is not let in, or None. A `guest` has fallen back on this cell."""
         gate = unit.gate
         if guest and gate.open >= SPARE * gate.adaptive.limit:
@@ -63,11 +66,11 @@
     def _weight(self, unit: Unit) -> float:
         return self.weights.get(unit.name, 1.0)
 
-    def wait_us(self, unit: Unit | None, kind: i.RequestClass) -> int:
+    def wait_us(self, unit: Unit | None, kind: RequestClass) -> int:
         """By when a place should be free: by Little's law a full gate frees one each `place_us / limit`, and
         all that are refused meanwhile want one too."""
         if unit is None:
-            return kind.aim_us
+            return kind.latency_objective_us
         return int(unit.place_us * (1 + unit.gate.open / max(1.0, unit.gate.adaptive.limit)))
 
     def retry_after_us(self, wait_us: int) -> int:
@@ -104,9 +107,9 @@
         if not self.of_tenant[home.tenant]:
             del self.of_tenant[home.tenant]
 
-    def learn(self, now: int, unit: Unit, kind: i.RequestClass, late: bool) -> None:
+    def learn(self, now: int, unit: Unit, kind: RequestClass, late: bool) -> None:
         gate = self.writes if kind.write else unit.gate
-        gate.adaptive.ended(now, late, kind.aim_us, gate.open)
+        gate.adaptive.ended(now, late, kind.latency_objective_us, gate.open)
 
     def open_in(self, tenant: str, cells: Iterable[str], inside: bool) -> int:
         """A tenant's requests under way in (or outside of) some cells."""
--- a/onyxwick/cells/fleet.py
+++ b/onyxwick/cells/fleet.py
@@ -11,7 +11,6 @@
 from collections import deque
 from dataclasses import replace
 
-from onyxwick import interface as i
 from onyxwick.cells.admission import Admission
 from onyxwick.cells.arbiter import Arbiter
 from onyxwick.cells.model import Plan, Tenant, check
@@ -19,6 +18,30 @@
 from onyxwick.cells.placement import word
 from onyxwick.cells.roster import Roster
 from onyxwick.cells.unit import Home, Unit
+from onyxwick.interface import (
+    Action,
+    AttemptEnded,
+    AttemptStatus,
+    ClientDisconnected,
+    EndpointListKind,
+    EndpointsChanged,
+    Event,
+    FailRequest,
+    FleetShareChanged,
+    ForwardRequest,
+    ForwardWithFill,
+    LoadReportReceived,
+    LogMessage,
+    MemberState,
+    ObjectsPurged,
+    RejectRequest,
+    RequestArrived,
+    RequestClass,
+    RouterSettings,
+    SetTimer,
+    StreamStarted,
+    TimerFired,
+)
 from onyxwick.logic import Router
 
 TICK_US, ARBITER_EVERY = 100_000, 5  # of the moves' clock; ticks between two looks of the arbiter
@@ -31,7 +54,7 @@
 class Cells:
     """The decider of a director with cells."""
 
-    def __init__(self, settings: i.Settings, seed: int, now: int, plan: Plan, most_open: int) -> None:
+    def __init__(self, settings: RouterSettings, seed: int, now: int, plan: Plan, most_open: int) -> None:
         self.set, self.now = settings, now
         self.plan = check(plan)
         self.random = random.Random(seed ^ word("cells"))
@@ -40,51 +63,51 @@
         self.admission = Admission(settings, most_open, seed ^ word("admission"))
         self.units: dict[str, Unit] = {}
         self.requests: dict[str, Home] = {}
-        self.purges: deque[tuple[int, i.Purged]] = deque(maxlen=PURGES_MOST)
+        self.purges: deque[tuple[int, ObjectsPurged]] = deque(maxlen=PURGES_MOST)
         self.moves: dict[str, Move] = {}
         self.of_tenant: dict[str, list[Move]] = {}
         self.counts: dict[str, int] = {}
         self.shed_now: dict[str, str] = {}  # refused by the last `handle` before any router saw it, and why
-        self.out: list[i.Action] = []
+        self.out: list[Action] = []
         self.arbiter = Arbiter(self._weights(), settings.rules.overload_window_us + TICK_US)
         self.ticks = 0
         self._arrange()
         self._pass_parts(self.arbiter.parts)
-        self.out.append(i.SetTimer(now + TICK_US, TOKEN))
+        self.out.append(SetTimer(now + TICK_US, TOKEN))
 
     # ---- events -----------------------------------------------------------------------------------------
 
-    def ejected(self) -> int:
+    def ejected_count(self) -> int:
         """Members that some cell's router has ejected, counted once for each cell."""
-        return sum(unit.router.ejected() for unit in self.units.values())
+        return sum(unit.router.ejected_count() for unit in self.units.values())
 
-    def handle(self, now: int, events: list[i.Event]) -> list[i.Action]:
+    def handle(self, now: int, events: list[Event]) -> list[Action]:
         """The events of one instant, each told to the cells that it is for; their actions."""
         self.now = self.admission.now = now
         self.shed_now.clear()
         for event in events:
             match event:
-                case i.RequestArrived():
+                case RequestArrived():
                     self._arrived(event)
-                case i.AttemptEnded():
+                case AttemptEnded():
                     self._ended(event)
-                case i.StreamStarted(request=request):
+                case StreamStarted(request_id=request):
                     if home := self.requests.get(request):
                         self._pass(self.units[home.cell], [event])
-                case i.ClientLeft(request):
+                case ClientDisconnected(request):
                     if home := self.requests.get(request):
                         self._pass(self.units[home.cell], [event])
                         self._over(request, home)
-                case i.MembersChanged():
+                case EndpointsChanged():
                     self._listed(event)
-                case i.Purged():
+                case ObjectsPurged():
                     # In every cell at once: a tenant may be in two of them, and moves may begin later.
                     self.purges.append((now, event))
                     for unit in self.units.values():
                         self._pass(unit, [event])
-                case i.TimerFired(token):
+                case TimerFired(token):
                     self._timer(token)
-                case i.LoadReport(member=member):
+                case LoadReportReceived(member=member):
                     for unit in self.units.values():
                         if member in unit.told:
                             self._pass(unit, [event])
@@ -99,23 +122,23 @@
             return
         name, _, inner = token.partition(MARK)
         if unit := self.units.get(name):
-            self._pass(unit, [i.TimerFired(inner)])
+            self._pass(unit, [TimerFired(inner)])
 
-    def _pass(self, unit: Unit, events: list[i.Event]) -> None:
+    def _pass(self, unit: Unit, events: list[Event]) -> None:
         """Events to one cell's router; its actions are taken note of and passed on."""
         for action in unit.router.handle(self.now, events):
             match action:
-                case i.SetTimer(at, token):
-                    self.out.append(i.SetTimer(at, f"{unit.name}{MARK}{token}"))
+                case SetTimer(at, token):
+                    self.out.append(SetTimer(at, f"{unit.name}{MARK}{token}"))
                     continue
-                case i.Attempt(request=request):
+                case ForwardRequest(request_id=request):
                     self.requests[request].out += 1
-                case i.Fetch(request=request, source=source):
+                case ForwardWithFill(request_id=request, fill_source=source):
                     self.requests[request].out += 1
                     told = unit.told.get(source)
                     if told is not None and told.kind == self.set.parent_kind and not unit.leaving:
                         self.arbiter.asked(unit.name)
-                case i.Refuse(request=request) | i.Fail(request=request):
+                case RejectRequest(request_id=request) | FailRequest(request_id=request):
                     if home := self.requests.get(request):
                         # The module sheds whoever comes next; the gate learns from it to hold each tenant
                         # to its part before that, so that the one that floods is the one that is shed.
@@ -127,35 +150,35 @@
     def _pass_parts(self, parts: dict[str, float]) -> None:
         for cell, part in parts.items():
             if part > 0:  # a new cell waits for its part; until then its router has what it began with
-                self._pass(self.units[cell], [i.PartChanged(part)])
+                self._pass(self.units[cell], [FleetShareChanged(part)])
 
     # ---- requests ---------------------------------------------------------------------------------------
 
-    def _arrived(self, ask: i.RequestArrived) -> None:
+    def _arrived(self, ask: RequestArrived) -> None:
         tenant = self.plan.tenants.get(ask.tenant or self.plan.policy.default_tenant or "")
         kind = self.classes.get(ask.class_name)
         if tenant is None or kind is None:
             self._count("unknown_tenant" if tenant is None else "unknown_class")
-            self.out.append(i.Refuse(ask.request))
+            self.out.append(RejectRequest(ask.request_id))
             return
         if wait := self.admission.rates.wait_us(tenant.name):
             return self._shed(ask, tenant, "rate", wait)
-        unit, guest = self._unit_for(tenant, ask.object, kind)
+        unit, guest = self._unit_for(tenant, ask.object_id, kind)
         if unit is None:
             return self._shed(ask, tenant, "no_boxes", self.admission.wait_us(None, kind))
         reason = self.admission.refusal(unit, tenant, kind, guest)
         if reason is not None:
             return self._shed(ask, tenant, reason, self.admission.wait_us(unit, kind))
-        home = self.requests[ask.request] = Home(unit.name, tenant.name, kind, self.now)
+        home = self.requests[ask.request_id] = Home(unit.name, tenant.name, kind, self.now)
         self.admission.enter(unit, tenant, home)
         self._pass(unit, [ask])
         return None
 
-    def _shed(self, ask: i.RequestArrived, tenant: Tenant, reason: str, wait_us: int) -> None:
+    def _shed(self, ask: RequestArrived, tenant: Tenant, reason: str, wait_us: int) -> None:
         """Refused before any router saw it: at once, and with a time to return where the settings allow."""
         self._count(f"shed.{reason}.{tenant.name}")
-        self.shed_now[ask.request] = reason
-        self.out.append(i.Refuse(ask.request, self.admission.retry_after_us(wait_us)))
+        self.shed_now[ask.request_id] = reason
+        self.out.append(RejectRequest(ask.request_id, self.admission.retry_after_us(wait_us)))
 
     def targets(self, tenant: str, name: str) -> tuple[str, ...]:
         """The cells for an object at this instant, moves included, the right one first."""
@@ -166,11 +189,11 @@
                 return move.order.to[at:] + move.order.to[:at]
         return self.roster.placement.candidates(tenant, name)
 
-    def _unit_for(self, tenant: Tenant, name: str, kind: i.RequestClass) -> tuple[Unit | None, bool]:
+    def _unit_for(self, tenant: Tenant, name: str, kind: RequestClass) -> tuple[Unit | None, bool]:
         """The cell that takes a request, and whether as a guest; None where all its cells have lost their
         boxes and no fallback is named."""
         cells = self.targets(tenant.name, name)
-        if kind.write and self.set.direct:
+        if kind.write and self.set.cache_bypass:
             return self.units[cells[0]], False  # it runs at the origin: boxes are no matter
         for cell in cells:
             if self.alive(cell):
@@ -185,22 +208,22 @@
         unit = self.units.get(cell)
         return unit is not None and unit.ready > 0
 
-    def _ended(self, event: i.AttemptEnded) -> None:
-        home = self.requests.get(event.request)
+    def _ended(self, event: AttemptEnded) -> None:
+        home = self.requests.get(event.request_id)
         if home is None:
             return
         home.out -= 1
-        unit, served = self.units[home.cell], event.final and event.status is i.Status.OK
+        unit, served = self.units[home.cell], event.is_final and event.status is AttemptStatus.OK
         if served and not home.over:
             taken = self.now - home.arrived
-            late = taken > home.kind.aim_us * (1 + home.kind.aim_stretch)
+            late = taken > home.kind.latency_objective_us * (1 + home.kind.latency_objective_stretch)
             unit.answered(taken, late)
             self.admission.learn(self.now, unit, home.kind, late)
-        elif event.status in (i.Status.FULL, i.Status.TIMEOUT):
+        elif event.status in (AttemptStatus.OVERLOADED, AttemptStatus.TIMEOUT):
             self.admission.learn(self.now, unit, home.kind, True)
         self._pass(unit, [event])
-        home.over |= event.final  # also of a naming, whose end nobody saw
-        self._close(event.request, home)
+        home.over |= event.is_final  # also of a naming, whose end nobody saw
+        self._close(event.request_id, home)
 
     def _over(self, request: str, home: Home) -> None:
         home.over = True
@@ -218,8 +241,8 @@
 
     # ---- the list and the plan --------------------------------------------------------------------------
 
-    def _listed(self, event: i.MembersChanged) -> None:
-        if event.kind is i.ListKind.FAILED:
+    def _listed(self, event: EndpointsChanged) -> None:
+        if event.kind is EndpointListKind.UNAVAILABLE:
             for unit in self.units.values():
                 self._pass(unit, [event])
             return
@@ -230,10 +253,10 @@
         for unit in list(self.units.values()):
             own = self.roster.own(unit.name)
             changed = [m for a, m in own.items() if unit.told.get(a) != m]
-            left = [replace(m, state=i.State.GONE) for a, m in unit.told.items() if a not in own]
+            left = [replace(m, state=MemberState.REMOVED) for a, m in unit.told.items() if a not in own]
             unit.told = own
             if changed or left:
-                self._pass(unit, [i.MembersChanged(i.ListKind.CHANGE, (*changed, *left))])
+                self._pass(unit, [EndpointsChanged(EndpointListKind.CHANGE, (*changed, *left))])
 
     def apply(self, now: int, plan: Plan) -> None:
         """Another plan from this instant on, whole; PlanError and nothing changed where it does not fit.
@@ -266,9 +289,9 @@
     def _unit(self, index: int, name: str, weight: float) -> Unit:
         """A new cell with a module of its own. Its turn for cold members is its own, its burst of retries a
         part of the director's, and the purges of before bind it as they bind the others."""
-        settings = replace(self.set, index=self.set.index * len(self.plan.cells) + index)
-        if self.set.weights == "off" and self.set.link_kb_per_s:
-            settings = replace(settings, weights="nominal")
+        settings = replace(self.set, router_index=self.set.router_index * len(self.plan.cells) + index)
+        if self.set.weight_source == "off" and self.set.zone_link_kb_per_s:
+            settings = replace(settings, weight_source="nominal")
         router = Router(settings, self.random.getrandbits(64), self.now)
         share = weight / sum(self._weights().values())
         router.burst = router.retries = max(4.0, router.burst * share)
@@ -276,7 +299,7 @@
         told = [replace(p, age_us=p.age_us + self.now - at) for at, p in self.purges]
         self._pass(unit, [*told])
         if name not in self.arbiter.parts:  # it is given its part when others' has left the window
-            self._pass(unit, [i.PartChanged(LEAST_PART)])
+            self._pass(unit, [FleetShareChanged(LEAST_PART)])
         return unit
 
     def _order_moves(self) -> None:
@@ -299,7 +322,7 @@
     # ---- the clock --------------------------------------------------------------------------------------
 
     def _tick(self) -> None:
-        self.out.append(i.SetTimer(self.now + TICK_US, TOKEN))
+        self.out.append(SetTimer(self.now + TICK_US, TOKEN))
         self.ticks += 1
         for name, move in list(self.moves.items()):
             self._step(name, move)
@@ -313,7 +336,7 @@
         if before not in ENDED:
             move.step(self.now, self._signs(move))
         if move.phase is not before:
-            self.out.append(i.Log(f"move {name}: {before.value} to {move.phase.value}: {move.why}"))
+            self.out.append(LogMessage(f"move {name}: {before.value} to {move.phase.value}: {move.why}"))
         if move.phase is Phase.ABORTED and self.plan.moves.get(name) != move.order:
             del self.moves[name]
             self._order_moves()
--- a/onyxwick/cells/offline.py
+++ b/onyxwick/cells/offline.py
@@ -5,9 +5,9 @@
 from pathlib import Path
 from typing import Any
 
-from onyxwick import interface as i
 from onyxwick.cells.model import Plan, PlanError
 from onyxwick.cells.placement import Placement, check_members, place
+from onyxwick.interface import Member, MemberState
 
 
 def _plan(path: Path) -> Plan:
@@ -24,7 +24,7 @@
     """A row that cannot be read says nothing here."""
 
 
-def _members(config: Path | None) -> tuple[list[i.Member], tuple[str | None, ...], str]:
+def _members(config: Path | None) -> tuple[list[Member], tuple[str | None, ...], str]:
     if config is None:
         return [], (None,), ""
     from onyxwick.config import relay
@@ -32,13 +32,13 @@
     from onyxwick.net.coordinator import read_members
 
     told = relay.load({"RELAY_CONFIG": str(config)})
-    listed: dict[str, i.Member] = {}
+    listed: dict[str, Member] = {}
     for event in told.known.get("updates") or ():
         if "endpoints" in event:
             change, _ = read_members(event["endpoints"], FeedStamps(), steady_us(), _passed_over)
             listed |= {m.address: m for m in change.members}
     kinds = (told.settings.parent_kind, told.settings.origin_kind)
-    return [m for m in listed.values() if m.state is not i.State.GONE], kinds, told.settings.zone
+    return [m for m in listed.values() if m.state is not MemberState.REMOVED], kinds, told.settings.zone
 
 
 def moved(before: Placement, after: Placement) -> dict[str, dict[str, list[str]]]:
--- a/onyxwick/cells/placement.py
+++ b/onyxwick/cells/placement.py
@@ -19,8 +19,8 @@
 from functools import lru_cache
 from hashlib import blake2b
 
-from onyxwick import interface as i
 from onyxwick.cells.model import Cell, Plan, PlanError, Tenant
+from onyxwick.interface import Member
 
 FULL_AT = 1.25  # times its fair part of all tenants' weight that a cell takes before draws pass it by
 MASK = (1 << 64) - 1
@@ -70,7 +70,7 @@
     return out
 
 
-def seats(plan: Plan, members: Iterable[i.Member], kinds: tuple[str | None, ...]) -> dict[str, str]:
+def seats(plan: Plan, members: Iterable[Member], kinds: tuple[str | None, ...]) -> dict[str, str]:
     """The cell of each cache on the list, for each depot apart. `kinds`: those of parents and origin, which
     no cell owns. A cache that no cell names, where all cells name theirs, has none."""
     claimed = {member: cell.name for cell in plan.cells.values() for member in cell.members}
@@ -198,7 +198,7 @@
 
 
 def place(
-    plan: Plan, members: Sequence[i.Member], kinds: tuple[str | None, ...], draws: Draws | None = None
+    plan: Plan, members: Sequence[Member], kinds: tuple[str | None, ...], draws: Draws | None = None
 ) -> Placement:
     """The placement for a plan and a list of members (of all depots)."""
     seat_of = seats(plan, members, kinds)
@@ -209,7 +209,7 @@
     return Placement(plan, seat_of, rooms, homes(plan, rooms, draws or Draws()))
 
 
-def check_members(placement: Placement, members: Iterable[i.Member], zone: str) -> None:
+def check_members(placement: Placement, members: Iterable[Member], zone: str) -> None:
     """PlanError where a cell has no box in this director's depot, so that its tenants could not be served."""
     here = {placement.seat_of.get(m.address) for m in members if m.zone == zone}
     for cell in placement.plan.cells.values():
--- a/onyxwick/cells/roster.py
+++ b/onyxwick/cells/roster.py
@@ -5,9 +5,9 @@
 from collections.abc import Iterable
 from dataclasses import replace
 
-from onyxwick import interface as i
 from onyxwick.cells.model import Plan
 from onyxwick.cells.placement import Draws, Placement, check_members, place
+from onyxwick.interface import EndpointListKind, EndpointsChanged, Member, MemberState, RouterSettings
 from onyxwick.logic import DRAWN, GUESSED, PARENT_LINK
 
 
@@ -15,16 +15,16 @@
     """Members and seats. A box that is gone keeps its seat for a while: a cell whose boxes die must not be
     given its neighbours' at once, or what has killed the one would kill the next."""
 
-    def __init__(self, settings: i.Settings, plan: Plan) -> None:
+    def __init__(self, settings: RouterSettings, plan: Plan) -> None:
         self.set = settings
         self.kinds = (settings.parent_kind, settings.origin_kind)
-        self.listed: dict[str, i.Member] = {}
-        self.gone: dict[str, tuple[i.Member, int]] = {}  # with the time since when
+        self.listed: dict[str, Member] = {}
+        self.gone: dict[str, tuple[Member, int]] = {}  # with the time since when
         self.draws = Draws()
         self.placement = place(plan, [], self.kinds, self.draws)
-        self.placed_for: list[i.Member] = []
+        self.placed_for: list[Member] = []
 
-    def _boxes(self) -> list[i.Member]:
+    def _boxes(self) -> list[Member]:
         held = {a: m for a, (m, _) in self.gone.items()} | self.listed
         return [m for _, m in sorted(held.items()) if m.kind not in self.kinds]
 
@@ -36,13 +36,13 @@
             check_members(out, boxes, self.set.zone)
         return out
 
-    def listed_anew(self, now: int, event: i.MembersChanged) -> None:
-        if event.kind is not i.ListKind.CHANGE:
+    def listed_anew(self, now: int, event: EndpointsChanged) -> None:
+        if event.kind is not EndpointListKind.CHANGE:
             named = {m.address for m in event.members}
             for address in [a for a in self.listed if a not in named]:
                 self._drop(address, now)
         for m in event.members:
-            if m.state is i.State.GONE:
+            if m.state is MemberState.REMOVED:
                 self._drop(m.address, now)
             else:
                 self.listed[m.address] = m
@@ -69,7 +69,7 @@
             self._replace()
         return bool(late)
 
-    def own(self, cell: str) -> dict[str, i.Member]:
+    def own(self, cell: str) -> dict[str, Member]:
         """What a cell's router is told of: its boxes in all depots, the parents and the origin."""
         seat_of = self.placement.seat_of
         return {
@@ -78,12 +78,16 @@
             if m.kind in self.kinds or seat_of.get(a) == cell
         }
 
-    def _sized(self, m: i.Member) -> i.Member:
+    def _sized(self, m: Member) -> Member:
         """Where the list gives no weights: sizes by the links, as the module guesses them for a whole depot;
         a cell's router sees a part of one and would guess too much."""
-        if self.set.weights != "off" or not self.set.pace_kb_per_s or not self.set.link_kb_per_s:
+        if (
+            self.set.weight_source != "off"
+            or not self.set.transfer_kb_per_s
+            or not self.set.zone_link_kb_per_s
+        ):
             return m
-        link = self.set.link_kb_per_s / self.set.pace_kb_per_s
+        link = self.set.zone_link_kb_per_s / self.set.transfer_kb_per_s
         if m.kind in self.kinds:
             return replace(m, weight=GUESSED * link * PARENT_LINK)
         here = sum(o.zone == m.zone and o.kind not in self.kinds for o in self.listed.values())
@@ -101,8 +105,8 @@
         wanted, rules, seat_of = set(cells), self.set.rules, self.placement.seat_of
         shares = []
         for a, m in self.listed.items():
-            if seat_of.get(a) in wanted and m.zone == self.set.zone and m.state is i.State.READY:
-                age = now - m.since_us if m.since_us else rules.cold_us
-                risen = min(1.0, max(0, age) / max(1, rules.cold_us))
-                shares.append(rules.cold_start + (1 - rules.cold_start) * risen)
+            if seat_of.get(a) in wanted and m.zone == self.set.zone and m.state is MemberState.READY:
+                age = now - m.started_at_us if m.started_at_us else rules.warm_up_us
+                risen = min(1.0, max(0, age) / max(1, rules.warm_up_us))
+                shares.append(rules.warm_up_start_share + (1 - rules.warm_up_start_share) * risen)
         return sum(shares) / len(shares) if shares else 0.0
--- a/onyxwick/cells/unit.py
+++ b/onyxwick/cells/unit.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass
 
-from onyxwick import interface as i
 from onyxwick.cells.limits import Gate
+from onyxwick.interface import Member, RequestClass
 from onyxwick.logic import Router
 
 SEEN = 0.05  # weight of one answer in the pressure on a cell
@@ -18,7 +18,7 @@
 
     cell: str
     tenant: str
-    kind: i.RequestClass
+    kind: RequestClass
     arrived: int
     out: int = 0  # attempts under way
     over: bool = False  # its final answer is decided
@@ -30,7 +30,7 @@
     def __init__(self, name: str, router: Router, most_open: float) -> None:
         self.name, self.router = name, router
         self.gate = Gate(most_open)
-        self.told: dict[str, i.Member] = {}
+        self.told: dict[str, Member] = {}
         self.pressure = 0.0  # refused and late among the latest answers
         self.place_us = float(MEAN_US)  # how long a place is taken
         self.leaving = False  # no longer in the plan: ends what it has
--- a/onyxwick/config/relay.py
+++ b/onyxwick/config/relay.py
@@ -10,9 +10,9 @@
 
 import ujson
 
-from onyxwick import interface as i
 from onyxwick.config.address import read_address
 from onyxwick.config.errors import ConfigError, unreadable
+from onyxwick.interface import RouterSettings
 from onyxwick.settings import Pairs, SettingError, read_settings
 
 BASE_MB = 32  # of memory, used by the program as it starts
@@ -33,7 +33,7 @@
     sockets: int
     memory_mb: int
     known: dict[str, Any]
-    settings: i.Settings
+    settings: RouterSettings
     listen_fd: int | None = None  # a listening socket that the platform holds and hands down
     admin: tuple[str, int] | None = None  # the operators' door; None: no door
 
--- a/onyxwick/config/sites.py
+++ b/onyxwick/config/sites.py
@@ -6,9 +6,9 @@
 import re
 from pathlib import Path
 
-from onyxwick import interface as i
 from onyxwick.config.errors import ConfigError, guess
 from onyxwick.config.fields import NAME, Fields
+from onyxwick.interface import RouterSettings
 from onyxwick.sites.model import (
     ARCHIVE,
     SITE_FIELD,
@@ -202,7 +202,7 @@
         raise ConfigError(f"{path.name}: {error}") from None
 
 
-def check_against(top: Topology, settings: i.Settings, file: str) -> None:
+def check_against(top: Topology, settings: RouterSettings, file: str) -> None:
     """ConfigError where a topology does not fit what the director is told of itself and its classes."""
     if top.of_zone(settings.zone) is None:
         hint = guess(settings.zone, [site.zone for site in top.sites.values()])
--- a/onyxwick/core/engine.py
+++ b/onyxwick/core/engine.py
@@ -8,7 +8,6 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from onyxwick import interface as i
 from onyxwick import logs
 from onyxwick.core.clock import steady_us
 from onyxwick.core.invariants import AttemptBegun, Invariants, Violation
@@ -26,6 +25,32 @@
 from onyxwick.core.send_guard import SendGuard
 from onyxwick.core.stall import StallWatch
 from onyxwick.counters import Counters
+from onyxwick.interface import (
+    Action,
+    AttemptEnded,
+    AttemptStatus,
+    CancelAttempt,
+    ClientDisconnected,
+    EndpointListKind,
+    EndpointsChanged,
+    Event,
+    FailRequest,
+    ForwardRequest,
+    ForwardWithFill,
+    Idempotency,
+    LogMessage,
+    Member,
+    ObjectsPurged,
+    PollEndpoints,
+    RejectRequest,
+    RequestArrived,
+    RequestRouter,
+    RouterSettings,
+    SetTimer,
+    SiteStateChanged,
+    SubscribeToEndpoints,
+    TimerFired,
+)
 from onyxwick.logic import Router
 
 if TYPE_CHECKING:
@@ -48,14 +73,14 @@
 
     def __init__(
         self,
-        settings: i.Settings,
+        settings: RouterSettings,
         seed: int,
         transport: Transport,
         members: Members,
         counters: Counters,
         clock: Callable[[], int] = steady_us,
         most_open: int = MAX_OPEN_REQUESTS,
-        decide: Callable[[i.Settings, int, int], i.Decider] = Router,
+        decide: Callable[[RouterSettings, int, int], RequestRouter] = Router,
     ) -> None:
         self.settings, self.transport, self.members, self.counters = settings, transport, members, counters
         self.clock, self.most_open = clock, most_open
@@ -63,16 +88,16 @@
         self.watch: Watch | None = None  # writes a trace, where one is wanted
         self.durable: Durable | None = None  # what lasts over restarts, where the installation has a disk
         # How the list is to be shown to the module, over what `durable` holds back: the operators' orders.
-        self.adjust_list: Callable[[i.MembersChanged, int], i.MembersChanged] | None = None
+        self.adjust_list: Callable[[EndpointsChanged, int], EndpointsChanged] | None = None
         self.stalls = StallWatch(time.monotonic())
         self.guard = SendGuard(settings, members, self.stalls, self.now, self.leave)
         # The list as received, before recovery and the operators' orders hold rows back.
-        self.received_rows: dict[str, tuple[i.Member, tuple[str, int]]] = {}
+        self.received_rows: dict[str, tuple[Member, tuple[str, int]]] = {}
         self.lifecycles: dict[str, RequestLifecycle] = {}
         self.idle = asyncio.Event()
         self.idle.set()
         self.writes = {c.name for c in settings.classes if c.write}
-        self.once = {c.name for c in settings.classes if c.repeat is i.Repeat.UNSAFE}
+        self.once = {c.name for c in settings.classes if c.idempotency is Idempotency.NON_IDEMPOTENT}
         self.invariants = Invariants(settings, self._violated, self._work_us)
         self.router = decide(settings, seed, self.now())
         self.handle()
@@ -100,35 +125,35 @@
 
     # ---- events in, actions out -------------------------------------------------------------------------
 
-    def handle(self, *events: i.Event) -> None:
+    def handle(self, *events: Event) -> None:
         """Hand the module the events of one instant, and carry out or pass on its actions."""
         now = self.now()
         actions = self.router.handle(now, list(events))
         if self.watch is not None:
             self.watch.after(now, self.router, events, actions)
         for action in actions:
-            if isinstance(action, i.SetTimer):
+            if isinstance(action, SetTimer):
                 delay = max(0, action.at_us - self.now()) / 1e6
                 asyncio.get_running_loop().call_later(delay, self._timer, action.at_us, action.token)
-            elif isinstance(action, i.Log):
+            elif isinstance(action, LogMessage):
                 log.info("module", text=action.text)
-            elif isinstance(action, i.SiteChanged):
-                self.counters.add(f"sites.{action.now}.{action.site}")
+            elif isinstance(action, SiteStateChanged):
+                self.counters.add(f"sites.{action.state}.{action.site}")
                 log.warning(
-                    "site", site=action.site, was=action.was, now=action.now, share=round(action.share, 3),
-                    why=action.why,
+                    "site", site=action.site, was=action.previous_state, now=action.state, share=round(action.share_away, 3),
+                    why=action.reason,
                 )  # fmt: skip
-            elif isinstance(action, i.Subscribe | i.AskList):
+            elif isinstance(action, SubscribeToEndpoints | PollEndpoints):
                 pass  # the coordinator's events come unasked
-            elif lifecycle := self.lifecycles.get(action.request):
+            elif lifecycle := self.lifecycles.get(action.request_id):
                 lifecycle.mailbox.put(self._as_decided(action))
 
-    def _as_decided(self, action: i.Action) -> Mail:
+    def _as_decided(self, action: Action) -> Mail:
         """An attempt is decided now, however late it is carried out: news may be received in between."""
-        if isinstance(action, i.Attempt):
+        if isinstance(action, ForwardRequest):
             return Decided(action, self.members.standing(action.member, None))
-        if isinstance(action, i.Fetch):
-            source = None if action.source == action.member else action.source
+        if isinstance(action, ForwardWithFill):
+            source = None if action.fill_source == action.member else action.fill_source
             return Decided(action, self.members.standing(action.member, source))
         return action
 
@@ -142,15 +167,15 @@
             asyncio.get_running_loop().call_later(READ_FIRST_S, self._timer, at, token, True)
             return
         try:
-            self.handle(i.TimerFired(token))
+            self.handle(TimerFired(token))
         except Exception:
             self.counters.add("error.timer")
             log.exception("error on a timer", token=token)
             asyncio.get_running_loop().call_later(RETRY_TIMER_S, self._timer, at, token)
 
-    def list_changed(self, event: i.MembersChanged, addresses: dict[str, tuple[str, int]]) -> None:
+    def list_changed(self, event: EndpointsChanged, addresses: dict[str, tuple[str, int]]) -> None:
         """The list was received, whole or in part; `addresses` of all rows that are not gone."""
-        if event.kind is not i.ListKind.CHANGE:
+        if event.kind is not EndpointListKind.CHANGE:
             self.received_rows.clear()
         for m in event.members:
             if m.address in addresses:
@@ -175,14 +200,14 @@
         ]
         if rows:
             addresses = {m.address: address for m, address in rows}
-            self.list_changed(i.MembersChanged(i.ListKind.CHANGE, tuple(m for m, _ in rows)), addresses)
+            self.list_changed(EndpointsChanged(EndpointListKind.CHANGE, tuple(m for m, _ in rows)), addresses)
 
     def restore(self, durable: Durable) -> None:
         """Take in what lasted: purges that a cache may not have done bind the first request already."""
         self.durable = durable
         for purge in durable.recovery.purges_to_tell(self.now()):
-            self.invariants.purged(purge.group, purge.object, self.now() - purge.age_us, self.now())
-            self.members.purged(purge.group, purge.object, self.now())
+            self.invariants.purged(purge.object_group, purge.object_id, self.now() - purge.age_us, self.now())
+            self.members.purged(purge.object_group, purge.object_id, self.now())
             self.handle(purge)
 
     def feed_observed(self, index: int) -> None:
@@ -198,7 +223,7 @@
             self.durable.purge_told(group, name, at_us, self.now())
         self.invariants.purged(group, name, at_us, self.now())
         self.members.purged(group, name, self.now())
-        self.handle(i.Purged(group, name, max(0, self.now() - at_us)))
+        self.handle(ObjectsPurged(group, name, max(0, self.now() - at_us)))
 
     # ---- one request ------------------------------------------------------------------------------------
 
@@ -278,7 +303,7 @@
     def _forget(self, request: str) -> None:
         """The module has seen the request arrive and would wait for its end."""
         try:
-            self.handle(i.ClientLeft(request))
+            self.handle(ClientDisconnected(request))
         except Exception:
             self.counters.add("error.request")
             log.exception("error in forgetting a request", request=request)
@@ -298,26 +323,26 @@
             lifecycle.mailbox.put(GivenBack(refusable))
 
     def _without_server(
-        self, request: Request, end: i.Refuse | i.Fail | ClientDeparted | GivenBack
+        self, request: Request, end: RejectRequest | FailRequest | ClientDeparted | GivenBack
     ) -> Answer | None:
         """The final answer of a request that no server gave; None if its client has left."""
         match end:
-            case i.Refuse(_, after):
+            case RejectRequest(_, after):
                 self.refused(Refusal.NO_SERVER, request.id, request.connection)
                 return Answer(Verdict.REFUSED, retry_after_us=after)
-            case i.Fail():
+            case FailRequest():
                 self.refused(Refusal.FAILED, request.id, request.connection)
                 return Answer(Verdict.FAILED)
             case ClientDeparted(overdue=False):
                 self.counters.add("request.left")
-                self.handle(i.ClientLeft(request.id))
+                self.handle(ClientDisconnected(request.id))
                 return None
             case GivenBack(refusable):
-                self.handle(i.ClientLeft(request.id))
+                self.handle(ClientDisconnected(request.id))
                 self.refused(Refusal.DIRECTOR_ENDING, request.id, request.connection)
                 return Answer(Verdict.REFUSED if refusable else Verdict.FAILED)
         self.counters.add("request.overdue")
-        self.handle(i.ClientLeft(request.id))
+        self.handle(ClientDisconnected(request.id))
         self.refused(Refusal.OVERDUE, request.id, request.connection)
         return Answer(Verdict.FAILED)
 
@@ -337,11 +362,11 @@
                         if self._must_last(lifecycle):
                             await self._intend(lifecycle)
                         self._start(lifecycle, mail)
-                    case i.Cancel(_, number):
+                    case CancelAttempt(_, number):
                         self._cancel(lifecycle, number)
                     case AttemptFinished(outcome=outcome):
                         self._report(lifecycle, mail)
-                        if outcome.status is i.Status.OK:
+                        if outcome.status is AttemptStatus.OK:
                             return Answer(
                                 Verdict.SERVED,
                                 outcome.body,
@@ -349,7 +374,7 @@
                                 outcome.unchanged,
                                 member=mail.member,
                             )
-                    case i.Refuse() | i.Fail() | ClientDeparted() | GivenBack():
+                    case RejectRequest() | FailRequest() | ClientDeparted() | GivenBack():
                         return self._without_server(request, mail)
         finally:
             overdue.cancel()
@@ -372,31 +397,31 @@
             match mail := await lifecycle.mailbox.get():
                 case Decided(action):
                     lifecycle.attempts.append(None)
-                    lifecycle.ends.append(i.Status.NOT_SENT)
+                    lifecycle.ends.append(AttemptStatus.NOT_SENT)
                     lifecycle.ordered_at.append(0)
                     number = len(lifecycle.attempts) - 1
                     self._report(
-                        lifecycle, AttemptFinished(action.member, number, Outcome(i.Status.NOT_SENT), 0)
+                        lifecycle, AttemptFinished(action.member, number, Outcome(AttemptStatus.NOT_SENT), 0)
                     )
-                case i.Cancel(_, number):
+                case CancelAttempt(_, number):
                     self._cancel(lifecycle, number)
                 case AttemptFinished():
                     self._report(lifecycle, mail)
                 case _:
                     pass  # the client's leaving, or a second thought: the answer has gone out
 
-    def _arrival(self, request: Request, deadline: int) -> i.RequestArrived:
-        return i.RequestArrived(
-            request=request.id,
+    def _arrival(self, request: Request, deadline: int) -> RequestArrived:
+        return RequestArrived(
+            request_id=request.id,
             class_name=request.class_name,
-            object=request.object,
+            object_id=request.object,
             expires_in_us=max(0, deadline - self.now()),
-            group=request.group,
+            object_group=request.group,
             part=request.part,
-            repeat=request.repeat,
-            write=request.class_name in self.writes,
+            is_retry=request.repeat,
+            is_write=request.class_name in self.writes,
             tenant=request.tenant,
-            site=request.site,
+            client_site=request.site,
         )
 
     # ---- attempts ---------------------------------------------------------------------------------------
@@ -436,18 +461,18 @@
         left = request.arrived_us + request.timeout_us - self.now()
         timeout = min(left, action.timeout_us) if action.timeout_us else left
         alone = request.class_name in self.once
-        if isinstance(action, i.Attempt):
+        if isinstance(action, ForwardRequest):
             good = partial(self.guard.may_send, lifecycle, number, action.member, None, decided)
             return Order(request, action.member, timeout, alone=alone, is_still_valid=good)
-        source = None if action.source == action.member else action.source
+        source = None if action.fill_source == action.member else action.fill_source
         return Order(
             request,
             action.member,
             timeout,
             source,
-            action.rank,
+            action.retention_rank,
             action.max_age_us,
-            action.flags,
+            action.fill_options,
             alone,
             partial(self.guard.may_send, lifecycle, number, action.member, source, decided),
         )
@@ -461,16 +486,16 @@
     ) -> None:
         lifecycle.attempts[number] = None
         if task.cancelled():
-            outcome = Outcome(i.Status.CANCELLED)
+            outcome = Outcome(AttemptStatus.CANCELLED)
         elif error := task.exception():
             self.counters.add("error.attempt")
             log.error("error in an attempt", request=lifecycle.request.id, exc_info=error)
-            outcome = Outcome(i.Status.ERROR)
+            outcome = Outcome(AttemptStatus.ERROR)
         else:
             outcome = task.result()
         lifecycle.ends[number] = outcome.status
-        self.invariants.attempt_ended(lifecycle.request.id, number, outcome.status.proves_unrun)
-        if outcome.status.proves_unrun:
+        self.invariants.attempt_ended(lifecycle.request.id, number, outcome.status.proves_not_executed)
+        if outcome.status.proves_not_executed:
             lifecycle.ordered_at[number] = 0
         lifecycle.mailbox.put(
             AttemptFinished(order.member, number, outcome, self.now() - begun, order.sent_us)
@@ -479,18 +504,18 @@
     def _report(self, lifecycle: RequestLifecycle, ended: AttemptFinished) -> None:
         outcome = ended.outcome
         # What nobody saw the end of is told as a cancelled attempt: it may have run, and teaches nothing.
-        status = i.Status.CANCELLED if outcome.unobserved else outcome.status
+        status = AttemptStatus.CANCELLED if outcome.unobserved else outcome.status
         self.counters.add(f"outcome.{status.value}")
-        event = i.AttemptEnded(
-            request=lifecycle.request.id,
-            attempt=ended.number,
+        event = AttemptEnded(
+            request_id=lifecycle.request.id,
+            attempt_index=ended.number,
             member=ended.member,
             status=status,
             latency_us=ended.latency_us,
-            final=outcome.status is i.Status.OK,
+            is_final=outcome.status is AttemptStatus.OK,
             detail=outcome.detail,
-            waited_us=outcome.waited_us,
-            report=outcome.report,
+            upstream_wait_us=outcome.waited_us,
+            load_report=outcome.report,
         )
         if self.watch is not None:
             self.watch.ended(self.now(), event, ended.sent_us, outcome)
--- a/onyxwick/core/invariants.py
+++ b/onyxwick/core/invariants.py
@@ -16,7 +16,14 @@
 from functools import wraps
 from typing import Concatenate, ParamSpec
 
-from onyxwick import interface as i
+from onyxwick.interface import (
+    EndpointListKind,
+    EndpointsChanged,
+    Idempotency,
+    Member,
+    MemberState,
+    RouterSettings,
+)
 
 DEPARTED_US = 100_000
 """An attempt that begins later than this after its client has left is a lost request."""
@@ -94,7 +101,7 @@
 
 @dataclass(slots=True)
 class _Server:
-    info: i.Member
+    info: Member
     unready_since: int = 0
     sends: deque[tuple[int, float]] | None = None  # while it recovers: when, and how many of mean work
 
@@ -128,7 +135,7 @@
 
     def __init__(
         self,
-        settings: i.Settings,
+        settings: RouterSettings,
         report: Callable[[Violation], None],
         work_us: Callable[[], Mapping[str, float]] = dict,
     ) -> None:
@@ -142,26 +149,26 @@
     # ---- what is known -----------------------------------------------------------------------------------
 
     @_contained
-    def list_changed(self, event: i.MembersChanged, now: int) -> None:
+    def list_changed(self, event: EndpointsChanged, now: int) -> None:
         """The list was received, whole or in part, as the director is to see it."""
-        if event.kind is i.ListKind.FAILED:
+        if event.kind is EndpointListKind.UNAVAILABLE:
             return
-        if event.kind is not i.ListKind.CHANGE:
+        if event.kind is not EndpointListKind.CHANGE:
             named = {m.address for m in event.members}
             for name in [name for name in self.servers if name not in named]:
                 self._remove(name, now)
         for m in event.members:
-            if m.state is i.State.GONE:
+            if m.state is MemberState.REMOVED:
                 self._remove(m.address, now)
                 continue
             server = self.servers.get(m.address)
             if server is None:
                 server = self.servers[m.address] = _Server(m)
                 self.removed.pop(m.address, None)
-            elif m.since_us != server.info.since_us:
+            elif m.started_at_us != server.info.started_at_us:
                 server.sends = None
             server.info = m
-            server.unready_since = 0 if m.state is i.State.READY else server.unready_since or now
+            server.unready_since = 0 if m.state is MemberState.READY else server.unready_since or now
 
     def _remove(self, name: str, now: int) -> None:
         if self.servers.pop(name, None) is not None:
@@ -176,7 +183,7 @@
         before = self.purges.pop(key, (0, 0))
         self.purges[key] = max(made, before[0]), now
         oldest = next(iter(self.purges))
-        while self.purges[oldest][1] < now - 2 * self.rules.purge_settles_us:
+        while self.purges[oldest][1] < now - 2 * self.rules.purge_retention_us:
             del self.purges[oldest]
             oldest = next(iter(self.purges))
 
@@ -295,11 +302,11 @@
             return
         if self.servers[begun.member].info.kind == self.settings.origin_kind:
             return
-        accepted = begun.accept_us or kind.lifetime_us or now
+        accepted = begun.accept_us or kind.freshness_lifetime_us or now
         for key in ((known.group, None), (None, known.object)):
             made, received = self.purges.get(key, (0, 0))
             bound = received + self.rules.purge_grace_us + SOCKET_SLACK_US
-            settled = made + self.rules.purge_settles_us  # caches have done it by themselves then
+            settled = made + self.rules.purge_retention_us  # caches have done it by themselves then
             if made and bound < now < settled and now - accepted < made - SOCKET_SLACK_US:
                 cause = f"copies of {accepted} us would do, it was purged {now - made} us ago"
                 self._broken_by(Rule.SENT_OVER_PURGE, cause, begun)
@@ -307,25 +314,27 @@
     def _check_repeat(self, known: _Request, begun: AttemptBegun, now: int) -> None:
         kind = self.classes.get(known.class_name)
         others = [at for number, at in known.begun.items() if number != begun.number]
-        if kind is None or kind.repeat is i.Repeat.SAFE or not others:
+        if kind is None or kind.idempotency is Idempotency.IDEMPOTENT or not others:
             return
-        if kind.repeat is i.Repeat.UNSAFE or now - min(others) > kind.window_us:
+        if kind.idempotency is Idempotency.NON_IDEMPOTENT or now - min(others) > kind.key_window_us:
             cause = f"an attempt that may have run began {now - min(others)} us ago"
             self._broken_by(Rule.REPEATED_UNSAFELY, cause, begun)
 
     def _check_slow_start(self, known: _Request, begun: AttemptBegun, now: int) -> None:
         for name in {begun.member, begun.source}:
             server = self.servers.get(name) if name is not None else None
-            if server is not None and server.info.since_us and self.settings.weights != "off":
+            if server is not None and server.info.started_at_us and self.settings.weight_source != "off":
                 self._count_send(server, known.class_name, begun, now)
 
     def _count_send(self, server: _Server, class_name: str, begun: AttemptBegun, now: int) -> None:
         rules, m = self.rules, server.info
         parent = m.kind == self.settings.parent_kind
         start, rise = (
-            (rules.parent_cold_start, rules.parent_cold_us) if parent else (rules.cold_start, rules.cold_us)
+            (rules.parent_warm_up_start_share, rules.parent_warm_up_us)
+            if parent
+            else (rules.warm_up_start_share, rules.warm_up_us)
         )
-        age = now - m.since_us
+        age = now - m.started_at_us
         work = self.work_us()
         if age >= rise or not work or m.weight <= 0 or m.kind == self.settings.origin_kind:
             server.sends = None
--- a/onyxwick/core/lifecycles.py
+++ b/onyxwick/core/lifecycles.py
@@ -6,9 +6,9 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from onyxwick import interface as i
 from onyxwick.core.members import Standing
 from onyxwick.core.model import Outcome, Request, Transport
+from onyxwick.interface import Action, AttemptStatus, ForwardRequest, ForwardWithFill
 
 
 @dataclass(slots=True)
@@ -33,7 +33,7 @@
 class Decided:
     """An attempt that the module has ordered, and what it was decided on."""
 
-    action: i.Attempt | i.Fetch
+    action: ForwardRequest | ForwardWithFill
     standing: Standing
 
 
@@ -44,7 +44,7 @@
     refusable: bool
 
 
-Mail = i.Action | Decided | AttemptFinished | ClientDeparted | GivenBack
+Mail = Action | Decided | AttemptFinished | ClientDeparted | GivenBack
 
 
 class Mailbox:
@@ -79,7 +79,7 @@
     attempts: list[asyncio.Task[Outcome] | None] = field(default_factory=list)  # None: has ended
     # When each attempt was ordered, in steady us; 0: it is proved that it never ran.
     ordered_at: list[int] = field(default_factory=list)
-    ends: list[i.Status | None] = field(default_factory=list)  # how each attempt ended; None: it is out
+    ends: list[AttemptStatus | None] = field(default_factory=list)  # how each attempt ended; None: it is out
     client_departed: bool = False  # its client has left
     answered: bool = False  # it has its final answer
     intended: bool = False  # that it will be sent is durable
--- a/onyxwick/core/members.py
+++ b/onyxwick/core/members.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from onyxwick import interface as i
 from onyxwick.core.model import Request
+from onyxwick.interface import EndpointListKind, EndpointsChanged, Member, MemberState
 
 PURGES_KEPT_US = 10_000_000  # no send waits that long, so older purges bind none
 
@@ -24,7 +24,7 @@
     """Members by id. The address is looked up at each send: another member may have had it before."""
 
     def __init__(self) -> None:
-        self.listed: dict[str, i.Member] = {}
+        self.listed: dict[str, Member] = {}
         self.addresses: dict[str, tuple[str, int]] = {}
         self.loaded = False
         self.watchers: list[Callable[[str], None]] = []  # called for each member that left or restarted
@@ -34,21 +34,21 @@
         # Excluded by the operators: nothing is sent to them from the moment this is set, from any thread.
         self.excluded: frozenset[str] = frozenset()
 
-    def apply(self, event: i.MembersChanged, addresses: dict[str, tuple[str, int]]) -> None:
+    def apply(self, event: EndpointsChanged, addresses: dict[str, tuple[str, int]]) -> None:
         """Take in a change of the list, or all of it; `addresses` has those of all rows that are not gone."""
-        if event.kind is not i.ListKind.CHANGE:
+        if event.kind is not EndpointListKind.CHANGE:
             named = {m.address for m in event.members}
             for member in [m for m in self.listed if m not in named]:
                 self._drop(member)
             self.loaded = True
         for m in event.members:
             old = self.listed.get(m.address)
-            if m.state is i.State.GONE:
+            if m.state is MemberState.REMOVED:
                 self._drop(m.address)
                 continue
             moved = self.addresses.get(m.address) != addresses[m.address]
             self.listed[m.address], self.addresses[m.address] = m, addresses[m.address]
-            if old and (moved or old.since_us != m.since_us):
+            if old and (moved or old.started_at_us != m.started_at_us):
                 self._tell_watchers(m.address)
 
     def _drop(self, member: str) -> None:
@@ -72,7 +72,7 @@
     def ready(self, member: str) -> bool:
         """May new work be sent to a member?"""
         listed = self.listed.get(member)
-        return listed is not None and listed.state is i.State.READY and member not in self.excluded
+        return listed is not None and listed.state is MemberState.READY and member not in self.excluded
 
     def standing(self, member: str, source: str | None) -> Standing:
         """What an attempt that is decided now is decided on."""
@@ -80,7 +80,7 @@
 
     def _since(self, member: str | None) -> int:
         listed = self.listed.get(member) if member is not None else None
-        return listed.since_us if listed is not None else 0
+        return listed.started_at_us if listed is not None else 0
 
     def is_still_valid(self, member: str, source: str | None, request: Request, decided: Standing) -> bool:
         """May what was decided then be sent now? A drain, a start or a purge may have been received in
--- a/onyxwick/core/model.py
+++ b/onyxwick/core/model.py
@@ -8,7 +8,7 @@
 from enum import Enum
 from typing import Protocol
 
-from onyxwick import interface as i
+from onyxwick.interface import AnswerDetail, AttemptStatus, FillOption
 
 
 class Verdict(Enum):
@@ -64,7 +64,7 @@
     source: str | None = None
     rank: int = 0
     max_age_us: int = 0
-    flags: i.FillFlag = i.FillFlag.NONE
+    flags: FillOption = FillOption.NONE
     alone: bool = False  # must not run twice: it is to share its fate with no other attempt
     is_still_valid: Callable[[], bool] = field(default=lambda: True, compare=False)
     """Asked right before the first byte: drains and purges told of meanwhile hold for this send too."""
@@ -82,8 +82,8 @@
 class Outcome:
     """How an attempt ended, with the answer's body and tag where it brought one."""
 
-    status: i.Status
-    detail: i.Detail = i.Detail.NONE
+    status: AttemptStatus
+    detail: AnswerDetail = AnswerDetail.NONE
     waited_us: int = 0
     report: tuple[float, ...] = ()
     body: bytes = b""
--- a/onyxwick/core/send_guard.py
+++ b/onyxwick/core/send_guard.py
@@ -5,10 +5,10 @@
 import time
 from collections.abc import Callable
 
-from onyxwick import interface as i
 from onyxwick.core.lifecycles import RequestLifecycle
 from onyxwick.core.members import Members, Standing
 from onyxwick.core.stall import StallWatch
+from onyxwick.interface import Idempotency, RouterSettings
 
 
 class SendGuard:
@@ -20,7 +20,7 @@
 
     def __init__(
         self,
-        settings: i.Settings,
+        settings: RouterSettings,
         members: Members,
         stalls: StallWatch,
         now: Callable[[], int],
@@ -56,15 +56,20 @@
     def is_harmless_again(self, lifecycle: RequestLifecycle) -> bool:
         """May its client be told to try it again: is its class safe to repeat, or has nothing of it run?"""
         kind = self.kinds.get(lifecycle.request.class_name)
-        return (kind is not None and kind.repeat is i.Repeat.SAFE) or not any(lifecycle.ordered_at)
+        return (kind is not None and kind.idempotency is Idempotency.IDEMPOTENT) or not any(
+            lifecycle.ordered_at
+        )
 
     def may_repeat(self, lifecycle: RequestLifecycle, number: int) -> bool:
         """May an attempt go out beside or after the earlier ones of its request that may have run?"""
         kind = self.kinds.get(lifecycle.request.class_name)
-        if kind is None or kind.repeat is i.Repeat.SAFE:
+        if kind is None or kind.idempotency is Idempotency.IDEMPOTENT:
             return True
         ran = [at for at in lifecycle.ordered_at[:number] if at]
         if not ran:
             return True
         # A repeat by key is safe for a while after the first send; it must have arrived whole by then.
-        return kind.repeat is i.Repeat.KEYED and self.now() - min(ran) < kind.window_us - self.margin_us
+        return (
+            kind.idempotency is Idempotency.WITH_KEY
+            and self.now() - min(ran) < kind.key_window_us - self.margin_us
+        )
--- a/onyxwick/dns/naming.py
+++ b/onyxwick/dns/naming.py
@@ -7,8 +7,8 @@
 
 import dns.name
 
-from onyxwick import interface as i
 from onyxwick.core import Order, Outcome, Request
+from onyxwick.interface import AttemptStatus, Idempotency, RequestClass
 
 _OBJECT = re.compile(r"[0-9a-f]{16}").fullmatch
 _PART = re.compile(r"0|[1-9][0-9]{0,8}").fullmatch
@@ -24,11 +24,11 @@
 
     async def run(self, order: Order) -> Outcome:
         if not order.is_still_valid():
-            return Outcome(i.Status.NOT_SENT)
-        return Outcome(i.Status.OK, unobserved=True)
+            return Outcome(AttemptStatus.NOT_SENT)
+        return Outcome(AttemptStatus.OK, unobserved=True)
 
 
-def read_name(labels: tuple[str, ...], classes: dict[str, i.RequestClass]) -> tuple[str, str, int] | None:
+def read_name(labels: tuple[str, ...], classes: dict[str, RequestClass]) -> tuple[str, str, int] | None:
     """Class, object and part of PART.OBJECT.CLASS, or None where there is no such name.
 
     A class whose requests must never run twice has no names: a resolver asks again as it likes, and whoever
@@ -38,7 +38,7 @@
         return None
     part, name, class_name = labels
     kind = classes.get(class_name)
-    if kind is None or kind.write or kind.repeat is i.Repeat.UNSAFE:
+    if kind is None or kind.write or kind.idempotency is Idempotency.NON_IDEMPOTENT:
         return None
     return (class_name, name, int(part)) if _OBJECT(name) and _PART(part) else None
 
--- a/onyxwick/door/bridge.py
+++ b/onyxwick/door/bridge.py
@@ -12,7 +12,6 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from onyxwick import interface as i
 from onyxwick import logs
 from onyxwick.core import Core
 from onyxwick.core.members import Members
@@ -20,6 +19,7 @@
 from onyxwick.door import orders as o
 from onyxwick.door.figures import figures
 from onyxwick.door.persisted_commands import PersistedCommands
+from onyxwick.interface import EndpointsChanged
 
 log = logs.get()
 RECALL_S, RECALL_RETRY_S = 2.0, 0.05  # how long a start waits for a predecessor's file, and between two tries
@@ -60,7 +60,7 @@
             self.known.add(read[1])
             log.info("orders of a predecessor", version=read[0].version, held=len(read[0].held))
 
-    def shown(self, event: i.MembersChanged, now: int) -> i.MembersChanged:
+    def shown(self, event: EndpointsChanged, now: int) -> EndpointsChanged:
         """The list as the module is to see it: every id is known from now on, the orders bind."""
         self.known.add([member.address for member in event.members])
         return o.shown_list(event, self.orders, now)
@@ -101,7 +101,7 @@
             self.counters.counts.copy(),
             len(self.core.lifecycles),
             len(self.members.listed),
-            decider.ejected(),
+            decider.ejected_count(),
         )
 
 
--- a/onyxwick/door/orders.py
+++ b/onyxwick/door/orders.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass, field, replace
 from typing import TypeGuard
 
-from onyxwick import interface as i
+from onyxwick.interface import EndpointsChanged, Member, MemberState
 
 S = 1_000_000
 BACK_KEPT_US = 40 * S  # a cache let back in is shown as started then for so long: past the longest cold time
@@ -97,19 +97,19 @@
     return set(before.held ^ after.held) | {name for name, _ in set(before.back) ^ set(after.back)}
 
 
-def shown(member: i.Member, orders: Orders, now: int) -> i.Member:
+def shown(member: Member, orders: Orders, now: int) -> Member:
     """A row of the list as the module is to see it under these orders."""
-    if member.state is not i.State.READY:
+    if member.state is not MemberState.READY:
         return member
     if member.address in orders.held:
-        return replace(member, state=i.State.DRAINING)
+        return replace(member, state=MemberState.DRAINING)
     back = orders.cold_from(member.address)
-    if back and now - back < BACK_KEPT_US and member.since_us < back:
-        return replace(member, since_us=back)
+    if back and now - back < BACK_KEPT_US and member.started_at_us < back:
+        return replace(member, started_at_us=back)
     return member
 
 
-def shown_list(event: i.MembersChanged, orders: Orders, now: int) -> i.MembersChanged:
+def shown_list(event: EndpointsChanged, orders: Orders, now: int) -> EndpointsChanged:
     members = tuple(shown(member, orders, now) for member in event.members)
     return event if members == event.members else replace(event, members=members)
 
--- a/onyxwick/drill.py
+++ b/onyxwick/drill.py
@@ -10,27 +10,54 @@
 from collections.abc import Iterator
 from typing import TextIO, TypeVar
 
-from onyxwick import interface as i
+from onyxwick.interface import (
+    Action,
+    AnswerDetail,
+    AttemptEnded,
+    AttemptStatus,
+    CancelAttempt,
+    ClientDisconnected,
+    EndpointListKind,
+    EndpointsChanged,
+    Event,
+    FailRequest,
+    ForwardRequest,
+    ForwardWithFill,
+    LoadReportReceived,
+    LogMessage,
+    Member,
+    MemberState,
+    ObjectsPurged,
+    PeerMessage,
+    PollEndpoints,
+    RejectRequest,
+    RequestArrived,
+    SetTimer,
+    SiteStateChanged,
+    StreamStarted,
+    SubscribeToEndpoints,
+    TimerFired,
+)
 from onyxwick.logic import Router
 from onyxwick.settings import Pairs, SettingError, read_settings
 
 STATUS = {
-    "100": i.Status.OK,
-    "301": i.Status.ERROR,
-    "302": i.Status.FULL,
-    "303": i.Status.TIMEOUT,
-    "304": i.Status.CONNECT_FAILED,
-    "305": i.Status.RESET,
-    "306": i.Status.CANCELLED,
-    "307": i.Status.NOT_SENT,
-    "101": i.Status.MISS,
+    "100": AttemptStatus.OK,
+    "301": AttemptStatus.ERROR,
+    "302": AttemptStatus.OVERLOADED,
+    "303": AttemptStatus.TIMEOUT,
+    "304": AttemptStatus.CONNECT_FAILED,
+    "305": AttemptStatus.RESET,
+    "306": AttemptStatus.CANCELLED,
+    "307": AttemptStatus.NOT_SENT,
+    "101": AttemptStatus.MISS,
 }
-STATE = {"up": i.State.READY, "draining": i.State.DRAINING, "removed": i.State.GONE}
+STATE = {"up": MemberState.READY, "draining": MemberState.DRAINING, "removed": MemberState.REMOVED}
 LIST_KIND = {
-    "update": i.ListKind.CHANGE,
-    "replace": i.ListKind.FULL,
-    "restored": i.ListKind.CACHED,
-    "unavailable": i.ListKind.FAILED,
+    "update": EndpointListKind.CHANGE,
+    "replace": EndpointListKind.SNAPSHOT,
+    "restored": EndpointListKind.RESTORED,
+    "unavailable": EndpointListKind.UNAVAILABLE,
 }
 MARK_REPEAT, MARK_WRITE = 2, 4
 T = TypeVar("T")
@@ -87,67 +114,69 @@
             raise self.fail(field) from None
 
 
-def read_member(f: Fields) -> i.Member:
+def read_member(f: Fields) -> Member:
     if f.parts[0] != "ROW":
         raise f.fail("ROW")
-    return i.Member(
+    return Member(
         address=f.text(1, "cache"),
         zone=f.option(2) or "",
         kind=f.option(3) or "",
         cell=f.whole(4, "unit_group", 0),
         state=f.pick(5, "lifecycle", STATE),
         weight=f.number_at(6, "weight"),
-        since_us=f.whole(7, "since_us", 0),
+        started_at_us=f.whole(7, "since_us", 0),
     )
 
 
-def read_event(f: Fields, lines: Iterator[Fields]) -> i.Event | None:
+def read_event(f: Fields, lines: Iterator[Fields]) -> Event | None:
     """One event of a running instance; None for a line of a name this adapter does not know."""
     match f.parts[0]:
         case "ACCEPT":
             marks = f.whole(10, "marks", 0)
-            return i.RequestArrived(
-                request=f.text(2, "job"),
+            return RequestArrived(
+                request_id=f.text(2, "job"),
                 class_name=f.text(3, "band"),
                 tenant=f.option(4),
-                object=f.option(5) or "",
+                object_id=f.option(5) or "",
                 expires_in_us=f.whole(6, "expires_in_us"),
                 size_kb=f.number_at(7, "kbytes"),
-                group=None if f.option(8) is None else int(f.number_at(8, "tag")),
+                object_group=None if f.option(8) is None else int(f.number_at(8, "tag")),
                 part=int(f.number_at(9, "segment")),
-                repeat=bool(marks & MARK_REPEAT),
-                write=bool(marks & MARK_WRITE),
+                is_retry=bool(marks & MARK_REPEAT),
+                is_write=bool(marks & MARK_WRITE),
             )
         case "ANSWER":
             detail = f.whole(3, "remark", 0)
-            return i.AttemptEnded(
-                request=f.text(2, "job"),
-                detail=i.Detail(detail) if 0 <= detail <= max(d.value for d in i.Detail) else i.Detail.NONE,
-                final=f.whole(4, "final", 0) != 0,
-                waited_us=f.whole(5, "upstream_wait_us", 0),
+            return AttemptEnded(
+                request_id=f.text(2, "job"),
+                detail=AnswerDetail(detail)
+                if 0 <= detail <= max(d.value for d in AnswerDetail)
+                else AnswerDetail.NONE,
+                is_final=f.whole(4, "final", 0) != 0,
+                upstream_wait_us=f.whole(5, "upstream_wait_us", 0),
                 member=f.text(6, "cache"),
                 status=f.pick(7, "how", STATUS),
                 latency_us=f.whole(8, "duration_us", 0),
-                attempt=f.whole(9, "copy", 0),
-                report=f.report(10, "feedback"),
+                attempt_index=f.whole(9, "copy", 0),
+                load_report=f.report(10, "feedback"),
             )
         case "REMINDER":
-            return i.TimerFired(f.text(2, "nonce"))
+            return TimerFired(f.text(2, "nonce"))
         case "LEFT":
-            return i.ClientLeft(f.text(2, "job"))
+            return ClientDisconnected(f.text(2, "job"))
         case "RECALLED":
-            return i.Purged(f.whole(2, "bucket", -1), f.option(3), f.whole(4, "copy_age_us", 0))
+            return ObjectsPurged(f.whole(2, "bucket", -1), f.option(3), f.whole(4, "copy_age_us", 0))
         case "ACCEPTED":
-            return i.StreamStarted(
+            return StreamStarted(
                 f.text(2, "job"), f.whole(3, "copy", 0), f.text(4, "cache"), f.whole(5, "duration_us", 0)
             )
         case "PEER":
             try:
-                return i.PeerMessage(f.whole(2, "by"), bytes.fromhex(f.option(3) or ""))
+                return PeerMessage(f.whole(2, "by"), bytes.fromhex(f.option(3) or ""))
             except ValueError:
                 raise f.fail("raw") from None
         case "STATUS_BACK":
-            return i.LoadReport(
+            return LoadReportReceived(
                 f.text(2, "cache"),
                 f.pick(3, "how", STATUS),
                 f.whole(4, "duration_us", 0),
@@ -161,31 +190,31 @@
                 if row is None:
                     raise f.fail("elements")
                 members.append(read_member(row))
-            return i.MembersChanged(kind, tuple(members), f.whole(2, "version", 0))
+            return EndpointsChanged(kind, tuple(members), f.whole(2, "version", 0))
     return None
 
 
-def write_action(instance: int, action: i.Action) -> str:
+def write_action(instance: int, action: Action) -> str:
     match action:
-        case i.Attempt(request, member, timeout):
+        case ForwardRequest(request, member, timeout):
             return f"ASSIGN {instance} {request} {member} {timeout}"
-        case i.Fetch(request, member, source, rank, timeout, age, flags):
+        case ForwardWithFill(request, member, source, rank, timeout, age, flags):
             return f"DELIVER_VIA {instance} {request} {member} {timeout} {source} {rank} {age} {int(flags)}"
-        case i.Cancel(request, attempt):
+        case CancelAttempt(request, attempt):
             return f"ABORT_ATTEMPT {instance} {request} {attempt}"
-        case i.Fail(request):
+        case FailRequest(request):
             return f"GIVE_UP {instance} {request}"
-        case i.Refuse(request, after):
+        case RejectRequest(request, after):
             return f"REFUSE {instance} {request} {after}"
-        case i.SetTimer(at, token):
+        case SetTimer(at, token):
             return f"SET_ALARM {instance} {at} {token}"
-        case i.SiteChanged(site, _, state):
+        case SiteStateChanged(site, _, state):
             return f"TRACE {instance} site {site} {state}"
-        case i.Log(text):
+        case LogMessage(text):
             return f"TRACE {instance} {' '.join(text.split())}"
-        case i.Subscribe(on):
+        case SubscribeToEndpoints(on):
             return f"TAIL {instance} {int(on)}"
-        case i.AskList():
+        case PollEndpoints():
             return f"SNAPSHOT {instance}"
 
 
@@ -197,7 +226,7 @@
 
     def batch(self, now: int, lines: list[Fields]) -> list[str]:
         replies: list[str] = []
-        queue: dict[int, list[i.Event]] = {}
+        queue: dict[int, list[Event]] = {}
         walk = iter(lines)
         for f in walk:
             instance = f.whole(1, "i")
@@ -222,7 +251,7 @@
             replies += self.ask(instance, now, events)
         return replies
 
-    def ask(self, instance: int, now: int, events: list[i.Event]) -> list[str]:
+    def ask(self, instance: int, now: int, events: list[Event]) -> list[str]:
         try:
             return [write_action(instance, a) for a in self.routers[instance].handle(now, events)]
         except Exception as error:
--- a/onyxwick/interface.py
+++ b/onyxwick/interface.py
@@ -12,15 +12,15 @@
 from typing import Protocol
 
 
-class Repeat(Enum):
+class Idempotency(Enum):
     """What a second attempt of a request may do."""
 
-    SAFE = "safe"
-    KEYED = "keyed"
-    UNSAFE = "unsafe"
+    IDEMPOTENT = "safe"
+    WITH_KEY = "keyed"
+    NON_IDEMPOTENT = "unsafe"
 
 
-class Scope(Enum):
+class KeyScope(Enum):
     """Which caches recognise the repeat of a keyed request."""
 
     ALL = "all"
@@ -28,7 +28,7 @@
     CELL = "cell"
 
 
-class Siblings(Enum):
+class SiblingFills(Enum):
     """Which other caches may be the source of a fill."""
 
     NONE = "none"
@@ -36,27 +36,27 @@
     ANY = "any"
 
 
-class State(Enum):
+class MemberState(Enum):
     READY = "ready"
     DRAINING = "draining"
-    GONE = "gone"
+    REMOVED = "gone"
 
 
-class ListKind(Enum):
+class EndpointListKind(Enum):
     """A change, a whole list, the list held before a restart (maybe stale), or a failed call."""
 
     CHANGE = "change"
-    FULL = "full"
-    CACHED = "cached"
-    FAILED = "failed"
+    SNAPSHOT = "full"
+    RESTORED = "cached"
+    UNAVAILABLE = "failed"
 
 
-class Status(Enum):
+class AttemptStatus(Enum):
     """How an attempt ended."""
 
     OK = "ok"
     ERROR = "error"
-    FULL = "full"
+    OVERLOADED = "full"
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
@@ -65,12 +65,17 @@
     MISS = "miss"
 
     @property
-    def proves_unrun(self) -> bool:
+    def proves_not_executed(self) -> bool:
         """Does an attempt that ended so prove that nothing ran?"""
-        return self in (Status.FULL, Status.CONNECT_FAILED, Status.NOT_SENT, Status.MISS)
+        return self in (
+            AttemptStatus.OVERLOADED,
+            AttemptStatus.CONNECT_FAILED,
+            AttemptStatus.NOT_SENT,
+            AttemptStatus.MISS,
+        )
 
 
-class Detail(Enum):
+class AnswerDetail(Enum):
     """What an answer tells of how it came about."""
 
     NONE = 0
@@ -79,94 +84,94 @@
     FILLED_FROM_ORIGIN = 3
     JOINED = 4
     STALE = 5
-    SOURCE_REFUSED = 6
-    SOURCE_LOST = 7
-    SOURCE_LACKS = 8
+    SOURCE_REJECTED = 6
+    SOURCE_UNREACHABLE = 7
+    SOURCE_MISS = 8
     NO_FILL_SLOT = 9
     ORIGIN_FAILED = 10
 
 
-class FillFlag(IntFlag):
+class FillOption(IntFlag):
     """How a fill is made: may join one under way, source's own copy only, parent keeps none, renew behind."""
 
     NONE = 0
-    JOIN = 1
-    HELD_ONLY = 2
-    PARENT_KEEPS_NONE = 4
-    RENEW = 8
+    COALESCE = 1
+    ONLY_IF_CACHED = 2
+    PARENT_NO_STORE = 4
+    STALE_WHILE_REVALIDATE = 8
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
     name: str
-    repeat: Repeat
-    aim_us: int
+    idempotency: Idempotency
+    latency_objective_us: int
     deadline_us: int
-    aim_stretch: float = 0.0
-    worth: float = 1.0
-    late_worth: float = 0.0
-    scope: Scope = Scope.ALL
-    window_us: int = 0
+    latency_objective_stretch: float = 0.0
+    priority_weight: float = 1.0
+    late_priority_weight: float = 0.0
+    key_scope: KeyScope = KeyScope.ALL
+    key_window_us: int = 0
     stream: bool = False
     write: bool = False
     segmented: bool = False
-    lifetime_us: int = 0
-    stale_us: int = 0
-    stale_worth: float = 0.0
+    freshness_lifetime_us: int = 0
+    stale_grace_us: int = 0
+    stale_priority_weight: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class Rules:
-    answer_slack_us: int
+class ServiceRules:
+    answer_grace_us: int
     drain_grace_us: int
-    cold_start: float
-    cold_us: int
+    warm_up_start_share: float
+    warm_up_us: int
     overload_multiple: float
     overload_window_us: int
-    parent_cold_start: float
-    parent_cold_us: int
+    parent_warm_up_start_share: float
+    parent_warm_up_us: int
     parent_overload_multiple: float
     purge_grace_us: int
-    purge_settles_us: int
+    purge_retention_us: int
     origin_overload_multiple: float = 0.0
-    origin_overload_us: int = 0
-    ask_within_us: int = 0
+    origin_overload_window_us: int = 0
+    max_poll_interval_us: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
-    attempts: int
-    cancel: bool = False
-    second_copies: bool = False
+class RequestLimits:
+    max_attempts: int
+    cancellation: bool = False
+    hedging: bool = False
     retry_after: bool = False
     max_retry_after_us: int = 0
-    probes: bool = False
-    peers: bool = False
+    health_checks: bool = False
+    gossip: bool = False
     connect_timeout_us: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Settings:
+class RouterSettings:
     zone: str
     classes: tuple[RequestClass, ...]
-    rules: Rules
-    limits: Limits
+    rules: ServiceRules
+    limits: RequestLimits
     parent_kind: str | None
     origin_kind: str | None
-    routers: int = 1
-    routers_in_zone: int = 1
-    index: int = 0
+    router_count: int = 1
+    zone_router_count: int = 1
+    router_index: int = 0
     tick_us: int = 1000
-    weights: str = "nominal"
+    weight_source: str = "nominal"
     subscribe: bool = False
-    direct: bool = False
-    siblings: Siblings = Siblings.NONE
-    joins: bool = False
-    answers_tell: str = "off"
-    pace_kb_per_s: float = 0.0
-    link_kb_per_s: float = 0.0
+    cache_bypass: bool = False
+    sibling_fills: SiblingFills = SiblingFills.NONE
+    coalesces_fills: bool = False
+    answer_detail: str = "off"
+    transfer_kb_per_s: float = 0.0
+    zone_link_kb_per_s: float = 0.0
     report_names: tuple[str, ...] = ()
-    marks_repeats: bool = False
+    clients_mark_retries: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -175,65 +180,65 @@
     zone: str
     kind: str
     cell: int
-    state: State
+    state: MemberState
     weight: float
-    since_us: int
+    started_at_us: int
 
 
 @dataclass(frozen=True, slots=True)
-class MembersChanged:
-    kind: ListKind
+class EndpointsChanged:
+    kind: EndpointListKind
     members: tuple[Member, ...]
     version: int = 0
 
 
 @dataclass(slots=True)
 class RequestArrived:
-    request: str
+    request_id: str
     class_name: str
-    object: str
+    object_id: str
     expires_in_us: int
     size_kb: float = 0.0
-    group: int | None = None
+    object_group: int | None = None
     part: int = 0
-    repeat: bool = False
-    write: bool = False
+    is_retry: bool = False
+    is_write: bool = False
     tenant: str | None = None
-    site: str | None = None  # of the client, where an installation tells its sites apart
+    client_site: str | None = None  # of the client, where an installation tells its sites apart
 
 
 @dataclass(slots=True)
 class AttemptEnded:
-    request: str
-    attempt: int
+    request_id: str
+    attempt_index: int
     member: str
-    status: Status
+    status: AttemptStatus
     latency_us: int
-    final: bool
-    detail: Detail = Detail.NONE
-    waited_us: int = 0
-    report: tuple[float, ...] = ()
+    is_final: bool
+    detail: AnswerDetail = AnswerDetail.NONE
+    upstream_wait_us: int = 0
+    load_report: tuple[float, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class StreamStarted:
-    request: str
-    attempt: int
+    request_id: str
+    attempt_index: int
     member: str
     latency_us: int
 
 
 @dataclass(slots=True)
-class ClientLeft:
-    request: str
+class ClientDisconnected:
+    request_id: str
 
 
 @dataclass(frozen=True, slots=True)
-class Purged:
+class ObjectsPurged:
     """One object, or with `object` None every object of `group`, was purged `age_us` ago."""
 
-    group: int
-    object: str | None
+    object_group: int
+    object_id: str | None
     age_us: int
 
 
@@ -249,91 +254,91 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LoadReport:
+class LoadReportReceived:
     member: str
-    status: Status
+    status: AttemptStatus
     latency_us: int
     report: tuple[float, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class PartChanged:
+class FleetShareChanged:
     """This router's part (over 0) of what its director may ask of the parents, where several routers of one
     director share them; and of what it may ask of its caches, warm and cold, where directors of other
     locations use them too. Over 1, and `origin` too, where other directors are known to ask nothing."""
 
-    part: float
-    caches: float = 1.0
-    cold_part: float = 1.0  # times `part`, of a parent that is cold
-    cold: float = 1.0
-    origin: float = 1.0
+    parent_share: float
+    cache_share: float = 1.0
+    warming_parent_share: float = 1.0  # times `part`, of a parent that is cold
+    warming_cache_share: float = 1.0
+    origin_share: float = 1.0
 
 
 @dataclass(frozen=True, slots=True)
-class ReserveChanged:
+class RetryReserveChanged:
     """What this router may spend beyond one attempt a request: 1 as the limits say, 0 nothing."""
 
-    reserve: float
+    retry_reserve: float
 
 
 @dataclass(frozen=True, slots=True)
-class FeedHeard:
+class EndpointFeedReceived:
     """The source of the list was heard, whether or not it had anything to tell."""
 
 
 Event = (
-    MembersChanged
-    | PartChanged
-    | ReserveChanged
-    | FeedHeard
+    EndpointsChanged
+    | FleetShareChanged
+    | RetryReserveChanged
+    | EndpointFeedReceived
     | RequestArrived
     | AttemptEnded
     | StreamStarted
-    | ClientLeft
-    | Purged
+    | ClientDisconnected
+    | ObjectsPurged
     | TimerFired
     | PeerMessage
-    | LoadReport
+    | LoadReportReceived
 )
 
 
 @dataclass(slots=True)
-class Attempt:
+class ForwardRequest:
     """Ask a member for what it holds (the origin: everything). `timeout_us` 0: till the client leaves."""
 
-    request: str
+    request_id: str
     member: str
     timeout_us: int = 0
 
 
 @dataclass(slots=True)
-class Fetch:
+class ForwardWithFill:
     """An attempt with orders for a miss: the source, the rank of the copy (0: none), the oldest age that
     will do (0: the class's lifetime) and the manner. A source equal to the member: no fill."""
 
-    request: str
+    request_id: str
     member: str
-    source: str
-    rank: int
+    fill_source: str
+    retention_rank: int
     timeout_us: int = 0
     max_age_us: int = 0
-    flags: FillFlag = FillFlag.NONE
+    fill_options: FillOption = FillOption.NONE
 
 
 @dataclass(slots=True)
-class Cancel:
-    request: str
-    attempt: int
+class CancelAttempt:
+    request_id: str
+    attempt_index: int
 
 
 @dataclass(slots=True)
-class Fail:
-    request: str
+class FailRequest:
+    request_id: str
 
 
 @dataclass(slots=True)
-class Refuse:
-    request: str
+class RejectRequest:
+    request_id: str
     retry_after_us: int = 0
 
 
@@ -344,40 +349,51 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Log:
+class LogMessage:
     text: str
 
 
 @dataclass(frozen=True, slots=True)
-class SiteChanged:
+class SiteStateChanged:
     """A site (or hub) is held to be in another state, with the cause and the share of its objects that is
     away."""
 
     site: str
-    was: str
-    now: str
-    share: float
-    why: str
+    previous_state: str
+    state: str
+    share_away: float
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
-class Subscribe:
-    on: bool = True
+class SubscribeToEndpoints:
+    enabled: bool = True
 
 
 @dataclass(frozen=True, slots=True)
-class AskList:
+class PollEndpoints:
     pass
 
 
-Action = Attempt | Fetch | Cancel | Fail | Refuse | SetTimer | Log | SiteChanged | Subscribe | AskList
+Action = (
+    ForwardRequest
+    | ForwardWithFill
+    | CancelAttempt
+    | FailRequest
+    | RejectRequest
+    | SetTimer
+    | LogMessage
+    | SiteStateChanged
+    | SubscribeToEndpoints
+    | PollEndpoints
+)
 
 
-class Decider(Protocol):
+class RequestRouter(Protocol):
     """What decides for one director: the events of one instant in, the actions on them out."""
 
     def handle(self, now: int, events: list[Event]) -> list[Action]: ...
 
-    def ejected(self) -> int:
+    def ejected_count(self) -> int:
         """Members ejected for their errors or silence at present; a figure, not a decision."""
         ...
--- a/onyxwick/lab/checks.py
+++ b/onyxwick/lab/checks.py
@@ -5,8 +5,8 @@
 import time
 from typing import Any
 
-from onyxwick import interface as i
 from onyxwick.core.invariants import AttemptBegun, Invariants, Violation
+from onyxwick.interface import EndpointListKind, EndpointsChanged, Member, MemberState
 from onyxwick.lab.platform import settings
 from onyxwick.lab.soak.surroundings import DEADLINES_US, soak_jobs, soak_scenario
 from onyxwick.settings import Pairs, read_settings
@@ -20,8 +20,8 @@
     found: list[Violation] = []
     rules = read_settings(Pairs.of_json(settings(soak_scenario(soak_jobs(DEADLINES_US)))))
     checks = Invariants(rules, found.append)
-    rows = tuple(i.Member(f"c{n}", "depot-1", "box", 0, i.State.READY, 6.0, 0) for n in range(CACHES))
-    checks.list_changed(i.MembersChanged(i.ListKind.FULL, rows), S)
+    rows = tuple(Member(f"c{n}", "depot-1", "box", 0, MemberState.READY, 6.0, 0) for n in range(CACHES))
+    checks.list_changed(EndpointsChanged(EndpointListKind.SNAPSHOT, rows), S)
     checks.purged(3, None, S, S)
     begun = time.perf_counter()
     for n in range(requests):
--- a/onyxwick/lab/clients.py
+++ b/onyxwick/lab/clients.py
@@ -206,7 +206,7 @@
     async def ask(self, arrival: Arrival, start_us: int, choose: Choose, site: str = "") -> None:
         """One arrival with its retries, from its intended time on; what it earned is recorded."""
         earned = await self._ask(arrival, start_us, choose, site)
-        worth = self.jobs[arrival.class_name].kind.worth
+        worth = self.jobs[arrival.class_name].kind.priority_weight
         row = Earned(start_us + arrival.at_us, arrival.tenant, arrival.class_name, site, worth, earned)
         self.records.earned.append(row)
 
@@ -217,7 +217,7 @@
         counted = arrival.at_us >= self.counted_from_us
         if counted:
             tally.asked += 1
-            tally.worth_asked += job.kind.worth
+            tally.worth_asked += job.kind.priority_weight
         limit_us = int(job.kind.deadline_us * self.random.uniform(0.5, 1.0))
         for attempt in range(1 + RETRIES):
             reply = await self._try(arrival, job, choose(), limit_us, attempt > 0, site)
@@ -235,12 +235,12 @@
 
     def _served(self, tally: Tally, job: Job, intended: int, counted: bool) -> float:
         taken, kind = self.clock() - intended, job.kind
-        in_time = taken <= kind.aim_us + kind.aim_stretch * job.sending_us
-        earned = kind.worth * (1.0 if in_time else LATE_WORTH)
+        in_time = taken <= kind.latency_objective_us + kind.latency_objective_stretch * job.sending_us
+        earned = kind.priority_weight * (1.0 if in_time else LATE_WORTH)
         if not counted:
             return earned
         tally.served += 1
-        tally.worth_in_time += kind.worth * in_time
+        tally.worth_in_time += kind.priority_weight * in_time
         tally.worth_served += earned
         tally.latency.record_value(max(1, taken))
         return earned
--- a/onyxwick/lab/cost.py
+++ b/onyxwick/lab/cost.py
@@ -16,9 +16,23 @@
 from pathlib import Path
 from typing import Any
 
-from onyxwick import interface as i
 from onyxwick.cells import Cell, Cells, Plan, Tenant
 from onyxwick.cells.placement import Draws, place
+from onyxwick.interface import (
+    AnswerDetail,
+    AttemptEnded,
+    AttemptStatus,
+    EndpointListKind,
+    EndpointsChanged,
+    ForwardRequest,
+    ForwardWithFill,
+    Member,
+    MemberState,
+    RequestArrived,
+    RequestRouter,
+    RouterSettings,
+    TimerFired,
+)
 from onyxwick.lab.model import Scenario
 from onyxwick.logic import Router
 
@@ -27,7 +41,7 @@
 OBJECTS = 5000
 
 
-def _settings(scenario: Scenario) -> i.Settings:
+def _settings(scenario: Scenario) -> RouterSettings:
     from onyxwick.lab.platform import settings
     from onyxwick.settings import Pairs, read_settings
 
@@ -51,16 +65,16 @@
     if cells:
         rows = {f"t{n}": Tenant(f"t{n}", cells=(f"c{n % cells}",)) for n in range(tenants)}
         plan = Plan({f"c{n}": Cell(f"c{n}") for n in range(cells)}, rows)
-        router: i.Decider = Cells(told, 7, now, plan, 2000)
+        router: RequestRouter = Cells(told, 7, now, plan, 2000)
     elif sites:
         router = _with_sites(told, now, sites)
     else:
         router = Router(told, 7, now)
-    members = [i.Member(f"b{n:04d}", told.zone, "box", 0, i.State.READY, 6.0, 0) for n in range(boxes)]
-    members += [i.Member(f"p{n}", "hub", "parent", 0, i.State.READY, 30.0, 0) for n in range(2)]
-    members.append(i.Member("o", "hub", "origin", 0, i.State.READY, 60.0, 0))
-    members += [i.Member(f"s{n}", f"s{n:03d}", "box", 0, i.State.READY, 6.0, 0) for n in range(1, sites)]
-    router.handle(now, [i.MembersChanged(i.ListKind.FULL, tuple(members))])
+    members = [Member(f"b{n:04d}", told.zone, "box", 0, MemberState.READY, 6.0, 0) for n in range(boxes)]
+    members += [Member(f"p{n}", "hub", "parent", 0, MemberState.READY, 30.0, 0) for n in range(2)]
+    members.append(Member("o", "hub", "origin", 0, MemberState.READY, 60.0, 0))
+    members += [Member(f"s{n}", f"s{n:03d}", "box", 0, MemberState.READY, 6.0, 0) for n in range(1, sites)]
+    router.handle(now, [EndpointsChanged(EndpointListKind.SNAPSHOT, tuple(members))])
     spent, served = _drive(router, told.classes[0].name, now, tenants, requests)
     return {
         "cells": cells,
@@ -73,7 +87,7 @@
     }
 
 
-def _with_sites(told: i.Settings, now: int, count: int) -> i.Decider:
+def _with_sites(told: RouterSettings, now: int, count: int) -> RequestRouter:
     from onyxwick.lab.plans import topology
     from onyxwick.sites import Plan, Sites
 
@@ -83,27 +97,29 @@
     return Sites(told, 7, now, top, Plan(top))
 
 
-def _drive(router: i.Decider, class_name: str, now: int, tenants: int, requests: int) -> tuple[float, int]:
+def _drive(
+    router: RequestRouter, class_name: str, now: int, tenants: int, requests: int
+) -> tuple[float, int]:
     """Arrivals 2 ms apart, each answered when `OPEN` later ones have come; seconds spent, how many served."""
     out: list[tuple[str, str]] = []
     served, begin = 0, time.process_time()
     for n in range(requests):
         now += 2000
-        ask = i.RequestArrived(
-            f"r{n}", class_name, f"o{n * 7919 % OBJECTS}", 3 * S, group=1, tenant=f"t{n % tenants}"
+        ask = RequestArrived(
+            f"r{n}", class_name, f"o{n * 7919 % OBJECTS}", 3 * S, object_group=1, tenant=f"t{n % tenants}"
         )
         for action in router.handle(now, [ask]):
-            if isinstance(action, i.Attempt | i.Fetch):
-                out.append((action.request, action.member))
+            if isinstance(action, ForwardRequest | ForwardWithFill):
+                out.append((action.request_id, action.member))
         if len(out) > OPEN:
             request, member = out.pop(0)
-            end = i.AttemptEnded(request, 0, member, i.Status.OK, OPEN * 2000, True, i.Detail.HIT)
+            end = AttemptEnded(request, 0, member, AttemptStatus.OK, OPEN * 2000, True, AnswerDetail.HIT)
             router.handle(now, [end])
             served += 1
         if n % 500 == 0:
-            router.handle(now, [i.TimerFired("cells"), i.TimerFired("due")])
+            router.handle(now, [TimerFired("cells"), TimerFired("due")])
         if n % 50 == 0:
-            router.handle(now, [i.TimerFired("sites")])
+            router.handle(now, [TimerFired("sites")])
     return time.process_time() - begin, served
 
 
@@ -111,7 +127,7 @@
     """Placing tenants on a fleet: seconds, what a lost hundredth of the boxes moves, and the share of tenants
     that one lost cell touches beside what the arithmetic gives."""
     fleet = [
-        i.Member(f"box-{n:05d}", f"depot-{n % 10}", "box", 0, i.State.READY, 6.0, 0) for n in range(boxes)
+        Member(f"box-{n:05d}", f"depot-{n % 10}", "box", 0, MemberState.READY, 6.0, 0) for n in range(boxes)
     ]
     rows = {f"t{n}": Tenant(f"t{n}", span=span) for n in range(tenants)}
     plan, draws, begin = (
--- a/onyxwick/lab/faults/fleet.py
+++ b/onyxwick/lab/faults/fleet.py
@@ -304,5 +304,5 @@
         f'load "{name}" {{\n  sending = "{spoken(job.sending_us)}"\n'
         f'  fill = "{spoken(int(FILL_PACE * job.sending_us))}"\n'
         f"  fill_share = {0.0 if job.kind.write else fills[0]}\n  relay_share = {fills[1]}\n"
-        f"  worth = {job.kind.worth}\n{write}  rate_per_s = {{ {', '.join(rates)} }}\n}}"
+        f"  worth = {job.kind.priority_weight}\n{write}  rate_per_s = {{ {', '.join(rates)} }}\n}}"
     )
--- a/onyxwick/lab/faults/simulate.py
+++ b/onyxwick/lab/faults/simulate.py
@@ -13,9 +13,31 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from onyxwick import interface as i
 from onyxwick.config import hcl
 from onyxwick.config.fields import Fields
+from onyxwick.interface import (
+    Action,
+    AnswerDetail,
+    AttemptEnded,
+    AttemptStatus,
+    CancelAttempt,
+    ClientDisconnected,
+    EndpointFeedReceived,
+    EndpointListKind,
+    EndpointsChanged,
+    Event,
+    FailRequest,
+    FillOption,
+    ForwardRequest,
+    ForwardWithFill,
+    Member,
+    MemberState,
+    RejectRequest,
+    RequestArrived,
+    SetTimer,
+    SiteStateChanged,
+    TimerFired,
+)
 from onyxwick.lab.arrivals import Arrival, draw, object_name
 from onyxwick.lab.audit import Earned, Given, Records, Send, Taken
 from onyxwick.lab.clients import LATE_WORTH, PAUSE_S, RETRIES
@@ -52,7 +74,7 @@
         self.sequence = 0
         self.records, self.rows = Records(), list[Row]()
         self.boxes: dict[str, Box] = {}
-        self.listed: dict[str, i.Member] = {}  # as the coordinator has it
+        self.listed: dict[str, Member] = {}  # as the coordinator has it
         self.fronts = [Front(n, k, s) for k, (n, s) in enumerate(fleet.directors)]
         self.gone: set[str] = set()
         self.cuts: set[tuple[str, str]] = set()  # words of the first do not reach the second
@@ -187,7 +209,7 @@
         return self._give(self.boxes["origin"], source.place, name, part, job, False, filled)
 
     def _holds(self, box: Box, name: str, part: int, job: Job) -> bool:
-        copy = box.store.get(name, part, self.now, job.kind.lifetime_us)
+        copy = box.store.get(name, part, self.now, job.kind.freshness_lifetime_us)
         return copy is not None and copy.dated_us >= self.purged.get(int(name[-4:], 16) % GROUPS, 0)
 
     # ---- directors --------------------------------------------------------------------------------------
@@ -205,48 +227,53 @@
             front.decider = Router(read, seed, self.now)
         front.up, front.born = True, front.born + 1
         front.outs.clear()
-        self.notify(front, i.MembersChanged(i.ListKind.FULL, tuple(self.listed.values())))
+        self.notify(front, EndpointsChanged(EndpointListKind.SNAPSHOT, tuple(self.listed.values())))
         self._beat(front, front.born)
 
     def _beat(self, front: Front, born: int) -> None:
         if front.born != born or not front.up:
             return
         if not front.muted and self.variant == "sites" and self.reaches(front.site, "outside"):
-            self.notify(front, i.FeedHeard())
+            self.notify(front, EndpointFeedReceived())
         self.after(S, lambda: self._beat(front, born))
 
-    def notify(self, front: Front, *events: i.Event) -> None:
+    def notify(self, front: Front, *events: Event) -> None:
         if front.decider is None or not front.up:
             return
         if front.stopped:
-            front.backlog += [e for e in events if not isinstance(e, i.TimerFired | i.FeedHeard)]
+            front.backlog += [e for e in events if not isinstance(e, TimerFired | EndpointFeedReceived)]
             return
         for action in front.decider.handle(self.now, list(events)):
             self._act(front, action)
 
-    def _act(self, front: Front, action: i.Action) -> None:
+    def _act(self, front: Front, action: Action) -> None:
         match action:
-            case i.SetTimer(at, token):
+            case SetTimer(at, token):
                 self.at(at, lambda: self._timer(front, front.born, token))
-            case i.Attempt(request=request, member=member, timeout_us=left):
-                self._attempt(front, request, member, None, left, i.FillFlag.NONE, 0)
-            case i.Fetch(request, member, source, rank, left, _, flags):
+            case ForwardRequest(request_id=request, member=member, timeout_us=left):
+                self._attempt(front, request, member, None, left, FillOption.NONE, 0)
+            case ForwardWithFill(request, member, source, rank, left, _, flags):
                 where = source if source != member else None
                 self._attempt(front, request, member, where, left, flags, rank)
-            case i.Cancel(request, number):
+            case CancelAttempt(request, number):
                 if (out := front.outs.get((request, number))) is not None:
-                    self._end(out, i.Status.CANCELLED)
-            case i.Refuse(request=request, retry_after_us=after):
+                    self._end(out, AttemptStatus.CANCELLED)
+            case RejectRequest(request_id=request, retry_after_us=after):
                 self._answer(front, request, "refused", after)
-            case i.Fail(request=request):
+            case FailRequest(request_id=request):
                 self._answer(front, request, "failed", 0)
-            case i.SiteChanged():
-                data = {"was": action.was, "now": action.now, "share": action.share, "why": action.why}
+            case SiteStateChanged():
+                data = {
+                    "was": action.previous_state,
+                    "now": action.state,
+                    "share": action.share_away,
+                    "why": action.reason,
+                }
                 self.rows.append(Row("state", self.now, front.name, action.site, data))
 
     def _timer(self, front: Front, born: int, token: str) -> None:
         if front.born == born and not front.stopped:
-            self.notify(front, i.TimerFired(token))
+            self.notify(front, TimerFired(token))
         elif front.born == born:
             self.after(50_000, lambda: self._timer(front, born, token))
 
@@ -265,7 +292,7 @@
         member: str,
         source: str | None,
         left: int,
-        flags: i.FillFlag,
+        flags: FillOption,
         rank: int,
     ) -> None:
         number = front.tries.get(request, 0)
@@ -274,18 +301,18 @@
         box, taken = self.boxes[member], self.records.taken[request]
         job = self.scenario.classes[taken.class_name]
         here = front.site
-        self.after(left, lambda: self._end(out, i.Status.TIMEOUT))
+        self.after(left, lambda: self._end(out, AttemptStatus.TIMEOUT))
         if not self.reaches(here, box.place):
-            return self.after(CONNECT_US, lambda: self._end(out, i.Status.CONNECT_FAILED))
+            return self.after(CONNECT_US, lambda: self._end(out, AttemptStatus.CONNECT_FAILED))
         if not box.up:
-            return self.after(1000, lambda: self._end(out, i.Status.CONNECT_FAILED))
+            return self.after(1000, lambda: self._end(out, AttemptStatus.CONNECT_FAILED))
         if self.random.random() < self.resets.get(frozenset((here, box.place)), 0.0):
-            return self.after(2000, lambda: self._end(out, i.Status.RESET))
+            return self.after(2000, lambda: self._end(out, AttemptStatus.RESET))
         go = partial_of(self._serve, out, box, taken, job, source, flags, rank)
         return self.after(self._delay(here, box.place), go)
 
     def _serve(
-        self, out: Out, box: Box, taken: Taken, job: Job, source: str | None, flags: i.FillFlag, rank: int
+        self, out: Out, box: Box, taken: Taken, job: Job, source: str | None, flags: FillOption, rank: int
     ) -> None:
         """The attempt has come to its machine."""
         if out.over or not box.up or box.place in self.gone:
@@ -295,51 +322,58 @@
         self._asked(box, job.sending_us)
         back = self._delay(here, box.place)
 
-        def done(status: i.Status, detail: i.Detail) -> None:
+        def done(status: AttemptStatus, detail: AnswerDetail) -> None:
             if self.reaches(here, box.place) and box.up:
                 self.after(back, lambda: self._end(out, status, detail))
 
-        def sent(detail: i.Detail) -> None:
-            self._transfer(box, job.sending_us, lambda: done(i.Status.OK, detail))
+        def sent(detail: AnswerDetail) -> None:
+            self._transfer(box, job.sending_us, lambda: done(AttemptStatus.OK, detail))
 
         if not box.up:
             return
         if job.kind.write:
             self.records.ran.append(out.request)
             self._transfer(
-                self.boxes["origin"], job.sending_us, lambda: done(i.Status.OK, i.Detail.FILLED_FROM_ORIGIN)
+                self.boxes["origin"],
+                job.sending_us,
+                lambda: done(AttemptStatus.OK, AnswerDetail.FILLED_FROM_ORIGIN),
             )
             return
         name, part = taken.tag, taken.group
         if box.kind == "origin" or self._holds(box, name, part, job):
-            return sent(i.Detail.HIT)
+            return sent(AnswerDetail.HIT)
         if source is None:
-            return done(i.Status.MISS, i.Detail.NONE)
+            return done(AttemptStatus.MISS, AnswerDetail.NONE)
 
         def filled(word: str) -> None:
             if word in ("MISS", "MISS_ORIGIN"):
                 if rank:
                     box.store.keep(name, part, Copy("", self.now), rank)
-                return sent(i.Detail.FILLED if word == "MISS" else i.Detail.FILLED_FROM_ORIGIN)
+                return sent(AnswerDetail.FILLED if word == "MISS" else AnswerDetail.FILLED_FROM_ORIGIN)
             miss = word == "UP_MISS"
-            detail = {"UP_DOWN": i.Detail.SOURCE_LOST, "ORIGIN_ERR": i.Detail.ORIGIN_FAILED}.get(word)
-            return done(i.Status.MISS if miss else i.Status.ERROR, detail or i.Detail.SOURCE_LACKS)
+            detail = {
+                "UP_DOWN": AnswerDetail.SOURCE_UNREACHABLE,
+                "ORIGIN_ERR": AnswerDetail.ORIGIN_FAILED,
+            }.get(word)
+            return done(
+                AttemptStatus.MISS if miss else AttemptStatus.ERROR, detail or AnswerDetail.SOURCE_MISS
+            )
 
-        held = i.FillFlag.HELD_ONLY in flags
+        held = FillOption.ONLY_IF_CACHED in flags
         return self._give(self.boxes[source], box.place, name, part, job, held, filled)
 
-    def _end(self, out: Out, status: i.Status, detail: i.Detail = i.Detail.NONE) -> None:
+    def _end(self, out: Out, status: AttemptStatus, detail: AnswerDetail = AnswerDetail.NONE) -> None:
         front = out.director
         if out.over or front.outs.get((out.request, out.number)) is not out:
             return
         out.over = True
         del front.outs[(out.request, out.number)]
-        served = status is i.Status.OK
+        served = status is AttemptStatus.OK
         if served and (client := front.ends.pop(out.request, None)) is not None:
             tag = self.records.taken[out.request].tag
             self.records.given.append(Given(out.request, tag, self.now, out.begun))
             client("served", 0)
-        event = i.AttemptEnded(
+        event = AttemptEnded(
             out.request, out.number, out.member, status, self.now - out.begun, served, detail
         )
         self.notify(front, event)
@@ -406,23 +440,23 @@
             if not done[0]:
                 taken.left = True
                 if front.ends.pop(request, None) is not None:
-                    self.notify(front, i.ClientLeft(request))
+                    self.notify(front, ClientDisconnected(request))
                 end("left", 0)
 
         front.ends[request] = answered
         self.after(limit, gave_up)
-        ask = i.RequestArrived(
+        ask = RequestArrived(
             request, arrival.class_name, arrival.object, limit,
-            group=int(arrival.object[-4:], 16) % GROUPS, part=arrival.part, repeat=tries > 0,
-            write=job.kind.write, tenant=arrival.tenant, site=site,
+            object_group=int(arrival.object[-4:], 16) % GROUPS, part=arrival.part, is_retry=tries > 0,
+            is_write=job.kind.write, tenant=arrival.tenant, client_site=site,
         )  # fmt: skip
         return self.after(self._delay(here, front.site), lambda: self.notify(front, ask))
 
     def _earned(self, arrival: Arrival, site: str, intended: int, job: Job, served: bool) -> None:
         took = self.now - intended
-        in_time = took <= job.kind.aim_us + job.kind.aim_stretch * job.sending_us
-        earned = job.kind.worth * (1.0 if in_time else LATE_WORTH) if served else 0.0
-        row = Earned(intended, arrival.tenant, arrival.class_name, site, job.kind.worth, earned)
+        in_time = took <= job.kind.latency_objective_us + job.kind.latency_objective_stretch * job.sending_us
+        earned = job.kind.priority_weight * (1.0 if in_time else LATE_WORTH) if served else 0.0
+        row = Earned(intended, arrival.tenant, arrival.class_name, site, job.kind.priority_weight, earned)
         self.records.earned.append(row)
 
     # ---- faults -----------------------------------------------------------------------------------------
@@ -436,25 +470,25 @@
         data = {"on": on, "sites": sites, "name": fault.name, "how": fault.how}
         self.rows.append(Row("fault", self.now, fault.label, fault.what, data))
 
-    def tell_lists(self, boxes: list[Box], state: i.State) -> None:
+    def tell_lists(self, boxes: list[Box], state: MemberState) -> None:
         """Each director's list changes the coordinator's delay later; one that is cut off hears it at
         last."""
         rows = tuple(box.member(state) for box in boxes)
         for m in rows:
             self.listed[m.address] = m
-            if state is i.State.GONE:
+            if state is MemberState.REMOVED:
                 del self.listed[m.address]
-        if self.unlisted and state is i.State.GONE:
+        if self.unlisted and state is MemberState.REMOVED:
             return
         for front in self.fronts:
             self.after(self.scenario.told_after_us, lambda f=front, b=front.born: self._told(f, b, rows))  # type: ignore[misc]
 
-    def _told(self, front: Front, born: int, rows: tuple[i.Member, ...]) -> None:
+    def _told(self, front: Front, born: int, rows: tuple[Member, ...]) -> None:
         if front.born != born or not front.up:
             return
         if not self.reaches(front.site, "outside") or front.muted:
             return self.after(S, lambda: self._told(front, born, rows))
-        return self.notify(front, i.MembersChanged(i.ListKind.CHANGE, rows))
+        return self.notify(front, EndpointsChanged(EndpointListKind.CHANGE, rows))
 
 
 def topology_of(fleet: Fleet) -> Topology:
--- a/onyxwick/lab/faults/simulated_faults.py
+++ b/onyxwick/lab/faults/simulated_faults.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 from typing import Protocol
 
-from onyxwick import interface as i
+from onyxwick.interface import Event, MemberState, ObjectsPurged
 from onyxwick.lab.audit import Records
 from onyxwick.lab.faults.model import Fault, Fleet
 from onyxwick.lab.faults.simulation_model import GROUPS, Box, Front, S, Then
@@ -40,7 +40,7 @@
         """Write into the history that a fault begins or ends."""
         ...
 
-    def tell_lists(self, boxes: list[Box], state: i.State) -> None:
+    def tell_lists(self, boxes: list[Box], state: MemberState) -> None:
         """The coordinator tells all directors of machines' state."""
         ...
 
@@ -60,7 +60,7 @@
         """A director starts with nothing."""
         ...
 
-    def notify(self, front: Front, *events: i.Event) -> None:
+    def notify(self, front: Front, *events: Event) -> None:
         """Hand a director events."""
         ...
 
@@ -130,7 +130,7 @@
         if fronts:
             sim.away[place] = sim.now + sim.fleet.failover_us
         if boxes:
-            sim.tell_lists(boxes, i.State.GONE)
+            sim.tell_lists(boxes, MemberState.REMOVED)
         return partial_of(self._back, fault, boxes, fronts)
 
     def _down(self, front: Front) -> None:
@@ -152,7 +152,7 @@
         for box in boxes:
             sim.restart_machine(box)
         if boxes:
-            sim.tell_lists(boxes, i.State.READY)
+            sim.tell_lists(boxes, MemberState.READY)
         for front in fronts:
             sim.start_director(front)
         if fronts:
@@ -172,15 +172,15 @@
         gap = fault.for_us // max(1, len(boxes))
 
         def drain(box: Box) -> None:
-            sim.tell_lists([box], i.State.DRAINING)
+            sim.tell_lists([box], MemberState.DRAINING)
             sim.records.drained.append((box.name, sim.now + sim.scenario.told_after_us, 0))
 
         def swap(box: Box) -> None:
             sim.stop_machine(box)
-            sim.tell_lists([box], i.State.GONE)
+            sim.tell_lists([box], MemberState.REMOVED)
             new = self._renamed(box)
             sim.restart_machine(new)
-            sim.tell_lists([new], i.State.READY)
+            sim.tell_lists([new], MemberState.READY)
 
         for n, box in enumerate(boxes):
             sim.after(n * gap, lambda b=box: drain(b))  # type: ignore[misc]
@@ -245,7 +245,7 @@
                 self.sim.after(
                     self.sim.scenario.told_after_us,
                     lambda f=front, g=group, at=self.sim.now: self.sim.notify(  # type: ignore[misc]
-                        f, i.Purged(g, None, self.sim.now - at)
+                        f, ObjectsPurged(g, None, self.sim.now - at)
                     ),
                 )
 
--- a/onyxwick/lab/faults/simulation_model.py
+++ b/onyxwick/lab/faults/simulation_model.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from onyxwick import interface as i
+from onyxwick.interface import Event, Member, MemberState
 from onyxwick.lab.copies import Store
 from onyxwick.lab.link import Link
 from onyxwick.lab.model import Tier
@@ -32,9 +32,9 @@
     waiting: dict[int, Then] = field(default_factory=dict)
     turn: int = 0
 
-    def member(self, state: i.State = i.State.READY) -> i.Member:
+    def member(self, state: MemberState = MemberState.READY) -> Member:
         """Its row of the list."""
-        return i.Member(self.name, self.zone, self.kind, 0, state, self.tier.capacity, self.link.started)
+        return Member(self.name, self.zone, self.kind, 0, state, self.tier.capacity, self.link.started)
 
 
 @dataclass(eq=False)
@@ -64,4 +64,4 @@
     outs: dict[tuple[str, int], Out] = field(default_factory=dict)
     tries: dict[str, int] = field(default_factory=dict)
     ends: dict[str, Callable[[str, int], None]] = field(default_factory=dict)  # a request's client
-    backlog: list[i.Event] = field(default_factory=list)  # what came while it was stopped
+    backlog: list[Event] = field(default_factory=list)  # what came while it was stopped
--- a/onyxwick/lab/machines.py
+++ b/onyxwick/lab/machines.py
@@ -244,7 +244,7 @@
         if job.kind.write:
             return await self._write(request, job)
         name, part = told["k"], int(told["p"])
-        oldest = int(told.get("accept", "0")) * 1000 or job.kind.lifetime_us
+        oldest = int(told.get("accept", "0")) * 1000 or job.kind.freshness_lifetime_us
         note, copy = "HIT", self.store.get(name, part, now, oldest)
         if self.kind == "origin":
             copy = await self._own(Ask(name, part, oldest, False, 0))
--- a/onyxwick/lab/model.py
+++ b/onyxwick/lab/model.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from onyxwick import interface as i
+from onyxwick.interface import RequestClass
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,7 +27,7 @@
 class Job:
     """A class of requests: the director's view of it, and what one costs and weighs."""
 
-    kind: i.RequestClass
+    kind: RequestClass
     sending_us: int
     bytes: int
     parts: int
--- a/onyxwick/lab/platform.py
+++ b/onyxwick/lab/platform.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from onyxwick import interface as i
 from onyxwick.config.address import Address, written
+from onyxwick.interface import Idempotency
 from onyxwick.lab.model import Scenario
 
 ZONE, HUB = "depot-1", "hub"
@@ -30,11 +30,11 @@
     grades = [
         {
             "name": k.name,
-            "repeat": "free" if k.repeat is i.Repeat.SAFE else "single_shot",
-            "slo_us": k.aim_us,
+            "repeat": "free" if k.idempotency is Idempotency.IDEMPOTENT else "single_shot",
+            "slo_us": k.latency_objective_us,
             "deadline_us": k.deadline_us,
-            "aim_stretch": k.aim_stretch,
-            "worth": k.worth,
+            "aim_stretch": k.latency_objective_stretch,
+            "worth": k.priority_weight,
             "group": "all",
         }
         for k in kinds
@@ -49,7 +49,7 @@
         "grades": grades,
         "family_info": {
             "class_write": [k.write for k in kinds],
-            "lifetime_by_class_us": [k.lifetime_us for k in kinds],
+            "lifetime_by_class_us": [k.freshness_lifetime_us for k in kinds],
             "second_tier_kind": 1,
             "source_kind": 2,
             "zone_balancers": [at.directors_here if zone == at.zone else 0 for zone in at.zones],
--- a/onyxwick/lab/ramp.py
+++ b/onyxwick/lab/ramp.py
@@ -17,7 +17,28 @@
 from functools import partial
 from typing import Any
 
-from onyxwick import interface as i
+from onyxwick.interface import (
+    AnswerDetail,
+    AttemptEnded,
+    AttemptStatus,
+    EndpointListKind,
+    EndpointsChanged,
+    Event,
+    ForwardRequest,
+    ForwardWithFill,
+    Idempotency,
+    Member,
+    MemberState,
+    RequestArrived,
+    RequestClass,
+    RequestLimits,
+    RequestRouter,
+    RouterSettings,
+    ServiceRules,
+    SetTimer,
+    SiblingFills,
+    TimerFired,
+)
 from onyxwick.logic import Router
 
 S = 1_000_000
@@ -28,8 +49,8 @@
 WORK = {"large": 450_000, "small": 45_000}  # mean work of the classes, in us
 MIX, HITS, HITS_COLD, FILL_US = 0.5, 0.7, 0.25, 60_000
 
-RULES = i.Rules(8_000, 500_000, 0.18, 17 * S, 4.0, 3 * S, 0.068, 20 * S, 2.0, S, 6 * S)
-Decide = Callable[[i.Settings, int, int], i.Decider]
+RULES = ServiceRules(8_000, 500_000, 0.18, 17 * S, 4.0, 3 * S, 0.068, 20 * S, 2.0, S, 6 * S)
+Decide = Callable[[RouterSettings, int, int], RequestRouter]
 
 
 @dataclass(frozen=True)
@@ -69,29 +90,47 @@
         self.routers = [self._router(k) for k in range(case.directors)]
         self.cold = "p0" if case.parent else "z0c0"
 
-    def _settings(self, director: int) -> i.Settings:
+    def _settings(self, director: int) -> RouterSettings:
         classes = tuple(
-            i.RequestClass(name, i.Repeat.SAFE, 600_000, 5 * S, aim_stretch=1.6, worth=1.0) for name in WORK
+            RequestClass(
+                name,
+                Idempotency.IDEMPOTENT,
+                600_000,
+                5 * S,
+                latency_objective_stretch=1.6,
+                priority_weight=1.0,
+            )
+            for name in WORK
         )
         in_zone = len(range(director % self.zones, self.case.directors, self.zones))
         wider = max(1.0, math.sqrt(6 / BOXES))
-        return i.Settings(
-            zone=f"z{director % self.zones}", classes=classes, rules=RULES,
-            limits=i.Limits(attempts=6, cancel=True, second_copies=True), parent_kind="parent",
-            origin_kind="origin", routers=self.case.directors, routers_in_zone=in_zone, index=director,
-            tick_us=2_000, weights="off", siblings=i.Siblings.ANY, answers_tell="all", pace_kb_per_s=PACE,
-            link_kb_per_s=SIZE * LINK_SHARE * BOXES * PACE * wider * self.bias,
-        )  # fmt: skip
-
-    def _router(self, director: int) -> i.Decider:
+        return RouterSettings(
+            zone=f"z{director % self.zones}",
+            classes=classes,
+            rules=RULES,
+            limits=RequestLimits(max_attempts=6, cancellation=True, hedging=True),
+            parent_kind="parent",
+            origin_kind="origin",
+            router_count=self.case.directors,
+            zone_router_count=in_zone,
+            router_index=director,
+            tick_us=2_000,
+            weight_source="off",
+            sibling_fills=SiblingFills.ANY,
+            answer_detail="all",
+            transfer_kb_per_s=PACE,
+            zone_link_kb_per_s=SIZE * LINK_SHARE * BOXES * PACE * wider * self.bias,
+        )
+
+    def _router(self, director: int) -> RequestRouter:
         router = self.decide(self._settings(director), self.rng.getrandbits(60), self.now)
-        members = tuple(m for m in self.lists[director] if m.since_us <= self.now)
-        self._act(director, router, [i.MembersChanged(i.ListKind.CACHED, members)])
+        members = tuple(m for m in self.lists[director] if m.started_at_us <= self.now)
+        self._act(director, router, [EndpointsChanged(EndpointListKind.RESTORED, members)])
         return router
 
-    def _members(self, zone: int) -> list[i.Member]:
-        def row(name: str, kind: str, where: str, since: int = 0) -> i.Member:
-            return i.Member(name, where, kind, 0, i.State.READY, 1.0, since)
+    def _members(self, zone: int) -> list[Member]:
+        def row(name: str, kind: str, where: str, since: int = 0) -> Member:
+            return Member(name, where, kind, 0, MemberState.READY, 1.0, since)
 
         parents = max(2, round(self.zones / 4))
         new = self.case.together
@@ -112,38 +151,38 @@
         self.count += 1
         heapq.heappush(self.due, (when, self.count, deed))
 
-    def _act(self, director: int, router: i.Decider, events: list[i.Event]) -> None:
+    def _act(self, director: int, router: RequestRouter, events: list[Event]) -> None:
         for action in router.handle(self.now, events):
             match action:
-                case i.SetTimer(at_us, token):
+                case SetTimer(at_us, token):
                     self._at(max(at_us, self.now), partial(self._timer, director, router, token))
-                case i.Fetch() | i.Attempt():
+                case ForwardWithFill() | ForwardRequest():
                     self._send(director, router, action)
                 case _:
                     pass
 
-    def _timer(self, director: int, router: i.Decider, token: str) -> None:
+    def _timer(self, director: int, router: RequestRouter, token: str) -> None:
         if self.routers[director] is router:
-            self._act(director, router, [i.TimerFired(token)])
+            self._act(director, router, [TimerFired(token)])
 
-    def _send(self, director: int, router: i.Decider, action: i.Attempt | i.Fetch) -> None:
-        number = self.attempts[action.request] = self.attempts.get(action.request, -1) + 1
-        kind = action.request.partition("/")[0]
+    def _send(self, director: int, router: RequestRouter, action: ForwardRequest | ForwardWithFill) -> None:
+        number = self.attempts[action.request_id] = self.attempts.get(action.request_id, -1) + 1
+        kind = action.request_id.partition("/")[0]
         work = self.rng.lognormvariate(-0.5, 1.0) * WORK[kind]
-        source = action.source if isinstance(action, i.Fetch) else action.member
+        source = action.fill_source if isinstance(action, ForwardWithFill) else action.member
         at_cold = action.member == self.cold
         hit = self.rng.random() < (HITS_COLD if at_cold else HITS)
         if at_cold or (source == self.cold and not hit):
             self.sent.append((self.now, WORK[kind]))
-        status, detail = i.Status.OK, i.Detail.HIT if hit else i.Detail.FILLED
+        status, detail = AttemptStatus.OK, AnswerDetail.HIT if hit else AnswerDetail.FILLED
         if not hit and source == action.member:
-            status, detail = i.Status.MISS, i.Detail.NONE
+            status, detail = AttemptStatus.MISS, AnswerDetail.NONE
         took = int(work) + (0 if hit else FILL_US)
-        done = status is i.Status.OK
-        end = i.AttemptEnded(action.request, number, action.member, status, took, done, detail)
+        done = status is AttemptStatus.OK
+        end = AttemptEnded(action.request_id, number, action.member, status, took, done, detail)
         self._at(self.now + took, partial(self._ended, director, router, end))
 
-    def _ended(self, director: int, router: i.Decider, end: i.AttemptEnded) -> None:
+    def _ended(self, director: int, router: RequestRouter, end: AttemptEnded) -> None:
         if self.routers[director] is router:
             self._act(director, router, [end])
 
@@ -158,7 +197,7 @@
     def _arrive(self, number: int, director: int) -> None:
         kind = "large" if self.rng.random() < MIX else "small"
         thing = f"o{int(self.rng.paretovariate(0.9)) % 4000}"
-        ask = i.RequestArrived(f"{kind}/{number}", kind, thing, 5 * S, group=1, part=number % 3)
+        ask = RequestArrived(f"{kind}/{number}", kind, thing, 5 * S, object_group=1, part=number % 3)
         self._act(director, self.routers[director], [ask])
 
     def run(self) -> Ramp:
@@ -180,8 +219,8 @@
         return self
 
     def _told(self, director: int) -> None:
-        new = tuple(m for m in self.lists[director] if m.since_us)
-        self._act(director, self.routers[director], [i.MembersChanged(i.ListKind.CHANGE, new)])
+        new = tuple(m for m in self.lists[director] if m.started_at_us)
+        self._act(director, self.routers[director], [EndpointsChanged(EndpointListKind.CHANGE, new)])
 
     def _restart(self, director: int) -> None:
         self.routers[director] = self._router(director)
@@ -191,16 +230,20 @@
     def allowed(self, at: int) -> float:
         """N: requests of mean work in the window that ends then."""
         r, mean = RULES, sum(WORK.values()) / len(WORK)
-        first, rise, multiple, size = r.cold_start, r.cold_us, r.overload_multiple, SIZE
+        first, rise, multiple, size = r.warm_up_start_share, r.warm_up_us, r.overload_multiple, SIZE
         if self.case.parent:
-            first, rise, multiple = r.parent_cold_start, r.parent_cold_us, r.parent_overload_multiple
+            first, rise, multiple = (
+                r.parent_warm_up_start_share,
+                r.parent_warm_up_us,
+                r.parent_overload_multiple,
+            )
             size = SIZE * LINK_SHARE * BOXES * PARENT_SIZE
         share = first + (1 - first) * min(1.0, max(0, at - START_US) / rise)
         return multiple * share * size * r.overload_window_us / mean
 
     def figures(self) -> dict[str, Any]:
         mean = sum(WORK.values()) / len(WORK)
-        rise = RULES.parent_cold_us if self.case.parent else RULES.cold_us
+        rise = RULES.parent_warm_up_us if self.case.parent else RULES.warm_up_us
         window, load, worst = deque[tuple[int, float]](), 0.0, 0.0
         ramp = [(at, work) for at, work in self.sent if START_US <= at < START_US + rise]
         for at, work in ramp:
--- a/onyxwick/lab/report.py
+++ b/onyxwick/lab/report.py
@@ -8,9 +8,9 @@
 from pathlib import Path
 from typing import Any, Protocol
 
-from onyxwick import interface as i
 from onyxwick.cells import Plan
 from onyxwick.cells.placement import Placement, place
+from onyxwick.interface import Member, MemberState
 from onyxwick.lab.audit import Findings, strays
 from onyxwick.lab.clients import Clients, Tally
 from onyxwick.lab.machines import Coordinator, World
@@ -37,7 +37,7 @@
     plan = load(service).plan
     assert plan is not None
     members = [
-        i.Member(m.name, m.zone, m.kind, 0, i.State.READY, m.tier.capacity, 0)
+        Member(m.name, m.zone, m.kind, 0, MemberState.READY, m.tier.capacity, 0)
         for m in run.world.machines.values()
     ]
     return plan, place(plan, members, ("parent", "origin"))
--- a/onyxwick/lab/scale/hollow.py
+++ b/onyxwick/lab/scale/hollow.py
@@ -22,7 +22,6 @@
 import ujson
 import uvloop
 
-from onyxwick import interface as i
 from onyxwick import logs
 from onyxwick.config.address import Address
 from onyxwick.core import Core, Order, Outcome, Request
@@ -30,6 +29,7 @@
 from onyxwick.core.members import Members
 from onyxwick.counters import Counters
 from onyxwick.distribution.follower import Follower
+from onyxwick.interface import AnswerDetail, AttemptStatus, EndpointListKind, EndpointsChanged
 from onyxwick.lab.scale.processes import resident_kb
 from onyxwick.lab.scale.sweeps import settings
 from onyxwick.net.coordinator import Coordinator
@@ -94,10 +94,10 @@
             self.last_purge = max(self.last_purge, published)
             self.observations.add(Kind.PURGE, self.number, published)
 
-    def list_changed(self, event: i.MembersChanged, addresses: dict[str, Address]) -> None:
+    def list_changed(self, event: EndpointsChanged, addresses: dict[str, Address]) -> None:
         """A change of the list; its version is its publication in microseconds, if it has any."""
         super().list_changed(event, addresses)
-        if event.kind is i.ListKind.CHANGE and event.version:
+        if event.kind is EndpointListKind.CHANGE and event.version:
             self.observations.add(Kind.LIST, self.number, event.version * 1000)
 
     def document(self, text: str) -> None:
@@ -110,7 +110,7 @@
 
     async def run(self, order: Order) -> Outcome:
         """Answers at once."""
-        return Outcome(i.Status.OK, i.Detail.HIT)
+        return Outcome(AttemptStatus.OK, AnswerDetail.HIT)
 
 
 class HollowDirector:
@@ -128,7 +128,7 @@
         self._begin()
 
     def _begin(self) -> None:
-        own = replace(settings(), routers=1000, routers_in_zone=12, index=self.number)
+        own = replace(settings(), router_count=1000, zone_router_count=12, router_index=self.number)
         seed = random.Random(self.number).getrandbits(60)
         self.core = ObservedCore(own, seed, Instant(), Members(), self.counters)
         self.core.observations, self.core.number = self.observed, self.number
--- a/onyxwick/lab/scale/sweeps.py
+++ b/onyxwick/lab/scale/sweeps.py
@@ -16,7 +16,6 @@
 
 import ujson
 
-from onyxwick import interface as i
 from onyxwick.core import Core, Order, Outcome
 from onyxwick.core.members import Members
 from onyxwick.counters import Counters
@@ -24,6 +23,21 @@
 from onyxwick.distribution.durable import DurableFeed
 from onyxwick.distribution.model import Cursor, PurgeEvent, PurgeKey
 from onyxwick.distribution.replica import Replica
+from onyxwick.interface import (
+    AnswerDetail,
+    AttemptEnded,
+    AttemptStatus,
+    EndpointListKind,
+    EndpointsChanged,
+    Event,
+    ForwardRequest,
+    ForwardWithFill,
+    Member,
+    MemberState,
+    RequestArrived,
+    RouterSettings,
+    TimerFired,
+)
 from onyxwick.logic import Router
 from onyxwick.net.coordinator import Coordinator
 from onyxwick.settings import Pairs, read_settings
@@ -72,12 +86,12 @@
 class EventsOnly(Core):
     """A core that is given events outside an event loop: timers are driven by hand."""
 
-    def handle(self, *events: i.Event) -> None:
+    def handle(self, *events: Event) -> None:
         """Hand events to the module; it is given its timers at the next event."""
         self.router.handle(self.now(), list(events))
 
 
-def settings() -> i.Settings:
+def settings() -> RouterSettings:
     """The example's settings."""
     return read_settings(Pairs.of_json(ujson.loads(CONFIG.read_text())["settings"]))
 
@@ -114,23 +128,23 @@
 def served_request_us(caches: int) -> float:
     """Processor time of the module for one request, with so many caches in the director's zone."""
     router = Router(settings(), 7, START)
-    members = [i.Member(f"c{n}", "edge-1", "box", 0, i.State.READY, 1.0, 0) for n in range(caches)]
+    members = [Member(f"c{n}", "edge-1", "box", 0, MemberState.READY, 1.0, 0) for n in range(caches)]
     members += [
-        i.Member("p0", "hub", "parent", 0, i.State.READY, 1.0, 0),
-        i.Member("o0", "hub", "origin", 0, i.State.READY, 1.0, 0),
+        Member("p0", "hub", "parent", 0, MemberState.READY, 1.0, 0),
+        Member("o0", "hub", "origin", 0, MemberState.READY, 1.0, 0),
     ]
-    router.handle(START, [i.MembersChanged(i.ListKind.FULL, tuple(members))])
+    router.handle(START, [EndpointsChanged(EndpointListKind.SNAPSHOT, tuple(members))])
     out: list[tuple[str, str]] = []
     now, begin = START, time.process_time()
     for n in range(REQUESTS):
         now += 1_000
-        ask = i.RequestArrived(f"r{n}", "site-video", f"o{n * 7919 % 5000}", 3 * S, group=1)
+        ask = RequestArrived(f"r{n}", "site-video", f"o{n * 7919 % 5000}", 3 * S, object_group=1)
         for action in router.handle(now, [ask]):
-            if isinstance(action, i.Attempt | i.Fetch):
-                out.append((action.request, action.member))
+            if isinstance(action, ForwardRequest | ForwardWithFill):
+                out.append((action.request_id, action.member))
         if len(out) > OPEN:
             request, member = out.pop(0)
-            end = i.AttemptEnded(request, 0, member, i.Status.OK, OPEN * 1_000, True, i.Detail.HIT)
+            end = AttemptEnded(request, 0, member, AttemptStatus.OK, OPEN * 1_000, True, AnswerDetail.HIT)
             router.handle(now, [end])
     return (time.process_time() - begin) / REQUESTS * 1e6
 
@@ -203,7 +217,7 @@
     end = START + POPULARITY_PERIODS * 2 * S
     while now < end:
         begin = time.process_time()
-        router.handle(now, [i.TimerFired("due")])
+        router.handle(now, [TimerFired("due")])
         took = time.process_time() - begin
         spent, longest = spent + took, max(longest, took)
         now = max(now + 1, router.due[0][0] if router.due else end)
--- a/onyxwick/lab/scenario.py
+++ b/onyxwick/lab/scenario.py
@@ -4,13 +4,13 @@
 
 from pathlib import Path
 
-from onyxwick import interface as i
 from onyxwick.config import ConfigError, hcl
 from onyxwick.config.fields import MISSING, Fields
+from onyxwick.interface import Idempotency, RequestClass
 from onyxwick.lab.model import Fault, Happening, Job, Load, Scenario, Tier
 
 MINUTE = 60_000_000
-REPEATS = {"free": i.Repeat.SAFE, "once": i.Repeat.UNSAFE}
+REPEATS = {"free": Idempotency.IDEMPOTENT, "once": Idempotency.NON_IDEMPOTENT}
 MOST_EXTENDED = 4  # files over each other
 WHAT = ("purge", "drain", "lift", "kill", "start", "service", "crash", "mute", "unmute", "api")
 
@@ -30,16 +30,16 @@
 
 def _job(row: Fields) -> Job:
     repeat = REPEATS[row.choice("repeat", REPEATS, "free")]
-    kind = i.RequestClass(
+    kind = RequestClass(
         row.label,
         repeat,
         row.duration("aim", 1000, MINUTE),
         row.duration("deadline", 1000, MINUTE),
-        aim_stretch=row.number("stretch", 0, 100, 0),
-        worth=row.number("worth", 0.01, 1000, 1),
-        write=repeat is i.Repeat.UNSAFE,
+        latency_objective_stretch=row.number("stretch", 0, 100, 0),
+        priority_weight=row.number("worth", 0.01, 1000, 1),
+        write=repeat is Idempotency.NON_IDEMPOTENT,
         segmented=True,
-        lifetime_us=row.duration("fresh", 0, MINUTE, 0),
+        freshness_lifetime_us=row.duration("fresh", 0, MINUTE, 0),
     )
     out = Job(
         kind,
--- a/onyxwick/lab/soak/surroundings.py
+++ b/onyxwick/lab/soak/surroundings.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from onyxwick import interface as i
+from onyxwick.interface import Idempotency, RequestClass
 from onyxwick.lab.model import Job, Scenario, Tier
 from onyxwick.lab.soak.model import BOOKING, JOB_SHEET, SITE_VIDEO
 
@@ -12,18 +12,25 @@
 
 def _job(
     name: str,
-    repeat: i.Repeat,
+    repeat: Idempotency,
     sending_us: int,
     deadline_us: int,
     fresh_us: int = 0,
     answer_bytes: int = 2000,
 ) -> Job:
-    unsafe = repeat is i.Repeat.UNSAFE
+    unsafe = repeat is Idempotency.NON_IDEMPOTENT
     aim_us = min(600_000, deadline_us // 2)
-    kind = i.RequestClass(
-        name, repeat, aim_us, deadline_us, aim_stretch=1.6, worth=1.0, write=unsafe, segmented=not unsafe,
-        lifetime_us=fresh_us,
-    )  # fmt: skip
+    kind = RequestClass(
+        name,
+        repeat,
+        aim_us,
+        deadline_us,
+        latency_objective_stretch=1.6,
+        priority_weight=1.0,
+        write=unsafe,
+        segmented=not unsafe,
+        freshness_lifetime_us=fresh_us,
+    )
     return Job(kind, sending_us, answer_bytes, 3)
 
 
@@ -33,9 +40,9 @@
 def soak_jobs(deadlines_us: dict[str, int], answer_bytes: int = 2000) -> tuple[Job, ...]:
     """The classes of a soak's requests."""
     return (
-        _job(SITE_VIDEO, i.Repeat.SAFE, 60_000, deadlines_us[SITE_VIDEO], answer_bytes=answer_bytes),
-        _job(JOB_SHEET, i.Repeat.SAFE, 20_000, deadlines_us[JOB_SHEET], 12 * S),
-        _job(BOOKING, i.Repeat.UNSAFE, 20_000, deadlines_us[BOOKING]),
+        _job(SITE_VIDEO, Idempotency.IDEMPOTENT, 60_000, deadlines_us[SITE_VIDEO], answer_bytes=answer_bytes),
+        _job(JOB_SHEET, Idempotency.IDEMPOTENT, 20_000, deadlines_us[JOB_SHEET], 12 * S),
+        _job(BOOKING, Idempotency.NON_IDEMPOTENT, 20_000, deadlines_us[BOOKING]),
     )
 
 
--- a/onyxwick/lifecycle.py
+++ b/onyxwick/lifecycle.py
@@ -81,7 +81,7 @@
             most_open=config.most_open,
             decide=Router if service is None else service.decide,
         )
-        routers = config.settings.routers
+        routers = config.settings.router_count
         self.coordinator = Coordinator(self.core, self.counters, config.seed ^ FEED_DRAW, routers)
         self.coordinator.move(config.coordinator)  # a reload while starting moves it on
         if service is not None:
--- a/onyxwick/logic.py
+++ b/onyxwick/logic.py
@@ -16,7 +16,35 @@
 from functools import lru_cache
 from hashlib import blake2b
 
-from onyxwick import interface as i
+from onyxwick.interface import (
+    Action,
+    AnswerDetail,
+    AttemptEnded,
+    AttemptStatus,
+    CancelAttempt,
+    ClientDisconnected,
+    EndpointListKind,
+    EndpointsChanged,
+    Event,
+    FailRequest,
+    FillOption,
+    FleetShareChanged,
+    ForwardRequest,
+    ForwardWithFill,
+    Idempotency,
+    KeyScope,
+    Member,
+    MemberState,
+    ObjectsPurged,
+    RejectRequest,
+    RequestArrived,
+    RequestClass,
+    RetryReserveChanged,
+    RouterSettings,
+    SetTimer,
+    SiblingFills,
+    SubscribeToEndpoints,
+)
 
 S = 1_000_000  # microseconds in a second
 
@@ -87,7 +115,7 @@
 class Peer:
     """What is known of one member, from the list and from its answers."""
 
-    info: i.Member
+    info: Member
     cold_from: int  # when it was last (re)started, as far as known or presumed
     presumed: bool = False  # cold only by presumption, after a silence
     failing: float = 0.0
@@ -129,8 +157,8 @@
 class Job:
     """One client request and its attempts."""
 
-    ask: i.RequestArrived
-    kind: i.RequestClass
+    ask: RequestArrived
+    kind: RequestClass
     deadline: int
     rank: int
     over: bool = False
@@ -141,7 +169,7 @@
 class Router:
     """The decisions of one front. `handle` takes the events of one instant and gives the actions on them."""
 
-    def __init__(self, settings: i.Settings, seed: int, now: int) -> None:
+    def __init__(self, settings: RouterSettings, seed: int, now: int) -> None:
         self.set, self.now, self.born = settings, now, now
         self.random = random.Random(seed)
         self.classes = {c.name: c for c in settings.classes}
@@ -154,7 +182,7 @@
         self.parents: list[Peer] = []
         self.origin: Peer | None = None
         self.jobs: dict[str, Job] = {}
-        self.out: list[i.Action] = []
+        self.out: list[Action] = []
         self.due: list[tuple[int, int, str, int]] = []  # (time, sequence, request or "", attempt)
         self.sequence, self.wake = 0, -1
         # By object, in the units of a time (all halve alike); those below `forgotten` at a step are no more.
@@ -164,10 +192,10 @@
         self.hits: dict[str, dict[str, int]] = {}  # cache: object: last hit
         self.answers, self.hit_share, self.fill_level = [0, 0], 0.0, 0.0  # hits and all since the last step
         self.fill = Learned(0.2 * S)
-        self.work = {c.name: Learned(c.aim_us / 2) for c in settings.classes}
-        self.latency = {c.name: Learned(c.aim_us) for c in settings.classes}
+        self.work = {c.name: Learned(c.latency_objective_us / 2) for c in settings.classes}
+        self.latency = {c.name: Learned(c.latency_objective_us) for c in settings.classes}
         self.marks: dict[tuple[int | None, str | None], int] = {}  # purge marks: time of the purge
-        self.burst = max(4.0, RETRY_BURST / settings.routers)
+        self.burst = max(4.0, RETRY_BURST / settings.router_count)
         self.retries = self.burst
         self.turn, self.unsubscribed = 0, False
         self.part = 1.0  # of this director's share of the parents, which other routers of it may share
@@ -175,34 +203,37 @@
         self.reserve = 1.0  # of what may be spent beyond one attempt a request
         self._at(now + int(STEP_US * self.random.random()), "", 0)  # routers do not step together
         if settings.subscribe:
-            self.out.append(i.Subscribe())
+            self.out.append(SubscribeToEndpoints())
 
-    def ejected(self) -> int:
+    def ejected_count(self) -> int:
         return sum(peer.ejected for peer in self.peers.values())
 
-    def handle(self, now: int, events: list[i.Event]) -> list[i.Action]:
+    def handle(self, now: int, events: list[Event]) -> list[Action]:
         self.now = now
         for event in events:
             match event:
-                case i.RequestArrived():
+                case RequestArrived():
                     self._arrived(event)
-                case i.AttemptEnded():
+                case AttemptEnded():
                     self._ended(event)
-                case i.ClientLeft(request):
+                case ClientDisconnected(request):
                     if job := self.jobs.get(request):
                         # Nobody waits for what is still out; what is nearly done may leave a copy.
                         young = self.now - self.latency[job.kind.name].mean
                         self._cancel_rest(job, int(young))
                         self._close(job)
-                case i.MembersChanged():
+                case EndpointsChanged():
                     self._listed(event)
-                case i.PartChanged():
-                    self.part, self.own = event.part, event.caches
-                    self.part_cold, self.own_cold = event.part * event.cold_part, event.cold
-                    self.part_origin = event.origin
-                case i.ReserveChanged(reserve):
+                case FleetShareChanged():
+                    self.part, self.own = event.parent_share, event.cache_share
+                    self.part_cold, self.own_cold = (
+                        event.parent_share * event.warming_parent_share,
+                        event.warming_cache_share,
+                    )
+                    self.part_origin = event.origin_share
+                case RetryReserveChanged(reserve):
                     self.reserve = reserve
-                case i.Purged(group, name, age):
+                case ObjectsPurged(group, name, age):
                     key = (group, None) if name is None else (None, name)
                     self.marks[key] = max(now - age, self.marks.get(key, 0))
         while self.due and self.due[0][0] <= now:
@@ -213,7 +244,7 @@
                 self._overdue(job, attempt)
         if self.due and (self.wake <= now or self.due[0][0] < self.wake):
             self.wake = self.due[0][0]
-            self.out.append(i.SetTimer(self.wake, "due"))
+            self.out.append(SetTimer(self.wake, "due"))
         out, self.out = self.out, []
         return out
 
@@ -223,36 +254,36 @@
 
     # ---- the list -------------------------------------------------------------------------------------
 
-    def _listed(self, event: i.MembersChanged) -> None:
-        if event.kind is i.ListKind.FAILED:
+    def _listed(self, event: EndpointsChanged) -> None:
+        if event.kind is EndpointListKind.UNAVAILABLE:
             self.unsubscribed = self.set.subscribe  # asked anew at the next step: no storm on a failing list
             return
         named = dict.fromkeys(m.address for m in event.members)
         for m in event.members:
             peer = self.peers.get(m.address)
             if peer is None:
-                if m.state is not i.State.GONE:
-                    self.peers[m.address] = Peer(m, m.since_us, alive_at=self.now)
+                if m.state is not MemberState.REMOVED:
+                    self.peers[m.address] = Peer(m, m.started_at_us, alive_at=self.now)
             else:
-                if m.since_us > peer.info.since_us:  # restarted: a clean slate, and cold since then
-                    peer.cold_from, peer.failing, peer.ejected, peer.strikes = m.since_us, 0.0, False, 0
+                if m.started_at_us > peer.info.started_at_us:  # restarted: a clean slate, and cold since then
+                    peer.cold_from, peer.failing, peer.ejected, peer.strikes = m.started_at_us, 0.0, False, 0
                     peer.presumed = False
                     self.hits.pop(m.address, None)
                 peer.info = m
-        if event.kind is not i.ListKind.CHANGE:
+        if event.kind is not EndpointListKind.CHANGE:
             for address, peer in self.peers.items():
                 if address not in named:
-                    peer.info = replace(peer.info, state=i.State.GONE)
-        for address in [a for a, p in self.peers.items() if p.info.state is i.State.GONE]:
+                    peer.info = replace(peer.info, state=MemberState.REMOVED)
+        for address in [a for a, p in self.peers.items() if p.info.state is MemberState.REMOVED]:
             del self.peers[address]
             self.hits.pop(address, None)
-        ready = [p for _, p in sorted(self.peers.items()) if p.info.state is i.State.READY]
+        ready = [p for _, p in sorted(self.peers.items()) if p.info.state is MemberState.READY]
         own = (self.set.parent_kind, self.set.origin_kind)
         self.caches = [p for p in ready if p.info.zone == self.set.zone and p.info.kind not in own]
         self.boxes = max(self.boxes, len(self.caches))
-        if self.set.weights == "off" and self.set.pace_kb_per_s:
+        if self.set.weight_source == "off" and self.set.transfer_kb_per_s:
             wider = max(1.0, math.sqrt(LINK_FOR / self.boxes))
-            self.link = self.set.link_kb_per_s / self.set.pace_kb_per_s / wider
+            self.link = self.set.zone_link_kb_per_s / self.set.transfer_kb_per_s / wider
         self.parents = [p for p in ready if p.info.kind == self.set.parent_kind]
         self.others = {}
         for p in ready:
@@ -269,9 +300,9 @@
             self.counts[name] = count * unit
         return count
 
-    def _rank(self, ask: i.RequestArrived, kind: i.RequestClass) -> int:
+    def _rank(self, ask: RequestArrived, kind: RequestClass) -> int:
         """Gold, silver or bronze, as the rank at which a copy is kept. One count per client read."""
-        count = self._count(ask.object, float(ask.part == 0 and not ask.repeat))
+        count = self._count(ask.object_id, float(ask.part == 0 and not ask.is_retry))
         if kind.write:
             return 0
         if count >= self.gold_cut:
@@ -282,15 +313,15 @@
             return SILVER_RANK
         # Departure: where routers share a location, an object seen once here has likely been seen by the
         # others: it is taken for silver by a chance that grows with their number, the same for all its parts.
-        others = 1 - 1 / self.set.routers_in_zone
-        return SILVER_RANK if math.exp(-_draw(f"{self.set.index}", ask.object)) < others else 0
+        others = 1 - 1 / self.set.zone_router_count
+        return SILVER_RANK if math.exp(-_draw(f"{self.set.router_index}", ask.object_id)) < others else 0
 
     def _step(self) -> None:
         """Set T1 and T2 anew from the counts, the hits and the fill latency; drop what has expired."""
         self._at(self.now + STEP_US, "", 0)
         if self.unsubscribed:
             self.unsubscribed = False
-            self.out.append(i.Subscribe())
+            self.out.append(SubscribeToEndpoints())
         floor = self.now - HALF_LIFE_US
         for seen in self.hits.values():
             for name in [n for n, at in seen.items() if at < floor]:
@@ -302,10 +333,10 @@
             ranked, self.forgotten = ranked[TABLE_MAX // 2 :], ranked[TABLE_MAX // 2]
         if len(ranked) < 0.75 * len(self.counts) or len(self.counts) > 0.75 * TABLE_MAX:  # seldom
             self.counts = {n: c for n, c in self.counts.items() if c >= self.forgotten}
-        settled = self.now - self.set.rules.purge_settles_us - S
+        settled = self.now - self.set.rules.purge_retention_us - S
         self.marks = {k: at for k, at in self.marks.items() if at > settled}
         room = sum(len(seen) for seen in self.hits.values()) / max(1, len(self.hits))
-        t1 = int(ALPHA * room * math.sqrt(self.set.routers_in_zone))  # the others' hits are partly others
+        t1 = int(ALPHA * room * math.sqrt(self.set.zone_router_count))  # the others' hits are partly others
         self.gold_cut = max(ranked[-t1] / unit, 1.001) if 0 < t1 <= len(ranked) else math.inf
         share = self.answers[0] / max(1, self.answers[1])
         well = share >= self.hit_share and self.fill.mean <= FILL_GROWTH * self.fill_level
@@ -323,7 +354,7 @@
 
     def _order(self, key: str, peers: list[Peer]) -> list[Peer]:
         """Rendezvous order: the same at every front, in proportion to the listed weights."""
-        if self.set.weights in ("live", "off"):
+        if self.set.weight_source in ("live", "off"):
             return sorted(peers, key=lambda p: _draw(key, p.info.address))
         return sorted(peers, key=lambda p: _draw(key, p.info.address) / self._size(p))
 
@@ -343,17 +374,22 @@
         """Cold start, its rise, the overload multiple and the routers that share a member of this tier."""
         r = self.set.rules
         if peer.info.kind == self.set.parent_kind:
-            sharers = self.set.routers / self.part_cold
-            return r.parent_cold_start, r.parent_cold_us, r.parent_overload_multiple, sharers
-        return r.cold_start, r.cold_us, r.overload_multiple, self.set.routers_in_zone / self.own_cold
+            sharers = self.set.router_count / self.part_cold
+            return r.parent_warm_up_start_share, r.parent_warm_up_us, r.parent_overload_multiple, sharers
+        return (
+            r.warm_up_start_share,
+            r.warm_up_us,
+            r.overload_multiple,
+            self.set.zone_router_count / self.own_cold,
+        )
 
     def _sharers(self, peer: Peer) -> float:
         """Over how many routers what a member takes is divided, as seen by this one."""
         if peer.info.kind == self.set.parent_kind:
-            return self.set.routers / self.part
+            return self.set.router_count / self.part
         if peer in self.caches:
-            return self.set.routers_in_zone / self.own
-        return self.set.routers / (self.part_origin if peer is self.origin else 1.0)
+            return self.set.zone_router_count / self.own
+        return self.set.router_count / (self.part_origin if peer is self.origin else 1.0)
 
     def _cold(self, peer: Peer) -> float:
         """Share of its full link that a member can surely give now."""
@@ -361,7 +397,7 @@
         if peer.presumed and self.now - peer.cold_from > NOTICE_US:
             # Silence is no proof of a restart. One would be on the list by now; presuming it longer would
             # shut the way through a parent that was only jammed. Could hurt where the list is later.
-            peer.cold_from, peer.presumed = peer.info.since_us, False
+            peer.cold_from, peer.presumed = peer.info.started_at_us, False
         if peer is self.origin or not peer.cold_from or self.now - peer.cold_from >= rise:
             return 1.0
         return start + (1 - start) * max(0, self.now - peer.cold_from) / rise
@@ -379,7 +415,7 @@
         window, age = self.set.rules.overload_window_us, self.now - peer.cold_from
         while peer.spent and peer.spent[0][0] <= self.now - window:
             peer.spent.popleft()
-        guess = GUESSED if self.set.weights == "off" else 1.0
+        guess = GUESSED if self.set.weight_source == "off" else 1.0
         full = COLD_MARGIN * guess * multiple * self._size(peer) / routers
         spent = sum(c for _, c in peer.spent) + cost
         if spent <= full * share * window:
@@ -389,7 +425,7 @@
         turn = max(w.mean for w in self.work.values())
         if full * share * window >= turn or spent > turn:
             return False
-        phase = (self.set.index * GOLDEN + _draw("turn", peer.info.address)) % 1.0
+        phase = (self.set.router_index * GOLDEN + _draw("turn", peer.info.address)) % 1.0
 
         def turns(age: int) -> int:
             return int(phase + full / turn * (start * age + (1 - start) * age * age / (2 * rise)))
@@ -399,7 +435,7 @@
     def _usable(self, peer: Peer) -> bool:
         return not peer.ejected or (self.now >= peer.until and not peer.pending)
 
-    def _fits(self, peer: Peer, kind: i.RequestClass) -> bool:
+    def _fits(self, peer: Peer, kind: RequestClass) -> bool:
         """Load limit: so many transfers share a member's link that one more could not meet its aim.
 
         The aim allows short classes more company than long ones, so the least worth per work is shed first.
@@ -407,13 +443,13 @@
         answers come late. Could hurt where the listed weight is far under the truth, until room has grown.
         """
         work = self.work[kind.name].mean
-        stretch = (kind.aim_us + kind.aim_stretch * work) / work
+        stretch = (kind.latency_objective_us + kind.latency_objective_stretch * work) / work
         routers = self._sharers(peer)
         limit = LOAD_SHARE * stretch * self._size(peer) * self._cold(peer) / routers
         if peer is self.origin:
             if kind.write:
                 return True  # few, worth most, and with nowhere else to go
-            routers = self.set.routers_in_zone  # its size is not told: a part as large as of all own caches
+            routers = self.set.zone_router_count  # its size is not told: a part as large as of all own caches
             limit = LOAD_SHARE * stretch * max(1.0, sum(self._size(p) for p in self.caches)) / routers
         # One router's part may be under one transfer, and is uneven by chance: a deviation comes on top, lent
         # only while its own mean use is under half its part, as forty at once would double what is asked for.
@@ -447,10 +483,10 @@
     def _cache(self, job: Job) -> Peer | None:
         """The cache for the next attempt: hash order, two in turn for a hot part, the rest as fall-backs."""
         ask, kind = job.ask, job.kind
-        order = self._order(f"{ask.object}/{ask.part}", self.caches)
+        order = self._order(f"{ask.object_id}/{ask.part}", self.caches)
         work = self.work[kind.name].mean
-        rate = self._count(ask.object) * math.log(2) / HALF_LIFE_US
-        hot = HOT_SHARE * self._size(order[0]) / self.set.routers_in_zone if order else math.inf
+        rate = self._count(ask.object_id) * math.log(2) / HALF_LIFE_US
+        hot = HOT_SHARE * self._size(order[0]) / self.set.zone_router_count if order else math.inf
         if len(order) > 1 and not kind.write and rate * work > hot:
             self.turn ^= 1
             if self.turn:
@@ -459,7 +495,7 @@
             tried = [f.peer for f in job.flights if not f.missed]
             order = [p for p in order if p not in tried] + [p for p in order if p in tried]
         for peer in order:
-            if peer.ejected and (kind.repeat is not i.Repeat.SAFE or job.flights):
+            if peer.ejected and (kind.idempotency is not Idempotency.IDEMPOTENT or job.flights):
                 continue  # trials are for first attempts that can be repeated
             if self._usable(peer) and self._affords(peer, work) and self._fits(peer, kind):
                 return peer
@@ -473,7 +509,7 @@
         """
         kind, work = job.kind, self.work[job.kind.name].mean
         tried = [f.source for f in job.flights]
-        for peer in self._order(job.ask.object, self.parents) if not kind.write else ():
+        for peer in self._order(job.ask.object_id, self.parents) if not kind.write else ():
             if peer not in tried and self._usable(peer) and self._affords(peer, work):
                 return peer if self._fits(peer, kind) else None
         origin = self.origin
@@ -482,10 +518,10 @@
     def _sibling(self, job: Job) -> Peer | None:
         """Another location's home of the part, for what it holds, where no parent is to be had."""
         asked = any(f.source and f.source not in self.parents for f in job.flights)
-        if asked or job.kind.write or not self.others or self.set.siblings is not i.Siblings.ANY:
+        if asked or job.kind.write or not self.others or self.set.sibling_fills is not SiblingFills.ANY:
             return None
-        zone = min(self.others, key=lambda z: _draw(job.ask.object, z))
-        peer = self._order(f"{job.ask.object}/{job.ask.part}", self.others[zone])[0]
+        zone = min(self.others, key=lambda z: _draw(job.ask.object_id, z))
+        peer = self._order(f"{job.ask.object_id}/{job.ask.part}", self.others[zone])[0]
         return peer if self._usable(peer) and self._cold(peer) == 1.0 and self._fits(peer, job.kind) else None
 
     def _held(self, job: Job, source: Peer | None) -> bool:
@@ -500,45 +536,47 @@
     def _age(self, job: Job, stale: bool) -> int:
         """Oldest copy that will do: the class's lifetime, cut to what is younger than the purges told of."""
         kind, ask = job.kind, job.ask
-        age = kind.lifetime_us + kind.stale_us if stale and kind.lifetime_us else 0
-        told = [self.marks.get((None, ask.object)), self.marks.get((ask.group, None))]
+        age = kind.freshness_lifetime_us + kind.stale_grace_us if stale and kind.freshness_lifetime_us else 0
+        told = [self.marks.get((None, ask.object_id)), self.marks.get((ask.object_group, None))]
         purged = max((at for at in told if at is not None), default=None)
         if purged is None:
             return age
         since = max(1, self.now - purged)
-        limit = age or kind.lifetime_us
+        limit = age or kind.freshness_lifetime_us
         return min(since, limit) if limit else since
 
     # ---- requests -------------------------------------------------------------------------------------
 
-    def _arrived(self, ask: i.RequestArrived) -> None:
+    def _arrived(self, ask: RequestArrived) -> None:
         kind = self.classes.get(ask.class_name)
         if kind is None:
-            self.out.append(i.Refuse(ask.request))
+            self.out.append(RejectRequest(ask.request_id))
             return
-        if ask.size_kb and self.set.pace_kb_per_s:
-            self.work[kind.name].add(ask.size_kb / self.set.pace_kb_per_s * S)
-        if self.set.weights == "off" and not self.set.link_kb_per_s and not kind.write:  # Little's law
+        if ask.size_kb and self.set.transfer_kb_per_s:
+            self.work[kind.name].add(ask.size_kb / self.set.transfer_kb_per_s * S)
+        if (
+            self.set.weight_source == "off" and not self.set.zone_link_kb_per_s and not kind.write
+        ):  # Little's law
             self.asked *= math.exp((self.asked_at - self.now) / HALF_LIFE_US)
             self.asked, self.asked_at = self.asked + self.work[kind.name].mean / HALF_LIFE_US, self.now
             seen = max(0.01, 1 - math.exp((self.born - self.now) / HALF_LIFE_US))
-            self.link = DRAWN * self.asked / seen * self.set.routers_in_zone
+            self.link = DRAWN * self.asked / seen * self.set.zone_router_count
         job = Job(ask, kind, self.now + ask.expires_in_us, self._rank(ask, kind))
-        self.jobs[ask.request] = job
+        self.jobs[ask.request_id] = job
         self.retries = min(self.burst, self.retries + RETRY_SHARE * self.reserve)
         self._send(job)
 
     def _send(self, job: Job) -> None:
         """One more attempt, or the final answer at once where none can help."""
         kind = job.kind
-        cap = self.set.limits.attempts
+        cap = self.set.limits.max_attempts
         most = 1 + int((cap - 1) * self.reserve)  # a look that missed is the first half of one
         spent = len(job.flights) >= cap or sum(not f.missed for f in job.flights) >= most
         if spent or job.deadline - self.now <= self.set.tick_us:
             return self._answer(job)
         cache, source = self._cache(job), self._source(job)
         bare = not any(self._usable(p) for p in self.caches)  # a full cache is no reason to pass it by
-        direct = self.set.direct and (kind.write or bare)
+        direct = self.set.cache_bypass and (kind.write or bare)
         if direct and source is not None and (source is self.origin or source in self.parents):
             return self._fly(job, source, source if source is not self.origin else None)
         looked = any(f.missed for f in job.flights)
@@ -559,7 +597,7 @@
         number = len(job.flights)
         job.flights.append(flight)
         for p in (peer, source, flight.behind):
-            if p is not None and (request_at := (ask.request, number)) not in p.pending:
+            if p is not None and (request_at := (ask.request_id, number)) not in p.pending:
                 p.pending[request_at] = None
                 if self._cold(p) < 1.0:
                     booked = [float(now), work]
@@ -568,69 +606,80 @@
                         flight.charge = booked
         left = job.deadline - now
         if peer is self.origin:
-            self.out.append(i.Attempt(ask.request, peer.info.address, left))
+            self.out.append(ForwardRequest(ask.request_id, peer.info.address, left))
         else:
-            flags = i.FillFlag.NONE
-            marked = (None, ask.object) in self.marks or (ask.group, None) in self.marks
+            flags = FillOption.NONE
+            marked = (None, ask.object_id) in self.marks or (ask.object_group, None) in self.marks
             if source and source is not peer and not kind.write:
-                if self.set.joins and not marked:
-                    flags |= i.FillFlag.JOIN
+                if self.set.coalesces_fills and not marked:
+                    flags |= FillOption.COALESCE
                 if held:
-                    flags |= i.FillFlag.HELD_ONLY
-                elif kind.lifetime_us and job.rank and self._cold(source) >= 1.0 and not source.ejected:
-                    flags |= i.FillFlag.RENEW if self.reserve >= 1 else i.FillFlag.NONE
+                    flags |= FillOption.ONLY_IF_CACHED
+                elif (
+                    kind.freshness_lifetime_us
+                    and job.rank
+                    and self._cold(source) >= 1.0
+                    and not source.ejected
+                ):
+                    flags |= FillOption.STALE_WHILE_REVALIDATE if self.reserve >= 1 else FillOption.NONE
             target = (source or peer).info.address
             if peer is source and self.origin:
                 target = self.origin.info.address
             age = self._age(job, stale=number > 0 or source is None or held)
             rank = job.rank if peer in self.caches else 0
-            self.out.append(i.Fetch(ask.request, peer.info.address, target, rank, left, age, flags))
-        self._at(now + int(self.latency[kind.name].late()), ask.request, number)
+            self.out.append(
+                ForwardWithFill(ask.request_id, peer.info.address, target, rank, left, age, flags)
+            )
+        self._at(now + int(self.latency[kind.name].late()), ask.request_id, number)
 
     def _answer(self, job: Job) -> None:
         """The final answer: refused where the class allows it, else failed."""
         kind = job.kind
         self._cancel_rest(job)
         unrun = job.maybe_ran is None and not any(f.pending for f in job.flights)
-        shared = kind.repeat is i.Repeat.KEYED and kind.scope is i.Scope.ALL
-        if kind.repeat is i.Repeat.SAFE or unrun or shared:
+        shared = kind.idempotency is Idempotency.WITH_KEY and kind.key_scope is KeyScope.ALL
+        if kind.idempotency is Idempotency.IDEMPOTENT or unrun or shared:
             limits = self.set.limits
-            after = min(limits.max_retry_after_us, kind.aim_us) if limits.retry_after else 0
+            after = min(limits.max_retry_after_us, kind.latency_objective_us) if limits.retry_after else 0
             after = int(after * self.random.uniform(0.5, 1))  # not all back at once
-            self.out.append(i.Refuse(job.ask.request, after))
+            self.out.append(RejectRequest(job.ask.request_id, after))
         else:
-            self.out.append(i.Fail(job.ask.request))
+            self.out.append(FailRequest(job.ask.request_id))
         self._close(job)
 
     def _close(self, job: Job) -> None:
         job.over = True
         if not any(f.pending for f in job.flights):
-            self.jobs.pop(job.ask.request, None)
+            self.jobs.pop(job.ask.request_id, None)
 
     # ---- outcomes -------------------------------------------------------------------------------------
 
-    def _ended(self, event: i.AttemptEnded) -> None:
-        job = self.jobs.get(event.request)
-        if job is None or not 0 <= event.attempt < len(job.flights):
+    def _ended(self, event: AttemptEnded) -> None:
+        job = self.jobs.get(event.request_id)
+        if job is None or not 0 <= event.attempt_index < len(job.flights):
             return
-        flight = job.flights[event.attempt]
+        flight = job.flights[event.attempt_index]
         if not flight.pending:
             return
         flight.pending = False
         for p in (flight.peer, flight.source, flight.behind):
             if p is not None:
-                p.pending.pop((event.request, event.attempt), None)
+                p.pending.pop((event.request_id, event.attempt_index), None)
                 p.ended_at, p.lasted = self.now, event.latency_us
-        if not event.status.proves_unrun and job.maybe_ran is None:
+        if not event.status.proves_not_executed and job.maybe_ran is None:
             job.maybe_ran = flight
         self._learn(job, flight, event)
-        if event.final or job.over:
-            if event.final and not job.over:
+        if event.is_final or job.over:
+            if event.is_final and not job.over:
                 self._cancel_rest(job)
             return self._close(job)
         if any(f.pending for f in job.flights):
             return
-        if event.status is i.Status.MISS and (flight.source is None or flight.held) and not job.kind.write:
+        if (
+            event.status is AttemptStatus.MISS
+            and (flight.source is None or flight.held)
+            and not job.kind.write
+        ):
             flight.missed = True  # a look: what it found out is not a failure
             self._send(job)
         elif self._may_repeat(job):
@@ -641,34 +690,34 @@
 
     def _cancel_rest(self, job: Job, since: int = -1) -> None:
         for n, f in enumerate(job.flights):
-            if f.pending and not f.cancelled and self.set.limits.cancel and f.sent > since:
+            if f.pending and not f.cancelled and self.set.limits.cancellation and f.sent > since:
                 f.cancelled = True
-                self.out.append(i.Cancel(job.ask.request, n))
+                self.out.append(CancelAttempt(job.ask.request_id, n))
 
     def _may_repeat(self, job: Job) -> bool:
         """May, and should, this request be tried again? The class decides, then the retry budget."""
         kind, first = job.kind, job.maybe_ran
-        if first is not None and kind.repeat is not i.Repeat.SAFE:
-            if kind.repeat is i.Repeat.UNSAFE or kind.scope is not i.Scope.ALL:
+        if first is not None and kind.idempotency is not Idempotency.IDEMPOTENT:
+            if kind.idempotency is Idempotency.NON_IDEMPOTENT or kind.key_scope is not KeyScope.ALL:
                 return False
-            if self.now - first.sent >= kind.window_us - 2 * self.set.tick_us:
+            if self.now - first.sent >= kind.key_window_us - 2 * self.set.tick_us:
                 return False
         return self.retries >= 1.0
 
-    def _learn(self, job: Job, flight: Flight, event: i.AttemptEnded) -> None:
+    def _learn(self, job: Job, flight: Flight, event: AttemptEnded) -> None:
         peer, source, kind = flight.peer, flight.source, job.kind
-        own = job.ask.size_kb / self.set.pace_kb_per_s * S if self.set.pace_kb_per_s else 0
+        own = job.ask.size_kb / self.set.transfer_kb_per_s * S if self.set.transfer_kb_per_s else 0
         work = own or self.work[kind.name].mean
-        late = event.latency_us > kind.aim_us + kind.aim_stretch * work
-        if event.status is i.Status.OK:
-            hit = event.detail in (i.Detail.HIT, i.Detail.STALE)
+        late = event.latency_us > kind.latency_objective_us + kind.latency_objective_stretch * work
+        if event.status is AttemptStatus.OK:
+            hit = event.detail in (AnswerDetail.HIT, AnswerDetail.STALE)
             self.latency[kind.name].add(event.latency_us)
             self._credit(peer)
-            if source and not hit and event.detail is not i.Detail.JOINED:
+            if source and not hit and event.detail is not AnswerDetail.JOINED:
                 self._credit(source)
                 self.fill.add(event.latency_us)
-                told = self.set.answers_tell == "all"
-                through = flight.behind and (not told or event.detail is i.Detail.FILLED_FROM_ORIGIN)
+                told = self.set.answer_detail == "all"
+                through = flight.behind and (not told or event.detail is AnswerDetail.FILLED_FROM_ORIGIN)
                 if flight.behind and through:
                     self._credit(flight.behind)
                     self._room(flight.behind, late)
@@ -678,23 +727,27 @@
                 flight.charge[1] = 0.0  # a hit never reached the cold source
             if hit or kind.write:
                 if not job.ask.size_kb:
-                    self.work[kind.name].add(min(event.latency_us, kind.aim_us))
+                    self.work[kind.name].add(min(event.latency_us, kind.latency_objective_us))
                 self._room(peer, late)
             if peer in self.caches and not kind.write:
                 self.answers[1] += 1
                 if hit:
                     self.answers[0] += 1
-                    self.hits.setdefault(peer.info.address, {})[job.ask.object] = self.now
-        elif event.status is i.Status.MISS:
+                    self.hits.setdefault(peer.info.address, {})[job.ask.object_id] = self.now
+        elif event.status is AttemptStatus.MISS:
             self._credit(peer)
-            if source and flight.held and event.detail is i.Detail.SOURCE_LACKS:
+            if source and flight.held and event.detail is AnswerDetail.SOURCE_MISS:
                 self._credit(source)
-        elif event.status not in (i.Status.CANCELLED, i.Status.NOT_SENT):
+        elif event.status not in (AttemptStatus.CANCELLED, AttemptStatus.NOT_SENT):
             # Time ran out at a cache that answers others, or in its fill: a jam, not silence. To call it
             # silence would take whole locations for dead, and then cold, in every overload. A jam shows in
             # late answers first; where others came in time a time-out is a lost answer and tells nothing.
-            timeout = event.status is i.Status.TIMEOUT
-            stuck = source and event.latency_us > kind.aim_us and not self._mute(source, flight.sent)
+            timeout = event.status is AttemptStatus.TIMEOUT
+            stuck = (
+                source
+                and event.latency_us > kind.latency_objective_us
+                and not self._mute(source, flight.sent)
+            )
             if not stuck and not (timeout and peer.alive_at > flight.sent):
                 return self._fault(flight, event)
             jammed = flight.behind or source or peer
@@ -702,20 +755,20 @@
             if not timeout or silent or jammed.lateness > JAMMED:
                 self._room(jammed, True, source is not None)
 
-    def _fault(self, flight: Flight, event: i.AttemptEnded) -> None:
+    def _fault(self, flight: Flight, event: AttemptEnded) -> None:
         peer, source, behind = flight.peer, flight.source, flight.behind
-        if event.detail in (i.Detail.SOURCE_LACKS, i.Detail.NO_FILL_SLOT):
+        if event.detail in (AnswerDetail.SOURCE_MISS, AnswerDetail.NO_FILL_SLOT):
             return
-        lost = event.status in (i.Status.CONNECT_FAILED, i.Status.RESET, i.Status.TIMEOUT)
-        if event.detail is i.Detail.ORIGIN_FAILED and behind:
+        lost = event.status in (AttemptStatus.CONNECT_FAILED, AttemptStatus.RESET, AttemptStatus.TIMEOUT)
+        if event.detail is AnswerDetail.ORIGIN_FAILED and behind:
             self._room(behind, True, True)  # no fault of the parent's
-        elif event.detail.value >= i.Detail.SOURCE_REFUSED.value:
+        elif event.detail.value >= AnswerDetail.SOURCE_REJECTED.value:
             self._room(source or peer, True)
-            self._blame(source, 1.0, event.detail is i.Detail.SOURCE_LOST)
+            self._blame(source, 1.0, event.detail is AnswerDetail.SOURCE_UNREACHABLE)
         elif lost or source is None:
-            if event.status is i.Status.FULL:
+            if event.status is AttemptStatus.OVERLOADED:
                 self._room(peer, True)
-            if event.status is not i.Status.RESET:
+            if event.status is not AttemptStatus.RESET:
                 self._blame(peer, 1.0, lost)
             elif self.now - peer.broke_at >= BROKE_US:
                 # Answers come spoilt and connections break at sound members too. One that died refuses
@@ -727,8 +780,8 @@
             # hits clear it, only fills clear the source. Else a refusing parent looks like full caches.
             # Where all is told, an error that names no side is the cache's own or its connection's.
             self._blame(peer, 0.5, False)
-            if event.status is not i.Status.ERROR or self.set.answers_tell != "all":
-                self._room(behind or source, True, event.status is i.Status.FULL)
+            if event.status is not AttemptStatus.ERROR or self.set.answer_detail != "all":
+                self._room(behind or source, True, event.status is AttemptStatus.OVERLOADED)
                 self._blame(source, 0.5, False)
 
     # ---- health ---------------------------------------------------------------------------------------
@@ -782,8 +835,10 @@
         answers stop it, and it is paid for from the retries.
         """
         jammed = any(p.lateness > JAMMED for p in (flight.peer, flight.source) if p)
-        alone = sum(f.pending for f in job.flights) == 1 and len(job.flights) < self.set.limits.attempts
-        safe = job.kind.repeat is i.Repeat.SAFE and self.set.limits.second_copies and not flight.doubled
+        alone = sum(f.pending for f in job.flights) == 1 and len(job.flights) < self.set.limits.max_attempts
+        safe = (
+            job.kind.idempotency is Idempotency.IDEMPOTENT and self.set.limits.hedging and not flight.doubled
+        )
         safe &= self.reserve >= 1
         if jammed or not alone or not safe or self.retries < 1 or flight.peer not in self.caches:
             return
@@ -804,17 +859,21 @@
         if mute is None or mute is self.origin:
             self._double(job, flight)
             if self.now + wait < job.deadline:
-                self._at(self.now + wait, job.ask.request, number)
+                self._at(self.now + wait, job.ask.request_id, number)
             return
         expected = self._expected(mute, flight.sent)  # one silent attempt of few is little evidence
         for _ in range(2 if expected > 3 else 1):
             self._blame(mute, min(1.0, expected / 2), True)
-        if not mute.ejected or not self.set.limits.cancel:
-            return self._at(self.now + wait, job.ask.request, number)
+        if not mute.ejected or not self.set.limits.cancellation:
+            return self._at(self.now + wait, job.ask.request_id, number)
         for request, n in list(mute.pending):
             other = self.jobs.get(request)
-            if other is None or other.kind.repeat is not i.Repeat.SAFE or other.flights[n].cancelled:
+            if (
+                other is None
+                or other.kind.idempotency is not Idempotency.IDEMPOTENT
+                or other.flights[n].cancelled
+            ):
                 continue
             if other.flights[n].sent + self.latency[other.kind.name].mean < self.now and self.retries >= 1:
                 other.flights[n].cancelled = True
-                self.out.append(i.Cancel(request, n))
+                self.out.append(CancelAttempt(request, n))
--- a/onyxwick/net/cache_link.py
+++ b/onyxwick/net/cache_link.py
@@ -8,10 +8,10 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from onyxwick import interface as i
 from onyxwick import logs
 from onyxwick.core.model import Order, Outcome
 from onyxwick.core.reasons import ConnectionEnd
+from onyxwick.interface import AttemptStatus
 from onyxwick.net import errors, resp
 from onyxwick.net.buffer import is_up, unread
 from onyxwick.net.cache_wire import read_outcome, request_bytes
@@ -107,7 +107,7 @@
 
     def _dropped(self, call: Call) -> None:
         self.calls.pop(call.id, None)
-        call.settle(Outcome(i.Status.NOT_SENT))
+        call.settle(Outcome(AttemptStatus.NOT_SENT))
 
     def expire(self, call: Call) -> None:
         """The time of an attempt is over."""
@@ -116,10 +116,10 @@
                 self.retired = True  # an answer that comes without end holds up all behind it
             call.settle(Outcome(self.give_up(call)))
 
-    def give_up(self, call: Call) -> i.Status:
+    def give_up(self, call: Call) -> AttemptStatus:
         """Stop an attempt whose time is over or that was called off; tells how it ended."""
         if self.calls.get(call.id) is not call:
-            return i.Status.RESET
+            return AttemptStatus.RESET
         del self.calls[call.id]
         if self.writes.withdraw(call.write):
             return self._never_sent()
@@ -127,18 +127,18 @@
         self.writes.post(PendingWrite(resp.command(b"STOP", call.id)))
         if self.heard_at < call.sent_at:
             self.retired = True  # a machine that vanished says nothing: new attempts try a new connection
-        return i.Status.TIMEOUT
+        return AttemptStatus.TIMEOUT
 
-    def _never_sent(self) -> i.Status:
+    def _never_sent(self) -> AttemptStatus:
         """How an attempt ended of which nothing went out: only a connect that failed for want of nothing here
         says something of the member."""
-        return i.Status.NOT_SENT if self.up or self.kept_back else i.Status.CONNECT_FAILED
+        return AttemptStatus.NOT_SENT if self.up or self.kept_back else AttemptStatus.CONNECT_FAILED
 
     async def _run(self) -> None:
-        failed = i.Status.CONNECT_FAILED
+        failed = AttemptStatus.CONNECT_FAILED
         try:
             sock = await self._connect()
-            self.up, failed = True, i.Status.RESET
+            self.up, failed = True, AttemptStatus.RESET
             await self._talk(sock)
         except (OSError, TimeoutError):  # told to the attempts below
             here = ConnectionEnd.CONNECT_FAILED_HERE if self.kept_back else ConnectionEnd.CONNECT_FAILED
@@ -237,10 +237,10 @@
             # Of some other copy: it says nothing of the one that the client holds.
             self.caches.counters.add("bad.tag")
             log.warning("'unchanged' under another tag", member=self.member)
-            outcome = Outcome(i.Status.ERROR)
+            outcome = Outcome(AttemptStatus.ERROR)
         call.settle(outcome)
 
-    def _close(self, failed: i.Status) -> None:
+    def _close(self, failed: AttemptStatus) -> None:
         self.closed = self.retired = True
         if self.sock is not None:
             self.sock.close()
--- a/onyxwick/net/cache_wire.py
+++ b/onyxwick/net/cache_wire.py
@@ -4,40 +4,40 @@
 
 from functools import cache
 
-from onyxwick import interface as i
 from onyxwick.core.model import Order, Outcome
+from onyxwick.interface import AnswerDetail, AttemptStatus, FillOption
 from onyxwick.net import resp
 
 DETAILS = {
-    "HIT": i.Detail.HIT,
-    "MISS": i.Detail.FILLED,
-    "MISS_ORIGIN": i.Detail.FILLED_FROM_ORIGIN,
-    "COLLAPSED": i.Detail.JOINED,
-    "STALE": i.Detail.STALE,
-    "UP_BUSY": i.Detail.SOURCE_REFUSED,
-    "UP_DOWN": i.Detail.SOURCE_LOST,
-    "UP_MISS": i.Detail.SOURCE_LACKS,
-    "NO_FILL": i.Detail.NO_FILL_SLOT,
-    "ORIGIN_ERR": i.Detail.ORIGIN_FAILED,
+    "HIT": AnswerDetail.HIT,
+    "MISS": AnswerDetail.FILLED,
+    "MISS_ORIGIN": AnswerDetail.FILLED_FROM_ORIGIN,
+    "COLLAPSED": AnswerDetail.JOINED,
+    "STALE": AnswerDetail.STALE,
+    "UP_BUSY": AnswerDetail.SOURCE_REJECTED,
+    "UP_DOWN": AnswerDetail.SOURCE_UNREACHABLE,
+    "UP_MISS": AnswerDetail.SOURCE_MISS,
+    "NO_FILL": AnswerDetail.NO_FILL_SLOT,
+    "ORIGIN_ERR": AnswerDetail.ORIGIN_FAILED,
 }
 ENDS = {
-    b"data": i.Status.OK,
-    b"unchanged": i.Status.OK,
-    b"absent": i.Status.MISS,
-    b"full": i.Status.FULL,
-    b"failed": i.Status.ERROR,
-    b"moot": i.Status.NOT_SENT,
+    b"data": AttemptStatus.OK,
+    b"unchanged": AttemptStatus.OK,
+    b"absent": AttemptStatus.MISS,
+    b"full": AttemptStatus.OVERLOADED,
+    b"failed": AttemptStatus.ERROR,
+    b"moot": AttemptStatus.NOT_SENT,
 }
 HINTS = (
-    (i.FillFlag.JOIN, "share"),
-    (i.FillFlag.HELD_ONLY, "peek"),
-    (i.FillFlag.PARENT_KEEPS_NONE, "pass"),
-    (i.FillFlag.RENEW, "swr"),
+    (FillOption.COALESCE, "share"),
+    (FillOption.ONLY_IF_CACHED, "peek"),
+    (FillOption.PARENT_NO_STORE, "pass"),
+    (FillOption.STALE_WHILE_REVALIDATE, "swr"),
 )
 
 
 @cache
-def _hints(flags: i.FillFlag) -> str:
+def _hints(flags: FillOption) -> str:
     return "+".join(word for flag, word in HINTS if flag in flags)
 
 
@@ -82,7 +82,7 @@
         raise resp.RespError(f"bad fields {text[:64]!r}") from None
     return Outcome(
         ENDS[word],
-        DETAILS.get(told.get("note", ""), i.Detail.NONE),
+        DETAILS.get(told.get("note", ""), AnswerDetail.NONE),
         waited,
         report,
         body,
--- a/onyxwick/net/caches.py
+++ b/onyxwick/net/caches.py
@@ -7,13 +7,13 @@
 import time
 from collections.abc import Callable
 
-from onyxwick import interface as i
 from onyxwick import logs
 from onyxwick.core.clock import steady_us
 from onyxwick.core.members import Members
 from onyxwick.core.model import Order, Outcome
 from onyxwick.core.reasons import ConnectionEnd
 from onyxwick.counters import Counters
+from onyxwick.interface import AttemptStatus
 from onyxwick.net.cache_link import Link
 from onyxwick.net.write_queue import ByteBudget
 
@@ -50,13 +50,13 @@
         """Carry out one attempt; a cancel gives it up."""
         address = self.members.addresses.get(order.member)
         if address is None or order.left_us() <= 0 or not order.is_still_valid():
-            return Outcome(i.Status.NOT_SENT)
+            return Outcome(AttemptStatus.NOT_SENT)
         try:
             link = self._link(order, address)
         except OSError as error:  # all places are taken: nothing was sent
             self.counters.add("error.places")
             log.warning("no place for a connection", member=order.member, error=str(error))
-            return Outcome(i.Status.NOT_SENT)
+            return Outcome(AttemptStatus.NOT_SENT)
         call = link.call(order)
         limit = asyncio.get_running_loop().call_later(order.left_us() / 1e6, link.expire, call)
         try:
--- a/onyxwick/net/calls.py
+++ b/onyxwick/net/calls.py
@@ -4,8 +4,8 @@
 
 import re
 
-from onyxwick import interface as i
 from onyxwick.core import Answer, Request, Verdict
+from onyxwick.interface import RequestClass
 from onyxwick.net import fastcgi
 
 STATUS = {
@@ -36,7 +36,7 @@
 
 
 def read_request(
-    params: Params, body: bytes, now: int, classes: dict[str, i.RequestClass], owner: OwnerFields
+    params: Params, body: bytes, now: int, classes: dict[str, RequestClass], owner: OwnerFields
 ) -> Request:
     """The core request that a call asks for; ValueError names the field that cannot be used."""
     class_name = params[b"SCRIPT_NAME"].removeprefix(b"/call/").decode("latin-1")
--- a/onyxwick/net/coordinator.py
+++ b/onyxwick/net/coordinator.py
@@ -12,13 +12,13 @@
 
 import ujson
 
-from onyxwick import interface as i
 from onyxwick import logs
 from onyxwick.config.address import read_address
 from onyxwick.core import Core
 from onyxwick.core.clock import FeedStamps
 from onyxwick.core.pacing import BackoffPolicy, Patience, ReconnectBackoff
 from onyxwick.counters import Counters
+from onyxwick.interface import EndpointListKind, EndpointsChanged, Member, MemberState
 from onyxwick.net.buffer import Buffer, readable, unread
 from onyxwick.net.feed_race import SILENT_S, FeedRace
 
@@ -34,35 +34,35 @@
 TURN_S = 0.005  # of the loop for lines that came together: a long list has a turn of its own
 CATCH_UP_S = 0.25  # for what was told while the process stood still
 MOST_STEP_US = 86_400_000_000  # this machine's clock may be behind the feed's by so much
-STATES = {"SERVING": i.State.READY, "DRAINING": i.State.DRAINING, "DELETED": i.State.GONE}
+STATES = {"SERVING": MemberState.READY, "DRAINING": MemberState.DRAINING, "DELETED": MemberState.REMOVED}
 
 
-def _read_member(row: dict[str, Any], stamps: FeedStamps, now: int) -> i.Member:
+def _read_member(row: dict[str, Any], stamps: FeedStamps, now: int) -> Member:
     name = str(row["id"])
-    return i.Member(
+    return Member(
         address=name,
         zone=str(row.get("zone", "")),
         kind=str(row.get("kind", "")),
         cell=int(row.get("cell") or 0),
         state=STATES[row["state"]],
         weight=float(row.get("weight") or 0),
-        since_us=stamps.start(name, int(row.get("started_ms") or 0) * 1000, now),
+        started_at_us=stamps.start(name, int(row.get("started_ms") or 0) * 1000, now),
     )
 
 
 def read_members(
     told: dict[str, Any], stamps: FeedStamps, now: int, bad: Callable[[str], None]
-) -> tuple[i.MembersChanged, dict[str, tuple[str, int]]]:
+) -> tuple[EndpointsChanged, dict[str, tuple[str, int]]]:
     """A change of the list, or all of it, with the addresses of all rows that are not gone. `now`: steady us.
 
     A row that cannot be read is passed over and told to `bad`; KeyError, TypeError or ValueError where the
     whole cannot be read.
     """
-    members, addresses = list[i.Member](), dict[str, tuple[str, int]]()
+    members, addresses = list[Member](), dict[str, tuple[str, int]]()
     for row in told["servers"]:
         try:
             member = _read_member(row, stamps, now)
-            address = None if member.state is i.State.GONE else read_address(row["addr"])
+            address = None if member.state is MemberState.REMOVED else read_address(row["addr"])
         except (KeyError, ValueError, TypeError, AttributeError) as error:
             bad(f"row {str(row)[:64]}: {error!r}")
             continue
@@ -71,10 +71,10 @@
             stamps.forget(member.address)
         else:
             addresses[member.address] = address
-    kind = i.ListKind.FULL if told.get("full") else i.ListKind.CHANGE
-    if kind is i.ListKind.FULL:
+    kind = EndpointListKind.SNAPSHOT if told.get("full") else EndpointListKind.CHANGE
+    if kind is EndpointListKind.SNAPSHOT:
         stamps.keep_only(set(addresses))
-    return i.MembersChanged(kind, tuple(members), int(told.get("version") or 0)), addresses
+    return EndpointsChanged(kind, tuple(members), int(told.get("version") or 0)), addresses
 
 
 def newest_stamp_us(events: Iterable[object], latest_us: int) -> int:
--- a/onyxwick/service.py
+++ b/onyxwick/service.py
@@ -8,7 +8,6 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from onyxwick import interface as i
 from onyxwick import logs
 from onyxwick.config import ConfigError
 from onyxwick.config.relay import Config
@@ -16,6 +15,7 @@
 from onyxwick.core import Core
 from onyxwick.core.members import Members
 from onyxwick.counters import Counters
+from onyxwick.interface import EndpointFeedReceived, RequestRouter, RouterSettings
 from onyxwick.logic import Router
 from onyxwick.net.caches import Caches
 from onyxwick.net.coordinator import Coordinator
@@ -59,7 +59,7 @@
 
     # ---- what decides -----------------------------------------------------------------------------------
 
-    def decide(self, settings: i.Settings, seed: int, now: int) -> i.Decider:
+    def decide(self, settings: RouterSettings, seed: int, now: int) -> RequestRouter:
         if self.told.sites is None:
             return self._within(settings, seed, now)
         from onyxwick.sites import Plan, Sites
@@ -68,7 +68,7 @@
         self.sites = Sites(settings, seed, now, top, Plan(top), self._within, most)
         return self.sites
 
-    def _within(self, settings: i.Settings, seed: int, now: int) -> i.Decider:
+    def _within(self, settings: RouterSettings, seed: int, now: int) -> RequestRouter:
         """What decides for one site's boxes; the first one made is the own site's."""
         if self.told.plan is None:
             return Router(settings, seed, now)
@@ -112,7 +112,7 @@
             read_keys(told.key_file),
             blake2b(told.installation.encode(), digest_size=16).digest(),
             core.now(),
-            self.config.settings.rules.purge_settles_us,
+            self.config.settings.rules.purge_retention_us,
             told.bookings,
             Limits(log=told.log_bytes, total=told.total_bytes),
         )
@@ -146,7 +146,7 @@
         from onyxwick.core.pacing import BackoffPolicy, ReconnectBackoff
 
         back = ReconnectBackoff(
-            self.config.seed ^ BACK_DRAW, self.core.now(), BackoffPolicy(), self.config.settings.routers
+            self.config.seed ^ BACK_DRAW, self.core.now(), BackoffPolicy(), self.config.settings.router_count
         )
         if self.sites is not None:
             self.sites.share = back.share
@@ -179,7 +179,7 @@
         return {"feed": follower.state.value, "feed_age_ms": None if age_us is None else age_us // 1000}
 
     def _feed_heard(self) -> None:
-        self.core.handle(i.FeedHeard())
+        self.core.handle(EndpointFeedReceived())
 
     # ---- reload -----------------------------------------------------------------------------------------
 
--- a/onyxwick/settings.py
+++ b/onyxwick/settings.py
@@ -5,11 +5,23 @@
 from collections.abc import Callable, Iterable
 from typing import TypeVar
 
-from onyxwick import interface as i
-
-REPEAT = {"free": i.Repeat.SAFE, "guarded": i.Repeat.KEYED, "single_shot": i.Repeat.UNSAFE}
-SCOPE = {"all": i.Scope.ALL, "zone": i.Scope.ZONE, "cell": i.Scope.CELL}
-SIBLINGS = {"off": i.Siblings.NONE, "location": i.Siblings.ZONE, "any": i.Siblings.ANY}
+from onyxwick.interface import (
+    Idempotency,
+    KeyScope,
+    RequestClass,
+    RequestLimits,
+    RouterSettings,
+    ServiceRules,
+    SiblingFills,
+)
+
+REPEAT = {
+    "free": Idempotency.IDEMPOTENT,
+    "guarded": Idempotency.WITH_KEY,
+    "single_shot": Idempotency.NON_IDEMPOTENT,
+}
+SCOPE = {"all": KeyScope.ALL, "zone": KeyScope.ZONE, "cell": KeyScope.CELL}
+SIBLINGS = {"off": SiblingFills.NONE, "location": SiblingFills.ZONE, "any": SiblingFills.ANY}
 BOOL = {"true": True, "false": False, "1": True, "0": False}
 T = TypeVar("T")
 
@@ -79,7 +91,7 @@
     return text
 
 
-def read_settings(pairs: Pairs) -> i.Settings:
+def read_settings(pairs: Pairs) -> RouterSettings:
     get, flag = pairs.get, BOOL.__getitem__
     zone = get("az", name)
     zones = pairs.values.get("zones", "").split(",")
@@ -92,69 +104,69 @@
     for n in range(get("grades.count", int)):
         at = f"grades.{n}."
         classes.append(
-            i.RequestClass(
+            RequestClass(
                 name=get(at + "name", name),
-                repeat=get(at + "repeat", REPEAT.__getitem__),
-                aim_us=get(at + "slo_us", int),
+                idempotency=get(at + "repeat", REPEAT.__getitem__),
+                latency_objective_us=get(at + "slo_us", int),
                 deadline_us=get(at + "deadline_us", int),
-                aim_stretch=get(at + "aim_stretch", float, 0.0),
-                worth=get(at + "worth", float, 1.0),
-                late_worth=get(at + "late_worth", float, 0.0),
-                scope=get(at + "group", SCOPE.__getitem__, i.Scope.CELL),
-                window_us=get(at + "window_us", int, 0),
+                latency_objective_stretch=get(at + "aim_stretch", float, 0.0),
+                priority_weight=get(at + "worth", float, 1.0),
+                late_priority_weight=get(at + "late_worth", float, 0.0),
+                key_scope=get(at + "group", SCOPE.__getitem__, KeyScope.CELL),
+                key_window_us=get(at + "window_us", int, 0),
                 stream=get(at + "stream", flag, False),
                 write=pairs.column(info + "class_write", flag, n, False),
                 segmented=pairs.column(info + "segmented", flag, n, False),
-                lifetime_us=pairs.column(info + "lifetime_by_class_us", int, n, 0),
-                stale_us=pairs.column(info + "usable_after_us", int, n, 0),
-                stale_worth=pairs.column(info + "old_copy_worth", float, n, 0.0),
+                freshness_lifetime_us=pairs.column(info + "lifetime_by_class_us", int, n, 0),
+                stale_grace_us=pairs.column(info + "usable_after_us", int, n, 0),
+                stale_priority_weight=pairs.column(info + "old_copy_worth", float, n, 0.0),
             )
         )
-    rules = i.Rules(
-        answer_slack_us=get(rule + "grace_to_answer_us", int, 0),
+    rules = ServiceRules(
+        answer_grace_us=get(rule + "grace_to_answer_us", int, 0),
         drain_grace_us=get(rule + "drain_grace_us", int, 0),
-        cold_start=get(rule + "start_capacity", float),
-        cold_us=get(rule + "cold_us", int),
+        warm_up_start_share=get(rule + "start_capacity", float),
+        warm_up_us=get(rule + "cold_us", int),
         overload_multiple=get(rule + "tip_multiple", float),
         overload_window_us=get(rule + "fall_us", int),
-        parent_cold_start=get(info + "parent_floor", float, 1.0),
-        parent_cold_us=get(info + "upper_cold_us", int, 0),
+        parent_warm_up_start_share=get(info + "parent_floor", float, 1.0),
+        parent_warm_up_us=get(info + "upper_cold_us", int, 0),
         parent_overload_multiple=get(info + "parent_fall_multiple", float, 1.0),
         purge_grace_us=get(info + "purge_slack_us", int, 0),
-        purge_settles_us=get(info + "purge_settles_us", int, 0),
+        purge_retention_us=get(info + "purge_settles_us", int, 0),
         origin_overload_multiple=get(info + "origin_fall_multiple", float, 0.0),
-        origin_overload_us=get(info + "root_fall_us", int, 0),
-        ask_within_us=get(rule + "ask_within_us", int, 0),
+        origin_overload_window_us=get(info + "root_fall_us", int, 0),
+        max_poll_interval_us=get(rule + "ask_within_us", int, 0),
     )
-    limits = i.Limits(
-        attempts=get(limit + "attempts_cap", int),
-        cancel=get(limit + "cancel", flag, False),
-        second_copies=get(limit + "second_copies", flag, False),
+    limits = RequestLimits(
+        max_attempts=get(limit + "attempts_cap", int),
+        cancellation=get(limit + "cancel", flag, False),
+        hedging=get(limit + "second_copies", flag, False),
         retry_after=get(limit + "retry_after", flag, False),
         max_retry_after_us=get(limit + "max_retry_after_us", int, 0),
-        probes=get(limit + "probes", flag, False),
-        peers=get(limit + "peers", flag, False),
+        health_checks=get(limit + "probes", flag, False),
+        gossip=get(limit + "peers", flag, False),
         connect_timeout_us=get(limit + "connect_timeout_us", int, 0),
     )
-    return i.Settings(
+    return RouterSettings(
         zone=zone,
         classes=tuple(classes),
         rules=rules,
         limits=limits,
         parent_kind=kinds[parent] if 0 <= parent < len(kinds) else None,
         origin_kind=kinds[origin] if 0 <= origin < len(kinds) else None,
-        routers=routers,
-        routers_in_zone=pairs.column(info + "zone_balancers", int, place, routers) or 1,
-        index=get("self_index", int, 0),
+        router_count=routers,
+        zone_router_count=pairs.column(info + "zone_balancers", int, place, routers) or 1,
+        router_index=get("self_index", int, 0),
         tick_us=get("quantum_us", int, 1000),
-        weights=get("weights", name, "off"),
+        weight_source=get("weights", name, "off"),
         subscribe=pairs.values.get("discovery") == "subscribe",
-        direct=get(info + "bypass_allowed", flag, False),
-        siblings=get(info + "lateral", SIBLINGS.__getitem__, i.Siblings.NONE),
-        joins=get(info + "shares_fills", flag, False),
-        answers_tell=get(info + "detail", name, "off"),
-        pace_kb_per_s=get(info + "pace_kb_per_s", float, 0.0),
-        link_kb_per_s=pairs.column(info + "zone_link_kb_per_s", float, place, 0.0),
+        cache_bypass=get(info + "bypass_allowed", flag, False),
+        sibling_fills=get(info + "lateral", SIBLINGS.__getitem__, SiblingFills.NONE),
+        coalesces_fills=get(info + "shares_fills", flag, False),
+        answer_detail=get(info + "detail", name, "off"),
+        transfer_kb_per_s=get(info + "pace_kb_per_s", float, 0.0),
+        zone_link_kb_per_s=pairs.column(info + "zone_link_kb_per_s", float, place, 0.0),
         report_names=tuple(x for x in pairs.values.get("report.names", "").split(",") if x),
-        marks_repeats=get("clients.marks_retry", flag, False),
+        clients_mark_retries=get("clients.marks_retry", flag, False),
     )
--- a/onyxwick/sites/evidence.py
+++ b/onyxwick/sites/evidence.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from onyxwick import interface as i
+from onyxwick.interface import AttemptEnded, AttemptStatus
 
 S = 1_000_000
 SEEN_US = 5 * S  # for which what was seen of a member counts
@@ -40,17 +40,17 @@
         return 0.5 if self is Kind.CUT else 1.0
 
 
-def kind_of(event: i.AttemptEnded, connect_us: int) -> Kind | None:
+def kind_of(event: AttemptEnded, connect_us: int) -> Kind | None:
     """What an ended attempt says of its member; None: nothing."""
     match event.status:
-        case i.Status.OK | i.Status.MISS | i.Status.FULL | i.Status.ERROR:
+        case AttemptStatus.OK | AttemptStatus.MISS | AttemptStatus.OVERLOADED | AttemptStatus.ERROR:
             return Kind.ANSWERED
-        case i.Status.CONNECT_FAILED:
+        case AttemptStatus.CONNECT_FAILED:
             slow = event.latency_us >= REFUSED_BELOW * (connect_us or CONNECT_US)
             return Kind.UNREACHED if slow else Kind.REFUSED
-        case i.Status.RESET:
+        case AttemptStatus.RESET:
             return Kind.CUT
-        case i.Status.TIMEOUT:
+        case AttemptStatus.TIMEOUT:
             return Kind.SILENT if event.latency_us >= OVERDUE_US else None
     return None
 
@@ -186,14 +186,14 @@
         place = self.places.get(name)
         return place is None or place.quiet(now)
 
-    def ended(self, now: int, event: i.AttemptEnded) -> Kind | None:
+    def ended(self, now: int, event: AttemptEnded) -> Kind | None:
         sight = self._sight(event.member)
         if sight is None:
             return None
         place = self.places[self.place_of[event.member]]
         sight.out, place.out = max(0, sight.out - 1), max(0, place.out - 1)
         kind = kind_of(event, self.connect_us)
-        called_off = event.status is i.Status.CANCELLED and event.latency_us >= OVERDUE_US
+        called_off = event.status is AttemptStatus.CANCELLED and event.latency_us >= OVERDUE_US
         if called_off and sight.answered_us < now - event.latency_us:
             kind = Kind.SILENT  # for want of patience, and nothing had been heard since it was sent
         if kind is Kind.ANSWERED:
