--- a/onyxwick/sites/fleet.py
+++ b/onyxwick/sites/fleet.py
@@ -14,8 +14,36 @@
 from collections.abc import Callable, Mapping
 from dataclasses import replace
 
-from onyxwick import interface as i
 from onyxwick.cells.arbiter import Arbiter
+from onyxwick.interface import (
+    Action,
+    AnswerDetail,
+    AttemptEnded,
+    AttemptStatus,
+    CancelAttempt,
+    ClientDisconnected,
+    EndpointFeedReceived,
+    EndpointListKind,
+    EndpointsChanged,
+    Event,
+    FailRequest,
+    ForwardRequest,
+    ForwardWithFill,
+    Idempotency,
+    LogMessage,
+    MemberState,
+    ObjectsPurged,
+    RejectRequest,
+    RequestArrived,
+    RequestClass,
+    RequestRouter,
+    RetryReserveChanged,
+    RouterSettings,
+    SetTimer,
+    SiteStateChanged,
+    StreamStarted,
+    TimerFired,
+)
 from onyxwick.logic import Router
 from onyxwick.sites.homes import Way
 from onyxwick.sites.life import AWAY
@@ -37,13 +65,13 @@
 GUEST_WEIGHT, IDLE_WEIGHT, USED_US = 0.3, 0.02, 5 * S  # of a guest that something came to lately, and did not
 PURGES_MOST, COUNTS_MOST = 4096, 4096
 SOURCE_SPOKE = (
-    i.Detail.FILLED,
-    i.Detail.FILLED_FROM_ORIGIN,
-    i.Detail.SOURCE_REFUSED,
-    i.Detail.SOURCE_LACKS,
-    i.Detail.ORIGIN_FAILED,
+    AnswerDetail.FILLED,
+    AnswerDetail.FILLED_FROM_ORIGIN,
+    AnswerDetail.SOURCE_REJECTED,
+    AnswerDetail.SOURCE_MISS,
+    AnswerDetail.ORIGIN_FAILED,
 )
-Decide = Callable[[i.Settings, int, int], i.Decider]
+Decide = Callable[[RouterSettings, int, int], RequestRouter]
 
 
 class Sites:
@@ -52,7 +80,7 @@
 
     def __init__(
         self,
-        settings: i.Settings,
+        settings: RouterSettings,
         seed: int,
         now: int,
         top: Topology,
@@ -72,43 +100,43 @@
         self.watch = Watch(settings, top, plan, home, now)
         self.units: dict[str, Unit] = {}
         self.requests: dict[str, Home] = {}
-        self.purges: deque[tuple[int, i.Purged]] = deque(maxlen=PURGES_MOST)
+        self.purges: deque[tuple[int, ObjectsPurged]] = deque(maxlen=PURGES_MOST)
         self.counts: dict[str, int] = {}
         self.shed_now: dict[str, str] = {}  # refused by the last `handle` before any router saw it, and why
-        self.out: list[i.Action] = []
+        self.out: list[Action] = []
         self.ticks = 0
         self.arbiter = Arbiter({home: 1.0}, 0, KEPT_STORES)
         self._unit(home, seed)
-        self.out.append(i.SetTimer(now + TICK_US, TOKEN))
+        self.out.append(SetTimer(now + TICK_US, TOKEN))
 
     # ---- events -----------------------------------------------------------------------------------------
 
-    def ejected(self) -> int:
-        return sum(unit.decider.ejected() for unit in self.units.values())
+    def ejected_count(self) -> int:
+        return sum(unit.decider.ejected_count() for unit in self.units.values())
 
-    def handle(self, now: int, events: list[i.Event]) -> list[i.Action]:
+    def handle(self, now: int, events: list[Event]) -> list[Action]:
         self.now = now
         self.shed_now.clear()
         for event in events:
             match event:
-                case i.RequestArrived():
+                case RequestArrived():
                     self._arrived(event)
-                case i.AttemptEnded():
+                case AttemptEnded():
                     self._ended(event)
-                case i.ClientLeft(request) | i.StreamStarted(request=request):
+                case ClientDisconnected(request) | StreamStarted(request_id=request):
                     if home := self.requests.get(request):
                         self._pass(self.units[home.unit], [event])
-                        if isinstance(event, i.ClientLeft):
+                        if isinstance(event, ClientDisconnected):
                             self._over(request, home)
-                case i.MembersChanged():
+                case EndpointsChanged():
                     self._listed(event)
-                case i.Purged():
+                case ObjectsPurged():
                     self.purges.append((now, event))
                     for unit in self.units.values():
                         self._pass(unit, [event])
-                case i.FeedHeard():
+                case EndpointFeedReceived():
                     self.watch.evidence.fed(now)
-                case i.TimerFired(token):
+                case TimerFired(token):
                     self._timer(token)
                 case _:
                     for unit in self.units.values():
@@ -121,27 +149,27 @@
             return self._tick()
         name, mark, inner = token.partition(MARK)
         if mark and (unit := self.units.get(name)):
-            self._pass(unit, [i.TimerFired(inner)])
+            self._pass(unit, [TimerFired(inner)])
         return None
 
-    def _pass(self, unit: Unit, events: list[i.Event]) -> None:
+    def _pass(self, unit: Unit, events: list[Event]) -> None:
         """Events to one site's decider; its actions are taken note of and passed on."""
         for action in unit.decider.handle(self.now, events):
             match action:
-                case i.SetTimer(at, token):
-                    self.out.append(i.SetTimer(at, f"{unit.site}{MARK}{token}"))
-                case i.Attempt(request=request, member=member):
+                case SetTimer(at, token):
+                    self.out.append(SetTimer(at, f"{unit.site}{MARK}{token}"))
+                case ForwardRequest(request_id=request, member=member):
                     self._sent(unit, request, member, None)
                     self.out.append(action)
-                case i.Fetch(request=request, member=member, source=source):
+                case ForwardWithFill(request_id=request, member=member, fill_source=source):
                     self._sent(unit, request, member, source if source != member else None)
                     self.out.append(action)
-                case i.Cancel(request=request, attempt=attempt):
+                case CancelAttempt(request_id=request, attempt_index=attempt):
                     home = self.requests.get(request)
                     number = home.number_of(unit.site, attempt) if home is not None else None
                     if number is not None:
-                        self.out.append(i.Cancel(request, number))
-                case i.Refuse(request=request) | i.Fail(request=request):
+                        self.out.append(CancelAttempt(request, number))
+                case RejectRequest(request_id=request) | FailRequest(request_id=request):
                     self._given_up(unit, request, action)
                 case _:
                     self.out.append(action)
@@ -157,16 +185,20 @@
 
     # ---- requests ---------------------------------------------------------------------------------------
 
-    def _arrived(self, ask: i.RequestArrived) -> None:
+    def _arrived(self, ask: RequestArrived) -> None:
         kind = self.classes.get(ask.class_name)
-        site = ask.site if ask.site is not None and ask.site in self.top.sites else self.home
+        site = (
+            ask.client_site
+            if ask.client_site is not None and ask.client_site in self.top.sites
+            else self.home
+        )
         if kind is None:
             self._count("unknown_class")
-            self.out.append(i.Refuse(ask.request))
+            self.out.append(RejectRequest(ask.request_id))
             return None
-        self.watch.asked(self.now, site, ask.object)
+        self.watch.asked(self.now, site, ask.object_id)
         calm = self.watch.calm
-        if (calm and site == self.home) or (kind.write and self.set.direct):
+        if (calm and site == self.home) or (kind.write and self.set.cache_bypass):
             # A write runs at the archive, whatever boxes there are.
             return self._enter(ask, kind, site, self.units[self.home], Way(self.home))
         if self.watch.strangers(self.now, site):
@@ -177,14 +209,14 @@
         unit = self._unit(way.site)
         why = None
         if not way.trial:
-            why = unit.ladder.refusal(kind, ask.tenant or "", ask.repeat, self.priority[kind.name])
+            why = unit.ladder.refusal(kind, ask.tenant or "", ask.is_retry, self.priority[kind.name])
         if why is not None:
             return self._shed(ask, unit, why)
         return self._enter(ask, kind, site, unit, way)
 
-    def _enter(self, ask: i.RequestArrived, kind: i.RequestClass, site: str, unit: Unit, way: Way) -> None:
+    def _enter(self, ask: RequestArrived, kind: RequestClass, site: str, unit: Unit, way: Way) -> None:
         home = Home(ask, kind, site, unit.site, self.now, self.now + ask.expires_in_us, way.trial)
-        self.requests[ask.request] = home
+        self.requests[ask.request_id] = home
         if way.trial:
             self.watch.trial(self.now, site)
         self._join(unit, home)
@@ -203,19 +235,19 @@
             unit.ladder.gate.leave(home.tenant)
             home.gated = False
 
-    def _shed(self, ask: i.RequestArrived, unit: Unit, why: str) -> None:
+    def _shed(self, ask: RequestArrived, unit: Unit, why: str) -> None:
         """Refused before any router saw it: at once, with a time to return where the settings allow one."""
         self._count(f"refused.{why}.{ask.class_name}")
-        self.shed_now[ask.request] = why
+        self.shed_now[ask.request_id] = why
         limits = self.set.limits
         after = unit.ladder.wait_us(limits.max_retry_after_us) if limits.retry_after else 0
-        self.out.append(i.Refuse(ask.request, after))
+        self.out.append(RejectRequest(ask.request_id, after))
 
-    def _ended(self, event: i.AttemptEnded) -> None:
-        home = self.requests.get(event.request)
-        if home is None or not 0 <= event.attempt < len(home.tries):
+    def _ended(self, event: AttemptEnded) -> None:
+        home = self.requests.get(event.request_id)
+        if home is None or not 0 <= event.attempt_index < len(home.tries):
             return
-        one = home.tries[event.attempt]
+        one = home.tries[event.attempt_index]
         home.out -= 1
         kind = self.watch.evidence.ended(self.now, event)
         self._source(one, event)
@@ -224,36 +256,36 @@
         unit = self.units.get(one.unit)
         if unit is not None:
             self._learn(unit, home, event)
-            local = event if one.number == event.attempt else replace(event, attempt=one.number)
+            local = event if one.number == event.attempt_index else replace(event, attempt_index=one.number)
             self._pass(unit, [local])
-        home.over |= event.final
-        self._close(event.request, home)
+        home.over |= event.is_final
+        self._close(event.request_id, home)
 
-    def _source(self, one: Try, event: i.AttemptEnded) -> None:
+    def _source(self, one: Try, event: AttemptEnded) -> None:
         """What a box of the own site tells of where it filled from."""
         evidence = self.watch.evidence
         if one.source is None or evidence.place_of.get(one.member) != self.home:
             return
         if event.detail in SOURCE_SPOKE:
             evidence.source(self.now, one.source, True, event.latency_us)
-        elif event.detail is i.Detail.SOURCE_LOST:
+        elif event.detail is AnswerDetail.SOURCE_UNREACHABLE:
             evidence.source(self.now, one.source, False, event.latency_us)
 
-    def _learn(self, unit: Unit, home: Home, event: i.AttemptEnded) -> None:
-        if not event.final or event.status is not i.Status.OK or home.over:
+    def _learn(self, unit: Unit, home: Home, event: AttemptEnded) -> None:
+        if not event.is_final or event.status is not AttemptStatus.OK or home.over:
             return
         took = self.now - home.arrived
-        late = took > home.kind.aim_us * (1 + home.kind.aim_stretch)
+        late = took > home.kind.latency_objective_us * (1 + home.kind.latency_objective_stretch)
         unit.ladder.answered(self.now, late, took)
         if home.gated:
-            unit.ladder.learn(self.now, late, home.kind.aim_us)
+            unit.ladder.learn(self.now, late, home.kind.latency_objective_us)
 
-    def _given_up(self, unit: Unit, request: str, action: i.Refuse | i.Fail) -> None:
+    def _given_up(self, unit: Unit, request: str, action: RejectRequest | FailRequest) -> None:
         """A router gives a request up. One that only tried a site goes on to where it belongs."""
         home = self.requests.get(request)
         if home is None or home.unit != unit.site or home.over:
             return
-        if isinstance(action, i.Refuse) and home.trial and self._second(request, home):
+        if isinstance(action, RejectRequest) and home.trial and self._second(request, home):
             return
         unit.ladder.answered(self.now, True)
         self.out.append(action)
@@ -262,10 +294,16 @@
     def _second(self, request: str, home: Home) -> bool:
         """Move a request to its object's new home; False where it may not, or there is none."""
         left = home.deadline - self.now
-        spent = len(home.tries) >= self.set.limits.attempts or left <= self.set.tick_us
-        if home.moved or home.over or home.kind.repeat is not i.Repeat.SAFE or spent or self.watch.cut_off:
+        spent = len(home.tries) >= self.set.limits.max_attempts or left <= self.set.tick_us
+        if (
+            home.moved
+            or home.over
+            or home.kind.idempotency is not Idempotency.IDEMPOTENT
+            or spent
+            or self.watch.cut_off
+        ):
             return False
-        target = self.watch.homes.new_home(home.site, home.kind.name, home.ask.object)
+        target = self.watch.homes.new_home(home.site, home.kind.name, home.ask.object_id)
         if target is None or target == home.unit:
             return False
         old, unit = self.units[home.unit], self._unit(target)
@@ -275,9 +313,9 @@
         self._done_trying(home)
         home.unit, home.moved = target, True
         self._join(unit, home)
-        self._pass(old, [i.ClientLeft(request)])
+        self._pass(old, [ClientDisconnected(request)])
         self._count("moved_on")
-        self._pass(unit, [replace(home.ask, expires_in_us=left, repeat=True)])
+        self._pass(unit, [replace(home.ask, expires_in_us=left, is_retry=True)])
         return True
 
     def _done_trying(self, home: Home) -> None:
@@ -300,8 +338,8 @@
 
     # ---- the list and the units -------------------------------------------------------------------------
 
-    def _listed(self, event: i.MembersChanged) -> None:
-        if event.kind is i.ListKind.FAILED:
+    def _listed(self, event: EndpointsChanged) -> None:
+        if event.kind is EndpointListKind.UNAVAILABLE:
             for unit in self.units.values():
                 self._pass(unit, [event])
             return
@@ -314,10 +352,10 @@
         for unit in list(self.units.values()):
             view = self.watch.roster.view(unit.site, left)
             changed = [m for a, m in view.items() if unit.told.get(a) != m]
-            gone = [replace(m, state=i.State.GONE) for a, m in unit.told.items() if a not in view]
+            gone = [replace(m, state=MemberState.REMOVED) for a, m in unit.told.items() if a not in view]
             unit.told = view
             if changed or gone:
-                self._pass(unit, [i.MembersChanged(i.ListKind.CHANGE, (*changed, *gone))])
+                self._pass(unit, [EndpointsChanged(EndpointListKind.CHANGE, (*changed, *gone))])
 
     def _unit(self, site: str, seed: int | None = None) -> Unit:
         """What this director uses a site's boxes with; made when it is first wanted."""
@@ -370,17 +408,17 @@
         return unit.ladder.squeeze if unit is not None else 0.0
 
     def _tick(self) -> None:
-        self.out.append(i.SetTimer(self.now + TICK_US, TOKEN))
+        self.out.append(SetTimer(self.now + TICK_US, TOKEN))
         self.ticks += 1
         for changed in self.watch.tick(self.now, self._pressure):
             self._took(changed)
         for site in self.watch.drills(self.now, max(map(self._pressure, self.units))):
-            self.out.append(i.Log(f"drill of site {site} has ended"))
+            self.out.append(LogMessage(f"drill of site {site} has ended"))
         for unit in self.units.values():
             unit.ladder.step(self.now)
             if unit.ladder.reserve != unit.reserve:
                 unit.reserve = unit.ladder.reserve
-                self._pass(unit, [i.ReserveChanged(unit.reserve)])
+                self._pass(unit, [RetryReserveChanged(unit.reserve)])
         if self.ticks % ARBITER_EVERY == 0:
             self._share_stores()
             self._let_go()
@@ -392,7 +430,7 @@
         life = changed.life
         self._count(f"{life.phase.value}.{life.name}")
         self.out.append(
-            i.SiteChanged(life.name, changed.before.value, life.phase.value, life.share, life.why)
+            SiteStateChanged(life.name, changed.before.value, life.phase.value, life.share, life.why)
         )
         self._pass_parts({})
         self._tell_lists()
--- a/onyxwick/sites/parts.py
+++ b/onyxwick/sites/parts.py
@@ -15,7 +15,7 @@
 from collections.abc import Collection
 from dataclasses import replace
 
-from onyxwick import interface as i
+from onyxwick.interface import FleetShareChanged, RouterSettings
 from onyxwick.sites.model import Topology
 from onyxwick.sites.plan import Row
 
@@ -24,15 +24,15 @@
 LEAST_STORES = 1e-3  # of the stores, whatever is asked of them
 
 
-def guest_settings(settings: i.Settings, top: Topology, site: str) -> i.Settings:
+def guest_settings(settings: RouterSettings, top: Topology, site: str) -> RouterSettings:
     """What a decider for another site's boxes is set up with: all directors elsewhere share them."""
     others = max(1, top.directors - top.sites[site].directors)
-    return replace(settings, zone=top.sites[site].zone, routers_in_zone=others)
+    return replace(settings, zone=top.sites[site].zone, zone_router_count=others)
 
 
 def parts(
     top: Topology, row: Row, lost: Collection[str], site: str, home: str, stores: float, silent: int = 0
-) -> i.PartChanged:
+) -> FleetShareChanged:
     """What one decider of a director at `home` may ask of a site's boxes, and of the `stores`. `silent`:
     directors that serve nobody now, whose part of what is warm the others take."""
     others, guests = len(top.sites) - 1, top.policy.guests
@@ -40,9 +40,9 @@
     grown = top.directors / max(1, top.directors - silent)
     share = cold * grown
     if site == home:
-        return i.PartChanged(share, 1.0, min(cold, 1 - guests) / share, 1 - guests, grown)
+        return FleetShareChanged(share, 1.0, min(cold, 1 - guests) / share, 1 - guests, grown)
     cold = min(cold, guests / others) / share
     warm = max(LEAST_WARM, ROOM * row.guests.get(site, 0.0))
     known = top.directors - top.sites[site].directors
     there = sum(s.directors for s in top.sites.values() if s.name not in lost and s.name != site)
-    return i.PartChanged(share, min(1.0, warm * known / max(1, there)), cold, guests, grown)
+    return FleetShareChanged(share, min(1.0, warm * known / max(1, there)), cold, guests, grown)
--- a/onyxwick/sites/refusal.py
+++ b/onyxwick/sites/refusal.py
@@ -13,8 +13,8 @@
 import random
 from collections.abc import Mapping
 
-from onyxwick import interface as i
 from onyxwick.cells.limits import Gate
+from onyxwick.interface import Idempotency, RequestClass
 
 S = 1_000_000
 SEEN = 0.04  # weight of one answer in the pressure
@@ -27,12 +27,16 @@
 LEAST_WAIT_US, MOST_WAIT_US = 100_000, 8 * S
 
 
-def by_worth(classes: Mapping[str, i.RequestClass], work_us: Mapping[str, float]) -> dict[str, float]:
+def by_worth(classes: Mapping[str, RequestClass], work_us: Mapping[str, float]) -> dict[str, float]:
     """0 for the class that is shed first, 1 for the last: what must not run twice, then worth for its
     work."""
     order = sorted(
         classes.values(),
-        key=lambda c: (c.repeat is i.Repeat.UNSAFE or c.write, c.worth / max(1.0, work_us[c.name]), c.name),
+        key=lambda c: (
+            c.idempotency is Idempotency.NON_IDEMPOTENT or c.write,
+            c.priority_weight / max(1.0, work_us[c.name]),
+            c.name,
+        ),
     )
     return {c.name: n / max(1, len(order) - 1) for n, c in enumerate(order)}
 
@@ -83,9 +87,9 @@
 
     # ---- who is let in ----------------------------------------------------------------------------------
 
-    def refusal(self, kind: i.RequestClass, tenant: str, again: bool, priority: float) -> str | None:
+    def refusal(self, kind: RequestClass, tenant: str, again: bool, priority: float) -> str | None:
         """Why a request is not let in, or None."""
-        if kind.write or kind.repeat is i.Repeat.UNSAFE:
+        if kind.write or kind.idempotency is Idempotency.NON_IDEMPOTENT:
             return None  # last of all: the archive's own limits hold for it
         if self.level < 2:
             return None  # the router's own limits are enough
--- a/onyxwick/sites/shown.py
+++ b/onyxwick/sites/shown.py
@@ -60,7 +60,7 @@
     if site not in sites.top.sites:
         raise KeyError(site)
     out = [f"Site '{site}' is {life.phase.value}: {life.why}."]
-    if told.write and sites.set.direct:
+    if told.write and sites.set.cache_bypass:
         return [
             *out,
             f"A '{kind}' runs at the archive and is sent there from here, whatever boxes there are.",
--- a/onyxwick/sites/unit.py
+++ b/onyxwick/sites/unit.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from onyxwick import interface as i
+from onyxwick.interface import FleetShareChanged, Member, RequestArrived, RequestClass, RequestRouter
 from onyxwick.sites.refusal import Ladder
 
 
@@ -22,8 +22,8 @@
 class Home:
     """Where one request lives. It moves once at the most, and only what may run twice."""
 
-    ask: i.RequestArrived
-    kind: i.RequestClass
+    ask: RequestArrived
+    kind: RequestClass
     site: str  # whose client asks
     unit: str
     arrived: int
@@ -51,10 +51,10 @@
 class Unit:
     """A site's decider, what it was told of the list, its ladder."""
 
-    def __init__(self, site: str, decider: i.Decider, ladder: Ladder, now: int) -> None:
+    def __init__(self, site: str, decider: RequestRouter, ladder: Ladder, now: int) -> None:
         self.site, self.decider, self.ladder = site, decider, ladder
-        self.told: dict[str, i.Member] = {}
+        self.told: dict[str, Member] = {}
         self.open = 0
         self.used_us = now  # when a request last came
         self.reserve = 1.0  # as its decider was told last
-        self.parts = i.PartChanged(1.0)  # as it was told last
+        self.parts = FleetShareChanged(1.0)  # as it was told last
--- a/onyxwick/sites/watch.py
+++ b/onyxwick/sites/watch.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from onyxwick import interface as i
+from onyxwick.interface import EndpointsChanged, Idempotency, RequestArrived, RequestClass, RouterSettings
 from onyxwick.sites.evidence import SEEN_US, Evidence, Kind
 from onyxwick.sites.homes import READY, Homes, Way, is_left
 from onyxwick.sites.life import AWAY, Life, Phase, Signs
@@ -35,7 +35,7 @@
 class Watch:
     """All places of one director's topology, as it sees them from its own site."""
 
-    def __init__(self, settings: i.Settings, top: Topology, plan: Plan, home: str, now: int) -> None:
+    def __init__(self, settings: RouterSettings, top: Topology, plan: Plan, home: str, now: int) -> None:
         self.top, self.home = top, home
         self.roster, self.evidence = Roster(settings, top), Evidence(settings.limits.connect_timeout_us)
         self.homes, self.orders = Homes(plan, home), Orders()
@@ -51,7 +51,7 @@
 
     # ---- what comes in ----------------------------------------------------------------------------------
 
-    def listed(self, now: int, event: i.MembersChanged) -> list[Changed]:
+    def listed(self, now: int, event: EndpointsChanged) -> list[Changed]:
         anew = self.roster.changed(event)
         self.evidence.listed(self.roster.ready())
         for member in anew:
@@ -96,8 +96,8 @@
     def way(
         self,
         now: int,
-        ask: i.RequestArrived,
-        kind: i.RequestClass,
+        ask: RequestArrived,
+        kind: RequestClass,
         site: str,
         squeeze: Callable[[str], float],
     ) -> Way:
@@ -106,16 +106,16 @@
         way = self._way(now, ask, kind, site)
         if way.site is not None and not way.trial:
             tight = squeeze(way.site)
-            if not self.homes.kept(site, kind.name, ask.tenant or "", ask.object, tight):
+            if not self.homes.kept(site, kind.name, ask.tenant or "", ask.object_id, tight):
                 return Way(None, why="plan")
         return way
 
-    def _way(self, now: int, ask: i.RequestArrived, kind: i.RequestClass, site: str) -> Way:
+    def _way(self, now: int, ask: RequestArrived, kind: RequestClass, site: str) -> Way:
         doubted = site != self.home and self.lives[site].phase in (Phase.SUSPECT, *AWAY)
-        if doubted and self.lives[self.home].phase is Phase.STEADY and self.wanted.here(now, ask.object):
+        if doubted and self.lives[self.home].phase is Phase.STEADY and self.wanted.here(now, ask.object_id):
             return Way(self.home)  # it is here already, whatever its new home is
         may_try = self._may_try(now, site, kind)
-        way = self.homes.way(self.lives[site], kind.name, ask.object, site == self.home, may_try)
+        way = self.homes.way(self.lives[site], kind.name, ask.object_id, site == self.home, may_try)
         if way.site is not None and way.site != self.home and self.cut_off:
             return Way(None, why="cut_off")
         return way
@@ -128,10 +128,10 @@
         place = self.evidence.places.get(site)
         return place is not None and place.answered_us > 0 and now - place.answered_us <= SEEN_US
 
-    def _may_try(self, now: int, site: str, kind: i.RequestClass) -> bool:
+    def _may_try(self, now: int, site: str, kind: RequestClass) -> bool:
         """May one more request find out whether a site answers? Only what may be sent twice."""
         life = self.lives[site]
-        if kind.repeat is not i.Repeat.SAFE or life.phase not in TRIED:
+        if kind.idempotency is not Idempotency.IDEMPOTENT or life.phase not in TRIED:
             return False
         if life.phase is Phase.SUSPECT:
             return self.trials.get(site, 0) < self.top.policy.trials
--- a/onyxwick/store/durable.py
+++ b/onyxwick/store/durable.py
@@ -15,8 +15,8 @@
 
 import msgspec
 
-from onyxwick import interface as i
 from onyxwick import logs
+from onyxwick.interface import EndpointsChanged, MemberState
 from onyxwick.store.committer import Committer
 from onyxwick.store.engine import Engine, Limits, Op, Transaction
 from onyxwick.store.errors import Refused, StoreError
@@ -211,15 +211,17 @@
 
     # ---- drains, purges, the feed -----------------------------------------------------------------------
 
-    def list_told(self, event: i.MembersChanged, now: int) -> None:
+    def list_told(self, event: EndpointsChanged, now: int) -> None:
         """What the coordinator drains or takes away is remembered, until it says otherwise."""
         ops = []
         for m in event.members:
             held = self.engine.get(f"drain/{m.address}")
             by = unpack(f"drain/{m.address}", held)["by"] if held else ""
-            if m.state is not i.State.READY and not held:
-                ops.append(self.drain_op(Drain(m.address, "coordinator", m.since_us, "", now)))
-            elif m.state is i.State.READY and by == "coordinator" and self.recovery.phase is Phase.SERVING:
+            if m.state is not MemberState.READY and not held:
+                ops.append(self.drain_op(Drain(m.address, "coordinator", m.started_at_us, "", now)))
+            elif (
+                m.state is MemberState.READY and by == "coordinator" and self.recovery.phase is Phase.SERVING
+            ):
                 # Not before the feed is heard: the list of a start may be older than what is recorded.
                 ops.append(Op(f"drain/{m.address}", None))
         self._later(ops)
--- a/onyxwick/store/recovery.py
+++ b/onyxwick/store/recovery.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, replace
 from enum import Enum
 
-from onyxwick import interface as i
+from onyxwick.interface import EndpointsChanged, Member, MemberState, ObjectsPurged
 
 BOOKINGS_MOST = 100_000  # intents remembered
 CATCH_UP_US = 10_000_000  # after so long without the feed the list at hand is taken, drains kept
@@ -128,25 +128,25 @@
 
     # ---- what may be decided ----------------------------------------------------------------------------
 
-    def held(self, m: i.Member) -> bool:
+    def held(self, m: Member) -> bool:
         """Is a member on the list to get nothing, whatever the list says?"""
         drain = self.drains.get(m.address)
-        if drain is None or m.state is i.State.GONE:
+        if drain is None or m.state is MemberState.REMOVED:
             return False
         # A coordinator's drain meant one process: another one under the same name is not drained by it. An
         # operator's means the name, as long as it stands.
-        return drain.by == "operator" or m.since_us <= drain.since_us
+        return drain.by == "operator" or m.started_at_us <= drain.since_us
 
-    def seen(self, event: i.MembersChanged) -> i.MembersChanged:
+    def seen(self, event: EndpointsChanged) -> EndpointsChanged:
         """The list as it is to be decided from."""
         if not self.drains or not any(self.held(m) for m in event.members):
             return event
-        rows = (replace(m, state=i.State.DRAINING) if self.held(m) else m for m in event.members)
+        rows = (replace(m, state=MemberState.DRAINING) if self.held(m) else m for m in event.members)
         return replace(event, members=tuple(rows))
 
-    def purges_to_tell(self, now: int) -> list[i.Purged]:
+    def purges_to_tell(self, now: int) -> list[ObjectsPurged]:
         """What binds the first request already: every purge that a cache may not have done yet."""
-        return [i.Purged(p.group, p.object, max(0, now - p.unix_us)) for p in self.purges]
+        return [ObjectsPurged(p.group, p.object, max(0, now - p.unix_us)) for p in self.purges]
 
     def may_send(self, request: str) -> bool:
         """May a request that must not run twice be sent? Not if an attempt of it was under way at the end."""
--- a/onyxwick/trace/recorder.py
+++ b/onyxwick/trace/recorder.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from onyxwick import interface as i
+from onyxwick.interface import AttemptEnded, AttemptStatus, ForwardRequest, ForwardWithFill, RequestArrived
 from onyxwick.trace import format as f
 from onyxwick.trace.model import (
     ATTEMPTS,
@@ -32,7 +32,7 @@
 MOST_ATTEMPTS = 64  # of one request
 MOST_TOLD = 4096  # events of one block
 STRINGS_FULL = 60_000
-STATUS_NUMBER = {status: STATUSES.index(status.value) for status in i.Status}
+STATUS_NUMBER = {status: STATUSES.index(status.value) for status in AttemptStatus}
 U16, U32 = 0xFFFF, 0xFFFFFFFF
 
 
@@ -70,7 +70,7 @@
 class Story:
     """One request under way."""
 
-    ask: i.RequestArrived
+    ask: RequestArrived
     at: int
     cell: str
     once: bool
@@ -117,7 +117,7 @@
 
     def add(self, story: Story) -> None:
         ask, head = story.ask, self.head
-        request, name = number(ask.request), number(ask.object)
+        request, name = number(ask.request_id), number(ask.object_id)
         head.first = min(head.first or story.at, story.at)
         head.last = max(head.last, story.at + story.took)
         head.verdicts |= 1 << story.verdict
@@ -125,11 +125,11 @@
         classes.add(ask.class_name)
         tenants.add(ask.tenant or "")
         cells.add(story.cell)
-        flags = RETRY * ask.repeat | WRITE * ask.write | ONCE * story.once
+        flags = RETRY * ask.is_retry | WRITE * ask.is_write | ONCE * story.once
         row = (
             request, story.at, min(U32, ask.expires_in_us), self.text(ask.class_name),
             self.text(ask.tenant or ""), self.text(story.cell), name, min(U16, ask.part),
-            -1 if ask.group is None else min(32767, ask.group), flags, story.verdict, story.why,
+            -1 if ask.object_group is None else min(32767, ask.object_group), flags, story.verdict, story.why,
             min(U32, story.took), min(U32, story.after), min(U32, story.bytes), 0, len(story.tries),
         )  # fmt: skip
         for column, value in zip(self.lives.values(), row, strict=True):
@@ -180,27 +180,29 @@
 
     # ---- what happens -----------------------------------------------------------------------------------
 
-    def arrived(self, now: int, ask: i.RequestArrived, cell: str = "") -> None:
-        if len(self.stories) >= MOST_OPEN or ask.request in self.stories:
+    def arrived(self, now: int, ask: RequestArrived, cell: str = "") -> None:
+        if len(self.stories) >= MOST_OPEN or ask.request_id in self.stories:
             self.dropped += 1
             return
-        self.stories[ask.request] = Story(ask, now, cell, ask.class_name in self.once)
+        self.stories[ask.request_id] = Story(ask, now, cell, ask.class_name in self.once)
 
-    def decided(self, now: int, action: i.Attempt | i.Fetch, belief: Belief) -> None:
-        story = self.stories.get(action.request)
+    def decided(self, now: int, action: ForwardRequest | ForwardWithFill, belief: Belief) -> None:
+        story = self.stories.get(action.request_id)
         if story is None:
             return
         if len(story.tries) >= MOST_ATTEMPTS:
-            del self.stories[action.request]  # whole or not at all
+            del self.stories[action.request_id]  # whole or not at all
             self.dropped += 1
             return
         after = min(now - story.at, NEVER - 1)
-        if isinstance(action, i.Attempt):
+        if isinstance(action, ForwardRequest):
             story.tries.append(Try(action.member, "", 0, 0, 0, after, belief))
             return
-        source = "" if action.source == action.member else action.source
+        source = "" if action.fill_source == action.member else action.fill_source
         age = action.max_age_us // 1000
-        story.tries.append(Try(action.member, source, action.rank, int(action.flags), age, after, belief))
+        story.tries.append(
+            Try(action.member, source, action.retention_rank, int(action.fill_options), age, after, belief)
+        )
 
     def sent(self, request: str, attempt: int, at: int) -> None:
         """The first byte of an attempt has gone out."""
@@ -222,14 +224,14 @@
         if story is not None and 0 <= attempt < len(story.tries):
             story.tries[attempt].cancel = min(now - story.at, NEVER - 1)
 
-    def ended(self, now: int, event: i.AttemptEnded, dated_us: int) -> None:
-        story = self.stories.get(event.request)
-        if story is None or not 0 <= event.attempt < len(story.tries):
+    def ended(self, now: int, event: AttemptEnded, dated_us: int) -> None:
+        story = self.stories.get(event.request_id)
+        if story is None or not 0 <= event.attempt_index < len(story.tries):
             return
-        one = story.tries[event.attempt]
+        one = story.tries[event.attempt_index]
         one.ended, one.status = min(now - story.at, NEVER - 1), STATUS_NUMBER[event.status]
         one.detail, one.dated = event.detail.value, dated_us
-        self._close(now, event.request, story)
+        self._close(now, event.request_id, story)
 
     def finished(self, now: int, request: str, verdict: Verdict, why: Why, after: int, size: int) -> None:
         """The final answer, or the client's leaving; only the first of them counts."""
--- a/onyxwick/trace/watch.py
+++ b/onyxwick/trace/watch.py
@@ -10,9 +10,27 @@
 from pathlib import Path
 from typing import Any
 
-from onyxwick import interface as i
 from onyxwick import logs
 from onyxwick.core.model import Answer, Outcome, Verdict
+from onyxwick.interface import (
+    Action,
+    AttemptEnded,
+    CancelAttempt,
+    EndpointListKind,
+    EndpointsChanged,
+    Event,
+    FailRequest,
+    ForwardRequest,
+    ForwardWithFill,
+    Idempotency,
+    Member,
+    ObjectsPurged,
+    RejectRequest,
+    RequestArrived,
+    RequestRouter,
+    RouterSettings,
+    SiteStateChanged,
+)
 from onyxwick.logic import Router
 from onyxwick.trace import format as f
 from onyxwick.trace import why
@@ -27,32 +45,32 @@
 FINALS = {Verdict.SERVED: Final.SERVED, Verdict.REFUSED: Final.REFUSED, Verdict.FAILED: Final.FAILED}
 
 
-def header_of(settings: i.Settings, director: str, unix_us: int, mono_us: int) -> f.Header:
+def header_of(settings: RouterSettings, director: str, unix_us: int, mono_us: int) -> f.Header:
     """What a reader must know to judge: classes with worth and aims, the rules' figures."""
     r = settings.rules
     classes: list[dict[str, Any]] = [
         {
             "name": c.name,
-            "worth": c.worth,
-            "late_worth": c.late_worth,
-            "aim_us": c.aim_us,
-            "stretch": c.aim_stretch,
+            "worth": c.priority_weight,
+            "late_worth": c.late_priority_weight,
+            "aim_us": c.latency_objective_us,
+            "stretch": c.latency_objective_stretch,
             "deadline_us": c.deadline_us,
-            "once": c.repeat is i.Repeat.UNSAFE,
+            "once": c.idempotency is Idempotency.NON_IDEMPOTENT,
             "write": c.write,
-            "fresh_us": c.lifetime_us,
+            "fresh_us": c.freshness_lifetime_us,
         }
         for c in settings.classes
     ]
     rules = {
         "drain_grace_us": r.drain_grace_us,
         "purge_grace_us": r.purge_grace_us,
-        "cold_start": r.cold_start,
-        "cold_us": r.cold_us,
+        "cold_start": r.warm_up_start_share,
+        "cold_us": r.warm_up_us,
         "overload_multiple": r.overload_multiple,
         "overload_window_us": r.overload_window_us,
-        "parent_cold_start": r.parent_cold_start,
-        "parent_cold_us": r.parent_cold_us,
+        "parent_cold_start": r.parent_warm_up_start_share,
+        "parent_cold_us": r.parent_warm_up_us,
         "parent_overload_multiple": r.parent_overload_multiple,
     }
     figures = {name: float(value) for name, value in rules.items()}
@@ -68,7 +86,7 @@
 
     def __init__(
         self,
-        settings: i.Settings,
+        settings: RouterSettings,
         director: str,
         folder: Path,
         bounds: Bounds,
@@ -77,7 +95,7 @@
     ) -> None:
         self.mono = mono
         self.sink = Sink(folder, header_of(settings, director, now, mono()), bounds)
-        once = frozenset(c.name for c in settings.classes if c.repeat is i.Repeat.UNSAFE)
+        once = frozenset(c.name for c in settings.classes if c.idempotency is Idempotency.NON_IDEMPOTENT)
         self.recorder = Recorder(now, self.sink.take, once)
         self.broken = False
         self.clock_at = now
@@ -89,9 +107,9 @@
         self.clock_at = now
         self.recorder.told(now, Told.CLOCK, {"mono_us": self.mono()})
 
-    def listed(self, now: int, members: Iterable[i.Member]) -> None:
+    def listed(self, now: int, members: Iterable[Member]) -> None:
         """The list as it is known when the trace begins."""
-        self._event(now, None, i.MembersChanged(i.ListKind.CACHED, tuple(members)))
+        self._event(now, None, EndpointsChanged(EndpointListKind.RESTORED, tuple(members)))
 
     def _fault(self) -> None:
         """An error of the trace is the trace's alone: it ends, the director goes on."""
@@ -101,7 +119,7 @@
     # ---- around the module ------------------------------------------------------------------------------
 
     def after(
-        self, now: int, decider: i.Decider, events: tuple[i.Event, ...], actions: list[i.Action]
+        self, now: int, decider: RequestRouter, events: tuple[Event, ...], actions: list[Action]
     ) -> None:
         if self.broken:
             return
@@ -113,17 +131,18 @@
         except Exception:
             self._fault()
 
-    def _event(self, now: int, decider: i.Decider | None, event: i.Event) -> None:
+    def _event(self, now: int, decider: RequestRouter | None, event: Event) -> None:
         match event:
-            case i.RequestArrived():
-                self.recorder.arrived(now, event, _cell_of(decider, event.request))
-            case i.MembersChanged() if event.kind is not i.ListKind.FAILED:
+            case RequestArrived():
+                self.recorder.arrived(now, event, _cell_of(decider, event.request_id))
+            case EndpointsChanged() if event.kind is not EndpointListKind.UNAVAILABLE:
                 rows = [
-                    [m.address, m.zone, m.kind, m.state.value, m.weight, m.since_us] for m in event.members
+                    [m.address, m.zone, m.kind, m.state.value, m.weight, m.started_at_us]
+                    for m in event.members
                 ]
-                full = event.kind is not i.ListKind.CHANGE
+                full = event.kind is not EndpointListKind.CHANGE
                 self.recorder.told(now, Told.LIST, {"members": rows, "full": full, "version": event.version})
-            case i.Purged(group, name, age):
+            case ObjectsPurged(group, name, age):
                 told = {
                     "group": group,
                     "object": None if name is None else number(name),
@@ -131,26 +150,31 @@
                 }
                 self.recorder.told(now, Told.PURGE, told)
 
-    def _action(self, now: int, decider: i.Decider, action: i.Action) -> None:
+    def _action(self, now: int, decider: RequestRouter, action: Action) -> None:
         match action:
-            case i.Attempt() | i.Fetch():
-                router = _router_of(decider, action.request)
-                story = self.recorder.stories.get(action.request)
+            case ForwardRequest() | ForwardWithFill():
+                router = _router_of(decider, action.request_id)
+                story = self.recorder.stories.get(action.request_id)
                 if router is not None and story is not None:
                     # Kept, as the module forgets it with its last word, which is when it is wanted.
-                    story.job = router.jobs.get(action.request)
+                    story.job = router.jobs.get(action.request_id)
                     self.recorder.decided(now, action, why.belief(router, action))
                     if story.once:
-                        self.recorder.note_once(now, action.request, action.member)
-            case i.Cancel(request, attempt):
+                        self.recorder.note_once(now, action.request_id, action.member)
+            case CancelAttempt(request, attempt):
                 self.recorder.cancelled(now, request, attempt)
-            case i.Refuse(request=request) | i.Fail(request=request):
+            case RejectRequest(request_id=request) | FailRequest(request_id=request):
                 self._ending(now, decider, request)
-            case i.SiteChanged():
-                told = {"site": action.site, "was": action.was, "now": action.now, "why": action.why}
-                self.recorder.told(now, Told.SITE, told | {"share": action.share})
+            case SiteStateChanged():
+                told = {
+                    "site": action.site,
+                    "was": action.previous_state,
+                    "now": action.state,
+                    "why": action.reason,
+                }
+                self.recorder.told(now, Told.SITE, told | {"share": action.share_away})
 
-    def _ending(self, now: int, decider: i.Decider, request: str) -> None:
+    def _ending(self, now: int, decider: RequestRouter, request: str) -> None:
         """The cause of a refusal is noted where it was decided; the answer itself comes by `answered`."""
         story = self.recorder.stories.get(request)
         if story is None:
@@ -165,12 +189,12 @@
 
     # ---- around attempts and answers --------------------------------------------------------------------
 
-    def ended(self, now: int, event: i.AttemptEnded, sent_us: int, outcome: Outcome) -> None:
+    def ended(self, now: int, event: AttemptEnded, sent_us: int, outcome: Outcome) -> None:
         if self.broken:
             return
         try:
             if sent_us:
-                self.recorder.sent(event.request, event.attempt, sent_us)
+                self.recorder.sent(event.request_id, event.attempt_index, sent_us)
             status = outcome.status
             told = event if event.status is status else replace(event, status=status)
             self.recorder.ended(now, told, outcome.dated_us)
@@ -214,7 +238,7 @@
         )  # fmt: skip
 
 
-def _router_of(decider: i.Decider, request: str) -> Router | None:
+def _router_of(decider: RequestRouter, request: str) -> Router | None:
     if isinstance(decider, Router):
         return decider
     found = decider.router_of(request)  # type: ignore[attr-defined]
@@ -222,7 +246,7 @@
     return found
 
 
-def _cell_of(decider: i.Decider | None, request: str) -> str:
+def _cell_of(decider: RequestRouter | None, request: str) -> str:
     if decider is None or isinstance(decider, Router):
         return ""
     return str(decider.cell_of(request))  # type: ignore[attr-defined]
--- a/onyxwick/trace/why.py
+++ b/onyxwick/trace/why.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from onyxwick import interface as i
+from onyxwick.interface import ForwardRequest, ForwardWithFill, Idempotency
 from onyxwick.logic import Job, Peer, Router
 from onyxwick.trace.model import Why
 from onyxwick.trace.recorder import Belief
@@ -10,12 +10,12 @@
 MOST_BOXES = 64  # looked through for the ones before the chosen one: over it only the plain causes are told
 
 
-def belief(router: Router, action: i.Attempt | i.Fetch) -> Belief:
+def belief(router: Router, action: ForwardRequest | ForwardWithFill) -> Belief:
     """What was believed of the member that an action names, and why it was that one."""
     peer = router.peers.get(action.member)
     if peer is None:
         return Belief()
-    job = router.jobs.get(action.request)
+    job = router.jobs.get(action.request_id)
     pending = len(peer.pending) - 1  # without this attempt
     return Belief(
         int(_choice(router, job, peer)), max(0, pending), peer.room, peer.failing, router._cold(peer)
@@ -31,7 +31,7 @@
         return Why.SECOND_COPY
     if len(router.caches) > MOST_BOXES:
         return Why.TRIED if len(job.flights) > 1 else Why.UNKNOWN
-    order = router._order(f"{job.ask.object}/{job.ask.part}", router.caches)
+    order = router._order(f"{job.ask.object_id}/{job.ask.part}", router.caches)
     place = order.index(peer)
     if place == 0:
         return Why.HOME
@@ -54,9 +54,9 @@
         return Why.UNKNOWN
     if job.deadline - now <= router.set.tick_us:
         return Why.NO_TIME
-    if len(job.flights) >= router.set.limits.attempts:
+    if len(job.flights) >= router.set.limits.max_attempts:
         return Why.NO_ATTEMPTS
-    if job.maybe_ran is not None and job.kind.repeat is not i.Repeat.SAFE:
+    if job.maybe_ran is not None and job.kind.idempotency is not Idempotency.IDEMPOTENT:
         return Why.MAY_HAVE_RUN
     last = job.flights[-1] if job.flights else None
     if last is not None and not last.missed and router.retries < 1.0:
--- a/tests/cells.py
+++ b/tests/cells.py
@@ -4,14 +4,28 @@
 
 from dataclasses import replace
 
-from onyxwick import interface as i
 from onyxwick.cells import Cell, Cells, Plan, Tenant
 from onyxwick.cells.model import MoveOrder, Policy
+from onyxwick.interface import (
+    Action,
+    AnswerDetail,
+    AttemptEnded,
+    AttemptStatus,
+    EndpointListKind,
+    EndpointsChanged,
+    Event,
+    Member,
+    MemberState,
+    RejectRequest,
+    RequestArrived,
+    RequestLimits,
+    TimerFired,
+)
 from tests.world import ORIGIN, PARENTS, SETTINGS, S, member, sent
 
 BOXES = tuple(member(f"b{n}") for n in range(8))
-LIMITS = i.Limits(attempts=6, cancel=True, retry_after=True, max_retry_after_us=500_000)
-SET = replace(SETTINGS, limits=LIMITS, direct=True)
+LIMITS = RequestLimits(max_attempts=6, cancellation=True, retry_after=True, max_retry_after_us=500_000)
+SET = replace(SETTINGS, limits=LIMITS, cache_bypass=True)
 
 
 def plan_of(
@@ -31,55 +45,55 @@
 class CellWorld:
     """Cells with eight boxes; every action since the last call is returned."""
 
-    def __init__(
-        self, plan: Plan | None = None, boxes: tuple[i.Member, ...] = BOXES, most: int = 400
-    ) -> None:
+    def __init__(self, plan: Plan | None = None, boxes: tuple[Member, ...] = BOXES, most: int = 400) -> None:
         self.now = 100 * S
         self.asked = 0
         self.open: dict[tuple[str, int], str] = {}  # attempts under way: where
         self.flown: dict[str, int] = {}  # attempts of each request
         self.cells = Cells(SET, 7, self.now, plan or plan_of(), most)
-        self.give(i.MembersChanged(i.ListKind.FULL, (*boxes, *PARENTS, ORIGIN)))
+        self.give(EndpointsChanged(EndpointListKind.SNAPSHOT, (*boxes, *PARENTS, ORIGIN)))
 
-    def give(self, *events: i.Event) -> list[i.Action]:
+    def give(self, *events: Event) -> list[Action]:
         out = self.cells.handle(self.now, list(events))
         for action in sent(out):
-            number = self.flown.get(action.request, 0)
-            self.flown[action.request] = number + 1
-            self.open[(action.request, number)] = action.member
+            number = self.flown.get(action.request_id, 0)
+            self.flown[action.request_id] = number + 1
+            self.open[(action.request_id, number)] = action.member
         return out
 
-    def pass_time(self, us: int) -> list[i.Action]:
-        out: list[i.Action] = []
+    def pass_time(self, us: int) -> list[Action]:
+        out: list[Action] = []
         end = self.now + us
         while self.now < end:
             self.now = min(end, self.now + 100_000)
             timers = [f"{name}/due" for name in self.cells.units]
-            out += self.give(i.TimerFired("cells"), *map(i.TimerFired, timers))
+            out += self.give(TimerFired("cells"), *map(TimerFired, timers))
         return out
 
     def ask(self, tenant: str | None = "t1", kind: str = "chunk", name: str = "", left: int = 3 * S) -> str:
         """One request; its id. What came of it stands in `last`."""
         self.asked += 1
         request = f"r{self.asked}"
-        arrival = i.RequestArrived(request, kind, name or f"o{self.asked}", left, group=1, tenant=tenant)
-        arrival.write = kind in ("save", "hold")
+        arrival = RequestArrived(request, kind, name or f"o{self.asked}", left, object_group=1, tenant=tenant)
+        arrival.is_write = kind in ("save", "hold")
         self.last = self.give(arrival)
         return request
 
     def end(
-        self, request: str, status: i.Status = i.Status.OK, attempt: int = 0, latency: int = 50_000
-    ) -> list[i.Action]:
+        self, request: str, status: AttemptStatus = AttemptStatus.OK, attempt: int = 0, latency: int = 50_000
+    ) -> list[Action]:
         where = self.open.pop((request, attempt))
-        done = status is i.Status.OK
-        return self.give(i.AttemptEnded(request, attempt, where, status, latency, done, i.Detail.HIT))
+        done = status is AttemptStatus.OK
+        return self.give(AttemptEnded(request, attempt, where, status, latency, done, AnswerDetail.HIT))
 
     def where(self, request: str) -> str:
         return self.cells.requests[request].cell
 
-    def change(self, box: i.Member, state: i.State, since: int = 0) -> list[i.Action]:
-        return self.give(i.MembersChanged(i.ListKind.CHANGE, (replace(box, state=state, since_us=since),)))
+    def change(self, box: Member, state: MemberState, since: int = 0) -> list[Action]:
+        return self.give(
+            EndpointsChanged(EndpointListKind.CHANGE, (replace(box, state=state, started_at_us=since),))
+        )
 
 
-def refusals(actions: list[i.Action]) -> list[i.Refuse]:
-    return [a for a in actions if isinstance(a, i.Refuse)]
+def refusals(actions: list[Action]) -> list[RejectRequest]:
+    return [a for a in actions if isinstance(a, RejectRequest)]
--- a/tests/ground.py
+++ b/tests/ground.py
@@ -12,11 +12,25 @@
 
 import uvloop
 
-from onyxwick import interface as i
 from onyxwick.core import Answer, Core, Request, RequestLifecycle
 from onyxwick.core.clock import steady_us
 from onyxwick.core.members import Members
 from onyxwick.counters import Counters
+from onyxwick.interface import (
+    Action,
+    AttemptEnded,
+    AttemptStatus,
+    EndpointListKind,
+    EndpointsChanged,
+    Event,
+    FillOption,
+    ForwardWithFill,
+    Member,
+    MemberState,
+    RequestArrived,
+    RouterSettings,
+    TimerFired,
+)
 from onyxwick.net import fastcgi
 from onyxwick.net.caches import Caches
 from onyxwick.net.coordinator import Coordinator
@@ -32,41 +46,41 @@
     """In the module's place: it does what is said for arrivals and ends, and keeps all events."""
 
     def __init__(self) -> None:
-        self.events: list[i.Event] = []
-        self.arrived: Callable[[str], list[i.Action]] = lambda request: []
-        self.ended: Callable[[str, i.Status], list[i.Action]] = lambda request, status: []
-        self.timer: Callable[[], list[i.Action]] = lambda: []
+        self.events: list[Event] = []
+        self.arrived: Callable[[str], list[Action]] = lambda request: []
+        self.ended: Callable[[str, AttemptStatus], list[Action]] = lambda request, status: []
+        self.timer: Callable[[], list[Action]] = lambda: []
 
-    def handle(self, now: int, events: list[i.Event]) -> list[i.Action]:
-        out = list[i.Action]()
+    def handle(self, now: int, events: list[Event]) -> list[Action]:
+        out = list[Action]()
         for event in events:
             self.events.append(event)
             match event:
-                case i.RequestArrived(request=request):
+                case RequestArrived(request_id=request):
                     out += self.arrived(request)
-                case i.AttemptEnded(request=request, status=status):
+                case AttemptEnded(request_id=request, status=status):
                     out += self.ended(request, status)
-                case i.TimerFired():
+                case TimerFired():
                     out += self.timer()
                 case _:
                     pass
         return out
 
-    def ejected(self) -> int:
+    def ejected_count(self) -> int:
         return 0
 
-    def ends(self) -> list[i.Status]:
-        return [event.status for event in self.events if isinstance(event, i.AttemptEnded)]
+    def ends(self) -> list[AttemptStatus]:
+        return [event.status for event in self.events if isinstance(event, AttemptEnded)]
 
 
-def ask(request: str, *members: str) -> list[i.Action]:
-    return [i.Fetch(request, name, name, 0, 0, 0, i.FillFlag.NONE) for name in members]
+def ask(request: str, *members: str) -> list[Action]:
+    return [ForwardWithFill(request, name, name, 0, 0, 0, FillOption.NONE) for name in members]
 
 
 class Ground:
     """One director without a process; `cache` makes a member whose socket the test holds."""
 
-    def __init__(self, settings: i.Settings = SETTINGS, connect_us: int = 5_000_000) -> None:
+    def __init__(self, settings: RouterSettings = SETTINGS, connect_us: int = 5_000_000) -> None:
         self.script, self.members, self.counters = Script(), Members(), Counters()
         self.caches = Caches(self.members, self.counters, connect_us)
         self.core = Core(settings, 7, self.caches, self.members, self.counters, decide=lambda *_: self.script)
@@ -83,12 +97,12 @@
         sock.listen(backlog)
         sock.setblocking(False)
         self.opened.append(sock)
-        self.list(i.State.READY, name, sock.getsockname())
+        self.list(MemberState.READY, name, sock.getsockname())
         return sock
 
-    def list(self, state: i.State, name: str, address: tuple[str, int]) -> None:
-        told = i.Member(name, "edge-1", "box", 0, state, 6.0, 0)
-        self.core.list_changed(i.MembersChanged(i.ListKind.CHANGE, (told,)), {name: address})
+    def list(self, state: MemberState, name: str, address: tuple[str, int]) -> None:
+        told = Member(name, "edge-1", "box", 0, state, 6.0, 0)
+        self.core.list_changed(EndpointsChanged(EndpointListKind.CHANGE, (told,)), {name: address})
 
     def held(self, name: str) -> Iterator[Callable[[], Awaitable[socket.socket]]]:
         """A member to which no connection comes up until the value is awaited, which gives the next one."""
@@ -164,7 +178,7 @@
             sock.close()
 
 
-def played(play: Callable[[Ground], Awaitable[None]], settings: i.Settings = SETTINGS) -> None:
+def played(play: Callable[[Ground], Awaitable[None]], settings: RouterSettings = SETTINGS) -> None:
     async def run() -> None:
         ground = Ground(settings)
         try:
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -8,7 +8,6 @@
 
 import pytest
 
-from onyxwick import interface as i
 from onyxwick.cells import Cell, Conflict, Control, Plan, PlanError, Tenant
 from onyxwick.cells.fleet import Cells
 from onyxwick.cells.holding import Holding
@@ -18,6 +17,16 @@
 from onyxwick.core import Core, Order, Outcome
 from onyxwick.core.members import Members
 from onyxwick.counters import Counters
+from onyxwick.interface import (
+    AnswerDetail,
+    AttemptEnded,
+    AttemptStatus,
+    EndpointListKind,
+    EndpointsChanged,
+    MemberState,
+    ObjectsPurged,
+    TimerFired,
+)
 from onyxwick.net import fastcgi
 from onyxwick.net.client import Client
 from onyxwick.net.front import Front
@@ -48,7 +57,7 @@
     for _ in range(60):
         request = w.ask("t1")
         while (out := [key for key in w.open if key[0] == request]) and request in w.cells.requests:
-            w.end(request, i.Status.CONNECT_FAILED, out[0][1])
+            w.end(request, AttemptStatus.CONNECT_FAILED, out[0][1])
     a, b = (w.cells.units[n].router for n in "ab")
     assert a.retries < a.burst and any(p.ejected for p in a.peers.values())
     assert b.retries == b.burst and not any(p.ejected or p.failing for p in b.peers.values())
@@ -56,7 +65,7 @@
 
 def test_a_purge_holds_in_every_cell_and_in_those_made_later() -> None:
     w = CellWorld()
-    w.give(i.Purged(1, None, 10_000))
+    w.give(ObjectsPurged(1, None, 10_000))
     later = plan_of((Cell("a"), Cell("b"), Cell("c")))
     w.cells.apply(w.now, later)
     w.give()
@@ -108,7 +117,7 @@
         w = CellWorld(replace(plan, cells={"a": Cell("a", fallback=fallback), "b": Cell("b")}))
         for box in BOXES:
             if w.cells.roster.placement.seat_of[box.address] == "a":
-                w.change(box, i.State.GONE)
+                w.change(box, MemberState.REMOVED)
         w.ask("t1")
         answer = next(iter(refusals(w.last)), None)
         assert (answer is not None) == (fallback is None)
@@ -131,7 +140,7 @@
     own = w.cells.roster.placement.members("b")
     for box in BOXES:
         if box.address not in own:
-            w.change(box, i.State.GONE)
+            w.change(box, MemberState.REMOVED)
     assert w.cells.roster.placement.members("b") == own
     _settle(w, 6)
     assert len(w.cells.roster.placement.members("b")) < len(own)
@@ -159,7 +168,7 @@
     assert shares == sorted(shares), "the share only grows while all is well"
     assert w.where(booking) == "a", "the booking under way is the old cell's"
     assert w.where(w.ask("t1", "save")) == "b", "a new one is the new cell's"
-    w.end(booking, i.Status.RESET)  # its answer is lost during the cut
+    w.end(booking, AttemptStatus.RESET)  # its answer is lost during the cut
     assert w.flown[booking] == 1, "it may have run, so nobody sends it again"
     w.pass_time(200_000)
     assert w.cells.moves["m"].phase is Phase.DONE
@@ -182,14 +191,14 @@
     plan = plan_of(
         (Cell("a", tuple(f"b{n}" for n in range(4))), Cell("b", tuple(f"b{n}" for n in range(4, 8))))
     )
-    boxes = tuple(replace(b, since_us=since if n >= 4 else 0) for n, b in enumerate(BOXES))
+    boxes = tuple(replace(b, started_at_us=since if n >= 4 else 0) for n, b in enumerate(BOXES))
     w = CellWorld(replace(plan, moves={"m": MOVE}), boxes=boxes)
     for _ in range(150):
         _settle(w, 0.1)
         move = w.cells.moves["m"]
         assert move.share <= w.cells.roster.warmth(("b",), w.now) + 1e-9 or move.phase is not Phase.WARMING
         if move.phase is not Phase.WARMING:
-            assert w.now - since >= SET.rules.cold_us
+            assert w.now - since >= SET.rules.warm_up_us
     assert move.share < 1 and move.phase is Phase.WARMING, "a box is warm only after 16 s"
     _settle(w, 3)
     assert move.phase in (Phase.CUTTING, Phase.DRAINING, Phase.DONE)
@@ -200,17 +209,17 @@
     _settle(w, 1)
     target = [b for b in BOXES if w.cells.roster.placement.seat_of[b.address] == "b"]
     for box in target[:3]:
-        w.change(box, i.State.DRAINING)
+        w.change(box, MemberState.DRAINING)
     _settle(w, 0.2)
     move = w.cells.moves["m"]
     assert move.phase is Phase.PAUSED and move.share < 0.2
     for box in target[:3]:
-        w.change(box, i.State.READY)
+        w.change(box, MemberState.READY)
     while move.phase in (Phase.PAUSED, Phase.WARMING):
         _settle(w, 0.1)
     assert move.phase is Phase.CUTTING
     for box in target:
-        w.change(box, i.State.GONE)
+        w.change(box, MemberState.REMOVED)
     _settle(w, 0.3)
     assert move.phase is Phase.ABORTED and w.where(w.ask("t1")) == "a"
 
@@ -246,7 +255,10 @@
         _settle(w, 0.1)
         w.end(w.ask("t1"))
     again = Cells(SET, 8, w.now, w.cells.plan, 400)
-    again.handle(w.now, [i.MembersChanged(i.ListKind.FULL, (*BOXES, *PARENTS, ORIGIN)), i.Purged(1, None, 5)])
+    again.handle(
+        w.now,
+        [EndpointsChanged(EndpointListKind.SNAPSHOT, (*BOXES, *PARENTS, ORIGIN)), ObjectsPurged(1, None, 5)],
+    )
     assert again.moves["m"].share == 0 and again.targets("t1", "x") == ("a",)
     assert all(unit.router.marks for unit in again.units.values())
     assert again.roster.placement.seat_of == w.cells.roster.placement.seat_of
@@ -274,7 +286,7 @@
     assert w.cells.units["b"].leaving and w.where(request) == "b"
     w.end(request)
     assert set(w.cells.units) == {"a"} and len(w.cells.units["a"].router.caches) in (4, 8)
-    w.give(i.TimerFired("b/due"))
+    w.give(TimerFired("b/due"))
 
 
 def test_changes_are_whole_or_nothing_and_by_version() -> None:
@@ -314,20 +326,20 @@
     for _ in range(5):
         request = w.ask("t1")
         where = w.open.pop((request, 0))
-        w.give(i.AttemptEnded(request, 0, where, i.Status.CANCELLED, 0, final=True))
+        w.give(AttemptEnded(request, 0, where, AttemptStatus.CANCELLED, 0, is_final=True))
     assert not w.cells.requests
 
 
 def test_lists_without_weights_give_each_cell_a_part_of_the_guess() -> None:
-    told = replace(SET, weights="off", link_kb_per_s=56_000.0, pace_kb_per_s=6_900.0)
+    told = replace(SET, weight_source="off", zone_link_kb_per_s=56_000.0, transfer_kb_per_s=6_900.0)
     cells = Cells(told, 7, 0, plan_of(), 400)
     rows = tuple(replace(b, weight=0.0) for b in (*BOXES, *PARENTS, ORIGIN))
-    cells.handle(0, [i.MembersChanged(i.ListKind.FULL, rows)])
+    cells.handle(0, [EndpointsChanged(EndpointListKind.SNAPSHOT, rows)])
     routers = [unit.router for unit in cells.units.values()]
     boxes = sum(r._size(p) for r in routers for p in r.caches)
     whole = Plan({"one": Cell("one")}, {})
     alone = Cells(told, 7, 0, whole, 400)
-    alone.handle(0, [i.MembersChanged(i.ListKind.FULL, rows)])
+    alone.handle(0, [EndpointsChanged(EndpointListKind.SNAPSHOT, rows)])
     router = alone.units["one"].router
     assert boxes == pytest.approx(sum(router._size(p) for p in router.caches))
 
@@ -364,7 +376,7 @@
 
     class Instant:
         async def run(self, order: Order) -> Outcome:
-            return Outcome(i.Status.OK, i.Detail.HIT, body=bytes(100_000), tag="t")
+            return Outcome(AttemptStatus.OK, AnswerDetail.HIT, body=bytes(100_000), tag="t")
 
     async def play() -> None:
         plan = plan_of()
@@ -372,7 +384,7 @@
         core = Core(SET, 7, Instant(), members, counters, decide=lambda s, n, at: Cells(s, n, at, plan, 400))
         rows = (*BOXES, *PARENTS, ORIGIN)
         core.list_changed(
-            i.MembersChanged(i.ListKind.FULL, rows), {m.address: ("127.0.0.1", 9) for m in rows}
+            EndpointsChanged(EndpointListKind.SNAPSHOT, rows), {m.address: ("127.0.0.1", 9) for m in rows}
         )
         cells = core.router
         assert isinstance(cells, Cells)
--- a/tests/test_cells_placement.py
+++ b/tests/test_cells_placement.py
@@ -10,22 +10,22 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from onyxwick import interface as i
 from onyxwick.cells.arbiter import Arbiter
 from onyxwick.cells.limits import Adaptive, Gate, Pool
 from onyxwick.cells.model import Cell, KeyRange, MoveOrder, PlanError, Tenant, check
 from onyxwick.cells.placement import Placement, place, word
+from onyxwick.interface import Member
 from tests.cells import plan_of
 from tests.world import S, member
 
 KINDS = ("parent", "origin")
 
 
-def _fleet(boxes: int, zones: int = 4) -> list[i.Member]:
+def _fleet(boxes: int, zones: int = 4) -> list[Member]:
     return [member(f"box-{n:04d}", zone=f"depot-{n % zones}") for n in range(boxes)]
 
 
-def _placed(cells: int, tenants: int, boxes: list[i.Member], span: int = 1) -> Placement:
+def _placed(cells: int, tenants: int, boxes: list[Member], span: int = 1) -> Placement:
     rows = tuple(Tenant(f"tenant-{n}", span=span) for n in range(tenants))
     return place(plan_of(tuple(Cell(f"c{n}") for n in range(cells)), rows), boxes, KINDS)
 
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from onyxwick import interface as i
 from onyxwick.core.clock import FeedStamps
+from onyxwick.interface import AttemptStatus, EndpointsChanged, ObjectsPurged, SetTimer, TimerFired
 from onyxwick.net.coordinator import Coordinator, newest_stamp_us
 from tests.ground import Ground, ask, played
 
@@ -56,7 +56,7 @@
             wall.step_us = step_us
             _purge(feed, wall.true_us() - 100_000)
             purge = ground.script.events[-1]
-            assert isinstance(purge, i.Purged) and purge.age_us < 1_000_000, (step_us, purge)
+            assert isinstance(purge, ObjectsPurged) and purge.age_us < 1_000_000, (step_us, purge)
             before = ground.core.now()
             await asyncio.sleep(0.02)
             assert ground.core.now() - before >= 15_000, step_us  # what was told grows older meanwhile
@@ -72,8 +72,8 @@
             wall.step_us = step_us
             _start(feed, wall.true_us() - 1_000_000)
             change = ground.script.events[-1]
-            assert isinstance(change, i.MembersChanged)
-            age_us = ground.core.now() - change.members[0].since_us
+            assert isinstance(change, EndpointsChanged)
+            age_us = ground.core.now() - change.members[0].started_at_us
             assert 0 <= age_us < 2_000_000, (step_us, age_us)
 
     played(play)
@@ -83,13 +83,13 @@
     async def play(ground: Ground) -> None:
         ground.cache("c0")
         ground.script.arrived = lambda request: [
-            i.SetTimer(ground.core.now() + 50_000, "hedge"),
+            SetTimer(ground.core.now() + 50_000, "hedge"),
             *ask(request, "c0"),
         ]
         lifecycle = ground.start(timeout_us=300_000)
         wall.step_us = -HOUR_US
         begun = time.monotonic()
-        await ground.until(lambda: i.TimerFired("hedge") in ground.script.events)
+        await ground.until(lambda: TimerFired("hedge") in ground.script.events)
         assert time.monotonic() - begun < 0.2
         assert lifecycle.request.id in ground.core.lifecycles
 
@@ -103,9 +103,9 @@
         await ground.until(lambda: ground.script.events)
         ground.script.ended = lambda request, status: []
         ground.script.timer = lambda: ask(lifecycle.request.id, "c0")
-        ground.core.handle(i.TimerFired("hedge"))
+        ground.core.handle(TimerFired("hedge"))
         ground.core.purged(17, None, ground.core.now())
-        await ground.until(lambda: ground.script.ends() == [i.Status.NOT_SENT])
+        await ground.until(lambda: ground.script.ends() == [AttemptStatus.NOT_SENT])
 
     played(play)
 
@@ -159,10 +159,10 @@
         feed.line(b"2")
         live = {"index": 3, "evict": {"ref": "00000000000000aa", "unix_ms": (now - 100_000) // 1000}}
         feed.line(json.dumps(live).encode())
-        again = [e for e in ground.script.events if isinstance(e, i.Purged) and e.group == 17][-1]
+        again = [e for e in ground.script.events if isinstance(e, ObjectsPurged) and e.object_group == 17][-1]
         assert again.age_us < 5 * S_US
-        change = [e for e in ground.script.events if isinstance(e, i.MembersChanged)][-1]
-        assert ground.core.now() - change.members[0].since_us < 4 * S_US
+        change = [e for e in ground.script.events if isinstance(e, EndpointsChanged)][-1]
+        assert ground.core.now() - change.members[0].started_at_us < 4 * S_US
 
     played(play)
 
@@ -206,9 +206,9 @@
     async def play(ground: Ground, ahead_us: int) -> None:
         feed = Coordinator(ground.core, ground.counters)
         feed.known(_known(wall.true_us() - ahead_us))
-        purge = next(e for e in ground.script.events if isinstance(e, i.Purged) and e.group == 17)
+        purge = next(e for e in ground.script.events if isinstance(e, ObjectsPurged) and e.object_group == 17)
         assert 2 * S_US < purge.age_us < 4 * S_US, ahead_us
-        age_us = ground.core.now() - ground.members.listed["c0"].since_us
+        age_us = ground.core.now() - ground.members.listed["c0"].started_at_us
         assert S_US < age_us < 3 * S_US, ahead_us
 
     for ahead_us in (HOUR_US, -HOUR_US, 8 * S_US, -8 * S_US, 0):
--- a/tests/test_dns_routing.py
+++ b/tests/test_dns_routing.py
@@ -14,7 +14,6 @@
 import dns.update
 
 from onyxwick import Router
-from onyxwick import interface as i
 from onyxwick.cells import Cell, Cells, Plan, Tenant
 from onyxwick.config.service import load
 from onyxwick.core import Core
@@ -22,6 +21,14 @@
 from onyxwick.counters import Counters
 from onyxwick.dns.naming import Naming
 from onyxwick.dns.server import DnsFront
+from onyxwick.interface import (
+    EndpointListKind,
+    EndpointsChanged,
+    Member,
+    MemberState,
+    RequestRouter,
+    RouterSettings,
+)
 from tests.exchange import DNS, FOLDER
 from tests.world import SETTINGS, member
 
@@ -33,15 +40,15 @@
 class Depot:
     """A core with the DNS front before it, and boxes that count when they are asked."""
 
-    def __init__(self, decide: Callable[[i.Settings, int, int], i.Decider] = Router) -> None:
+    def __init__(self, decide: Callable[[RouterSettings, int, int], RequestRouter] = Router) -> None:
         self.members, self.counters = Members(), Counters()
         self.core = Core(SETTINGS, 7, Naming(), self.members, self.counters, decide=decide)
         config = load(FOLDER / "service.hcl")
         self.front = DnsFront(self.core, self.counters, config)
         self.asked: dict[str, list[float]] = {box: [] for box in BOXES}
 
-    def told(self, *rows: i.Member, kind: i.ListKind = i.ListKind.CHANGE) -> None:
-        self.core.list_changed(i.MembersChanged(kind, rows), {**BOXES, "p0": ("127.77.2.9", 15071)})
+    def told(self, *rows: Member, kind: EndpointListKind = EndpointListKind.CHANGE) -> None:
+        self.core.list_changed(EndpointsChanged(kind, rows), {**BOXES, "p0": ("127.77.2.9", 15071)})
 
     async def run(self, scene: Callable[[Depot], Awaitable[None]]) -> None:
         def box(name: str) -> Callable[[asyncio.StreamReader, asyncio.StreamWriter], None]:
@@ -53,7 +60,9 @@
 
         servers = [await asyncio.start_server(box(name), *address) for name, address in BOXES.items()]
         front = asyncio.create_task(self.front.run())
-        self.told(*(member(name) for name in BOXES), member("p0", "parent", "hub"), kind=i.ListKind.FULL)
+        self.told(
+            *(member(name) for name in BOXES), member("p0", "parent", "hub"), kind=EndpointListKind.SNAPSHOT
+        )
         await asyncio.sleep(0)
         try:
             await scene(self)
@@ -104,7 +113,7 @@
     """Ask for parts until c0 has been named, drain it, ask on; the box and the moment it was told."""
     for part in range(24):
         await client(resolver, part)
-    depot.told(replace(member("c0"), state=i.State.DRAINING))
+    depot.told(replace(member("c0"), state=MemberState.DRAINING))
     return "c0", time.monotonic()
 
 
@@ -148,7 +157,7 @@
     """Namings are charged to the cold budget: a flood of names does not all go to the empty box."""
 
     async def scene(depot: Depot) -> None:
-        depot.told(replace(member("c0"), since_us=depot.core.now()))
+        depot.told(replace(member("c0"), started_at_us=depot.core.now()))
         resolver = Resolver()
         for part in range(150):
             await client(resolver, part)
@@ -157,7 +166,13 @@
         assert isinstance(router, Router)
         peer = router.peers["c0"]
         rules, work = SETTINGS.rules, 250_000.0  # first guess of a chunk's sending: half its aim
-        most = rules.overload_multiple * peer.info.weight * rules.cold_start * rules.overload_window_us * 1.3
+        most = (
+            rules.overload_multiple
+            * peer.info.weight
+            * rules.warm_up_start_share
+            * rules.overload_window_us
+            * 1.3
+        )
         assert 0 < cold * work <= most and len(peer.spent) == cold
         # A naming teaches neither latency nor hits.
         assert router.answers == [0, 0] and not router.hits
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -7,11 +7,11 @@
 
 import pytest
 
-from onyxwick import interface as i
 from onyxwick.door import orders as o
 from onyxwick.door.calls import Call, Kind, Refused, route
 from onyxwick.door.figures import figures
 from onyxwick.door.persisted_commands import PersistedCommands
+from onyxwick.interface import MemberState
 from tests.world import member
 
 S = 1_000_000
@@ -71,14 +71,18 @@
 def test_a_cache_left_out_is_shown_draining_whatever_the_list_says_and_comes_back_cold() -> None:
     told = member("c0", since=1 * S)
     out = o.disable(o.Orders(), "c0", 5 * S)
-    assert o.shown(told, out, 5 * S).state is i.State.DRAINING
-    assert o.shown(replace(told, state=i.State.GONE), out, 5 * S).state is i.State.GONE
-    assert o.shown(replace(told, since_us=6 * S), out, 6 * S).state is i.State.DRAINING  # restarted meanwhile
+    assert o.shown(told, out, 5 * S).state is MemberState.DRAINING
+    assert o.shown(replace(told, state=MemberState.REMOVED), out, 5 * S).state is MemberState.REMOVED
+    assert (
+        o.shown(replace(told, started_at_us=6 * S), out, 6 * S).state is MemberState.DRAINING
+    )  # restarted meanwhile
     back = o.enable(out, "c0", 9 * S)
     seen = o.shown(told, back, 9 * S)
-    assert seen.state is i.State.READY and seen.since_us == 9 * S  # cold from the call back
-    assert o.shown(replace(told, since_us=10 * S), back, 10 * S).since_us == 10 * S  # a later start holds
-    assert o.shown(told, back, 9 * S + o.BACK_KEPT_US).since_us == 1 * S  # long after, the list's own
+    assert seen.state is MemberState.READY and seen.started_at_us == 9 * S  # cold from the call back
+    assert (
+        o.shown(replace(told, started_at_us=10 * S), back, 10 * S).started_at_us == 10 * S
+    )  # a later start holds
+    assert o.shown(told, back, 9 * S + o.BACK_KEPT_US).started_at_us == 1 * S  # long after, the list's own
     assert o.shown(member("c1"), back, 9 * S) == member("c1")
 
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -15,13 +15,24 @@
 
 import pytest
 
-from onyxwick import interface as i
 from onyxwick.config import relay
 from onyxwick.core import Answer, Verdict
 from onyxwick.core.clock import steady_us
 from onyxwick.core.ending import drain_schedule, termination_schedule
 from onyxwick.core.model import Order, Outcome
 from onyxwick.core.reasons import ConnectionEnd
+from onyxwick.interface import (
+    Action,
+    AttemptStatus,
+    EndpointListKind,
+    EndpointsChanged,
+    FailRequest,
+    FillOption,
+    ForwardWithFill,
+    Member,
+    MemberState,
+    RejectRequest,
+)
 from onyxwick.net import cache_link, coordinator, fastcgi, front, resp, room
 from onyxwick.net import client as client_module
 from onyxwick.net.client import LINGER_S
@@ -42,8 +53,8 @@
     ground.script.arrived = lambda request: ask(request, *members)
 
 
-def _on_error(ground: Ground, deed: Callable[[str], list[i.Action]]) -> None:
-    ground.script.ended = lambda request, status: deed(request) if status is i.Status.ERROR else []
+def _on_error(ground: Ground, deed: Callable[[str], list[Action]]) -> None:
+    ground.script.ended = lambda request, status: deed(request) if status is AttemptStatus.ERROR else []
 
 
 def test_a_client_that_left_while_its_attempt_waited_for_a_connection_has_nothing_sent_for_it() -> None:
@@ -55,7 +66,7 @@
         ground.core.leave(gone)
         await let_up()
         await ground.until(lambda: not ground.core.lifecycles)
-        assert ground.script.ends() == [i.Status.NOT_SENT] and not ground.answers
+        assert ground.script.ends() == [AttemptStatus.NOT_SENT] and not ground.answers
 
     played(play)
 
@@ -69,7 +80,7 @@
             await asyncio.sleep(0)  # the attempt's task is there, and has not taken its first step
         ground.core.leave(lifecycle)
         await ground.until(lambda: ground.script.ends())
-        assert ground.script.ends() == [i.Status.NOT_SENT] and not ground.caches.links
+        assert ground.script.ends() == [AttemptStatus.NOT_SENT] and not ground.caches.links
         sock.close()
 
     played(play)
@@ -85,14 +96,14 @@
         first.send(_answer(lifecycle.request.id))
         await ground.until(lambda: ground.answers)
         await let_up()
-        await ground.until(lambda: ground.script.ends() == [i.Status.OK, i.Status.NOT_SENT])
+        await ground.until(lambda: ground.script.ends() == [AttemptStatus.OK, AttemptStatus.NOT_SENT])
         assert ground.answers[0].verdict is Verdict.SERVED
 
     played(play)
 
 
 def test_a_repeat_by_key_that_waits_beyond_its_window_is_not_sent() -> None:
-    kinds = tuple(replace(c, window_us=300_000) if c.name == "hold" else c for c in SETTINGS.classes)
+    kinds = tuple(replace(c, key_window_us=300_000) if c.name == "hold" else c for c in SETTINGS.classes)
 
     async def play(ground: Ground) -> None:
         sock, (let_up,) = ground.cache("c0"), ground.held("c1")
@@ -106,7 +117,7 @@
         await ground.until(lambda: ground.caches.links.get("c1"))
         await asyncio.sleep(0.35)  # the window passes
         second = await let_up()
-        await ground.until(lambda: ground.script.ends() == [i.Status.ERROR, i.Status.NOT_SENT])
+        await ground.until(lambda: ground.script.ends() == [AttemptStatus.ERROR, AttemptStatus.NOT_SENT])
         second.setblocking(False)
         with contextlib.suppress(BlockingIOError):
             assert not second.recv(65_536)
@@ -122,7 +133,7 @@
         conn = await ground.accepted(sock)
         await ground.read(conn, lifecycle.request.id.encode())
         await ground.until(lambda: ground.script.ends())
-        assert ground.script.ends() == [i.Status.NOT_SENT]
+        assert ground.script.ends() == [AttemptStatus.NOT_SENT]
         conn.send(_answer(lifecycle.request.id))
         await ground.until(lambda: ground.answers)
 
@@ -158,7 +169,7 @@
         again.send(told[40:].encode())
         await ground.until(lambda: not ground.members.ready("c0"))
         await let_up()
-        await ground.until(lambda: ground.script.ends() == [i.Status.NOT_SENT])
+        await ground.until(lambda: ground.script.ends() == [AttemptStatus.NOT_SENT])
         assert not lifecycle.client_departed
 
     played(play)
@@ -221,7 +232,7 @@
         if ground.caches.links:
             await let_up()
         await ground.until(lambda: not ground.core.lifecycles)
-        assert set(ground.script.ends()) <= {i.Status.NOT_SENT}
+        assert set(ground.script.ends()) <= {AttemptStatus.NOT_SENT}
 
     played(play)
 
@@ -237,7 +248,7 @@
         _leave(sock, end)
         await asyncio.sleep(0.1)
         await let_up()
-        await ground.until(lambda: ground.script.ends() == [i.Status.NOT_SENT])
+        await ground.until(lambda: ground.script.ends() == [AttemptStatus.NOT_SENT])
 
     played(play)
 
@@ -257,7 +268,7 @@
         _leave(sock, end)
         await asyncio.sleep(0.1)
         await let_up()
-        await ground.until(lambda: ground.script.ends() == [i.Status.ERROR, i.Status.NOT_SENT])
+        await ground.until(lambda: ground.script.ends() == [AttemptStatus.ERROR, AttemptStatus.NOT_SENT])
 
     played(play)
 
@@ -282,14 +293,14 @@
         await asyncio.sleep(0.1)
         await let_up()
         await ground.until(lambda: not ground.core.lifecycles)
-        assert set(ground.script.ends()) <= {i.Status.NOT_SENT, i.Status.CONNECT_FAILED}
+        assert set(ground.script.ends()) <= {AttemptStatus.NOT_SENT, AttemptStatus.CONNECT_FAILED}
 
     played(play)
 
 
 def test_a_client_that_sends_much_and_goes_leaves_nothing_behind() -> None:
     async def play(ground: Ground) -> None:
-        ground.script.arrived = lambda request: [i.Refuse(request)]
+        ground.script.arrived = lambda request: [RejectRequest(request)]
         loop = asyncio.get_running_loop()
         sock = await ground.client()
         flood = b"".join(call(1 + n % 30, f"{n:016x}") for n in range(4000))
@@ -315,7 +326,7 @@
         sock = ground.cache("c0")
 
         _on_arrival(ground, "c0")
-        _on_error(ground, lambda request: [i.Fail(request)])
+        _on_error(ground, lambda request: [FailRequest(request)])
         lifecycle = ground.start(held_tag="4be0c1927d55a6f3")
         conn = await ground.accepted(sock)
         await ground.read(conn, lifecycle.request.id.encode())
@@ -346,7 +357,7 @@
                 conn.send(b"x")
 
         ground.tasks.append(asyncio.get_running_loop().create_task(drip()))
-        await ground.until(lambda: ground.script.ends() == [i.Status.TIMEOUT])
+        await ground.until(lambda: ground.script.ends() == [AttemptStatus.TIMEOUT])
         later = ground.start()
         other = await ground.accepted(sock)  # not behind the one that never ends
         await ground.read(other, later.request.id.encode())
@@ -369,7 +380,7 @@
         for deed in deeds if first == "answer" else reversed(deeds):
             deed()  # both before the lifecycle hears of either
         await ground.until(lambda: ground.script.ends())
-        wanted = i.Status.OK if first == "answer" else i.Status.TIMEOUT
+        wanted = AttemptStatus.OK if first == "answer" else AttemptStatus.TIMEOUT
         assert ground.script.ends() == [wanted] and len(ground.answers) == (first == "answer")
 
     played(play)
@@ -384,7 +395,7 @@
         await ground.read(conn, lifecycle.request.id.encode())
         conn.send(_answer(lifecycle.request.id)[:-3])
         conn.close()
-        await ground.until(lambda: ground.script.ends() == [i.Status.RESET])
+        await ground.until(lambda: ground.script.ends() == [AttemptStatus.RESET])
         assert not ground.answers and not ground.caches.links
 
     played(play)
@@ -468,7 +479,7 @@
         self.runs += 1
         if self.runs > 1:
             await asyncio.sleep(PATIENCE_S)
-        return Outcome(i.Status.OK, body=b"x" * 240_000)
+        return Outcome(AttemptStatus.OK, body=b"x" * 240_000)
 
 
 @pytest.mark.parametrize("end", ["half-close", "close", "reset"])
@@ -539,7 +550,7 @@
 
 def test_a_client_that_goes_on_calling_does_not_hold_up_the_end_of_its_connection() -> None:
     async def play(ground: Ground) -> None:
-        ground.script.arrived = lambda request: [i.Refuse(request)]
+        ground.script.arrived = lambda request: [RejectRequest(request)]
         sock, loop = await ground.client(), asyncio.get_running_loop()
         ground.tasks.append(loop.create_task(ground.front.sweep()))
         sock.send(call(1, keep=False))
@@ -775,9 +786,9 @@
         _on_arrival(ground, "c0")
         ground.start()
         await ground.until(lambda: ground.caches.links.get("c0"))
-        ground.list(i.State.READY, "c0", ("127.0.0.1", 1))
+        ground.list(MemberState.READY, "c0", ("127.0.0.1", 1))
         await let_up()
-        await ground.until(lambda: ground.script.ends() == [i.Status.NOT_SENT])
+        await ground.until(lambda: ground.script.ends() == [AttemptStatus.NOT_SENT])
 
     played(play)
 
@@ -790,14 +801,14 @@
         (let_up,) = ground.held("c0")
         source = ground.cache("p0").getsockname()
         address = ground.members.addresses["c0"]
-        fetch = i.Fetch(f"{1:016x}", "c0", "p0", 0, 0, 0, i.FillFlag.NONE)
+        fetch = ForwardWithFill(f"{1:016x}", "c0", "p0", 0, 0, 0, FillOption.NONE)
         ground.script.arrived = lambda request: [fetch]
         ground.start()
         await ground.until(lambda: ground.caches.links.get("c0"))
         name, at = ("c0", address) if restarted == "member" else ("p0", source)
-        row = i.Member(name, "edge-1", "box", 0, i.State.READY, 6.0, ground.core.now())
-        ground.core.list_changed(i.MembersChanged(i.ListKind.CHANGE, (row,)), {name: at})
+        row = Member(name, "edge-1", "box", 0, MemberState.READY, 6.0, ground.core.now())
+        ground.core.list_changed(EndpointsChanged(EndpointListKind.CHANGE, (row,)), {name: at})
         await let_up()
-        await ground.until(lambda: ground.script.ends() == [i.Status.NOT_SENT])
+        await ground.until(lambda: ground.script.ends() == [AttemptStatus.NOT_SENT])
 
     played(play)
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from onyxwick import interface as i
 from onyxwick.core import Core
 from onyxwick.core.members import Members
 from onyxwick.counters import Counters
+from onyxwick.interface import RejectRequest
 from onyxwick.net import fastcgi
 from onyxwick.net.caches import Caches
 from onyxwick.net.client import Client
@@ -129,7 +129,7 @@
     told = list[int]()
 
     async def play(ground: Ground) -> None:
-        ground.script.arrived = lambda request: [i.Refuse(request)]
+        ground.script.arrived = lambda request: [RejectRequest(request)]
         monkeypatch.setattr(ground.core, "refused", lambda *line: told.append(line[2]))
         sock = await ground.client()
         sock.send(call(1))
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from onyxwick import interface as i
 from onyxwick.core.invariants import AttemptBegun, Invariants, Rule, Violation, budget
+from onyxwick.interface import EndpointListKind, EndpointsChanged, Member, MemberState
 from tests.ground import FOUND, Ground, ask, call, played
 from tests.world import SETTINGS, member
 
@@ -27,8 +27,8 @@
         self.members(*(member(f"c{n}") for n in range(3)))
         self.checks.request_started("r1", kind, 17, "o1", NOW + 2 * S, NOW)
 
-    def members(self, *rows: i.Member, now: int = NOW) -> None:
-        self.checks.list_changed(i.MembersChanged(i.ListKind.CHANGE, rows), now)
+    def members(self, *rows: Member, now: int = NOW) -> None:
+        self.checks.list_changed(EndpointsChanged(EndpointListKind.CHANGE, rows), now)
 
     def begin(self, now: int = NOW, number: int = 0, **more: object) -> None:
         facts = {
@@ -57,12 +57,12 @@
 
 
 def _draining(c: Checked, late: int) -> None:
-    c.members(replace(member("c0"), state=i.State.DRAINING), now=NOW)
+    c.members(replace(member("c0"), state=MemberState.DRAINING), now=NOW)
     c.begin(NOW + SETTINGS.rules.drain_grace_us + (60_000 if late else 40_000), left_us=0)
 
 
 def _gone_source(c: Checked, late: int) -> None:
-    c.members(replace(member("c1"), state=i.State.GONE), now=NOW)
+    c.members(replace(member("c1"), state=MemberState.REMOVED), now=NOW)
     c.begin(NOW + SETTINGS.rules.drain_grace_us + (60_000 if late else 40_000), left_us=0, source="c1")
 
 
@@ -90,7 +90,7 @@
 def _cold(c: Checked, late: int) -> None:
     c.members(member("c0", since=NOW, weight=6.0))
     rules = SETTINGS.rules
-    allowed = rules.overload_multiple * rules.cold_start * 6.0 * rules.overload_window_us / 100_000
+    allowed = rules.overload_multiple * rules.warm_up_start_share * 6.0 * rules.overload_window_us / 100_000
     for _ in range(int(budget(allowed)) + late):
         c.begin(NOW + 1)
 
@@ -189,7 +189,7 @@
     c = Checked()
     for n in range(5_000):
         c.checks.purged(-1, f"o{n}", NOW + n * 10_000, NOW + n * 10_000)
-    assert len(c.checks.purges) <= 2 * SETTINGS.rules.purge_settles_us / 10_000 + 2
+    assert len(c.checks.purges) <= 2 * SETTINGS.rules.purge_retention_us / 10_000 + 2
     c.checks.request_ended("r1")
     assert not c.checks.requests
 
--- a/tests/test_largest.py
+++ b/tests/test_largest.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from onyxwick import interface as i
+from onyxwick.interface import Action, AnswerDetail, AttemptStatus, CancelAttempt, TimerFired
 from tests.world import SETTINGS, S, World, finals, sent
 
 QUICK_S, LONG_S, TURN_US = 0.25, 4.2, 20_000  # transfers; one request in ten is a long one
@@ -14,35 +14,35 @@
 
 def _shares(gap_s: float, routers: int, asked: int = 150) -> tuple[float, float]:
     """Answered share of the long ones and of the others, asked for every `gap_s` seconds."""
-    limits = replace(SETTINGS.limits, second_copies=True)
-    w = World(replace(SETTINGS, routers=routers, routers_in_zone=routers, limits=limits))
+    limits = replace(SETTINGS.limits, hedging=True)
+    w = World(replace(SETTINGS, router_count=routers, zone_router_count=routers, limits=limits))
     under_way: dict[tuple[str, int], tuple[int, int, str]] = {}  # attempt: due, sent at, member
     long: dict[str, bool] = {}
     tries: dict[str, int] = {}
     answered: dict[str, bool] = {}
 
-    def act(actions: list[i.Action]) -> None:
+    def act(actions: list[Action]) -> None:
         for action in sent(actions):
-            number = tries[action.request] = tries.get(action.request, -1) + 1
-            took = LONG_S if long[action.request] else QUICK_S
-            under_way[action.request, number] = (w.now + int(took * S), w.now, action.member)
+            number = tries[action.request_id] = tries.get(action.request_id, -1) + 1
+            took = LONG_S if long[action.request_id] else QUICK_S
+            under_way[action.request_id, number] = (w.now + int(took * S), w.now, action.member)
         for final in finals(actions):
-            answered.setdefault(final.request, False)
-        for cancel in [action for action in actions if isinstance(action, i.Cancel)]:
-            _, _, member = under_way.pop((cancel.request, cancel.attempt), (0, 0, ""))
+            answered.setdefault(final.request_id, False)
+        for cancel in [action for action in actions if isinstance(action, CancelAttempt)]:
+            _, _, member = under_way.pop((cancel.request_id, cancel.attempt_index), (0, 0, ""))
             if member:
-                act(w.end(i.Status.CANCELLED, cancel.request, cancel.attempt, member))
+                act(w.end(AttemptStatus.CANCELLED, cancel.request_id, cancel.attempt_index, member))
 
     following = w.now
     while len(long) < asked or under_way:
         w.now += TURN_US
-        act(w.give(i.TimerFired("due")))
+        act(w.give(TimerFired("due")))
         for (request, number), (due, begun, member) in list(under_way.items()):
             if due <= w.now and (request, number) in under_way:
                 del under_way[request, number]
                 answered.setdefault(request, True)
-                detail, took = i.Detail.HIT, w.now - begun
-                act(w.end(i.Status.OK, request, number, member, latency=took, detail=detail))
+                detail, took = AnswerDetail.HIT, w.now - begun
+                act(w.end(AttemptStatus.OK, request, number, member, latency=took, detail=detail))
         if w.now >= following and len(long) < asked:
             following += int(gap_s * S)
             long[f"r{w.asked + 1}"] = len(long) % 10 == 9
--- a/tests/test_odd_orders.py
+++ b/tests/test_odd_orders.py
@@ -8,17 +8,35 @@
 from hypothesis import strategies as st
 
 from onyxwick import Router
-from onyxwick import interface as i
+from onyxwick.interface import (
+    Action,
+    AttemptEnded,
+    AttemptStatus,
+    ClientDisconnected,
+    EndpointListKind,
+    EndpointsChanged,
+    Event,
+    FailRequest,
+    FillOption,
+    ForwardRequest,
+    ForwardWithFill,
+    MemberState,
+    ObjectsPurged,
+    RejectRequest,
+    RequestArrived,
+    RouterSettings,
+    TimerFired,
+)
 from tests.world import ALL, HOLD, RULES, SETTINGS, S
 
-PROOF = {i.Status.FULL, i.Status.CONNECT_FAILED, i.Status.NOT_SENT, i.Status.MISS}
+PROOF = {AttemptStatus.OVERLOADED, AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_SENT, AttemptStatus.MISS}
 STEP = st.one_of(
     st.tuples(st.just("ask"), st.sampled_from(["chunk", "thumb", "save", "hold"]), st.integers(0, 5)),
-    st.tuples(st.just("end"), st.sampled_from(list(i.Status)), st.integers(0, 400)),
-    st.tuples(st.just("state"), st.sampled_from(list(i.State)), st.integers(0, len(ALL) - 1)),
+    st.tuples(st.just("end"), st.sampled_from(list(AttemptStatus)), st.integers(0, 400)),
+    st.tuples(st.just("state"), st.sampled_from(list(MemberState)), st.integers(0, len(ALL) - 1)),
     st.tuples(st.just("purge"), st.booleans(), st.integers(0, 5)),
     st.tuples(st.just("left"), st.just(0), st.integers(0, 400)),
-    st.tuples(st.just("late"), st.sampled_from(list(i.Status)), st.integers(0, 400)),
+    st.tuples(st.just("late"), st.sampled_from(list(AttemptStatus)), st.integers(0, 400)),
     st.tuples(st.just("wait"), st.just(0), st.integers(1, 2 * S)),
 )
 Steps = list[tuple[str, object, int]]
@@ -27,51 +45,52 @@
 class Watch:
     """Carries out the actions as the far side would, and asserts the rules on each."""
 
-    def __init__(self, how: i.Settings) -> None:
+    def __init__(self, how: RouterSettings) -> None:
         self.how, self.now = how, 50 * S
         self.router = Router(how, 3, self.now)
-        self.asks: dict[str, i.RequestArrived] = {}
+        self.asks: dict[str, RequestArrived] = {}
         self.done: dict[str, str] = {}
         self.sends: dict[str, list[tuple[int, str]]] = {}
-        self.ends: dict[tuple[str, int], i.Status] = {}
-        self.state = {m.address: i.State.READY for m in ALL}
+        self.ends: dict[tuple[str, int], AttemptStatus] = {}
+        self.state = {m.address: MemberState.READY for m in ALL}
         self.purged: dict[str | int, int] = {}
-        self.log: list[i.Action] = []
-        self.give(i.MembersChanged(i.ListKind.CACHED, ALL))
+        self.log: list[Action] = []
+        self.give(EndpointsChanged(EndpointListKind.RESTORED, ALL))
 
     def open(self) -> list[tuple[str, int]]:
         return [(r, n) for r, s in self.sends.items() for n in range(len(s)) if (r, n) not in self.ends]
 
-    def give(self, event: i.Event) -> None:
+    def give(self, event: Event) -> None:
         for action in self.router.handle(self.now, [event]):
             self.log.append(action)
             match action:
-                case i.Attempt(request, member, _):
+                case ForwardRequest(request, member, _):
                     self.check_send(request, member, member, None)
-                case i.Fetch(request, member, source, _, _, age, flags):
+                case ForwardWithFill(request, member, source, _, _, age, flags):
                     self.check_send(request, member, source, (age, flags))
-                case i.Refuse(request) | i.Fail(request):
+                case RejectRequest(request) | FailRequest(request):
                     assert request not in self.done  # rule 1: one final answer
                     self.done[request] = type(action).__name__
-                    if isinstance(action, i.Refuse):
+                    if isinstance(action, RejectRequest):
                         self.check_refusal(request)
 
-    def check_send(self, request: str, member: str, source: str, how: tuple[int, i.FillFlag] | None) -> None:
+    def check_send(self, request: str, member: str, source: str, how: tuple[int, FillOption] | None) -> None:
         assert request not in self.done  # rule 1: nothing after the end
-        assert self.state[member] is i.State.READY and self.state[source] is i.State.READY  # rule 3
+        assert self.state[member] is MemberState.READY and self.state[source] is MemberState.READY  # rule 3
         ask, ran = self.asks[request], self.may_have_run(request)
         if ask.class_name == "save":
             assert not ran  # rule 2
         elif ask.class_name == "hold" and ran:
-            assert self.now - min(ran) < HOLD.window_us
+            assert self.now - min(ran) < HOLD.key_window_us
         sends = self.sends.setdefault(request, [])
         assert not [n for n in range(len(sends)) if (request, n) not in self.ends]  # no second copy
         sends.append((self.now, member))
         told = max(
-            (at for k in (ask.object, ask.group or 0) if (at := self.purged.get(k)) is not None), default=None
+            (at for k in (ask.object_id, ask.object_group or 0) if (at := self.purged.get(k)) is not None),
+            default=None,
         )
-        if how is not None and told is not None and self.now - told < RULES.purge_settles_us:
-            assert 0 < how[0] <= max(1, self.now - told) and not how[1] & i.FillFlag.JOIN  # rule 5
+        if how is not None and told is not None and self.now - told < RULES.purge_retention_us:
+            assert 0 < how[0] <= max(1, self.now - told) and not how[1] & FillOption.COALESCE  # rule 5
 
     def may_have_run(self, request: str) -> list[int]:
         return [
@@ -89,44 +108,46 @@
         match what:
             case "ask":
                 name = f"r{len(self.asks)}"
-                self.asks[name] = i.RequestArrived(name, str(kind), f"o{number}", 3 * S, group=number % 3)
+                self.asks[name] = RequestArrived(
+                    name, str(kind), f"o{number}", 3 * S, object_group=number % 3
+                )
                 self.give(self.asks[name])
-            case "end" if pending and isinstance(kind, i.Status):
+            case "end" if pending and isinstance(kind, AttemptStatus):
                 request, n = pending[number % len(pending)]
                 at, member = self.sends[request][n]
                 self.ends[(request, n)] = kind
-                if kind is i.Status.OK:
+                if kind is AttemptStatus.OK:
                     self.done.setdefault(request, "ok")
                 final = request in self.done
-                self.give(i.AttemptEnded(request, n, member, kind, self.now - at, final))
-            case "late" if self.ends and isinstance(kind, i.Status):
+                self.give(AttemptEnded(request, n, member, kind, self.now - at, final))
+            case "late" if self.ends and isinstance(kind, AttemptStatus):
                 request, n = list(self.ends)[number % len(self.ends)]
-                self.give(i.AttemptEnded(request, n, "c1", kind, 1, request in self.done))
-            case "state" if isinstance(kind, i.State):
+                self.give(AttemptEnded(request, n, "c1", kind, 1, request in self.done))
+            case "state" if isinstance(kind, MemberState):
                 self.state[ALL[number].address] = kind
-                self.give(i.MembersChanged(i.ListKind.CHANGE, (replace(ALL[number], state=kind),)))
+                self.give(EndpointsChanged(EndpointListKind.CHANGE, (replace(ALL[number], state=kind),)))
             case "purge":
                 self.purged[number % 3 if kind else f"o{number}"] = self.now
-                self.give(i.Purged(number % 3, None if kind else f"o{number}", 0))
+                self.give(ObjectsPurged(number % 3, None if kind else f"o{number}", 0))
             case "left" if self.asks:
                 request = list(self.asks)[number % len(self.asks)]
                 self.done.setdefault(request, "left")
-                self.give(i.ClientLeft(request))
+                self.give(ClientDisconnected(request))
             case "wait":
                 self.now += number
                 for request, n in pending:  # the far side ends what has run out of the client's time
                     at, member = self.sends[request][n]
                     if self.now - at >= 3 * S:
-                        self.ends[(request, n)] = i.Status.TIMEOUT
+                        self.ends[(request, n)] = AttemptStatus.TIMEOUT
                         final = request in self.done
-                        self.give(i.AttemptEnded(request, n, member, i.Status.TIMEOUT, 3 * S, final))
-                self.give(i.TimerFired("due"))
+                        self.give(AttemptEnded(request, n, member, AttemptStatus.TIMEOUT, 3 * S, final))
+                self.give(TimerFired("due"))
 
 
 @settings(max_examples=150, derandomize=True, deadline=None, database=None)
 @given(st.lists(STEP, max_size=60), st.booleans())
 def test_rules_hold_in_any_order(steps: Steps, direct: bool) -> None:
-    how = replace(SETTINGS, direct=direct)
+    how = replace(SETTINGS, cache_bypass=direct)
     runs = [Watch(how), Watch(how)]
     for w in runs:
         for what, kind, number in steps:
--- a/tests/test_popularity.py
+++ b/tests/test_popularity.py
@@ -8,7 +8,17 @@
 import pytest
 
 from onyxwick import Router, logic
-from onyxwick import interface as i
+from onyxwick.interface import (
+    AnswerDetail,
+    AttemptEnded,
+    AttemptStatus,
+    EndpointListKind,
+    EndpointsChanged,
+    ForwardWithFill,
+    RequestArrived,
+    RouterSettings,
+    TimerFired,
+)
 from tests.world import CACHES, ORIGIN, PARENTS, SETTINGS, S
 
 Recount = dict[str, tuple[float, int]]
@@ -17,7 +27,7 @@
 class Recomputed(Router):
     """The reference: each object's count with its time, every one recomputed at each step."""
 
-    def __init__(self, settings: i.Settings, seed: int, now: int) -> None:
+    def __init__(self, settings: RouterSettings, seed: int, now: int) -> None:
         self.recount: Recount = {}
         super().__init__(settings, seed, now)
 
@@ -39,7 +49,7 @@
         super()._step()
         ranked = sorted((self._count(n) for n in self.recount), reverse=True)
         room = sum(len(seen) for seen in self.hits.values()) / max(1, len(self.hits))
-        t1 = int(logic.ALPHA * room * math.sqrt(self.set.routers_in_zone))
+        t1 = int(logic.ALPHA * room * math.sqrt(self.set.zone_router_count))
         self.gold_cut = max(ranked[t1 - 1], 1.001) if 0 < t1 <= len(ranked) else math.inf
         well = answers[0] / max(1, answers[1]) >= fills[0]
         well = well and self.fill.mean <= logic.FILL_GROWTH * fills[1]
@@ -52,17 +62,17 @@
 
 def _play(router: Router, seed: int, requests: int, objects: int, start: int) -> list[object]:
     rng, now, out = random.Random(seed), start, list[object]()
-    listed = i.MembersChanged(i.ListKind.FULL, (*CACHES, *PARENTS, ORIGIN))
+    listed = EndpointsChanged(EndpointListKind.SNAPSHOT, (*CACHES, *PARENTS, ORIGIN))
     router.handle(now, [listed])
     for n in range(requests):
         now += int(rng.expovariate(1 / 15_000))
         name = f"o{min(objects, int(rng.paretovariate(0.6)))}"
-        actions = router.handle(now, [i.RequestArrived(f"r{n}", "chunk", name, 3 * S, part=n % 3 // 2)])
-        out += [(a.rank, a.member) for a in actions if isinstance(a, i.Fetch)]
-        hit = i.Detail.HIT if rng.random() < 0.6 else i.Detail.FILLED
+        actions = router.handle(now, [RequestArrived(f"r{n}", "chunk", name, 3 * S, part=n % 3 // 2)])
+        out += [(a.retention_rank, a.member) for a in actions if isinstance(a, ForwardWithFill)]
+        hit = AnswerDetail.HIT if rng.random() < 0.6 else AnswerDetail.FILLED
         for action in actions:
-            if isinstance(action, i.Fetch):
-                end = i.AttemptEnded(f"r{n}", 0, action.member, i.Status.OK, 60_000, True, hit)
+            if isinstance(action, ForwardWithFill):
+                end = AttemptEnded(f"r{n}", 0, action.member, AttemptStatus.OK, 60_000, True, hit)
                 router.handle(now + 1, [end])
         out.append((round(router.gold_cut, 6), round(router.bronze_cut, 6)))
     return out
@@ -89,7 +99,7 @@
     now = 0
     for n in range(3 * 86_400 // 60):
         now += 60 * S
-        router.handle(now, [i.TimerFired("due")])
-        router.handle(now, [i.RequestArrived(f"r{n}", "chunk", "daily", 3 * S)])
+        router.handle(now, [TimerFired("due")])
+        router.handle(now, [RequestArrived(f"r{n}", "chunk", "daily", 3 * S)])
         assert router._count("daily") == pytest.approx(1, rel=0.02)
     assert all(math.isfinite(count) for count in router.counts.values())
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -11,7 +11,6 @@
 
 import pytest
 
-from onyxwick import interface as i
 from onyxwick.admin.api import Api
 from onyxwick.admin.durable import DurableApi
 from onyxwick.admin.http import HttpError, HttpRequest
@@ -20,6 +19,14 @@
 from onyxwick.core.model import Answer, Verdict
 from onyxwick.core.pacing import BackoffPolicy, ReconnectBackoff
 from onyxwick.counters import Counters
+from onyxwick.interface import (
+    AnswerDetail,
+    AttemptStatus,
+    EndpointListKind,
+    EndpointsChanged,
+    MemberState,
+    ObjectsPurged,
+)
 from onyxwick.store import Failed, Full, Refused
 from onyxwick.store.durable import Durable, unpack
 from onyxwick.store.recovery import LEGAL, Drain, IllegalPhase, Phase, Purge, Recovery
@@ -55,24 +62,24 @@
 
 def test_until_the_feed_is_heard_the_stricter_word_wins_and_then_the_coordinators() -> None:
     recovery = _recovered([Drain("c0", "coordinator", 0), Drain("c1", "operator", 0)])
-    event = i.MembersChanged(i.ListKind.FULL, ROWS)
+    event = EndpointsChanged(EndpointListKind.SNAPSHOT, ROWS)
     states = {m.address: m.state for m in recovery.seen(event).members}
-    assert states["c0"] is states["c1"] is i.State.DRAINING and states["c2"] is i.State.READY
+    assert states["c0"] is states["c1"] is MemberState.DRAINING and states["c2"] is MemberState.READY
     assert not recovery.heard(101 * S, 4) and recovery.shown()["phase"] == "checking"
     assert recovery.heard(101 * S, 5) and recovery.shown()["phase"] == "serving"
     states = {m.address: m.state for m in recovery.seen(event).members}
-    assert states["c0"] is i.State.READY, "the coordinator has not told of a drain again: it was lifted"
-    assert states["c1"] is i.State.DRAINING, "an operator's drain is lifted by an operator alone"
+    assert states["c0"] is MemberState.READY, "the coordinator has not told of a drain again: it was lifted"
+    assert states["c1"] is MemberState.DRAINING, "an operator's drain is lifted by an operator alone"
     assert recovery.lifted("c1") and not recovery.lifted("c1")
     assert recovery.seen(event) is event
 
 
 def test_another_process_under_a_drained_name_is_not_drained_by_the_coordinators_word() -> None:
     recovery = _recovered([Drain("c0", "coordinator", 50 * S), Drain("c1", "operator", 50 * S)])
-    new = i.MembersChanged(i.ListKind.CHANGE, (member("c0", since=90 * S), member("c1", since=90 * S)))
-    assert [m.state for m in recovery.seen(new).members] == [i.State.READY, i.State.DRAINING]
-    gone = i.MembersChanged(i.ListKind.CHANGE, (replace(member("c1"), state=i.State.GONE),))
-    assert recovery.seen(gone).members[0].state is i.State.GONE
+    new = EndpointsChanged(EndpointListKind.CHANGE, (member("c0", since=90 * S), member("c1", since=90 * S)))
+    assert [m.state for m in recovery.seen(new).members] == [MemberState.READY, MemberState.DRAINING]
+    gone = EndpointsChanged(EndpointListKind.CHANGE, (replace(member("c1"), state=MemberState.REMOVED),))
+    assert recovery.seen(gone).members[0].state is MemberState.REMOVED
 
 
 def test_a_feed_that_is_never_heard_keeps_the_drains_and_does_not_hold_the_service() -> None:
@@ -93,7 +100,7 @@
 
 def test_purges_that_may_not_be_done_are_told_again_and_bookings_are_not_sent_again() -> None:
     recovery = _recovered([])
-    assert recovery.purges_to_tell(101 * S) == [i.Purged(1, None, 3 * S)]
+    assert recovery.purges_to_tell(101 * S) == [ObjectsPurged(1, None, 3 * S)]
     assert not recovery.may_send("b1") and recovery.may_send("b2")
 
 
@@ -153,7 +160,7 @@
 
 class Nothing:
     async def run(self, order: Order) -> Outcome:
-        return Outcome(i.Status.OK, i.Detail.HIT)
+        return Outcome(AttemptStatus.OK, AnswerDetail.HIT)
 
 
 class Depot:
@@ -167,7 +174,7 @@
         self.core.durable = self.durable
         self.tenants = Tenants()
         self.durable.load_tenants(self.tenants)
-        self.core.list_changed(i.MembersChanged(i.ListKind.FULL, ROWS), ADDRESSES)
+        self.core.list_changed(EndpointsChanged(EndpointListKind.SNAPSHOT, ROWS), ADDRESSES)
         self.api = DurableApi(
             Api(self.tenants, Counters(), "operator-token-1", dict), self.durable, self.core
         )
@@ -282,7 +289,7 @@
     async def play() -> None:
         depot = Depot(FaultyFiles())
         depot.core.feed_observed(9)
-        drained = i.MembersChanged(i.ListKind.CHANGE, (replace(CACHES[0], state=i.State.DRAINING),))
+        drained = EndpointsChanged(EndpointListKind.CHANGE, (replace(CACHES[0], state=MemberState.DRAINING),))
         depot.core.list_changed(drained, ADDRESSES)
         await asyncio.gather(*depot.durable.notes)
         for seed in range(3):  # each time up with the old list, in which all are ready, and killed again
@@ -315,7 +322,7 @@
                 intents = [k for k in _durable(kept).engine.keys("booking/")]
                 assert intents == [f"booking/{order.request.id}"], "durable before the first byte"
                 sent.append(order.request.id)
-                return Outcome(i.Status.OK, body=b"done")
+                return Outcome(AttemptStatus.OK, body=b"done")
 
         depot.core.transport = Origin()
         request = Request("b" * 16, "save", "0" * 16, 0, None, depot.core.now(), 3 * S)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -5,16 +5,31 @@
 from dataclasses import replace
 
 from onyxwick import Router
-from onyxwick import interface as i
+from onyxwick.interface import (
+    AnswerDetail,
+    AttemptEnded,
+    AttemptStatus,
+    EndpointListKind,
+    EndpointsChanged,
+    FillOption,
+    ForwardRequest,
+    ForwardWithFill,
+    Member,
+    MemberState,
+    RejectRequest,
+    RequestArrived,
+)
 from tests.world import CACHES, ORIGIN, PARENTS, RULES, SETTINGS, S, World, fetched, finals, sent
 
 
-def _fleet(routers: int, in_zone: int, members: tuple[i.Member, ...], now: int) -> list[Router]:
+def _fleet(routers: int, in_zone: int, members: tuple[Member, ...], now: int) -> list[Router]:
     out = []
     for n in range(routers):
-        settings = replace(SETTINGS, routers=routers, routers_in_zone=in_zone, index=n, answers_tell="all")
+        settings = replace(
+            SETTINGS, router_count=routers, zone_router_count=in_zone, router_index=n, answer_detail="all"
+        )
         router = Router(settings, 1000 + n, now)
-        router.handle(now, [i.MembersChanged(i.ListKind.CACHED, members)])
+        router.handle(now, [EndpointsChanged(EndpointListKind.RESTORED, members)])
         out.append(router)
     return out
 
@@ -24,21 +39,27 @@
 ) -> list[tuple[int, float]]:
     """Each router is asked `rate` times a second; fills end in 100 ms. What the member was sent, and when."""
     load: list[tuple[int, float]] = []
-    open_: list[tuple[int, Router, i.Fetch]] = []
+    open_: list[tuple[int, Router, ForwardWithFill]] = []
     for n in range(int(seconds * rate)):
         now = start + n * S // rate
         while open_ and open_[0][0] <= now:
             at, router, get = open_.pop(0)
-            done = i.AttemptEnded(
-                get.request, 0, get.member, i.Status.OK, 100_000, True, i.Detail.FILLED_FROM_ORIGIN
+            done = AttemptEnded(
+                get.request_id,
+                0,
+                get.member,
+                AttemptStatus.OK,
+                100_000,
+                True,
+                AnswerDetail.FILLED_FROM_ORIGIN,
             )
             router.handle(at, [done])
         for k, router in enumerate(fleet):
-            ask = i.RequestArrived(f"r{n}-{k}", "chunk", f"o{(n * 31 + k * 7) % 211}", 3 * S)
+            ask = RequestArrived(f"r{n}-{k}", "chunk", f"o{(n * 31 + k * 7) % 211}", 3 * S)
             for a in sent(router.handle(now, [ask])):
-                if isinstance(a, i.Fetch) and address in (a.member, a.source):
+                if isinstance(a, ForwardWithFill) and address in (a.member, a.fill_source):
                     load.append((now, router.work["chunk"].mean))
-                if isinstance(a, i.Fetch):
+                if isinstance(a, ForwardWithFill):
                     open_.append((now + 100_000, router, a))
     return load
 
@@ -46,15 +67,15 @@
 def test_a_cold_parent_is_used_and_not_pushed_over_by_any_number() -> None:
     """A share under one fill is no share of nothing, nor one for each: the sum keeps the rule (panhandle)."""
     now, window = 1000 * S, RULES.overload_window_us
-    cold = replace(PARENTS[0], since_us=now)
+    cold = replace(PARENTS[0], started_at_us=now)
     for routers in (3, 30, 180):
         fleet = _fleet(routers, 3, (*CACHES, cold, PARENTS[1], ORIGIN), now)
         load = _drive(fleet, now, 6, "p0", max(2, 360 // routers))
         assert load
         for at, _ in load:
             share = (
-                RULES.parent_cold_start
-                + (1 - RULES.parent_cold_start) * (at + window / 2 - now) / RULES.parent_cold_us
+                RULES.parent_warm_up_start_share
+                + (1 - RULES.parent_warm_up_start_share) * (at + window / 2 - now) / RULES.parent_warm_up_us
             )
             budget = RULES.parent_overload_multiple * share * 20.0 * window
             assert sum(w for t, w in load if at <= t < at + window) <= budget
@@ -62,13 +83,16 @@
 
 def test_a_cold_cache_is_used_and_not_pushed_over_by_any_number() -> None:
     now, window = 1000 * S, RULES.overload_window_us
-    cold = replace(CACHES[0], since_us=now)
+    cold = replace(CACHES[0], started_at_us=now)
     for routers in (1, 6, 30):
         fleet = _fleet(routers, routers, (cold, *CACHES[1:], *PARENTS, ORIGIN), now)
         load = _drive(fleet, now, 4, "c0", max(2, 120 // routers))
         assert load
         for at, _ in load:
-            share = RULES.cold_start + (1 - RULES.cold_start) * (at + window / 2 - now) / RULES.cold_us
+            share = (
+                RULES.warm_up_start_share
+                + (1 - RULES.warm_up_start_share) * (at + window / 2 - now) / RULES.warm_up_us
+            )
             budget = RULES.overload_multiple * share * 6.0 * window
             assert sum(w for t, w in load if at <= t < at + window) <= budget
 
@@ -82,17 +106,24 @@
     for n in range(60):
         now += S // 5
         for k, router in enumerate(fleet):
-            ask = i.RequestArrived(f"r{n}-{k}", "chunk", f"o{n}-{k}", 3 * S)
+            ask = RequestArrived(f"r{n}-{k}", "chunk", f"o{n}-{k}", 3 * S)
             for a in sent(router.handle(now, [ask])):
-                if isinstance(a, i.Fetch) and a.source != a.member:
+                if isinstance(a, ForwardWithFill) and a.fill_source != a.member:
                     pending.append(
-                        (now, router, a.request, 0, a.member, bool(a.flags & i.FillFlag.HELD_ONLY))
+                        (
+                            now,
+                            router,
+                            a.request_id,
+                            0,
+                            a.member,
+                            bool(a.fill_options & FillOption.ONLY_IF_CACHED),
+                        )
                     )
-                    full += n >= 40 and not a.flags & i.FillFlag.HELD_ONLY
+                    full += n >= 40 and not a.fill_options & FillOption.ONLY_IF_CACHED
         for _, router, request, attempt, address, held in pending:
-            detail = i.Detail.SOURCE_LACKS if held else i.Detail.ORIGIN_FAILED
-            status = i.Status.MISS if held else i.Status.FULL
-            end = i.AttemptEnded(request, attempt, address, status, 1_500_000, True, detail)
+            detail = AnswerDetail.SOURCE_MISS if held else AnswerDetail.ORIGIN_FAILED
+            status = AttemptStatus.MISS if held else AttemptStatus.OVERLOADED
+            end = AttemptEnded(request, attempt, address, status, 1_500_000, True, detail)
             router.handle(now, [end])
         pending = []
     assert full < 60 * 20 / 4  # of 1,200 asked for in the last four seconds
@@ -101,15 +132,15 @@
 def test_objects_seen_once_are_shared_out_between_the_routers_of_a_location() -> None:
     """At 14 routers a location nearly all is seen once by each: some keep it, one router alone does not."""
     for in_zone, least, most in ((1, 0, 0), (14, 150, 199)):
-        w = World(replace(SETTINGS, routers=3 * in_zone, routers_in_zone=in_zone), age_us=12 * S)
+        w = World(replace(SETTINGS, router_count=3 * in_zone, zone_router_count=in_zone), age_us=12 * S)
         w.router.bronze_cut, kept = 1.0, 0  # seen once is the tail
         for n in range(200):
             get = fetched(w.ask(name=f"o{n}"))
-            kept += get.rank > 0
-            w.end(i.Status.OK, member=get.member, detail=i.Detail.FILLED)
+            kept += get.retention_rank > 0
+            w.end(AttemptStatus.OK, member=get.member, detail=AnswerDetail.FILLED)
             later = fetched(w.ask(name=f"o{n}", part=1))
-            assert (later.rank > 0) == (get.rank > 0)  # all parts alike
-            w.end(i.Status.OK, member=later.member, detail=i.Detail.FILLED)
+            assert (later.retention_rank > 0) == (get.retention_rank > 0)  # all parts alike
+            w.end(AttemptStatus.OK, member=later.member, detail=AnswerDetail.FILLED)
         assert least <= kept <= most
 
 
@@ -122,7 +153,7 @@
         w.router._credit(peer)
         assert w.router._cold(peer) < 0.5
         if told:
-            w.change(PARENTS[0], i.State.READY, since=w.now)
+            w.change(PARENTS[0], MemberState.READY, since=w.now)
         w.pass_time(6 * S)
         assert (w.router._cold(peer) < 1.0) == told
 
@@ -131,13 +162,16 @@
     limits = replace(SETTINGS.limits, retry_after=True, max_retry_after_us=400_000)
     w = World(replace(SETTINGS, limits=limits), members=())
     told = {
-        a.retry_after_us for n in range(20) for a in finals(w.ask(name=f"o{n}")) if isinstance(a, i.Refuse)
+        a.retry_after_us
+        for n in range(20)
+        for a in finals(w.ask(name=f"o{n}"))
+        if isinstance(a, RejectRequest)
     }
     assert len(told) > 10 and all(200_000 <= t <= 400_000 for t in told)
 
 
 def test_retries_in_hand_are_few_for_each_of_many() -> None:
-    few, many = World(), World(replace(SETTINGS, routers=180))
+    few, many = World(), World(replace(SETTINGS, router_count=180))
     assert few.router.burst == 20.0 and many.router.burst == 4.0
 
 
@@ -159,12 +193,12 @@
     (disco+vast: the archive's room at 1.8 in each, then 380 fills open at it and 156 time-outs).
     """
     for at_once, grows in ((1, False), (12, True)):
-        w = World(replace(SETTINGS, routers=40, routers_in_zone=1))
+        w = World(replace(SETTINGS, router_count=40, zone_router_count=1))
         parent = w.router.peers["p0"]
         for n in range(60):
             asked = [fetched(w.ask(name=f"o{n}-{k}")) for k in range(at_once)]
             for get in asked:
-                w.end(i.Status.OK, get.request, member=get.member, detail=i.Detail.FILLED)
+                w.end(AttemptStatus.OK, get.request_id, member=get.member, detail=AnswerDetail.FILLED)
             w.pass_time(100_000)
         assert (parent.room > 1.0) == grows
 
@@ -175,9 +209,9 @@
     When a release sends every router over its share at once, forty deviations on top of forty shares
     would ask the parent for twice what it takes.
     """
-    w = World(replace(SETTINGS, routers=40))
+    w = World(replace(SETTINGS, router_count=40))
     parent, asked = w.router.peers["p0"], 0
-    open_: list[i.Attempt | i.Fetch] = []
+    open_: list[ForwardRequest | ForwardWithFill] = []
 
     def ask_many() -> float:
         nonlocal asked
@@ -192,5 +226,11 @@
         ending, open_[:] = list(open_), []
         lasting = ask_many()  # what was asked a step before is still open: each fill takes 100 ms
         for get in ending:
-            w.end(i.Status.OK, get.request, member=get.member, latency=100_000, detail=i.Detail.FILLED)
+            w.end(
+                AttemptStatus.OK,
+                get.request_id,
+                member=get.member,
+                latency=100_000,
+                detail=AnswerDetail.FILLED,
+            )
     assert parent.pending and lasting < burst / 2
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -11,7 +11,6 @@
 
 import pytest
 
-from onyxwick import interface as i
 from onyxwick.admin.api import Api
 from onyxwick.admin.durable import DurableApi
 from onyxwick.admin.http import HttpError, HttpRequest
@@ -19,6 +18,20 @@
 from onyxwick.core import Core
 from onyxwick.core.members import Members
 from onyxwick.counters import Counters
+from onyxwick.interface import (
+    AnswerDetail,
+    AttemptEnded,
+    AttemptStatus,
+    ClientDisconnected,
+    EndpointFeedReceived,
+    ForwardRequest,
+    ForwardWithFill,
+    RejectRequest,
+    RequestArrived,
+    RetryReserveChanged,
+    SetTimer,
+    TimerFired,
+)
 from onyxwick.lab.faults import checkers as c
 from onyxwick.lab.faults.history import History
 from onyxwick.lab.faults.model import Fault, Fleet, When
@@ -264,44 +277,49 @@
     return decider
 
 
-def _ask(
-    name: str, kind: str = "job-sheet", site: str | None = None, again: bool = False
-) -> i.RequestArrived:
-    return i.RequestArrived(
-        name, kind, "7f3a9c21e0b4d655", 2 * S, group=1, site=site, repeat=again, tenant="depot"
+def _ask(name: str, kind: str = "job-sheet", site: str | None = None, again: bool = False) -> RequestArrived:
+    return RequestArrived(
+        name,
+        kind,
+        "7f3a9c21e0b4d655",
+        2 * S,
+        object_group=1,
+        client_site=site,
+        is_retry=again,
+        tenant="depot",
     )
 
 
 def test_in_calm_all_passes_through_unchanged() -> None:
     decider, now = _decider(), 1_001 * S
     out = decider.handle(now, [_ask("a"), _ask("b", site="north"), _ask("c", site="nowhere")])
-    assert [type(a) for a in out if not isinstance(a, i.SetTimer)] == [i.Fetch] * 3
+    assert [type(a) for a in out if not isinstance(a, SetTimer)] == [ForwardWithFill] * 3
     assert set(decider.units) == {"north"} and not decider.shed_now
-    fetch = next(a for a in out if isinstance(a, i.Fetch))
+    fetch = next(a for a in out if isinstance(a, ForwardWithFill))
     out = decider.handle(
-        now + 1000, [i.AttemptEnded("a", 0, fetch.member, i.Status.OK, 1000, True, i.Detail.HIT)]
+        now + 1000, [AttemptEnded("a", 0, fetch.member, AttemptStatus.OK, 1000, True, AnswerDetail.HIT)]
     )
     assert "a" not in decider.requests and decider.units["north"].open == 2
-    decider.handle(now + 2000, [i.ClientLeft("b")])
-    assert decider.handle(now, [_ask("x", "no-class")]) == [i.Refuse("x")]
+    decider.handle(now + 2000, [ClientDisconnected("b")])
+    assert decider.handle(now, [_ask("x", "no-class")]) == [RejectRequest("x")]
 
 
 def test_strangers_are_tried_at_their_site_and_moved_on_with_their_attempts_counted() -> None:
     """The first go to their own boxes; one that finds them dark goes on to its object's new home, its
     attempts numbered on, and no answer is held back."""
     decider, now = _decider(), 1_001 * S
-    sent = [a for a in decider.handle(now, [_ask("a", site="west")]) if isinstance(a, i.Fetch)]
+    sent = [a for a in decider.handle(now, [_ask("a", site="west")]) if isinstance(a, ForwardWithFill)]
     assert sent[0].member.startswith("west-") and decider.watch.lives["west"].phase is Phase.SUSPECT
     for number in range(4):
         now += 400_000
-        end = i.AttemptEnded("a", number, sent[-1].member, i.Status.CONNECT_FAILED, 400_000, False)
-        out = decider.handle(now, [i.FeedHeard(), end, i.TimerFired("sites")])
-        sent += [a for a in out if isinstance(a, i.Fetch | i.Attempt)]  # type: ignore[misc]
-        if any(isinstance(a, i.Refuse) for a in out):
+        end = AttemptEnded("a", number, sent[-1].member, AttemptStatus.CONNECT_FAILED, 400_000, False)
+        out = decider.handle(now, [EndpointFeedReceived(), end, TimerFired("sites")])
+        sent += [a for a in out if isinstance(a, ForwardWithFill | ForwardRequest)]  # type: ignore[misc]
+        if any(isinstance(a, RejectRequest) for a in out):
             break
     home = decider.requests.get("a")
     moved = home is not None and home.moved
-    assert moved or any(isinstance(a, i.Refuse) for a in out)
+    assert moved or any(isinstance(a, RejectRequest) for a in out)
     if moved and home is not None:
         assert not sent[-1].member.startswith("west-")
         numbers = [one.number for one in home.tries if one.unit == home.unit]
@@ -312,7 +330,7 @@
     decider, now = _decider(), 1_001 * S
     decider.order(now, Order("north", Word.EVACUATE, "flood"))
     for n in range(40):
-        decider.handle(now + n * 100_000, [i.TimerFired("sites")])
+        decider.handle(now + n * 100_000, [TimerFired("sites")])
     told = show(decider, now + 4 * S)
     assert told["sites"]["north"]["state"] == "evacuated" and told["orders"]["north"]["reason"] == "flood"
     words = " ".join(explain(decider, "north", "job-sheet", "7f3a9c21e0b4d655"))
@@ -322,7 +340,7 @@
         explain(decider, "east", "job-sheet", "x")
     decider.order(now + 5 * S, Order("north", Word.NONE))
     for n in range(200):
-        decider.handle(now + 5 * S + n * 100_000, [i.TimerFired("sites")])
+        decider.handle(now + 5 * S + n * 100_000, [TimerFired("sites")])
     assert show(decider, now + 30 * S)["sites"]["north"]["state"] == "steady"
 
 
@@ -356,7 +374,7 @@
         assert orders[0] == [] and [o.word for o in orders[1]] == [Word.EVACUATE]
         decider.watch.recalled(orders[1])
         for n in range(30):
-            decider.handle(1_003 * S + n * 100_000, [i.TimerFired("sites")])
+            decider.handle(1_003 * S + n * 100_000, [TimerFired("sites")])
         assert decider.watch.lives["north"].phase is Phase.EVACUATED
 
     asyncio.run(play())
@@ -434,10 +452,10 @@
     tries = {}
     for reserve in (1.0, 0.5, 0.0):
         w = World()
-        w.give(i.ReserveChanged(reserve))
+        w.give(RetryReserveChanged(reserve))
         out, count = w.ask(), 0
         while sent(out) and not finals(out):
             count += 1
-            out = w.end(i.Status.ERROR, attempt=count - 1, member=sent(out)[0].member)
+            out = w.end(AttemptStatus.ERROR, attempt=count - 1, member=sent(out)[0].member)
         tries[reserve] = count
     assert tries[1.0] > tries[0.5] > tries[0.0] == 1
--- a/tests/test_sites_life.py
+++ b/tests/test_sites_life.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from onyxwick import interface as i
+from onyxwick.interface import AttemptEnded, AttemptStatus
 from onyxwick.sites.evidence import OVERDUE_US, SPEAKS_US, Evidence, Kind, kind_of
 from onyxwick.sites.life import AWAY, LEGAL, IllegalLife, Life, Phase, Signs, Word
 from onyxwick.sites.model import Policy
@@ -286,8 +286,8 @@
 # ---- evidence -------------------------------------------------------------------------------------------
 
 
-def _ended(member: str, status: i.Status, latency: int) -> i.AttemptEnded:
-    return i.AttemptEnded("r", 0, member, status, latency, False)
+def _ended(member: str, status: AttemptStatus, latency: int) -> AttemptEnded:
+    return AttemptEnded("r", 0, member, status, latency, False)
 
 
 def _evidence() -> Evidence:
@@ -299,18 +299,20 @@
 @pytest.mark.parametrize(
     ("status", "latency", "kind"),
     [
-        (i.Status.OK, 10, Kind.ANSWERED),
-        (i.Status.FULL, 10, Kind.ANSWERED),
-        (i.Status.CONNECT_FAILED, 1000, Kind.REFUSED),
-        (i.Status.CONNECT_FAILED, 400_000, Kind.UNREACHED),
-        (i.Status.RESET, 10, Kind.CUT),
-        (i.Status.TIMEOUT, 3 * S, Kind.SILENT),
-        (i.Status.TIMEOUT, 50_000, None),
-        (i.Status.CANCELLED, 3 * S, None),
-        (i.Status.NOT_SENT, 0, None),
+        (AttemptStatus.OK, 10, Kind.ANSWERED),
+        (AttemptStatus.OVERLOADED, 10, Kind.ANSWERED),
+        (AttemptStatus.CONNECT_FAILED, 1000, Kind.REFUSED),
+        (AttemptStatus.CONNECT_FAILED, 400_000, Kind.UNREACHED),
+        (AttemptStatus.RESET, 10, Kind.CUT),
+        (AttemptStatus.TIMEOUT, 3 * S, Kind.SILENT),
+        (AttemptStatus.TIMEOUT, 50_000, None),
+        (AttemptStatus.CANCELLED, 3 * S, None),
+        (AttemptStatus.NOT_SENT, 0, None),
     ],
 )
-def test_each_end_of_an_attempt_says_what_it_says(status: i.Status, latency: int, kind: Kind | None) -> None:
+def test_each_end_of_an_attempt_says_what_it_says(
+    status: AttemptStatus, latency: int, kind: Kind | None
+) -> None:
     assert kind_of(_ended("n0", status, latency), 400_000) is kind
 
 
@@ -318,10 +320,10 @@
     evidence = _evidence()
     for member in ("n0", "n1", "n2"):
         evidence.sent(S, member)
-        evidence.ended(S, _ended(member, i.Status.CONNECT_FAILED, 400_000))
+        evidence.ended(S, _ended(member, AttemptStatus.CONNECT_FAILED, 400_000))
     assert evidence.seen(S, "north").mostly_dark and "3 unreached" in evidence.seen(S, "north").cause()
     evidence.sent(2 * S, "n3")
-    evidence.ended(2 * S, _ended("n3", i.Status.FULL, 900_000))
+    evidence.ended(2 * S, _ended("n3", AttemptStatus.OVERLOADED, 900_000))
     assert not evidence.seen(2 * S, "north").mostly_dark, "one answers: slow or full, not lost"
     assert not evidence.seen(60 * S, "north").dark, "nothing is believed for long"
 
@@ -341,7 +343,7 @@
     evidence = _evidence()
     for member in ("n0", "n1", "n2"):
         evidence.sent(S, member)
-        evidence.ended(S + 1000, _ended(member, i.Status.CANCELLED, 1000))
+        evidence.ended(S + 1000, _ended(member, AttemptStatus.CANCELLED, 1000))
     assert not evidence.seen(20 * S, "north").dark
 
 
@@ -350,7 +352,7 @@
     evidence.fed(S)
     for member in ("n0", "n1", "n2", "p0"):
         evidence.sent(2 * S, member)
-        evidence.ended(2 * S, _ended(member, i.Status.CONNECT_FAILED, 400_000))
+        evidence.ended(2 * S, _ended(member, AttemptStatus.CONNECT_FAILED, 400_000))
     assert evidence.cut_off(3 * S, "west"), "all that was tried outside is dark, and nothing was heard since"
     evidence.fed(3 * S)
     assert not evidence.cut_off(3 * S, "west"), "the feed is heard: the outside is there"
@@ -365,9 +367,9 @@
     evidence = _evidence()
     for member in ("n0", "n1", "n2", "p0"):
         evidence.sent(S, member)
-    evidence.ended(S + 200_000, _ended("p0", i.Status.OK, 200_000))
+    evidence.ended(S + 200_000, _ended("p0", AttemptStatus.OK, 200_000))
     for member in ("n0", "n1", "n2"):
-        evidence.ended(2 * S, _ended(member, i.Status.CONNECT_FAILED, 400_000))
+        evidence.ended(2 * S, _ended(member, AttemptStatus.CONNECT_FAILED, 400_000))
     assert not evidence.cut_off(2 * S, "west"), "the list's source may be silent for so long"
     assert evidence.cut_off(S + 200_000 + SPEAKS_US + 1, "west")
 
@@ -378,20 +380,22 @@
     for member in ("n0", "n1", "n2"):
         evidence.sent(S, member)
         evidence.sent(S, member)
-    evidence.ended(S + 100_000, _ended("n0", i.Status.OK, 100_000))
+    evidence.ended(S + 100_000, _ended("n0", AttemptStatus.OK, 100_000))
     for member in ("n0", "n1", "n2"):
-        evidence.ended(S + 200_000, _ended(member, i.Status.CONNECT_FAILED, 1000))
+        evidence.ended(S + 200_000, _ended(member, AttemptStatus.CONNECT_FAILED, 1000))
     seen = evidence.seen(S + 600_000, "north")
     assert seen.mostly_dark and not seen.only_silent and seen.dark_since == S + 100_000
     evidence.sent(2 * S, "p0")
-    evidence.ended(3 * S, _ended("p0", i.Status.TIMEOUT, S))
+    evidence.ended(3 * S, _ended("p0", AttemptStatus.TIMEOUT, S))
     assert evidence.seen(3 * S, "hub").dark and not evidence.seen(3 * S, "hub").mostly_dark
 
 
 def test_another_process_under_a_name_starts_with_a_clean_slate() -> None:
     evidence = _evidence()
-    evidence.ended(S, _ended("n0", i.Status.CONNECT_FAILED, 1000))
+    evidence.ended(S, _ended("n0", AttemptStatus.CONNECT_FAILED, 1000))
     evidence.restarted("n0")
     assert evidence.seen(S, "north").tried == 0
     evidence.listed([("w0", "west")])
-    assert evidence.seen(S, "north").tried == 0 and evidence.ended(S, _ended("n0", i.Status.OK, 1)) is None
+    assert (
+        evidence.seen(S, "north").tried == 0 and evidence.ended(S, _ended("n0", AttemptStatus.OK, 1)) is None
+    )
--- a/tests/test_slow_and_failing_calls.py
+++ b/tests/test_slow_and_failing_calls.py
@@ -14,10 +14,10 @@
 
 import pytest
 
-from onyxwick import interface as i
 from onyxwick.core.clock import steady_us
 from onyxwick.core.ending import drain_schedule, termination_schedule
 from onyxwick.core.stall import StallWatch
+from onyxwick.interface import AttemptEnded, AttemptStatus, FailRequest, RejectRequest, SetTimer, TimerFired
 from onyxwick.net import coordinator, fastcgi, resp
 from onyxwick.net.buffer import Buffer
 from onyxwick.net.coordinator import Coordinator
@@ -209,7 +209,7 @@
 
 def test_who_connects_and_asks_while_the_front_closes_is_answered() -> None:
     async def play(ground: Ground, asks_after_s: float) -> None:
-        ground.script.arrived = lambda request: [i.Fail(request)]
+        ground.script.arrived = lambda request: [FailRequest(request)]
         client = await ground.client()
         await ground.until(lambda: ground.front.clients)
         ground.tasks.append(asyncio.get_running_loop().create_task(ground.front.sweep()))
@@ -255,7 +255,7 @@
             conn, resp.command(lifecycle.request.id.encode(), b"data", FOUND, b"walk")
         )
         await ground.until(lambda: ground.answers)
-        assert ground.script.ends() == [i.Status.OK]
+        assert ground.script.ends() == [AttemptStatus.OK]
 
     for number in (errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENOBUFS):
         played(partial(play, number=number))
@@ -296,7 +296,7 @@
         else:
             client.send(fastcgi.record(fastcgi.Type.ABORT, 2, b""))
         time.sleep(0.15)  # a long turn of the loop, in which nothing is read
-        ground.core.handle(i.TimerFired("hedge"))
+        ground.core.handle(TimerFired("hedge"))
         await ground.until(lambda: not ground.core.lifecycles)
         await asyncio.sleep(0.05)
         with pytest.raises(BlockingIOError):
@@ -429,10 +429,10 @@
         await asyncio.sleep(0.4)
         if hedge:
             ground.script.timer = lambda: ask(name, "c1")
-            ground.core.handle(i.TimerFired("hedge"))
+            ground.core.handle(TimerFired("hedge"))
         else:
             ground.script.ended = lambda request, status: (
-                ask(request, "c1") if status is i.Status.ERROR else []
+                ask(request, "c1") if status is AttemptStatus.ERROR else []
             )
             await loop.sock_sendall(conn, resp.command(name.encode(), b"failed", b"-", b""))
         told = _told_ms(await ground.read(await ground.accepted(second), name.encode()))
@@ -495,7 +495,7 @@
         events = _purge_lines(1, 400) + json.dumps(drain).encode() + b"\n"
         follower, _ = await _stopped(ground, stop_s, events)
         await ground.until(lambda: len(ground.script.ends()) == 2)
-        assert ground.script.ends()[1] is i.Status.NOT_SENT and follower.last == 401
+        assert ground.script.ends()[1] is AttemptStatus.NOT_SENT and follower.last == 401
 
     played(play)
 
@@ -519,15 +519,15 @@
     async def play(ground: Ground) -> None:
         cache, loop = ground.cache("c0"), asyncio.get_running_loop()
         due = ground.core.now() + 300_000
-        ground.script.arrived = lambda request: [*ask(request, "c0"), i.SetTimer(due, "hedge")]
+        ground.script.arrived = lambda request: [*ask(request, "c0"), SetTimer(due, "hedge")]
         lifecycle = ground.start()
         conn, name = await ground.accepted(cache), lifecycle.request.id.encode()
         await ground.read(conn, name)
         await loop.sock_sendall(conn, resp.command(name, b"data", FOUND, b"x"))
         time.sleep(0.6)
-        await ground.until(lambda: i.TimerFired("hedge") in ground.script.events)
-        fired = ground.script.events.index(i.TimerFired("hedge"))
-        assert any(isinstance(event, i.AttemptEnded) for event in ground.script.events[:fired])
+        await ground.until(lambda: TimerFired("hedge") in ground.script.events)
+        fired = ground.script.events.index(TimerFired("hedge"))
+        assert any(isinstance(event, AttemptEnded) for event in ground.script.events[:fired])
 
     played(play)
 
@@ -645,7 +645,7 @@
     async def play(ground: Ground) -> None:
         arrivals = list[int]()
         ground.script.arrived = lambda request: (
-            arrivals.append(ground.core.lifecycles[request].request.arrived_us) or [i.Refuse(request)]  # type: ignore[func-returns-value]
+            arrivals.append(ground.core.lifecycles[request].request.arrived_us) or [RejectRequest(request)]  # type: ignore[func-returns-value]
         )
         client = await ground.client()
         await ground.until(lambda: ground.front.clients)
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -15,7 +15,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from onyxwick import interface as i
+from onyxwick.interface import AnswerDetail, AttemptEnded, AttemptStatus, ForwardWithFill, RequestArrived
 from onyxwick.lab.traces import CLASSES, RULES, START, Clock, Maker, make
 from onyxwick.trace import format as f
 from onyxwick.trace.anonymise import Anonymiser
@@ -50,11 +50,11 @@
         now, kind = START + n * 10_000, ("site-video", "job-sheet", "booking")[n % 3]
         request = f"{n + 1:016x}"
         recorder.arrived(
-            now, i.RequestArrived(request, kind, f"{n % 7:016x}", 3 * S, group=n % 5, tenant="t1")
+            now, RequestArrived(request, kind, f"{n % 7:016x}", 3 * S, object_group=n % 5, tenant="t1")
         )
-        recorder.decided(now, i.Fetch(request, "box-1", "parent-1", 1), Belief(Why.HOME, 2, 1.0))
+        recorder.decided(now, ForwardWithFill(request, "box-1", "parent-1", 1), Belief(Why.HOME, 2, 1.0))
         recorder.sent(request, 0, now + 500)
-        end = i.AttemptEnded(request, 0, "box-1", i.Status.OK, 9_000, True, i.Detail.HIT)
+        end = AttemptEnded(request, 0, "box-1", AttemptStatus.OK, 9_000, True, AnswerDetail.HIT)
         recorder.ended(now + 9_000, end, now - S)
         recorder.finished(now + 9_100, request, Verdict.SERVED, Why.ANSWERED, 0, 100)
         if n % 16 == 15:
@@ -240,7 +240,7 @@
     assert sink.counts.blocks == 2 and sink.counts.files == 2
     recorder = Recorder(START, lambda block: False, frozenset())
     for n in range(10):
-        recorder.arrived(START, i.RequestArrived(f"{n:016x}", "job-sheet", "0" * 16, S))
+        recorder.arrived(START, RequestArrived(f"{n:016x}", "job-sheet", "0" * 16, S))
         recorder.finished(START + 5, f"{n:016x}", Verdict.REFUSED, Why.NO_BOX, 0, 0)
     recorder.flush(START + 9)
     assert recorder.dropped == 10 and not recorder.block.lives["id"]
