--- a/examples/toy.py
+++ b/examples/toy.py
@@ -20,7 +20,7 @@
 
 
 async def cache(name: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    parser = resp.Parser()
+    parser = resp.RespParser()
     while data := await reader.read(65_536):
         parser.buffer.feed(data)
         for words in parser.messages():
@@ -73,11 +73,11 @@
         (fastcgi.PARAMS, b""),
         (fastcgi.STDIN, b""),
     ):
-        writer.write(fastcgi.record(fastcgi.Type(kind), 1, content))
+        writer.write(fastcgi.record(fastcgi.RecordType(kind), 1, content))
     data = await reader.read()
     while data:
         _, kind, _, size, pad = fastcgi.HEADER.unpack_from(data)
-        if kind == fastcgi.Type.STDOUT:
+        if kind == fastcgi.RecordType.STDOUT:
             print(data[8 : 8 + size].decode(), end="")
         data = data[8 + size + pad :]
     writer.close()
--- a/onyxwick/admin/api.py
+++ b/onyxwick/admin/api.py
@@ -12,11 +12,11 @@
 from onyxwick.config.service import TOKEN_LEAST
 from onyxwick.counters import Counters
 from onyxwick.tenants import (
-    Exists,
+    AlreadyExistsError,
     Tenant,
     TenantError,
     Tenants,
-    Zone,
+    TenantZone,
     read_key,
     read_name,
     read_quota,
@@ -53,7 +53,7 @@
         caller = self._caller(request)
         try:
             return self._route(request, path, caller)
-        except Exists as error:
+        except AlreadyExistsError as error:
             raise HttpError(409, str(error)) from None
         except TenantError as error:
             raise HttpError(400, str(error)) from None
@@ -186,7 +186,7 @@
             return 204, None
         return 200, {**self._zone_shown(held), "text": held.data.to_text(relativize=False)}
 
-    def _zone_shown(self, zone: Zone) -> dict[str, object]:
+    def _zone_shown(self, zone: TenantZone) -> dict[str, object]:
         soa = zone.data.find_rdataset(zone.name, dns.rdatatype.SOA)
         return {
             "name": str(zone.name),
--- a/onyxwick/admin/cells.py
+++ b/onyxwick/admin/cells.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from onyxwick.admin.http import HttpError, HttpRequest
-from onyxwick.cells import Conflict, Control, PlanError
+from onyxwick.cells import PlanVersionConflictError, CellPlanControl, PlanError
 from onyxwick.cells.shown import explain, show
 from onyxwick.config import ConfigError
 from onyxwick.config.cells import json_of_plan, plan_of_json
@@ -18,13 +18,13 @@
     """Calls under /cells. A change names the version that it was made for in `If-Match`, or in the field
     `version` beside the plan; without either it is made for whatever runs."""
 
-    def __init__(self, control: Control) -> None:
+    def __init__(self, control: CellPlanControl) -> None:
         self.control = control
 
     def __call__(self, request: HttpRequest, path: list[str]) -> Answer:
         try:
             return self._route(request, path)
-        except Conflict as error:
+        except PlanVersionConflictError as error:
             raise HttpError(409, str(error), {"ETag": f'"{error.runs}"'}) from None
         except (ConfigError, PlanError) as error:
             raise HttpError(400, str(error)) from None
--- a/onyxwick/admin/durable.py
+++ b/onyxwick/admin/durable.py
@@ -12,11 +12,11 @@
 from onyxwick.admin.http import HttpError, HttpRequest
 from onyxwick.admin.sites import SitesApi
 from onyxwick.config.cells import json_of_plan
-from onyxwick.core import Core
+from onyxwick.core import RequestEngine
 from onyxwick.sites import kept
-from onyxwick.store import Op, StoreError
-from onyxwick.store.durable import Durable, fill_tenant, pack, tenant_rows
-from onyxwick.store.recovery import Drain
+from onyxwick.store import WriteOperation, StoreError
+from onyxwick.store.durable import DurableState, fill_tenant, pack, tenant_rows
+from onyxwick.store.recovery import MemberDrain
 from onyxwick.tenants import Tenant
 
 
@@ -24,7 +24,7 @@
     """Wraps the API's calls: one change at a time; done in memory, made durable, answered; undone where the
     store refuses."""
 
-    def __init__(self, api: Api, durable: Durable, core: Core) -> None:
+    def __init__(self, api: Api, durable: DurableState, core: RequestEngine) -> None:
         self.api, self.durable, self.core = api, durable, core
         self.lock = asyncio.Lock()
 
@@ -68,7 +68,7 @@
         sites.take(order)
         return answer
 
-    async def _commit(self, ops: list[Op], key: str, mark: str, answer: Answer) -> None:
+    async def _commit(self, ops: list[WriteOperation], key: str, mark: str, answer: Answer) -> None:
         now = time.time_ns() // 1000
         if key and ops:
             row = {"mark": mark, "status": answer[0], "data": answer[1], "at_us": now}
@@ -92,7 +92,7 @@
         ops = self.durable.tenant_changes(name, tenants.tenants.get(name)) if name else []
         if cells is not None and cells.control.plan is not plan:
             row = {"version": cells.control.plan.version, "plan": json_of_plan(cells.control.plan)}
-            ops.append(Op("plan/now", pack("plan/now", row)))
+            ops.append(WriteOperation("plan/now", pack("plan/now", row)))
         try:
             await self._commit(ops, key, mark, (status, data))
         except HttpError:
@@ -123,7 +123,7 @@
 
     # ---- drains -----------------------------------------------------------------------------------------
 
-    def _drains(self, request: HttpRequest, path: list[str]) -> tuple[int, object, list[Op]]:
+    def _drains(self, request: HttpRequest, path: list[str]) -> tuple[int, object, list[WriteOperation]]:
         """An operator's drains: nothing new goes to the member until the drain is lifted, over restarts
         too."""
         drains = self.durable.recovery.drains
@@ -136,16 +136,16 @@
                     raise HttpError(404, f"no member '{member}' on the list")
                 reason = str(request.json().get("reason", ""))[:256]
                 since = self.core.members.listed[member].started_at_us
-                drain = Drain(member, "operator", since, reason, self.core.now())
+                drain = MemberDrain(member, "operator", since, reason, self.core.now())
                 self.pending = drain
                 return 200, {"member": member, "draining": True}, [self.durable.drain_op(drain)]
             case "DELETE", [member]:
                 known = member in drains
-                ops = [Op(f"drain/{member}", None)] if known else []
+                ops = [WriteOperation(f"drain/{member}", None)] if known else []
                 return 200, {"member": member, "lifted": known}, ops
         raise HttpError(404, "nothing here")
 
-    pending: Drain | None = None
+    pending: MemberDrain | None = None
 
     def _drains_hold(self, path: list[str], method: str) -> None:
         """After the drain (or its lifting) is durable it binds the next decision."""
--- a/onyxwick/admin/sites.py
+++ b/onyxwick/admin/sites.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from onyxwick.admin.http import HttpError, HttpRequest
-from onyxwick.sites import Order, OrderError, Sites, read_order
+from onyxwick.sites import SiteCommand, SiteCommandError, SiteRouter, read_order
 from onyxwick.sites.shown import explain, show
 
 Answer = tuple[int, object]
@@ -14,7 +14,7 @@
 class SitesApi:
     """Calls under /sites. Orders are taken where they can be kept: see `admin/durable.py`."""
 
-    def __init__(self, sites: Sites, clock: Callable[[], int], flush: Callable[[], None]) -> None:
+    def __init__(self, sites: SiteRouter, clock: Callable[[], int], flush: Callable[[], None]) -> None:
         self.sites, self.clock, self.flush = sites, clock, flush
 
     def __call__(self, request: HttpRequest, path: list[str]) -> Answer:
@@ -35,16 +35,16 @@
                 )
         raise HttpError(404, "nothing here")
 
-    def order(self, request: HttpRequest, site: str) -> Order:
+    def order(self, request: HttpRequest, site: str) -> SiteCommand:
         """The order that a call asks for; HttpError where it cannot be taken."""
         if site not in self.sites.watch.lives:
             raise HttpError(404, f"no site '{site}'")
         try:
             return read_order(site, request.json(), self.clock())
-        except OrderError as error:
+        except SiteCommandError as error:
             raise HttpError(400, str(error)) from None
 
-    def take(self, order: Order) -> None:
+    def take(self, order: SiteCommand) -> None:
         """An order that is durable binds from now on."""
         self.sites.order(self.clock(), order)
         self.flush()
--- a/onyxwick/cells/__init__.py
+++ b/onyxwick/cells/__init__.py
@@ -1,18 +1,18 @@
 """Cells: each tenant or key range confined to a part of the fleet, and moved while it serves. No I/O here."""
 
-from onyxwick.cells.control import Conflict, Control
-from onyxwick.cells.fleet import Cells
-from onyxwick.cells.model import Cell, KeyRange, MoveOrder, Plan, PlanError, Policy, Tenant
+from onyxwick.cells.control import PlanVersionConflictError, CellPlanControl
+from onyxwick.cells.fleet import CellRouter
+from onyxwick.cells.model import Cell, KeyRange, MigrationSpec, CellPlan, PlanError, CellPolicy, TenantSpec
 
 __all__ = [
     "Cell",
-    "Cells",
-    "Conflict",
-    "Control",
+    "CellRouter",
+    "PlanVersionConflictError",
+    "CellPlanControl",
     "KeyRange",
-    "MoveOrder",
-    "Plan",
+    "MigrationSpec",
+    "CellPlan",
     "PlanError",
-    "Policy",
-    "Tenant",
+    "CellPolicy",
+    "TenantSpec",
 ]
--- a/onyxwick/cells/admission.py
+++ b/onyxwick/cells/admission.py
@@ -5,9 +5,9 @@
 import random
 from collections.abc import Iterable
 
-from onyxwick.cells.limits import Gate, Pool, Rates
-from onyxwick.cells.model import Plan, Tenant
-from onyxwick.cells.unit import Home, Unit
+from onyxwick.cells.limits import AdmissionGate, ReservedPool, TenantRates
+from onyxwick.cells.model import CellPlan, TenantSpec
+from onyxwick.cells.unit import CellRequestOwner, ActiveCell
 from onyxwick.interface import Idempotency, RequestClass, RouterSettings
 
 S = 1_000_000
@@ -19,12 +19,12 @@
     """0 for the class that is shed first, 1 for the last one: what may not run twice, then by worth."""
     order = sorted(
         classes,
-        key=lambda c: (c.idempotency is Idempotency.NON_IDEMPOTENT or c.write, c.priority_weight, c.name),
+        key=lambda c: (c.idempotency is Idempotency.NON_IDEMPOTENT or c.is_write, c.priority_weight, c.name),
     )
     return {c.name: n / max(1, len(order) - 1) for n, c in enumerate(order)}
 
 
-class Admission:
+class CellAdmission:
     """The bounds of one director's cells. No cell's overload reaches another's reserve of any of them."""
 
     def __init__(self, settings: RouterSettings, most_open: int, seed: int) -> None:
@@ -32,17 +32,17 @@
         self.random = random.Random(seed)
         self.now = 0
         self.priority = priorities(settings.classes)
-        self.rates = Rates(lambda: self.now / S)
-        self.pool = Pool(most_open, 0.0, {})
-        self.writes = Gate(most_open)  # at the origin, which all cells share; its owners are the cells
+        self.rates = TenantRates(lambda: self.now / S)
+        self.pool = ReservedPool(most_open, 0.0, {})
+        self.writes = AdmissionGate(most_open)  # at the origin, which all cells share; its owners are the cells
         self.weights: dict[str, float] = {}
         self.open_of: dict[tuple[str, str], int] = {}  # (tenant, cell): requests under way
         self.of_tenant: dict[str, int] = {}
 
-    def arrange(self, plan: Plan, units: dict[str, Unit]) -> None:
+    def arrange(self, plan: CellPlan, units: dict[str, ActiveCell]) -> None:
         """The bounds that a plan gives; what is under way stays counted."""
         self.weights = {cell.name: cell.weight for cell in plan.cells.values()}
-        self.pool = Pool(self.most_open, plan.policy.reserved, self.weights)
+        self.pool = ReservedPool(self.most_open, plan.policy.reserved, self.weights)
         self.writes.whole = sum(self.weights.values())
         for name, unit in units.items():
             if name in self.weights:
@@ -50,7 +50,7 @@
                 unit.gate.adaptive.bound(self.pool.most(name))
         self.rates.set({t.name: t.rate_per_s for t in plan.tenants.values()})
 
-    def refusal(self, unit: Unit, tenant: Tenant, kind: RequestClass, guest: bool) -> str | None:
+    def refusal(self, unit: ActiveCell, tenant: TenantSpec, kind: RequestClass, guest: bool) -> str | None:
         """Why a request is not let in, or None. A `guest` has fallen back on this cell."""
         gate = unit.gate
         if guest and gate.open >= SPARE * gate.adaptive.limit:
@@ -59,14 +59,14 @@
             return "tenant_open"
         if unit.name in self.weights and not self.pool.fits(unit.name):
             return "cell_open"
-        if kind.write and (why := self.writes.refusal(unit.name, 1.0)):
+        if kind.is_write and (why := self.writes.refusal(unit.name, 1.0)):
             return f"writes_{why}"
         return gate.refusal(tenant.name, self.priority[kind.name])
 
-    def _weight(self, unit: Unit) -> float:
+    def _weight(self, unit: ActiveCell) -> float:
         return self.weights.get(unit.name, 1.0)
 
-    def wait_us(self, unit: Unit | None, kind: RequestClass) -> int:
+    def wait_us(self, unit: ActiveCell | None, kind: RequestClass) -> int:
         """By when a place should be free: by Little's law a full gate frees one each `place_us / limit`, and
         all that are refused meanwhile want one too."""
         if unit is None:
@@ -81,21 +81,21 @@
         spread = int(max(LEAST_WAIT_US, wait_us) * self.random.uniform(0.5, 1.5))
         return min(self.limits.max_retry_after_us or spread, spread)
 
-    def enter(self, unit: Unit, tenant: Tenant, home: Home) -> None:
+    def enter(self, unit: ActiveCell, tenant: TenantSpec, home: CellRequestOwner) -> None:
         unit.open += 1
         unit.gate.enter(tenant.name, tenant.weight)
         if unit.name in self.weights:
             self.pool.change(unit.name, 1)
-        if home.kind.write:
+        if home.kind.is_write:
             self.writes.enter(unit.name, self._weight(unit))
         key = (tenant.name, unit.name)
         self.open_of[key] = self.open_of.get(key, 0) + 1
         self.of_tenant[tenant.name] = self.of_tenant.get(tenant.name, 0) + 1
 
-    def leave(self, unit: Unit, home: Home) -> None:
+    def leave(self, unit: ActiveCell, home: CellRequestOwner) -> None:
         unit.open -= 1
         unit.gate.leave(home.tenant)
-        if home.kind.write:
+        if home.kind.is_write:
             self.writes.leave(unit.name)
         if unit.name in self.weights:
             self.pool.change(unit.name, -1)
@@ -107,8 +107,8 @@
         if not self.of_tenant[home.tenant]:
             del self.of_tenant[home.tenant]
 
-    def learn(self, now: int, unit: Unit, kind: RequestClass, late: bool) -> None:
-        gate = self.writes if kind.write else unit.gate
+    def learn(self, now: int, unit: ActiveCell, kind: RequestClass, late: bool) -> None:
+        gate = self.writes if kind.is_write else unit.gate
         gate.adaptive.ended(now, late, kind.latency_objective_us, gate.open)
 
     def open_in(self, tenant: str, cells: Iterable[str], inside: bool) -> int:
--- a/onyxwick/cells/arbiter.py
+++ b/onyxwick/cells/arbiter.py
@@ -16,12 +16,12 @@
 
 
 @dataclass(slots=True)
-class Escrow:
+class QuotaReservation:
     amount: float
     free_at: int
 
 
-class Arbiter:
+class ShareArbiter:
     """Parts of one, by weight and demand. `window_us`: how long a part that was taken may have been used."""
 
     def __init__(self, weights: dict[str, float], window_us: int, floor: float = FLOOR) -> None:
@@ -30,7 +30,7 @@
         self.weights: dict[str, float] = {}
         self.parts: dict[str, float] = {}
         self.demand: dict[str, float] = {}
-        self.escrow: deque[Escrow] = deque()
+        self.escrow: deque[QuotaReservation] = deque()
         self.weights = dict(weights)
         total = sum(weights.values()) or 1.0
         self.parts = {name: weight / total for name, weight in weights.items()}
@@ -43,7 +43,7 @@
     def cells(self, now: int, weights: dict[str, float]) -> dict[str, float]:
         """Other cells from now on. One that is new begins with nothing and is given its part as it frees."""
         for name in [n for n in self.parts if n not in weights]:
-            self.escrow.append(Escrow(self.parts.pop(name), now + self.window_us))
+            self.escrow.append(QuotaReservation(self.parts.pop(name), now + self.window_us))
             del self.demand[name]
         for name in weights:
             self.parts.setdefault(name, 0.0)
@@ -68,7 +68,7 @@
             self.escrow.popleft()
         for name, target in targets.items():
             if self.parts[name] - target > STEP:
-                self.escrow.append(Escrow(self.parts[name] - target, now + self.window_us))
+                self.escrow.append(QuotaReservation(self.parts[name] - target, now + self.window_us))
                 self.parts[name] = target
         free = 1.0 - sum(self.parts.values()) - sum(e.amount for e in self.escrow)
         lacking = {n: t - self.parts[n] for n, t in targets.items() if t - self.parts[n] > 0}
--- a/onyxwick/cells/control.py
+++ b/onyxwick/cells/control.py
@@ -5,11 +5,11 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from onyxwick.cells.fleet import Cells
-from onyxwick.cells.model import Plan
+from onyxwick.cells.fleet import CellRouter
+from onyxwick.cells.model import CellPlan
 
 
-class Conflict(Exception):
+class PlanVersionConflictError(Exception):
     """The change was made for another version than the one that runs."""
 
     def __init__(self, asked: int, runs: int) -> None:
@@ -17,17 +17,17 @@
         self.runs = runs
 
 
-class Control:
+class CellPlanControl:
     """The only way to change a running plan. `flush` hands what a change leads to on to the core."""
 
-    def __init__(self, cells: Cells, clock: Callable[[], int], flush: Callable[[], None]) -> None:
+    def __init__(self, cells: CellRouter, clock: Callable[[], int], flush: Callable[[], None]) -> None:
         self.cells, self.clock, self.flush = cells, clock, flush
 
     @property
-    def plan(self) -> Plan:
+    def plan(self) -> CellPlan:
         return self.cells.plan
 
-    def change(self, plan: Plan, made_for: int | None = None) -> bool:
+    def change(self, plan: CellPlan, made_for: int | None = None) -> bool:
         """Run another plan; True if anything changed.
 
         The same plan again changes nothing and is no conflict: a call repeated for want of an answer finds
@@ -36,7 +36,7 @@
         if plan.same(self.plan):
             return False
         if made_for is not None and made_for != self.plan.version:
-            raise Conflict(made_for, self.plan.version)
+            raise PlanVersionConflictError(made_for, self.plan.version)
         self.cells.apply(self.clock(), replace(plan, version=self.plan.version + 1))
         self.flush()
         return True
--- a/onyxwick/cells/fleet.py
+++ b/onyxwick/cells/fleet.py
@@ -11,13 +11,13 @@
 from collections import deque
 from dataclasses import replace
 
-from onyxwick.cells.admission import Admission
-from onyxwick.cells.arbiter import Arbiter
-from onyxwick.cells.model import Plan, Tenant, check
-from onyxwick.cells.moves import ENDED, Move, Phase, Signs
-from onyxwick.cells.placement import word
-from onyxwick.cells.roster import Roster
-from onyxwick.cells.unit import Home, Unit
+from onyxwick.cells.admission import CellAdmission
+from onyxwick.cells.arbiter import ShareArbiter
+from onyxwick.cells.model import CellPlan, TenantSpec, check
+from onyxwick.cells.moves import ENDED, Migration, MigrationPhase, CellHealthSignals
+from onyxwick.cells.placement import stable_hash
+from onyxwick.cells.roster import CellMembership
+from onyxwick.cells.unit import CellRequestOwner, ActiveCell
 from onyxwick.interface import (
     Action,
     AttemptEnded,
@@ -51,25 +51,25 @@
 COUNTS_MOST = 4096  # names counted
 
 
-class Cells:
+class CellRouter:
     """The decider of a director with cells."""
 
-    def __init__(self, settings: RouterSettings, seed: int, now: int, plan: Plan, most_open: int) -> None:
+    def __init__(self, settings: RouterSettings, seed: int, now: int, plan: CellPlan, most_open: int) -> None:
         self.set, self.now = settings, now
         self.plan = check(plan)
-        self.random = random.Random(seed ^ word("cells"))
+        self.random = random.Random(seed ^ stable_hash("cells"))
         self.classes = {c.name: c for c in settings.classes}
-        self.roster = Roster(settings, plan)
-        self.admission = Admission(settings, most_open, seed ^ word("admission"))
-        self.units: dict[str, Unit] = {}
-        self.requests: dict[str, Home] = {}
+        self.roster = CellMembership(settings, plan)
+        self.admission = CellAdmission(settings, most_open, seed ^ stable_hash("admission"))
+        self.units: dict[str, ActiveCell] = {}
+        self.requests: dict[str, CellRequestOwner] = {}
         self.purges: deque[tuple[int, ObjectsPurged]] = deque(maxlen=PURGES_MOST)
-        self.moves: dict[str, Move] = {}
-        self.of_tenant: dict[str, list[Move]] = {}
+        self.moves: dict[str, Migration] = {}
+        self.of_tenant: dict[str, list[Migration]] = {}
         self.counts: dict[str, int] = {}
         self.shed_now: dict[str, str] = {}  # refused by the last `handle` before any router saw it, and why
         self.out: list[Action] = []
-        self.arbiter = Arbiter(self._weights(), settings.rules.overload_window_us + TICK_US)
+        self.arbiter = ShareArbiter(self._weights(), settings.rules.overload_window_us + TICK_US)
         self.ticks = 0
         self._arrange()
         self._pass_parts(self.arbiter.parts)
@@ -124,7 +124,7 @@
         if unit := self.units.get(name):
             self._pass(unit, [TimerFired(inner)])
 
-    def _pass(self, unit: Unit, events: list[Event]) -> None:
+    def _pass(self, unit: ActiveCell, events: list[Event]) -> None:
         """Events to one cell's router; its actions are taken note of and passed on."""
         for action in unit.router.handle(self.now, events):
             match action:
@@ -169,12 +169,12 @@
         reason = self.admission.refusal(unit, tenant, kind, guest)
         if reason is not None:
             return self._shed(ask, tenant, reason, self.admission.wait_us(unit, kind))
-        home = self.requests[ask.request_id] = Home(unit.name, tenant.name, kind, self.now)
+        home = self.requests[ask.request_id] = CellRequestOwner(unit.name, tenant.name, kind, self.now)
         self.admission.enter(unit, tenant, home)
         self._pass(unit, [ask])
         return None
 
-    def _shed(self, ask: RequestArrived, tenant: Tenant, reason: str, wait_us: int) -> None:
+    def _shed(self, ask: RequestArrived, tenant: TenantSpec, reason: str, wait_us: int) -> None:
         """Refused before any router saw it: at once, and with a time to return where the settings allow."""
         self._count(f"shed.{reason}.{tenant.name}")
         self.shed_now[ask.request_id] = reason
@@ -183,17 +183,17 @@
     def targets(self, tenant: str, name: str) -> tuple[str, ...]:
         """The cells for an object at this instant, moves included, the right one first."""
         for move in self.of_tenant.get(tenant, ()):
-            key = word(name)
+            key = stable_hash(name)
             if move.covers(key) and move.takes(key):
                 at = key % len(move.order.to)
                 return move.order.to[at:] + move.order.to[:at]
         return self.roster.placement.candidates(tenant, name)
 
-    def _unit_for(self, tenant: Tenant, name: str, kind: RequestClass) -> tuple[Unit | None, bool]:
+    def _unit_for(self, tenant: TenantSpec, name: str, kind: RequestClass) -> tuple[ActiveCell | None, bool]:
         """The cell that takes a request, and whether as a guest; None where all its cells have lost their
         boxes and no fallback is named."""
         cells = self.targets(tenant.name, name)
-        if kind.write and self.set.cache_bypass:
+        if kind.is_write and self.set.cache_bypass:
             return self.units[cells[0]], False  # it runs at the origin: boxes are no matter
         for cell in cells:
             if self.alive(cell):
@@ -225,11 +225,11 @@
         home.over |= event.is_final  # also of a naming, whose end nobody saw
         self._close(event.request_id, home)
 
-    def _over(self, request: str, home: Home) -> None:
+    def _over(self, request: str, home: CellRequestOwner) -> None:
         home.over = True
         self._close(request, home)
 
-    def _close(self, request: str, home: Home) -> None:
+    def _close(self, request: str, home: CellRequestOwner) -> None:
         """Forget a request once it is answered and nothing of it runs."""
         if not home.over or home.out > 0 or request not in self.requests:
             return
@@ -258,7 +258,7 @@
             if changed or left:
                 self._pass(unit, [EndpointsChanged(EndpointListKind.CHANGE, (*changed, *left))])
 
-    def apply(self, now: int, plan: Plan) -> None:
+    def apply(self, now: int, plan: CellPlan) -> None:
         """Another plan from this instant on, whole; PlanError and nothing changed where it does not fit.
 
         Requests under way stay with the cell that took them. What this leads to comes from the next `handle`.
@@ -286,7 +286,7 @@
         self.admission.arrange(self.plan, self.units)
         self._order_moves()
 
-    def _unit(self, index: int, name: str, weight: float) -> Unit:
+    def _unit(self, index: int, name: str, weight: float) -> ActiveCell:
         """A new cell with a module of its own. Its turn for cold members is its own, its burst of retries a
         part of the director's, and the purges of before bind it as they bind the others."""
         settings = replace(self.set, router_index=self.set.router_index * len(self.plan.cells) + index)
@@ -295,7 +295,7 @@
         router = Router(settings, self.random.getrandbits(64), self.now)
         share = weight / sum(self._weights().values())
         router.burst = router.retries = max(4.0, router.burst * share)
-        unit = Unit(name, router, self.admission.most_open)
+        unit = ActiveCell(name, router, self.admission.most_open)
         told = [replace(p, age_us=p.age_us + self.now - at) for at, p in self.purges]
         self._pass(unit, [*told])
         if name not in self.arbiter.parts:  # it is given its part when others' has left the window
@@ -307,7 +307,7 @@
         for name, order in self.plan.moves.items():
             held = self.moves.get(name)
             if held is None or (held.order != order and held.phase in ENDED):
-                self.moves[name] = Move(order, self.now)
+                self.moves[name] = Migration(order, self.now)
             elif held.order != order:
                 held.abort(self.now, "the plan changed it")
         for name in [n for n in self.moves if n not in self.plan.moves]:
@@ -331,21 +331,21 @@
         if self.roster.let_go(self.now, self.plan.policy.seat_us):
             self._tell_lists()
 
-    def _step(self, name: str, move: Move) -> None:
+    def _step(self, name: str, move: Migration) -> None:
         before = move.phase
         if before not in ENDED:
             move.step(self.now, self._signs(move))
         if move.phase is not before:
             self.out.append(LogMessage(f"move {name}: {before.value} to {move.phase.value}: {move.why}"))
-        if move.phase is Phase.ABORTED and self.plan.moves.get(name) != move.order:
+        if move.phase is MigrationPhase.ABORTED and self.plan.moves.get(name) != move.order:
             del self.moves[name]
             self._order_moves()
 
-    def _signs(self, move: Move) -> Signs:
+    def _signs(self, move: Migration) -> CellHealthSignals:
         to, tenant, roster = move.order.to, move.order.tenant, self.roster
         target = [self.units[cell] for cell in to if cell in self.units]
         old = [c for c in roster.placement.home_of.get(tenant, ()) if c not in to]
-        return Signs(
+        return CellHealthSignals(
             seats=roster.seats_here(to),
             ready=sum(unit.ready for unit in target),
             warmth=roster.warmth(to, self.now),
--- a/onyxwick/cells/holding.py
+++ b/onyxwick/cells/holding.py
@@ -5,22 +5,22 @@
 
 from collections.abc import Callable
 
-from onyxwick.cells.fleet import Cells
-from onyxwick.cells.limits import Pool
+from onyxwick.cells.fleet import CellRouter
+from onyxwick.cells.limits import ReservedPool
 
 
-class Holding:
+class ConnectionReservation:
     """Counts by cell. A tenant counts for the first cell of its home, wherever its objects go."""
 
-    def __init__(self, cells: Cells, most_bytes: int, most_clients: int) -> None:
+    def __init__(self, cells: CellRouter, most_bytes: int, most_clients: int) -> None:
         self.cells, self.most = cells, (most_bytes, most_clients)
         self.plan = cells.plan
         self.bytes, self.clients = self._pools()
 
-    def _pools(self) -> tuple[Pool, Pool]:
+    def _pools(self) -> tuple[ReservedPool, ReservedPool]:
         weights = {cell.name: cell.weight for cell in self.plan.cells.values()}
         reserved = self.plan.policy.reserved
-        return Pool(self.most[0], reserved, weights), Pool(self.most[1], reserved, weights)
+        return ReservedPool(self.most[0], reserved, weights), ReservedPool(self.most[1], reserved, weights)
 
     def _renew(self) -> None:
         """Another plan has other cells: what is held stays counted where its cell is still there."""
--- a/onyxwick/cells/limits.py
+++ b/onyxwick/cells/limits.py
@@ -17,7 +17,7 @@
 PRESSED = 0.6  # of a limit in use from where on each tenant is held to its fair part
 
 
-class Adaptive:
+class AdaptiveLimit:
     """A limit on concurrency, learned from whether answers come within their class's aim.
 
     Additive increase, multiplicative decrease, which makes independent limits on one resource converge to
@@ -49,14 +49,14 @@
 
 
 @dataclass(slots=True)
-class Account:
+class OwnerAccount:
     """One owner's place at a gate."""
 
     weight: float
     open: int = 0
 
 
-class Gate:
+class AdmissionGate:
     """Admits up to a limit: the less a class is worth the earlier it is shed, and under pressure nobody may
     hold more than its fair part.
 
@@ -66,9 +66,9 @@
     """
 
     def __init__(self, most: float, whole: float = 0.0) -> None:
-        self.adaptive = Adaptive(most)
+        self.adaptive = AdaptiveLimit(most)
         self.whole = whole
-        self.accounts: dict[str, Account] = {}  # of those with something under way
+        self.accounts: dict[str, OwnerAccount] = {}  # of those with something under way
         self.open = 0
         self.active = 0.0  # weights of those
 
@@ -86,7 +86,7 @@
     def enter(self, owner: str, weight: float) -> None:
         account = self.accounts.get(owner)
         if account is None:
-            account = self.accounts[owner] = Account(weight)
+            account = self.accounts[owner] = OwnerAccount(weight)
             self.active += weight
         account.open += 1
         self.open += 1
@@ -104,7 +104,7 @@
         return account.open if account else 0
 
 
-class Pool:
+class ReservedPool:
     """A bound on something countable, split between cells: each has a reserve that no other can reach, and
     the rest is lent, at most half of it to one."""
 
@@ -134,7 +134,7 @@
         self.lent += max(0.0, self.used[name] - self.reserve[name]) - before
 
 
-class Rates:
+class TenantRates:
     """The tenants' rates at this director, each counted for itself alone."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
--- a/onyxwick/cells/model.py
+++ b/onyxwick/cells/model.py
@@ -38,12 +38,12 @@
     last: int
     cells: tuple[str, ...]
 
-    def overlaps(self, other: KeyRange | MoveOrder) -> bool:
+    def overlaps(self, other: KeyRange | MigrationSpec) -> bool:
         return self.first <= other.last and other.first <= self.last
 
 
 @dataclass(frozen=True, slots=True)
-class Tenant:
+class TenantSpec:
     """Who asks. Its cells are named, or `span` of them are chosen by shuffle sharding."""
 
     name: str
@@ -56,7 +56,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MoveOrder:
+class MigrationSpec:
     """A tenant, or a key range of it, is to go to other cells. `begins_us`: Unix time, 0 for at once."""
 
     name: str
@@ -68,12 +68,12 @@
     warm_us: int = WARM_US  # in which the share of the new cells grows to all, at the fastest
     bake_us: int = BAKE_US  # after the cut, before the old cells are let go
 
-    def overlaps(self, other: KeyRange | MoveOrder) -> bool:
+    def overlaps(self, other: KeyRange | MigrationSpec) -> bool:
         return self.first <= other.last and other.first <= self.last
 
 
 @dataclass(frozen=True, slots=True)
-class Policy:
+class CellPolicy:
     """What holds for all cells of a director."""
 
     tenant_field: str = TENANT_FIELD  # the request field that names the tenant
@@ -83,26 +83,26 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
+class CellPlan:
     cells: Mapping[str, Cell]
-    tenants: Mapping[str, Tenant] = field(default_factory=dict)
-    moves: Mapping[str, MoveOrder] = field(default_factory=dict)
-    policy: Policy = field(default_factory=Policy)
+    tenants: Mapping[str, TenantSpec] = field(default_factory=dict)
+    moves: Mapping[str, MigrationSpec] = field(default_factory=dict)
+    policy: CellPolicy = field(default_factory=CellPolicy)
     version: int = 1
 
-    def same(self, other: Plan) -> bool:
+    def same(self, other: CellPlan) -> bool:
         """The same but for the version."""
         mine = (self.cells, self.tenants, self.moves, self.policy)
         return mine == (other.cells, other.tenants, other.moves, other.policy)
 
 
-def _known(plan: Plan, kind: str, name: str, field_name: str, cells: tuple[str, ...]) -> None:
+def _known(plan: CellPlan, kind: str, name: str, field_name: str, cells: tuple[str, ...]) -> None:
     for cell in cells:
         if cell not in plan.cells:
             raise PlanError(kind, name, field_name, f"there is no cell '{cell}'")
 
 
-def _check_cell(plan: Plan, cell: Cell, claimed: dict[str, str]) -> None:
+def _check_cell(plan: CellPlan, cell: Cell, claimed: dict[str, str]) -> None:
     for member in cell.members:
         if member in claimed:
             text = f"'{member}' is listed in cell '{claimed[member]}' too; a box has one cell"
@@ -118,7 +118,7 @@
         raise PlanError("cell", cell.name, "fallback", text)
 
 
-def _check_tenant(plan: Plan, tenant: Tenant) -> None:
+def _check_tenant(plan: CellPlan, tenant: TenantSpec) -> None:
     _known(plan, "tenant", tenant.name, "cells", tenant.cells)
     if not tenant.cells and tenant.span > len(plan.cells):
         text = f"{tenant.span} cells are wanted and there are {len(plan.cells)}"
@@ -130,7 +130,7 @@
             raise PlanError("tenant", tenant.name, "ranges", text)
 
 
-def _check_move(plan: Plan, move: MoveOrder, before: list[MoveOrder]) -> None:
+def _check_move(plan: CellPlan, move: MigrationSpec, before: list[MigrationSpec]) -> None:
     if move.tenant not in plan.tenants:
         raise PlanError("move", move.name, "tenant", f"there is no tenant '{move.tenant}'")
     _known(plan, "move", move.name, "to", move.to)
@@ -142,7 +142,7 @@
             raise PlanError("move", move.name, "tenant", text)
 
 
-def check(plan: Plan) -> Plan:
+def check(plan: CellPlan) -> CellPlan:
     """The plan, if all in it fits together; PlanError tells what does not."""
     bounds = (("cell", plan.cells, MOST_CELLS), ("tenant", plan.tenants, MOST_TENANTS))
     for kind, rows, most in (*bounds, ("move", plan.moves, MOST_MOVES)):
@@ -155,7 +155,7 @@
         _check_cell(plan, cell, claimed)
     for tenant in plan.tenants.values():
         _check_tenant(plan, tenant)
-    before: list[MoveOrder] = []
+    before: list[MigrationSpec] = []
     for move in plan.moves.values():
         _check_move(plan, move, before)
         before.append(move)
--- a/onyxwick/cells/offline.py
+++ b/onyxwick/cells/offline.py
@@ -5,12 +5,12 @@
 from pathlib import Path
 from typing import Any
 
-from onyxwick.cells.model import Plan, PlanError
+from onyxwick.cells.model import CellPlan, PlanError
 from onyxwick.cells.placement import Placement, check_members, place
 from onyxwick.interface import Member, MemberState
 
 
-def _plan(path: Path) -> Plan:
+def _plan(path: Path) -> CellPlan:
     from onyxwick.config import ConfigError
     from onyxwick.config.service import load
 
--- a/onyxwick/cells/placement.py
+++ b/onyxwick/cells/placement.py
@@ -19,7 +19,7 @@
 from functools import lru_cache
 from hashlib import blake2b
 
-from onyxwick.cells.model import Cell, Plan, PlanError, Tenant
+from onyxwick.cells.model import Cell, CellPlan, PlanError, TenantSpec
 from onyxwick.interface import Member
 
 FULL_AT = 1.25  # times its fair part of all tenants' weight that a cell takes before draws pass it by
@@ -27,7 +27,7 @@
 
 
 @lru_cache(maxsize=1 << 14)
-def word(text: str) -> int:
+def stable_hash(text: str) -> int:
     """64 bits that stand for a name."""
     return int.from_bytes(blake2b(text.encode(), digest_size=8, person=b"cells").digest(), "big")
 
@@ -51,7 +51,7 @@
     exact = {cell.name: seats * cell.weight / total for cell in cells}
     out = {name: int(value) for name, value in exact.items()}
     # Ties are broken by draw and not by name: else the same cells would lack a box in every depot.
-    rest = sorted(exact, key=lambda name: (out[name] - exact[name], draw(salt, word(name))))
+    rest = sorted(exact, key=lambda name: (out[name] - exact[name], draw(salt, stable_hash(name))))
     for name in rest[: seats - sum(out.values())]:
         out[name] += 1
     return out
@@ -61,7 +61,7 @@
     """Each member's cell. The least draws of all pairs match first: both sides would agree to it, so that it
     does not depend on any order, and one that leaves moves few others."""
     room = _quotas(cells, len(members), salt)
-    pairs = sorted((draw(word(m), word(c.name)), m, c.name) for m in members for c in cells)
+    pairs = sorted((draw(stable_hash(m), stable_hash(c.name)), m, c.name) for m in members for c in cells)
     out: dict[str, str] = {}
     for _, member, cell in pairs:
         if member not in out and room[cell] > 0:
@@ -70,7 +70,7 @@
     return out
 
 
-def seats(plan: Plan, members: Iterable[Member], kinds: tuple[str | None, ...]) -> dict[str, str]:
+def seats(plan: CellPlan, members: Iterable[Member], kinds: tuple[str | None, ...]) -> dict[str, str]:
     """The cell of each cache on the list, for each depot apart. `kinds`: those of parents and origin, which
     no cell owns. A cache that no cell names, where all cells name theirs, has none."""
     claimed = {member: cell.name for cell in plan.cells.values() for member in cell.members}
@@ -85,7 +85,7 @@
         elif sharing:
             free.setdefault(m.zone, []).append(m.address)
     for zone, names in free.items():
-        out.update(_seat(sharing, names, word(zone)))
+        out.update(_seat(sharing, names, stable_hash(zone)))
     return out
 
 
@@ -100,11 +100,11 @@
     def order(self, tenant: str, cells: tuple[str, ...]) -> array[int]:
         """Places in `cells`, first choice first."""
         if cells != self.cells:
-            self.cells, self.words, self.orders = cells, [word(name) for name in cells], {}
+            self.cells, self.words, self.orders = cells, [stable_hash(name) for name in cells], {}
         order = self.orders.get(tenant)
         if order is None:
             # The mixer of `mix`, one round of it and in line: this is the cost of a placement.
-            at = word(tenant)
+            at = stable_hash(tenant)
             first = [((at ^ cell) * 0xBF58476D1CE4E5B9) & MASK for cell in self.words]
             drawn = [((z ^ (z >> 29)) * 0x94D049BB133111EB) & MASK for z in first]
             order = array("H", sorted(range(len(cells)), key=drawn.__getitem__))
@@ -113,7 +113,7 @@
 
 
 def _chosen(
-    tenant: Tenant, order: array[int], part: float, held: list[float], most: list[float]
+    tenant: TenantSpec, order: array[int], part: float, held: list[float], most: list[float]
 ) -> list[int]:
     """The tenant's cells by draw, passing by the full ones while others are left."""
     out: list[int] = []
@@ -125,7 +125,7 @@
     return (out + [n for n in order if n not in out])[: tenant.span]
 
 
-def homes(plan: Plan, rooms: Mapping[str, float], draws: Draws) -> dict[str, tuple[str, ...]]:
+def homes(plan: CellPlan, rooms: Mapping[str, float], draws: Draws) -> dict[str, tuple[str, ...]]:
     """Each tenant's cells. Heavy tenants choose first, as light ones fit in anywhere."""
     out: dict[str, tuple[str, ...]] = {}
     total = sum(t.weight for t in plan.tenants.values()) or 1.0
@@ -134,7 +134,7 @@
     place_of = {name: n for n, name in enumerate(cells)}
     most = [FULL_AT * total * rooms[name] / size for name in cells]
     held = [0.0] * len(cells)
-    for tenant in sorted(plan.tenants.values(), key=lambda t: (-t.weight, word(t.name), t.name)):
+    for tenant in sorted(plan.tenants.values(), key=lambda t: (-t.weight, stable_hash(t.name), t.name)):
         part = tenant.weight / (len(tenant.cells) or tenant.span)
         if tenant.cells:
             chosen = [place_of[name] for name in tenant.cells if name in place_of]
@@ -151,7 +151,7 @@
 class Placement:
     """The answer for one plan and one list."""
 
-    plan: Plan
+    plan: CellPlan
     seat_of: Mapping[str, str]  # cache: cell
     rooms: Mapping[str, float]  # cell: its caches' weight
     home_of: Mapping[str, tuple[str, ...]]  # tenant: cells
@@ -162,12 +162,12 @@
         KeyError for an unknown tenant."""
         cells, spec = self.home_of[tenant], self.plan.tenants[tenant]
         if spec.ranges:
-            first = word(name) >> 56
+            first = stable_hash(name) >> 56
             cells = next((r.cells for r in spec.ranges if r.first <= first <= r.last), cells)
         if len(cells) < 2:
             return cells
-        at = word(name)
-        return tuple(sorted(cells, key=lambda cell: draw(at, word(cell))))
+        at = stable_hash(name)
+        return tuple(sorted(cells, key=lambda cell: draw(at, stable_hash(cell))))
 
     def members(self, cell: str) -> list[str]:
         return sorted(member for member, of in self.seat_of.items() if of == cell)
@@ -182,7 +182,7 @@
                 f"Tenant '{tenant}' spans {spec.span} of {len(self.rooms)} cells, chosen by draw, full ones"
                 f" passed by: {', '.join(cells)}."
             ]
-        first = word(name) >> 56
+        first = stable_hash(name) >> 56
         hit = next((r for r in spec.ranges if r.first <= first <= r.last), None)
         if hit is not None:
             out.append(
@@ -198,7 +198,7 @@
 
 
 def place(
-    plan: Plan, members: Sequence[Member], kinds: tuple[str | None, ...], draws: Draws | None = None
+    plan: CellPlan, members: Sequence[Member], kinds: tuple[str | None, ...], draws: Draws | None = None
 ) -> Placement:
     """The placement for a plan and a list of members (of all depots)."""
     seat_of = seats(plan, members, kinds)
--- a/onyxwick/cells/roster.py
+++ b/onyxwick/cells/roster.py
@@ -5,17 +5,17 @@
 from collections.abc import Iterable
 from dataclasses import replace
 
-from onyxwick.cells.model import Plan
+from onyxwick.cells.model import CellPlan
 from onyxwick.cells.placement import Draws, Placement, check_members, place
 from onyxwick.interface import EndpointListKind, EndpointsChanged, Member, MemberState, RouterSettings
 from onyxwick.logic import DRAWN, GUESSED, PARENT_LINK
 
 
-class Roster:
+class CellMembership:
     """Members and seats. A box that is gone keeps its seat for a while: a cell whose boxes die must not be
     given its neighbours' at once, or what has killed the one would kill the next."""
 
-    def __init__(self, settings: RouterSettings, plan: Plan) -> None:
+    def __init__(self, settings: RouterSettings, plan: CellPlan) -> None:
         self.set = settings
         self.kinds = (settings.parent_kind, settings.origin_kind)
         self.listed: dict[str, Member] = {}
@@ -28,7 +28,7 @@
         held = {a: m for a, (m, _) in self.gone.items()} | self.listed
         return [m for _, m in sorted(held.items()) if m.kind not in self.kinds]
 
-    def placed(self, plan: Plan) -> Placement:
+    def placed(self, plan: CellPlan) -> Placement:
         """The placement that a plan would give now; PlanError where a cell would have no box here."""
         boxes = self._boxes()
         out = place(plan, boxes, self.kinds, self.draws)
--- a/onyxwick/cells/shown.py
+++ b/onyxwick/cells/shown.py
@@ -2,18 +2,18 @@
 
 from __future__ import annotations
 
-from onyxwick.cells.fleet import Cells
-from onyxwick.cells.moves import Phase
-from onyxwick.cells.placement import word
-from onyxwick.cells.unit import Unit
+from onyxwick.cells.fleet import CellRouter
+from onyxwick.cells.moves import MigrationPhase
+from onyxwick.cells.placement import stable_hash
+from onyxwick.cells.unit import ActiveCell
 
 
-def explain(cells: Cells, tenant: str, name: str) -> list[str]:
+def explain(cells: CellRouter, tenant: str, name: str) -> list[str]:
     """Why an object of a tenant goes where it goes at this instant. KeyError for an unknown tenant."""
     out = cells.roster.placement.explain(tenant, name)
-    key = word(name)
+    key = stable_hash(name)
     for move in cells.of_tenant.get(tenant, ()):
-        if move.covers(key) and move.phase is not Phase.ABORTED:
+        if move.covers(key) and move.phase is not MigrationPhase.ABORTED:
             side = "already goes" if move.takes(key) else "does not go yet"
             out.append(
                 f"Move '{move.order.name}' is {move.phase.value} with {move.share:.0%} over"
@@ -28,7 +28,7 @@
     return [*out, f"No box of {', '.join(order)} is ready: {then}."]
 
 
-def show(cells: Cells) -> dict[str, object]:
+def show(cells: CellRouter) -> dict[str, object]:
     """All of the state that an operator can act on."""
     writes = cells.admission.writes
     return {
@@ -41,7 +41,7 @@
     }
 
 
-def _unit(cells: Cells, unit: Unit) -> dict[str, object]:
+def _unit(cells: CellRouter, unit: ActiveCell) -> dict[str, object]:
     placement = cells.roster.placement
     return {
         "members": placement.members(unit.name),
--- a/onyxwick/cells/unit.py
+++ b/onyxwick/cells/unit.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from onyxwick.cells.limits import Gate
+from onyxwick.cells.limits import AdmissionGate
 from onyxwick.interface import Member, RequestClass
 from onyxwick.logic import Router
 
@@ -13,7 +13,7 @@
 
 
 @dataclass(slots=True)
-class Home:
+class CellRequestOwner:
     """Where one request lives: fixed when it is taken, until its last attempt has ended."""
 
     cell: str
@@ -24,12 +24,12 @@
     over: bool = False  # its final answer is decided
 
 
-class Unit:
+class ActiveCell:
     """One cell: its router, its gate, what its router knows of the list."""
 
     def __init__(self, name: str, router: Router, most_open: float) -> None:
         self.name, self.router = name, router
-        self.gate = Gate(most_open)
+        self.gate = AdmissionGate(most_open)
         self.told: dict[str, Member] = {}
         self.pressure = 0.0  # refused and late among the latest answers
         self.place_us = float(MEAN_US)  # how long a place is taken
--- a/onyxwick/cli/__init__.py
+++ b/onyxwick/cli/__init__.py
@@ -20,13 +20,13 @@
 }
 
 
-class Unusable(click.ClickException):
+class UnusableInputError(click.ClickException):
     """Input that cannot be used: exit code 2."""
 
     exit_code = 2
 
 
-class Lazy(click.Group):
+class LazyGroup(click.Group):
     """A group that knows its commands by name and loads one when it is asked for."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
@@ -44,7 +44,7 @@
             formatter.write_dl([(name, text) for name, (_, text) in COMMANDS.items()])
 
 
-@click.command(cls=Lazy, context_settings={"help_option_names": ["-h", "--help"]})
+@click.command(cls=LazyGroup, context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(package_name="onyxwick")
 def onyxwick() -> None:
     """A request router for edge caches. Exit codes: 0 well, 1 a finding, 2 unusable input."""
--- a/onyxwick/cli/cells.py
+++ b/onyxwick/cli/cells.py
@@ -9,7 +9,7 @@
 
 import click
 
-from onyxwick.cli.remote import Remote, admin_option, json_option, remote_of, token_option
+from onyxwick.cli.remote import RemoteDirector, admin_option, json_option, remote_of, token_option
 
 
 @click.group()
@@ -21,7 +21,7 @@
     ctx.obj = (admin, token_file)
 
 
-def _remote(ctx: click.Context) -> Remote:
+def _remote(ctx: click.Context) -> RemoteDirector:
     return remote_of(ctx, "cells")
 
 
--- a/onyxwick/cli/distribution.py
+++ b/onyxwick/cli/distribution.py
@@ -8,7 +8,7 @@
 
 import click
 
-from onyxwick.cli import Unusable
+from onyxwick.cli import UnusableInputError
 
 
 @click.group()
@@ -35,7 +35,7 @@
     try:
         uvloop.run(run(config))
     except (StoreError, OSError) as error:
-        raise Unusable(f"node '{config.name}': {error}") from None
+        raise UnusableInputError(f"node '{config.name}': {error}") from None
 
 
 @distribution.command()
@@ -60,7 +60,7 @@
         domains = {name: f"rack-{place % racks}" for place, name in enumerate(names)} if racks > 1 else {}
         rows = plan("root", names, leaves, TreeLimits(width, parents), domains)
     except TreeError as error:
-        raise Unusable(str(error)) from None
+        raise UnusableInputError(str(error)) from None
     loads = Counter(rows[leaf][0] for leaf in leaves)
     seconds = Counter(rows[leaf][1] for leaf in leaves)
     summary = {"root": relays, "first": dict(loads), "second": dict(seconds)}
--- a/onyxwick/cli/faults.py
+++ b/onyxwick/cli/faults.py
@@ -8,12 +8,12 @@
 
 import click
 
-from onyxwick.cli import Unusable
+from onyxwick.cli import UnusableInputError
 from onyxwick.cli.remote import json_option
 
 if TYPE_CHECKING:
     from onyxwick.lab.faults.history import History
-    from onyxwick.lab.faults.model import Fleet
+    from onyxwick.lab.faults.model import FleetScenario
 
 path_argument = click.argument("file", type=click.Path(path_type=Path))
 
@@ -31,7 +31,7 @@
 )
 
 
-def _fleet(file: Path, seed: int, directors: int | None) -> Fleet:
+def _fleet(file: Path, seed: int, directors: int | None) -> FleetScenario:
     from onyxwick.lab.faults.script import drawn, read, spread
 
     fleet = drawn(read(file), seed)
@@ -64,12 +64,12 @@
 
     from onyxwick.lab.faults.checkers import report
     from onyxwick.lab.faults.history import write
-    from onyxwick.lab.faults.run import Run
+    from onyxwick.lab.faults.run import FaultRun
 
     fleet = _fleet(file, seed, directors)
 
-    async def once() -> tuple[Run, History]:
-        run = Run(str(file), fleet, seed, variant, slot, program)
+    async def once() -> tuple[FaultRun, History]:
+        run = FaultRun(str(file), fleet, seed, variant, slot, program)
         run.progress = not as_json
         return run, await run.play()
 
@@ -152,7 +152,7 @@
     try:
         found = read(history)
     except (OSError, ValueError) as error:
-        raise Unusable(str(error)) from None
+        raise UnusableInputError(str(error)) from None
     told = report(found)
     click.echo(json.dumps(told) if as_json else _faults_text(told))
     click.echo(f"play it again: {found.line()}", err=True)
@@ -170,7 +170,7 @@
     try:
         found = read(history)
     except (OSError, ValueError) as error:
-        raise Unusable(str(error)) from None
+        raise UnusableInputError(str(error)) from None
     ctx.invoke(
         faults_run, file=Path(found.scenario), seed=found.seed, variant=found.variant, slot=0, keep=None,
         program=None, simulated=False, directors=None, as_json=False,
@@ -213,6 +213,6 @@
             click.echo(json.dumps(report.data()))
             codes.add(1 if report.findings else 0 if report.judged else 3)
     except ShimError as error:
-        raise Unusable(str(error)) from None
+        raise UnusableInputError(str(error)) from None
     if codes - {0}:
         raise click.exceptions.Exit(min(codes - {0}))
--- a/onyxwick/cli/lab.py
+++ b/onyxwick/cli/lab.py
@@ -8,7 +8,7 @@
 
 import click
 
-from onyxwick.cli import Unusable
+from onyxwick.cli import UnusableInputError
 from onyxwick.cli.faults import faults, path_argument
 from onyxwick.cli.remote import json_option
 from onyxwick.cli.scale import scale
@@ -78,15 +78,15 @@
     """Play one variant of the scenario FILE once; its report as JSON, exit 1 where a rule broke."""
     import uvloop
 
-    from onyxwick.lab.play import Run
+    from onyxwick.lab.play import ScenarioRun
     from onyxwick.lab.scenario import read
 
     scenario = read(file)
     if fault is not None and fault not in scenario.faults:
-        raise Unusable(f"no fault '{fault}' in {file.name}; it has: {', '.join(scenario.faults) or 'none'}")
+        raise UnusableInputError(f"no fault '{fault}' in {file.name}; it has: {', '.join(scenario.faults) or 'none'}")
 
     async def once() -> dict[str, Any]:
-        run = Run(scenario, seed, cells, fault, slot)
+        run = ScenarioRun(scenario, seed, cells, fault, slot)
         run.program, run.trace, run.store, run.idle = program, trace, store, idle
         return await run.play()
 
--- a/onyxwick/cli/remote.py
+++ b/onyxwick/cli/remote.py
@@ -9,7 +9,7 @@
 
 import click
 
-from onyxwick.cli import Unusable
+from onyxwick.cli import UnusableInputError
 from onyxwick.config.address import read_address
 
 TIMEOUT_S = 10.0
@@ -22,14 +22,14 @@
 )
 
 
-class Remote:
+class RemoteDirector:
     """The administration API of one director."""
 
     def __init__(self, address: str, token_file: Path) -> None:
         try:
             self.address, self.token = read_address(address), token_file.read_text().strip()
         except (ValueError, OSError) as error:
-            raise Unusable(str(error)) from None
+            raise UnusableInputError(str(error)) from None
 
     def call(
         self, method: str, path: str, data: object = None, made_for: int | None = None
@@ -43,20 +43,20 @@
             answer = connection.getresponse()
             told = json.loads(answer.read() or b"{}")
         except (OSError, http.client.HTTPException, ValueError) as error:
-            raise Unusable(f"administration API at {self.address[0]}:{self.address[1]}: {error}") from None
+            raise UnusableInputError(f"administration API at {self.address[0]}:{self.address[1]}: {error}") from None
         finally:
             connection.close()
         if answer.status >= 400:
-            raise Unusable(f"{answer.status}: {told.get('error', '')}")
+            raise UnusableInputError(f"{answer.status}: {told.get('error', '')}")
         assert isinstance(told, dict)
         return told
 
 
-def remote_of(ctx: click.Context, command: str) -> Remote:
+def remote_of(ctx: click.Context, command: str) -> RemoteDirector:
     """What a group's options name; the group has put them into the context."""
     admin, token_file = ctx.obj
     if token_file is None:
-        raise Unusable(
+        raise UnusableInputError(
             f"--token-file is wanted before the command, as: onyxwick {command} --token-file FILE show"
         )
-    return Remote(admin, token_file)
+    return RemoteDirector(admin, token_file)
--- a/onyxwick/cli/scale.py
+++ b/onyxwick/cli/scale.py
@@ -7,7 +7,7 @@
 
 import click
 
-from onyxwick.cli import Unusable
+from onyxwick.cli import UnusableInputError
 
 FAULTS = ("none", "kill", "pause", "publisher", "restart", "cut")
 path_option = click.Path(path_type=Path)
@@ -33,7 +33,7 @@
     try:
         chosen = measured.by_name(names)
     except KeyError as error:
-        raise Unusable(str(error.args[0])) from None
+        raise UnusableInputError(str(error.args[0])) from None
     result = measured.run(chosen, repeats, lambda text: click.echo(text, err=True))
     if out is not None:
         out.write_text(json.dumps(result, indent=1) + "\n")
@@ -75,7 +75,7 @@
     """Hollow directors under a publisher's events; exit 1 where an event was lost, repeated or disordered."""
     import uvloop
 
-    from onyxwick.lab.scale.fleet import Fleet
+    from onyxwick.lab.scale.fleet import HollowFleet
     from onyxwick.lab.scale.fleet_plan import FleetPlan
     from onyxwick.lab.scale.hollow import Shape
 
@@ -84,9 +84,9 @@
         purges_per_s=purges, changes=changes, fault=fault, cut_s=cut_s, seed=seed, slot=slot,
     )  # fmt: skip
     try:
-        fleet_of = Fleet(plan, lambda text: click.echo(text, err=True))
+        fleet_of = HollowFleet(plan, lambda text: click.echo(text, err=True))
     except ValueError as error:
-        raise Unusable(str(error)) from None
+        raise UnusableInputError(str(error)) from None
     report = uvloop.run(fleet_of.run())
     click.echo(json.dumps(report))
     if report["starved"]:
@@ -123,4 +123,4 @@
     try:
         click.echo(page(size.times(times), read_inputs(folder)))
     except (OSError, KeyError) as error:
-        raise Unusable(f"{folder}: a measured figure is missing: {error}") from None
+        raise UnusableInputError(f"{folder}: a measured figure is missing: {error}") from None
--- a/onyxwick/cli/sites.py
+++ b/onyxwick/cli/sites.py
@@ -10,13 +10,13 @@
 
 import click
 
-from onyxwick.cli import Unusable
+from onyxwick.cli import UnusableInputError
 from onyxwick.cli.remote import admin_option, json_option, remote_of, token_option
 
 if TYPE_CHECKING:
     from onyxwick.sites.model import Topology
-    from onyxwick.sites.planner import Study
-    from onyxwick.sites.programme import Outcome
+    from onyxwick.sites.planner import LossStudy
+    from onyxwick.sites.programme import LossOutcome
 
 LOOK_S = 0.5  # between two looks at a drill
 file_argument = click.argument("file", type=click.Path(path_type=Path))
@@ -32,7 +32,7 @@
     ctx.obj = (admin, token_file)
 
 
-def _studied(file: Path, pairs: bool) -> Study:
+def _studied(file: Path, pairs: bool) -> LossStudy:
     from onyxwick.sites.planner import study
 
     return study(_topology(file), pairs)
@@ -45,11 +45,11 @@
 
     found = read_sites(Fields(hcl.read(file), file.name), file.parent)
     if found is None:
-        raise Unusable(f"{file.name}: has no block 'site'")
+        raise UnusableInputError(f"{file.name}: has no block 'site'")
     return found[0]
 
 
-def _row(outcome: Outcome) -> dict[str, Any]:
+def _row(outcome: LossOutcome) -> dict[str, Any]:
     from onyxwick.sites.programme import spelled
 
     first = outcome.first
@@ -92,7 +92,7 @@
     _exit(done)
 
 
-def _print_plan(done: Study, rows: list[dict[str, Any]]) -> None:
+def _print_plan(done: LossStudy, rows: list[dict[str, Any]]) -> None:
     click.echo(f"{'lost':<32} {'refused':>8}  {'used':>6}  breaks first")
     for row in rows:
         click.echo(f"{row['lost']:<32} {row['refused']:>8.1%}  {row['used']:>6.0%}  {row['breaks_first']}")
@@ -107,7 +107,7 @@
         click.echo(f"finding: {text}")
 
 
-def _exit(done: Study) -> None:
+def _exit(done: LossStudy) -> None:
     if any(
         not o.borne and len(o.loss.sites | o.loss.hubs | o.loss.boxes) < 2 for o in done.outcomes.values()
     ):
--- a/onyxwick/cli/store.py
+++ b/onyxwick/cli/store.py
@@ -9,20 +9,20 @@
 
 import click
 
-from onyxwick.cli import Unusable
-from onyxwick.store import Engine, Refused, StoreError
+from onyxwick.cli import UnusableInputError
+from onyxwick.store import StoreEngine, StoreUnusableError, StoreError
 from onyxwick.store import records as r
-from onyxwick.store.files import Disk
+from onyxwick.store.files import DiskFiles
 
 folder_argument = click.argument("folder", type=click.Path(path_type=Path, exists=True, file_okay=False))
 json_option = click.option("--json", "as_json", is_flag=True, help="JSON on standard output.")
 
 
-def _open(folder: Path) -> Engine:
+def _open(folder: Path) -> StoreEngine:
     try:
-        return Engine(Disk(folder))
+        return StoreEngine(DiskFiles(folder))
     except StoreError as error:
-        raise Unusable(f"{folder.name}: {error}") from None
+        raise UnusableInputError(f"{folder.name}: {error}") from None
 
 
 @click.group()
@@ -36,12 +36,12 @@
 def check(folder: Path, as_json: bool) -> None:
     """Can the store be opened with nothing lost? Exit 1 where it refuses, with what may be lost."""
     try:
-        engine = Engine(Disk(folder))
-    except Refused as error:
+        engine = StoreEngine(DiskFiles(folder))
+    except StoreUnusableError as error:
         click.echo(json.dumps({"good": False, "why": str(error)}) if as_json else f"refused: {error}")
         raise click.exceptions.Exit(1) from None
     except StoreError as error:
-        raise Unusable(str(error)) from None
+        raise UnusableInputError(str(error)) from None
     state = engine.state()
     engine.close()
     text = "\n".join(f"{name}: {value}" for name, value in state.items())
@@ -91,7 +91,7 @@
         raise click.exceptions.Exit(1)
 
 
-def _records(folder: Path) -> list[tuple[int, r.Payload]]:
+def _records(folder: Path) -> list[tuple[int, r.RecordPayload]]:
     out = []
     for path in sorted(folder.glob("log-*")):
         data = path.read_bytes()
@@ -121,22 +121,22 @@
     The mark is copied first: what it promises is in the log that is copied after it.
     """
     if out.exists():
-        raise Unusable(f"{out.name} is there already")
+        raise UnusableInputError(f"{out.name} is there already")
     for _ in range(BACKUP_TRIES):
         out.mkdir(parents=True)
         try:
             shutil.copy(folder / "mark", out)
             for path in sorted(folder.glob("checkpoint-*")) + sorted(folder.glob("log-*")):
                 shutil.copy(path, out)
-            engine = Engine(Disk(out))
-        except (FileNotFoundError, Refused):  # a compaction dropped a file in between
+            engine = StoreEngine(DiskFiles(out))
+        except (FileNotFoundError, StoreUnusableError):  # a compaction dropped a file in between
             shutil.rmtree(out)
             continue
         records = engine.number
         engine.close()
         click.echo(f"{records} records")
         return
-    raise Unusable("the store was compacted under every attempt; try again")
+    raise UnusableInputError("the store was compacted under every attempt; try again")
 
 
 BACKUP_TRIES = 5
@@ -151,18 +151,18 @@
     """Make a new store in OUT from the backup FOLDER, up to a moment, as far back as its log reaches."""
     source = _open(folder)
     if out.exists():
-        raise Unusable(f"{out.name} is there already")
+        raise UnusableInputError(f"{out.name} is there already")
     payloads = _records(folder)
     first = payloads[0][0] if payloads else source.number + 1
     chosen = [
         (n, p) for n, p in payloads if (until is None or p.at_us <= until) and (record is None or n <= record)
     ]
     if source.checkpoint_at >= first or (record is not None and record < source.checkpoint_at):
-        raise Unusable(f"this backup reaches back to record {source.checkpoint_at} only")
-    target = Engine(Disk(out), store=source.store)
+        raise UnusableInputError(f"this backup reaches back to record {source.checkpoint_at} only")
+    target = StoreEngine(DiskFiles(out), store=source.store)
     for path in sorted(folder.glob("checkpoint-*"))[-1:]:
         _, _, rows = r.read_checkpoint(path.read_bytes(), path.name)
-        _write(target, r.Payload(0, "restore", rows))
+        _write(target, r.RecordPayload(0, "restore", rows))
     for _, payload in chosen:
         _write(target, payload)
     click.echo(f"{len(chosen)} records after record {source.checkpoint_at}")
@@ -170,10 +170,10 @@
     target.close()
 
 
-def _write(target: Engine, payload: r.Payload) -> None:
-    from onyxwick.store import Op, Transaction
+def _write(target: StoreEngine, payload: r.RecordPayload) -> None:
+    from onyxwick.store import WriteOperation, Transaction
 
-    ops = tuple(Op(key, value) for key, value, _ in payload.ops)
+    ops = tuple(WriteOperation(key, value) for key, value, _ in payload.ops)
     for at in range(0, len(ops), 1000):
         target.commit(Transaction(ops[at : at + 1000], payload.by, payload.at_us))
 
@@ -188,7 +188,7 @@
     The folder itself is not touched. Exit 1 without --accept-loss.
     """
     if out.exists():
-        raise Unusable(f"{out.name} is there already")
+        raise UnusableInputError(f"{out.name} is there already")
     kept, lost = _salvage(folder)
     for text in lost:
         click.echo(f"lost: {text}")
@@ -196,25 +196,25 @@
     if not accept_loss:
         click.echo("nothing was written; with --accept-loss a new store is made of them")
         raise click.exceptions.Exit(1)
-    target = Engine(Disk(out))
+    target = StoreEngine(DiskFiles(out))
     for payload in kept:
         _write(target, payload)
     target.close()
 
 
-def _salvage(folder: Path) -> tuple[list[r.Payload], list[str]]:
-    kept, lost, number = list[r.Payload](), list[str](), 0
+def _salvage(folder: Path) -> tuple[list[r.RecordPayload], list[str]]:
+    kept, lost, number = list[r.RecordPayload](), list[str](), 0
     for path in sorted(folder.glob("checkpoint-*")):
         try:
             _, number, rows = r.read_checkpoint(path.read_bytes(), path.name)
-            kept = [r.Payload(0, "repair", rows)]
-        except Refused as error:
+            kept = [r.RecordPayload(0, "repair", rows)]
+        except StoreUnusableError as error:
             lost.append(str(error))
     for path in sorted(folder.glob("log-*")):
         data = path.read_bytes()
         try:
             _, _, before = r.read_segment_header(data, path.name)
-        except Refused as error:
+        except StoreUnusableError as error:
             lost.append(str(error))
             continue
         if before > number:
--- a/onyxwick/cli/trace.py
+++ b/onyxwick/cli/trace.py
@@ -13,11 +13,11 @@
 
 import click
 
-from onyxwick.cli import Unusable
-from onyxwick.trace.model import TraceError, Verdict
+from onyxwick.cli import UnusableInputError
+from onyxwick.trace.model import TraceError, RecordedVerdict
 
 if TYPE_CHECKING:
-    from onyxwick.trace.cut import Wanted
+    from onyxwick.trace.cut import TraceFilter
     from onyxwick.trace.reader import Trace
     from onyxwick.trace.table import Strings, Table
 
@@ -36,9 +36,9 @@
         try:
             command(*words, **named)
         except TraceError as error:
-            raise Unusable(str(error)) from None
+            raise UnusableInputError(str(error)) from None
         except OSError as error:
-            raise Unusable(f"{error.filename or ''}: {error.strerror}") from None
+            raise UnusableInputError(f"{error.filename or ''}: {error.strerror}") from None
 
     return wrapped
 
@@ -54,13 +54,13 @@
     try:
         when = datetime.fromisoformat(text)
     except ValueError:
-        raise Unusable(f"{text!r} is no time; as 1767262800.5 or 2026-03-02T07:00:00") from None
+        raise UnusableInputError(f"{text!r} is no time; as 1767262800.5 or 2026-03-02T07:00:00") from None
     return int((when if when.tzinfo else when.replace(tzinfo=UTC)).timestamp() * S)
 
 
 def _wanting(command: Command) -> Command:
     """The options that choose requests, given to the command as one `wanted`."""
-    verdicts = click.Choice([v.name.lower() for v in Verdict])
+    verdicts = click.Choice([v.name.lower() for v in RecordedVerdict])
     options = [
         click.option("--from", "begin", help="Arrived at this time or later."),
         click.option("--to", "end", help="Arrived before this time."),
@@ -74,12 +74,12 @@
 
     @wraps(command)
     def wrapped(**named: Any) -> None:
-        from onyxwick.trace.cut import Wanted
+        from onyxwick.trace.cut import TraceFilter
 
         chosen = {n: named.pop(n) for n in ("class_name", "tenant", "cell", "object", "member")}
         verdict = named.pop("verdict")
         begin, end = read_time(named.pop("begin")), read_time(named.pop("end"))
-        named["wanted"] = Wanted(begin, end, **chosen, verdict=Verdict[verdict.upper()] if verdict else None)
+        named["wanted"] = TraceFilter(begin, end, **chosen, verdict=RecordedVerdict[verdict.upper()] if verdict else None)
         command(**named)
 
     for option in reversed(options):
@@ -146,15 +146,15 @@
 @_wanting
 @json_option
 @_usable
-def cut(file: Path, out: Path, wanted: Wanted, as_json: bool) -> None:
+def cut(file: Path, out: Path, wanted: TraceFilter, as_json: bool) -> None:
     """Write to OUT the requests that are wanted, and what was told in that time."""
     from onyxwick.trace.cut import cut as chosen
-    from onyxwick.trace.merge import Writer
+    from onyxwick.trace.merge import TraceWriter
     from onyxwick.trace.reader import open_trace
     from onyxwick.trace.table import Strings
 
     with open_trace(file) as opened:
-        writer = Writer(out, opened.header)
+        writer = TraceWriter(out, opened.header)
         for table in chosen(opened, wanted, Strings()):
             writer.add(table)
         writer.close()
@@ -200,13 +200,13 @@
 def anonymise(file: Path, out: Path, key: Path) -> None:
     """Write to OUT the same trace with every id and name hidden by the key."""
     from onyxwick.trace.anonymise import Anonymiser, read_key
-    from onyxwick.trace.merge import Writer
+    from onyxwick.trace.merge import TraceWriter
     from onyxwick.trace.reader import open_trace
     from onyxwick.trace.table import Strings
 
     hide = Anonymiser(read_key(key))
     with open_trace(file) as opened:
-        writer, old, new = Writer(out, hide.header(opened.header)), Strings(), Strings()
+        writer, old, new = TraceWriter(out, hide.header(opened.header)), Strings(), Strings()
         for head, table in opened.tables(old):
             writer.add(hide.table(table, new), head.dropped)
         writer.close()
@@ -227,7 +227,7 @@
 @click.option("--plots", type=click.Path(path_type=Path), help="A folder for PNG files and an HTML page.")
 @json_option
 @_usable
-def summarise(files: tuple[Path, ...], wanted: Wanted, plots: Path | None, as_json: bool) -> None:
+def summarise(files: tuple[Path, ...], wanted: TraceFilter, plots: Path | None, as_json: bool) -> None:
     """Worth, verdicts, latencies, retries and sources by class, tenant, cell and member."""
     from onyxwick.trace.reader import open_trace
     from onyxwick.trace.summary import Summary
@@ -268,7 +268,7 @@
 @_usable
 def explain(files: tuple[Path, ...], request: str) -> None:
     """Tell one request's story; exit 1 where no file has it."""
-    from onyxwick.trace.cut import Wanted
+    from onyxwick.trace.cut import TraceFilter
     from onyxwick.trace.cut import cut as chosen
     from onyxwick.trace.explain import explain as story
     from onyxwick.trace.table import Strings
@@ -277,7 +277,7 @@
     with ExitStack() as stack:
         traces, _ = _tables(stack, files, Strings())
         for opened in traces:
-            for table in chosen(opened, Wanted(request=request), Strings(), told=False):
+            for table in chosen(opened, TraceFilter(request=request), Strings(), told=False):
                 for row in range(len(table)):
                     click.echo("\n".join(story(table, row)))
                     found += 1
@@ -333,14 +333,14 @@
     """What accounts for the worth that B lost more than A, the largest first."""
     from onyxwick.trace.compare import compare as compared
     from onyxwick.trace.compare import losses
-    from onyxwick.trace.cut import Wanted
+    from onyxwick.trace.cut import TraceFilter
     from onyxwick.trace.cut import cut as chosen
     from onyxwick.trace.reader import open_trace
     from onyxwick.trace.table import Strings
 
     def window(path: Path, begin: str | None, end: str | None) -> Any:
         with open_trace(path) as opened:
-            wanted = Wanted(read_time(begin), read_time(end))
+            wanted = TraceFilter(read_time(begin), read_time(end))
             tables: Iterator[Table] = chosen(opened, wanted, Strings(), told=False)
             return losses(opened.header, tables)
 
--- a/onyxwick/config/cells.py
+++ b/onyxwick/config/cells.py
@@ -15,11 +15,11 @@
     WARM_US,
     Cell,
     KeyRange,
-    MoveOrder,
-    Plan,
+    MigrationSpec,
+    CellPlan,
     PlanError,
-    Policy,
-    Tenant,
+    CellPolicy,
+    TenantSpec,
     check,
 )
 from onyxwick.config.errors import ConfigError
@@ -74,9 +74,9 @@
     return tuple(out)
 
 
-def tenant(row: Fields) -> Tenant:
+def tenant(row: Fields) -> TenantSpec:
     """What a tenant's row says of cells; the caller calls `done`, as others read the row too."""
-    return Tenant(
+    return TenantSpec(
         _named(row),
         row.number("weight", 0.0001, 1e6, 1.0),
         row.whole("span", 1, MOST_SPAN, 1),
@@ -87,9 +87,9 @@
     )
 
 
-def _move(row: Fields) -> MoveOrder:
+def _move(row: Fields) -> MigrationSpec:
     first, last = _keys(row, "keys", row.text("keys", f"00-{KEYS - 1:02x}"))
-    out = MoveOrder(
+    out = MigrationSpec(
         _named(row),
         row.text("tenant"),
         tuple(row.texts("to")),
@@ -103,13 +103,13 @@
     return out
 
 
-def _policy(row: Fields | None) -> Policy:
+def _policy(row: Fields | None) -> CellPolicy:
     if row is None:
-        return Policy()
+        return CellPolicy()
     field = row.text("tenant_field", TENANT_FIELD)
     if not _FIELD(field):
         raise row.error("tenant_field", f"{field!r} is no name of a request field, as X-Tenant")
-    out = Policy(
+    out = CellPolicy(
         field,
         row.text("default_tenant", "") or None,
         row.duration("seat", 0, HOUR_US, SEAT_US),
@@ -128,7 +128,7 @@
     return ConfigError(f"{top.file}:1: {error}")
 
 
-def read_plan(top: Fields, version: int = 1) -> Plan | None:
+def read_plan(top: Fields, version: int = 1) -> CellPlan | None:
     """The plan in a file's blocks `cells`, `cell`, `tenant` and `move`; None where no cell is named.
 
     ConfigError names file, line and field. Tenants' rows are left for others to end.
@@ -141,7 +141,7 @@
                 raise ConfigError(f"{top.file}:{block.line}: block '{kind}' without any block 'cell'")
         return None
     tenants = {one.name: one for one in map(tenant, top.blocks("tenant", 1))}
-    plan = Plan(cells, tenants, {move.name: move for move in moves}, policy, version)
+    plan = CellPlan(cells, tenants, {move.name: move for move in moves}, policy, version)
     try:
         return check(plan)
     except PlanError as error:
@@ -166,7 +166,7 @@
     return [Block(kind, [str(n)], 1, {k: _value(v) for k, v in row.items()}) for n, row in rows]
 
 
-def plan_of_json(data: dict[str, Any], version: int) -> Plan:
+def plan_of_json(data: dict[str, Any], version: int) -> CellPlan:
     """A plan from the API's form; ConfigError names row and field."""
     if unknown := set(data) - {"cells", "tenants", "moves", "policy"}:
         raise ConfigError(f"plan: unknown field '{min(unknown)}'")
@@ -192,7 +192,7 @@
     return {name: value for name, value in row.items() if value not in ((), [], {}, None, 0)}
 
 
-def json_of_plan(plan: Plan) -> dict[str, Any]:
+def json_of_plan(plan: CellPlan) -> dict[str, Any]:
     """The API's form; what `plan_of_json` reads back as the same plan."""
     cells = {
         c.name: _less({"members": list(c.members), "weight": c.weight, "fallback": c.fallback})
--- a/onyxwick/config/relay.py
+++ b/onyxwick/config/relay.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Config:
+class DirectorConfig:
     name: str
     listen: tuple[str, int]
     coordinator: tuple[str, int]
@@ -89,7 +89,7 @@
     return int(value)
 
 
-def read(data: Mapping[str, Any]) -> Config:
+def read(data: Mapping[str, Any]) -> DirectorConfig:
     try:
         listen = read_address(_field(data, "listen", str))
     except ValueError as error:
@@ -110,10 +110,10 @@
     known = data.get("known", {})
     if not isinstance(known, dict) or not isinstance(known.get("updates", []), list):
         raise ConfigError("field 'known' is no list of events")
-    return Config(str(data.get("name", "")), listen, coordinator, seed, sockets, memory_mb, known, settings)
+    return DirectorConfig(str(data.get("name", "")), listen, coordinator, seed, sockets, memory_mb, known, settings)
 
 
-def load(environment: Mapping[str, str] = os.environ) -> Config:
+def load(environment: Mapping[str, str] = os.environ) -> DirectorConfig:
     path = environment.get("RELAY_CONFIG")
     if not path:
         raise ConfigError("variable 'RELAY_CONFIG' is not set")
--- a/onyxwick/config/service.py
+++ b/onyxwick/config/service.py
@@ -14,8 +14,8 @@
 from onyxwick.tenants import QUOTA_PER_S, Tenant, TenantError, Tenants, read_key, read_quota, read_zone_file
 
 if TYPE_CHECKING:
-    from onyxwick.cells import Plan
-    from onyxwick.cells import Tenant as CellTenant
+    from onyxwick.cells import CellPlan
+    from onyxwick.cells import TenantSpec as CellTenant
     from onyxwick.config.distribution import FeedConfig
     from onyxwick.sites.model import Topology
 
@@ -34,7 +34,7 @@
     deadline_us: int = DEADLINE_US
     admin: Address | None = None
     token: str = ""
-    plan: Plan | None = None  # of cells; None: one router for all
+    plan: CellPlan | None = None  # of cells; None: one router for all
     trace: TraceConfig | None = None
     store: StoreConfig | None = None
     sites: SitesConfig | None = None  # None: nothing is known of other sites
--- a/onyxwick/config/sites.py
+++ b/onyxwick/config/sites.py
@@ -13,16 +13,16 @@
     ARCHIVE,
     SITE_FIELD,
     Hub,
-    Kind,
-    Load,
-    Policy,
+    PlannedClass,
+    OfferedLoad,
+    SitePolicy,
     Site,
-    SitesError,
+    TopologyError,
     Topology,
     check,
 )
-from onyxwick.sites.model import Path as Way
-from onyxwick.sites.plan import Plan, of_json
+from onyxwick.sites.model import NetworkLink as Way
+from onyxwick.sites.plan import SitePlan, of_json
 
 MINUTE_US = 60_000_000
 BLOCKS = ("sites", "site", "hub", "archive", "path", "load")
@@ -85,10 +85,10 @@
     return out
 
 
-def _load(row: Fields) -> tuple[Kind, list[Load]]:
+def _load(row: Fields) -> tuple[PlannedClass, list[OfferedLoad]]:
     name = row.label
     sending = row.duration("sending", 1, MINUTE_US)
-    kind = Kind(
+    kind = PlannedClass(
         name,
         sending,
         row.duration("fill", 1, MINUTE_US, sending),
@@ -104,21 +104,21 @@
         if isinstance(rate, bool) or not isinstance(rate, int | float) or not 0 <= rate <= MOST_RATE:
             raise row.error("rate_per_s", f"'{key}' has no rate of 0 to {MOST_RATE:g} a second", value.line)
         site, _, tenant = key.partition("/")
-        loads.append(Load(name, site, float(rate), tenant))
+        loads.append(OfferedLoad(name, site, float(rate), tenant))
     if not loads:
         raise row.error("rate_per_s", 'names no site, as { "north" = 40, "west/yards" = 20 }')
     row.done()
     return kind, loads
 
 
-def _policy(row: Fields | None) -> tuple[Policy, dict[str, float], str]:
+def _policy(row: Fields | None) -> tuple[SitePolicy, dict[str, float], str]:
     if row is None:
-        return Policy(), {}, ""
+        return SitePolicy(), {}, ""
     field = row.text("field", SITE_FIELD)
     if not _FIELD(field):
         raise row.error("field", f"{field!r} is no name of a request field, as {SITE_FIELD}")
-    usual = Policy()
-    policy = Policy(
+    usual = SitePolicy()
+    policy = SitePolicy(
         field,
         row.choice("evacuate", ("auto", "ordered"), "auto") == "auto",
         row.share("headroom", usual.headroom),
@@ -137,7 +137,7 @@
     return policy, reserves, plan
 
 
-def _where(top: Fields, error: SitesError) -> ConfigError:
+def _where(top: Fields, error: TopologyError) -> ConfigError:
     """A topology's error with the file and line of the row that it names."""
     for block in top.block.of(error.kind):
         if error.name in (*block.labels, "") or " - ".join(block.labels) == error.name:
@@ -162,8 +162,8 @@
     policy, reserves, plan = _policy(top.block_of("sites"))
     archive = top.block_of("archive")
     assert archive is not None
-    kinds: dict[str, Kind] = {}
-    loads: list[Load] = []
+    kinds: dict[str, PlannedClass] = {}
+    loads: list[OfferedLoad] = []
     for row in top.blocks("load", 1):
         one, told = _load(row)
         kinds[one.name] = one
@@ -180,7 +180,7 @@
     )
     try:
         check(topology)
-    except SitesError as error:
+    except TopologyError as error:
         raise _where(top, error) from None
     if not plan and len(topology.sites) > MADE_AT_START:
         line = next(b.line for b in rows["sites"])
@@ -191,7 +191,7 @@
     return topology, folder / plan if plan else None
 
 
-def read_plan(top: Topology, path: Path) -> Plan:
+def read_plan(top: Topology, path: Path) -> SitePlan:
     """A plan that `onyxwick sites plan` has written; ConfigError where it cannot be used for this
     topology."""
     try:
@@ -212,6 +212,6 @@
     for name, kind in top.kinds.items():
         if name not in classes:
             raise ConfigError(f"{file}:1: load '{name}' is no class of the settings{guess(name, classes)}")
-        if classes[name].write is not kind.write:
-            told = "is a write" if classes[name].write else "is no write"
+        if classes[name].is_write is not kind.write:
+            told = "is a write" if classes[name].is_write else "is no write"
             raise ConfigError(f"{file}:1: load '{name}': field 'write': the class {told} by the settings")
--- a/onyxwick/core/ending.py
+++ b/onyxwick/core/ending.py
@@ -42,7 +42,7 @@
 """After so many were last on their way: a slow reader's own buffer holds as much again, which nobody sees."""
 
 
-class EndKind(Enum):
+class ShutdownKind(Enum):
     """What ends."""
 
     DRAIN = "drain"
@@ -50,7 +50,7 @@
     HANDOVER = "handover"  # a termination while a successor serves on the same listening socket
 
 
-class Stage(IntEnum):
+class ShutdownStage(IntEnum):
     """How far an ending is, in this order."""
 
     SERVING = 0
@@ -62,33 +62,33 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EndingSchedule:
+class ShutdownSchedule:
     """Begins of the stages after `SERVING`, in their order. `accept_until`: new connections are taken until
     then, after a termination. `fails_at`: from then on what is owed and may not be refused is failed."""
 
-    kind: EndKind
+    kind: ShutdownKind
     begun_at: float
     begins: tuple[float, ...]
     accept_until: float = 0.0
     fails_at: float = math.inf
 
-    def stage(self, now: float) -> Stage:
+    def stage(self, now: float) -> ShutdownStage:
         """The stage that holds at this time, however late it is looked at."""
-        return Stage(sum(begin <= now for begin in self.begins))
+        return ShutdownStage(sum(begin <= now for begin in self.begins))
 
-    def begins_at(self, stage: Stage) -> float:
+    def begins_at(self, stage: ShutdownStage) -> float:
         """When a stage after `SERVING` begins."""
         return self.begins[stage - 1]
 
-    def with_earlier(self, other: EndingSchedule) -> EndingSchedule:
+    def with_earlier(self, other: ShutdownSchedule) -> ShutdownSchedule:
         """This one, with each stage no later than in another one that holds too."""
         begins = tuple(min(pair) for pair in zip(self.begins, other.begins, strict=True))
         return replace(self, begins=begins)
 
 
-def drain_schedule(called_at: float) -> EndingSchedule:
+def drain_schedule(called_at: float) -> ShutdownSchedule:
     """Of a drain that the operators called for at this time."""
-    return EndingSchedule(EndKind.DRAIN, called_at, tuple(called_at + after for after in DRAIN_BEGINS_S))
+    return ShutdownSchedule(ShutdownKind.DRAIN, called_at, tuple(called_at + after for after in DRAIN_BEGINS_S))
 
 
 def kill_after_s(longest_deadline_s: float) -> float:
@@ -98,7 +98,7 @@
 
 def termination_schedule(
     sent_at: float, heard_at: float, longest_deadline_s: float, successor: bool
-) -> EndingSchedule:
+) -> ShutdownSchedule:
     """Of a SIGTERM that may have been sent as early as `sent_at` and was heard at `heard_at`: between the
     two the process stood still. SIGKILL is reckoned from the first, newcomers from the second."""
     kill_s = kill_after_s(longest_deadline_s)
@@ -108,16 +108,16 @@
     if successor:
         begins = (0.0, 0.0, half, gives_back, closed)
         handover = tuple(sent_at + after for after in begins)
-        return EndingSchedule(EndKind.HANDOVER, sent_at, handover, heard_at, sent_at + gives_back)
+        return ShutdownSchedule(ShutdownKind.HANDOVER, sent_at, handover, heard_at, sent_at + gives_back)
     refuses = min(half, (LAST_CALLS_S + gives_back) / 2)
     begins = (min(newcomers, refuses), refuses, half, gives_back, closed)
     accept_until = heard_at + newcomers
     stages = [sent_at + after for after in begins]
     stages[-1] = max(stages[-1], accept_until)  # newcomers are told so, not reset
-    return EndingSchedule(EndKind.TERMINATION, sent_at, tuple(stages), accept_until, sent_at + gives_back)
+    return ShutdownSchedule(ShutdownKind.TERMINATION, sent_at, tuple(stages), accept_until, sent_at + gives_back)
 
 
-class Step(Enum):
+class ConnectionStep(Enum):
     """What is done with a connection."""
 
     KEEP = "keep"
@@ -140,21 +140,21 @@
     rest_s: float  # since its last byte in, or its last answer out
 
 
-def next_step(stage: Stage, connection: ConnectionState) -> Step:
+def next_step(stage: ShutdownStage, connection: ConnectionState) -> ConnectionStep:
     """What a stage asks for. A connection without anything owed, on its way or expected ends."""
-    if stage is Stage.SERVING:
-        return Step.KEEP
+    if stage is ShutdownStage.SERVING:
+        return ConnectionStep.KEEP
     if connection.owed:
-        return Step.GIVE_BACK if stage >= Stage.GIVES_BACK else Step.KEEP
+        return ConnectionStep.GIVE_BACK if stage >= ShutdownStage.GIVES_BACK else ConnectionStep.KEEP
     if connection.unread:
-        return Step.HEAR_LAST if stage is Stage.CLOSED else Step.KEEP
+        return ConnectionStep.HEAR_LAST if stage is ShutdownStage.CLOSED else ConnectionStep.KEEP
     if connection.unwritten:
-        return Step.KEEP
-    if stage < Stage.ENDS_HALF_CALLS and _expects_call(connection):
-        return Step.KEEP
-    if stage < Stage.GIVES_BACK and connection.delivered_s < DELIVERY_SETTLES_S:
-        return Step.KEEP
-    return Step.END
+        return ConnectionStep.KEEP
+    if stage < ShutdownStage.ENDS_HALF_CALLS and _expects_call(connection):
+        return ConnectionStep.KEEP
+    if stage < ShutdownStage.GIVES_BACK and connection.delivered_s < DELIVERY_SETTLES_S:
+        return ConnectionStep.KEEP
+    return ConnectionStep.END
 
 
 def _expects_call(connection: ConnectionState) -> bool:
--- a/onyxwick/core/engine.py
+++ b/onyxwick/core/engine.py
@@ -10,18 +10,18 @@
 
 from onyxwick import logs
 from onyxwick.core.clock import steady_us
-from onyxwick.core.invariants import AttemptBegun, Invariants, Violation
+from onyxwick.core.invariants import AttemptStarted, Invariants, Violation
 from onyxwick.core.lifecycles import (
     AttemptFinished,
     ClientDeparted,
-    Decided,
-    GivenBack,
+    AttemptDecided,
+    RequestReleased,
     Mail,
     RequestLifecycle,
 )
-from onyxwick.core.members import Members
-from onyxwick.core.model import Answer, Order, Outcome, Request, Transport, Verdict
-from onyxwick.core.reasons import Refusal
+from onyxwick.core.members import EndpointTable
+from onyxwick.core.model import FinalAnswer, AttemptSpec, AttemptOutcome, ClientRequest, CacheTransport, AnswerStatus
+from onyxwick.core.reasons import RejectionReason
 from onyxwick.core.send_guard import SendGuard
 from onyxwick.core.stall import StallWatch
 from onyxwick.counters import Counters
@@ -54,8 +54,8 @@
 from onyxwick.logic import Router
 
 if TYPE_CHECKING:
-    from onyxwick.store.durable import Durable
-    from onyxwick.trace.watch import Watch
+    from onyxwick.store.durable import DurableState
+    from onyxwick.trace.watch import DecisionTracer
 
 log = logs.get()
 OVERDUE_US = 20_000  # past its deadline a request is answered even if the module forgot it
@@ -65,7 +65,7 @@
 MAX_OPEN_REQUESTS = 2048  # requests at once, where nothing else is said
 
 
-class Core:
+class RequestEngine:
     """Owns the module of one director: the only place that hands it events and takes its actions.
 
     `decide` makes what decides, from the settings, a seed and the time: one router, or the cells' many.
@@ -75,8 +75,8 @@
         self,
         settings: RouterSettings,
         seed: int,
-        transport: Transport,
-        members: Members,
+        transport: CacheTransport,
+        members: EndpointTable,
         counters: Counters,
         clock: Callable[[], int] = steady_us,
         most_open: int = MAX_OPEN_REQUESTS,
@@ -85,8 +85,8 @@
         self.settings, self.transport, self.members, self.counters = settings, transport, members, counters
         self.clock, self.most_open = clock, most_open
         self.latest = clock()
-        self.watch: Watch | None = None  # writes a trace, where one is wanted
-        self.durable: Durable | None = None  # what lasts over restarts, where the installation has a disk
+        self.watch: DecisionTracer | None = None  # writes a trace, where one is wanted
+        self.durable: DurableState | None = None  # what lasts over restarts, where the installation has a disk
         # How the list is to be shown to the module, over what `durable` holds back: the operators' orders.
         self.adjust_list: Callable[[EndpointsChanged, int], EndpointsChanged] | None = None
         self.stalls = StallWatch(time.monotonic())
@@ -96,7 +96,7 @@
         self.lifecycles: dict[str, RequestLifecycle] = {}
         self.idle = asyncio.Event()
         self.idle.set()
-        self.writes = {c.name for c in settings.classes if c.write}
+        self.writes = {c.name for c in settings.classes if c.is_write}
         self.once = {c.name for c in settings.classes if c.idempotency is Idempotency.NON_IDEMPOTENT}
         self.invariants = Invariants(settings, self._violated, self._work_us)
         self.router = decide(settings, seed, self.now())
@@ -118,7 +118,7 @@
         """Mean sending times by class, as the module has learned them; none where many routers decide."""
         return {name: work.mean for name, work in getattr(self.router, "work", {}).items()}
 
-    def refused(self, reason: Refusal, request: str, connection: int = -1) -> None:
+    def refused(self, reason: RejectionReason, request: str, connection: int = -1) -> None:
         """A request ends with no answer of a cache's, for this reason."""
         self.counters.add(f"refused.{reason.value}")
         log.info("request refused", reason=reason.value, request=request, connection=connection)
@@ -151,10 +151,10 @@
     def _as_decided(self, action: Action) -> Mail:
         """An attempt is decided now, however late it is carried out: news may be received in between."""
         if isinstance(action, ForwardRequest):
-            return Decided(action, self.members.standing(action.member, None))
+            return AttemptDecided(action, self.members.standing(action.member, None))
         if isinstance(action, ForwardWithFill):
             source = None if action.fill_source == action.member else action.fill_source
-            return Decided(action, self.members.standing(action.member, source))
+            return AttemptDecided(action, self.members.standing(action.member, source))
         return action
 
     def _timer(self, at: int, token: str, read: bool = False) -> None:
@@ -202,7 +202,7 @@
             addresses = {m.address: address for m, address in rows}
             self.list_changed(EndpointsChanged(EndpointListKind.CHANGE, tuple(m for m, _ in rows)), addresses)
 
-    def restore(self, durable: Durable) -> None:
+    def restore(self, durable: DurableState) -> None:
         """Take in what lasted: purges that a cache may not have done bind the first request already."""
         self.durable = durable
         for purge in durable.recovery.purges_to_tell(self.now()):
@@ -228,13 +228,13 @@
     # ---- one request ------------------------------------------------------------------------------------
 
     async def serve(
-        self, request: Request, reply: Callable[[Answer], None], transport: Transport | None = None
+        self, request: ClientRequest, reply: Callable[[FinalAnswer], None], transport: CacheTransport | None = None
     ) -> None:
         """A request's whole lifecycle. `reply` is called once, or never if the client has left."""
         if lifecycle := self._take(request, reply, transport):
             await self._live(lifecycle, reply)
 
-    def start(self, request: Request, reply: Callable[[Answer], None]) -> RequestLifecycle | None:
+    def start(self, request: ClientRequest, reply: Callable[[FinalAnswer], None]) -> RequestLifecycle | None:
         """The same beside the caller; None if it has been answered already.
 
         The lifecycle is there at once: a client that takes its request back in the same breath is heard.
@@ -246,32 +246,32 @@
         return lifecycle
 
     def _take(
-        self, request: Request, reply: Callable[[Answer], None], transport: Transport | None
+        self, request: ClientRequest, reply: Callable[[FinalAnswer], None], transport: CacheTransport | None
     ) -> RequestLifecycle | None:
-        if request.id in self.lifecycles or len(self.lifecycles) >= self.most_open:
-            known = request.id in self.lifecycles
+        if request.request_id in self.lifecycles or len(self.lifecycles) >= self.most_open:
+            known = request.request_id in self.lifecycles
             self.counters.add("answer.duplicate" if known else "answer.overloaded")
-            reason = Refusal.DUPLICATE_ID if known else Refusal.TOO_MANY_OPEN
-            self.refused(reason, request.id, request.connection)
-            reply(Answer(Verdict.FAILED if known else Verdict.REFUSED))
+            reason = RejectionReason.DUPLICATE_ID if known else RejectionReason.TOO_MANY_OPEN
+            self.refused(reason, request.request_id, request.connection_id)
+            reply(FinalAnswer(AnswerStatus.FAILED if known else AnswerStatus.REJECTED))
             return None
         once = self.durable is not None and request.class_name in self.once
-        if once and self.durable is not None and not self.durable.recovery.may_send(request.id):
+        if once and self.durable is not None and not self.durable.recovery.may_send(request.request_id):
             # An attempt of it was under way when this director ended: it may have run.
             self.counters.add("answer.may_have_run")
-            self.refused(Refusal.MAY_HAVE_RUN, request.id, request.connection)
-            reply(Answer(Verdict.FAILED))
+            self.refused(RejectionReason.MAY_HAVE_RUN, request.request_id, request.connection_id)
+            reply(FinalAnswer(AnswerStatus.FAILED))
             return None
         lifecycle = RequestLifecycle(request, transport=transport)
-        self.lifecycles[request.id] = lifecycle
+        self.lifecycles[request.request_id] = lifecycle
         self.invariants.request_started(
-            request.id, request.class_name, request.group, request.object,
+            request.request_id, request.class_name, request.object_group, request.object_id,
             request.arrived_us + request.timeout_us, self.now(),
         )  # fmt: skip
         self.idle.clear()
         return lifecycle
 
-    async def _live(self, lifecycle: RequestLifecycle, reply: Callable[[Answer], None]) -> None:
+    async def _live(self, lifecycle: RequestLifecycle, reply: Callable[[FinalAnswer], None]) -> None:
         request = lifecycle.request
         try:
             try:
@@ -280,23 +280,23 @@
             except Exception:
                 # One request's error is that request's failure, never the process's end.
                 self.counters.add("error.request")
-                log.exception("error in a request", request=request.id)
-                self.refused(Refusal.ERROR, request.id, request.connection)
-                answer = Answer(Verdict.FAILED)
-                self._forget(request.id)
+                log.exception("error in a request", request=request.request_id)
+                self.refused(RejectionReason.ERROR, request.request_id, request.connection_id)
+                answer = FinalAnswer(AnswerStatus.FAILED)
+                self._forget(request.request_id)
             lifecycle.answered = True
             if answer is not None and not lifecycle.client_departed:
-                self.counters.add(f"answer.{answer.verdict.value}.{request.class_name}")
-                self.invariants.answered(request.id, self.now())
+                self.counters.add(f"answer.{answer.status.value}.{request.class_name}")
+                self.invariants.answered(request.request_id, self.now())
                 reply(answer)
             if self.watch is not None:
-                self.watch.answered(self.now(), request.id, None if lifecycle.client_departed else answer)
+                self.watch.answered(self.now(), request.request_id, None if lifecycle.client_departed else answer)
             await self._wind_up(lifecycle)
             if lifecycle.intended and self.durable is not None:
-                await self.durable.ended(request.id)
+                await self.durable.ended(request.request_id)
         finally:
-            self.invariants.request_ended(request.id)
-            del self.lifecycles[request.id]
+            self.invariants.request_ended(request.request_id)
+            del self.lifecycles[request.request_id]
             if not self.lifecycles:
                 self.idle.set()
 
@@ -312,7 +312,7 @@
         """The client of a request has left: it is owed no answer."""
         if not lifecycle.client_departed:
             lifecycle.client_departed = True
-            self.invariants.client_departed(lifecycle.request.id, self.now())
+            self.invariants.client_departed(lifecycle.request.request_id, self.now())
             lifecycle.mailbox.put(ClientDeparted())
 
     def give_back(self, lifecycle: RequestLifecycle, must_end: bool) -> None:
@@ -320,33 +320,33 @@
         or leave it to its end. An answer that has come already is the answer."""
         refusable = self.guard.is_harmless_again(lifecycle)
         if (refusable or must_end) and not (lifecycle.answered or lifecycle.client_departed):
-            lifecycle.mailbox.put(GivenBack(refusable))
+            lifecycle.mailbox.put(RequestReleased(refusable))
 
     def _without_server(
-        self, request: Request, end: RejectRequest | FailRequest | ClientDeparted | GivenBack
-    ) -> Answer | None:
+        self, request: ClientRequest, end: RejectRequest | FailRequest | ClientDeparted | RequestReleased
+    ) -> FinalAnswer | None:
         """The final answer of a request that no server gave; None if its client has left."""
         match end:
             case RejectRequest(_, after):
-                self.refused(Refusal.NO_SERVER, request.id, request.connection)
-                return Answer(Verdict.REFUSED, retry_after_us=after)
+                self.refused(RejectionReason.NO_SERVER, request.request_id, request.connection_id)
+                return FinalAnswer(AnswerStatus.REJECTED, retry_after_us=after)
             case FailRequest():
-                self.refused(Refusal.FAILED, request.id, request.connection)
-                return Answer(Verdict.FAILED)
+                self.refused(RejectionReason.FAILED, request.request_id, request.connection_id)
+                return FinalAnswer(AnswerStatus.FAILED)
             case ClientDeparted(overdue=False):
                 self.counters.add("request.left")
-                self.handle(ClientDisconnected(request.id))
+                self.handle(ClientDisconnected(request.request_id))
                 return None
-            case GivenBack(refusable):
-                self.handle(ClientDisconnected(request.id))
-                self.refused(Refusal.DIRECTOR_ENDING, request.id, request.connection)
-                return Answer(Verdict.REFUSED if refusable else Verdict.FAILED)
+            case RequestReleased(refusable):
+                self.handle(ClientDisconnected(request.request_id))
+                self.refused(RejectionReason.DIRECTOR_ENDING, request.request_id, request.connection_id)
+                return FinalAnswer(AnswerStatus.REJECTED if refusable else AnswerStatus.FAILED)
         self.counters.add("request.overdue")
-        self.handle(ClientDisconnected(request.id))
-        self.refused(Refusal.OVERDUE, request.id, request.connection)
-        return Answer(Verdict.FAILED)
+        self.handle(ClientDisconnected(request.request_id))
+        self.refused(RejectionReason.OVERDUE, request.request_id, request.connection_id)
+        return FinalAnswer(AnswerStatus.FAILED)
 
-    async def _decide(self, lifecycle: RequestLifecycle) -> Answer | None:
+    async def _decide(self, lifecycle: RequestLifecycle) -> FinalAnswer | None:
         """From arrival to the one final answer; None if the client left before it."""
         request = lifecycle.request
         deadline = request.arrived_us + request.timeout_us
@@ -358,7 +358,7 @@
             self.handle(self._arrival(request, deadline))
             while True:
                 match mail := await lifecycle.mailbox.get():
-                    case Decided():
+                    case AttemptDecided():
                         if self._must_last(lifecycle):
                             await self._intend(lifecycle)
                         self._start(lifecycle, mail)
@@ -367,14 +367,14 @@
                     case AttemptFinished(outcome=outcome):
                         self._report(lifecycle, mail)
                         if outcome.status is AttemptStatus.OK:
-                            return Answer(
-                                Verdict.SERVED,
+                            return FinalAnswer(
+                                AnswerStatus.SERVED,
                                 outcome.body,
-                                outcome.tag,
-                                outcome.unchanged,
+                                outcome.etag,
+                                outcome.not_modified,
                                 member=mail.member,
                             )
-                    case RejectRequest() | FailRequest() | ClientDeparted() | GivenBack():
+                    case RejectRequest() | FailRequest() | ClientDeparted() | RequestReleased():
                         return self._without_server(request, mail)
         finally:
             overdue.cancel()
@@ -388,20 +388,20 @@
         of the store is the request's failure: it was not sent."""
         if lifecycle.intended or self.durable is None:
             return
-        await self.durable.intend(lifecycle.request.id, self.now())
+        await self.durable.intend(lifecycle.request.request_id, self.now())
         lifecycle.intended = True
 
     async def _wind_up(self, lifecycle: RequestLifecycle) -> None:
         """After the final answer: every attempt still out ends, and the module is told how."""
         while any(lifecycle.attempts) or lifecycle.mailbox.mail:
             match mail := await lifecycle.mailbox.get():
-                case Decided(action):
+                case AttemptDecided(action):
                     lifecycle.attempts.append(None)
                     lifecycle.ends.append(AttemptStatus.NOT_SENT)
                     lifecycle.ordered_at.append(0)
                     number = len(lifecycle.attempts) - 1
                     self._report(
-                        lifecycle, AttemptFinished(action.member, number, Outcome(AttemptStatus.NOT_SENT), 0)
+                        lifecycle, AttemptFinished(action.member, number, AttemptOutcome(AttemptStatus.NOT_SENT), 0)
                     )
                 case CancelAttempt(_, number):
                     self._cancel(lifecycle, number)
@@ -410,26 +410,26 @@
                 case _:
                     pass  # the client's leaving, or a second thought: the answer has gone out
 
-    def _arrival(self, request: Request, deadline: int) -> RequestArrived:
+    def _arrival(self, request: ClientRequest, deadline: int) -> RequestArrived:
         return RequestArrived(
-            request_id=request.id,
+            request_id=request.request_id,
             class_name=request.class_name,
-            object_id=request.object,
+            object_id=request.object_id,
             expires_in_us=max(0, deadline - self.now()),
-            object_group=request.group,
+            object_group=request.object_group,
             part=request.part,
-            is_retry=request.repeat,
+            is_retry=request.is_retry,
             is_write=request.class_name in self.writes,
             tenant=request.tenant,
-            client_site=request.site,
+            client_site=request.client_site,
         )
 
     # ---- attempts ---------------------------------------------------------------------------------------
 
-    def _start(self, lifecycle: RequestLifecycle, decided: Decided) -> None:
+    def _start(self, lifecycle: RequestLifecycle, decided: AttemptDecided) -> None:
         number, begun = len(lifecycle.attempts), self.now()
         order = self._order(lifecycle, decided, number)
-        order.begun = partial(self._begun, number)
+        order.on_first_byte_sent = partial(self._begun, number)
         if number:
             self._count_again(lifecycle, number)
         lifecycle.ordered_at.append(begun)
@@ -440,9 +440,9 @@
         # Not an await around `run`: a task cancelled before its first step would leave no outcome.
         task.add_done_callback(partial(self._ended, lifecycle, order, number, begun))
 
-    def _begun(self, number: int, order: Order) -> None:
-        begun = AttemptBegun(
-            order.request.id, number, order.member, order.source, order.max_age_us, order.left_us()
+    def _begun(self, number: int, order: AttemptSpec) -> None:
+        begun = AttemptStarted(
+            order.request.request_id, number, order.member, order.fill_source, order.max_age_us, order.left_us()
         )
         self.invariants.attempt_begun(begun, self.now())
 
@@ -453,19 +453,19 @@
         self.counters.add(f"again.{reason}")
         request = lifecycle.request
         log.info(
-            "attempt again", request=request.id, connection=request.connection, attempt=number, after=reason
+            "attempt again", request=request.request_id, connection=request.connection_id, attempt=number, after=reason
         )
 
-    def _order(self, lifecycle: RequestLifecycle, mail: Decided, number: int) -> Order:
+    def _order(self, lifecycle: RequestLifecycle, mail: AttemptDecided, number: int) -> AttemptSpec:
         request, action, decided = lifecycle.request, mail.action, mail.standing
         left = request.arrived_us + request.timeout_us - self.now()
         timeout = min(left, action.timeout_us) if action.timeout_us else left
         alone = request.class_name in self.once
         if isinstance(action, ForwardRequest):
             good = partial(self.guard.may_send, lifecycle, number, action.member, None, decided)
-            return Order(request, action.member, timeout, alone=alone, is_still_valid=good)
+            return AttemptSpec(request, action.member, timeout, needs_own_connection=alone, is_still_valid=good)
         source = None if action.fill_source == action.member else action.fill_source
-        return Order(
+        return AttemptSpec(
             request,
             action.member,
             timeout,
@@ -482,19 +482,19 @@
             task.cancel()
 
     def _ended(
-        self, lifecycle: RequestLifecycle, order: Order, number: int, begun: int, task: asyncio.Task[Outcome]
+        self, lifecycle: RequestLifecycle, order: AttemptSpec, number: int, begun: int, task: asyncio.Task[AttemptOutcome]
     ) -> None:
         lifecycle.attempts[number] = None
         if task.cancelled():
-            outcome = Outcome(AttemptStatus.CANCELLED)
+            outcome = AttemptOutcome(AttemptStatus.CANCELLED)
         elif error := task.exception():
             self.counters.add("error.attempt")
-            log.error("error in an attempt", request=lifecycle.request.id, exc_info=error)
-            outcome = Outcome(AttemptStatus.ERROR)
+            log.error("error in an attempt", request=lifecycle.request.request_id, exc_info=error)
+            outcome = AttemptOutcome(AttemptStatus.ERROR)
         else:
             outcome = task.result()
         lifecycle.ends[number] = outcome.status
-        self.invariants.attempt_ended(lifecycle.request.id, number, outcome.status.proves_not_executed)
+        self.invariants.attempt_ended(lifecycle.request.request_id, number, outcome.status.proves_not_executed)
         if outcome.status.proves_not_executed:
             lifecycle.ordered_at[number] = 0
         lifecycle.mailbox.put(
@@ -507,15 +507,15 @@
         status = AttemptStatus.CANCELLED if outcome.unobserved else outcome.status
         self.counters.add(f"outcome.{status.value}")
         event = AttemptEnded(
-            request_id=lifecycle.request.id,
+            request_id=lifecycle.request.request_id,
             attempt_index=ended.number,
             member=ended.member,
             status=status,
             latency_us=ended.latency_us,
             is_final=outcome.status is AttemptStatus.OK,
             detail=outcome.detail,
-            upstream_wait_us=outcome.waited_us,
-            load_report=outcome.report,
+            upstream_wait_us=outcome.upstream_wait_us,
+            load_report=outcome.load_report,
         )
         if self.watch is not None:
             self.watch.ended(self.now(), event, ended.sent_us, outcome)
--- a/onyxwick/core/invariants.py
+++ b/onyxwick/core/invariants.py
@@ -41,7 +41,7 @@
 """Sends to one recovering server that are remembered."""
 
 
-class Rule(Enum):
+class InvariantRule(Enum):
     """What must hold on every path."""
 
     SENT_FOR_DEPARTED = "sent_for_departed"
@@ -66,7 +66,7 @@
 class Violation:
     """One breach: the rule, whose, and the facts that prove it."""
 
-    rule: Rule
+    rule: InvariantRule
     cause: str
     request: str = ""
     attempt: int = -1
@@ -75,7 +75,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AttemptBegun:
+class AttemptStarted:
     """The first bytes of an attempt have gone out. `left_us`: of the time that its server was told;
     `accept_us`: the oldest copy that will do, 0 where the class's own lifetime holds."""
 
@@ -125,7 +125,7 @@
         try:
             check(self, *args, **kwargs)
         except Exception as error:
-            self.report(Violation(Rule.CHECK_FAILED, f"{check.__name__}: {error!r}"))
+            self.report(Violation(InvariantRule.CHECK_FAILED, f"{check.__name__}: {error!r}"))
 
     return contained
 
@@ -209,25 +209,25 @@
         if known is None:
             return
         if known.answered_at:
-            self._broken(Rule.SECOND_ANSWER, f"{now - known.answered_at} us after the first", request)
+            self._broken(InvariantRule.SECOND_ANSWER, f"{now - known.answered_at} us after the first", request)
         known.answered_at = now
         due = max(known.deadline_us, known.taken_at)  # one that came too late is answered at once
         if now > due + LATE_US:
-            self._broken(Rule.LATE_ANSWER, f"{now - due} us after its time", request)
+            self._broken(InvariantRule.LATE_ANSWER, f"{now - due} us after its time", request)
 
     @_contained
     def request_ended(self, request: str) -> None:
         """Nothing more will come of it."""
         known = self.requests.pop(request, None)
         if known is not None and not known.answered_at and not known.departed_at:
-            self._broken(Rule.NO_ANSWER, "it ended with neither an answer nor its client's leaving", request)
+            self._broken(InvariantRule.NO_ANSWER, "it ended with neither an answer nor its client's leaving", request)
 
     @_contained
     def connection_closed(self, connection: int, owed: int, by_client: bool) -> None:
         """A client's connection is closed while so many answers are owed on it."""
         if owed and not by_client:
             cause = f"{owed} answers were owed"
-            self.report(Violation(Rule.CLOSED_OWING, cause, connection=connection))
+            self.report(Violation(InvariantRule.CLOSED_OWING, cause, connection=connection))
 
     # ---- endings -----------------------------------------------------------------------------------------
 
@@ -237,13 +237,13 @@
         that waits for an answer; None: it is idle."""
         if youngest_us is None or youngest_us < RECENT_US:
             cause = "idle" if youngest_us is None else f"its youngest request came {youngest_us} us ago"
-            self.report(Violation(Rule.HELD_IN_DRAIN, cause, connection=connection))
+            self.report(Violation(InvariantRule.HELD_IN_DRAIN, cause, connection=connection))
 
     @_contained
     def answer_cut(self, connection: int, on_its_way: int) -> None:
         """The director closes a connection with bytes of answers on their way, before its last stage."""
         self.report(
-            Violation(Rule.ANSWER_CUT, f"{on_its_way} bytes were on their way", connection=connection)
+            Violation(InvariantRule.ANSWER_CUT, f"{on_its_way} bytes were on their way", connection=connection)
         )
 
     @_contained
@@ -251,12 +251,12 @@
         """The process ends so long after it was told to; SIGKILL may come after `kill_after_us`."""
         if after_us > kill_after_us:
             cause = f"{after_us} us after SIGTERM, {kill_after_us} us are allowed"
-            self.report(Violation(Rule.OUTLIVED_KILL, cause))
+            self.report(Violation(InvariantRule.OUTLIVED_KILL, cause))
 
     # ---- attempts ----------------------------------------------------------------------------------------
 
     @_contained
-    def attempt_begun(self, begun: AttemptBegun, now: int) -> None:
+    def attempt_begun(self, begun: AttemptStarted, now: int) -> None:
         """The first bytes of an attempt have gone out."""
         known = self.requests.get(begun.request)
         if known is None:
@@ -267,7 +267,7 @@
         self._check_repeat(known, begun, now)
         left = known.deadline_us - now
         if begun.left_us > left + TIME_TOLD_US:
-            self._broken_by(Rule.TIME_TOLD, f"told {begun.left_us} us, {left} us are left", begun)
+            self._broken_by(InvariantRule.TIME_TOLD, f"told {begun.left_us} us, {left} us are left", begun)
         self._check_slow_start(known, begun, now)
         known.begun.setdefault(begun.number, now)
 
@@ -278,15 +278,15 @@
         if known is not None and proves_unrun:
             known.begun.pop(number, None)
 
-    def _check_wanted(self, known: _Request, begun: AttemptBegun, now: int) -> None:
+    def _check_wanted(self, known: _Request, begun: AttemptStarted, now: int) -> None:
         if known.departed_at and now - known.departed_at > DEPARTED_US:
             cause = f"{now - known.departed_at} us after its client left"
-            self._broken_by(Rule.SENT_FOR_DEPARTED, cause, begun)
+            self._broken_by(InvariantRule.SENT_FOR_DEPARTED, cause, begun)
         if known.answered_at:
             cause = f"{now - known.answered_at} us after its final answer"
-            self._broken_by(Rule.SENT_AFTER_ANSWER, cause, begun)
+            self._broken_by(InvariantRule.SENT_AFTER_ANSWER, cause, begun)
 
-    def _check_ready(self, begun: AttemptBegun, now: int) -> None:
+    def _check_ready(self, begun: AttemptStarted, now: int) -> None:
         for name in (begun.member, begun.source):
             if name is None:
                 continue
@@ -294,11 +294,11 @@
             since = self.removed.get(name, 0) if server is None else server.unready_since
             late = now - since
             if since and late > self.rules.drain_grace_us + SOCKET_SLACK_US:
-                self._broken_by(Rule.SENT_TO_UNREADY, f"{name} is draining or gone for {late} us", begun)
+                self._broken_by(InvariantRule.SENT_TO_UNREADY, f"{name} is draining or gone for {late} us", begun)
 
-    def _check_purges(self, known: _Request, begun: AttemptBegun, now: int) -> None:
+    def _check_purges(self, known: _Request, begun: AttemptStarted, now: int) -> None:
         kind = self.classes.get(known.class_name)
-        if kind is None or kind.write or begun.member not in self.servers:
+        if kind is None or kind.is_write or begun.member not in self.servers:
             return
         if self.servers[begun.member].info.kind == self.settings.origin_kind:
             return
@@ -309,24 +309,24 @@
             settled = made + self.rules.purge_retention_us  # caches have done it by themselves then
             if made and bound < now < settled and now - accepted < made - SOCKET_SLACK_US:
                 cause = f"copies of {accepted} us would do, it was purged {now - made} us ago"
-                self._broken_by(Rule.SENT_OVER_PURGE, cause, begun)
+                self._broken_by(InvariantRule.SENT_OVER_PURGE, cause, begun)
 
-    def _check_repeat(self, known: _Request, begun: AttemptBegun, now: int) -> None:
+    def _check_repeat(self, known: _Request, begun: AttemptStarted, now: int) -> None:
         kind = self.classes.get(known.class_name)
         others = [at for number, at in known.begun.items() if number != begun.number]
         if kind is None or kind.idempotency is Idempotency.IDEMPOTENT or not others:
             return
         if kind.idempotency is Idempotency.NON_IDEMPOTENT or now - min(others) > kind.key_window_us:
             cause = f"an attempt that may have run began {now - min(others)} us ago"
-            self._broken_by(Rule.REPEATED_UNSAFELY, cause, begun)
+            self._broken_by(InvariantRule.REPEATED_UNSAFELY, cause, begun)
 
-    def _check_slow_start(self, known: _Request, begun: AttemptBegun, now: int) -> None:
+    def _check_slow_start(self, known: _Request, begun: AttemptStarted, now: int) -> None:
         for name in {begun.member, begun.source}:
             server = self.servers.get(name) if name is not None else None
             if server is not None and server.info.started_at_us and self.settings.weight_source != "off":
                 self._count_send(server, known.class_name, begun, now)
 
-    def _count_send(self, server: _Server, class_name: str, begun: AttemptBegun, now: int) -> None:
+    def _count_send(self, server: _Server, class_name: str, begun: AttemptStarted, now: int) -> None:
         rules, m = self.rules, server.info
         parent = m.kind == self.settings.parent_kind
         start, rise = (
@@ -352,7 +352,7 @@
         got = sum(cost for _, cost in sends)
         if got > budget(allowed):
             cause = f"{got:.1f} requests of mean work in the window, {allowed:.1f} are allowed"
-            self._broken_by(Rule.SLOW_START, cause, begun)
+            self._broken_by(InvariantRule.SLOW_START, cause, begun)
 
     # ---- what was promised to operators ------------------------------------------------------------------
 
@@ -361,10 +361,10 @@
         """The operators' file takes writes: versions of what was ordered and of what stands in it."""
         if written < ordered:
             cause = f"version {written} is written, {ordered} was ordered"
-            self.report(Violation(Rule.COMMAND_UNWRITTEN, cause))
+            self.report(Violation(InvariantRule.COMMAND_UNWRITTEN, cause))
 
-    def _broken(self, rule: Rule, cause: str, request: str) -> None:
+    def _broken(self, rule: InvariantRule, cause: str, request: str) -> None:
         self.report(Violation(rule, cause, request))
 
-    def _broken_by(self, rule: Rule, cause: str, begun: AttemptBegun) -> None:
+    def _broken_by(self, rule: InvariantRule, cause: str, begun: AttemptStarted) -> None:
         self.report(Violation(rule, cause, begun.request, begun.number, member=begun.member))
--- a/onyxwick/core/lifecycles.py
+++ b/onyxwick/core/lifecycles.py
@@ -6,8 +6,8 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from onyxwick.core.members import Standing
-from onyxwick.core.model import Outcome, Request, Transport
+from onyxwick.core.members import DecisionSnapshot
+from onyxwick.core.model import AttemptOutcome, ClientRequest, CacheTransport
 from onyxwick.interface import Action, AttemptStatus, ForwardRequest, ForwardWithFill
 
 
@@ -17,7 +17,7 @@
 
     member: str
     number: int
-    outcome: Outcome
+    outcome: AttemptOutcome
     latency_us: int
     sent_us: int = 0
 
@@ -30,21 +30,21 @@
 
 
 @dataclass(slots=True)
-class Decided:
+class AttemptDecided:
     """An attempt that the module has ordered, and what it was decided on."""
 
     action: ForwardRequest | ForwardWithFill
-    standing: Standing
+    standing: DecisionSnapshot
 
 
 @dataclass(slots=True)
-class GivenBack:
+class RequestReleased:
     """Its director ends: it gets its final answer now. `refusable`: trying it again is harmless."""
 
     refusable: bool
 
 
-Mail = Action | Decided | AttemptFinished | ClientDeparted | GivenBack
+Mail = Action | AttemptDecided | AttemptFinished | ClientDeparted | RequestReleased
 
 
 class Mailbox:
@@ -74,13 +74,13 @@
 class RequestLifecycle:
     """One request with its mailbox: the module's actions on it, its attempts' ends, its client's leaving."""
 
-    request: Request
+    request: ClientRequest
     mailbox: Mailbox = field(default_factory=Mailbox)
-    attempts: list[asyncio.Task[Outcome] | None] = field(default_factory=list)  # None: has ended
+    attempts: list[asyncio.Task[AttemptOutcome] | None] = field(default_factory=list)  # None: has ended
     # When each attempt was ordered, in steady us; 0: it is proved that it never ran.
     ordered_at: list[int] = field(default_factory=list)
     ends: list[AttemptStatus | None] = field(default_factory=list)  # how each attempt ended; None: it is out
     client_departed: bool = False  # its client has left
     answered: bool = False  # it has its final answer
     intended: bool = False  # that it will be sent is durable
-    transport: Transport | None = None  # a front's own way of carrying out attempts
+    transport: CacheTransport | None = None  # a front's own way of carrying out attempts
--- a/onyxwick/core/members.py
+++ b/onyxwick/core/members.py
@@ -5,14 +5,14 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from onyxwick.core.model import Request
+from onyxwick.core.model import ClientRequest
 from onyxwick.interface import EndpointListKind, EndpointsChanged, Member, MemberState
 
 PURGES_KEPT_US = 10_000_000  # no send waits that long, so older purges bind none
 
 
 @dataclass(frozen=True, slots=True)
-class Standing:
+class DecisionSnapshot:
     """What an attempt was decided on: the purges received by then, and the starts of the processes meant."""
 
     purges_received: int
@@ -20,7 +20,7 @@
     source_since_us: int
 
 
-class Members:
+class EndpointTable:
     """Members by id. The address is looked up at each send: another member may have had it before."""
 
     def __init__(self) -> None:
@@ -74,21 +74,21 @@
         listed = self.listed.get(member)
         return listed is not None and listed.state is MemberState.READY and member not in self.excluded
 
-    def standing(self, member: str, source: str | None) -> Standing:
+    def standing(self, member: str, source: str | None) -> DecisionSnapshot:
         """What an attempt that is decided now is decided on."""
-        return Standing(self.purges_received, self._since(member), self._since(source))
+        return DecisionSnapshot(self.purges_received, self._since(member), self._since(source))
 
     def _since(self, member: str | None) -> int:
         listed = self.listed.get(member) if member is not None else None
         return listed.started_at_us if listed is not None else 0
 
-    def is_still_valid(self, member: str, source: str | None, request: Request, decided: Standing) -> bool:
+    def is_still_valid(self, member: str, source: str | None, request: ClientRequest, decided: DecisionSnapshot) -> bool:
         """May what was decided then be sent now? A drain, a start or a purge may have been received in
         between."""
         if not self.ready(member) or (source is not None and not self.ready(source)):
             return False
         if self._since(member) != decided.member_since_us or self._since(source) != decided.source_since_us:
             return False  # what a warm one bears may be too much for one that has just started
-        of_group = self.purge_times.get((request.group, None))
-        of_object = self.purge_times.get((None, request.object))
+        of_group = self.purge_times.get((request.object_group, None))
+        of_object = self.purge_times.get((None, request.object_id))
         return all(purge is None or purge[1] <= decided.purges_received for purge in (of_group, of_object))
--- a/onyxwick/core/pacing.py
+++ b/onyxwick/core/pacing.py
@@ -57,7 +57,7 @@
         self.attempts = 0
 
 
-class Patience:
+class DoublingTimeout:
     """A time limit that an attempt which ran into it doubles for the next one, up to a bound, and then begins
     anew: an attempt that takes longer than the usual limit gets through, and none waits long for ever.
     Seconds.
--- a/onyxwick/core/phase.py
+++ b/onyxwick/core/phase.py
@@ -5,7 +5,7 @@
 from enum import Enum
 
 
-class Phase(Enum):
+class DirectorPhase(Enum):
     """DRAINED: by the operators' call, said no to and left by clients, without an end of the process.
     DRAINING: the end after SIGTERM."""
 
@@ -16,12 +16,12 @@
     STOPPED = "stopped"
 
 
-PHASE_CHANGES: dict[Phase, set[Phase]] = {
-    Phase.STARTING: {Phase.SERVING, Phase.DRAINED, Phase.DRAINING},
-    Phase.SERVING: {Phase.DRAINED, Phase.DRAINING},
-    Phase.DRAINED: {Phase.SERVING, Phase.DRAINING},
-    Phase.DRAINING: {Phase.STOPPED},
-    Phase.STOPPED: set(),
+PHASE_CHANGES: dict[DirectorPhase, set[DirectorPhase]] = {
+    DirectorPhase.STARTING: {DirectorPhase.SERVING, DirectorPhase.DRAINED, DirectorPhase.DRAINING},
+    DirectorPhase.SERVING: {DirectorPhase.DRAINED, DirectorPhase.DRAINING},
+    DirectorPhase.DRAINED: {DirectorPhase.SERVING, DirectorPhase.DRAINING},
+    DirectorPhase.DRAINING: {DirectorPhase.STOPPED},
+    DirectorPhase.STOPPED: set(),
 }
 
 
--- a/onyxwick/core/reasons.py
+++ b/onyxwick/core/reasons.py
@@ -5,7 +5,7 @@
 from enum import Enum
 
 
-class Refusal(Enum):
+class RejectionReason(Enum):
     """Why a request got no answer of a cache's. Counted as `refused.REASON`."""
 
     BAD_INPUT = "bad_input"
@@ -23,7 +23,7 @@
     UNREAD_ANSWERS = "unread_answers"
 
 
-class ConnectionEnd(Enum):
+class ConnectionCloseReason(Enum):
     """Why a connection ended. Counted as `ended.client.REASON` and `ended.cache.REASON`."""
 
     ANSWER_STUCK = "answer_stuck"
--- a/onyxwick/core/send_guard.py
+++ b/onyxwick/core/send_guard.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from onyxwick.core.lifecycles import RequestLifecycle
-from onyxwick.core.members import Members, Standing
+from onyxwick.core.members import EndpointTable, DecisionSnapshot
 from onyxwick.core.stall import StallWatch
 from onyxwick.interface import Idempotency, RouterSettings
 
@@ -21,7 +21,7 @@
     def __init__(
         self,
         settings: RouterSettings,
-        members: Members,
+        members: EndpointTable,
         stalls: StallWatch,
         now: Callable[[], int],
         leave: Callable[[RequestLifecycle], None],
@@ -33,7 +33,7 @@
         self._stalls_seen = 0
 
     def may_send(
-        self, lifecycle: RequestLifecycle, number: int, member: str, source: str | None, decided: Standing
+        self, lifecycle: RequestLifecycle, number: int, member: str, source: str | None, decided: DecisionSnapshot
     ) -> bool:
         """Is it still wanted, may it be a repeat, is its way still open?"""
         self._catch_up_after_stall()
--- a/onyxwick/distribution/__init__.py
+++ b/onyxwick/distribution/__init__.py
@@ -6,8 +6,8 @@
 
 from onyxwick.distribution.fanout import FanOut
 from onyxwick.distribution.follower import Follower
-from onyxwick.distribution.model import Cursor, DistributionError, Event
+from onyxwick.distribution.model import Cursor, DistributionError, FeedEvent
 from onyxwick.distribution.publisher import Publisher
 from onyxwick.distribution.replica import Replica
 
-__all__ = ["Cursor", "DistributionError", "Event", "FanOut", "Follower", "Publisher", "Replica"]
+__all__ = ["Cursor", "DistributionError", "FeedEvent", "FanOut", "Follower", "Publisher", "Replica"]
--- a/onyxwick/distribution/admission.py
+++ b/onyxwick/distribution/admission.py
@@ -22,7 +22,7 @@
     most_wait_us: int = 2 * S_US
 
 
-class Admission:
+class SubscriberAdmission:
     """Decides when each new subscriber may begin to load."""
 
     def __init__(self, limits: AdmissionLimits) -> None:
--- a/onyxwick/distribution/codec.py
+++ b/onyxwick/distribution/codec.py
@@ -20,7 +20,7 @@
     CacheRow,
     Cursor,
     DocumentPart,
-    Event,
+    FeedEvent,
     Freshness,
     MalformedLineError,
     Message,
@@ -59,9 +59,9 @@
         return _snapshot(cursor, value["snapshot"])
     whole_line = line.rstrip(b"\n") + b"\n"  # relays pass it on as it came
     try:
-        return Event(cursor, _payload(value), whole_line)
+        return FeedEvent(cursor, _payload(value), whole_line)
     except PayloadError as error:
-        return Event(cursor, UnknownPayload(str(error)), whole_line)
+        return FeedEvent(cursor, UnknownPayload(str(error)), whole_line)
 
 
 def _is_whole(value: Any) -> bool:
@@ -148,9 +148,9 @@
     return part
 
 
-def encode_event(cursor: Cursor, payload: Payload) -> Event:
+def encode_event(cursor: Cursor, payload: Payload) -> FeedEvent:
     """An event with its line."""
-    return Event(cursor, payload, _line({"index": cursor.packed, **_fields(payload)}))
+    return FeedEvent(cursor, payload, _line({"index": cursor.packed, **_fields(payload)}))
 
 
 def encode_announcement(cursor: Cursor) -> bytes:
--- a/onyxwick/distribution/durable.py
+++ b/onyxwick/distribution/durable.py
@@ -18,14 +18,14 @@
     DistributionError,
     Document,
     DocumentPart,
-    Event,
+    FeedEvent,
     Payload,
     PurgeEvent,
     PurgeKey,
 )
 from onyxwick.distribution.publisher import new_history
-from onyxwick.distribution.replica import FeedState, Replica, Snapshot
-from onyxwick.store.engine import Engine, Op, Transaction
+from onyxwick.distribution.replica import FeedState, Replica, FeedSnapshot
+from onyxwick.store.engine import StoreEngine, WriteOperation, Transaction
 
 PREFIX = "distribution/"
 HEAD, UPSTREAM, LIST_VERSION = PREFIX + "head", PREFIX + "upstream", PREFIX + "list-version"
@@ -36,7 +36,7 @@
 class DurableFeed:
     """Reads and writes the state of one replica in a store that is open."""
 
-    def __init__(self, engine: Engine) -> None:
+    def __init__(self, engine: StoreEngine) -> None:
         self.engine = engine
 
     def load(self, replica: Replica, unix_s: int) -> Cursor:
@@ -44,13 +44,13 @@
         head = self.engine.get(HEAD)
         if head is None:
             replica.log.restart(new_history(unix_s))
-            self.engine.commit(Transaction((Op(HEAD, _number(replica.cursor)),), BY))
+            self.engine.commit(Transaction((WriteOperation(HEAD, _number(replica.cursor)),), BY))
             return Cursor(0, 0)
-        replica.install(Snapshot(_cursor(head), tuple(self._payloads())))
+        replica.install(FeedSnapshot(_cursor(head), tuple(self._payloads())))
         upstream = self.engine.get(UPSTREAM)
         return Cursor(0, 0) if upstream is None else _cursor(upstream)
 
-    def save(self, events: Iterable[Event], upstream: Cursor, state: FeedState, now_us: int) -> None:
+    def save(self, events: Iterable[FeedEvent], upstream: Cursor, state: FeedState, now_us: int) -> None:
         """Make events durable before they are applied to `state`; StoreError where the disk fails."""
         changes: dict[str, bytes | None] = {}
         documents: dict[str, list[DocumentPart]] = {}
@@ -62,7 +62,7 @@
             changes[HEAD] = _number(last)
         changes |= self._expired(state, now_us // 1000)
         changes[UPSTREAM] = _number(upstream)
-        ops = tuple(Op(key, value) for key, value in changes.items())
+        ops = tuple(WriteOperation(key, value) for key, value in changes.items())
         self.engine.commit(Transaction(ops, BY, now_us))
         if self.engine.wants_compaction():
             self.engine.compact()
@@ -145,6 +145,6 @@
 def _payloads_of(value: bytes) -> Iterator[Payload]:
     for line in value.splitlines():
         message = decode(line)
-        if not isinstance(message, Event):
+        if not isinstance(message, FeedEvent):
             raise DistributionError(f"the store holds what is no event: {line[:64]!r}")
         yield message.payload
--- a/onyxwick/distribution/fanout.py
+++ b/onyxwick/distribution/fanout.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from onyxwick.distribution.admission import Admission, AdmissionLimits
+from onyxwick.distribution.admission import SubscriberAdmission, AdmissionLimits
 from onyxwick.distribution.codec import encode_announcement, encode_freshness
 from onyxwick.distribution.model import ORIGIN, Cursor, Freshness, IllegalTransitionError
 from onyxwick.distribution.replica import Replica
@@ -81,7 +81,7 @@
         self, replica: Replica, limits: FanOutLimits | None = None, authoritative: bool = False
     ) -> None:
         self.replica, self.limits, self.authoritative = replica, limits or FanOutLimits(), authoritative
-        self.admission = Admission(self.limits.admission)
+        self.admission = SubscriberAdmission(self.limits.admission)
         self.subscribers: set[Subscriber] = set()
         self.counts: Counter[str] = Counter()
         self.freshness: bytes = b""
--- a/onyxwick/distribution/follower.py
+++ b/onyxwick/distribution/follower.py
@@ -17,7 +17,7 @@
     ORIGIN,
     Announcement,
     Cursor,
-    Event,
+    FeedEvent,
     Freshness,
     IllegalTransitionError,
     MalformedLineError,
@@ -27,7 +27,7 @@
     SnapshotEnd,
     UnknownPayload,
 )
-from onyxwick.distribution.replica import Snapshot
+from onyxwick.distribution.replica import FeedSnapshot
 
 S_US = 1_000_000
 
@@ -78,7 +78,7 @@
 """For a coordinator that sends its last number once a second and no freshness."""
 
 
-class Backoff(Protocol):
+class RetryBackoff(Protocol):
     """Waits between attempts, drawn so that followers that lost a parent together do not return together."""
 
     def next_delay_us(self) -> int:
@@ -91,49 +91,49 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Connect:
+class ConnectToParent:
     """Open a connection to the parent of this place in the list of parents."""
 
     parent: int
 
 
 @dataclass(frozen=True, slots=True)
-class Send:
+class SendLine:
     """Write bytes on the connection."""
 
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Disconnect:
+class DisconnectFromParent:
     """Close the connection, or give up its attempt."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
-class Deliver:
+class DeliverEvent:
     """The next event, or (`from_snapshot`) a purge of a snapshot that is still being loaded."""
 
-    event: Event
+    event: FeedEvent
     from_snapshot: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Install:
+class InstallSnapshot:
     """A snapshot is complete: it replaces all that was delivered before."""
 
-    snapshot: Snapshot
+    snapshot: FeedSnapshot
 
 
 @dataclass(frozen=True, slots=True)
-class Refresh:
+class RefreshFreshness:
     """The publisher was reached, through however many nodes."""
 
     freshness: Freshness
 
 
-Action = Connect | Send | Disconnect | Deliver | Install | Refresh
+Action = ConnectToParent | SendLine | DisconnectFromParent | DeliverEvent | InstallSnapshot | RefreshFreshness
 
 
 class Follower:
@@ -143,7 +143,7 @@
     def __init__(
         self,
         parents: int,
-        backoff: Backoff,
+        backoff: RetryBackoff,
         cursor: Cursor = ORIGIN,
         limits: FollowerLimits | None = None,
         restarts: bool = False,
@@ -185,13 +185,13 @@
             return ()
         self._enter(FollowerState.STOPPED, None)
         self._load = None
-        return () if was is FollowerState.WAITING else (Disconnect("stopped"),)
+        return () if was is FollowerState.WAITING else (DisconnectFromParent("stopped"),)
 
     def connected(self, now: int) -> Sequence[Action]:
         """The connection has come up."""
         self._enter(FollowerState.REQUESTED, now + self.limits.first_line_us)
         self._announced, self._bad, self._joined_at, self._stale_from = None, 0, now, None
-        return (Send(encode_follow(self.cursor)),)
+        return (SendLine(encode_follow(self.cursor)),)
 
     def lost(self, now: int, reason: str) -> Sequence[Action]:
         """The connection has failed or ended; the next parent is tried after a wait."""
@@ -215,7 +215,7 @@
         if self.state is FollowerState.LOADING and not isinstance(message, SnapshotBegin | SnapshotEnd):
             return self._loading(now, message, line)
         match message:
-            case Event():
+            case FeedEvent():
                 return self._event(now, message)
             case Announcement(cursor):
                 return self._announcement(now, cursor)
@@ -247,12 +247,12 @@
 
     def _connect(self, now: int) -> Sequence[Action]:
         self._enter(FollowerState.CONNECTING, now + self.limits.connect_us)
-        return (Connect(self.parent),)
+        return (ConnectToParent(self.parent),)
 
     def _give_up(self, now: int, reason: str) -> Sequence[Action]:
         self.counts[f"gave_up.{reason.split()[0]}"] += 1
         self.lost(now, reason)
-        return (Disconnect(reason),)
+        return (DisconnectFromParent(reason),)
 
     def _working(self) -> None:
         """The parent serves us: events are taken from it."""
@@ -267,7 +267,7 @@
 
     # ---- events ---------------------------------------------------------------------------------------
 
-    def _event(self, now: int, event: Event) -> Sequence[Action]:
+    def _event(self, now: int, event: FeedEvent) -> Sequence[Action]:
         if event.cursor <= self.cursor:
             self.counts["duplicate"] += 1
             return ()
@@ -277,7 +277,7 @@
         self.cursor = event.cursor
         if isinstance(event.payload, UnknownPayload):
             self.counts["bad.event"] += 1  # asking again would not mend it
-        return (Deliver(event),)
+        return (DeliverEvent(event),)
 
     def _announcement(self, now: int, cursor: Cursor) -> Sequence[Action]:
         if self._announced is not None and self._announced > self.cursor:
@@ -302,7 +302,7 @@
             return ()
         self.published_ms, self.fresh_at = message.published_ms, now
         self._stale_wait_us = self.limits.stale_us or 0
-        return (Refresh(message),)
+        return (RefreshFreshness(message),)
 
     def _review_parent(self, now: int) -> Sequence[Action]:
         """Leave a parent that is cut off from the publisher, or return to the first one."""
@@ -339,7 +339,7 @@
     def _loading(self, now: int, message: object, line: bytes) -> Sequence[Action]:
         load = self._load
         assert load is not None
-        if not isinstance(message, Event) or message.cursor != load.begin.cursor:
+        if not isinstance(message, FeedEvent) or message.cursor != load.begin.cursor:
             return self._give_up(now, "snapshot mixed with other lines")
         load.size += len(line)
         load.digest.add(line)
@@ -347,7 +347,7 @@
         if load.size > self.limits.snapshot_bytes or len(load.payloads) > load.begin.lines:
             return self._give_up(now, "snapshot over its bound")
         # A purge binds at once, whatever becomes of the rest; taking one in early can do no harm.
-        return (Deliver(message, from_snapshot=True),) if isinstance(message.payload, PurgeEvent) else ()
+        return (DeliverEvent(message, from_snapshot=True),) if isinstance(message.payload, PurgeEvent) else ()
 
     def _snapshot_end(self, now: int, message: SnapshotEnd) -> Sequence[Action]:
         load, self._load = self._load, None
@@ -357,7 +357,7 @@
         self.backoff.reset()
         self.cursor = message.cursor
         self.counts["snapshots"] += 1
-        return (Install(Snapshot(message.cursor, tuple(load.payloads))),)
+        return (InstallSnapshot(FeedSnapshot(message.cursor, tuple(load.payloads))),)
 
 
 class _Load:
--- a/onyxwick/distribution/model.py
+++ b/onyxwick/distribution/model.py
@@ -150,7 +150,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Event:
+class FeedEvent:
     """One numbered event with the line that carries it."""
 
     cursor: Cursor
@@ -189,4 +189,4 @@
     digest: str
 
 
-Message = Event | Announcement | Freshness | SnapshotBegin | SnapshotEnd
+Message = FeedEvent | Announcement | Freshness | SnapshotBegin | SnapshotEnd
--- a/onyxwick/distribution/publisher.py
+++ b/onyxwick/distribution/publisher.py
@@ -18,7 +18,7 @@
     CacheListChange,
     Cursor,
     DocumentPart,
-    Event,
+    FeedEvent,
     Payload,
     PublishRefusedError,
     PurgeEvent,
@@ -73,10 +73,10 @@
         self._versions[name] = version + 1, digest
         return version + 1
 
-    def due(self, now: int) -> list[Event]:
+    def due(self, now: int) -> list[FeedEvent]:
         """Number what may be sent now, in its order. The caller makes the events durable, applies them to the
         replica and only then announces them."""
-        cursor, out = self.replica.cursor, list[Event]()
+        cursor, out = self.replica.cursor, list[FeedEvent]()
         for payload in self._next_payloads(now):
             cursor = cursor.following()
             out.append(encode_event(cursor, payload))
--- a/onyxwick/distribution/replica.py
+++ b/onyxwick/distribution/replica.py
@@ -21,7 +21,7 @@
     Cursor,
     Document,
     DocumentPart,
-    Event,
+    FeedEvent,
     FeedGapError,
     Payload,
     PurgeEvent,
@@ -137,7 +137,7 @@
         """The number of the oldest event held; one past the last where none is."""
         return self.last.number - len(self.lines) + 1
 
-    def append(self, event: Event) -> None:
+    def append(self, event: FeedEvent) -> None:
         """The next event; FeedGapError if it is not the next one."""
         if event.cursor != self.last.following():
             raise FeedGapError(f"event {event.cursor} after {self.last}")
@@ -173,7 +173,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Snapshot:
+class FeedSnapshot:
     """A state as of a cursor: as payloads where it was received, with its lines where it is sent on."""
 
     cursor: Cursor
@@ -194,7 +194,7 @@
         """The last event applied."""
         return self.log.last
 
-    def apply(self, event: Event, now_ms: int) -> Document | None:
+    def apply(self, event: FeedEvent, now_ms: int) -> Document | None:
         """Take in the next event; the document that it completes, if any. FeedGapError out of order."""
         self.log.append(event)
         self.state.purges.expire(now_ms)
@@ -204,7 +204,7 @@
             self.bad_documents += 1  # its number counts all the same: the next version mends it
             return None
 
-    def install(self, snapshot: Snapshot) -> None:
+    def install(self, snapshot: FeedSnapshot) -> None:
         """Replace the state by a snapshot's; StepBackError if it is older than what is held."""
         if snapshot.cursor < self.cursor:
             raise StepBackError(f"snapshot of {snapshot.cursor} under {self.cursor}")
--- a/onyxwick/dns/lookup.py
+++ b/onyxwick/dns/lookup.py
@@ -11,7 +11,7 @@
 import dns.rdatatype
 import dns.rrset
 
-from onyxwick.tenants import Zone
+from onyxwick.tenants import TenantZone
 
 ALIASES = 8  # CNAMEs followed within a zone
 IN = dns.rdataclass.IN
@@ -22,7 +22,7 @@
     return dns.rrset.from_rdata_list(name, rdataset.ttl, list(rdataset)) if rdataset else None
 
 
-def soa(zone: Zone) -> dns.rrset.RRset:
+def soa(zone: TenantZone) -> dns.rrset.RRset:
     """The SOA for the authority section: its TTL is what bounds a negative answer's life."""
     node = zone.data.get_node(zone.name)
     assert node is not None
@@ -32,12 +32,12 @@
     return found
 
 
-def _exists(zone: Zone, name: dns.name.Name) -> bool:
+def _exists(zone: TenantZone, name: dns.name.Name) -> bool:
     """Is there such a name, if only because something stands below it?"""
     return any(other.is_subdomain(name) for other in zone.data.nodes)
 
 
-def _node(zone: Zone, name: dns.name.Name) -> dns.node.Node | None:
+def _node(zone: TenantZone, name: dns.name.Name) -> dns.node.Node | None:
     """The node that answers for a name: its own, an empty one, or the closest encloser's wildcard."""
     if (node := zone.data.get_node(name)) is not None:
         return node
@@ -49,7 +49,7 @@
     return zone.data.get_node(dns.name.Name((b"*", *parent.labels)))
 
 
-def _cut(zone: Zone, name: dns.name.Name) -> dns.rrset.RRset | None:
+def _cut(zone: TenantZone, name: dns.name.Name) -> dns.rrset.RRset | None:
     """The NS records of a delegation at or above a name, if it lies beyond one."""
     found = None
     while name != zone.name:
@@ -60,7 +60,7 @@
     return found
 
 
-def _glue(zone: Zone, ns: dns.rrset.RRset, response: dns.message.Message) -> None:
+def _glue(zone: TenantZone, ns: dns.rrset.RRset, response: dns.message.Message) -> None:
     for record in ns:
         if record.target.is_subdomain(zone.name) and (node := zone.data.get_node(record.target)):
             for kind in (dns.rdatatype.A, dns.rdatatype.AAAA):
@@ -68,7 +68,7 @@
                     response.additional.append(glue)
 
 
-def answer(zone: Zone, name: dns.name.Name, kind: dns.rdatatype.RdataType, out: dns.message.Message) -> None:
+def answer(zone: TenantZone, name: dns.name.Name, kind: dns.rdatatype.RdataType, out: dns.message.Message) -> None:
     """Fill in the answer to a static name of this zone."""
     for _ in range(ALIASES):
         if cut := _cut(zone, name):
--- a/onyxwick/dns/naming.py
+++ b/onyxwick/dns/naming.py
@@ -7,7 +7,7 @@
 
 import dns.name
 
-from onyxwick.core import Order, Outcome, Request
+from onyxwick.core import AttemptSpec, AttemptOutcome, ClientRequest
 from onyxwick.interface import AttemptStatus, Idempotency, RequestClass
 
 _OBJECT = re.compile(r"[0-9a-f]{16}").fullmatch
@@ -22,10 +22,10 @@
     Nobody here sees how that went: the outcome carries no latency, hit or load that it could learn from.
     """
 
-    async def run(self, order: Order) -> Outcome:
+    async def run(self, order: AttemptSpec) -> AttemptOutcome:
         if not order.is_still_valid():
-            return Outcome(AttemptStatus.NOT_SENT)
-        return Outcome(AttemptStatus.OK, unobserved=True)
+            return AttemptOutcome(AttemptStatus.NOT_SENT)
+        return AttemptOutcome(AttemptStatus.OK, unobserved=True)
 
 
 def read_name(labels: tuple[str, ...], classes: dict[str, RequestClass]) -> tuple[str, str, int] | None:
@@ -38,7 +38,7 @@
         return None
     part, name, class_name = labels
     kind = classes.get(class_name)
-    if kind is None or kind.write or kind.idempotency is Idempotency.NON_IDEMPOTENT:
+    if kind is None or kind.is_write or kind.idempotency is Idempotency.NON_IDEMPOTENT:
         return None
     return (class_name, name, int(part)) if _OBJECT(name) and _PART(part) else None
 
@@ -48,14 +48,14 @@
     return tuple(label.decode("latin-1").lower() for label in below)
 
 
-def request(asked: tuple[str, str, int], now: int, deadline_us: int, tenant: str) -> Request:
+def request(asked: tuple[str, str, int], now: int, deadline_us: int, tenant: str) -> ClientRequest:
     class_name, name, part = asked
-    return Request(
-        id=secrets.token_hex(8),
+    return ClientRequest(
+        request_id=secrets.token_hex(8),
         class_name=class_name,
-        object=name,
+        object_id=name,
         part=part,
-        group=None,
+        object_group=None,
         arrived_us=now,
         timeout_us=deadline_us,
         tenant=tenant,
--- a/onyxwick/dns/server.py
+++ b/onyxwick/dns/server.py
@@ -24,16 +24,16 @@
 from onyxwick import logs
 from onyxwick.config.address import written
 from onyxwick.config.service import ServiceConfig
-from onyxwick.core import Answer, Core, Verdict
+from onyxwick.core import FinalAnswer, RequestEngine, AnswerStatus
 from onyxwick.counters import Counters
 from onyxwick.dns import lookup, naming, update
 from onyxwick.net.buffer import Buffer
 from onyxwick.net.listening import listen
 from onyxwick.store.errors import StoreError
-from onyxwick.tenants import Zone, read_zone
+from onyxwick.tenants import TenantZone, read_zone
 
 if TYPE_CHECKING:
-    from onyxwick.store.durable import Durable
+    from onyxwick.store.durable import DurableState
 
 log = logs.get()
 PLAIN_SIZE, EDNS_SIZE = 512, 1232  # answers over UDP without and with EDNS
@@ -57,7 +57,7 @@
     """Answers for the tenants' zones. What lies under a routed name is the core's to say."""
 
     def __init__(
-        self, core: Core, counters: Counters, config: ServiceConfig, durable: Durable | None = None
+        self, core: RequestEngine, counters: Counters, config: ServiceConfig, durable: DurableState | None = None
     ) -> None:
         self.durable = durable
         self.core, self.counters, self.tenants = core, counters, config.tenants
@@ -148,7 +148,7 @@
             self._static(zone, query, response)
         self._send(query, response, udp, send)
 
-    def _static(self, zone: Zone, query: dns.message.Message, response: dns.message.Message) -> None:
+    def _static(self, zone: TenantZone, query: dns.message.Message, response: dns.message.Message) -> None:
         kind = query.question[0].rdtype
         if kind in (dns.rdatatype.AXFR, dns.rdatatype.IXFR):
             response.set_rcode(dns.rcode.REFUSED)
@@ -156,7 +156,7 @@
             lookup.answer(zone, query.question[0].name, kind, response)
 
     async def _update(
-        self, zone: Zone, query: dns.update.UpdateMessage, response: dns.message.Message
+        self, zone: TenantZone, query: dns.update.UpdateMessage, response: dns.message.Message
     ) -> None:
         keys = self.tenants.tenants[zone.tenant].keys
         if query.question[0].name != zone.name:
@@ -182,7 +182,7 @@
             self.counters.add("dns.update.failed")
             response.set_rcode(error.rcode)
 
-    async def _last(self, zone: Zone) -> None:
+    async def _last(self, zone: TenantZone) -> None:
         """Durable before the update is answered; its serial can then never go back over a restart."""
         if self.durable is not None:
             tenant = self.tenants.tenants[zone.tenant]
@@ -191,7 +191,7 @@
     # ---- routed names -----------------------------------------------------------------------------------
 
     async def _routed(
-        self, zone: Zone, query: dns.message.Message, response: dns.message.Message, send: Callable[[], None]
+        self, zone: TenantZone, query: dns.message.Message, response: dns.message.Message, send: Callable[[], None]
     ) -> bool:
         """Answer a name under the routed one. True if `send` was called: right where the cache was chosen."""
         assert zone.routed is not None
@@ -212,7 +212,7 @@
             return False
         request = naming.request(asked, self.core.now(), self.deadline_us, zone.tenant)
 
-        def reply(answer: Answer) -> None:
+        def reply(answer: FinalAnswer) -> None:
             self._name(zone, name, kind, answer, response)
             send()
 
@@ -221,16 +221,16 @@
 
     def _name(
         self,
-        zone: Zone,
+        zone: TenantZone,
         name: dns.name.Name,
         kind: dns.rdatatype.RdataType,
-        answer: Answer,
+        answer: FinalAnswer,
         response: dns.message.Message,
     ) -> None:
         """The chosen cache as an answer. The list is asked again: a drain may have come since the choice."""
         address = self.core.members.addresses.get(answer.member)
         if (
-            answer.verdict is not Verdict.SERVED
+            answer.status is not AnswerStatus.SERVED
             or address is None
             or not self.core.members.ready(answer.member)
         ):
@@ -248,7 +248,7 @@
 
     def _box(
         self,
-        zone: Zone,
+        zone: TenantZone,
         name: dns.name.Name,
         member: str,
         kind: dns.rdatatype.RdataType,
--- a/onyxwick/dns/update.py
+++ b/onyxwick/dns/update.py
@@ -12,7 +12,7 @@
 import dns.transaction
 import dns.update
 
-from onyxwick.tenants import Zone
+from onyxwick.tenants import TenantZone
 
 NONE, ANY = dns.rdataclass.NONE, dns.rdataclass.ANY
 APEX_KEPT = (dns.rdatatype.SOA, dns.rdatatype.NS)
@@ -50,7 +50,7 @@
         _require(held is not None and set(held) == set(asked), dns.rcode.NXRRSET)
 
 
-def _delete(txn: dns.transaction.Transaction, zone: Zone, change: dns.rrset.RRset) -> None:
+def _delete(txn: dns.transaction.Transaction, zone: TenantZone, change: dns.rrset.RRset) -> None:
     name, kind, apex = change.name, change.rdtype, change.name == zone.name
     if change.deleting == NONE:
         if apex and kind == dns.rdatatype.SOA:
@@ -70,7 +70,7 @@
                 txn.delete(name, rdataset.rdtype)
 
 
-def _add(txn: dns.transaction.Transaction, zone: Zone, change: dns.rrset.RRset) -> None:
+def _add(txn: dns.transaction.Transaction, zone: TenantZone, change: dns.rrset.RRset) -> None:
     name, kind = change.name, change.rdtype
     if kind == dns.rdatatype.SOA:
         held = txn.get(name, kind)
@@ -88,13 +88,13 @@
         txn.add(name, change)
 
 
-def _inside(zone: Zone, name: dns.name.Name) -> None:
+def _inside(zone: TenantZone, name: dns.name.Name) -> None:
     _require(name.is_subdomain(zone.name), dns.rcode.NOTZONE)
     if zone.routed is not None and name.is_subdomain(zone.routed):
         raise UpdateError(dns.rcode.REFUSED)  # what is there is the module's to say
 
 
-def apply(zone: Zone, message: dns.update.UpdateMessage) -> None:
+def apply(zone: TenantZone, message: dns.update.UpdateMessage) -> None:
     """Carry out an update, or raise UpdateError with the zone as it was."""
     for rrset in (*message.prerequisite, *message.update):
         _inside(zone, rrset.name)
--- a/onyxwick/door/bridge.py
+++ b/onyxwick/door/bridge.py
@@ -13,8 +13,8 @@
 from pathlib import Path
 
 from onyxwick import logs
-from onyxwick.core import Core
-from onyxwick.core.members import Members
+from onyxwick.core import RequestEngine
+from onyxwick.core.members import EndpointTable
 from onyxwick.counters import Counters
 from onyxwick.door import orders as o
 from onyxwick.door.figures import figures
@@ -25,22 +25,22 @@
 RECALL_S, RECALL_RETRY_S = 2.0, 0.05  # how long a start waits for a predecessor's file, and between two tries
 
 
-class Bridge:
+class CommandExecutor:
     """Orders, figures and readiness, each safe to read or hand over from the door's thread."""
 
     def __init__(
         self,
-        core: Core,
-        members: Members,
+        core: RequestEngine,
+        members: EndpointTable,
         counters: Counters,
         ready_word: Callable[[], str],
-        drained: Callable[[o.Orders], None],
+        drained: Callable[[o.OperatorCommands], None],
         persisted: PersistedCommands | None,
     ) -> None:
         self.core, self.members, self.counters, self.persisted = core, members, counters, persisted
         self.ready_word, self.drained = ready_word, drained
-        self.known = o.Known()
-        self.orders = self.applied = o.Orders()  # the latest; those the director's loop has taken up
+        self.known = o.KnownCaches()
+        self.orders = self.applied = o.OperatorCommands()  # the latest; those the director's loop has taken up
         self.published: dict[str, dict[str, object]] = figures({}, 0, 0, 0)
         self.loop: asyncio.AbstractEventLoop | None = None
 
@@ -70,7 +70,7 @@
     def figures(self) -> dict[str, dict[str, object]]:
         return self.published
 
-    def ordered(self, orders: o.Orders, known: list[str]) -> None:
+    def ordered(self, orders: o.OperatorCommands, known: list[str]) -> None:
         self.orders = orders
         self.members.excluded = orders.held  # from here on, no send to a cache left out
         if self.loop is not None:
@@ -105,7 +105,7 @@
         )
 
 
-def _read_patiently(persisted: PersistedCommands) -> tuple[o.Orders, list[str]] | None:
+def _read_patiently(persisted: PersistedCommands) -> tuple[o.OperatorCommands, list[str]] | None:
     """The file's orders; OSError where it could not be read for so long. Blocks: nothing is served yet."""
     end = time.monotonic() + RECALL_S
     while True:
--- a/onyxwick/door/calls.py
+++ b/onyxwick/door/calls.py
@@ -14,7 +14,7 @@
 _ID = re.compile(r"[A-Za-z0-9._:-]{1,128}").fullmatch
 
 
-class Kind(Enum):
+class OperatorCallKind(Enum):
     READY = "ready"
     METRICS = "metrics"
     DISABLE = "disable"
@@ -24,12 +24,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Call:
-    kind: Kind
+class OperatorCall:
+    kind: OperatorCallKind
     cache: str = ""  # of DISABLE and ENABLE
 
 
-class Refused(Exception):
+class OperatorCallRejectedError(Exception):
     """No call: `status` is the 4xx to answer with, the text its short reason."""
 
     def __init__(self, status: int, text: str, allow: str = "") -> None:
@@ -37,26 +37,26 @@
         self.status, self.text, self.allow = status, text, allow
 
 
-PLAIN = {"ready": (Kind.READY, "GET"), "metrics": (Kind.METRICS, "GET"), "drain": (Kind.DRAIN, "POST")}
-PLAIN["undrain"] = (Kind.UNDRAIN, "POST")
-CACHES = {"disable": Kind.DISABLE, "enable": Kind.ENABLE}
+PLAIN = {"ready": (OperatorCallKind.READY, "GET"), "metrics": (OperatorCallKind.METRICS, "GET"), "drain": (OperatorCallKind.DRAIN, "POST")}
+PLAIN["undrain"] = (OperatorCallKind.UNDRAIN, "POST")
+CACHES = {"disable": OperatorCallKind.DISABLE, "enable": OperatorCallKind.ENABLE}
 
 
-def route(method: str, path: str) -> Call:
+def route(method: str, path: str) -> OperatorCall:
     """The call that `method` and `path` ask for; Refused with 404, 405 or 400 where they ask for none."""
     parts = path.split("/")
     if len(parts) == 2 and parts[0] == "" and parts[1] in PLAIN:
         kind, wanted = PLAIN[parts[1]]
         _method(method, wanted)
-        return Call(kind)
+        return OperatorCall(kind)
     if len(parts) == 4 and parts[:2] == ["", "caches"] and parts[2] in CACHES:
         _method(method, "POST")
         if not _ID(parts[3]):
-            raise Refused(400, f"no cache id: {parts[3][:64]!r}")
-        return Call(CACHES[parts[2]], parts[3])
-    raise Refused(404, f"no such call: {path[:64]!r}")
+            raise OperatorCallRejectedError(400, f"no cache id: {parts[3][:64]!r}")
+        return OperatorCall(CACHES[parts[2]], parts[3])
+    raise OperatorCallRejectedError(404, f"no such call: {path[:64]!r}")
 
 
 def _method(method: str, wanted: str) -> None:
     if method != wanted:
-        raise Refused(405, f"{method[:16]!r} is not for this call; it takes {wanted}", allow=wanted)
+        raise OperatorCallRejectedError(405, f"{method[:16]!r} is not for this call; it takes {wanted}", allow=wanted)
--- a/onyxwick/door/orders.py
+++ b/onyxwick/door/orders.py
@@ -24,12 +24,12 @@
 MOST_KNOWN = 8192  # ids of caches ever listed that are remembered, the oldest forgotten first
 
 
-class OrderError(Exception):
+class OperatorCommandError(Exception):
     """An order that cannot be carried out; the text says why."""
 
 
 @dataclass(frozen=True, slots=True)
-class Orders:
+class OperatorCommands:
     """All that the door has ordered. `back`: caches let back in, with the steady microsecond of it.
     `drain_called_at`: monotonic seconds of this process at which a drain was called for; 0: not here."""
 
@@ -43,17 +43,17 @@
         return next((at for name, at in self.back if name == cache), 0)
 
 
-def disable(orders: Orders, cache: str, now: int) -> Orders:
+def disable(orders: OperatorCommands, cache: str, now: int) -> OperatorCommands:
     """Leave a cache out; the same orders where it is out already, as a call again changes nothing."""
     if cache in orders.held:
         return orders
     if len(orders.held) >= MOST_HELD:
-        raise OrderError(f"{MOST_HELD} caches are left out already")
+        raise OperatorCommandError(f"{MOST_HELD} caches are left out already")
     back = tuple((name, at) for name, at in orders.back if name != cache)
     return replace(orders, version=orders.version + 1, held=orders.held | {cache}, back=back)
 
 
-def enable(orders: Orders, cache: str, now: int) -> Orders:
+def enable(orders: OperatorCommands, cache: str, now: int) -> OperatorCommands:
     """Let a cache back in, cold from now; one call ends the ban however many left it out."""
     if cache not in orders.held:
         return orders
@@ -61,14 +61,14 @@
     return replace(orders, version=orders.version + 1, held=orders.held - {cache}, back=back)
 
 
-def drain(orders: Orders, drained: bool, called_at: float = 0.0) -> Orders:
+def drain(orders: OperatorCommands, drained: bool, called_at: float = 0.0) -> OperatorCommands:
     """Drain the director, or end that; the same orders where it is so: the first call's time holds."""
     if orders.drained is drained:
         return orders
     return replace(orders, version=orders.version + 1, drained=drained, drain_called_at=called_at)
 
 
-def is_another_drain(before: Orders, after: Orders) -> bool:
+def is_another_drain(before: OperatorCommands, after: OperatorCommands) -> bool:
     """Is the director drained, or no longer, or drained anew, with an end of the first drain in between? One
     that another process was called for has no time here, and is the same where this one is drained."""
     if before.drained is not after.drained:
@@ -76,28 +76,28 @@
     return after.drained and after.drain_called_at not in (0.0, before.drain_called_at)
 
 
-Change = Callable[[Orders], Orders]
+Change = Callable[[OperatorCommands], OperatorCommands]
 """What a call makes of orders."""
 
 
-def rebased(theirs: Orders, changes: Iterable[Change]) -> Orders:
+def rebased(theirs: OperatorCommands, changes: Iterable[Change]) -> OperatorCommands:
     """Changes of this process that nobody else has seen, on top of what another process wrote meanwhile."""
     for change in changes:
         theirs = change(theirs)
     return theirs
 
 
-def newer(mine: Orders, theirs: Orders) -> Orders:
+def newer(mine: OperatorCommands, theirs: OperatorCommands) -> OperatorCommands:
     """Of the orders this process has and those another wrote, the later ones."""
     return theirs if theirs.version > mine.version else mine
 
 
-def changed(before: Orders, after: Orders) -> set[str]:
+def changed(before: OperatorCommands, after: OperatorCommands) -> set[str]:
     """Caches whose showing to the module differs between two orders."""
     return set(before.held ^ after.held) | {name for name, _ in set(before.back) ^ set(after.back)}
 
 
-def shown(member: Member, orders: Orders, now: int) -> Member:
+def shown(member: Member, orders: OperatorCommands, now: int) -> Member:
     """A row of the list as the module is to see it under these orders."""
     if member.state is not MemberState.READY:
         return member
@@ -109,12 +109,12 @@
     return member
 
 
-def shown_list(event: EndpointsChanged, orders: Orders, now: int) -> EndpointsChanged:
+def shown_list(event: EndpointsChanged, orders: OperatorCommands, now: int) -> EndpointsChanged:
     members = tuple(shown(member, orders, now) for member in event.members)
     return event if members == event.members else replace(event, members=members)
 
 
-class Known:
+class KnownCaches:
     """Ids of caches ever listed, so that an order for one that never was is refused; the oldest go first."""
 
     def __init__(self, most: int = MOST_KNOWN) -> None:
@@ -132,7 +132,7 @@
         return name in self.ids
 
 
-def to_json(orders: Orders, known: Known) -> dict[str, object]:
+def to_json(orders: OperatorCommands, known: KnownCaches) -> dict[str, object]:
     return {
         "v": 1,
         "version": orders.version,
@@ -143,7 +143,7 @@
     }
 
 
-def of_json(data: object) -> tuple[Orders, list[str]]:
+def of_json(data: object) -> tuple[OperatorCommands, list[str]]:
     """Orders and known ids as `to_json` wrote them; ValueError where the text is not such."""
     if not isinstance(data, dict) or data.get("v") != 1:
         raise ValueError("no orders of version 1")
@@ -156,7 +156,7 @@
     pairs = [(row[0], row[1]) for row in back if isinstance(row, list) and len(row) == 2]
     if len(pairs) != len(back) or not all(isinstance(n, str) and isinstance(at, int) for n, at in pairs):
         raise ValueError("back is no list of names with times")
-    return Orders(version, drained, frozenset(held), tuple(pairs)), list(known)
+    return OperatorCommands(version, drained, frozenset(held), tuple(pairs)), list(known)
 
 
 def _names(value: object) -> TypeGuard[list[str]]:
--- a/onyxwick/door/persisted_commands.py
+++ b/onyxwick/door/persisted_commands.py
@@ -21,7 +21,7 @@
 import ujson
 
 from onyxwick.core.clock import SteadyClock, steady_us
-from onyxwick.door.orders import Known, Orders, of_json, to_json
+from onyxwick.door.orders import KnownCaches, OperatorCommands, of_json, to_json
 
 MOST_BYTES = 1_000_000  # a larger file is no file of ours
 LOCK_TRIES, LOCK_RETRY_S = 5, 0.002  # the other process holds its lock for a read and a write
@@ -70,7 +70,7 @@
             return None
         return told.st_ino, told.st_size, told.st_mtime_ns
 
-    def read(self) -> tuple[Orders, list[str]] | None:
+    def read(self) -> tuple[OperatorCommands, list[str]] | None:
         """The orders in the file where it has changed since it was last seen; None where it has not.
 
         ValueError where the file is no file of orders; OSError where it cannot be read.
@@ -86,7 +86,7 @@
         orders, known = of_json(data)
         return self._in_steady_time(orders, data.get("clock")), known
 
-    def _in_steady_time(self, orders: Orders, clock: object) -> Orders:
+    def _in_steady_time(self, orders: OperatorCommands, clock: object) -> OperatorCommands:
         """Times of another process's steady clock in this one's. Both run with the machine's monotonic clock,
         which a step of the wall clock between their starts does not move; of the two readings the later
         holds, so that no cache is taken for warmer than it is."""
@@ -101,7 +101,7 @@
         back = tuple((name, min(now, max(at, at + shift))) for name, at in orders.back)
         return replace(orders, back=back)
 
-    def write(self, orders: Orders, known: Known) -> int:
+    def write(self, orders: OperatorCommands, known: KnownCaches) -> int:
         """The orders whole, in place of what was there; the version that stands there now. OSError where the
         folder takes nothing."""
         draft = self.path.with_name(f".{self.path.name}.{os.getpid()}")
--- a/onyxwick/door/server.py
+++ b/onyxwick/door/server.py
@@ -23,7 +23,7 @@
 from onyxwick.admin.http import HttpError, HttpRequest, HttpServer
 from onyxwick.counters import Counters
 from onyxwick.door import orders as o
-from onyxwick.door.calls import Call, Kind, Refused, route
+from onyxwick.door.calls import OperatorCall, OperatorCallKind, OperatorCallRejectedError, route
 from onyxwick.door.persisted_commands import PersistedCommands
 
 log = logs.get()
@@ -31,17 +31,17 @@
 PATIENCE_S = 1.0  # a caller waits 1 s for its answer: one that has not finished its call by then waits none
 LOOK_S = 0.1  # between two looks at the file that the other process may have written
 STOP_S = 1.0  # the longest wait for the thread at the end
-LOOKS = frozenset({Kind.READY, Kind.METRICS})  # calls that change nothing, some ten times a second
+LOOKS = frozenset({OperatorCallKind.READY, OperatorCallKind.METRICS})  # calls that change nothing, some ten times a second
 
 
-class Director(Protocol):
+class DirectorControl(Protocol):
     """What the door needs of the director; each may be called from the door's thread."""
 
     def ready_word(self) -> str: ...
 
     def figures(self) -> dict[str, dict[str, object]]: ...
 
-    def ordered(self, orders: o.Orders, known: list[str]) -> None: ...
+    def ordered(self, orders: o.OperatorCommands, known: list[str]) -> None: ...
 
     def written(self, ordered: int, written: int) -> None: ...
 
@@ -49,16 +49,16 @@
 Answer = tuple[int, object]
 
 
-class Door:
+class OperationsServer:
     """The calls, the thread and the file. `clock`: Unix microseconds."""
 
     def __init__(
         self,
         bound: socket.socket,
         address: tuple[str, int],
-        director: Director,
-        orders: o.Orders,
-        known: o.Known,
+        director: DirectorControl,
+        orders: o.OperatorCommands,
+        known: o.KnownCaches,
         persisted: PersistedCommands | None,
         clock: Callable[[], int],
     ) -> None:
@@ -105,7 +105,7 @@
     def __call__(self, request: HttpRequest) -> Answer:
         try:
             call = route(request.method, request.path)
-        except Refused as refused:
+        except OperatorCallRejectedError as refused:
             self.counters.add("door.refused")
             log.warning("a call that the door does not take", path=request.path[:64], reason=refused.text)
             headers = {"Allow": refused.allow} if refused.allow else None
@@ -119,23 +119,23 @@
             )  # fmt: skip
         return answer
 
-    def _carry_out(self, call: Call, called_at: float) -> Answer:
-        if call.kind is Kind.READY:
+    def _carry_out(self, call: OperatorCall, called_at: float) -> Answer:
+        if call.kind is OperatorCallKind.READY:
             word = self.director.ready_word()
             return (200 if word == "YES" else 503), {"ready": word}
-        if call.kind is Kind.METRICS:
+        if call.kind is OperatorCallKind.METRICS:
             return 200, self.director.figures()
-        if call.kind in (Kind.DRAIN, Kind.UNDRAIN):
-            self._order("", partial(o.drain, drained=call.kind is Kind.DRAIN, called_at=called_at))
+        if call.kind in (OperatorCallKind.DRAIN, OperatorCallKind.UNDRAIN):
+            self._order("", partial(o.drain, drained=call.kind is OperatorCallKind.DRAIN, called_at=called_at))
             return 200, {"drained": self.orders.drained, **self._unkept()}
         if call.cache not in self.known:
             self.counters.add("door.unknown")
             log.warning("a call for a cache never listed", cache=call.cache)
             raise HttpError(404, f"cache {call.cache!r} was never listed")
-        now, change = self.clock(), o.disable if call.kind is Kind.DISABLE else o.enable
+        now, change = self.clock(), o.disable if call.kind is OperatorCallKind.DISABLE else o.enable
         try:
             self._order(call.cache, partial(change, cache=call.cache, now=now))
-        except o.OrderError as error:
+        except o.OperatorCommandError as error:
             raise HttpError(409, str(error)) from None
         return 200, {"cache": call.cache, "disabled": call.cache in self.orders.held, **self._unkept()}
 
--- a/onyxwick/drill.py
+++ b/onyxwick/drill.py
@@ -67,7 +67,7 @@
     """A line that cannot be read; its text names the line and the field."""
 
 
-class Fields:
+class WireLine:
     """The values of one line by position, read by kind; errors name the line and the field."""
 
     def __init__(self, line: str, number: int) -> None:
@@ -114,7 +114,7 @@
             raise self.fail(field) from None
 
 
-def read_member(f: Fields) -> Member:
+def read_member(f: WireLine) -> Member:
     if f.parts[0] != "ROW":
         raise f.fail("ROW")
     return Member(
@@ -128,7 +128,7 @@
     )
 
 
-def read_event(f: Fields, lines: Iterator[Fields]) -> Event | None:
+def read_event(f: WireLine, lines: Iterator[WireLine]) -> Event | None:
     """One event of a running instance; None for a line of a name this adapter does not know."""
     match f.parts[0]:
         case "ACCEPT":
@@ -218,13 +218,13 @@
             return f"SNAPSHOT {instance}"
 
 
-class Drill:
+class SimulatorAdapter:
     """The instances of one process, each with its own router and nothing shared."""
 
     def __init__(self) -> None:
         self.routers: dict[int, Router] = {}
 
-    def batch(self, now: int, lines: list[Fields]) -> list[str]:
+    def batch(self, now: int, lines: list[WireLine]) -> list[str]:
         replies: list[str] = []
         queue: dict[int, list[Event]] = {}
         walk = iter(lines)
@@ -260,12 +260,12 @@
 
 
 def serve(source: TextIO, sink: TextIO) -> None:
-    drill, batch, now = Drill(), list[Fields](), -1
+    drill, batch, now = SimulatorAdapter(), list[WireLine](), -1
     for number, raw in enumerate(source, 1):
         line = raw.rstrip("\r\n")
         if not line:
             continue
-        f = Fields(line, number)
+        f = WireLine(line, number)
         if f.parts[0] == "BATCH":
             batch, now = [], f.whole(1, "clock")
         elif f.parts[0] == "FLUSH":
--- a/onyxwick/interface.py
+++ b/onyxwick/interface.py
@@ -113,7 +113,7 @@
     key_scope: KeyScope = KeyScope.ALL
     key_window_us: int = 0
     stream: bool = False
-    write: bool = False
+    is_write: bool = False
     segmented: bool = False
     freshness_lifetime_us: int = 0
     stale_grace_us: int = 0
--- a/onyxwick/lab/arrivals.py
+++ b/onyxwick/lab/arrivals.py
@@ -7,7 +7,7 @@
 
 import numpy as np
 
-from onyxwick.lab.model import Fault, Load, Scenario
+from onyxwick.lab.model import ScenarioFault, ScenarioLoad, Scenario
 
 GAP_US = 400_000  # between two parts of one object
 
@@ -31,12 +31,12 @@
     return np.sort(rng.uniform(begin_us, end_us, count))
 
 
-def _zipf(rng: np.random.Generator, load: Load, count: int) -> np.ndarray:
+def _zipf(rng: np.random.Generator, load: ScenarioLoad, count: int) -> np.ndarray:
     weights = 1 / np.arange(1, load.objects + 1) ** load.zipf
     return rng.choice(load.objects, count, p=weights / weights.sum())
 
 
-def _one(scenario: Scenario, load: Load, rng: np.random.Generator, fault: Fault | None) -> list[Arrival]:
+def _one(scenario: Scenario, load: ScenarioLoad, rng: np.random.Generator, fault: ScenarioFault | None) -> list[Arrival]:
     """A tenant's arrivals in one span of time; a fault's own where it is given."""
     begin, end = (
         (fault.begin_us, min(fault.end_us, scenario.duration_us)) if fault else (0, scenario.duration_us)
--- a/onyxwick/lab/audit.py
+++ b/onyxwick/lab/audit.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Send:
+class RecordedSend:
     """One attempt as the machine that it came to saw it."""
 
     at_us: int
@@ -65,7 +65,7 @@
 @dataclass(slots=True)
 class Records:
     taken: dict[str, Taken] = field(default_factory=dict)
-    sends: list[Send] = field(default_factory=list)
+    sends: list[RecordedSend] = field(default_factory=list)
     given: list[Given] = field(default_factory=list)
     ran: list[str] = field(default_factory=list)  # writes, by request, as often as they ran
     drained: list[tuple[str, int, int]] = field(default_factory=list)  # member, told, lifted (or 0)
--- a/onyxwick/lab/checks.py
+++ b/onyxwick/lab/checks.py
@@ -5,7 +5,7 @@
 import time
 from typing import Any
 
-from onyxwick.core.invariants import AttemptBegun, Invariants, Violation
+from onyxwick.core.invariants import AttemptStarted, Invariants, Violation
 from onyxwick.interface import EndpointListKind, EndpointsChanged, Member, MemberState
 from onyxwick.lab.platform import settings
 from onyxwick.lab.soak.surroundings import DEADLINES_US, soak_jobs, soak_scenario
@@ -27,7 +27,7 @@
     for n in range(requests):
         name, cache = f"{n:016x}", f"c{n % CACHES}"
         checks.request_started(name, "site-video", 17, "o1", 9 * S, 2 * S)
-        checks.attempt_begun(AttemptBegun(name, 0, cache, None, 0, 5 * S), 2 * S)
+        checks.attempt_begun(AttemptStarted(name, 0, cache, None, 0, 5 * S), 2 * S)
         checks.attempt_ended(name, 0, False)
         checks.answered(name, 3 * S)
         checks.request_ended(name)
--- a/onyxwick/lab/clients.py
+++ b/onyxwick/lab/clients.py
@@ -13,7 +13,7 @@
 from onyxwick.config.address import Address
 from onyxwick.lab.arrivals import Arrival
 from onyxwick.lab.audit import Earned, Records, Taken
-from onyxwick.lab.model import Job
+from onyxwick.lab.model import ScenarioClass
 from onyxwick.net import fastcgi
 
 OPEN_MOST = 32  # requests on one connection
@@ -26,7 +26,7 @@
 
 
 @dataclass(slots=True)
-class Tally:
+class ClientTally:
     """One tenant's figures. Latencies in us from the intended send to the last byte, of what was served."""
 
     asked: int = 0
@@ -73,9 +73,9 @@
                 return
             content = bytes(self.data[8 : 8 + size])
             del self.data[: 8 + size + pad]
-            if kind == fastcgi.Type.STDOUT:
+            if kind == fastcgi.RecordType.STDOUT:
                 self.bodies.setdefault(number, bytearray()).extend(content)
-            elif kind == fastcgi.Type.END:
+            elif kind == fastcgi.RecordType.END:
                 self._end(number, content)
 
     def _end(self, number: int, content: bytes) -> None:
@@ -86,7 +86,7 @@
             return
         self.ended.add(number)
         body = bytes(self.bodies.pop(number, b""))
-        if not body and content[4:5] == bytes([fastcgi.Protocol.OVERLOADED]):
+        if not body and content[4:5] == bytes([fastcgi.ProtocolStatus.OVERLOADED]):
             body = b"Status: 503 Overloaded\r\n\r\n"
         if not future.done():
             future.set_result(body)
@@ -98,8 +98,8 @@
         self.left.discard(self.number)
         pairs = fastcgi.write_pairs({k.encode(): v.encode() for k, v in params.items()})
         begin = fastcgi.BEGIN_BODY.pack(fastcgi.RESPONDER, 1)
-        records = ((fastcgi.Type.BEGIN, begin), (fastcgi.Type.PARAMS, pairs))
-        ends = ((fastcgi.Type.PARAMS, b""), (fastcgi.Type.STDIN, b""))
+        records = ((fastcgi.RecordType.BEGIN, begin), (fastcgi.RecordType.PARAMS, pairs))
+        ends = ((fastcgi.RecordType.PARAMS, b""), (fastcgi.RecordType.STDIN, b""))
         self.transport.write(b"".join(fastcgi.record(k, self.number, c) for k, c in records + ends))
         future: asyncio.Future[bytes | None] = asyncio.get_running_loop().create_future()
         self.waiting[self.number] = future
@@ -109,7 +109,7 @@
         self.waiting.pop(number, None)
         self.left.add(number)
         if self.transport is not None and not self.closed:
-            self.transport.write(fastcgi.record(fastcgi.Type.ABORT, number, b""))
+            self.transport.write(fastcgi.record(fastcgi.RecordType.ABORT, number, b""))
 
 
 async def _connect(address: Address, reads: bool) -> Connection:
@@ -129,7 +129,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Whither:
+class ClientTarget:
     """Where one try goes, and what its request says beside the platform's fields. `pool`: connections are
     shared by tries with the same."""
 
@@ -139,26 +139,26 @@
     fields: tuple[tuple[str, str], ...] = ()
 
 
-Choose = Callable[[], Whither]  # asked before each try: a client may have another front by then
+Choose = Callable[[], ClientTarget]  # asked before each try: a client may have another front by then
 
 
 @dataclass(slots=True)
-class Reply:
+class ClientReply:
     verdict: str
     tag: str = ""
     retry_after_s: float | None = None
 
 
-def read_reply(data: bytes) -> Reply:
+def read_reply(data: bytes) -> ClientReply:
     head, _, _ = data.partition(b"\r\n\r\n")
     lines = dict(line.partition(": ")[::2] for line in head.decode("latin-1").split("\r\n"))
     status = lines.get("Status", "")[:3]
     if status == "200":
-        return Reply("served", lines.get("ETag", "").strip('"'))
+        return ClientReply("served", lines.get("ETag", "").strip('"'))
     after = lines.get("Retry-After-Ms")
     if status in ("429", "503"):
-        return Reply("refused", retry_after_s=int(after) / 1000 if after else None)
-    return Reply("failed")
+        return ClientReply("refused", retry_after_s=int(after) / 1000 if after else None)
+    return ClientReply("failed")
 
 
 class Clients:
@@ -166,7 +166,7 @@
 
     def __init__(
         self,
-        jobs: dict[str, Job],
+        jobs: dict[str, ScenarioClass],
         records: Records,
         clock: Callable[[], int],
         seed: int,
@@ -177,15 +177,15 @@
         self.random = random.Random(seed)
         self.counted_from_us = counted_from_us
         self.pools: dict[tuple[str, str, int], list[Connection]] = {}
-        self.tallies: dict[str, Tally] = {}
+        self.tallies: dict[str, ClientTally] = {}
         self.mute: set[str] = set()  # tenants whose clients do not read
         self.twice = 0
         self.unreached: list[int] = []  # when no connection came up
         self.crashes: dict[int, int] = {}  # director: when it was last killed
         # Is a request that a connection's end left unanswered nobody's fault? Told where it went and when.
-        self.excused: Callable[[Whither, int], bool] = self._killed
+        self.excused: Callable[[ClientTarget, int], bool] = self._killed
 
-    async def _connection(self, tenant: str, to: Whither) -> Connection | None:
+    async def _connection(self, tenant: str, to: ClientTarget) -> Connection | None:
         pool = self.pools.setdefault((tenant, to.pool, to.director), [])
         for c in [c for c in pool if c.closed]:
             self.twice += c.twice
@@ -213,7 +213,7 @@
     async def _ask(self, arrival: Arrival, start_us: int, choose: Choose, site: str) -> float:
         job = self.jobs[arrival.class_name]
         intended = start_us + arrival.at_us
-        tally = self.tallies.setdefault(arrival.tenant, Tally())
+        tally = self.tallies.setdefault(arrival.tenant, ClientTally())
         counted = arrival.at_us >= self.counted_from_us
         if counted:
             tally.asked += 1
@@ -233,7 +233,7 @@
             tally.retries += counted
         return 0.0
 
-    def _served(self, tally: Tally, job: Job, intended: int, counted: bool) -> float:
+    def _served(self, tally: ClientTally, job: ScenarioClass, intended: int, counted: bool) -> float:
         taken, kind = self.clock() - intended, job.kind
         in_time = taken <= kind.latency_objective_us + kind.latency_objective_stretch * job.sending_us
         earned = kind.priority_weight * (1.0 if in_time else LATE_WORTH)
@@ -246,12 +246,12 @@
         return earned
 
     async def _try(
-        self, arrival: Arrival, job: Job, to: Whither, limit_us: int, again: bool, site: str
-    ) -> Reply:
+        self, arrival: Arrival, job: ScenarioClass, to: ClientTarget, limit_us: int, again: bool, site: str
+    ) -> ClientReply:
         connection = await self._connection(arrival.tenant, to)
         if connection is None:
             self.unreached.append(self.clock())
-            return Reply("failed")
+            return ClientReply("failed")
         request, group = f"{self.random.getrandbits(64):016x}", self.group(arrival.object)
         params = {
             "SCRIPT_NAME": f"/call/{arrival.class_name}",
@@ -263,7 +263,7 @@
             "HTTP_X_TENANT": arrival.tenant,
             **dict(to.fields),
         } | ({"HTTP_X_RETRY": "1"} if again else {})
-        taken = Taken(request, arrival.tenant, group, job.kind.write, self.clock())
+        taken = Taken(request, arrival.tenant, group, job.kind.is_write, self.clock())
         taken.class_name, taken.site, taken.director = arrival.class_name, site, f"n{to.director}"
         taken.again = again
         self.records.taken[request] = taken
@@ -273,16 +273,16 @@
         if not done:
             taken.left = True
             connection.abort(number)
-            return Reply("left")
+            return ClientReply("left")
         data = future.result()
         if data is None:  # the connection ended; with clients that do not read that is their own doing
             taken.left = taken.left or self.excused(to, taken.sent_us) or not connection.reads
-            return Reply("failed")
+            return ClientReply("failed")
         reply = read_reply(data)
         taken.answers, taken.verdict, taken.tag = taken.answers + 1, reply.verdict, reply.tag
         return reply
 
-    def _killed(self, to: Whither, sent_us: int) -> bool:
+    def _killed(self, to: ClientTarget, sent_us: int) -> bool:
         """What a director that was killed had taken is not owed an answer by anybody."""
         return self.crashes.get(to.director, 0) >= sent_us
 
--- a/onyxwick/lab/copies.py
+++ b/onyxwick/lab/copies.py
@@ -32,7 +32,7 @@
         return Copy(tag, now)
 
 
-class Store:
+class CopyStore:
     """Least recently used copies go first, of the lowest rank."""
 
     def __init__(self, most: int) -> None:
--- a/onyxwick/lab/cost.py
+++ b/onyxwick/lab/cost.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 from typing import Any
 
-from onyxwick.cells import Cell, Cells, Plan, Tenant
+from onyxwick.cells import Cell, CellRouter, CellPlan, TenantSpec
 from onyxwick.cells.placement import Draws, place
 from onyxwick.interface import (
     AnswerDetail,
@@ -63,9 +63,9 @@
     told, now = _settings(scenario), 100 * S
     before = _resident_kb()
     if cells:
-        rows = {f"t{n}": Tenant(f"t{n}", cells=(f"c{n % cells}",)) for n in range(tenants)}
-        plan = Plan({f"c{n}": Cell(f"c{n}") for n in range(cells)}, rows)
-        router: RequestRouter = Cells(told, 7, now, plan, 2000)
+        rows = {f"t{n}": TenantSpec(f"t{n}", cells=(f"c{n % cells}",)) for n in range(tenants)}
+        plan = CellPlan({f"c{n}": Cell(f"c{n}") for n in range(cells)}, rows)
+        router: RequestRouter = CellRouter(told, 7, now, plan, 2000)
     elif sites:
         router = _with_sites(told, now, sites)
     else:
@@ -89,12 +89,12 @@
 
 def _with_sites(told: RouterSettings, now: int, count: int) -> RequestRouter:
     from onyxwick.lab.plans import topology
-    from onyxwick.sites import Plan, Sites
+    from onyxwick.sites import SitePlan, SiteRouter
 
     top = topology(count)
     own = replace(top.sites["s000"], zone=told.zone)
     top = replace(top, sites={**top.sites, "s000": own})
-    return Sites(told, 7, now, top, Plan(top))
+    return SiteRouter(told, 7, now, top, SitePlan(top))
 
 
 def _drive(
@@ -129,9 +129,9 @@
     fleet = [
         Member(f"box-{n:05d}", f"depot-{n % 10}", "box", 0, MemberState.READY, 6.0, 0) for n in range(boxes)
     ]
-    rows = {f"t{n}": Tenant(f"t{n}", span=span) for n in range(tenants)}
+    rows = {f"t{n}": TenantSpec(f"t{n}", span=span) for n in range(tenants)}
     plan, draws, begin = (
-        Plan({f"c{n}": Cell(f"c{n}") for n in range(cells)}, rows),
+        CellPlan({f"c{n}": Cell(f"c{n}") for n in range(cells)}, rows),
         Draws(),
         time.perf_counter(),
     )
--- a/onyxwick/lab/door.py
+++ b/onyxwick/lab/door.py
@@ -30,10 +30,10 @@
 PING = b"".join(
     fastcgi.record(kind, 1, content)
     for kind, content in (
-        (fastcgi.Type.BEGIN, fastcgi.BEGIN_BODY.pack(1, 0)),
-        (fastcgi.Type.PARAMS, fastcgi.write_pairs({b"SCRIPT_NAME": b"/ping"})),
-        (fastcgi.Type.PARAMS, b""),
-        (fastcgi.Type.STDIN, b""),
+        (fastcgi.RecordType.BEGIN, fastcgi.BEGIN_BODY.pack(1, 0)),
+        (fastcgi.RecordType.PARAMS, fastcgi.write_pairs({b"SCRIPT_NAME": b"/ping"})),
+        (fastcgi.RecordType.PARAMS, b""),
+        (fastcgi.RecordType.STDIN, b""),
     )
 )
 READY = b"GET /ready HTTP/1.1\r\nHost: door\r\n\r\n"
--- a/onyxwick/lab/faults/acts.py
+++ b/onyxwick/lab/faults/acts.py
@@ -7,9 +7,9 @@
 import signal
 from collections.abc import Awaitable, Callable
 
-from onyxwick.lab.faults.fleet import TOKEN, Director, Ground
+from onyxwick.lab.faults.fleet import TOKEN, FleetDirector, Ground
 from onyxwick.lab.faults.history import Row
-from onyxwick.lab.faults.model import Fault
+from onyxwick.lab.faults.model import InjectedFault
 from onyxwick.lab.machines import Machine
 
 S = 1_000_000
@@ -20,24 +20,24 @@
     return None
 
 
-class Acts:
+class FaultActions:
     """The faults of one run on its ground."""
 
     def __init__(self, ground: Ground) -> None:
         self.ground = ground
         self.later: set[asyncio.Task[None]] = set()  # what is told late
 
-    def note(self, fault: Fault, on: bool) -> None:
+    def note(self, fault: InjectedFault, on: bool) -> None:
         data = {"on": on, "sites": self._sites(fault), "name": fault.name, "how": fault.how}
         self.ground.rows.append(Row("fault", self.ground.clock(), fault.label, fault.what, data))
 
-    def _sites(self, fault: Fault) -> list[str]:
+    def _sites(self, fault: InjectedFault) -> list[str]:
         """The sites that a fault may make a director leave."""
         names = fault.name.replace("|", " ").split()
         places = {*self.ground.fleet.sites, *self.ground.fleet.hubs}
         return sorted(places & set(names))
 
-    async def begin(self, fault: Fault) -> Undo:
+    async def begin(self, fault: InjectedFault) -> Undo:
         """Bring it about; what ends it."""
         self.note(fault, True)
         match fault.what:
@@ -71,7 +71,7 @@
         ground = self.ground
         return [m for n, m in ground.world.machines.items() if ground.world.place_of[n] == place]
 
-    async def _lose(self, fault: Fault) -> Undo:
+    async def _lose(self, fault: InjectedFault) -> Undo:
         """A site or hub: machines that vanish, directors killed, and its clients elsewhere some seconds
         later."""
         ground, place = self.ground, fault.name
@@ -90,7 +90,7 @@
         return lambda: self._back(fault, place, machines, directors)
 
     async def _back(
-        self, fault: Fault, place: str, machines: list[Machine], directors: list[Director]
+        self, fault: InjectedFault, place: str, machines: list[Machine], directors: list[FleetDirector]
     ) -> None:
         ground = self.ground
         if machines and fault.how == "part":
@@ -118,7 +118,7 @@
             director.members[name] = director.members[machine.name]
         return made
 
-    async def _down(self, director: Director) -> None:
+    async def _down(self, director: FleetDirector) -> None:
         assert director.program is not None
         director.up = False
         self.ground.downs[director.number].append((self.ground.clock(), 1 << 62))
@@ -138,7 +138,7 @@
             if not director.unlisted or state == "SERVING":
                 director.feed.list(self.ground.rows_for(director, machines, state))
 
-    async def _replace(self, fault: Fault) -> Undo:
+    async def _replace(self, fault: InjectedFault) -> Undo:
         """A planned replacement: each box drained, stopped, replaced by a cold one under a new id."""
         machines = self._machines(fault.name)
         gap = fault.for_us / S / max(1, len(machines))
@@ -163,7 +163,7 @@
 
     # ---- ways -------------------------------------------------------------------------------------------
 
-    def _cut(self, fault: Fault) -> Undo:
+    def _cut(self, fault: InjectedFault) -> Undo:
         one, other = fault.name.split("|")
         there, back = fault.what != "cut-back", fault.what != "cut-there"
         places = [one]
@@ -185,7 +185,7 @@
         fleet = self.ground.fleet
         return [p for p in (*fleet.sites, *fleet.hubs, "archive", "outside") if p != place]
 
-    def _way(self, fault: Fault) -> Undo:
+    def _way(self, fault: InjectedFault) -> Undo:
         one, other = fault.name.split("|")
         ways = [self.ground.paths.way(one, other), self.ground.paths.way(other, one)]
         before = [(way.resets, way.delay_s) for way in ways]
@@ -201,7 +201,7 @@
 
         return undo
 
-    def _slow(self, fault: Fault) -> Undo:
+    def _slow(self, fault: InjectedFault) -> Undo:
         machines = self._machines(fault.name)
         for machine in machines:
             machine.slow_down(fault.amount)
@@ -214,13 +214,13 @@
 
     # ---- directors --------------------------------------------------------------------------------------
 
-    def _named(self, name: str) -> list[Director]:
+    def _named(self, name: str) -> list[FleetDirector]:
         found = [d for d in self.ground.directors if name in (d.name, d.site, "all")]
         if not found:
             raise ValueError(f"no director '{name}'")
         return found
 
-    def _stop(self, fault: Fault) -> Undo:
+    def _stop(self, fault: InjectedFault) -> Undo:
         directors = self._named(fault.name)
         for director in directors:
             assert director.program is not None
@@ -233,7 +233,7 @@
 
         return undo
 
-    async def _kill(self, fault: Fault) -> Undo:
+    async def _kill(self, fault: InjectedFault) -> Undo:
         directors = self._named(fault.name)
         for director in directors:
             await self._down(director)
@@ -244,7 +244,7 @@
 
         return undo
 
-    async def _mute(self, fault: Fault) -> Undo:
+    async def _mute(self, fault: InjectedFault) -> Undo:
         directors = self._named(fault.name)
         for director in directors:
             await director.coordinator.mute()
@@ -265,7 +265,7 @@
 
         return undo
 
-    async def _purge(self, fault: Fault) -> None:
+    async def _purge(self, fault: InjectedFault) -> None:
         """True at once; told after the coordinator's delay; done by each machine in its own time."""
         ground, now = self.ground, self.ground.clock()
         groups = range(ground.world.groups) if fault.name == "all" else [int(fault.name)]
@@ -280,7 +280,7 @@
             for director in ground.directors:
                 director.feed.purge(group, now)
 
-    async def _order(self, fault: Fault) -> None:
+    async def _order(self, fault: InjectedFault) -> None:
         """At every director that is up, as an operator would with the command."""
         site, _, word = fault.name.partition(" ")
         row = {"word": word or "evacuate", "reason": fault.label}
@@ -293,7 +293,7 @@
                     raise RuntimeError(f"{director.name} refused the order for {site}: {status}")
 
 
-async def call(director: Director, method: str, path: str, body: object = None) -> int:
+async def call(director: FleetDirector, method: str, path: str, body: object = None) -> int:
     """One call of a director's administration API; its status, 0 where there was no answer."""
     data = json.dumps(body).encode() if body is not None else b""
     head = f"{method} {path} HTTP/1.1\r\nHost: lab\r\nAuthorization: Bearer {TOKEN}\r\nConnection: close\r\n"
