--- a/onyxwick/lab/faults/fleet.py
+++ b/onyxwick/lab/faults/fleet.py
@@ -14,16 +14,16 @@
 from onyxwick.config.address import Address, written
 from onyxwick.config.fields import spoken
 from onyxwick.lab.arrivals import object_name
-from onyxwick.lab.clients import Clients, Whither
+from onyxwick.lab.clients import Clients, ClientTarget
 from onyxwick.lab.copies import Copy
 from onyxwick.lab.faults.history import Row
-from onyxwick.lab.faults.model import ARCHIVE, Fleet
-from onyxwick.lab.faults.paths import Paths, Unreached
-from onyxwick.lab.faults.relay import Relay
+from onyxwick.lab.faults.model import ARCHIVE, FleetScenario
+from onyxwick.lab.faults.paths import Paths, UnreachedEventError
+from onyxwick.lab.faults.relay import LinkRelay
 from onyxwick.lab.feed import Feed, row_of
-from onyxwick.lab.machines import FILL_PACE, Ask, Coordinator, Machine, Unfilled, World
+from onyxwick.lab.machines import FILL_PACE, Ask, CoordinatorEmulator, Machine, FillFailedError, World
 from onyxwick.lab.model import Tier
-from onyxwick.lab.platform import Place, configuration, settings
+from onyxwick.lab.platform import PlatformLayout, configuration, settings
 from onyxwick.lab.programs import Program
 from onyxwick.store.sealing import new_key
 
@@ -40,7 +40,7 @@
     zone: str
 
 
-class Clock:
+class FleetClock:
     """Unix microseconds that never jump: the system's time at the start, and the monotonic clock from
     there."""
 
@@ -54,7 +54,7 @@
 class FleetWorld(World):
     """Machines whose fills pass the ways between their places, and whose use is measured."""
 
-    def __init__(self, fleet: Fleet, clock: Clock) -> None:
+    def __init__(self, fleet: FleetScenario, clock: FleetClock) -> None:
         super().__init__(fleet.scenario.classes, clock, GROUPS)
         self.paths = Paths(fleet, clock)
         self.place_of: dict[str, str] = {}
@@ -71,26 +71,26 @@
         if not self.paths.reaches(here, there):
             try:
                 await self.paths.travel(here, there, 0)
-            except Unreached:
-                raise Unfilled("UP_DOWN") from None
+            except UnreachedEventError:
+                raise FillFailedError("UP_DOWN") from None
         copy = await source.give(ask)
         if here != there:
             self._use(" - ".join(sorted((here, there))), ask.work_us)
         try:
             await self.paths.travel(here, there, ask.work_us)
-        except Unreached:
-            raise Unfilled("UP_DOWN") from None
+        except UnreachedEventError:
+            raise FillFailedError("UP_DOWN") from None
         return copy
 
 
-class Director:
+class FleetDirector:
     """One real director: where it stands, what is in front of it, what it is told."""
 
     def __init__(self, name: str, number: int, site: str, base: str) -> None:
         self.name, self.number, self.site = name, number, site
         self.listen: Address = (f"{base}.1.{number + 1}", 5050)
         self.admin: Address = (f"{base}.7.{number + 1}", 8053)
-        self.coordinator = Coordinator((f"{base}.9.{number + 1}", 7070), Clock())
+        self.coordinator = CoordinatorEmulator((f"{base}.9.{number + 1}", 7070), FleetClock())
         self.feed = Feed(self.coordinator)
         self.relayed: Address = (f"{base}.8.{number + 1}", 7070)
         self.doors: dict[str, Address] = {}  # by the clients' site
@@ -103,16 +103,16 @@
 class Ground:
     """All that stands: made, started and ended by the run (`run.py`)."""
 
-    def __init__(self, fleet: Fleet, seed: int, variant: str, slot: int, tree: Path | None) -> None:
+    def __init__(self, fleet: FleetScenario, seed: int, variant: str, slot: int, tree: Path | None) -> None:
         self.fleet, self.seed, self.variant, self.tree = fleet, seed, variant, tree
         self.base = f"127.{100 + slot}"
-        self.clock = Clock()
+        self.clock = FleetClock()
         self.random = random.Random(f"ground {seed}")
         self.world = FleetWorld(fleet, self.clock)
         self.paths = self.world.paths
         self.folder = Path(tempfile.mkdtemp(prefix="onyxwick-faults-"))
-        self.directors = [Director(n, k, s, self.base) for k, (n, s) in enumerate(fleet.directors)]
-        self.relays: list[Relay] = []
+        self.directors = [FleetDirector(n, k, s, self.base) for k, (n, s) in enumerate(fleet.directors)]
+        self.relays: list[LinkRelay] = []
         self.rows: list[Row] = []
         self.clients = Clients(
             fleet.scenario.classes, self.world.records, self.clock, seed, self.world.group, 0
@@ -157,11 +157,11 @@
                             machine.store.keep(name, part, Copy(tag, now), 1)
 
     async def relay(self, here: str, there: str, listen: Address, target: Address) -> None:
-        relay = Relay(self.paths.way(here, there), listen, target, self.random)
+        relay = LinkRelay(self.paths.way(here, there), listen, target, self.random)
         self.relays.append(relay)
         await relay.start()
 
-    async def reach(self, director: Director, machine: Machine) -> None:
+    async def reach(self, director: FleetDirector, machine: Machine) -> None:
         """A relay through which a director reaches a machine, unless there is one."""
         if machine.name in director.members:
             return
@@ -171,10 +171,10 @@
 
     # ---- directors --------------------------------------------------------------------------------------
 
-    def told(self, director: Director) -> dict[str, Any]:
+    def told(self, director: FleetDirector) -> dict[str, Any]:
         fleet = self.fleet
         zones = (*fleet.hubs, *fleet.sites)
-        place = Place(director.site, fleet.sites[director.site].directors, len(self.directors), zones)
+        place = PlatformLayout(director.site, fleet.sites[director.site].directors, len(self.directors), zones)
         return configuration(
             director.name,
             self.seed * 1000 + director.number,
@@ -184,7 +184,7 @@
             {**settings(fleet.scenario, place), "self_index": director.number},
         )
 
-    async def start(self, director: Director) -> None:
+    async def start(self, director: FleetDirector) -> None:
         """For the first time, or again under its name."""
         path = self.folder / f"{director.name}.json"
         path.write_text(json.dumps(self.told(director)))
@@ -201,7 +201,7 @@
         if downs := self.downs[director.number]:
             downs[-1] = (downs[-1][0], self.clock())
 
-    def said(self, director: Director, line: str) -> None:
+    def said(self, director: FleetDirector, line: str) -> None:
         """A line of a director's log: what it holds a site to be goes into the history."""
         if '"event":"site"' not in line and '"event": "site"' not in line:
             return
@@ -209,7 +209,7 @@
         data = {k: told.get(k) for k in ("was", "now", "share", "why")}
         self.rows.append(Row("state", self.clock(), director.name, told["site"], data))
 
-    def service(self, director: Director) -> str:
+    def service(self, director: FleetDirector) -> str:
         """The service file of one director: nothing of sites in the variant without them."""
         (self.folder / "operator.token").write_text(TOKEN)
         (self.folder / "store.keys").write_text(new_key())
@@ -218,12 +218,12 @@
         text += '  installation = "lab"\n}\n'
         return text + (topology_text(self.fleet) if self.variant == "sites" else "")
 
-    def rows_for(self, director: Director, machines: list[Machine], state: str) -> list[dict[str, Any]]:
+    def rows_for(self, director: FleetDirector, machines: list[Machine], state: str) -> list[dict[str, Any]]:
         return [row_of(m, state, director.members[m.name]) for m in machines]
 
     # ---- clients ----------------------------------------------------------------------------------------
 
-    def choose(self, site: str) -> Whither:
+    def choose(self, site: str) -> ClientTarget:
         """The front that a client of a site asks now."""
         since, now = self.away.get(site, 0), self.clock()
         home = [d for d in self.directors if d.site == site]
@@ -234,9 +234,9 @@
         fields = ((SITE_FIELD, site),) if self.variant == "sites" else ()
         # Whose site is lost comes to another by ways that do not lead through it.
         at = site if director.site == site else OUTSIDE
-        return Whither(director.number, director.doors[at], f"{site} by {at}", fields)
+        return ClientTarget(director.number, director.doors[at], f"{site} by {at}", fields)
 
-    def excused(self, to: Whither, sent_us: int) -> bool:
+    def excused(self, to: ClientTarget, sent_us: int) -> bool:
         """A request whose connection ended without an answer: its director was killed under it, or had been
         and the way to it kept that secret; or the way was cut, or resets what passes."""
         now, director = self.clock(), self.directors[to.director]
@@ -247,7 +247,7 @@
         loop_now = asyncio.get_running_loop().time()
         return bool(way.resets) or way.was_dark(loop_now - (now - sent_us) / 1e6, loop_now)
 
-    def _elsewhere(self, site: str) -> list[Director]:
+    def _elsewhere(self, site: str) -> list[FleetDirector]:
         up = [d for d in self.directors if d.site != site and d.site not in self.away]
         shares = self.fleet.sites[site].failover
         sites = sorted({d.site for d in up})
@@ -258,13 +258,13 @@
         return [d for d in up if d.site == chosen]
 
 
-def warm_names(fleet: Fleet, name: str, machine: Placed) -> set[str]:
+def warm_names(fleet: FleetScenario, name: str, machine: Placed) -> set[str]:
     """What an object is called by those whose requests come to a machine."""
     sites = [machine.zone] if machine.kind == "box" else list(fleet.sites)
     return {fleet.object_at(name, site) for site in sites}
 
 
-def topology_text(fleet: Fleet) -> str:
+def topology_text(fleet: FleetScenario) -> str:
     """What a director is told of the fleet: as stated by the scenario, in the service file's form."""
     scenario, out = fleet.scenario, ["sites {"]
     out += [f"  {name} = {value}" for name, value in fleet.policy.items()]
@@ -288,7 +288,7 @@
     return "\n".join(out) + "\n"
 
 
-def _load_text(fleet: Fleet, name: str) -> str:
+def _load_text(fleet: FleetScenario, name: str) -> str:
     """A class's load: its rate at each site by tenant, from the scenario's mix."""
     scenario = fleet.scenario
     job = scenario.classes[name]
@@ -299,10 +299,10 @@
         for site in fleet.sites.values():
             rates.append(f'"{site.name}/{load.name}" = {load.rate_per_s * share * site.share:.4f}')
     fills = fleet.fills.get(name, (0.3, 0.3))
-    write = "  write = true\n" if job.kind.write else f"  shared = {1 - fleet.local}\n"
+    write = "  write = true\n" if job.kind.is_write else f"  shared = {1 - fleet.local}\n"
     return (
         f'load "{name}" {{\n  sending = "{spoken(job.sending_us)}"\n'
         f'  fill = "{spoken(int(FILL_PACE * job.sending_us))}"\n'
-        f"  fill_share = {0.0 if job.kind.write else fills[0]}\n  relay_share = {fills[1]}\n"
+        f"  fill_share = {0.0 if job.kind.is_write else fills[0]}\n  relay_share = {fills[1]}\n"
         f"  worth = {job.kind.priority_weight}\n{write}  rate_per_s = {{ {', '.join(rates)} }}\n}}"
     )
--- a/onyxwick/lab/faults/history.py
+++ b/onyxwick/lab/faults/history.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from onyxwick.lab.audit import Earned, Given, Records, Send, Taken
+from onyxwick.lab.audit import Earned, Given, Records, RecordedSend, Taken
 
 
 class Row(msgspec.Struct, frozen=True, omit_defaults=True):
@@ -104,7 +104,7 @@
                 names = (data["tenant"], data["class"], data["site"])
                 out.earned.append(Earned(row.at_us, *names, data["worth"], data["earned"]))
             case "sent":
-                out.sends.append(Send(row.at_us, row.who, row.what, data["source"]))
+                out.sends.append(RecordedSend(row.at_us, row.who, row.what, data["source"]))
             case "gave":
                 out.given.append(Given(row.what, data["tag"], data["dated_us"], row.at_us))
             case "ran":
--- a/onyxwick/lab/faults/model.py
+++ b/onyxwick/lab/faults/model.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Link:
+class FaultLink:
     """The way between two places; capacity in transfers, 0: not bounded."""
 
     ends: tuple[str, str]
@@ -51,7 +51,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fault:
+class InjectedFault:
     """`what` of `name` for so long (0: to the end). `how`: a word that the kind of fault knows."""
 
     label: str
@@ -64,15 +64,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fleet:
+class FleetScenario:
     """One scenario whole. `failover_us`: after which a lost site's clients go elsewhere."""
 
     scenario: Scenario
     sites: Mapping[str, Depot]
     hubs: Mapping[str, Stores]
     archive_at: str  # the hub in whose zone it stands
-    links: Mapping[frozenset[str], Link]
-    faults: tuple[Fault, ...]
+    links: Mapping[frozenset[str], FaultLink]
+    faults: tuple[InjectedFault, ...]
     failover_us: int
     fills: Mapping[str, tuple[float, float]] = field(
         default_factory=dict
--- a/onyxwick/lab/faults/paths.py
+++ b/onyxwick/lab/faults/paths.py
@@ -9,16 +9,16 @@
 import asyncio
 from collections.abc import Callable
 
-from onyxwick.lab.faults.model import Fleet
-from onyxwick.lab.faults.relay import Way
-from onyxwick.lab.link import Link as Shared
+from onyxwick.lab.faults.model import FleetScenario
+from onyxwick.lab.faults.relay import LinkDirection
+from onyxwick.lab.link import EmulatedLink as Shared
 from onyxwick.lab.model import Tier
 
 LOST_FILL_S = 2.0  # a box gives a fill up when nothing has come for so long
 LOOK_S = 0.05
 
 
-class Unreached(Exception):
+class UnreachedEventError(Exception):
     """Nothing came over a way in time."""
 
 
@@ -65,18 +65,18 @@
     """Ways and links by their ends. A party's place is a site, a hub or the archive; `outside` is where
     coordinators stand."""
 
-    def __init__(self, fleet: Fleet, clock: Callable[[], int]) -> None:
+    def __init__(self, fleet: FleetScenario, clock: Callable[[], int]) -> None:
         self.fleet, self.clock = fleet, clock
-        self.ways: dict[tuple[str, str], Way] = {}
+        self.ways: dict[tuple[str, str], LinkDirection] = {}
         self.paths: dict[frozenset[str], Path] = {}
         self.gone: set[str] = set()  # places that say nothing to anybody
 
-    def way(self, one: str, other: str) -> Way:
+    def way(self, one: str, other: str) -> LinkDirection:
         """The way from one place to another, as a caller at `one` has it."""
         found = self.ways.get((one, other))
         if found is None:
             link = self.fleet.links.get(frozenset((one, other)))
-            found = self.ways[(one, other)] = Way(one, other, delay_s=link.delay_us / 1e6 if link else 0.0)
+            found = self.ways[(one, other)] = LinkDirection(one, other, delay_s=link.delay_us / 1e6 if link else 0.0)
         return found
 
     def path(self, one: str, other: str) -> Path:
@@ -116,8 +116,8 @@
         """A fill's bytes from `other` to `one`; Unreached where none come."""
         if not self.reaches(one, other):
             await asyncio.sleep(LOST_FILL_S)
-            raise Unreached(f"{other} from {one}")
+            raise UnreachedEventError(f"{other} from {one}")
         if one != other:
             await self.path(one, other).transfer(work_us)
             if not self.reaches(one, other):
-                raise Unreached(f"{other} from {one}")
+                raise UnreachedEventError(f"{other} from {one}")
--- a/onyxwick/lab/faults/relay.py
+++ b/onyxwick/lab/faults/relay.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Way:
+class LinkDirection:
     """From `one` to `other`, and back."""
 
     one: str
@@ -37,7 +37,7 @@
     delay_s: float = 0.0
     bytes_per_s: float = 0.0  # 0: not bounded
     resets: float = 0.0  # chance of a reset at each piece that passes
-    relays: list[Relay] = field(default_factory=list)
+    relays: list[LinkRelay] = field(default_factory=list)
     darkened: list[list[float]] = field(default_factory=list)  # from, to (or endless), of the loop's clock
 
     @property
@@ -60,10 +60,10 @@
             relay.renew()
 
 
-class Relay:
+class LinkRelay:
     """One listener in front of one target, over one way."""
 
-    def __init__(self, way: Way, listen: Address, target: Address, rng: random.Random) -> None:
+    def __init__(self, way: LinkDirection, listen: Address, target: Address, rng: random.Random) -> None:
         self.way, self.listen_at, self.target, self.random = way, listen, target, rng
         self.pairs: set[Pair] = set()
         self.sock: socket.socket | None = None
@@ -160,7 +160,7 @@
 class Pair:
     """One connection through a relay: two ends, and what is on its way in each direction."""
 
-    def __init__(self, relay: Relay) -> None:
+    def __init__(self, relay: LinkRelay) -> None:
         self.relay, self.way = relay, relay.way
         self.near, self.far = End(self, there=True), End(self, there=False)
         self.near.peer, self.far.peer = self.far, self.near
--- a/onyxwick/lab/faults/run.py
+++ b/onyxwick/lab/faults/run.py
@@ -10,10 +10,10 @@
 from pathlib import Path
 
 from onyxwick.lab.arrivals import Arrival, draw
-from onyxwick.lab.faults.acts import Acts
+from onyxwick.lab.faults.acts import FaultActions
 from onyxwick.lab.faults.fleet import OUTSIDE, Ground
 from onyxwick.lab.faults.history import History, Row, rows_of
-from onyxwick.lab.faults.model import Fault, Fleet
+from onyxwick.lab.faults.model import InjectedFault, FleetScenario
 from onyxwick.lab.feed import row_of
 
 S = 1_000_000
@@ -22,16 +22,16 @@
 STILL_S = 30.0  # for what is under way when the last arrival has come
 
 
-class Run:
+class FaultRun:
     """`variant`: 'sites', with the block in every director's service file, or 'plain', without. `tree`: of an
     earlier revision, whose directors are played plain."""
 
     def __init__(
-        self, name: str, fleet: Fleet, seed: int, variant: str, slot: int = 0, tree: Path | None = None
+        self, name: str, fleet: FleetScenario, seed: int, variant: str, slot: int = 0, tree: Path | None = None
     ) -> None:
         self.name, self.fleet, self.seed, self.variant = name, fleet, seed, variant
         self.ground = Ground(fleet, seed, variant, slot, tree)
-        self.acts = Acts(self.ground)
+        self.acts = FaultActions(self.ground)
         self.random = random.Random(f"clients {seed}")
         self.lateness: list[float] = []
         self.began_us = 0
@@ -117,7 +117,7 @@
 
     # ---- faults -----------------------------------------------------------------------------------------
 
-    async def _fault(self, fault: Fault, start_us: int) -> None:
+    async def _fault(self, fault: InjectedFault, start_us: int) -> None:
         await self._until(fault, start_us)
         undo = await self.acts.begin(fault)
         for again in range(2 if fault.how == "twice" else 1):
@@ -130,7 +130,7 @@
             if fault.how == "twice":
                 await asyncio.sleep(fault.amount)
 
-    async def _until(self, fault: Fault, start_us: int) -> None:
+    async def _until(self, fault: InjectedFault, start_us: int) -> None:
         """Its time, or the words in some director's log that it waits for."""
         when = fault.when
         if when.at_us:
--- a/onyxwick/lab/faults/script.py
+++ b/onyxwick/lab/faults/script.py
@@ -9,7 +9,7 @@
 from onyxwick.config import ConfigError, hcl
 from onyxwick.config.fields import Fields
 from onyxwick.lab import scenario as plain
-from onyxwick.lab.faults.model import ARCHIVE, Depot, Fault, Fleet, Link, Stores, When
+from onyxwick.lab.faults.model import ARCHIVE, Depot, InjectedFault, FleetScenario, FaultLink, Stores, When
 
 MINUTE = 60_000_000
 WHAT = {
@@ -51,24 +51,24 @@
     return out
 
 
-def _links(top: Fields) -> dict[frozenset[str], Link]:
+def _links(top: Fields) -> dict[frozenset[str], FaultLink]:
     out = {}
     for row in top.blocks("path", 2):
         one, other = row.block.labels
-        link = Link((one, other), row.number("capacity", 0, 1e6, 0), row.duration("delay", 0, MINUTE, 0))
+        link = FaultLink((one, other), row.number("capacity", 0, 1e6, 0), row.duration("delay", 0, MINUTE, 0))
         out[frozenset(link.ends)] = link
         row.done()
     return out
 
 
-def _fault(row: Fields) -> Fault:
+def _fault(row: Fields) -> InjectedFault:
     when = When(
         row.duration("at", 0, 10 * MINUTE, 0),
         row.text("says", ""),
         row.text("director", ""),
         row.whole("count", 1, 1000, 1),
     )
-    out = Fault(
+    out = InjectedFault(
         row.label,
         when,
         row.choice("what", WHAT),
@@ -91,7 +91,7 @@
     return out
 
 
-def read(path: Path) -> Fleet:
+def read(path: Path) -> FleetScenario:
     """A scenario from its file; ConfigError names file, line and field."""
     block = plain.extended(path)
     kinds = ("site", "hub", "path", "fault", "fleet", "seen", "policy")
@@ -124,7 +124,7 @@
         sites = {n: replace(s, share=s.share / whole) for n, s in sites.items()}
     count = sum(site.directors for site in sites.values())
     scenario = replace(scenario, directors=count)
-    fleet = Fleet(scenario, sites, hubs, archive_at, links, faults, failover, seen, told, reserves, local)
+    fleet = FleetScenario(scenario, sites, hubs, archive_at, links, faults, failover, seen, told, reserves, local)
     _check(fleet, path.name)
     return fleet
 
@@ -135,7 +135,7 @@
     return f'"{value}"' if isinstance(value, str) else str(value)
 
 
-def _check(fleet: Fleet, file: str) -> None:
+def _check(fleet: FleetScenario, file: str) -> None:
     places = {*fleet.sites, *fleet.hubs, ARCHIVE, "outside"}
     for link in fleet.links.values():
         if missing := set(link.ends) - places:
@@ -146,7 +146,7 @@
             raise ConfigError(f"{file}:1: fault '{fault.label}': there is no place '{min(missing)}'")
 
 
-def drawn(fleet: Fleet, seed: int) -> Fleet:
+def drawn(fleet: FleetScenario, seed: int) -> FleetScenario:
     """The same with each fault's time, length and amount moved by a seed: up to a tenth, and 2 s at the
     start."""
     rng = random.Random(f"faults {seed}")
@@ -163,7 +163,7 @@
     return replace(fleet, faults=tuple(faults))
 
 
-def spread(fleet: Fleet, directors: int) -> Fleet:
+def spread(fleet: FleetScenario, directors: int) -> FleetScenario:
     """The same traffic over another number of directors, as even over the sites as it goes."""
     count = len(fleet.sites)
     sites = {
--- a/onyxwick/lab/faults/simulate.py
+++ b/onyxwick/lab/faults/simulate.py
@@ -39,21 +39,21 @@
     TimerFired,
 )
 from onyxwick.lab.arrivals import Arrival, draw, object_name
-from onyxwick.lab.audit import Earned, Given, Records, Send, Taken
+from onyxwick.lab.audit import Earned, Given, Records, RecordedSend, Taken
 from onyxwick.lab.clients import LATE_WORTH, PAUSE_S, RETRIES
-from onyxwick.lab.copies import Copy, Store
+from onyxwick.lab.copies import Copy, CopyStore
 from onyxwick.lab.faults.fleet import topology_text, warm_names
 from onyxwick.lab.faults.history import History, Row, rows_of
-from onyxwick.lab.faults.model import ARCHIVE, Fault, Fleet
+from onyxwick.lab.faults.model import ARCHIVE, InjectedFault, FleetScenario
 from onyxwick.lab.faults.simulated_faults import Faults, partial_of
-from onyxwick.lab.faults.simulation_model import COPIES, GROUPS, Box, Front, Out, S, Then
-from onyxwick.lab.link import Link
+from onyxwick.lab.faults.simulation_model import COPIES, GROUPS, Box, SimulatedFront, Out, S, Then
+from onyxwick.lab.link import EmulatedLink
 from onyxwick.lab.machines import FILL_PACE
-from onyxwick.lab.model import Job
-from onyxwick.lab.platform import Place, settings
+from onyxwick.lab.model import ScenarioClass
+from onyxwick.lab.platform import PlatformLayout, settings
 from onyxwick.logic import Router
 from onyxwick.settings import Pairs, read_settings
-from onyxwick.sites import Plan, Sites
+from onyxwick.sites import SitePlan, SiteRouter
 from onyxwick.sites.model import Topology
 
 CONNECT_US, SILENT_FILL_US = 400_000, 2 * S
@@ -64,7 +64,7 @@
     """One run. `variant` 'sites' or 'plain'; `plan`: made beforehand, as one serves all directors."""
 
     def __init__(
-        self, name: str, fleet: Fleet, seed: int, variant: str, top: Topology, plan: Plan | None
+        self, name: str, fleet: FleetScenario, seed: int, variant: str, top: Topology, plan: SitePlan | None
     ) -> None:
         self.name, self.fleet, self.seed, self.variant = name, fleet, seed, variant
         self.scenario, self.top, self.plan = fleet.scenario, top, plan
@@ -75,7 +75,7 @@
         self.records, self.rows = Records(), list[Row]()
         self.boxes: dict[str, Box] = {}
         self.listed: dict[str, Member] = {}  # as the coordinator has it
-        self.fronts = [Front(n, k, s) for k, (n, s) in enumerate(fleet.directors)]
+        self.fronts = [SimulatedFront(n, k, s) for k, (n, s) in enumerate(fleet.directors)]
         self.gone: set[str] = set()
         self.cuts: set[tuple[str, str]] = set()  # words of the first do not reach the second
         self.resets: dict[frozenset[str], float] = {}
@@ -125,7 +125,7 @@
         ]
         rows.append(("origin", "origin", self.fleet.archive_at, ARCHIVE, sc.origin))
         for name, kind, zone, place, tier in rows:
-            box = self.boxes[name] = Box(name, kind, zone, place, tier, Link(tier, self.now))
+            box = self.boxes[name] = Box(name, kind, zone, place, tier, EmulatedLink(tier, self.now))
             self._warm(box)
             self.listed[name] = box.member()
         for front in self.fronts:
@@ -161,10 +161,10 @@
     def stop_machine(self, box: Box) -> None:
         box.up = False
         box.waiting.clear()
-        box.store = Store(COPIES)
+        box.store = CopyStore(COPIES)
 
     def restart_machine(self, box: Box) -> None:
-        box.up, box.link = True, Link(box.tier, self.now, started=self.now)
+        box.up, box.link = True, EmulatedLink(box.tier, self.now, started=self.now)
 
     def reaches(self, here: str, there: str) -> bool:
         """Do words go from one place to the other, and answers back?"""
@@ -178,7 +178,7 @@
         return (link.delay_us if link is not None else 0) + self.extra.get(ends, 0)
 
     def _give(
-        self, source: Box, to: str, name: str, part: int, job: Job, held: bool, then: Callable[[str], None]
+        self, source: Box, to: str, name: str, part: int, job: ScenarioClass, held: bool, then: Callable[[str], None]
     ) -> None:
         """A fill's source: a word of what came of it, to `then`."""
         if not source.up or not self.reaches(to, source.place):
@@ -208,21 +208,21 @@
 
         return self._give(self.boxes["origin"], source.place, name, part, job, False, filled)
 
-    def _holds(self, box: Box, name: str, part: int, job: Job) -> bool:
+    def _holds(self, box: Box, name: str, part: int, job: ScenarioClass) -> bool:
         copy = box.store.get(name, part, self.now, job.kind.freshness_lifetime_us)
         return copy is not None and copy.dated_us >= self.purged.get(int(name[-4:], 16) % GROUPS, 0)
 
     # ---- directors --------------------------------------------------------------------------------------
 
-    def start_director(self, front: Front) -> None:
+    def start_director(self, front: SimulatedFront) -> None:
         site = self.fleet.sites[front.site]
         zones = (*self.fleet.hubs, *self.fleet.sites)
-        place = Place(front.site, site.directors, len(self.fronts), zones)
+        place = PlatformLayout(front.site, site.directors, len(self.fronts), zones)
         told = settings(self.scenario, place)
         read = read_settings(Pairs.of_json({**told, "self_index": front.number}))
         seed = self.seed * 1000 + front.number
         if self.variant == "sites":
-            front.decider = Sites(read, seed, self.now, self.top, self.plan or Plan(self.top))
+            front.decider = SiteRouter(read, seed, self.now, self.top, self.plan or SitePlan(self.top))
         else:
             front.decider = Router(read, seed, self.now)
         front.up, front.born = True, front.born + 1
@@ -230,14 +230,14 @@
         self.notify(front, EndpointsChanged(EndpointListKind.SNAPSHOT, tuple(self.listed.values())))
         self._beat(front, front.born)
 
-    def _beat(self, front: Front, born: int) -> None:
+    def _beat(self, front: SimulatedFront, born: int) -> None:
         if front.born != born or not front.up:
             return
         if not front.muted and self.variant == "sites" and self.reaches(front.site, "outside"):
             self.notify(front, EndpointFeedReceived())
         self.after(S, lambda: self._beat(front, born))
 
-    def notify(self, front: Front, *events: Event) -> None:
+    def notify(self, front: SimulatedFront, *events: Event) -> None:
         if front.decider is None or not front.up:
             return
         if front.stopped:
@@ -246,7 +246,7 @@
         for action in front.decider.handle(self.now, list(events)):
             self._act(front, action)
 
-    def _act(self, front: Front, action: Action) -> None:
+    def _act(self, front: SimulatedFront, action: Action) -> None:
         match action:
             case SetTimer(at, token):
                 self.at(at, lambda: self._timer(front, front.born, token))
@@ -271,13 +271,13 @@
                 }
                 self.rows.append(Row("state", self.now, front.name, action.site, data))
 
-    def _timer(self, front: Front, born: int, token: str) -> None:
+    def _timer(self, front: SimulatedFront, born: int, token: str) -> None:
         if front.born == born and not front.stopped:
             self.notify(front, TimerFired(token))
         elif front.born == born:
             self.after(50_000, lambda: self._timer(front, born, token))
 
-    def _answer(self, front: Front, request: str, verdict: str, after_us: int) -> None:
+    def _answer(self, front: SimulatedFront, request: str, verdict: str, after_us: int) -> None:
         if (client := front.ends.pop(request, None)) is not None:
             client(verdict, after_us)
         else:
@@ -287,7 +287,7 @@
 
     def _attempt(
         self,
-        front: Front,
+        front: SimulatedFront,
         request: str,
         member: str,
         source: str | None,
@@ -312,13 +312,13 @@
         return self.after(self._delay(here, box.place), go)
 
     def _serve(
-        self, out: Out, box: Box, taken: Taken, job: Job, source: str | None, flags: FillOption, rank: int
+        self, out: Out, box: Box, taken: Taken, job: ScenarioClass, source: str | None, flags: FillOption, rank: int
     ) -> None:
         """The attempt has come to its machine."""
         if out.over or not box.up or box.place in self.gone:
             return
         here = out.director.site
-        self.records.sends.append(Send(self.now, box.name, out.request, source))
+        self.records.sends.append(RecordedSend(self.now, box.name, out.request, source))
         self._asked(box, job.sending_us)
         back = self._delay(here, box.place)
 
@@ -331,7 +331,7 @@
 
         if not box.up:
             return
-        if job.kind.write:
+        if job.kind.is_write:
             self.records.ran.append(out.request)
             self._transfer(
                 self.boxes["origin"],
@@ -386,7 +386,7 @@
         arrival = replace(arrival, object=self.fleet.object_at(arrival.object, site))
         self._try(arrival, site, self.now, 0)
 
-    def _front(self, site: str) -> Front | None:
+    def _front(self, site: str) -> SimulatedFront | None:
         since = self.away.get(site, 0)
         names = [site]
         if since and self.now >= since:
@@ -422,7 +422,7 @@
             refused = front is not None and not front.up and site not in self.gone
             return self.after(1000 if refused else S, lambda: end("failed", 0))
         # `tag` and `group` carry the object and its part: nothing here looks at copies' tags.
-        taken = Taken(request, arrival.tenant, arrival.part, job.kind.write, self.now, tag=arrival.object)
+        taken = Taken(request, arrival.tenant, arrival.part, job.kind.is_write, self.now, tag=arrival.object)
         taken.class_name, taken.site, taken.director, taken.again = (
             arrival.class_name,
             site,
@@ -448,11 +448,11 @@
         ask = RequestArrived(
             request, arrival.class_name, arrival.object, limit,
             object_group=int(arrival.object[-4:], 16) % GROUPS, part=arrival.part, is_retry=tries > 0,
-            is_write=job.kind.write, tenant=arrival.tenant, client_site=site,
+            is_write=job.kind.is_write, tenant=arrival.tenant, client_site=site,
         )  # fmt: skip
         return self.after(self._delay(here, front.site), lambda: self.notify(front, ask))
 
-    def _earned(self, arrival: Arrival, site: str, intended: int, job: Job, served: bool) -> None:
+    def _earned(self, arrival: Arrival, site: str, intended: int, job: ScenarioClass, served: bool) -> None:
         took = self.now - intended
         in_time = took <= job.kind.latency_objective_us + job.kind.latency_objective_stretch * job.sending_us
         earned = job.kind.priority_weight * (1.0 if in_time else LATE_WORTH) if served else 0.0
@@ -461,10 +461,10 @@
 
     # ---- faults -----------------------------------------------------------------------------------------
 
-    def _begin(self, fault: Fault) -> None:
+    def _begin(self, fault: InjectedFault) -> None:
         Faults(self).begin(fault)
 
-    def note(self, fault: Fault, on: bool) -> None:
+    def note(self, fault: InjectedFault, on: bool) -> None:
         places = {*self.fleet.sites, *self.fleet.hubs}
         sites = sorted(places & set(fault.name.replace("|", " ").split()))
         data = {"on": on, "sites": sites, "name": fault.name, "how": fault.how}
@@ -483,7 +483,7 @@
         for front in self.fronts:
             self.after(self.scenario.told_after_us, lambda f=front, b=front.born: self._told(f, b, rows))  # type: ignore[misc]
 
-    def _told(self, front: Front, born: int, rows: tuple[Member, ...]) -> None:
+    def _told(self, front: SimulatedFront, born: int, rows: tuple[Member, ...]) -> None:
         if front.born != born or not front.up:
             return
         if not self.reaches(front.site, "outside") or front.muted:
@@ -491,7 +491,7 @@
         return self.notify(front, EndpointsChanged(EndpointListKind.CHANGE, rows))
 
 
-def topology_of(fleet: Fleet) -> Topology:
+def topology_of(fleet: FleetScenario) -> Topology:
     """What directors are told of a fleet, through the reader that they use."""
     from pathlib import Path
 
@@ -502,13 +502,13 @@
     return found[0]
 
 
-def planned(top: Topology) -> Plan:
+def planned(top: Topology) -> SitePlan:
     from onyxwick.sites.planner import study
 
     return study(top).plan()
 
 
-def simulated(name: str, fleet: Fleet, seed: int, variant: str) -> History:
+def simulated(name: str, fleet: FleetScenario, seed: int, variant: str) -> History:
     """One run, with a plan made for it."""
     top = topology_of(fleet)
     plan = planned(top) if variant == "sites" else None
--- a/onyxwick/lab/faults/simulated_faults.py
+++ b/onyxwick/lab/faults/simulated_faults.py
@@ -8,22 +8,22 @@
 
 from onyxwick.interface import Event, MemberState, ObjectsPurged
 from onyxwick.lab.audit import Records
-from onyxwick.lab.faults.model import Fault, Fleet
-from onyxwick.lab.faults.simulation_model import GROUPS, Box, Front, S, Then
+from onyxwick.lab.faults.model import InjectedFault, FleetScenario
+from onyxwick.lab.faults.simulation_model import GROUPS, Box, SimulatedFront, S, Then
 from onyxwick.lab.model import Scenario
-from onyxwick.sites import Order, Sites
-from onyxwick.sites.life import Word
+from onyxwick.sites import SiteCommand, SiteRouter
+from onyxwick.sites.life import SiteDirective
 
 
 class Simulated(Protocol):
     """The simulation as its faults see it."""
 
     now: int
-    fleet: Fleet
+    fleet: FleetScenario
     scenario: Scenario
     records: Records
     boxes: dict[str, Box]
-    fronts: list[Front]
+    fronts: list[SimulatedFront]
     gone: set[str]
     cuts: set[tuple[str, str]]
     resets: dict[frozenset[str], float]
@@ -36,7 +36,7 @@
         """Do something after a while."""
         ...
 
-    def note(self, fault: Fault, on: bool) -> None:
+    def note(self, fault: InjectedFault, on: bool) -> None:
         """Write into the history that a fault begins or ends."""
         ...
 
@@ -56,11 +56,11 @@
         """Let the time of its link pass."""
         ...
 
-    def start_director(self, front: Front) -> None:
+    def start_director(self, front: SimulatedFront) -> None:
         """A director starts with nothing."""
         ...
 
-    def notify(self, front: Front, *events: Event) -> None:
+    def notify(self, front: SimulatedFront, *events: Event) -> None:
         """Hand a director events."""
         ...
 
@@ -75,7 +75,7 @@
     def __init__(self, sim: Simulated) -> None:
         self.sim = sim
 
-    def begin(self, fault: Fault) -> None:
+    def begin(self, fault: InjectedFault) -> None:
         """Bring it about, and end it after its time; `twice`: once more, `amount` seconds later."""
         self.sim.note(fault, True)
         undo = self._act(fault)
@@ -91,7 +91,7 @@
 
         self.sim.after(fault.for_us, end)
 
-    def _act(self, fault: Fault) -> Callable[[], None] | None:
+    def _act(self, fault: InjectedFault) -> Callable[[], None] | None:
         match fault.what:
             case "lose":
                 return self._lose(fault)
@@ -117,7 +117,7 @@
     def _boxes(self, place: str) -> list[Box]:
         return [box for box in self.sim.boxes.values() if box.place == place]
 
-    def _lose(self, fault: Fault) -> Callable[[], None]:
+    def _lose(self, fault: InjectedFault) -> Callable[[], None]:
         sim, place = self.sim, fault.name
         boxes = self._boxes(place) if fault.how != "directors" else []
         fronts = [f for f in sim.fronts if f.site == place] if fault.how != "boxes" else []
@@ -133,7 +133,7 @@
             sim.tell_lists(boxes, MemberState.REMOVED)
         return partial_of(self._back, fault, boxes, fronts)
 
-    def _down(self, front: Front) -> None:
+    def _down(self, front: SimulatedFront) -> None:
         front.up, front.born = False, front.born + 1
         for client in list(front.ends.values()):
             self.sim.after(1000, lambda c=client: c("failed", 0))  # type: ignore[misc]
@@ -142,7 +142,7 @@
         front.ends.clear()
         front.outs.clear()
 
-    def _back(self, fault: Fault, boxes: list[Box], fronts: list[Front]) -> None:
+    def _back(self, fault: InjectedFault, boxes: list[Box], fronts: list[SimulatedFront]) -> None:
         sim = self.sim
         sim.gone.discard(fault.name)
         if fault.how == "part":
@@ -167,7 +167,7 @@
         self.sim.boxes[made.name] = made
         return made
 
-    def _replace(self, fault: Fault) -> None:
+    def _replace(self, fault: InjectedFault) -> None:
         sim, boxes = self.sim, self._boxes(fault.name)
         gap = fault.for_us // max(1, len(boxes))
 
@@ -186,7 +186,7 @@
             sim.after(n * gap, lambda b=box: drain(b))  # type: ignore[misc]
             sim.after(n * gap + gap * 0.6, lambda b=box: swap(b))  # type: ignore[misc]
 
-    def _cut(self, fault: Fault) -> Callable[[], None]:
+    def _cut(self, fault: InjectedFault) -> Callable[[], None]:
         one, other = fault.name.split("|")
         fleet = self.sim.fleet
         every = [*fleet.sites, *fleet.hubs, "archive", "outside"]
@@ -196,7 +196,7 @@
         self.sim.cuts |= made
         return lambda: self.sim.cuts.difference_update(made)
 
-    def _slow(self, fault: Fault) -> Callable[[], None]:
+    def _slow(self, fault: InjectedFault) -> Callable[[], None]:
         def turn(times: float) -> None:
             for box in self._boxes(fault.name):
                 box.link.advance(self.sim.now)
@@ -206,7 +206,7 @@
         turn(max(1.0, fault.amount))
         return lambda: turn(1.0)
 
-    def _way(self, fault: Fault) -> Callable[[], None]:
+    def _way(self, fault: InjectedFault) -> Callable[[], None]:
         ends = frozenset(fault.name.split("|"))
         if fault.what == "lossy":
             self.sim.resets[ends] = fault.amount
@@ -214,7 +214,7 @@
         self.sim.extra[ends] = int(fault.amount * 1000)
         return lambda: self.sim.extra.update({ends: 0})
 
-    def _fronts(self, fault: Fault) -> Callable[[], None]:
+    def _fronts(self, fault: InjectedFault) -> Callable[[], None]:
         fronts = [f for f in self.sim.fronts if fault.name in (f.name, f.site, "all")]
         for front in fronts:
             if fault.what == "kill":
@@ -237,7 +237,7 @@
 
         return undo
 
-    def _purge(self, fault: Fault) -> None:
+    def _purge(self, fault: InjectedFault) -> None:
         groups = range(GROUPS) if fault.name == "all" else [int(fault.name)]
         for group in groups:
             self.sim.purged[group] = self.sim.now
@@ -249,10 +249,10 @@
                     ),
                 )
 
-    def _order(self, fault: Fault) -> None:
+    def _order(self, fault: InjectedFault) -> None:
         site, _, word = fault.name.partition(" ")
         stay = int(fault.amount * S) if fault.what == "drill" else 0
-        order = Order(site, Word(word or "evacuate"), fault.label, "lab", self.sim.now, stay)
+        order = SiteCommand(site, SiteDirective(word or "evacuate"), fault.label, "lab", self.sim.now, stay)
         for front in self.sim.fronts:
-            if front.up and isinstance(front.decider, Sites):
+            if front.up and isinstance(front.decider, SiteRouter):
                 front.decider.order(self.sim.now, order)
--- a/onyxwick/lab/faults/simulation_model.py
+++ b/onyxwick/lab/faults/simulation_model.py
@@ -6,11 +6,11 @@
 from dataclasses import dataclass, field
 
 from onyxwick.interface import Event, Member, MemberState
-from onyxwick.lab.copies import Store
-from onyxwick.lab.link import Link
+from onyxwick.lab.copies import CopyStore
+from onyxwick.lab.link import EmulatedLink
 from onyxwick.lab.model import Tier
 from onyxwick.logic import Router
-from onyxwick.sites import Sites
+from onyxwick.sites import SiteRouter
 
 S = 1_000_000
 GROUPS, COPIES = 64, 20_000
@@ -26,8 +26,8 @@
     zone: str
     place: str
     tier: Tier
-    link: Link
-    store: Store = field(default_factory=lambda: Store(COPIES))
+    link: EmulatedLink
+    store: CopyStore = field(default_factory=lambda: CopyStore(COPIES))
     up: bool = True
     waiting: dict[int, Then] = field(default_factory=dict)
     turn: int = 0
@@ -41,7 +41,7 @@
 class Out:
     """One attempt under way."""
 
-    director: Front
+    director: SimulatedFront
     request: str
     number: int
     member: str
@@ -50,7 +50,7 @@
 
 
 @dataclass(eq=False)
-class Front:
+class SimulatedFront:
     """One director: its decider, and what of it is not the decider's."""
 
     name: str
@@ -59,7 +59,7 @@
     up: bool = True
     stopped: bool = False
     muted: bool = False
-    decider: Router | Sites | None = None
+    decider: Router | SiteRouter | None = None
     born: int = 0
     outs: dict[tuple[str, int], Out] = field(default_factory=dict)
     tries: dict[str, int] = field(default_factory=dict)
--- a/onyxwick/lab/feed.py
+++ b/onyxwick/lab/feed.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from onyxwick.config.address import Address, written
-from onyxwick.lab.machines import Coordinator, Machine
+from onyxwick.lab.machines import CoordinatorEmulator, Machine
 
 
 def row_of(machine: Machine, state: str, address: Address | None = None) -> dict[str, Any]:
@@ -26,7 +26,7 @@
 class Feed:
     """One coordinator's events from number 1 on."""
 
-    def __init__(self, coordinator: Coordinator) -> None:
+    def __init__(self, coordinator: CoordinatorEmulator) -> None:
         self.coordinator = coordinator
         self.index = 0
         self.first_events = 0  # told before the first start
--- a/onyxwick/lab/kills.py
+++ b/onyxwick/lab/kills.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(slots=True)
-class Call:
+class KillCall:
     """One change, with its key: asked again with the same key it must tell the first outcome."""
 
     method: str
@@ -36,7 +36,7 @@
 
 
 @dataclass(slots=True)
-class Tally:
+class KillTally:
     kills: int = 0
     acknowledged: int = 0
     repeated: int = 0
@@ -90,13 +90,13 @@
             if self.program.poll() is not None:
                 raise RuntimeError((self.folder / "log").read_text()[-1500:])
             try:
-                if self.call(Call("GET", "/health", {}, ""))[0] == 200:
+                if self.call(KillCall("GET", "/health", {}, ""))[0] == 200:
                     return
             except (OSError, http.client.HTTPException):
                 time.sleep(0.02)
         raise RuntimeError("the administration API never answered")
 
-    def call(self, call: Call) -> tuple[int, Any]:
+    def call(self, call: KillCall) -> tuple[int, Any]:
         connection = http.client.HTTPConnection(self.api, 8053, timeout=10)
         head = {"Authorization": f"Bearer {TOKEN}"} | ({"Idempotency-Key": call.key} if call.key else {})
         try:
@@ -117,25 +117,25 @@
         shutil.rmtree(self.folder, ignore_errors=True)
 
 
-def _calls(round_: int) -> list[Call]:
+def _calls(round_: int) -> list[KillCall]:
     """Tenants with zones whose serial rises, a change of quota, a drain set and lifted."""
     out = []
     for n in range(12):
         name, at = f"t{round_}-{n}", f"{round_}-{n}"
         out.append(
-            Call("POST", "/tenants", {"name": name, "token": f"token-of-tenant-{at:>8}"}, f"make-{at}")
+            KillCall("POST", "/tenants", {"name": name, "token": f"token-of-tenant-{at:>8}"}, f"make-{at}")
         )
         zone = {"text": ZONE.format(round_ * 100 + n + 1)}
-        out.append(Call("PUT", f"/tenants/{name}/zones/{name}.test.", zone, f"zone-{at}"))
-        out.append(Call("PATCH", f"/tenants/{name}", {"quota_per_s": 100 + n}, f"quota-{at}"))
-        out.append(Call("PUT", f"/drains/box-{n % 4}", {"reason": at}, f"drain-{at}"))
+        out.append(KillCall("PUT", f"/tenants/{name}/zones/{name}.test.", zone, f"zone-{at}"))
+        out.append(KillCall("PATCH", f"/tenants/{name}", {"quota_per_s": 100 + n}, f"quota-{at}"))
+        out.append(KillCall("PUT", f"/drains/box-{n % 4}", {"reason": at}, f"drain-{at}"))
     return out
 
 
-def _expect(victim: Victim, done: list[Call], tally: Tally) -> None:
+def _expect(victim: Victim, done: list[KillCall], tally: KillTally) -> None:
     """Everything that was acknowledged is there, whole."""
-    listed = set(victim.call(Call("GET", "/tenants", {}, ""))[1]["tenants"])
-    drains = set(victim.call(Call("GET", "/drains", {}, ""))[1]["drains"])
+    listed = set(victim.call(KillCall("GET", "/tenants", {}, ""))[1]["tenants"])
+    drains = set(victim.call(KillCall("GET", "/drains", {}, ""))[1]["drains"])
     for call in done:
         name = call.path.split("/")[2] if call.path.count("/") > 1 else str(call.body.get("name"))
         if call.path.startswith("/drains/"):
@@ -143,7 +143,7 @@
         elif call.path == "/tenants":
             good = name in listed
         else:
-            status, shown = victim.call(Call("GET", call.path, {}, ""))
+            status, shown = victim.call(KillCall("GET", call.path, {}, ""))
             wanted = call.body.get("quota_per_s")
             good = status == 200 and (wanted is None or shown["quota_per_s"] == wanted)
             if "text" in call.body and good:
@@ -152,8 +152,8 @@
             tally.wrong.append(f"{call.method} {call.path} was acknowledged and is not there")
 
 
-def _round(victim: Victim, number: int, rng: random.Random, tally: Tally) -> None:
-    done, under_way = list[Call](), list[Call]()
+def _round(victim: Victim, number: int, rng: random.Random, tally: KillTally) -> None:
+    done, under_way = list[KillCall](), list[KillCall]()
 
     def work() -> None:
         for call in _calls(number):
@@ -186,7 +186,7 @@
 
 def kills(scenario: Scenario, count: int, seed: int, slot: int) -> dict[str, Any]:
     """So many kills of one director on one store."""
-    victim, tally, rng = Victim(scenario, slot), Tally(), random.Random(seed)
+    victim, tally, rng = Victim(scenario, slot), KillTally(), random.Random(seed)
     try:
         victim.start()
         for number in range(count):
--- a/onyxwick/lab/link.py
+++ b/onyxwick/lab/link.py
@@ -15,7 +15,7 @@
 STEP_US = 100_000  # a cold machine's capacity is looked at anew this often
 
 
-class Link:
+class EmulatedLink:
     def __init__(self, tier: Tier, now: int, started: int = 0) -> None:
         """`started` 0: it has been running for long and is warm."""
         self.tier, self.started, self.at = tier, started, now
--- a/onyxwick/lab/machines.py
+++ b/onyxwick/lab/machines.py
@@ -10,17 +10,17 @@
 from functools import partial
 
 from onyxwick.config.address import Address
-from onyxwick.lab.audit import Given, Records, Send
-from onyxwick.lab.copies import Copy, Store, Truth
-from onyxwick.lab.link import Link
-from onyxwick.lab.model import Job, Tier
+from onyxwick.lab.audit import Given, Records, RecordedSend
+from onyxwick.lab.copies import Copy, CopyStore, Truth
+from onyxwick.lab.link import EmulatedLink
+from onyxwick.lab.model import ScenarioClass, Tier
 from onyxwick.net import resp
 
 FILL_PACE = 0.4  # of a request's sending time that a fill takes on the link of its source
 COPIES = 20_000  # that one machine keeps
 
 
-class Unfilled(Exception):
+class FillFailedError(Exception):
     """A fill that came to nothing; the text is the note that the answer carries."""
 
 
@@ -38,7 +38,7 @@
 class World:
     """What all machines of a run share: the clock, the truth, the records, and each other."""
 
-    def __init__(self, jobs: dict[str, Job], clock: Callable[[], int], groups: int) -> None:
+    def __init__(self, jobs: dict[str, ScenarioClass], clock: Callable[[], int], groups: int) -> None:
         self.jobs, self.clock, self.groups = jobs, clock, groups
         self.truth, self.records = Truth(), Records()
         self.machines: dict[str, Machine] = {}
@@ -68,7 +68,7 @@
     def __init__(self, world: World, name: str, kind: str, zone: str, tier: Tier, address: Address) -> None:
         self.world, self.name, self.kind, self.zone = world, name, kind, zone
         self.tier, self.address = tier, address
-        self.link, self.store = Link(tier, world.clock()), Store(COPIES)
+        self.link, self.store = EmulatedLink(tier, world.clock()), CopyStore(COPIES)
         self.waiting: dict[int, asyncio.Future[None]] = {}
         self.joined: dict[tuple[str, int], asyncio.Future[Copy]] = {}
         self.timer: asyncio.TimerHandle | None = None
@@ -92,7 +92,7 @@
         for future in self.waiting.values():
             future.cancel()
         self.waiting.clear()
-        self.store = Store(COPIES)
+        self.store = CopyStore(COPIES)
 
     def slow_down(self, times: float) -> None:
         """Its link gives a part of what it did, from now on."""
@@ -103,7 +103,7 @@
 
     async def restart(self) -> None:
         now = self.world.clock()
-        self.link = Link(self.tier, now, started=now)
+        self.link = EmulatedLink(self.tier, now, started=now)
         await self.listen()
 
     # ---- the link ---------------------------------------------------------------------------------------
@@ -145,7 +145,7 @@
     async def give(self, ask: Ask) -> Copy:
         """A copy for another machine's fill. Unfilled tells why there is none."""
         if self.server is None:
-            raise Unfilled("UP_DOWN")
+            raise FillFailedError("UP_DOWN")
         self._asked(ask.work_us)
         copy = await self._own(ask)
         await self.transfer(ask.work_us)
@@ -159,15 +159,15 @@
         if copy := self.store.get(ask.name, ask.part, now, ask.oldest_us):
             return copy
         if ask.held_only or self.kind != "parent":
-            raise Unfilled("UP_MISS")
+            raise FillFailedError("UP_MISS")
         copy = await world.carry(self, world.machines["origin"], replace(ask, held_only=False))
         self.store.keep(ask.name, ask.part, copy, 1)
         return copy
 
-    async def _fill(self, name: str, part: int, oldest_us: int, told: dict[str, str], job: Job) -> Copy:
+    async def _fill(self, name: str, part: int, oldest_us: int, told: dict[str, str], job: ScenarioClass) -> Copy:
         source = self.world.machines.get(told["parent"])
         if source is None:
-            raise Unfilled("UP_DOWN")
+            raise FillFailedError("UP_DOWN")
         hints = told.get("hints", "").split("+")
         key, rank = (name, part), int(told.get("shelf", "0"))
         if "share" in hints and (under_way := self.joined.get(key)) is not None:
@@ -184,7 +184,7 @@
                 self.store.keep(name, part, copy, rank)
             future.set_result(copy)
             return copy
-        except Unfilled as error:
+        except FillFailedError as error:
             future.set_exception(error)
             raise
         finally:
@@ -198,7 +198,7 @@
     async def _client(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.clients.add(writer)
         self.connects.append(self.world.clock())
-        parser, tasks = resp.Parser(), dict[bytes, asyncio.Task[None]]()
+        parser, tasks = resp.RespParser(), dict[bytes, asyncio.Task[None]]()
         try:
             while data := await reader.read(65_536):
                 if not len(parser.buffer):
@@ -239,9 +239,9 @@
     async def _request(self, request: str, told: dict[str, str]) -> tuple[bytes, bytes, bytes]:
         world, now = self.world, self.world.clock()
         job = world.jobs[told["c"]]
-        world.records.sends.append(Send(now, self.name, request, told.get("parent")))
+        world.records.sends.append(RecordedSend(now, self.name, request, told.get("parent")))
         self._asked(job.sending_us)
-        if job.kind.write:
+        if job.kind.is_write:
             return await self._write(request, job)
         name, part = told["k"], int(told["p"])
         oldest = int(told.get("accept", "0")) * 1000 or job.kind.freshness_lifetime_us
@@ -253,7 +253,7 @@
         if copy is None:
             try:
                 copy, note = await self._fill(name, part, oldest, told, job), "MISS"
-            except Unfilled as error:
+            except FillFailedError as error:
                 word = b"absent" if str(error) == "UP_MISS" else b"failed"
                 return word, f"note={error}".encode(), b""
             waited = (world.clock() - now) / 1000
@@ -265,7 +265,7 @@
         fields = f"digest={copy.tag},dated={copy.dated_us // 1000},note={note},first={waited:.1f}"
         return b"data", fields.encode(), copy.tag.encode().ljust(job.bytes, b".")
 
-    async def _write(self, request: str, job: Job) -> tuple[bytes, bytes, bytes]:
+    async def _write(self, request: str, job: ScenarioClass) -> tuple[bytes, bytes, bytes]:
         """A write runs at the origin, and is recorded as soon as it may have run."""
         origin = self.world.machines["origin"]
         await asyncio.sleep(origin.tier.wait_us / 1e6)
@@ -282,7 +282,7 @@
         del tasks[request]
 
 
-class Coordinator:
+class CoordinatorEmulator:
     """The feed: numbered events, and the last number each second."""
 
     def __init__(self, address: Address, clock: Callable[[], int]) -> None:
--- a/onyxwick/lab/model.py
+++ b/onyxwick/lab/model.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Job:
+class ScenarioClass:
     """A class of requests: the director's view of it, and what one costs and weighs."""
 
     kind: RequestClass
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fault:
+class ScenarioFault:
     """A tenant that misbehaves for a while, in a way that has a name."""
 
     name: str
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Load:
+class ScenarioLoad:
     """A tenant as the clients see it."""
 
     name: str
@@ -55,9 +55,9 @@
     objects: int
     zipf: float
     mix: tuple[tuple[str, float], ...]
-    faults: tuple[Fault, ...] = ()
+    faults: tuple[ScenarioFault, ...] = ()
 
-    def fault(self, name: str | None) -> Fault | None:
+    def fault(self, name: str | None) -> ScenarioFault | None:
         return next((fault for fault in self.faults if fault.name == name), None)
 
 
@@ -80,8 +80,8 @@
     boxes: Tier
     parents: Tier
     origin: Tier
-    jobs: tuple[Job, ...]
-    loads: tuple[Load, ...]
+    jobs: tuple[ScenarioClass, ...]
+    loads: tuple[ScenarioLoad, ...]
     happenings: tuple[Happening, ...]
     service: Path | None  # with cells
     store: bool  # played with a store and without
@@ -96,5 +96,5 @@
         return list(dict.fromkeys(fault.name for load in self.loads for fault in load.faults))
 
     @property
-    def classes(self) -> dict[str, Job]:
+    def classes(self) -> dict[str, ScenarioClass]:
         return {job.kind.name: job for job in self.jobs}
--- a/onyxwick/lab/plans.py
+++ b/onyxwick/lab/plans.py
@@ -7,7 +7,7 @@
 import time
 from typing import Any
 
-from onyxwick.sites.model import Hub, Kind, Load, Path, Site, Topology, check
+from onyxwick.sites.model import Hub, PlannedClass, OfferedLoad, NetworkLink, Site, Topology, check
 from onyxwick.sites.planner import study
 
 SITES_A_HUB, NEAR = 20, 6
@@ -18,19 +18,19 @@
     """Sites on a ring, each linked to its neighbours and to the hubs, at about half of their boxes' room."""
     hubs = max(2, math.ceil(count / SITES_A_HUB))
     kinds = {
-        "video": Kind("video", 140_000, 56_000, 0.25, 0.3, 2.0, shared=0.8),
-        "sheet": Kind("sheet", 70_000, 28_000, 0.35, 0.5, 1.0, shared=0.8),
-        "booking": Kind("booking", 20_000, 8_000, 0.0, 0.0, 3.0, write=True),
+        "video": PlannedClass("video", 140_000, 56_000, 0.25, 0.3, 2.0, shared=0.8),
+        "sheet": PlannedClass("sheet", 70_000, 28_000, 0.35, 0.5, 1.0, shared=0.8),
+        "booking": PlannedClass("booking", 20_000, 8_000, 0.0, 0.0, 3.0, write=True),
     }
     mix = {"video": 0.3, "sheet": 0.6, "booking": 0.1}
     names = [f"s{n:03d}" for n in range(count)]
     beside = {n: _beside(names, k) for k, n in enumerate(names)}
     sites = {n: Site(n, n, BOXES * BOX_CAPACITY, 2, BOXES, dict.fromkeys(beside[n], 0.25)) for n in names}
-    loads = tuple(Load(k, n, RATE_PER_S * share) for n in names for k, share in mix.items())
-    paths: dict[frozenset[str], Path] = {}
+    loads = tuple(OfferedLoad(k, n, RATE_PER_S * share) for n in names for k, share in mix.items())
+    paths: dict[frozenset[str], NetworkLink] = {}
 
     def way(one: str, other: str, capacity: float, delay_us: int) -> None:
-        paths[frozenset((one, other))] = Path((one, other), capacity, delay_us)
+        paths[frozenset((one, other))] = NetworkLink((one, other), capacity, delay_us)
 
     for n, name in enumerate(names):
         for step in range(1, min(NEAR, count - 1) // 2 + 1):
--- a/onyxwick/lab/platform.py
+++ b/onyxwick/lab/platform.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class PlatformLayout:
     """Where a director stands: its zone, the directors there, and its number among all of them."""
 
     zone: str = ZONE
@@ -22,9 +22,9 @@
     zones: tuple[str, ...] = (HUB, ZONE)
 
 
-def settings(scenario: Scenario, place: Place | None = None) -> dict[str, Any]:
+def settings(scenario: Scenario, place: PlatformLayout | None = None) -> dict[str, Any]:
     """The director's settings, as the platform gives them."""
-    at = place or Place(directors_here=scenario.directors, directors=scenario.directors)
+    at = place or PlatformLayout(directors_here=scenario.directors, directors=scenario.directors)
     boxes, parents = scenario.boxes, scenario.parents
     kinds = [job.kind for job in scenario.jobs]
     grades = [
@@ -48,7 +48,7 @@
         "discovery": "automatic",
         "grades": grades,
         "family_info": {
-            "class_write": [k.write for k in kinds],
+            "class_write": [k.is_write for k in kinds],
             "lifetime_by_class_us": [k.freshness_lifetime_us for k in kinds],
             "second_tier_kind": 1,
             "source_kind": 2,
--- a/onyxwick/lab/play.py
+++ b/onyxwick/lab/play.py
@@ -13,10 +13,10 @@
 
 from onyxwick.lab.arrivals import Arrival, draw, object_name
 from onyxwick.lab.audit import audit
-from onyxwick.lab.clients import Clients, Whither
+from onyxwick.lab.clients import Clients, ClientTarget
 from onyxwick.lab.copies import Copy
 from onyxwick.lab.feed import Feed, row_of
-from onyxwick.lab.machines import Coordinator, Machine, World
+from onyxwick.lab.machines import CoordinatorEmulator, Machine, World
 from onyxwick.lab.model import Happening, Scenario, Tier
 from onyxwick.lab.platform import HUB, ZONE, configuration, settings
 from onyxwick.lab.programs import Program
@@ -32,7 +32,7 @@
     return time.time_ns() // 1000
 
 
-class Run:
+class ScenarioRun:
     """`slot` 0 to 99 keeps the addresses of runs apart that go on at once."""
 
     def __init__(
@@ -47,7 +47,7 @@
         self.trace: Path | None = None  # a folder for the directors' traces
         self.program: Path | None = None  # the tree of another revision whose director is played
         self.world = World(scenario.classes, unix_us, GROUPS)
-        self.coordinator = Coordinator((f"{self.base}.9.1", 7070), unix_us)
+        self.coordinator = CoordinatorEmulator((f"{self.base}.9.1", 7070), unix_us)
         self.feed = Feed(self.coordinator)
         self.clients = Clients(
             scenario.classes, self.world.records, unix_us, seed, self.world.group, scenario.counted_from_us
@@ -220,7 +220,7 @@
                 on = fault.begin_us <= arrival.at_us < fault.end_us
                 (self.clients.mute.add if on else self.clients.mute.discard)(arrival.tenant)
             at = n % self.scenario.directors
-            to = Whither(at, self.listens[at])
+            to = ClientTarget(at, self.listens[at])
             task = asyncio.get_running_loop().create_task(
                 self.clients.ask(arrival, start_us, lambda to=to: to)  # type: ignore[misc]
             )
--- a/onyxwick/lab/report.py
+++ b/onyxwick/lab/report.py
@@ -8,12 +8,12 @@
 from pathlib import Path
 from typing import Any, Protocol
 
-from onyxwick.cells import Plan
+from onyxwick.cells import CellPlan
 from onyxwick.cells.placement import Placement, place
 from onyxwick.interface import Member, MemberState
 from onyxwick.lab.audit import Findings, strays
-from onyxwick.lab.clients import Clients, Tally
-from onyxwick.lab.machines import Coordinator, World
+from onyxwick.lab.clients import Clients, ClientTally
+from onyxwick.lab.machines import CoordinatorEmulator, World
 from onyxwick.lab.model import Scenario
 
 
@@ -28,10 +28,10 @@
     misbehaves: str | None
     world: World
     clients: Clients
-    coordinator: Coordinator
+    coordinator: CoordinatorEmulator
 
 
-def _placed(run: FinishedRun, service: Path) -> tuple[Plan, Placement]:
+def _placed(run: FinishedRun, service: Path) -> tuple[CellPlan, Placement]:
     from onyxwick.config.service import load
 
     plan = load(service).plan
@@ -140,7 +140,7 @@
     return report
 
 
-def shown(tally: Tally) -> dict[str, Any]:
+def shown(tally: ClientTally) -> dict[str, Any]:
     quantile = tally.latency.get_value_at_percentile
     return {
         "asked": tally.asked,
--- a/onyxwick/lab/scale/capacity.py
+++ b/onyxwick/lab/scale/capacity.py
@@ -18,7 +18,7 @@
 
 from onyxwick.distribution.admission import AdmissionLimits
 from onyxwick.distribution.replica import LOG_BYTES, PURGE_RETENTION_MS
-from onyxwick.lab.scale.fits import Fit
+from onyxwick.lab.scale.fits import SlopeFit
 from onyxwick.lab.scale.size import DAY_S, Size
 from onyxwick.lab.scale.slopes import fit_of
 
@@ -46,7 +46,7 @@
 class Inputs:
     """What was measured: fits by name, and the reports of fleets by shape and fault."""
 
-    fits: Mapping[str, Fit]
+    fits: Mapping[str, SlopeFit]
     points: Mapping[str, Sequence[tuple[float, float]]]
     fleets: Mapping[str, Mapping[str, Any]]
     revision: str
@@ -74,7 +74,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Cell:
+class CapacityCell:
     """One figure of one role. `budget` None: nobody has set one."""
 
     role: str
@@ -198,70 +198,70 @@
     return binding + size.caches * ROW_KB + size.document_bytes / 1e3
 
 
-CELLS: tuple[Cell, ...] = (
-    Cell("director, serving", "processor, mean director", "cores", "requests x director_request_us(kB)",
+CELLS: tuple[CapacityCell, ...] = (
+    CapacityCell("director, serving", "processor, mean director", "cores", "requests x director_request_us(kB)",
          _serving(lambda s: s.requests_per_director), Mark.DERIVED, "net/front, net/caches", 1.0),
-    Cell("director, serving", "processor, p99 director", "cores", "as above x p99 over mean",
+    CapacityCell("director, serving", "processor, p99 director", "cores", "as above x p99 over mean",
          _serving(_p99_rate), Mark.DERIVED, "net/front, net/caches; more directors", 1.0),
-    Cell("director, serving", "messages", "requests/s", "requests a second / directors",
+    CapacityCell("director, serving", "messages", "requests/s", "requests a second / directors",
          lambda s, _: s.requests_per_director, Mark.DERIVED, "net/front"),
-    Cell("director, serving", "bytes out, mean director", "MB/s", "bits / 8 / directors",
+    CapacityCell("director, serving", "bytes out, mean director", "MB/s", "bits / 8 / directors",
          lambda s, _: s.bits_per_s / 8e6 / s.directors, Mark.DERIVED, "net/front, net/outbox"),
-    Cell("director, serving", "memory, idle, all links", "MB", "director_memory_kb(caches linked)",
+    CapacityCell("director, serving", "memory, idle, all links", "MB", "director_memory_kb(caches linked)",
          _idle_mb, Mark.DERIVED, "net/caches"),
-    Cell("director, control", "processor, mean director", "cores", "idle + feed + popularity + list",
+    CapacityCell("director, control", "processor, mean director", "cores", "idle + feed + popularity + list",
          _control(lambda s: s.requests_per_director), Mark.DERIVED, "net/subscription, logic", CORE_SHARE),
-    Cell("director, control", "processor, p99 director", "cores", "as above at the p99 rate",
+    CapacityCell("director, control", "processor, p99 director", "cores", "as above at the p99 rate",
          _control(_p99_rate), Mark.DERIVED, "net/subscription, logic", CORE_SHARE),
-    Cell("director, control", "of it the feed with purges", "cores", "hollow fleet, x purges",
+    CapacityCell("director, control", "of it the feed with purges", "cores", "hollow fleet, x purges",
          _feed_share, Mark.MEASURED, "net/subscription, net/director_feed", CORE_SHARE),
-    Cell("director, control", "of it popularity, mean director", "cores", "popularity_ms_per_s(counted)",
+    CapacityCell("director, control", "of it popularity, mean director", "cores", "popularity_ms_per_s(counted)",
          _popularity(lambda s: s.requests_per_director), Mark.DERIVED, "logic.py", CORE_SHARE),
-    Cell("director, control", "of it popularity, p99 director", "cores", "the same at the p99 rate",
+    CapacityCell("director, control", "of it popularity, p99 director", "cores", "the same at the p99 rate",
          _popularity(_p99_rate), Mark.DERIVED, "logic.py", CORE_SHARE),
-    Cell("director, control", "of it timers when idle", "cores", "director_idle_ms_per_s(caches linked)",
+    CapacityCell("director, control", "of it timers when idle", "cores", "director_idle_ms_per_s(caches linked)",
          _idle_share, Mark.MEASURED, "net/front, net/caches: sweeps", CORE_SHARE),
-    Cell("director, control", "of it purges alone", "cores", "purge_ms_per_s(purges)",
+    CapacityCell("director, control", "of it purges alone", "cores", "purge_ms_per_s(purges)",
          _purge_share, Mark.DERIVED, "core/members, logic", CORE_SHARE),
-    Cell("director, control", "of it list changes", "cores", "changes an hour x list_change_us(caches)",
+    CapacityCell("director, control", "of it list changes", "cores", "changes an hour x list_change_us(caches)",
          _list_share, Mark.DERIVED, "net/coordinator, logic", CORE_SHARE),
-    Cell("director, control", "longest turn of the loop", "ms", "popularity_turn_ms(objects counted, p99)",
+    CapacityCell("director, control", "longest turn of the loop", "ms", "popularity_turn_ms(objects counted, p99)",
          _turn, Mark.DERIVED, "logic.py", STEP_TURN_MS),
-    Cell("director, control", "memory", "MB", "counted_kb(objects) + hollow director + documents",
+    CapacityCell("director, control", "memory", "MB", "counted_kb(objects) + hollow director + documents",
          _control_mb, Mark.DERIVED, "logic, net/director_feed", CONTROL_MB),
-    Cell("director, control", "bytes in, steady", "bytes/s", "hollow fleet, x purges",
+    CapacityCell("director, control", "bytes in, steady", "bytes/s", "hollow fleet, x purges",
          _director_bytes, Mark.MEASURED, "distribution/", CONTROL_BYTES),
-    Cell("director, control", "bytes in, burst of changes", "bytes/s", "steady + burst x bytes / 5 s",
+    CapacityCell("director, control", "bytes in, burst of changes", "bytes/s", "steady + burst x bytes / 5 s",
          _burst_bytes, Mark.DERIVED, "distribution/publisher", CONTROL_BYTES),
-    Cell("feed's publisher", "processor", "cores", "events x (publish_us + node_ms(relays))",
+    CapacityCell("feed's publisher", "processor", "cores", "events x (publish_us + node_ms(relays))",
          _publisher_share, Mark.DERIVED, "distribution/publisher, durable", 1.0),
-    Cell("feed's publisher", "state", "rows", "caches + purges x 60 s + documents",
+    CapacityCell("feed's publisher", "state", "rows", "caches + purges x 60 s + documents",
          lambda s, _: s.caches + s.purges_per_s * 60 + 64, Mark.DERIVED, "distribution/replica"),
-    Cell("feed's publisher", "bytes out", "kB/s", "relays x steady bytes",
+    CapacityCell("feed's publisher", "bytes out", "kB/s", "relays x steady bytes",
          lambda s, got: _relays(s) * _director_bytes(s, got) / 1e3, Mark.DERIVED, "net/fanout_server"),
-    Cell("feed's publisher", "snapshot", "kB", "snapshot_kb(purges x 60 s) + rows + documents",
+    CapacityCell("feed's publisher", "snapshot", "kB", "snapshot_kb(purges x 60 s) + rows + documents",
          lambda s, got: _snapshot_kb(s, got), Mark.DERIVED, "distribution/replica"),
-    Cell("today: one coordinator", "processor", "cores", "single fleet, x directors x purges",
+    CapacityCell("today: one coordinator", "processor", "cores", "single fleet, x directors x purges",
          _single_share, Mark.MEASURED, "the lab's stand-in", 1.0),
-    Cell("control machine, relay", "followers", "connections", "directors / (machines - 2)",
+    CapacityCell("control machine, relay", "followers", "connections", "directors / (machines - 2)",
          lambda s, _: _followers(s), Mark.DERIVED, "distribution/tree", 256.0),
-    Cell("control machine, relay", "followers, four lost", "connections", "directors / (machines - 6)",
+    CapacityCell("control machine, relay", "followers, four lost", "connections", "directors / (machines - 6)",
          lambda s, _: _followers(s, 4), Mark.DERIVED, "distribution/tree", 256.0),
-    Cell("control machine, relay", "processor", "cores", "events x node_ms_per_event(followers)",
+    CapacityCell("control machine, relay", "processor", "cores", "events x node_ms_per_event(followers)",
          _relay_share(0), Mark.DERIVED, "net/fanout_server", 1.0),
-    Cell("control machine, relay", "processor, four lost", "cores", "the same with four fewer",
+    CapacityCell("control machine, relay", "processor, four lost", "cores", "the same with four fewer",
          _relay_share(4), Mark.DERIVED, "net/fanout_server", 1.0),
-    Cell("control machine, relay", "bytes out", "kB/s", "followers x steady bytes",
+    CapacityCell("control machine, relay", "bytes out", "kB/s", "followers x steady bytes",
          lambda s, got: _followers(s) * _director_bytes(s, got) / 1e3, Mark.DERIVED, "net/fanout_server"),
-    Cell("administration API, store", "changes", "1/s", "changes a day / 86,400",
+    CapacityCell("administration API, store", "changes", "1/s", "changes a day / 86,400",
          lambda s, _: s.changes_per_day / DAY_S, Mark.DERIVED, "admin/, store/"),
-    Cell("administration API, store", "changes of a year, not compacted", "MB", "changes x (bytes + 200)",
+    CapacityCell("administration API, store", "changes of a year, not compacted", "MB", "changes x (bytes + 200)",
          _year_mb, Mark.DERIVED, "store/: compacted"),
-    Cell("parent cache, origin", "connections at one", "connections", "directors x links to one",
+    CapacityCell("parent cache, origin", "connections at one", "connections", "directors x links to one",
          lambda s, _: float(s.directors * s.links_per_cache), Mark.DERIVED, "net/caches (2 to 8 a director)"),
-    Cell("traces, figures", "bytes written, all directors", "MB/s", "requests x trace_bytes slope",
+    CapacityCell("traces, figures", "bytes written, all directors", "MB/s", "requests x trace_bytes slope",
          _trace_mb_per_s, Mark.DERIVED, "trace/; collection is missing"),
-    Cell("traces, figures", "bytes of a day", "TB", "the same x 86,400",
+    CapacityCell("traces, figures", "bytes of a day", "TB", "the same x 86,400",
          lambda s, got: _trace_mb_per_s(s, got) * DAY_S / 1e6, Mark.DERIVED, "missing"),
 )  # fmt: skip
 
@@ -281,7 +281,7 @@
     return f"{value:.0f}" if abs(value) >= 1000 else f"{value:.3g}"
 
 
-def _headroom(cell: Cell, value: float) -> str:
+def _headroom(cell: CapacityCell, value: float) -> str:
     if cell.budget is None:
         return "-"
     times = value / cell.budget
@@ -337,7 +337,7 @@
     return "\n".join(lines)
 
 
-def broken(size: Size, got: Inputs) -> list[tuple[float, Cell]]:
+def broken(size: Size, got: Inputs) -> list[tuple[float, CapacityCell]]:
     """Cells over their budget, with how many times over, worst first."""
     rows = [(cell.compute(size, got) / cell.budget, cell) for cell in CELLS if cell.budget]
     return sorted(((times, cell) for times, cell in rows if times > 1), key=lambda row: -row[0])
--- a/onyxwick/lab/scale/fits.py
+++ b/onyxwick/lab/scale/fits.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fit:
+class SlopeFit:
     """`y = constant + slope * x`, with the half width of each one's interval; `power`: the exponent of the
     power law between the two largest thirds of the sizes, where a constant matters least."""
 
@@ -50,7 +50,7 @@
         return {**asdict(self), "is_line": self.is_line, "grows_faster": self.grows_faster}
 
 
-def fit(points: Sequence[tuple[float, float]]) -> Fit:
+def fit(points: Sequence[tuple[float, float]]) -> SlopeFit:
     """The line of least squares, each point weighted by its size's median: a large size counts no more than a
     small one. ValueError under five sizes."""
     x = np.array([point[0] for point in points], dtype=float)
@@ -64,7 +64,7 @@
         _line, x, y, p0=(1.0, 0.0), sigma=scale[np.searchsorted(sizes, x)]
     )
     half = stats.t.ppf((1 + CONFIDENCE) / 2, len(x) - 2) * np.sqrt(np.diag(covariance))
-    return Fit(
+    return SlopeFit(
         slope=float(slope),
         slope_interval=float(half[0]),
         constant=float(constant),
--- a/onyxwick/lab/scale/fleet.py
+++ b/onyxwick/lab/scale/fleet.py
@@ -30,8 +30,8 @@
 from onyxwick.distribution.documents import split
 from onyxwick.distribution.model import Cursor
 from onyxwick.distribution.tree import TreeLimits, plan
-from onyxwick.lab.faults.relay import Relay as LinkRelay
-from onyxwick.lab.faults.relay import Way
+from onyxwick.lab.faults.relay import LinkRelay as LinkRelay
+from onyxwick.lab.faults.relay import LinkDirection
 from onyxwick.lab.scale.fleet_plan import RELAYS_OF_A_REGION, FleetPlan, check
 from onyxwick.lab.scale.fleet_processes import Child, NodeProcess
 from onyxwick.lab.scale.fleet_results import (
@@ -42,7 +42,7 @@
     short_status,
     summed,
 )
-from onyxwick.lab.scale.hollow import DOCUMENTS, HostSpec, Kind, Shape, coordinator_main, host_main
+from onyxwick.lab.scale.hollow import DOCUMENTS, HostSpec, ObservationKind, Shape, coordinator_main, host_main
 from onyxwick.lab.scale.processes import cpu_s, reachable, resident_kb
 from onyxwick.lab.scale.sweeps import CONFIG, rows
 
@@ -52,7 +52,7 @@
 STARVED_SHARE, STARVED_LAG_MS = 0.92, 100.0
 
 
-class Fleet:
+class HollowFleet:
     """One run; `progress` is called with a line for each step."""
 
     def __init__(self, fleet_plan: FleetPlan, progress: Callable[[str], None]) -> None:
@@ -65,7 +65,7 @@
         self.context = multiprocessing.get_context("spawn")
         self.nodes: dict[str, NodeProcess] = {}
         self.regions = [f"g{n}" for n in range(fleet_plan.regions)]
-        self.ways = {region: Way(region, "core") for region in self.regions}
+        self.ways = {region: LinkDirection(region, "core") for region in self.regions}
         self.links: list[LinkRelay] = []
         self.hosts: list[Child] = []
         self.coordinator: Child | None = None
@@ -346,8 +346,8 @@
             "published": {kind: len(times) for kind, times in asdict(self.published).items()},
             "lost": seen.lost(self.published.purges), "disordered": sum(r["disordered"] for r in reports),
             "settled_s": settled,
-            "delay_ms": {kind.name.lower(): seen.delays(kind) for kind in Kind},
-            "witness_delay_ms": {k.name.lower(): seen.delays(k, self.witnesses) for k in Kind},
+            "delay_ms": {kind.name.lower(): seen.delays(kind) for kind in ObservationKind},
+            "witness_delay_ms": {k.name.lower(): seen.delays(k, self.witnesses) for k in ObservationKind},
             "cores": {name: round(value, 4) for name, value in share.items()},
             "core_share_a_director": round(share["hosts"] / self.plan.directors, 6),
             "full_director_share": round(share.get("full", 0.0), 6),
--- a/onyxwick/lab/scale/fleet_results.py
+++ b/onyxwick/lab/scale/fleet_results.py
@@ -9,7 +9,7 @@
 
 import numpy as np
 
-from onyxwick.lab.scale.hollow import Kind
+from onyxwick.lab.scale.hollow import ObservationKind
 
 
 @dataclass
@@ -39,7 +39,7 @@
         # What a restarted director loads of the time before its start is not late by that time.
         self.while_up = self.published >= started[self.directors]
 
-    def delays(self, kind: Kind, below: int = 1 << 30) -> dict[str, float]:
+    def delays(self, kind: ObservationKind, below: int = 1 << 30) -> dict[str, float]:
         """Quantiles of the time from publication to application, in milliseconds, at directors whose number
         is below one given."""
         chosen = self.delay[(self.kinds == kind.value) & (self.directors < below) & self.while_up]
@@ -55,7 +55,7 @@
     def lost(self, published: list[int]) -> int:
         """Purges that a director never applied, of those published since its start, over all directors."""
         purges = np.array(sorted(published))
-        mask = self.kinds == Kind.PURGE.value
+        mask = self.kinds == ObservationKind.PURGE.value
         directors, times = self.directors[mask], self.published[mask]
         lost = 0
         for number, since in self.since.items():
--- a/onyxwick/lab/scale/hollow.py
+++ b/onyxwick/lab/scale/hollow.py
@@ -24,15 +24,15 @@
 
 from onyxwick import logs
 from onyxwick.config.address import Address
-from onyxwick.core import Core, Order, Outcome, Request
+from onyxwick.core import RequestEngine, AttemptSpec, AttemptOutcome, ClientRequest
 from onyxwick.core.clock import steady_us
-from onyxwick.core.members import Members
+from onyxwick.core.members import EndpointTable
 from onyxwick.counters import Counters
 from onyxwick.distribution.follower import Follower
 from onyxwick.interface import AnswerDetail, AttemptStatus, EndpointListKind, EndpointsChanged
 from onyxwick.lab.scale.processes import resident_kb
 from onyxwick.lab.scale.sweeps import settings
-from onyxwick.net.coordinator import Coordinator
+from onyxwick.net.coordinator import CoordinatorFeed
 from onyxwick.net.director_feed import DirectorFeed
 from onyxwick.net.subscription import ReconnectDelays, Subscription
 
@@ -47,7 +47,7 @@
     TREE = "tree"
 
 
-class Kind(Enum):
+class ObservationKind(Enum):
     """What an observation is of."""
 
     PURGE = 0
@@ -62,7 +62,7 @@
         self.kinds, self.directors = array("b"), array("i")
         self.published_ns, self.delays_ms = array("q"), array("f")
 
-    def add(self, kind: Kind, director: int, published_ns: int) -> None:
+    def add(self, kind: ObservationKind, director: int, published_ns: int) -> None:
         """One application now."""
         self.kinds.append(kind.value)
         self.directors.append(director)
@@ -77,7 +77,7 @@
         }  # fmt: skip
 
 
-class ObservedCore(Core):
+class ObservedCore(RequestEngine):
     """A director's core that records what it receives; purges carry their publication as object's name."""
 
     observations: Observations
@@ -92,25 +92,25 @@
             published = int(name, 16)
             self.disordered += published <= self.last_purge
             self.last_purge = max(self.last_purge, published)
-            self.observations.add(Kind.PURGE, self.number, published)
+            self.observations.add(ObservationKind.PURGE, self.number, published)
 
     def list_changed(self, event: EndpointsChanged, addresses: dict[str, Address]) -> None:
         """A change of the list; its version is its publication in microseconds, if it has any."""
         super().list_changed(event, addresses)
         if event.kind is EndpointListKind.CHANGE and event.version:
-            self.observations.add(Kind.LIST, self.number, event.version * 1000)
+            self.observations.add(ObservationKind.LIST, self.number, event.version * 1000)
 
     def document(self, text: str) -> None:
         """A configuration document that came whole."""
-        self.observations.add(Kind.DOCUMENT, self.number, int(ujson.loads(text)["published_ns"]))
+        self.observations.add(ObservationKind.DOCUMENT, self.number, int(ujson.loads(text)["published_ns"]))
 
 
 class Instant:
     """A transport whose caches have everything."""
 
-    async def run(self, order: Order) -> Outcome:
+    async def run(self, order: AttemptSpec) -> AttemptOutcome:
         """Answers at once."""
-        return Outcome(AttemptStatus.OK, AnswerDetail.HIT)
+        return AttemptOutcome(AttemptStatus.OK, AnswerDetail.HIT)
 
 
 class HollowDirector:
@@ -121,7 +121,7 @@
         self.counters = Counters()
         self.task: asyncio.Task[None] | None = None
         self.subscription: Subscription | None = None
-        self.coordinator: Coordinator | None = None
+        self.coordinator: CoordinatorFeed | None = None
         self.feed: DirectorFeed | None = None
         self.disordered = 0
         self.since_ns = time.monotonic_ns()
@@ -130,10 +130,10 @@
     def _begin(self) -> None:
         own = replace(settings(), router_count=1000, zone_router_count=12, router_index=self.number)
         seed = random.Random(self.number).getrandbits(60)
-        self.core = ObservedCore(own, seed, Instant(), Members(), self.counters)
+        self.core = ObservedCore(own, seed, Instant(), EndpointTable(), self.counters)
         self.core.observations, self.core.number = self.observed, self.number
         if self.shape is Shape.SINGLE:
-            self.coordinator = Coordinator(self.core, self.counters, seed, directors=1000)
+            self.coordinator = CoordinatorFeed(self.core, self.counters, seed, directors=1000)
             self.coordinator.move(self.parents[0])
             return
         follower = Follower(len(self.parents), ReconnectDelays(seed, steady_us()))
@@ -195,7 +195,7 @@
 
     async def ask(self, name: str, number: int) -> None:
         """A made-up request."""
-        request = Request(f"{number:016x}", "site-video", name, 0, 1, self.core.now(), 3_000_000)
+        request = ClientRequest(f"{number:016x}", "site-video", name, 0, 1, self.core.now(), 3_000_000)
         await self.core.serve(request, lambda answer: None)
 
 
@@ -303,7 +303,7 @@
 
 def coordinator_main(address: Address, pipe: Pipe) -> None:
     """The entry of a process with the lab's coordinator, which is given lines through a pipe."""
-    from onyxwick.lab.machines import Coordinator as Stand
+    from onyxwick.lab.machines import CoordinatorEmulator as Stand
 
     async def main() -> None:
         stand, done = Stand(address, steady_us), asyncio.Event()
--- a/onyxwick/lab/scale/processes.py
+++ b/onyxwick/lab/scale/processes.py
@@ -19,7 +19,7 @@
 
 from onyxwick.config.address import Address, written
 from onyxwick.lab.clients import Connection
-from onyxwick.lab.machines import Coordinator
+from onyxwick.lab.machines import CoordinatorEmulator
 from onyxwick.lab.scale.sweeps import CONFIG, Sweep, rows
 from onyxwick.net import resp
 
@@ -86,7 +86,7 @@
     """A cache that answers each request at once with a body of one size."""
 
     def __init__(self, body: bytes) -> None:
-        self.body, self.parser = body, resp.Parser()
+        self.body, self.parser = body, resp.RespParser()
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -121,7 +121,7 @@
 async def _director(caches: int, body: bytes) -> AsyncIterator[tuple[int, Address]]:
     """A real director before caches that answer at once; its process id and address."""
     loop, listen, feed = asyncio.get_running_loop(), (HOST, 5050), (HOST, 7070)
-    coordinator = Coordinator(feed, lambda: time.time_ns() // 1000)
+    coordinator = CoordinatorEmulator(feed, lambda: time.time_ns() // 1000)
     coordinator.tell(b"{}\n")  # so that the last number is the one that the configuration tells
     await coordinator.listen()
     server = await loop.create_server(lambda: Emulator(body), CACHE_HOST, 5050)
@@ -213,7 +213,7 @@
 
     async def measured() -> float:
         loop = asyncio.get_running_loop()
-        coordinator = Coordinator(feed, lambda: time.time_ns() // 1000)
+        coordinator = CoordinatorEmulator(feed, lambda: time.time_ns() // 1000)
         await coordinator.listen()
         text = (
             f'distribution {{\n name = "n"\n role = "publisher"\n listen = "{written(node)}"\n width = 4096\n'
--- a/onyxwick/lab/scale/slopes.py
+++ b/onyxwick/lab/scale/slopes.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from onyxwick.lab.scale import processes, sweeps
-from onyxwick.lab.scale.fits import Fit, fit
+from onyxwick.lab.scale.fits import SlopeFit, fit
 from onyxwick.lab.scale.sweeps import Sweep
 
 ALL: tuple[Sweep, ...] = (*sweeps.SWEEPS, *processes.SWEEPS)
@@ -54,9 +54,9 @@
     }
 
 
-def fit_of(row: dict[str, Any]) -> Fit:
+def fit_of(row: dict[str, Any]) -> SlopeFit:
     """The fit of a row of the JSON."""
-    return Fit(**{name: row["fit"][name] for name in Fit.__slots__})
+    return SlopeFit(**{name: row["fit"][name] for name in SlopeFit.__slots__})
 
 
 def machine() -> dict[str, Any]:
--- a/onyxwick/lab/scale/small.py
+++ b/onyxwick/lab/scale/small.py
@@ -13,10 +13,10 @@
 from onyxwick.config.distribution import NodeConfig, Role
 from onyxwick.core.clock import wall_us
 from onyxwick.distribution.admission import AdmissionLimits
-from onyxwick.lab.machines import Coordinator
+from onyxwick.lab.machines import CoordinatorEmulator
 from onyxwick.lab.scale.hollow import HollowDirector, Observations, Shape
 from onyxwick.lab.scale.sweeps import rows
-from onyxwick.net.distribution_node import Relay, Root
+from onyxwick.net.distribution_node import RelayNode, PublisherNode
 
 PATIENCE_S = 20.0
 LOOK_S = 0.01
@@ -63,12 +63,12 @@
     ) -> None:
         self.plan = plan
         base = f"127.{210 + plan.slot}.0"
-        self.feed = Coordinator((f"{base}.1", 7070), wall_us)
+        self.feed = CoordinatorEmulator((f"{base}.1", 7070), wall_us)
         root_at = (f"{base}.2", 7400)
-        self.root = Root(node_config("root", Role.PUBLISHER, root_at, self.feed.address))
+        self.root = PublisherNode(node_config("root", Role.PUBLISHER, root_at, self.feed.address))
         addresses = [(f"{base}.{n + 3}", 7400) for n in range(plan.relays)]
         self.relays = [
-            Relay(node_config(f"relay-{n}", Role.RELAY, address, root_at))
+            RelayNode(node_config(f"relay-{n}", Role.RELAY, address, root_at))
             for n, address in enumerate(addresses)
         ]
         self.observations = Observations()
--- a/onyxwick/lab/scale/sweeps.py
+++ b/onyxwick/lab/scale/sweeps.py
@@ -16,8 +16,8 @@
 
 import ujson
 
-from onyxwick.core import Core, Order, Outcome
-from onyxwick.core.members import Members
+from onyxwick.core import RequestEngine, AttemptSpec, AttemptOutcome
+from onyxwick.core.members import EndpointTable
 from onyxwick.counters import Counters
 from onyxwick.distribution.codec import encode_event
 from onyxwick.distribution.durable import DurableFeed
@@ -39,10 +39,10 @@
     TimerFired,
 )
 from onyxwick.logic import Router
-from onyxwick.net.coordinator import Coordinator
+from onyxwick.net.coordinator import CoordinatorFeed
 from onyxwick.settings import Pairs, read_settings
-from onyxwick.store.engine import Engine
-from onyxwick.store.files import Disk
+from onyxwick.store.engine import StoreEngine
+from onyxwick.store.files import DiskFiles
 
 S = 1_000_000
 START = 1_800_000_000 * S
@@ -64,7 +64,7 @@
     repeats: int = 5
 
 
-class Clock:
+class SweepClock:
     """A made-up clock in Unix microseconds."""
 
     def __init__(self) -> None:
@@ -78,12 +78,12 @@
 class NoTransport:
     """Carries nothing out: for cores that get no requests."""
 
-    async def run(self, order: Order) -> Outcome:
+    async def run(self, order: AttemptSpec) -> AttemptOutcome:
         """Never called."""
         raise RuntimeError("this core has no caches")
 
 
-class EventsOnly(Core):
+class EventsOnly(RequestEngine):
     """A core that is given events outside an event loop: timers are driven by hand."""
 
     def handle(self, *events: Event) -> None:
@@ -96,9 +96,9 @@
     return read_settings(Pairs.of_json(ujson.loads(CONFIG.read_text())["settings"]))
 
 
-def core(clock: Callable[[], int]) -> Core:
+def core(clock: Callable[[], int]) -> RequestEngine:
     """A director's core without clients or caches."""
-    return EventsOnly(settings(), 7, NoTransport(), Members(), Counters(), clock)
+    return EventsOnly(settings(), 7, NoTransport(), EndpointTable(), Counters(), clock)
 
 
 def rows(caches: int, zone: str = "edge-1") -> list[dict[str, Any]]:
@@ -151,7 +151,7 @@
 
 def purge_ms_per_s(rate: int) -> float:
     """Processor time a second for so many purges a second, once the tables of recent ones are full."""
-    clock = Clock()
+    clock = SweepClock()
     director = core(clock)
     step = S // rate
     for n in range(12 * rate):
@@ -183,9 +183,9 @@
     return (time.process_time() - begin) / 10 * 1e3
 
 
-def _listed(caches: int) -> tuple[Coordinator, list[dict[str, Any]]]:
-    clock = Clock()
-    director = Coordinator(core(clock), Counters())
+def _listed(caches: int) -> tuple[CoordinatorFeed, list[dict[str, Any]]]:
+    clock = SweepClock()
+    director = CoordinatorFeed(core(clock), Counters())
     listed = rows(caches)
     director.apply(_list_event(1, listed, True))
     return director, listed
@@ -194,8 +194,8 @@
 def known_ms(events: int) -> float:
     """Processor time to take in so many events that the configuration tells at a start: one list, then
     purges and one change of the list in ten."""
-    clock = Clock()
-    director = Coordinator(core(clock), Counters())
+    clock = SweepClock()
+    director = CoordinatorFeed(core(clock), Counters())
     listed = rows(190)
     updates = [_list_event(1, listed, True)]
     for n in range(2, events + 1):
@@ -277,7 +277,7 @@
     """Processor time to make one purge durable at the publisher, with so many in its store."""
     replica = Replica()
     with tempfile.TemporaryDirectory() as folder:
-        feed = DurableFeed(Engine(Disk(Path(folder))))
+        feed = DurableFeed(StoreEngine(DiskFiles(Path(folder))))
         feed.load(replica, 1)
         events = [
             encode_event(Cursor(1, n), PurgeEvent(PurgeKey(f"{n:016x}", None), START // 1000))
--- a/onyxwick/lab/scenario.py
+++ b/onyxwick/lab/scenario.py
@@ -7,7 +7,7 @@
 from onyxwick.config import ConfigError, hcl
 from onyxwick.config.fields import MISSING, Fields
 from onyxwick.interface import Idempotency, RequestClass
-from onyxwick.lab.model import Fault, Happening, Job, Load, Scenario, Tier
+from onyxwick.lab.model import ScenarioFault, Happening, ScenarioClass, ScenarioLoad, Scenario, Tier
 
 MINUTE = 60_000_000
 REPEATS = {"free": Idempotency.IDEMPOTENT, "once": Idempotency.NON_IDEMPOTENT}
@@ -28,7 +28,7 @@
     return out
 
 
-def _job(row: Fields) -> Job:
+def _job(row: Fields) -> ScenarioClass:
     repeat = REPEATS[row.choice("repeat", REPEATS, "free")]
     kind = RequestClass(
         row.label,
@@ -37,11 +37,11 @@
         row.duration("deadline", 1000, MINUTE),
         latency_objective_stretch=row.number("stretch", 0, 100, 0),
         priority_weight=row.number("worth", 0.01, 1000, 1),
-        write=repeat is Idempotency.NON_IDEMPOTENT,
+        is_write=repeat is Idempotency.NON_IDEMPOTENT,
         segmented=True,
         freshness_lifetime_us=row.duration("fresh", 0, MINUTE, 0),
     )
-    out = Job(
+    out = ScenarioClass(
         kind,
         row.duration("sending", 1000, MINUTE),
         row.whole("bytes", 1, 200_000, 2000),
@@ -51,8 +51,8 @@
     return out
 
 
-def _fault(row: Fields, classes: set[str]) -> Fault:
-    out = Fault(
+def _fault(row: Fields, classes: set[str]) -> ScenarioFault:
+    out = ScenarioFault(
         row.label,
         row.duration("begin", 0, 10 * MINUTE),
         row.duration("end", 0, 10 * MINUTE),
@@ -67,13 +67,13 @@
     return out
 
 
-def _load(row: Fields, classes: set[str]) -> Load:
+def _load(row: Fields, classes: set[str]) -> ScenarioLoad:
     mix = []
     for name, value in row.items("mix").items():
         if name not in classes or not isinstance(value.data, int | float) or value.data < 0:
             raise row.error("mix", f"'{name}' is no class with a share", value.line)
         mix.append((name, float(value.data)))
-    out = Load(
+    out = ScenarioLoad(
         row.label,
         row.number("rate_per_s", 0, 10_000),
         row.whole("objects", 1, 1_000_000, 100),
--- a/onyxwick/lab/soak/acts.py
+++ b/onyxwick/lab/soak/acts.py
@@ -8,13 +8,13 @@
 from collections import defaultdict, deque
 from typing import TYPE_CHECKING
 
-from onyxwick.lab.faults.relay import Way
+from onyxwick.lab.faults.relay import LinkDirection
 from onyxwick.lab.feed import row_of
 from onyxwick.lab.soak.clients import OBJECTS
 from onyxwick.lab.soak.model import Down
 from onyxwick.lab.soak.operator_acts import OperatorActs
 from onyxwick.lab.soak.persistent import Habit
-from onyxwick.lab.soak.plan import STEPS_S, Fault, Kind, drawn
+from onyxwick.lab.soak.plan import STEPS_S, SoakFault, SoakFaultKind, drawn
 from onyxwick.lab.soak.process import SoakDirector
 from onyxwick.lab.soak.servers import ConnectionLoss
 from onyxwick.lab.soak.shim import (
@@ -42,7 +42,7 @@
 CROWD = 250  # clients of one crowd
 
 
-class Acts:
+class SoakActions:
     """The faults of one soak."""
 
     def __init__(self, soak: Soak) -> None:
@@ -52,33 +52,33 @@
         self.taken: set[str] = set()  # servers that a fault holds just now
         self.operators = OperatorActs(self)
         self.doing = {
-            Kind.CLOCK: self._clock,
-            Kind.ACCEPT: self._accept,
-            Kind.SOCKET: self._socket,
-            Kind.CONNECT: self._connect,
-            Kind.TRANSFER: self._transfer,
-            Kind.BROKEN: self._broken,
-            Kind.DISK: self._disk,
-            Kind.STOP: self._stop,
-            Kind.TERM: self._end,
-            Kind.HANDOVER: self._end,
-            Kind.KILL: self._kill,
-            Kind.TORN_WRITE: self._torn_write,
-            Kind.RELOAD: self._reload,
-            Kind.DRAIN: self.operators.drain,
-            Kind.HOLD: self.operators.hold,
-            Kind.FEED_LOST: self._feed_lost,
-            Kind.FEED_SLOW: self._feed_slow,
-            Kind.CLIENTS_LEAVE: self._clients_leave,
-            Kind.CROWD: self._crowd,
-            Kind.CACHE_DRAIN: self._cache_drain,
-            Kind.CACHE_RESTART: self._cache_restart,
-            Kind.CACHE_HANG: self._cache_hang,
-            Kind.CACHE_FORGET: self._cache_forget,
-            Kind.PURGE: self._purge,
+            SoakFaultKind.CLOCK: self._clock,
+            SoakFaultKind.ACCEPT: self._accept,
+            SoakFaultKind.SOCKET: self._socket,
+            SoakFaultKind.CONNECT: self._connect,
+            SoakFaultKind.TRANSFER: self._transfer,
+            SoakFaultKind.BROKEN: self._broken,
+            SoakFaultKind.DISK: self._disk,
+            SoakFaultKind.STOP: self._stop,
+            SoakFaultKind.TERM: self._end,
+            SoakFaultKind.HANDOVER: self._end,
+            SoakFaultKind.KILL: self._kill,
+            SoakFaultKind.TORN_WRITE: self._torn_write,
+            SoakFaultKind.RELOAD: self._reload,
+            SoakFaultKind.DRAIN: self.operators.drain,
+            SoakFaultKind.HOLD: self.operators.hold,
+            SoakFaultKind.FEED_LOST: self._feed_lost,
+            SoakFaultKind.FEED_SLOW: self._feed_slow,
+            SoakFaultKind.CLIENTS_LEAVE: self._clients_leave,
+            SoakFaultKind.CROWD: self._crowd,
+            SoakFaultKind.CACHE_DRAIN: self._cache_drain,
+            SoakFaultKind.CACHE_RESTART: self._cache_restart,
+            SoakFaultKind.CACHE_HANG: self._cache_hang,
+            SoakFaultKind.CACHE_FORGET: self._cache_forget,
+            SoakFaultKind.PURGE: self._purge,
         }
 
-    async def play(self, fault: Fault) -> None:
+    async def play(self, fault: SoakFault) -> None:
         """Bring it about, wait, undo it."""
         begun = self.soak.clock()
         director = self.soak.directors[fault.director]
@@ -89,23 +89,23 @@
 
     # ---- system calls ------------------------------------------------------------------------------------
 
-    async def _clock(self, fault: Fault, director: SoakDirector) -> None:
+    async def _clock(self, fault: SoakFault, director: SoakDirector) -> None:
         step = STEPS_S[fault.draw % len(STEPS_S)]
         await self._calls(fault, director, {Field.CLOCK_OFFSET_NS: step * 1_000_000_000})
 
-    async def _accept(self, fault: Fault, director: SoakDirector) -> None:
+    async def _accept(self, fault: SoakFault, director: SoakDirector) -> None:
         begun = self.soak.clock()
         await self._calls(fault, director, {Field.ACCEPT_ERRNO: drawn(fault, ACCEPT_ERRORS)})
         ended = self.soak.clock() + ACCEPT_AGAIN_US
         self.soak.records.unaccepted.append(Down(director.number, begun, ended))
 
-    async def _socket(self, fault: Fault, director: SoakDirector) -> None:
+    async def _socket(self, fault: SoakFault, director: SoakDirector) -> None:
         await self._calls(fault, director, {Field.SOCKET_ERRNO: drawn(fault, SOCKET_ERRORS)})
 
-    async def _connect(self, fault: Fault, director: SoakDirector) -> None:
+    async def _connect(self, fault: SoakFault, director: SoakDirector) -> None:
         await self._calls(fault, director, {Field.CONNECT_ERRNO: drawn(fault, CONNECT_ERRORS)})
 
-    async def _transfer(self, fault: Fault, director: SoakDirector) -> None:
+    async def _transfer(self, fault: SoakFault, director: SoakDirector) -> None:
         fields = {Field.TRANSFER_BYTES: drawn(fault, (1, 7, 64, 1000))}
         fields[Field.INTERRUPTED] = (0, 5, 30)[fault.draw // 8 % 3]
         director.crawls = fields[Field.TRANSFER_BYTES] == 1
@@ -114,16 +114,16 @@
         finally:
             director.crawls = False
 
-    async def _broken(self, fault: Fault, director: SoakDirector) -> None:
+    async def _broken(self, fault: SoakFault, director: SoakDirector) -> None:
         await self._calls(fault, director, {Field.BROKEN_ERRNO: drawn(fault, BROKEN_ERRORS)})
 
-    async def _disk(self, fault: Fault, director: SoakDirector) -> None:
+    async def _disk(self, fault: SoakFault, director: SoakDirector) -> None:
         begun = self.soak.clock()
         self.disk_since[director.number].append(begun)
         await self._calls(fault, director, {Field.DISK_ERRNO: drawn(fault, DISK_ERRORS)})
         self.disk_since[director.number].remove(begun)
 
-    async def _calls(self, fault: Fault, director: SoakDirector, fields: dict[Field, int]) -> None:
+    async def _calls(self, fault: SoakFault, director: SoakDirector, fields: dict[Field, int]) -> None:
         for name, value in fields.items():
             director.control.set(name, value)
         try:
@@ -134,7 +134,7 @@
 
     # ---- processes ---------------------------------------------------------------------------------------
 
-    async def _stop(self, fault: Fault, director: SoakDirector) -> None:
+    async def _stop(self, fault: SoakFault, director: SoakDirector) -> None:
         process = director.process
         if process is None:
             return
@@ -146,7 +146,7 @@
             process.signal(signal.SIGCONT)
             self.soak.records.stopped.append(Down(director.number, begun, self.soak.clock() + 20_000))
 
-    async def _end(self, fault: Fault, director: SoakDirector) -> None:
+    async def _end(self, fault: SoakFault, director: SoakDirector) -> None:
         """A planned restart, or where the lab holds the listening socket an upgrade.
 
         Clients use their open connections until the process has left, at its SIGKILL at the latest.
@@ -166,7 +166,7 @@
             await ending
             await self.soak.start(director)
 
-    async def _kill(self, fault: Fault, director: SoakDirector) -> None:
+    async def _kill(self, fault: SoakFault, director: SoakDirector) -> None:
         async with director.busy:
             await self._killed(director)
 
@@ -183,7 +183,7 @@
         await self.soak.start(director)
         self.soak.records.down.append(Down(director.number, begun, self.soak.clock()))
 
-    async def _torn_write(self, fault: Fault, director: SoakDirector) -> None:
+    async def _torn_write(self, fault: SoakFault, director: SoakDirector) -> None:
         """Killed in the middle of writing the operators' file: the call gets no yes, so nothing is owed."""
         async with director.busy:
             server = self.free(fault, ("box",))
@@ -197,7 +197,7 @@
             await self.operators.called(director, f"/caches/enable/{server.name}")
             self.taken.discard(server.name)
 
-    async def _reload(self, fault: Fault, director: SoakDirector) -> None:
+    async def _reload(self, fault: SoakFault, director: SoakDirector) -> None:
         async with director.busy:
             director.feed_at ^= 1
             director.write(self.soak.told(director))
@@ -206,13 +206,13 @@
 
     # ---- the feed ----------------------------------------------------------------------------------------
 
-    async def _feed_lost(self, fault: Fault, director: SoakDirector) -> None:
+    async def _feed_lost(self, fault: SoakFault, director: SoakDirector) -> None:
         await self._way(fault, director, cut=True)
 
-    async def _feed_slow(self, fault: Fault, director: SoakDirector) -> None:
+    async def _feed_slow(self, fault: SoakFault, director: SoakDirector) -> None:
         await self._way(fault, director, cut=False)
 
-    async def _way(self, fault: Fault, director: SoakDirector, cut: bool) -> None:
+    async def _way(self, fault: SoakFault, director: SoakDirector, cut: bool) -> None:
         ways = [relay.way for relay in director.relays]
         for way in ways:
             if cut:
@@ -231,12 +231,12 @@
                     _pass_on(way)
                 way.changed()
 
-    async def _clients_leave(self, fault: Fault, director: SoakDirector) -> None:
+    async def _clients_leave(self, fault: SoakFault, director: SoakDirector) -> None:
         self.soak.clients.leaving.add(director.number)
         await asyncio.sleep(fault.for_s)
         self.soak.clients.leaving.discard(director.number)
 
-    async def _crowd(self, fault: Fault, director: SoakDirector) -> None:
+    async def _crowd(self, fault: SoakFault, director: SoakDirector) -> None:
         """Many connect and say nothing, again as soon as they are ended, for as long as connections come."""
         members = [self.soak.persistent(director, Habit.SILENT) for _ in range(CROWD)]
         tasks = [asyncio.get_running_loop().create_task(member.run()) for member in members]
@@ -251,7 +251,7 @@
 
     # ---- caches ------------------------------------------------------------------------------------------
 
-    def free(self, fault: Fault, kinds: tuple[str, ...]) -> SoakServer | None:
+    def free(self, fault: SoakFault, kinds: tuple[str, ...]) -> SoakServer | None:
         """A server that no other fault holds, drawn; the caller gives it back."""
         fit = [s for s in self.soak.servers.values() if s.kind in kinds and s.name not in self.taken]
         if len(self.taken) >= 4 or not fit:
@@ -266,7 +266,7 @@
             director.feed.list([row_of(server, state)])
         return self.soak.clock()
 
-    async def _cache_drain(self, fault: Fault, director: SoakDirector) -> None:
+    async def _cache_drain(self, fault: SoakFault, director: SoakDirector) -> None:
         if (server := self.free(fault, ("box", "parent"))) is None:
             return
         told = self._list(server, "DRAINING")
@@ -275,7 +275,7 @@
         self._list(server, "SERVING")
         self.taken.discard(server.name)
 
-    async def _cache_restart(self, fault: Fault, director: SoakDirector) -> None:
+    async def _cache_restart(self, fault: SoakFault, director: SoakDirector) -> None:
         if (server := self.free(fault, ("box", "parent"))) is None:
             return
         await server.die()
@@ -286,7 +286,7 @@
         self.played.starts.append((server.name, began, self._list(server, "SERVING")))
         self.taken.discard(server.name)
 
-    async def _cache_hang(self, fault: Fault, director: SoakDirector) -> None:
+    async def _cache_hang(self, fault: SoakFault, director: SoakDirector) -> None:
         if (server := self.free(fault, ("box", "parent"))) is None:
             return
         server.hang(True)
@@ -294,14 +294,14 @@
         server.hang(False)
         self.taken.discard(server.name)
 
-    async def _cache_forget(self, fault: Fault, director: SoakDirector) -> None:
+    async def _cache_forget(self, fault: SoakFault, director: SoakDirector) -> None:
         if (server := self.free(fault, ("box", "parent"))) is None:
             return
         server.end_connections(drawn(fault, tuple(ConnectionLoss)))
         await asyncio.sleep(fault.for_s)
         self.taken.discard(server.name)
 
-    async def _purge(self, fault: Fault, director: SoakDirector) -> None:
+    async def _purge(self, fault: SoakFault, director: SoakDirector) -> None:
         world, now = self.soak.world, self.soak.clock()
         names = [f"{n:016x}" for n in range(OBJECTS)]
         group = world.group(names[fault.draw % OBJECTS])
@@ -315,7 +315,7 @@
             loop.call_later(rng.uniform(0.5, PURGE_DONE_S), server.store.purge, purged, now)
 
 
-def _pass_on(way: Way) -> None:
+def _pass_on(way: LinkDirection) -> None:
     """What a slow way holds back goes on now: else it would stay slow long after it is sound again."""
     for relay in way.relays:
         for pair in relay.pairs:
--- a/onyxwick/lab/soak/clients.py
+++ b/onyxwick/lab/soak/clients.py
@@ -9,7 +9,7 @@
 
 from onyxwick.config.address import Address
 from onyxwick.lab.clients import Connection, read_reply
-from onyxwick.lab.soak.model import BOOKING, JOB_SHEET, SITE_VIDEO, Call, ClientConnection, Records
+from onyxwick.lab.soak.model import BOOKING, JOB_SHEET, SITE_VIDEO, SoakCall, ClientConnection, SoakRecords
 from onyxwick.net import fastcgi
 
 S = 1_000_000
@@ -33,7 +33,7 @@
         self.half = False  # a call is being written on it, slowly
         self.used_at = 0.0
         self.closed_us = 0
-        self.calls: dict[str, Call] = {}  # that wait for their answer
+        self.calls: dict[str, SoakCall] = {}  # that wait for their answer
         self.clock: Callable[[], int] = lambda: 0
         self.record: ClientConnection | None = None
 
@@ -58,12 +58,12 @@
         return False
 
 
-class Clients:
+class SoakClients:
     """All clients of one run. `clock`: the lab's, in microseconds."""
 
     def __init__(
         self,
-        records: Records,
+        records: SoakRecords,
         clock: Callable[[], int],
         seed: int,
         group: Callable[[str], int],
@@ -127,7 +127,7 @@
         item, part = f"{rng.randrange(OBJECTS):016x}", rng.randrange(PARTS)
         request_id = f"{rng.getrandbits(64):016x}"
         timeout_us = max(20, int(rng.randint(least, most) * self.deadline_share)) * 1000
-        call = Call(request_id, name, self.group(item), director, 0, timeout_us, fresh=not connection.asked)
+        call = SoakCall(request_id, name, self.group(item), director, 0, timeout_us, fresh=not connection.asked)
         params = {
             "SCRIPT_NAME": f"/call/{name}",
             "HTTP_X_REQUEST_ID": call.id,
@@ -182,7 +182,7 @@
         return number, future
 
     async def _leave(
-        self, connection: SoakConnection, number: int, future: asyncio.Future[bytes | None], call: Call
+        self, connection: SoakConnection, number: int, future: asyncio.Future[bytes | None], call: SoakCall
     ) -> None:
         """Wait for a moment, then cancel or close, unless the answer has come."""
         await asyncio.wait([future], timeout=self.random.choice((0.0, 0.005, 0.03, 0.15, 0.5)))
@@ -201,7 +201,7 @@
             connection.transport.abort() if self.random.random() < 0.3 else connection.transport.close()
 
     async def _wait(
-        self, connection: SoakConnection, future: asyncio.Future[bytes | None], call: Call
+        self, connection: SoakConnection, future: asyncio.Future[bytes | None], call: SoakCall
     ) -> None:
         connection.calls[call.id] = call
         await asyncio.wait([future], timeout=call.timeout_us / S + END_S)
@@ -209,7 +209,7 @@
         if future.done():
             self._note(connection, future, call)
 
-    def _note(self, connection: SoakConnection, future: asyncio.Future[bytes | None], call: Call) -> None:
+    def _note(self, connection: SoakConnection, future: asyncio.Future[bytes | None], call: SoakCall) -> None:
         data = future.result()
         call.ended_us = self.clock()
         if data is None:
@@ -219,11 +219,11 @@
         call.answers += 1
         call.verdict, call.tag = reply.verdict, reply.tag
 
-    def _crossed(self, connection: SoakConnection, call: Call) -> bool:
+    def _crossed(self, connection: SoakConnection, call: SoakCall) -> bool:
         """Did it cross the end of a resting connection? Then it is sent again, once."""
         return connection.closed_us > 0 and connection.closed_us - call.sent_us <= CROSSED_US
 
-    async def _again(self, director: int, address: Address, params: dict[str, str], call: Call) -> None:
+    async def _again(self, director: int, address: Address, params: dict[str, str], call: SoakCall) -> None:
         connection = await self._connect(director, address)
         if connection is None or connection.transport is None or connection.closed:
             call.left_us = call.ended_us  # nobody takes connections there any more
@@ -255,6 +255,6 @@
     """A call that can be told apart and not used."""
     begin = fastcgi.BEGIN_BODY.pack(fastcgi.RESPONDER, 1)
     pairs = fastcgi.write_pairs({b"SCRIPT_NAME": b"/call/unheard-of"})
-    kind = fastcgi.Type
+    kind = fastcgi.RecordType
     records = ((kind.BEGIN, begin), (kind.PARAMS, pairs), (kind.PARAMS, b""), (kind.STDIN, b""))
     return b"".join(fastcgi.record(k, 65_000, content) for k, content in records)
--- a/onyxwick/lab/soak/model.py
+++ b/onyxwick/lab/soak/model.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(slots=True)
-class Call:
+class SoakCall:
     """One request as its client saw it."""
 
     id: str
@@ -34,7 +34,7 @@
     habit: str
     opened_us: int
     ended_us: int = 0
-    calls: list[Call] = field(default_factory=list)
+    calls: list[SoakCall] = field(default_factory=list)
 
 
 @dataclass(frozen=True, slots=True)
@@ -89,7 +89,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Purged:
+class SoakPurge:
     """A group was purged, and when one director had been told at the latest."""
 
     group: int
@@ -117,16 +117,16 @@
 
 
 @dataclass(slots=True)
-class Records:
+class SoakRecords:
     """Everything of one run."""
 
-    calls: dict[str, Call] = field(default_factory=dict)
+    calls: dict[str, SoakCall] = field(default_factory=dict)
     sent: list[Sent] = field(default_factory=list)
     asked: list[Asked] = field(default_factory=list)
     given: dict[str, list[tuple[str, int, int]]] = field(default_factory=dict)  # request: tag, dated, sent
     ran: list[str] = field(default_factory=list)
     unready: list[Unready] = field(default_factory=list)
-    purged: list[Purged] = field(default_factory=list)
+    purged: list[SoakPurge] = field(default_factory=list)
     started: list[Started] = field(default_factory=list)
     down: list[Down] = field(default_factory=list)
     connections: list[ClientConnection] = field(default_factory=list)
--- a/onyxwick/lab/soak/operator_acts.py
+++ b/onyxwick/lab/soak/operator_acts.py
@@ -7,11 +7,11 @@
 from typing import TYPE_CHECKING
 
 from onyxwick.lab.soak.model import DirectorDrained, Unready
-from onyxwick.lab.soak.plan import Fault, Kind, drawn
+from onyxwick.lab.soak.plan import SoakFault, SoakFaultKind, drawn
 from onyxwick.lab.soak.process import SoakDirector
 
 if TYPE_CHECKING:
-    from onyxwick.lab.soak.acts import Acts
+    from onyxwick.lab.soak.acts import SoakActions
 
 S = 1_000_000
 HELD_RULE_US = 550_000  # the drain's grace and slack, which a command of the operators does not have
@@ -33,7 +33,7 @@
 class OperatorActs:
     """The operators' side of one soak's faults."""
 
-    def __init__(self, acts: Acts) -> None:
+    def __init__(self, acts: SoakActions) -> None:
         self.acts, self.soak = acts, acts.soak
 
     async def called(self, director: SoakDirector, path: str) -> int | None:
@@ -56,7 +56,7 @@
             return min((time for time in times if time is not None), default=None)
         return await self.called(director, "/drain")
 
-    async def drain(self, fault: Fault, director: SoakDirector) -> None:
+    async def drain(self, fault: SoakFault, director: SoakDirector) -> None:
         """Drain a director for a while; its clients go on using the connections that are open."""
         async with director.busy:
             if not director.takes_connections:
@@ -80,7 +80,7 @@
                 await asyncio.sleep(0.05)
             director.takes_connections = True
 
-    async def hold(self, fault: Fault, director: SoakDirector) -> None:
+    async def hold(self, fault: SoakFault, director: SoakDirector) -> None:
         """Have a cache left out by one director for a while."""
         server = self.acts.free(fault, ("box",))
         if server is None:
@@ -108,7 +108,7 @@
 
     def _disk_spans(self, director: SoakDirector) -> list[tuple[int, int]]:
         """When its folder took no write; a fault that is under way has no end yet."""
-        ended = [s for s in self.acts.played.spans if s.kind is Kind.DISK and s.director == director.number]
+        ended = [s for s in self.acts.played.spans if s.kind is SoakFaultKind.DISK and s.director == director.number]
         return [(s.from_us, s.until_us) for s in ended] + [
             (at, 1 << 62) for at in self.acts.disk_since[director.number]
         ]
--- a/onyxwick/lab/soak/oracle.py
+++ b/onyxwick/lab/soak/oracle.py
@@ -14,7 +14,7 @@
 
 from onyxwick.core.invariants import budget
 from onyxwick.lab.model import Tier
-from onyxwick.lab.soak.model import Call, ClientConnection, Down, Records, Termination
+from onyxwick.lab.soak.model import SoakCall, ClientConnection, Down, SoakRecords, Termination
 
 S = 1_000_000
 SLACK_US, DRAIN_US, PURGE_US = 50_000, 500_000, 1_000_000
@@ -52,7 +52,7 @@
 class Oracle:
     """All rules over one run's records. `tiers`: by server; `work_us`: by class."""
 
-    def __init__(self, records: Records, tiers: Mapping[str, Tier], work_us: Mapping[str, int]) -> None:
+    def __init__(self, records: SoakRecords, tiers: Mapping[str, Tier], work_us: Mapping[str, int]) -> None:
         self.records, self.tiers, self.work_us = records, tiers, work_us
         self.late = Lateness(records.late)
         self.forwarded = {sent.request for sent in records.sent}
@@ -68,13 +68,13 @@
     def _within(self, spans: list[Down], director: int, begin: int, end: int) -> bool:
         return any(d.director == director and d.from_us <= end and d.until_us >= begin for d in spans)
 
-    def _killed(self, call: Call) -> bool:
+    def _killed(self, call: SoakCall) -> bool:
         end = call.ended_us or call.sent_us + call.timeout_us + LATE_US
         if any(t.killed and t.told_us - 3 * S < call.sent_us <= t.ended_us for t in self._ends(call)):
             return True  # what its end owed is judged by itself
         return self._within(self.records.down, call.director, call.sent_us - S // 2, end)
 
-    def _ends(self, call: Call) -> list[Termination]:
+    def _ends(self, call: SoakCall) -> list[Termination]:
         return [t for t in self.records.terminations if t.director == call.director]
 
     def _stopped_us(self, director: int, begin: int, end: int) -> int:
@@ -98,12 +98,12 @@
             elif call.ended_us > due + LATE_US + self._excused_us(call):
                 yield Finding("late answer", f"{_told(call)} {(call.ended_us - due) // 1000} ms over")
 
-    def _crossed(self, call: Call) -> bool:
+    def _crossed(self, call: SoakCall) -> bool:
         """Was it written as its connection ended, and not sent on? Its client sends it again elsewhere."""
         window = CROSSED_US + self.late.around(call.sent_us)
         return 0 < call.ended_us <= call.sent_us + window and call.id not in self.forwarded
 
-    def _excused_us(self, call: Call) -> int:
+    def _excused_us(self, call: SoakCall) -> int:
         """How much later its answer may be: what the lab took, and for how long nobody could take it in."""
         stopped = self._stopped_us(call.director, call.sent_us, call.ended_us)
         spans = [d for d in self.records.unaccepted if d.director == call.director and call.fresh]
@@ -287,12 +287,12 @@
         yield Finding("held past a drain", f"{whose}: a request {youngest} ms old at {at}")
 
 
-def _is_over(call: Call, at: int) -> bool:
+def _is_over(call: SoakCall, at: int) -> bool:
     """Had it been answered, or given up by its client, by then?"""
     answered = call.answers > 0 and call.ended_us <= at
     return answered or 0 < call.left_us <= at
 
 
-def _told(call: Call) -> str:
+def _told(call: SoakCall) -> str:
     kind = "fresh" if call.fresh else "used"
     return f"{call.id} ({call.class_name}, n{call.director}, {kind} connection, sent at {call.sent_us})"
--- a/onyxwick/lab/soak/persistent.py
+++ b/onyxwick/lab/soak/persistent.py
@@ -17,7 +17,7 @@
 from onyxwick.lab.clients import read_reply
 from onyxwick.lab.soak.clients import CLASSES, PARTS
 from onyxwick.lab.soak.clients import OBJECTS as ITEMS
-from onyxwick.lab.soak.model import Call, ClientConnection, Records
+from onyxwick.lab.soak.model import SoakCall, ClientConnection, SoakRecords
 from onyxwick.net import fastcgi
 
 CONNECT_S, RECONNECT_S = 2.0, 0.3
@@ -51,7 +51,7 @@
         director: int,
         address: Address,
         habit: Habit,
-        records: Records,
+        records: SoakRecords,
         clock: Callable[[], int],
         group: Callable[[str], int],
         rng: random.Random,
@@ -68,7 +68,7 @@
         self.timeouts_us = timeouts_us  # by class
         self.item = ""
         self.connection: ClientConnection | None = None
-        self.waiting: dict[int, Call | None] = {}
+        self.waiting: dict[int, SoakCall | None] = {}
         self.number = 0
         self.answered = asyncio.Event()
 
@@ -167,13 +167,13 @@
             if self.number not in self.waiting:
                 return self.number
 
-    def _draw(self) -> Call:
+    def _draw(self) -> SoakCall:
         name = self.rng.choices(list(CLASSES), list(CLASSES.values()))[0]
         self.item = f"{self.rng.randrange(ITEMS):016x}"
         request, group = f"{self.rng.getrandbits(64):016x}", self.group(self.item)
-        return Call(request, name, group, self.director, 0, self.timeouts_us[name], fresh=False)
+        return SoakCall(request, name, group, self.director, 0, self.timeouts_us[name], fresh=False)
 
-    def _params(self, call: Call | None) -> dict[str, str]:
+    def _params(self, call: SoakCall | None) -> dict[str, str]:
         if call is None:
             return {"SCRIPT_NAME": "/ping"}
         return {
@@ -185,7 +185,7 @@
             "HTTP_X_BATCH": str(call.group),
         }
 
-    def _asked(self, number: int, call: Call | None) -> None:
+    def _asked(self, number: int, call: SoakCall | None) -> None:
         assert self.connection is not None
         self.waiting[number] = call
         if call is not None:
@@ -213,9 +213,9 @@
                 return
             content = bytes(data[size : size + length])
             del data[: size + length + pad]
-            if kind == fastcgi.Type.STDOUT:
+            if kind == fastcgi.RecordType.STDOUT:
                 bodies.setdefault(number, bytearray()).extend(content)
-            elif kind == fastcgi.Type.END:
+            elif kind == fastcgi.RecordType.END:
                 self._done(number, bytes(bodies.pop(number, b"")), content)
 
     def _done(self, number: int, body: bytes, end: bytes) -> None:
@@ -223,7 +223,7 @@
         self.answered.set()
         if call is None:
             return
-        if not body and end[4:5] == bytes([fastcgi.Protocol.OVERLOADED]):
+        if not body and end[4:5] == bytes([fastcgi.ProtocolStatus.OVERLOADED]):
             body = b"Status: 503 Overloaded\r\n\r\n"
         reply = read_reply(body)
         call.ended_us, call.verdict, call.tag = self.clock(), reply.verdict, reply.tag
@@ -233,6 +233,6 @@
 def _call_bytes(number: int, params: dict[str, str]) -> bytes:
     begin = fastcgi.BEGIN_BODY.pack(fastcgi.RESPONDER, fastcgi.KEEP_CONN)
     pairs = fastcgi.write_pairs({name.encode(): value.encode() for name, value in params.items()})
-    kind = fastcgi.Type
+    kind = fastcgi.RecordType
     records = ((kind.BEGIN, begin), (kind.PARAMS, pairs), (kind.PARAMS, b""), (kind.STDIN, b""))
     return b"".join(fastcgi.record(k, number, content) for k, content in records)
--- a/onyxwick/lab/soak/plan.py
+++ b/onyxwick/lab/soak/plan.py
@@ -18,7 +18,7 @@
 Drawn = TypeVar("Drawn")
 
 
-class Kind(Enum):
+class SoakFaultKind(Enum):
     """What is done. Those of `FLEET` are done to a cache or the feed of all directors."""
 
     CLOCK = "clock"  # the wall clock is stepped, and back
@@ -47,26 +47,26 @@
     PURGE = "purge"
 
 
-FLEET = frozenset({Kind.CACHE_DRAIN, Kind.CACHE_RESTART, Kind.CACHE_HANG, Kind.CACHE_FORGET, Kind.PURGE})
-ENDS_PROCESS = frozenset({Kind.TERM, Kind.KILL, Kind.TORN_WRITE, Kind.HANDOVER})
+FLEET = frozenset({SoakFaultKind.CACHE_DRAIN, SoakFaultKind.CACHE_RESTART, SoakFaultKind.CACHE_HANG, SoakFaultKind.CACHE_FORGET, SoakFaultKind.PURGE})
+ENDS_PROCESS = frozenset({SoakFaultKind.TERM, SoakFaultKind.KILL, SoakFaultKind.TORN_WRITE, SoakFaultKind.HANDOVER})
 LENGTHS_S = {
-    Kind.CLOCK: (2.0, 5.0),
-    Kind.ACCEPT: (0.2, 0.8),
-    Kind.SOCKET: (0.2, 0.5),
-    Kind.CONNECT: (0.2, 0.5),
-    Kind.TRANSFER: (1.0, 3.0),
-    Kind.BROKEN: (0.5, 2.0),
-    Kind.DISK: (0.5, 3.0),
-    Kind.STOP: (0.05, 3.0),
-    Kind.FEED_LOST: (0.5, 4.0),
-    Kind.FEED_SLOW: (1.0, 4.0),
-    Kind.CLIENTS_LEAVE: (0.5, 1.5),
-    Kind.DRAIN: (0.5, 6.0),
-    Kind.CROWD: (0.5, 4.0),
-    Kind.HOLD: (1.0, 4.0),
-    Kind.CACHE_DRAIN: (1.0, 4.0),
-    Kind.CACHE_RESTART: (0.5, 1.5),
-    Kind.CACHE_HANG: (0.5, 2.0),
+    SoakFaultKind.CLOCK: (2.0, 5.0),
+    SoakFaultKind.ACCEPT: (0.2, 0.8),
+    SoakFaultKind.SOCKET: (0.2, 0.5),
+    SoakFaultKind.CONNECT: (0.2, 0.5),
+    SoakFaultKind.TRANSFER: (1.0, 3.0),
+    SoakFaultKind.BROKEN: (0.5, 2.0),
+    SoakFaultKind.DISK: (0.5, 3.0),
+    SoakFaultKind.STOP: (0.05, 3.0),
+    SoakFaultKind.FEED_LOST: (0.5, 4.0),
+    SoakFaultKind.FEED_SLOW: (1.0, 4.0),
+    SoakFaultKind.CLIENTS_LEAVE: (0.5, 1.5),
+    SoakFaultKind.DRAIN: (0.5, 6.0),
+    SoakFaultKind.CROWD: (0.5, 4.0),
+    SoakFaultKind.HOLD: (1.0, 4.0),
+    SoakFaultKind.CACHE_DRAIN: (1.0, 4.0),
+    SoakFaultKind.CACHE_RESTART: (0.5, 1.5),
+    SoakFaultKind.CACHE_HANG: (0.5, 2.0),
 }
 AT_ONCE_S = (0.1, 0.1)  # of kinds that are done in an instant
 STEPS_S = (-3600, -30, -3, 3, 30, 3600)  # of the wall clock
@@ -76,11 +76,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fault:
+class SoakFault:
     """One fault. `draw`: a number from which its details are taken, the same in each play."""
 
     number: int
-    kind: Kind
+    kind: SoakFaultKind
     director: int
     at_s: float
     for_s: float
@@ -92,21 +92,21 @@
         return self.at_s + self.for_s
 
 
-def _sound(pair: Iterable[Kind]) -> bool:
+def _sound(pair: Iterable[SoakFaultKind]) -> bool:
     """Can these be played together? Two ends of one process cannot."""
     return sum(kind in ENDS_PROCESS for kind in pair) <= 1
 
 
-def _deck(rng: random.Random) -> Iterator[tuple[Kind, Kind]]:
-    pairs = [pair for pair in itertools.combinations(Kind, 2) if _sound(pair)]
+def _deck(rng: random.Random) -> Iterator[tuple[SoakFaultKind, SoakFaultKind]]:
+    pairs = [pair for pair in itertools.combinations(SoakFaultKind, 2) if _sound(pair)]
     while True:
         rng.shuffle(pairs)
         yield from pairs
 
 
-def draw(seed: int, directors: int, duration_s: float) -> list[Fault]:
+def draw(seed: int, directors: int, duration_s: float) -> list[SoakFault]:
     """All faults of a run in order of time."""
-    rng, out = random.Random(f"soak {seed}"), list[Fault]()
+    rng, out = random.Random(f"soak {seed}"), list[SoakFault]()
     deck, numbers = _deck(rng), itertools.count(1)
     quiet = duration_s * LONG_QUIET if duration_s >= LONG_QUIET_FROM_S else QUIET_S
     ready = [quiet + rng.uniform(*REST_S) for _ in range(directors)]
@@ -115,25 +115,25 @@
         at, kinds = ready[director], list(next(deck))
         rng.shuffle(kinds)
         if rng.random() < THIRD:
-            third = rng.choice([kind for kind in Kind if kind not in kinds and _sound((*kinds, kind))])
+            third = rng.choice([kind for kind in SoakFaultKind if kind not in kinds and _sound((*kinds, kind))])
             kinds.insert(0, third)
         end = at
         for n, kind in enumerate(kinds):
             length = rng.uniform(*LENGTHS_S.get(kind, AT_ONCE_S))
             begin = at if n == 0 else rng.uniform(at, max(at + 0.05, min(end, at + 1.0)))
-            out.append(Fault(next(numbers), kind, director, begin, length, rng.getrandbits(32)))
+            out.append(SoakFault(next(numbers), kind, director, begin, length, rng.getrandbits(32)))
             end = max(end, begin + length)
         ready[director] = end + rng.uniform(*REST_S)
     return sorted(out, key=lambda fault: fault.at_s)
 
 
-def overlap(one: Fault, other: Fault) -> bool:
+def overlap(one: SoakFault, other: SoakFault) -> bool:
     """Do two faults meet at one director? What is done in an instant works on for a moment."""
     near = one.at_s < other.until_s + 0.5 and other.at_s < one.until_s + 0.5
     return near and (one.director == other.director or one.kind in FLEET or other.kind in FLEET)
 
 
-def pairs_of(faults: Iterable[Fault]) -> Counter[tuple[str, str]]:
+def pairs_of(faults: Iterable[SoakFault]) -> Counter[tuple[str, str]]:
     """How often each pair of kinds overlapped."""
     out: Counter[tuple[str, str]] = Counter()
     for one, other in itertools.combinations(sorted(faults, key=lambda fault: fault.at_s), 2):
@@ -146,11 +146,11 @@
 def gaps(pairs: Counter[tuple[str, str]]) -> list[tuple[str, str]]:
     """Pairs that could be played and were not."""
     all_pairs = (
-        tuple(sorted(k.value for k in pair)) for pair in itertools.combinations(Kind, 2) if _sound(pair)
+        tuple(sorted(k.value for k in pair)) for pair in itertools.combinations(SoakFaultKind, 2) if _sound(pair)
     )
     return [(a, b) for a, b in all_pairs if (a, b) not in pairs]
 
 
-def drawn(fault: Fault, values: tuple[Drawn, ...]) -> Drawn:
+def drawn(fault: SoakFault, values: tuple[Drawn, ...]) -> Drawn:
     """One of some values, by the fault's own number."""
     return values[fault.draw % len(values)]
--- a/onyxwick/lab/soak/process.py
+++ b/onyxwick/lab/soak/process.py
@@ -14,10 +14,10 @@
 from typing import Any
 
 from onyxwick.config.address import Address, written
-from onyxwick.lab.faults.relay import Relay
+from onyxwick.lab.faults.relay import LinkRelay
 from onyxwick.lab.feed import Feed
-from onyxwick.lab.machines import Coordinator
-from onyxwick.lab.soak.model import Records, Termination
+from onyxwick.lab.machines import CoordinatorEmulator
+from onyxwick.lab.soak.model import SoakRecords, Termination
 from onyxwick.lab.soak.shim import Control
 from onyxwick.net import fastcgi
 from onyxwick.net.listening import BACKLOG
@@ -30,7 +30,7 @@
 class Process:
     """One process of a director: its log is read line by line, its counters as it ends."""
 
-    def __init__(self, name: str, folder: Path, records: Records, tree: Path | None) -> None:
+    def __init__(self, name: str, folder: Path, records: SoakRecords, tree: Path | None) -> None:
         self.name, self.records, self.tree = name, records, tree
         self.log = folder / f"{name}.log"
         self.child: asyncio.subprocess.Process | None = None
@@ -92,7 +92,7 @@
     tree: Path | None = None  # of another revision, whose program is run
 
     def __init__(
-        self, number: int, base: str, folder: Path, held: bool, records: Records, clock: Callable[[], int]
+        self, number: int, base: str, folder: Path, held: bool, records: SoakRecords, clock: Callable[[], int]
     ) -> None:
         self.number, self.name, self.records, self.clock = number, f"n{number}", records, clock
         self.listen: Address = (f"{base}.1.{number + 1}", 5050)
@@ -100,9 +100,9 @@
         self.folder = folder / self.name
         self.folder.mkdir()
         self.feeds: list[Address] = [(f"{base}.8.{number + 1}", port) for port in (7070, 7071)]
-        self.relays: list[Relay] = []
+        self.relays: list[LinkRelay] = []
         self.feed_at = 0  # which of its two addresses the configuration names
-        self.coordinator: Coordinator
+        self.coordinator: CoordinatorEmulator
         self.feed: Feed
         self.control: Control
         self.process: Process | None = None
@@ -217,6 +217,6 @@
 def _ping() -> bytes:
     begin = fastcgi.BEGIN_BODY.pack(fastcgi.RESPONDER, 0)
     pairs = fastcgi.write_pairs({b"SCRIPT_NAME": b"/ping"})
-    kind = fastcgi.Type
+    kind = fastcgi.RecordType
     records = ((kind.BEGIN, begin), (kind.PARAMS, pairs), (kind.PARAMS, b""), (kind.STDIN, b""))
     return b"".join(fastcgi.record(k, 1, content) for k, content in records)
--- a/onyxwick/lab/soak/report.py
+++ b/onyxwick/lab/soak/report.py
@@ -9,7 +9,7 @@
 
 from onyxwick.lab.soak.oracle import Finding
 from onyxwick.lab.soak.persistent import Habit
-from onyxwick.lab.soak.plan import Fault, draw, gaps
+from onyxwick.lab.soak.plan import SoakFault, draw, gaps
 from onyxwick.lab.soak.surroundings import DEADLINES_US
 
 S = 1_000_000
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
+class SoakPlan:
     """What is played. `only`: numbers of the faults that are kept, as the shrinker does; None: all."""
 
     seed: int
@@ -28,7 +28,7 @@
     seconds: float
     only: tuple[int, ...] | None = None
     tree: Path | None = None  # of another revision, whose program is run
-    scripted: tuple[Fault, ...] | None = None  # in place of what the seed draws
+    scripted: tuple[SoakFault, ...] | None = None  # in place of what the seed draws
     habits: tuple[Habit, ...] | None = None  # of each director's persistent clients; None: drawn
     deadline_share: float | None = None  # of the usual deadlines; None: by the seed
     answer_bytes: int = 2000  # of the largest class's answers
@@ -47,7 +47,7 @@
         """From SIGTERM to the earliest SIGKILL of the platform."""
         return min(LONGEST_S, max(self.deadlines_us.values()) / S) + KILL_S
 
-    def faults(self) -> list[Fault]:
+    def faults(self) -> list[SoakFault]:
         """The faults in order of time."""
         if self.scripted is not None:
             return list(self.scripted)
@@ -63,10 +63,10 @@
 
 
 @dataclass(slots=True)
-class Report:
+class SoakReport:
     """What came of one run."""
 
-    plan: Plan
+    plan: SoakPlan
     calls: int
     verdicts: Counter[str]
     attempts: int
--- a/onyxwick/lab/soak/run.py
+++ b/onyxwick/lab/soak/run.py
@@ -16,18 +16,18 @@
 from typing import Any
 
 from onyxwick.config.address import written
-from onyxwick.lab.faults.relay import Relay, Way
+from onyxwick.lab.faults.relay import LinkRelay, LinkDirection
 from onyxwick.lab.feed import Feed, row_of
-from onyxwick.lab.machines import Coordinator, World
-from onyxwick.lab.platform import Place, configuration, settings
-from onyxwick.lab.soak.acts import Acts
-from onyxwick.lab.soak.clients import Clients
-from onyxwick.lab.soak.model import SITE_VIDEO, Records
+from onyxwick.lab.machines import CoordinatorEmulator, World
+from onyxwick.lab.platform import PlatformLayout, configuration, settings
+from onyxwick.lab.soak.acts import SoakActions
+from onyxwick.lab.soak.clients import SoakClients
+from onyxwick.lab.soak.model import SITE_VIDEO, SoakRecords
 from onyxwick.lab.soak.oracle import Oracle
 from onyxwick.lab.soak.persistent import Habit, PersistentClient
-from onyxwick.lab.soak.plan import Fault, pairs_of
+from onyxwick.lab.soak.plan import SoakFault, pairs_of
 from onyxwick.lab.soak.process import SoakDirector
-from onyxwick.lab.soak.report import Plan, Report
+from onyxwick.lab.soak.report import SoakPlan, SoakReport
 from onyxwick.lab.soak.servers import SoakServer
 from onyxwick.lab.soak.shim import Control, build
 from onyxwick.lab.soak.surroundings import DEADLINES_US, TIERS, soak_jobs, soak_scenario
@@ -49,7 +49,7 @@
 DRAWN_HABITS = tuple(Habit)
 
 
-class Clock:
+class SoakClock:
     """Unix microseconds that never jump."""
 
     def __init__(self) -> None:
@@ -63,23 +63,23 @@
 class Soak:
     """One run on loopback; `slot` keeps apart what runs at once."""
 
-    def __init__(self, plan: Plan, slot: int = 0, keep: Path | None = None) -> None:
+    def __init__(self, plan: SoakPlan, slot: int = 0, keep: Path | None = None) -> None:
         self.plan, self.keep, self.base = plan, keep, f"127.{160 + slot}"
-        self.clock, self.records = Clock(), Records()
+        self.clock, self.records = SoakClock(), SoakRecords()
         self.random = random.Random(f"soak ground {plan.seed}")
         self.folder = Path(tempfile.mkdtemp(prefix="onyxwick-soak-"))
         self.jobs = soak_jobs(plan.deadlines_us, plan.answer_bytes)
         self.scenario = soak_scenario(self.jobs)
         self.world = World(self.scenario.classes, self.clock, GROUPS)
         share = plan.deadlines_us[SITE_VIDEO] / DEADLINES_US[SITE_VIDEO]
-        self.clients = Clients(self.records, self.clock, plan.seed, self.world.group, share)
+        self.clients = SoakClients(self.records, self.clock, plan.seed, self.world.group, share)
         self.servers: dict[str, SoakServer] = {}
         self.directors: list[SoakDirector] = []
-        self.acts = Acts(self)
+        self.acts = SoakActions(self)
         self.library = build(self.folder)
         self.starting = asyncio.Semaphore(STARTS_AT_ONCE)
 
-    async def play(self) -> Report:
+    async def play(self) -> SoakReport:
         """Play and judge it; everything that was started ends with it."""
         side: list[asyncio.Task[Any]] = []
         faults = self.plan.faults()
@@ -131,12 +131,12 @@
         director = SoakDirector(number, self.base, self.folder, held, self.records, self.clock)
         director.tree = self.plan.tree
         director.control = Control(self.folder / f"{director.name}.control")
-        director.coordinator = Coordinator((f"{self.base}.9.{number + 1}", 7070), self.clock)
+        director.coordinator = CoordinatorEmulator((f"{self.base}.9.{number + 1}", 7070), self.clock)
         director.feed = Feed(director.coordinator)
         await director.coordinator.listen()
         for address in director.feeds:
-            way = Way(director.name, "feed")
-            director.relays.append(Relay(way, address, director.coordinator.address, self.random))
+            way = LinkDirection(director.name, "feed")
+            director.relays.append(LinkRelay(way, address, director.coordinator.address, self.random))
             await director.relays[-1].start()
         director.feed.list([row_of(m, "SERVING") for m in self.servers.values()], full=True)
         director.feed.begun()
@@ -145,7 +145,7 @@
     def told(self, director: SoakDirector) -> dict[str, Any]:
         """A director's configuration as the platform writes it."""
         here = self.plan.directors
-        place = Place(directors_here=here, directors=here)
+        place = PlatformLayout(directors_here=here, directors=here)
         made = configuration(
             director.name,
             self.plan.seed * 1000 + director.number,
@@ -207,7 +207,7 @@
             lambda: not director.crawls,
         )  # fmt: skip
 
-    async def _fault(self, fault: Fault, begun: float) -> None:
+    async def _fault(self, fault: SoakFault, begun: float) -> None:
         await asyncio.sleep(max(0.0, begun + fault.at_s - asyncio.get_running_loop().time()))
         await self.acts.play(fault)
 
@@ -250,7 +250,7 @@
         elif process.child is not None and process.child.returncode:
             self.records.ended.append(f"{process.name} had ended with {process.child.returncode}")
 
-    def _report(self, faults: list[Fault]) -> Report:
+    def _report(self, faults: list[SoakFault]) -> SoakReport:
         records = self.records
         self.acts.played.settle(self.records, len(self.directors))
         if self.clients.twice:
@@ -262,7 +262,7 @@
         verdicts: Counter[str] = Counter()
         for call in records.calls.values():
             verdicts[call.verdict or ("left" if call.left_us else "none")] += 1
-        report = Report(
+        report = SoakReport(
             self.plan, len(records.calls), verdicts, len(records.sent),
             Counter(fault.kind.value for fault in faults), records.met, pairs_of(faults), findings,
             worst / 1000, worst < TOO_LATE_US,
@@ -272,7 +272,7 @@
         shutil.rmtree(self.folder, ignore_errors=True)
         return report
 
-    def _keep_all(self, report: Report) -> Path:
+    def _keep_all(self, report: SoakReport) -> Path:
         """The run's logs, what was written down and the report, in a folder of their own."""
         assert self.keep is not None
         folder = self.keep / f"seed-{self.plan.seed}"
--- a/onyxwick/lab/soak/servers.py
+++ b/onyxwick/lab/soak/servers.py
@@ -8,10 +8,10 @@
 from weakref import WeakKeyDictionary
 
 from onyxwick.config.address import Address
-from onyxwick.lab.link import Link
+from onyxwick.lab.link import EmulatedLink
 from onyxwick.lab.machines import Machine, World, reset
 from onyxwick.lab.model import Tier
-from onyxwick.lab.soak.model import Asked, Records, Sent
+from onyxwick.lab.soak.model import Asked, SoakRecords, Sent
 from onyxwick.net import resp
 from onyxwick.net.buffer import seconds_since_data
 
@@ -32,7 +32,7 @@
     """A machine that judges nothing: the oracle does, from what is written down here."""
 
     def __init__(
-        self, world: World, name: str, kind: str, zone: str, tier: Tier, address: Address, records: Records
+        self, world: World, name: str, kind: str, zone: str, tier: Tier, address: Address, records: SoakRecords
     ) -> None:
         super().__init__(world, name, kind, zone, tier, address)
         self.soak = records
@@ -64,7 +64,7 @@
     def cold_start(self) -> None:
         """Its link is cold from now on."""
         now = self.world.clock()
-        self.link = Link(self.tier, now, started=now)
+        self.link = EmulatedLink(self.tier, now, started=now)
 
     def _asked(self, work_us: float) -> None:
         now = self.world.clock()
--- a/onyxwick/lab/soak/surroundings.py
+++ b/onyxwick/lab/soak/surroundings.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from onyxwick.interface import Idempotency, RequestClass
-from onyxwick.lab.model import Job, Scenario, Tier
+from onyxwick.lab.model import ScenarioClass, Scenario, Tier
 from onyxwick.lab.soak.model import BOOKING, JOB_SHEET, SITE_VIDEO
 
 S = 1_000_000
@@ -17,7 +17,7 @@
     deadline_us: int,
     fresh_us: int = 0,
     answer_bytes: int = 2000,
-) -> Job:
+) -> ScenarioClass:
     unsafe = repeat is Idempotency.NON_IDEMPOTENT
     aim_us = min(600_000, deadline_us // 2)
     kind = RequestClass(
@@ -27,17 +27,17 @@
         deadline_us,
         latency_objective_stretch=1.6,
         priority_weight=1.0,
-        write=unsafe,
+        is_write=unsafe,
         segmented=not unsafe,
         freshness_lifetime_us=fresh_us,
     )
-    return Job(kind, sending_us, answer_bytes, 3)
+    return ScenarioClass(kind, sending_us, answer_bytes, 3)
 
 
 DEADLINES_US = {SITE_VIDEO: 3 * S, JOB_SHEET: 2 * S, BOOKING: 2 * S}
 
 
-def soak_jobs(deadlines_us: dict[str, int], answer_bytes: int = 2000) -> tuple[Job, ...]:
+def soak_jobs(deadlines_us: dict[str, int], answer_bytes: int = 2000) -> tuple[ScenarioClass, ...]:
     """The classes of a soak's requests."""
     return (
         _job(SITE_VIDEO, Idempotency.IDEMPOTENT, 60_000, deadlines_us[SITE_VIDEO], answer_bytes=answer_bytes),
@@ -53,7 +53,7 @@
 }
 
 
-def soak_scenario(jobs: tuple[Job, ...]) -> Scenario:
+def soak_scenario(jobs: tuple[ScenarioClass, ...]) -> Scenario:
     """What a soak's directors are told of their surroundings."""
     box, parent, origin = TIERS["box"], TIERS["parent"], TIERS["origin"]
     return Scenario("soak", 0, 0, 1, box, parent, origin, jobs, (), (), None, False, 0, 6 * S, 0, ())
--- a/onyxwick/lab/soak/sweep.py
+++ b/onyxwick/lab/soak/sweep.py
@@ -9,7 +9,7 @@
 
 import uvloop
 
-from onyxwick.lab.soak.report import Plan, Report
+from onyxwick.lab.soak.report import SoakPlan, SoakReport
 from onyxwick.lab.soak.run import Soak
 
 LOOPS: list[asyncio.AbstractEventLoop] = []
@@ -18,7 +18,7 @@
 CHUNKS = 8  # parts of the faults that are dropped at once at first
 
 
-def play(plan: Plan, keep: Path | None = None) -> Report:
+def play(plan: SoakPlan, keep: Path | None = None) -> SoakReport:
     """One run."""
 
     loop = uvloop.new_event_loop()
@@ -30,7 +30,7 @@
         asyncio.set_event_loop(None)
 
 
-async def _played(plan: Plan, keep: Path | None) -> Report:
+async def _played(plan: SoakPlan, keep: Path | None) -> SoakReport:
     report = await Soak(plan, keep=keep).play()
     tasks = asyncio.all_tasks() - {asyncio.current_task()}
     for task in tasks:
@@ -39,7 +39,7 @@
     return report
 
 
-def shrunk(plan: Plan, fails: Callable[[Plan], bool], plays: int) -> Plan:
+def shrunk(plan: SoakPlan, fails: Callable[[SoakPlan], bool], plays: int) -> SoakPlan:
     """A plan with fewer faults that still fails: parts are dropped, ever smaller ones, while it does
     (delta debugging: Zeller and Hildebrandt 2002). `plays`: tried at most."""
     kept = [fault.number for fault in plan.faults()]
@@ -67,16 +67,16 @@
     keep: Path | None,
     shrink: int,
     tree: Path | None = None,
-) -> Iterator[Report]:
+) -> Iterator[SoakReport]:
     """A report for each seed; after one that failed, that of its plan with fewer faults."""
     for seed in seeds:
-        plan = Plan(seed, directors, seconds, only, tree)
+        plan = SoakPlan(seed, directors, seconds, only, tree)
         report = play(plan, keep)
         yield report
         if report.findings and shrink:
             rules = {finding.rule for finding in report.findings}
 
-            def fails(tried: Plan, rules: set[str] = rules) -> bool:
+            def fails(tried: SoakPlan, rules: set[str] = rules) -> bool:
                 return bool(rules & {finding.rule for finding in play(tried).findings})
 
             yield play(shrunk(plan, fails, shrink), keep)
--- a/onyxwick/lab/storage.py
+++ b/onyxwick/lab/storage.py
@@ -14,9 +14,9 @@
 
 from hdrh.histogram import HdrHistogram
 
-from onyxwick.store import Engine, Limits, Op, Transaction
+from onyxwick.store import StoreEngine, StoreLimits, WriteOperation, Transaction
 from onyxwick.store.committer import Committer
-from onyxwick.store.files import Disk
+from onyxwick.store.files import DiskFiles
 
 VALUE = bytes(200)
 
@@ -34,7 +34,7 @@
     """Writers that each wait for their commit before the next one."""
 
     async def run() -> dict[str, Any]:
-        committer = Committer(Engine(Disk(folder)))
+        committer = Committer(StoreEngine(DiskFiles(folder)))
         histogram, end = HdrHistogram(1, 60_000_000, 3), time.monotonic() + seconds
         count = 0
 
@@ -43,7 +43,7 @@
             at = 0
             while time.monotonic() < end:
                 begun = time.monotonic()
-                await committer.commit(Transaction((Op(f"k{n}/{at % 1000}", VALUE),), "lab", at))
+                await committer.commit(Transaction((WriteOperation(f"k{n}/{at % 1000}", VALUE),), "lab", at))
                 histogram.record_value(max(1, int((time.monotonic() - begun) * 1e6)))
                 count, at = count + 1, at + 1
 
@@ -111,24 +111,24 @@
     """Opening a store of so many records: from the log alone, and after a compaction."""
 
     def run(folder: Path) -> dict[str, Any]:
-        limits = Limits(segment=64 << 20, log=1 << 40, total=1 << 40)
-        engine = Engine(Disk(folder), limits)
+        limits = StoreLimits(segment=64 << 20, log=1 << 40, total=1 << 40)
+        engine = StoreEngine(DiskFiles(folder), limits)
         for at in range(0, count, 2000):
             batch, _ = engine.prepare(
-                [Transaction((Op(f"key/{n:09d}", VALUE[:50]),), "lab", n) for n in range(at, at + 2000)]
+                [Transaction((WriteOperation(f"key/{n:09d}", VALUE[:50]),), "lab", n) for n in range(at, at + 2000)]
             )
             engine.write(batch)
             engine.finish(batch)
         engine.close()
         begun = time.monotonic()
-        engine = Engine(Disk(folder), limits)
+        engine = StoreEngine(DiskFiles(folder), limits)
         from_log, size = time.monotonic() - begun, engine.size()
         begun = time.monotonic()
         engine.compact()
         compacting = time.monotonic() - begun
         engine.close()
         begun = time.monotonic()
-        Engine(Disk(folder), limits).close()
+        StoreEngine(DiskFiles(folder), limits).close()
         return {
             "records": count,
             "log_mb": round(size / 1e6, 1),
@@ -144,10 +144,10 @@
     """Bytes written for each byte asked for, under steady overwrites of 2,000 keys with compactions."""
 
     def run(folder: Path) -> dict[str, Any]:
-        engine = Engine(Disk(folder), Limits(segment=1 << 20, log=4 << 20, total=64 << 20))
+        engine = StoreEngine(DiskFiles(folder), StoreLimits(segment=1 << 20, log=4 << 20, total=64 << 20))
         compactions = 0
         for at in range(0, overwrites, 50):
-            ops = [Transaction((Op(f"k{n % 2000}", VALUE),), "lab", n) for n in range(at, at + 50)]
+            ops = [Transaction((WriteOperation(f"k{n % 2000}", VALUE),), "lab", n) for n in range(at, at + 50)]
             batch, _ = engine.prepare(ops)
             engine.write(batch)
             engine.finish(batch)
--- a/onyxwick/lab/traces.py
+++ b/onyxwick/lab/traces.py
@@ -10,8 +10,8 @@
 import numpy as np
 
 from onyxwick.trace import format as f
-from onyxwick.trace.merge import Writer
-from onyxwick.trace.model import NEVER, ONCE, RETRY, STATUSES, WRITE, S, Told, Verdict, Why
+from onyxwick.trace.merge import TraceWriter
+from onyxwick.trace.model import NEVER, ONCE, RETRY, STATUSES, WRITE, S, NotificationKind, RecordedVerdict, DecisionReason
 from onyxwick.trace.table import Column, Strings, Table
 
 CLASSES: list[dict[str, Any]] = [
@@ -39,7 +39,7 @@
 
 
 @dataclass(slots=True)
-class Clock:
+class TraceClock:
     """How far a director's clock is off, and how it drifts; `step_at` and `step_us`: it goes back then."""
 
     offset_us: float = 0.0
@@ -62,9 +62,9 @@
     planted: dict[str, list[str]] = field(default_factory=dict)
 
 
-def clocks(count: int) -> list[Clock]:
+def clocks(count: int) -> list[TraceClock]:
     """The first is right; the second 800 ms ahead and drifting by 200 ppm; the third steps back by 2 s."""
-    some = [Clock(), Clock(800_000.0, 200.0), Clock(-350_000.0, -40.0, START + 1200 * S, 2 * S)]
+    some = [TraceClock(), TraceClock(800_000.0, 200.0), TraceClock(-350_000.0, -40.0, START + 1200 * S, 2 * S)]
     return (some * (count // len(some) + 1))[:count]
 
 
@@ -74,7 +74,7 @@
     rows += [[f"parent-{n}", "hub", "parent", "ready", 30.0, 0] for n in range(PARENTS)]
     rows.append(["origin", "hub", "origin", "ready", 60.0, 0])
     out: list[tuple[int, int, dict[str, Any]]] = [
-        (START - S // 2, Told.LIST, {"members": rows, "full": True, "version": 1})
+        (START - S // 2, NotificationKind.LIST, {"members": rows, "full": True, "version": 1})
     ]
     changes: list[tuple[float, list[Any]]] = [
         (0.25, ["box-3", "depot-1", "box", "draining", 6.0, 0]),
@@ -85,10 +85,10 @@
     changes.append((0.55, ["box-7", "depot-1", "box", "ready", 1.0, back]))
     for version, (share, row) in enumerate(changes, 2):
         told = {"members": [row], "full": False, "version": version}
-        out.append((START + int(share * duration_us), Told.LIST, told))
+        out.append((START + int(share * duration_us), NotificationKind.LIST, told))
     for n in range(1, 40):
         at = START + duration_us * n // 40
-        out.append((at, Told.PURGE, {"group": n % 64, "object": None, "unix_us": at - 300_000}))
+        out.append((at, NotificationKind.PURGE, {"group": n % 64, "object": None, "unix_us": at - 300_000}))
     return sorted(out, key=lambda e: e[0])
 
 
@@ -96,15 +96,15 @@
     """One director's file."""
 
     def __init__(
-        self, folder: Path, n: int, clock: Clock, rate_per_s: float, duration_us: int, seed: int
+        self, folder: Path, n: int, clock: TraceClock, rate_per_s: float, duration_us: int, seed: int
     ) -> None:
         self.rng = np.random.default_rng((seed, n))
         self.name, self.clock, self.duration_us = f"n{n}", clock, duration_us
         self.rate = rate_per_s
         self.strings = Strings()
-        header = f.Header((1, 0), self.name, f"{n + 1:016x}", START, 0, CLASSES, RULES)
+        header = f.FileHeader((1, 0), self.name, f"{n + 1:016x}", START, 0, CLASSES, RULES)
         self.path = folder / f"{self.name}-{header.run}-000001.owt"
-        self.writer = Writer(self.path, header)
+        self.writer = TraceWriter(self.path, header)
         self.told = self._told()
         self.numbers = {
             "class": np.array([self.strings.number(c["name"]) for c in CLASSES]),
@@ -119,7 +119,7 @@
     def _told(self) -> list[tuple[int, int, dict[str, Any]]]:
         """In this director's own clock, each some milliseconds late; with both clocks each second."""
         out: list[tuple[int, int, dict[str, Any]]] = [
-            (int(Told.START), int(self.clock.of(np.array([START - S]))[0]), {})
+            (int(NotificationKind.START), int(self.clock.of(np.array([START - S]))[0]), {})
         ]
         for at, kind, data in _events(self.duration_us):
             late = int(self.rng.exponential(15_000))
@@ -127,7 +127,7 @@
         seconds = START + np.arange(0, self.duration_us, S)
         shown = np.maximum.accumulate(self.clock.of(seconds))  # a core's clock never goes back
         mono = (seconds - START) * (1 + self.clock.drift_ppm * 1e-6)
-        out += [(int(Told.CLOCK), int(u), {"mono_us": int(m)}) for u, m in zip(shown, mono, strict=True)]
+        out += [(int(NotificationKind.CLOCK), int(u), {"mono_us": int(m)}) for u, m in zip(shown, mono, strict=True)]
         return sorted(out, key=lambda t: t[1])
 
     # ---- one chunk of requests --------------------------------------------------------------------------
@@ -140,8 +140,8 @@
         objects = rng.zipf(1.2, count) % 50_000
         tries = 1 + (rng.random(count) < 0.06).astype(np.int64)
         tries[kind == 2] = 1
-        verdict = np.where(rng.random(count) < 0.985, Verdict.SERVED, Verdict.REFUSED)
-        verdict[rng.random(count) < 0.004] = Verdict.LEFT
+        verdict = np.where(rng.random(count) < 0.985, RecordedVerdict.SERVED, RecordedVerdict.REFUSED)
+        verdict[rng.random(count) < 0.004] = RecordedVerdict.LEFT
         hit = rng.random(count) < 0.72
         took = (rng.lognormal(11.3, 0.5, count) + np.where(hit, 0, 90_000)).astype(np.int64)
         lives = {
@@ -156,10 +156,10 @@
             "group": objects % 64,
             "flags": np.where(rng.random(count) < 0.02, RETRY, 0) | np.where(kind == 2, WRITE | ONCE, 0),
             "verdict": verdict.astype(np.int64),
-            "why": np.where(verdict == Verdict.SERVED, Why.ANSWERED, Why.NO_BOX),
+            "why": np.where(verdict == RecordedVerdict.SERVED, DecisionReason.ANSWERED, DecisionReason.NO_BOX),
             "took": took,
-            "after": np.where(verdict == Verdict.REFUSED, 300_000, 0),
-            "bytes": np.where(verdict == Verdict.SERVED, rng.integers(2_000, 60_000, count), 0),
+            "after": np.where(verdict == RecordedVerdict.REFUSED, 300_000, 0),
+            "bytes": np.where(verdict == RecordedVerdict.SERVED, rng.integers(2_000, 60_000, count), 0),
             "director": np.full(count, self.strings.number(self.name)),
             "attempts": tries,
         }
@@ -177,7 +177,7 @@
         decided = np.where(first, 0, took // 3)
         sent = decided + rng.integers(50, 900, count)
         ended = np.where(final, took, np.maximum(took // 3, sent + 1))
-        well = final & (lives["verdict"][owner] == Verdict.SERVED)
+        well = final & (lives["verdict"][owner] == RecordedVerdict.SERVED)
         status = np.where(well, 0, STATUSES.index("full"))
         box = (objects[owner] + np.where(first, 0, 1)) % BOXES
         box = self._kept(box, true[owner] + sent)
@@ -191,7 +191,7 @@
             "decided": decided, "sent": sent, "ended": ended, "cancel": np.full(count, NEVER),
             "member": member, "source": source, "rank": np.where(write, 0, 1 + 2 * (objects[owner] < 200)),
             "flags": np.where(write, 0, 1), "age": np.where(kind[owner] == 1, 12_000, 0), "status": status,
-            "detail": detail, "why": np.where(first, Why.HOME, Why.TRIED),
+            "detail": detail, "why": np.where(first, DecisionReason.HOME, DecisionReason.TRIED),
             "pending": rng.integers(0, 12, count),
             "room": rng.integers(30, 60, count), "failing": rng.integers(0, 12, count),
             "warm": np.full(count, 255), "dated": dated.astype(np.int64),
@@ -235,7 +235,7 @@
         """Breaches of each rule that is asked for, in requests of their own, while box-3 drains."""
         out: dict[str, list[str]] = {}
         lives, attempts, starts = table.lives, table.attempts, table.starts
-        served = np.flatnonzero((lives["verdict"] == Verdict.SERVED) & (lives["attempts"] == 1))
+        served = np.flatnonzero((lives["verdict"] == RecordedVerdict.SERVED) & (lives["attempts"] == 1))
         reads, bookings = (
             served[lives["flags"][served] & ONCE == 0],
             served[lives["flags"][served] & ONCE != 0],
@@ -287,7 +287,7 @@
         binding = [
             d["unix_us"]
             for k, t, d in self.told
-            if k == Told.PURGE and d["group"] == group and t + 1_200_000 < at
+            if k == NotificationKind.PURGE and d["group"] == group and t + 1_200_000 < at
         ]
         return max(binding, default=0)
 
@@ -296,7 +296,7 @@
     ) -> None:
         match rule:
             case "one answer":
-                lives["verdict"][row] = Verdict.OPEN
+                lives["verdict"][row] = RecordedVerdict.OPEN
             case "not listed":
                 attempts["member"][at] = self.strings.number("box-99")
             case "drain":
--- a/onyxwick/lifecycle.py
+++ b/onyxwick/lifecycle.py
@@ -17,32 +17,32 @@
 from onyxwick.config import ConfigError, relay
 from onyxwick.config.address import written
 from onyxwick.config.errors import ConfigUnreadableError
-from onyxwick.config.relay import Config
-from onyxwick.core import Core
+from onyxwick.config.relay import DirectorConfig
+from onyxwick.core import RequestEngine
 from onyxwick.core.clock import steady_us
 from onyxwick.core.ending import (
     LAST_WORDS_S,
-    EndingSchedule,
-    Stage,
+    ShutdownSchedule,
+    ShutdownStage,
     drain_schedule,
     kill_after_s,
     termination_schedule,
 )
-from onyxwick.core.members import Members
-from onyxwick.core.phase import PHASE_CHANGES, IllegalPhaseChangeError, Phase
+from onyxwick.core.members import EndpointTable
+from onyxwick.core.phase import PHASE_CHANGES, IllegalPhaseChangeError, DirectorPhase
 from onyxwick.counters import Counters
 from onyxwick.logic import Router
 from onyxwick.net import listening
-from onyxwick.net.caches import Caches
-from onyxwick.net.coordinator import Coordinator
-from onyxwick.net.front import Front
+from onyxwick.net.caches import CacheConnectionPool
+from onyxwick.net.coordinator import CoordinatorFeed
+from onyxwick.net.front import FastCgiFront
 
 if TYPE_CHECKING:
     from onyxwick.config.service import ServiceConfig
-    from onyxwick.door.bridge import Bridge
-    from onyxwick.door.orders import Orders
-    from onyxwick.door.server import Door
-    from onyxwick.service import Service
+    from onyxwick.door.bridge import CommandExecutor
+    from onyxwick.door.orders import OperatorCommands
+    from onyxwick.door.server import OperationsServer
+    from onyxwick.service import HostedService
 
 log = logs.get()
 SERVICE_FILE = Path(__file__).parents[1] / "deploy" / "service.hcl"
@@ -59,12 +59,12 @@
 
 
 class Director:
-    def __init__(self, config: Config, told: ServiceConfig | None = None) -> None:
+    def __init__(self, config: DirectorConfig, told: ServiceConfig | None = None) -> None:
         self.config, self.service = config, _service(config, told)
-        self.phase = Phase.STARTING
-        self.counters, self.members = Counters(), Members()
+        self.phase = DirectorPhase.STARTING
+        self.counters, self.members = Counters(), EndpointTable()
         self.leaving = asyncio.Event()
-        self.caches = Caches(
+        self.caches = CacheConnectionPool(
             self.members,
             self.counters,
             config.settings.limits.connect_timeout_us,
@@ -72,7 +72,7 @@
             most_links=config.most_links,
         )
         service = self.service
-        self.core = Core(
+        self.core = RequestEngine(
             config.settings,
             config.seed,
             self.caches,
@@ -82,12 +82,12 @@
             decide=Router if service is None else service.decide,
         )
         routers = config.settings.router_count
-        self.coordinator = Coordinator(self.core, self.counters, config.seed ^ FEED_DRAW, routers)
+        self.coordinator = CoordinatorFeed(self.core, self.counters, config.seed ^ FEED_DRAW, routers)
         self.coordinator.move(config.coordinator)  # a reload while starting moves it on
         if service is not None:
             service.attach(self.core, self.members, self.counters)
             service.pace(self.coordinator, self.caches)
-        self.front = Front(
+        self.front = FastCgiFront(
             self.core,
             self.counters,
             self.is_ready,
@@ -97,13 +97,13 @@
         )
         self.bridge = self._bridge()
 
-    def _bridge(self) -> Bridge | None:
+    def _bridge(self) -> CommandExecutor | None:
         """The director's side of the operators' door, where the configuration gives one."""
         if self.config.admin is None:
             return None
-        from onyxwick.door.bridge import Bridge, persisted_commands
+        from onyxwick.door.bridge import CommandExecutor, persisted_commands
 
-        bridge = Bridge(
+        bridge = CommandExecutor(
             self.core,
             self.members,
             self.counters,
@@ -119,26 +119,26 @@
         """Whether new clients are welcome; may be asked from the door's thread."""
         drained = self.bridge is not None and self.bridge.orders.drained
         # The orders bind from the door's answer on; the phase follows them a turn of the loop later.
-        serving = self.phase in (Phase.SERVING, Phase.DRAINED)
+        serving = self.phase in (DirectorPhase.SERVING, DirectorPhase.DRAINED)
         return serving and self.members.loaded and not drained
 
     def ready_word(self) -> str:
-        if self.phase in (Phase.DRAINING, Phase.STOPPED):
+        if self.phase in (DirectorPhase.DRAINING, DirectorPhase.STOPPED):
             return "END"
         return "YES" if self.is_ready() else "NO"
 
-    def _enter(self, phase: Phase) -> None:
+    def _enter(self, phase: DirectorPhase) -> None:
         if phase not in PHASE_CHANGES[self.phase]:
             raise IllegalPhaseChangeError(f"from {self.phase.value} to {phase.value}")
         self.phase = phase
         log.info(phase.value, name=self.config.name)
 
-    def _drained(self, orders: Orders) -> None:
+    def _drained(self, orders: OperatorCommands) -> None:
         """The operators' drain, or its end: connections end by its schedule, or stay. The drain's time runs
         from its call, however late the loop comes round to it."""
-        if self.phase not in (Phase.SERVING, Phase.DRAINED):
+        if self.phase not in (DirectorPhase.SERVING, DirectorPhase.DRAINED):
             return  # starting, the first phase entered takes it; ending, connections close anyway
-        phase = Phase.DRAINED if orders.drained else Phase.SERVING
+        phase = DirectorPhase.DRAINED if orders.drained else DirectorPhase.SERVING
         if phase is not self.phase:  # not so where the start, or a turn with two drains in it, entered it
             self._enter(phase)
         if orders.drained:
@@ -209,8 +209,8 @@
         if self.early:
             self.reload()
         if self.leaving.is_set() and self.service is None:  # told to end before a client could come
-            self._enter(Phase.DRAINING)
-            return self._enter(Phase.STOPPED)
+            self._enter(DirectorPhase.DRAINING)
+            return self._enter(DirectorPhase.STOPPED)
         opened: contextlib.AbstractContextManager[socket.socket] = (
             listening.listen(self.config.listen) if handed is None else contextlib.nullcontext(handed)
         )
@@ -233,7 +233,7 @@
             door = self._open_door(loop, side)
             accepting = self._keep("accept", lambda: self.front.accept(sock))
             drained = self.bridge is not None and self.bridge.orders.drained
-            self._enter(Phase.DRAINED if drained else Phase.SERVING)
+            self._enter(DirectorPhase.DRAINED if drained else DirectorPhase.SERVING)
             if self.bridge is not None and drained:
                 self.front.begin_ending(
                     drain_schedule(self.bridge.orders.drain_called_at or time.monotonic())
@@ -250,7 +250,7 @@
         await self.caches.close()
         if self.service is not None:
             await self._close_service(self.service)
-        self._enter(Phase.STOPPED)
+        self._enter(DirectorPhase.STOPPED)
         self._check_end()
         self.print_counters()
 
@@ -260,7 +260,7 @@
             after_s = time.monotonic() - self.kill_at + allowed_s
             self.core.invariants.process_ended(int(after_s * 1e6), int(allowed_s * 1e6))
 
-    async def _close_service(self, service: Service) -> None:
+    async def _close_service(self, service: HostedService) -> None:
         """Let the store end what it is at, for no longer than the platform lets the process run."""
         try:
             async with asyncio.timeout(max(LAST_WORDS_S, self.kill_at - time.monotonic())):
@@ -268,7 +268,7 @@
         except TimeoutError:
             log.error("the store was not closed in time")
 
-    async def _until_written(self, door: Door) -> None:
+    async def _until_written(self, door: OperationsServer) -> None:
         """Give a folder that takes no write all the time that is left before SIGKILL: a successor is to know
         what was ordered."""
         end = self.kill_at - LAST_WORDS_S
@@ -277,21 +277,21 @@
         if door.unwritten:
             log.error("the operators' commands were never written", commands=sorted(door.unwritten)[:16])
 
-    def _open_door(self, loop: asyncio.AbstractEventLoop, side: list[asyncio.Task[None]]) -> Door | None:
+    def _open_door(self, loop: asyncio.AbstractEventLoop, side: list[asyncio.Task[None]]) -> OperationsServer | None:
         """The operators' door in its own thread; Unusable where its address cannot be listened on."""
         bridge, address = self.bridge, self.config.admin
         if bridge is None or address is None:
             return None
-        from onyxwick.door.server import Door
+        from onyxwick.door.server import OperationsServer
 
         try:
             bound = listening.listen(address)
         except OSError as error:
-            raise Unusable(
+            raise StartupError(
                 f"the operators' door cannot listen on {written(address)}: {error.strerror}"
             ) from None
         bridge.loop = loop
-        door = Door(bound, address, bridge, bridge.orders, bridge.known, bridge.persisted, steady_us)
+        door = OperationsServer(bound, address, bridge, bridge.orders, bridge.known, bridge.persisted, steady_us)
         door.start()
         side.append(self._keep("publish", lambda: self._publish(bridge)))
         self.door_counters = door.counters
@@ -313,7 +313,7 @@
 
         return asyncio.get_running_loop().create_task(on())
 
-    async def _publish(self, bridge: Bridge) -> None:
+    async def _publish(self, bridge: CommandExecutor) -> None:
         while True:
             bridge.publish()
             await asyncio.sleep(FIGURES_S)
@@ -330,35 +330,35 @@
 
     reloading: asyncio.TimerHandle | None = None  # the next try of a reload that could not read its file
     early: Sequence[int] = ()  # signals to reload that came while the program started
-    ending: EndingSchedule | None = None  # since SIGTERM
+    ending: ShutdownSchedule | None = None  # since SIGTERM
     kill_at = 0.0  # monotonic seconds at which SIGKILL may come, from when SIGTERM was heard
     handed = False  # the listening socket is the platform's: a successor accepts on it already
 
     async def _drain(
-        self, accepting: asyncio.Task[None], sock: socket.socket, schedule: EndingSchedule
+        self, accepting: asyncio.Task[None], sock: socket.socket, schedule: ShutdownSchedule
     ) -> None:
         """Serve what still comes, then close the door and answer all that was taken.
 
         On a socket that the platform holds the successor takes new connections at once: none are taken here.
         """
-        self._enter(Phase.DRAINING)
+        self._enter(DirectorPhase.DRAINING)
         self.front.begin_ending(schedule)
         await asyncio.sleep(max(0.0, schedule.accept_until - time.monotonic()))
         accepting.cancel()
         await asyncio.gather(accepting, return_exceptions=True)
         if not self.handed:
-            await self.front.accept_rest(sock, schedule.begins_at(Stage.GIVES_BACK))
+            await self.front.accept_rest(sock, schedule.begins_at(ShutdownStage.GIVES_BACK))
             sock.close()
         await self.front.finish(schedule)
 
 
-def _service(config: Config, told: ServiceConfig | None) -> Service | None:
+def _service(config: DirectorConfig, told: ServiceConfig | None) -> HostedService | None:
     """What the service file asks for; loaded only where there is one."""
     if told is None:
         return None
-    from onyxwick.service import Service
+    from onyxwick.service import HostedService
 
-    return Service(config, told)
+    return HostedService(config, told)
 
 
 def read_service() -> ServiceConfig | None:
@@ -371,5 +371,5 @@
     return load(path)
 
 
-class Unusable(Exception):
+class StartupError(Exception):
     """What the program starts from cannot be used; the text says why."""
--- a/onyxwick/logic.py
+++ b/onyxwick/logic.py
@@ -303,7 +303,7 @@
     def _rank(self, ask: RequestArrived, kind: RequestClass) -> int:
         """Gold, silver or bronze, as the rank at which a copy is kept. One count per client read."""
         count = self._count(ask.object_id, float(ask.part == 0 and not ask.is_retry))
-        if kind.write:
+        if kind.is_write:
             return 0
         if count >= self.gold_cut:
             return GOLD_RANK
@@ -447,7 +447,7 @@
         routers = self._sharers(peer)
         limit = LOAD_SHARE * stretch * self._size(peer) * self._cold(peer) / routers
         if peer is self.origin:
-            if kind.write:
+            if kind.is_write:
                 return True  # few, worth most, and with nowhere else to go
             routers = self.set.zone_router_count  # its size is not told: a part as large as of all own caches
             limit = LOAD_SHARE * stretch * max(1.0, sum(self._size(p) for p in self.caches)) / routers
@@ -487,7 +487,7 @@
         work = self.work[kind.name].mean
         rate = self._count(ask.object_id) * math.log(2) / HALF_LIFE_US
         hot = HOT_SHARE * self._size(order[0]) / self.set.zone_router_count if order else math.inf
-        if len(order) > 1 and not kind.write and rate * work > hot:
+        if len(order) > 1 and not kind.is_write and rate * work > hot:
             self.turn ^= 1
             if self.turn:
                 order[:2] = order[1::-1]
@@ -509,7 +509,7 @@
         """
         kind, work = job.kind, self.work[job.kind.name].mean
         tried = [f.source for f in job.flights]
-        for peer in self._order(job.ask.object_id, self.parents) if not kind.write else ():
+        for peer in self._order(job.ask.object_id, self.parents) if not kind.is_write else ():
             if peer not in tried and self._usable(peer) and self._affords(peer, work):
                 return peer if self._fits(peer, kind) else None
         origin = self.origin
@@ -518,7 +518,7 @@
     def _sibling(self, job: Job) -> Peer | None:
         """Another location's home of the part, for what it holds, where no parent is to be had."""
         asked = any(f.source and f.source not in self.parents for f in job.flights)
-        if asked or job.kind.write or not self.others or self.set.sibling_fills is not SiblingFills.ANY:
+        if asked or job.kind.is_write or not self.others or self.set.sibling_fills is not SiblingFills.ANY:
             return None
         zone = min(self.others, key=lambda z: _draw(job.ask.object_id, z))
         peer = self._order(f"{job.ask.object_id}/{job.ask.part}", self.others[zone])[0]
@@ -555,7 +555,7 @@
         if ask.size_kb and self.set.transfer_kb_per_s:
             self.work[kind.name].add(ask.size_kb / self.set.transfer_kb_per_s * S)
         if (
-            self.set.weight_source == "off" and not self.set.zone_link_kb_per_s and not kind.write
+            self.set.weight_source == "off" and not self.set.zone_link_kb_per_s and not kind.is_write
         ):  # Little's law
             self.asked *= math.exp((self.asked_at - self.now) / HALF_LIFE_US)
             self.asked, self.asked_at = self.asked + self.work[kind.name].mean / HALF_LIFE_US, self.now
@@ -576,13 +576,13 @@
             return self._answer(job)
         cache, source = self._cache(job), self._source(job)
         bare = not any(self._usable(p) for p in self.caches)  # a full cache is no reason to pass it by
-        direct = self.set.cache_bypass and (kind.write or bare)
+        direct = self.set.cache_bypass and (kind.is_write or bare)
         if direct and source is not None and (source is self.origin or source in self.parents):
             return self._fly(job, source, source if source is not self.origin else None)
         looked = any(f.missed for f in job.flights)
         if any(f.missed and f.held for f in job.flights) and self._held(job, source):
             source = self._sibling(job)  # its cache and its parent lack it, and the origin is full
-        if cache is None or (source is None and (kind.write or looked)):
+        if cache is None or (source is None and (kind.is_write or looked)):
             return self._answer(job)
         self._fly(job, cache, source)
 
@@ -610,7 +610,7 @@
         else:
             flags = FillOption.NONE
             marked = (None, ask.object_id) in self.marks or (ask.object_group, None) in self.marks
-            if source and source is not peer and not kind.write:
+            if source and source is not peer and not kind.is_write:
                 if self.set.coalesces_fills and not marked:
                     flags |= FillOption.COALESCE
                 if held:
@@ -678,7 +678,7 @@
         if (
             event.status is AttemptStatus.MISS
             and (flight.source is None or flight.held)
-            and not job.kind.write
+            and not job.kind.is_write
         ):
             flight.missed = True  # a look: what it found out is not a failure
             self._send(job)
@@ -725,11 +725,11 @@
                     self._room(source, late)
             elif source and flight.charge:
                 flight.charge[1] = 0.0  # a hit never reached the cold source
-            if hit or kind.write:
+            if hit or kind.is_write:
                 if not job.ask.size_kb:
                     self.work[kind.name].add(min(event.latency_us, kind.latency_objective_us))
                 self._room(peer, late)
-            if peer in self.caches and not kind.write:
+            if peer in self.caches and not kind.is_write:
                 self.answers[1] += 1
                 if hit:
                     self.answers[0] += 1
--- a/onyxwick/net/cache_link.py
+++ b/onyxwick/net/cache_link.py
@@ -9,8 +9,8 @@
 from typing import TYPE_CHECKING
 
 from onyxwick import logs
-from onyxwick.core.model import Order, Outcome
-from onyxwick.core.reasons import ConnectionEnd
+from onyxwick.core.model import AttemptSpec, AttemptOutcome
+from onyxwick.core.reasons import ConnectionCloseReason
 from onyxwick.interface import AttemptStatus
 from onyxwick.net import errors, resp
 from onyxwick.net.buffer import is_up, unread
@@ -18,7 +18,7 @@
 from onyxwick.net.write_queue import PendingWrite, Progress, WriteQueue
 
 if TYPE_CHECKING:
-    from onyxwick.net.caches import Caches
+    from onyxwick.net.caches import CacheConnectionPool
 
 log = logs.get()
 RECENT = 128  # ids answered on one connection that are remembered
@@ -32,33 +32,33 @@
 
 
 @dataclass(slots=True, eq=False)
-class Call:
+class CacheCall:
     """One attempt on a link."""
 
     id: bytes
     write: PendingWrite
-    result: asyncio.Future[Outcome]
+    result: asyncio.Future[AttemptOutcome]
     sent_at: float
     tag: str  # of the client's copy, where it was named: `unchanged` with that tag may be the answer
     alone: bool  # must not run twice: another's spoilt answer shall not take it along
 
-    def settle(self, outcome: Outcome) -> None:
+    def settle(self, outcome: AttemptOutcome) -> None:
         """Set its outcome; the first one holds."""
         if not self.result.done():
             self.result.set_result(outcome)
 
 
-class Link:
+class CacheConnection:
     """One connection to one member, from the first SYN to its close."""
 
-    def __init__(self, caches: Caches, member: str, address: tuple[str, int]) -> None:
+    def __init__(self, caches: CacheConnectionPool, member: str, address: tuple[str, int]) -> None:
         self.caches, self.member, self.address = caches, member, address
-        self.calls: dict[bytes, Call] = {}
+        self.calls: dict[bytes, CacheCall] = {}
         self.spoiled: set[bytes] = set()  # given up here: a late answer must not pass for a later attempt's
         self.recent: dict[
             bytes, None
         ] = {}  # answered here: a second copy must not pass for a later attempt's
-        self.parser = resp.Parser()
+        self.parser = resp.RespParser()
         self.unread, self.moved_at = (
             0,
             0.0,
@@ -69,10 +69,10 @@
         self.heard_at = self.used_at = time.monotonic()
         self.sock: socket.socket | None = None
         self.writes = WriteQueue(None, caches.budget)
-        self.end: ConnectionEnd | None = None  # why it was ended here; None: the other side's close
+        self.end: ConnectionCloseReason | None = None  # why it was ended here; None: the other side's close
         self.task = asyncio.get_running_loop().create_task(self._run())
 
-    def drop(self, reason: ConnectionEnd) -> None:
+    def drop(self, reason: ConnectionCloseReason) -> None:
         """Close it; from now on it takes nothing new."""
         self.retired, self.end = True, self.end or reason
         self.task.cancel()
@@ -83,18 +83,18 @@
             return False
         return not (request_id in self.calls or request_id in self.spoiled or request_id in self.recent)
 
-    def call(self, order: Order) -> Call:
+    def call(self, order: AttemptSpec) -> CacheCall:
         """Queue an attempt; its result is set when it ends."""
-        request_id, now = order.request.id.encode(), time.monotonic()
-        future: asyncio.Future[Outcome] = asyncio.get_running_loop().create_future()
-        call = Call(request_id, PendingWrite(b""), future, now, order.request.held_tag, order.alone)
+        request_id, now = order.request.request_id.encode(), time.monotonic()
+        future: asyncio.Future[AttemptOutcome] = asyncio.get_running_loop().create_future()
+        call = CacheCall(request_id, PendingWrite(b""), future, now, order.request.client_etag, order.needs_own_connection)
         call.write = PendingWrite(
             b"",
             lambda: order.left_us() > 0 and order.is_still_valid() and self._leads_to_member(),
             lambda: self._dropped(call),
             render=lambda: request_bytes(order),
             size=COMMAND_BYTES + len(order.request.body),
-            begun=lambda: order.begun(order),
+            begun=lambda: order.on_first_byte_sent(order),
         )
         self.calls[request_id] = call
         self.used_at = now
@@ -105,18 +105,18 @@
         """Is its address still its member's? Another one may have it by now."""
         return self.caches.members.addresses.get(self.member) == self.address
 
-    def _dropped(self, call: Call) -> None:
+    def _dropped(self, call: CacheCall) -> None:
         self.calls.pop(call.id, None)
-        call.settle(Outcome(AttemptStatus.NOT_SENT))
+        call.settle(AttemptOutcome(AttemptStatus.NOT_SENT))
 
-    def expire(self, call: Call) -> None:
+    def expire(self, call: CacheCall) -> None:
         """The time of an attempt is over."""
         if not call.result.done():
             if self.half_since and time.monotonic() - self.half_since > STUCK_S:
                 self.retired = True  # an answer that comes without end holds up all behind it
-            call.settle(Outcome(self.give_up(call)))
+            call.settle(AttemptOutcome(self.give_up(call)))
 
-    def give_up(self, call: Call) -> AttemptStatus:
+    def give_up(self, call: CacheCall) -> AttemptStatus:
         """Stop an attempt whose time is over or that was called off; tells how it ended."""
         if self.calls.get(call.id) is not call:
             return AttemptStatus.RESET
@@ -141,10 +141,10 @@
             self.up, failed = True, AttemptStatus.RESET
             await self._talk(sock)
         except (OSError, TimeoutError):  # told to the attempts below
-            here = ConnectionEnd.CONNECT_FAILED_HERE if self.kept_back else ConnectionEnd.CONNECT_FAILED
-            self.end = self.end or (ConnectionEnd.BROKEN if self.up else here)
+            here = ConnectionCloseReason.CONNECT_FAILED_HERE if self.kept_back else ConnectionCloseReason.CONNECT_FAILED
+            self.end = self.end or (ConnectionCloseReason.BROKEN if self.up else here)
         except resp.RespError as error:
-            self.end = ConnectionEnd.BAD_ANSWER
+            self.end = ConnectionCloseReason.BAD_ANSWER
             self.caches.counters.add("bad.resp")
             log.warning("connection closed", member=self.member, error=str(error))
         finally:
@@ -231,13 +231,13 @@
         self.recent[words[0]] = None
         if len(self.recent) > RECENT:
             del self.recent[next(iter(self.recent))]
-        if outcome.unchanged and not call.tag:
+        if outcome.not_modified and not call.tag:
             raise resp.RespError("'unchanged' to a request that held no copy")
-        if outcome.unchanged and outcome.tag != call.tag:
+        if outcome.not_modified and outcome.etag != call.tag:
             # Of some other copy: it says nothing of the one that the client holds.
             self.caches.counters.add("bad.tag")
             log.warning("'unchanged' under another tag", member=self.member)
-            outcome = Outcome(AttemptStatus.ERROR)
+            outcome = AttemptOutcome(AttemptStatus.ERROR)
         call.settle(outcome)
 
     def _close(self, failed: AttemptStatus) -> None:
@@ -245,7 +245,7 @@
         if self.sock is not None:
             self.sock.close()
         self.caches.forget(self)
-        reason = (self.end or ConnectionEnd.CLOSED_BY_PEER).value
+        reason = (self.end or ConnectionCloseReason.CLOSED_BY_PEER).value
         self.caches.counters.add(f"ended.cache.{reason}")
         if self.calls:
             requests = [call.id.decode() for call in list(self.calls.values())[:8]]
@@ -253,5 +253,5 @@
         calls, self.calls = self.calls, {}
         for call in calls.values():
             unsent = call.write.progress in (Progress.WAITING, Progress.DROPPED)
-            call.settle(Outcome(self._never_sent() if unsent else failed))
+            call.settle(AttemptOutcome(self._never_sent() if unsent else failed))
         self.writes.close()
--- a/onyxwick/net/cache_wire.py
+++ b/onyxwick/net/cache_wire.py
@@ -4,7 +4,7 @@
 
 from functools import cache
 
-from onyxwick.core.model import Order, Outcome
+from onyxwick.core.model import AttemptSpec, AttemptOutcome
 from onyxwick.interface import AnswerDetail, AttemptStatus, FillOption
 from onyxwick.net import resp
 
@@ -41,33 +41,33 @@
     return "+".join(word for flag, word in HINTS if flag in flags)
 
 
-def request_bytes(order: Order) -> bytes:
+def request_bytes(order: AttemptSpec) -> bytes:
     """The command that asks for an attempt, with the time that is left at this moment."""
     request = order.request
     out = {
         "c": request.class_name,
-        "k": request.object,
+        "k": request.object_id,
         "p": str(request.part),
         "w": str(max(1, order.left_us() // 1000)),
     }
-    if order.source is not None:
-        out["parent"] = order.source
-    if order.rank:
-        out["shelf"] = str(order.rank)
+    if order.fill_source is not None:
+        out["parent"] = order.fill_source
+    if order.retention_rank:
+        out["shelf"] = str(order.retention_rank)
     if order.max_age_us:
         # Never 0 by rounding: that would ask for the class's fresh time, and let a purged copy pass.
         out["accept"] = str(max(1, order.max_age_us // 1000))
-    if order.flags:
-        out["hints"] = _hints(order.flags)
-    if request.held_tag:
-        out["got"] = request.held_tag
-    if request.key:
-        out["i"] = request.key
+    if order.fill_options:
+        out["hints"] = _hints(order.fill_options)
+    if request.client_etag:
+        out["got"] = request.client_etag
+    if request.idempotency_key:
+        out["i"] = request.idempotency_key
     fields = ",".join([f"{name}={value}" for name, value in out.items()])
-    return resp.command(b"REQ", request.id.encode(), fields.encode(), request.body)
+    return resp.command(b"REQ", request.request_id.encode(), fields.encode(), request.body)
 
 
-def read_outcome(words: list[bytes], report_names: tuple[str, ...]) -> Outcome:
+def read_outcome(words: list[bytes], report_names: tuple[str, ...]) -> AttemptOutcome:
     """The outcome that one answer `ID WORD FIELDS BODY` tells of; RespError where it is none."""
     if len(words) != 4 or words[1] not in ENDS:
         raise resp.RespError(f"no answer: {[w[:32] for w in words[:2]]!r}")
@@ -80,7 +80,7 @@
         dated = int(told.get("dated") or 0) * 1000
     except (ValueError, OverflowError):
         raise resp.RespError(f"bad fields {text[:64]!r}") from None
-    return Outcome(
+    return AttemptOutcome(
         ENDS[word],
         DETAILS.get(told.get("note", ""), AnswerDetail.NONE),
         waited,
--- a/onyxwick/net/caches.py
+++ b/onyxwick/net/caches.py
@@ -9,12 +9,12 @@
 
 from onyxwick import logs
 from onyxwick.core.clock import steady_us
-from onyxwick.core.members import Members
-from onyxwick.core.model import Order, Outcome
-from onyxwick.core.reasons import ConnectionEnd
+from onyxwick.core.members import EndpointTable
+from onyxwick.core.model import AttemptSpec, AttemptOutcome
+from onyxwick.core.reasons import ConnectionCloseReason
 from onyxwick.counters import Counters
 from onyxwick.interface import AttemptStatus
-from onyxwick.net.cache_link import Link
+from onyxwick.net.cache_link import CacheConnection
 from onyxwick.net.write_queue import ByteBudget
 
 log = logs.get()
@@ -25,12 +25,12 @@
 STALLED_S = 3.0  # a write that moves nothing for so long means that the machine is gone
 
 
-class Caches:
+class CacheConnectionPool:
     """The core's transport: a bounded pool of connections to each member."""
 
     def __init__(
         self,
-        members: Members,
+        members: EndpointTable,
         counters: Counters,
         connect_us: int,
         report_names: tuple[str, ...] = (),
@@ -41,22 +41,22 @@
         self.share = share  # of the usual connections to each member, while a director comes back
         self.connect_s = (connect_us or 400_000) / 1e6
         self.most_links = most_links
-        self.links: dict[str, list[Link]] = {}
+        self.links: dict[str, list[CacheConnection]] = {}
         self.count = 0
         self.budget = ByteBudget()
         members.watchers.append(self.member_changed)
 
-    async def run(self, order: Order) -> Outcome:
+    async def run(self, order: AttemptSpec) -> AttemptOutcome:
         """Carry out one attempt; a cancel gives it up."""
         address = self.members.addresses.get(order.member)
         if address is None or order.left_us() <= 0 or not order.is_still_valid():
-            return Outcome(AttemptStatus.NOT_SENT)
+            return AttemptOutcome(AttemptStatus.NOT_SENT)
         try:
             link = self._link(order, address)
         except OSError as error:  # all places are taken: nothing was sent
             self.counters.add("error.places")
             log.warning("no place for a connection", member=order.member, error=str(error))
-            return Outcome(AttemptStatus.NOT_SENT)
+            return AttemptOutcome(AttemptStatus.NOT_SENT)
         call = link.call(order)
         limit = asyncio.get_running_loop().call_later(order.left_us() / 1e6, link.expire, call)
         try:
@@ -69,20 +69,20 @@
             if call.write.begun_at:
                 order.sent_us = steady_us() - int((time.monotonic() - call.write.begun_at) * 1e6)
 
-    def _link(self, order: Order, address: tuple[str, int]) -> Link:
+    def _link(self, order: AttemptSpec, address: tuple[str, int]) -> CacheConnection:
         """An unused connection, a new one, or the least used."""
-        member, request_id = order.member, order.request.id.encode()
+        member, request_id = order.member, order.request.request_id.encode()
         links = self.links.get(member, [])
         fit = [link for link in links if link.takes(request_id)]
         least = min(fit, key=lambda link: len(link.calls), default=None)
         if least is not None and not least.calls:
             return least
-        if least is None or ((order.alone or len(fit) < self._most_each()) and self.count < self.most_links):
+        if least is None or ((order.needs_own_connection or len(fit) < self._most_each()) and self.count < self.most_links):
             if self.count >= self.most_links:
                 self._close_idle()
             if self.count >= self.most_links + LINKS_OVER:
                 raise OSError("all places for connections to caches are taken")
-            least = Link(self, member, address)
+            least = CacheConnection(self, member, address)
             self.links.setdefault(member, []).append(least)
             self.count += 1
         return least
@@ -95,9 +95,9 @@
     def _close_idle(self) -> None:
         idle = [link for links in self.links.values() for link in links if not link.calls]
         if idle:
-            min(idle, key=lambda link: link.used_at).drop(ConnectionEnd.PLACE_NEEDED)
+            min(idle, key=lambda link: link.used_at).drop(ConnectionCloseReason.PLACE_NEEDED)
 
-    def forget(self, link: Link) -> None:
+    def forget(self, link: CacheConnection) -> None:
         """A connection has ended."""
         links = self.links.get(link.member, [])
         if link in links:
@@ -111,7 +111,7 @@
         for link in self.links.get(member, []):
             link.retired = True
             if not link.calls:
-                link.drop(ConnectionEnd.RETIRED)
+                link.drop(ConnectionCloseReason.RETIRED)
 
     async def sweep(self) -> None:
         """Close what is idle, or retired and empty."""
@@ -123,17 +123,17 @@
                 for link in links:
                     if link.stuck(now):
                         self.counters.add("bad.stuck")
-                        link.drop(ConnectionEnd.ANSWER_STUCK)
+                        link.drop(ConnectionCloseReason.ANSWER_STUCK)
                     if link.writes.stalled(now, STALLED_S):
-                        link.drop(ConnectionEnd.STALLED)
+                        link.drop(ConnectionCloseReason.STALLED)
                     if not link.calls and not link.writes.pending and (link.retired or link.used_at < before):
-                        link.drop(ConnectionEnd.RETIRED if link.retired else ConnectionEnd.IDLE)
+                        link.drop(ConnectionCloseReason.RETIRED if link.retired else ConnectionCloseReason.IDLE)
 
     async def close(self) -> None:
         """End all connections."""
         links = [link for links in self.links.values() for link in links]
         for link in links:
-            link.drop(ConnectionEnd.CLOSING)
+            link.drop(ConnectionCloseReason.CLOSING)
         tasks = [link.task for link in links]
         with contextlib.suppress(asyncio.CancelledError):
             await asyncio.gather(*tasks, return_exceptions=True)
--- a/onyxwick/net/call_intake.py
+++ b/onyxwick/net/call_intake.py
@@ -6,24 +6,24 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from onyxwick.core import Answer, Request, Verdict
-from onyxwick.core.ending import Stage
-from onyxwick.core.reasons import ConnectionEnd, Refusal
+from onyxwick.core import FinalAnswer, ClientRequest, AnswerStatus
+from onyxwick.core.ending import ShutdownStage
+from onyxwick.core.reasons import ConnectionCloseReason, RejectionReason
 from onyxwick.net import fastcgi
 from onyxwick.net.calls import answer_bytes, read_request
 
 if TYPE_CHECKING:
-    from onyxwick.cells.holding import Holding
-    from onyxwick.net.client import Client
+    from onyxwick.cells.holding import ConnectionReservation
+    from onyxwick.net.client import FrontConnection
 
 
 class CallIntake:
     """Decides, call by call, what becomes of it; the connection carries it out."""
 
-    def __init__(self, client: Client) -> None:
+    def __init__(self, client: FrontConnection) -> None:
         self.client, self.front = client, client.front
 
-    def take(self, call: fastcgi.Call) -> None:
+    def take(self, call: fastcgi.FastCgiCall) -> None:
         """One whole call."""
         client, counters = self.client, self.front.counters
         if client.shut_at or client.hears_no_more:
@@ -31,10 +31,10 @@
             return
         if client.ending:  # it has come before the end was written: it is owed an answer, and no more
             counters.add("answer.ending")
-            self._refused(call, Refusal.CONNECTION_ENDING)
-            return client.send(call.number, fastcgi.end_request(call.number, fastcgi.Protocol.OVERLOADED))
+            self._refused(call, RejectionReason.CONNECTION_ENDING)
+            return client.send(call.number, fastcgi.end_request(call.number, fastcgi.ProtocolStatus.OVERLOADED))
         if not call.keep:
-            client.end_with(ConnectionEnd.NOT_KEPT)
+            client.end_with(ConnectionCloseReason.NOT_KEPT)
         name = call.params.get(b"SCRIPT_NAME", b"")
         if name == b"/ping":
             status = "200 OK" if self.front.ready() else "503 Not Ready"
@@ -47,45 +47,45 @@
             return self._bad_call(call, str(error), "400 Bad Request")
         return self._let_in(call, request)
 
-    def _read(self, call: fastcgi.Call) -> Request:
+    def _read(self, call: fastcgi.FastCgiCall) -> ClientRequest:
         front, client = self.front, self.client
         params, arrived_us = call.params, client.arrived_us
         request = read_request(params, call.body, arrived_us, front.classes, front.owner_fields)
         request.is_wanted = partial(client.wants, call.number)
-        request.connection = client.number
+        request.connection_id = client.number
         return request
 
-    def _let_in(self, call: fastcgi.Call, request: Request) -> None:
+    def _let_in(self, call: fastcgi.FastCgiCall, request: ClientRequest) -> None:
         """Start a request, or refuse it where it can't be let in."""
         front = self.front
-        if front.stage_at(time.monotonic()) >= Stage.REFUSES:
+        if front.stage_at(time.monotonic()) >= ShutdownStage.REFUSES:
             # The connection is to end and would never come free: the client tries again, on a new one.
-            return self._refuse(call, Refusal.PASSED_ON, "answer.passed_on", front.refused_us)
+            return self._refuse(call, RejectionReason.PASSED_ON, "answer.passed_on", front.refused_us)
         if front.budget.held > front.most_held:
             front.counters.add("answer.overloaded")
-            self._refused(call, Refusal.UNREAD_ANSWERS)
-            end = fastcgi.end_request(call.number, fastcgi.Protocol.OVERLOADED)
+            self._refused(call, RejectionReason.UNREAD_ANSWERS)
+            end = fastcgi.end_request(call.number, fastcgi.ProtocolStatus.OVERLOADED)
             return self.client.send(call.number, end)
         if front.holding is not None and not self._placed(front.holding, request.tenant):
-            return self._refuse(call, Refusal.CELL_FULL, "answer.cell_full", front.retry_us)
+            return self._refuse(call, RejectionReason.CELL_FULL, "answer.cell_full", front.retry_us)
         return self.client.start(call.number, request)
 
-    def _refuse(self, call: fastcgi.Call, reason: Refusal, counted: str, retry_after_us: int) -> None:
+    def _refuse(self, call: fastcgi.FastCgiCall, reason: RejectionReason, counted: str, retry_after_us: int) -> None:
         self.front.counters.add(counted)
         self._refused(call, reason)
-        answer = Answer(Verdict.REFUSED, retry_after_us=retry_after_us)
+        answer = FinalAnswer(AnswerStatus.REJECTED, retry_after_us=retry_after_us)
         self.client.send(call.number, answer_bytes(call.number, answer))
 
-    def _refused(self, call: fastcgi.Call, reason: Refusal) -> None:
+    def _refused(self, call: fastcgi.FastCgiCall, reason: RejectionReason) -> None:
         name = call.params.get(b"HTTP_X_REQUEST_ID", b"")[:16].decode("latin-1")
         self.front.core.refused(reason, name, self.client.number)
 
-    def _bad_call(self, call: fastcgi.Call, text: str, status: str) -> None:
-        self._refused(call, Refusal.BAD_INPUT)
+    def _bad_call(self, call: fastcgi.FastCgiCall, text: str, status: str) -> None:
+        self._refused(call, RejectionReason.BAD_INPUT)
         self.client.fault(text)
         self.client.send(call.number, fastcgi.answer(call.number, status, {}, b""))
 
-    def _placed(self, holding: Holding, tenant: str | None) -> bool:
+    def _placed(self, holding: ConnectionReservation, tenant: str | None) -> bool:
         """Is there room in its cell's part for this connection and for one more unread answer?
 
         A connection counts for the tenant that asked on it first.
@@ -95,7 +95,7 @@
             return True
         if client.cell is None:
             if not holding.connect(cell):
-                client.end_with(ConnectionEnd.PLACE_NEEDED)
+                client.end_with(ConnectionCloseReason.PLACE_NEEDED)
                 return False
             client.cell = cell
         return not holding.full(client.cell)
