--- a/onyxwick/net/calls.py
+++ b/onyxwick/net/calls.py
@@ -4,14 +4,14 @@
 
 import re
 
-from onyxwick.core import Answer, Request, Verdict
+from onyxwick.core import FinalAnswer, ClientRequest, AnswerStatus
 from onyxwick.interface import RequestClass
 from onyxwick.net import fastcgi
 
 STATUS = {
-    Verdict.SERVED: "200 OK",
-    Verdict.REFUSED: "503 Service Unavailable",
-    Verdict.FAILED: "502 Bad Gateway",
+    AnswerStatus.SERVED: "200 OK",
+    AnswerStatus.REJECTED: "503 Service Unavailable",
+    AnswerStatus.FAILED: "502 Bad Gateway",
 }
 
 _HEX16 = re.compile(rb"[0-9a-fA-F]{16}").fullmatch
@@ -37,7 +37,7 @@
 
 def read_request(
     params: Params, body: bytes, now: int, classes: dict[str, RequestClass], owner: OwnerFields
-) -> Request:
+) -> ClientRequest:
     """The core request that a call asks for; ValueError names the field that cannot be used."""
     class_name = params[b"SCRIPT_NAME"].removeprefix(b"/call/").decode("latin-1")
     kind = classes.get(class_name)
@@ -47,22 +47,22 @@
     key = params.get(b"HTTP_IDEMPOTENCY_KEY", b"")
     if not _PLAIN(held) or not _PLAIN(key) or again not in (b"0", b"1"):
         raise ValueError("bad X_GOT, IDEMPOTENCY_KEY or X_RETRY")
-    if body and not kind.write:
+    if body and not kind.is_write:
         raise ValueError("body of a request that writes nothing")
-    return Request(
-        id=_hexadecimal(params, b"HTTP_X_REQUEST_ID"),
+    return ClientRequest(
+        request_id=_hexadecimal(params, b"HTTP_X_REQUEST_ID"),
         class_name=class_name,
-        object=_hexadecimal(params, b"HTTP_X_OBJECT"),
+        object_id=_hexadecimal(params, b"HTTP_X_OBJECT"),
         part=_whole(params, b"HTTP_X_NTH", 0, MOST_PARTS),
-        group=_whole(params, b"HTTP_X_BATCH", 0, 255) if b"HTTP_X_BATCH" in params else None,
+        object_group=_whole(params, b"HTTP_X_BATCH", 0, 255) if b"HTTP_X_BATCH" in params else None,
         arrived_us=now,
         timeout_us=_whole(params, b"HTTP_X_TIMEOUT_MS", 1, 2 * kind.deadline_us // 1000) * 1000,
-        repeat=again == b"1",
+        is_retry=again == b"1",
         body=body,
-        held_tag=held.decode("latin-1"),
-        key=key.decode("latin-1"),
+        client_etag=held.decode("latin-1"),
+        idempotency_key=key.decode("latin-1"),
         tenant=_named(params, owner.tenant, "tenant"),
-        site=_named(params, owner.site, "site"),
+        client_site=_named(params, owner.site, "site"),
     )
 
 
@@ -86,13 +86,13 @@
     return text.decode() or None
 
 
-def answer_bytes(number: int, answer: Answer) -> bytes:
+def answer_bytes(number: int, answer: FinalAnswer) -> bytes:
     """The FastCGI records of a final answer to the call of this number."""
     headers = {"Content-Type": "application/octet-stream"}
-    if answer.tag:
-        headers["ETag"] = f'"{answer.tag}"'
-    if answer.verdict is Verdict.SERVED and answer.unchanged:
+    if answer.etag:
+        headers["ETag"] = f'"{answer.etag}"'
+    if answer.status is AnswerStatus.SERVED and answer.not_modified:
         headers["X-Ok304"] = "1"
-    if answer.verdict is Verdict.REFUSED and answer.retry_after_us:
+    if answer.status is AnswerStatus.REJECTED and answer.retry_after_us:
         headers["Retry-After-Ms"] = str(max(1, answer.retry_after_us // 1000))
-    return fastcgi.answer(number, STATUS[answer.verdict], headers, answer.body)
+    return fastcgi.answer(number, STATUS[answer.status], headers, answer.body)
--- a/onyxwick/net/client.py
+++ b/onyxwick/net/client.py
@@ -13,9 +13,9 @@
 from typing import TYPE_CHECKING
 
 from onyxwick import logs
-from onyxwick.core import Answer, Request, RequestLifecycle
-from onyxwick.core.ending import ConnectionState, Stage, Step, next_step
-from onyxwick.core.reasons import ConnectionEnd
+from onyxwick.core import FinalAnswer, ClientRequest, RequestLifecycle
+from onyxwick.core.ending import ConnectionState, ShutdownStage, ConnectionStep, next_step
+from onyxwick.core.reasons import ConnectionCloseReason
 from onyxwick.net import fastcgi, room
 from onyxwick.net.buffer import ended, seconds_since_data, unread
 from onyxwick.net.call_intake import CallIntake
@@ -24,7 +24,7 @@
 from onyxwick.net.write_queue import PendingWrite, WriteQueue
 
 if TYPE_CHECKING:
-    from onyxwick.net.front import Front
+    from onyxwick.net.front import FastCgiFront
 
 log = logs.get()
 HALF_S = 2.0  # a connection that has sent nothing, or nothing more of half a request, for so long is ended
@@ -40,16 +40,16 @@
 PAUSE_BYTES = 2_000_000  # waiting on one connection: nothing more is read from it meanwhile
 LINGER_MOST_S = 15.0  # after its written end, however much is still on its way
 LAST_READ_MOST = 16  # reads of what stands in a socket, before nothing more is heard or it is closed
-BY_CLIENT = frozenset({ConnectionEnd.CLOSED_BY_PEER, ConnectionEnd.BROKEN, ConnectionEnd.STALLED})
+BY_CLIENT = frozenset({ConnectionCloseReason.CLOSED_BY_PEER, ConnectionCloseReason.BROKEN, ConnectionCloseReason.STALLED})
 """Ends that are the client's own doing."""
 
 
-class Client:
+class FrontConnection:
     """One connection of the front's web servers."""
 
-    def __init__(self, front: Front, sock: socket.socket) -> None:
+    def __init__(self, front: FastCgiFront, sock: socket.socket) -> None:
         self.front, self.sock = front, sock
-        self.parser = fastcgi.Parser()
+        self.parser = fastcgi.FastCgiParser()
         self.writes = WriteQueue(sock, front.budget)
         self.open: dict[int, RequestLifecycle | None] = {}  # by FastCGI number
         self.cell: str | None = None  # whose part of the places it takes, where there are cells
@@ -57,7 +57,7 @@
         self.hears_no_more = False  # what comes from now on crosses its end, which is about to be written
         self.deaf = False  # its records can't be told apart, or come without end: it is heard no more
         self.shut_at = 0.0  # when its end was written: what the client sends after it crossed the close
-        self.end: ConnectionEnd | None = None  # why it ends; None: the client has closed
+        self.end: ConnectionCloseReason | None = None  # why it ends; None: the client has closed
         self.number = front.next_connection()
         self.calls = self.faults = 0
         self.not_read_since = 0.0  # monotonic: since when what stands in its socket may have waited; else 0
@@ -79,7 +79,7 @@
                 task.result()
         except OSError:
             self.front.counters.add("client.broken")
-            self.end = self.end or ConnectionEnd.BROKEN
+            self.end = self.end or ConnectionCloseReason.BROKEN
         finally:
             writer.cancel()
             reader.cancel()
@@ -94,14 +94,14 @@
                 self.front.holding.disconnect(self.cell)
             self._leave_all()
 
-    def end_with(self, reason: ConnectionEnd) -> None:
+    def end_with(self, reason: ConnectionCloseReason) -> None:
         """It is to end, for this reason: the first one told holds."""
         self.ending, self.end = True, self.end or reason
 
     def _tell_end(self) -> None:
-        reason = self.end or ConnectionEnd.CLOSED_BY_PEER
+        reason = self.end or ConnectionCloseReason.CLOSED_BY_PEER
         self.front.counters.add(f"ended.client.{reason.value}")
-        owed = [lifecycle.request.id for lifecycle in self.open.values() if lifecycle is not None]
+        owed = [lifecycle.request.request_id for lifecycle in self.open.values() if lifecycle is not None]
         self.front.core.invariants.connection_closed(self.number, len(owed), reason in BY_CLIENT)
         log.info(
             "connection closed", connection=self.number, reason=reason.value, calls=self.calls,
@@ -115,7 +115,7 @@
         if not on_its_way or self.end is None or self.end in BY_CLIENT or ended(self.sock):
             return
         self.front.counters.add("client.cut")
-        if self.front.stage_at(now) is not Stage.CLOSED:
+        if self.front.stage_at(now) is not ShutdownStage.CLOSED:
             self.front.core.invariants.answer_cut(self.number, on_its_way)
 
     def _pass_over_unread(self) -> None:
@@ -277,7 +277,7 @@
             self.parser.buffer.feed(more)
             try:
                 for message in self.parser.messages():
-                    if not isinstance(message, fastcgi.Reply):
+                    if not isinstance(message, fastcgi.FastCgiReply):
                         self._message(message)
             except fastcgi.FramingError:
                 self.deaf = True
@@ -285,28 +285,28 @@
 
     def _message(self, message: fastcgi.Message) -> None:
         match message:
-            case fastcgi.Call():
+            case fastcgi.FastCgiCall():
                 self.calls += 1
                 self.intake.take(message)
-            case fastcgi.Aborted(number):
+            case fastcgi.FastCgiAbort(number):
                 lifecycle = self.open.pop(number, None)
                 self.send(number, fastcgi.end_request(number))
                 if lifecycle is not None:
                     self.front.core.leave(lifecycle)
-            case fastcgi.Reply(data, fault, last):
+            case fastcgi.FastCgiReply(data, fault, last):
                 self.writes.post(PendingWrite(data))
                 if fault:
                     self.fault(fault)
                 self.deaf |= last
                 if last:
-                    self.end_with(ConnectionEnd.BAD_INPUT)
+                    self.end_with(ConnectionCloseReason.BAD_INPUT)
 
     def fault(self, text: str) -> None:
         """Bad input came: the connection ends with one too many."""
         self.front.bad(text)
         self.faults += 1
         if self.faults >= FAULTS:
-            self.end_with(ConnectionEnd.BAD_INPUT)
+            self.end_with(ConnectionCloseReason.BAD_INPUT)
 
     def _fail_all(self) -> None:
         """The records can't be told apart any more: what is open is answered, and the connection ends."""
@@ -316,7 +316,7 @@
             self.send(number, fastcgi.answer(number, "400 Bad Request", {}, b""))
         self.parser.partial.clear()
         self.deaf = True
-        self.end_with(ConnectionEnd.BAD_INPUT)
+        self.end_with(ConnectionCloseReason.BAD_INPUT)
 
     answered: asyncio.Future[None] | None = None
     arrived_us = 0  # when what is being taken in came, in steady microseconds: at that time, or before it
@@ -344,26 +344,26 @@
 
     # ---- its end -----------------------------------------------------------------------------------------
 
-    def advance(self, stage: Stage, now: float, gives_back: bool, must_end: bool) -> None:
+    def advance(self, stage: ShutdownStage, now: float, gives_back: bool, must_end: bool) -> None:
         """What this stage of the front's ending asks for. `gives_back`: what is owed may get final answers;
         `must_end`: also what may have run and must not be repeated."""
-        if stage is Stage.SERVING or self.shut_at:
+        if stage is ShutdownStage.SERVING or self.shut_at:
             return
         self.delivery.in_flight(now)  # noted also while more is owed
-        if self.open and stage < Stage.GIVES_BACK:
+        if self.open and stage < ShutdownStage.GIVES_BACK:
             return
         if self.hears_no_more:
-            return self.close_when_written(now, ConnectionEnd.CLOSING)
+            return self.close_when_written(now, ConnectionCloseReason.CLOSING)
         if self.ending and not self.open:
             return  # `_end` is at it
         match next_step(stage, self._state(now)):
-            case Step.GIVE_BACK if gives_back:
+            case ConnectionStep.GIVE_BACK if gives_back:
                 self._give_back(must_end)
-            case Step.HEAR_LAST:
+            case ConnectionStep.HEAR_LAST:
                 self._hear_last()
-                self.close_when_written(now, ConnectionEnd.CLOSING)
-            case Step.END:
-                self.close_softly(now, ConnectionEnd.CLOSING)
+                self.close_when_written(now, ConnectionCloseReason.CLOSING)
+            case ConnectionStep.END:
+                self.close_softly(now, ConnectionCloseReason.CLOSING)
             case _:
                 pass
 
@@ -392,21 +392,21 @@
             self._receive_now()
         self.hears_no_more = True
 
-    def close_when_written(self, now: float, reason: ConnectionEnd) -> None:
+    def close_when_written(self, now: float, reason: ConnectionCloseReason) -> None:
         """End it behind the last answer, once that has been written."""
         if not (self.open or self.writes.pending or self.shut_at):
             self.close_softly(now, reason)
 
     def tell_held(self, now: float, stage: str) -> None:
         """Log why the connection is still open."""
-        owed = [lifecycle.request.id for lifecycle in self.open.values() if lifecycle is not None]
+        owed = [lifecycle.request.request_id for lifecycle in self.open.values() if lifecycle is not None]
         log.info(
             "connection held", connection=self.number, stage=stage, open_s=round(now - self.born, 3),
             rest_s=round(now - self.used_at, 3), calls=self.calls, owed=owed[:4], half=self.parser.half,
             unwritten=self.writes.pending, in_flight=self.delivery.in_flight(now),
         )  # fmt: skip
 
-    def close_softly(self, now: float, reason: ConnectionEnd) -> None:
+    def close_softly(self, now: float, reason: ConnectionCloseReason) -> None:
         """End a connection that owes nothing: its end is written, and what still comes is read and passed
         over, so that no reset takes the last answer along. The client sends what crossed the close again."""
         self.end_with(reason)
@@ -415,20 +415,20 @@
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_WR)
 
-    def start(self, number: int, request: Request) -> None:
+    def start(self, number: int, request: ClientRequest) -> None:
         """A request is let in: it is open until its answer."""
         self.open[number] = None
         lifecycle = self.front.core.start(request, partial(self._answer, number))
         if lifecycle is not None:
             self.open[number] = lifecycle
 
-    def _answer(self, number: int, answer: Answer) -> None:
+    def _answer(self, number: int, answer: FinalAnswer) -> None:
         del self.open[number]
         self.send(number, answer_bytes(number, answer))
 
-    def seat(self) -> room.Seat:
+    def seat(self) -> room.ConnectionSlot:
         """What decides whether it gives its place to a newcomer."""
-        return room.Seat(
+        return room.ConnectionSlot(
             self.calls,
             len(self.open),
             self.writes.pending,
--- a/onyxwick/net/coordinator.py
+++ b/onyxwick/net/coordinator.py
@@ -14,9 +14,9 @@
 
 from onyxwick import logs
 from onyxwick.config.address import read_address
-from onyxwick.core import Core
+from onyxwick.core import RequestEngine
 from onyxwick.core.clock import FeedStamps
-from onyxwick.core.pacing import BackoffPolicy, Patience, ReconnectBackoff
+from onyxwick.core.pacing import BackoffPolicy, DoublingTimeout, ReconnectBackoff
 from onyxwick.counters import Counters
 from onyxwick.interface import EndpointListKind, EndpointsChanged, Member, MemberState
 from onyxwick.net.buffer import Buffer, readable, unread
@@ -98,7 +98,7 @@
     """An event was read and could not be applied; the connection ends, and it is asked for again."""
 
 
-class Coordinator:
+class CoordinatorFeed:
     """Follows the coordinator's feed and hands its events to the core.
 
     `backoff` draws the waits between attempts (core/pacing.py), so that directors that lost the feed together
@@ -106,7 +106,7 @@
     has what it needs to serve meanwhile and many may come back at once.
     """
 
-    def __init__(self, core: Core, counters: Counters, seed: int = 0, directors: int = 1) -> None:
+    def __init__(self, core: RequestEngine, counters: Counters, seed: int = 0, directors: int = 1) -> None:
         self.core, self.counters = core, counters
         self.backoff = ReconnectBackoff(seed, core.now(), BackoffPolicy(max_delay_us=MAX_RETRY_US), directors)
         self.initial_delay_us = 0
@@ -119,7 +119,7 @@
         core.guard.catch_up = self.catch_up
         self.stamps = FeedStamps()
         self.race: FeedRace | None = None  # by which a connection is found
-        self.line_patience = Patience(LINE_S, 4)
+        self.line_patience = DoublingTimeout(LINE_S, 4)
         self.failed_tries = 0  # of the next event
         self.gaps = 0  # connections on which the event after the next one came instead
         self.beat: Callable[[], None] | None = None  # called with each line that the feed brings
--- a/onyxwick/net/director_feed.py
+++ b/onyxwick/net/director_feed.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Mapping
 
 from onyxwick import logs
-from onyxwick.core import Core
+from onyxwick.core import RequestEngine
 from onyxwick.core.clock import FeedStamps
 from onyxwick.counters import Counters
 from onyxwick.distribution.documents import Assembler, DocumentError
@@ -14,12 +14,12 @@
     Cursor,
     Document,
     DocumentPart,
-    Event,
+    FeedEvent,
     Freshness,
     Payload,
     PurgeEvent,
 )
-from onyxwick.distribution.replica import PurgeTable, Snapshot
+from onyxwick.distribution.replica import PurgeTable, FeedSnapshot
 from onyxwick.net.coordinator import read_members
 
 log = logs.get()
@@ -35,7 +35,7 @@
     """
 
     def __init__(
-        self, core: Core, counters: Counters, documents: Mapping[str, ApplyDocument] | None = None
+        self, core: RequestEngine, counters: Counters, documents: Mapping[str, ApplyDocument] | None = None
     ) -> None:
         self.core, self.counters = core, counters
         self.documents = dict(documents or {})
@@ -44,7 +44,7 @@
         self.cursor = Cursor(0, 0)
         self._assembler = Assembler()
 
-    def deliver(self, event: Event, from_snapshot: bool) -> None:
+    def deliver(self, event: FeedEvent, from_snapshot: bool) -> None:
         """One event; one that cannot be used is counted and logged, and the feed goes on."""
         self.purges.expire(self.core.now() // 1000)
         try:
@@ -55,7 +55,7 @@
         if not from_snapshot:
             self._reached(event.cursor)
 
-    def install(self, snapshot: Snapshot) -> None:
+    def install(self, snapshot: FeedSnapshot) -> None:
         """A whole state. Its purges have been delivered before."""
         self._assembler = Assembler()
         for payload in snapshot.payloads:
--- a/onyxwick/net/distribution_node.py
+++ b/onyxwick/net/distribution_node.py
@@ -23,19 +23,19 @@
     ORIGIN,
     Cursor,
     DocumentPart,
-    Event,
+    FeedEvent,
     Freshness,
     PublishRefusedError,
     PurgeEvent,
     UnknownPayload,
 )
 from onyxwick.distribution.publisher import Publisher, PublisherLimits
-from onyxwick.distribution.replica import Replica, Snapshot
+from onyxwick.distribution.replica import Replica, FeedSnapshot
 from onyxwick.net.fanout_server import FanOutServer
 from onyxwick.net.subscription import ReconnectDelays, Subscription
-from onyxwick.store.engine import Engine
+from onyxwick.store.engine import StoreEngine
 from onyxwick.store.errors import StoreError
-from onyxwick.store.files import Disk
+from onyxwick.store.files import DiskFiles
 
 log = logs.get()
 FRESHNESS_S = 0.4
@@ -44,7 +44,7 @@
 """Identifies the store's files as a feed's: a store of something else is refused."""
 
 
-class Relay:
+class RelayNode:
     """Follows its parents and passes everything on."""
 
     def __init__(self, config: NodeConfig) -> None:
@@ -57,14 +57,14 @@
         )
         self.subscription = Subscription(follower, config.parents, self, self.counters)
 
-    def deliver(self, event: Event, from_snapshot: bool) -> None:
+    def deliver(self, event: FeedEvent, from_snapshot: bool) -> None:
         """Take in one event and pass it on. Purges of a snapshot are passed on when it is whole."""
         if from_snapshot:
             return
         self.replica.apply(event, steady_us() // 1000)
         self.server.published()
 
-    def install(self, snapshot: Snapshot) -> None:
+    def install(self, snapshot: FeedSnapshot) -> None:
         """Take in a whole state; subscribers with earlier cursors are given it as a snapshot too."""
         self.replica.install(snapshot)
         self.server.published()
@@ -97,7 +97,7 @@
         }
 
 
-class Root:
+class PublisherNode:
     """Numbers the events of a coordinator and documents from files, makes them durable, publishes them."""
 
     def __init__(self, config: NodeConfig) -> None:
@@ -125,13 +125,13 @@
         if self.config.store is None:
             self.replica.log.restart(Cursor(int(time.time()), 0))
             return ORIGIN
-        engine = Engine(Disk(self.config.store), store=STORE_NAME)
+        engine = StoreEngine(DiskFiles(self.config.store), store=STORE_NAME)
         self.durable = DurableFeed(engine)
         return self.durable.load(self.replica, int(time.time()))
 
     # ---- what comes in --------------------------------------------------------------------------------
 
-    def deliver(self, event: Event, from_snapshot: bool) -> None:
+    def deliver(self, event: FeedEvent, from_snapshot: bool) -> None:
         """An event of the coordinator; refused ones are counted and logged."""
         try:
             if isinstance(event.payload, DocumentPart):
@@ -150,11 +150,11 @@
         if document is not None:
             self.publisher.submit_document(document.name, document.text)
 
-    def install(self, snapshot: Snapshot) -> None:
+    def install(self, snapshot: FeedSnapshot) -> None:
         """The coordinator is a node of another tree: its state is published here, its purges were already."""
         for payload in snapshot.payloads:
             if not isinstance(payload, PurgeEvent):
-                self.deliver(Event(snapshot.cursor, payload, b""), from_snapshot=True)
+                self.deliver(FeedEvent(snapshot.cursor, payload, b""), from_snapshot=True)
 
     def refresh(self, freshness: Freshness) -> None:
         """A plain coordinator sends none."""
@@ -199,7 +199,7 @@
         if wait_us is not None:
             self._schedule(max(0.001, wait_us / 1e6))
 
-    def _save(self, events: list[Event], now: int) -> bool:
+    def _save(self, events: list[FeedEvent], now: int) -> bool:
         """Make events durable before they are announced; False: the disk failed, and this process ends.
 
         What was not saved is read anew from the coordinator by the next process: its cursor was not saved.
@@ -295,7 +295,7 @@
 async def run(config: NodeConfig) -> None:
     """One node until SIGTERM or SIGINT; prints its status on SIGUSR1 and at the end, reads documents again
     on SIGHUP."""
-    node = Root(config) if config.role is Role.PUBLISHER else Relay(config)
+    node = PublisherNode(config) if config.role is Role.PUBLISHER else RelayNode(config)
     loop, ending = asyncio.get_running_loop(), asyncio.Event()
 
     def print_status() -> None:
--- a/onyxwick/net/fastcgi.py
+++ b/onyxwick/net/fastcgi.py
@@ -21,16 +21,16 @@
 MANAGED = {b"FCGI_MAX_CONNS": b"341", b"FCGI_MAX_REQS": b"10912", b"FCGI_MPXS_CONNS": b"1"}
 
 
-class Type(IntEnum):
+class RecordType(IntEnum):
     BEGIN, ABORT, END, PARAMS, STDIN, STDOUT, STDERR, DATA, GET_VALUES, GET_VALUES_RESULT, UNKNOWN = range(
         1, 12
     )
 
 
-BEGIN, ABORT, PARAMS, STDIN = (int(kind) for kind in (Type.BEGIN, Type.ABORT, Type.PARAMS, Type.STDIN))
+BEGIN, ABORT, PARAMS, STDIN = (int(kind) for kind in (RecordType.BEGIN, RecordType.ABORT, RecordType.PARAMS, RecordType.STDIN))
 
 
-class Protocol(IntEnum):
+class ProtocolStatus(IntEnum):
     """The protocol status of END_REQUEST."""
 
     COMPLETE, CANT_MULTIPLEX, OVERLOADED, UNKNOWN_ROLE = range(4)
@@ -41,7 +41,7 @@
 
 
 @dataclass(slots=True)
-class Call:
+class FastCgiCall:
     """A whole request: its last byte has come."""
 
     number: int
@@ -51,14 +51,14 @@
 
 
 @dataclass(slots=True)
-class Aborted:
+class FastCgiAbort:
     """The client has stopped waiting for an open request."""
 
     number: int
 
 
 @dataclass(slots=True)
-class Reply:
+class FastCgiReply:
     """Bytes to send back at once: the protocol's own answers. `fault` names bad input.
 
     `last`: more may come without end, so the connection is read no further.
@@ -69,7 +69,7 @@
     last: bool = False
 
 
-Message = Call | Aborted | Reply
+Message = FastCgiCall | FastCgiAbort | FastCgiReply
 
 
 @dataclass(slots=True)
@@ -81,19 +81,19 @@
     length: int | None = None  # of the body, where the parameters tell it
 
 
-def record(kind: Type, number: int, content: bytes) -> bytes:
+def record(kind: RecordType, number: int, content: bytes) -> bytes:
     pad = -len(content) % 8
     head = HEADER.pack(VERSION, kind, number, len(content), pad)
     return head + content + bytes(pad)
 
 
-def end_request(number: int, status: Protocol = Protocol.COMPLETE, app: int = 0) -> bytes:
-    return record(Type.END, number, END_BODY.pack(app, status))
+def end_request(number: int, status: ProtocolStatus = ProtocolStatus.COMPLETE, app: int = 0) -> bytes:
+    return record(RecordType.END, number, END_BODY.pack(app, status))
 
 
 @lru_cache(maxsize=MAX_OPEN * 4)
 def _tail(number: int) -> bytes:
-    return record(Type.STDOUT, number, b"") + end_request(number)
+    return record(RecordType.STDOUT, number, b"") + end_request(number)
 
 
 def answer(number: int, status: str, headers: dict[str, str], body: bytes) -> bytes:
@@ -104,10 +104,10 @@
     if size <= SLICE:  # nearly always: one record, copied once
         pad = -size % 8
         return b"".join(
-            (HEADER.pack(VERSION, Type.STDOUT, number, size, pad), head, body, bytes(pad), _tail(number))
+            (HEADER.pack(VERSION, RecordType.STDOUT, number, size, pad), head, body, bytes(pad), _tail(number))
         )
     content = head + body
-    parts = [record(Type.STDOUT, number, content[at : at + SLICE]) for at in range(0, size, SLICE)]
+    parts = [record(RecordType.STDOUT, number, content[at : at + SLICE]) for at in range(0, size, SLICE)]
     return b"".join((*parts, _tail(number)))
 
 
@@ -155,7 +155,7 @@
     return int(text[:12])
 
 
-class Parser:
+class FastCgiParser:
     """The records of one connection. `open` holds what was begun and is not yet answered."""
 
     def __init__(self) -> None:
@@ -210,17 +210,17 @@
             return self._stdin(number, partial, content)
         return None  # DATA is for filters
 
-    def _management(self, kind: int, content: bytes) -> Reply:
-        if kind != Type.GET_VALUES:
-            return Reply(record(Type.UNKNOWN, 0, bytes([kind]) + bytes(7)), "unknown management record")
+    def _management(self, kind: int, content: bytes) -> FastCgiReply:
+        if kind != RecordType.GET_VALUES:
+            return FastCgiReply(record(RecordType.UNKNOWN, 0, bytes([kind]) + bytes(7)), "unknown management record")
         try:
             asked = read_pairs(content)
         except ValueError as error:
             raise FramingError(str(error)) from None
         known = {k: v for k, v in MANAGED.items() if k in asked}
-        return Reply(record(Type.GET_VALUES_RESULT, 0, write_pairs(known)))
+        return FastCgiReply(record(RecordType.GET_VALUES_RESULT, 0, write_pairs(known)))
 
-    def _begin(self, number: int, content: bytes) -> Reply | None:
+    def _begin(self, number: int, content: bytes) -> FastCgiReply | None:
         if len(content) != BEGIN_BODY.size:
             raise FramingError("bad BEGIN_REQUEST")
         role, flags = BEGIN_BODY.unpack(content)
@@ -228,28 +228,28 @@
             raise FramingError(f"request {number} begun twice")
         if role != RESPONDER:
             self.passed.add(number)
-            return Reply(end_request(number, Protocol.UNKNOWN_ROLE), "unknown role")
+            return FastCgiReply(end_request(number, ProtocolStatus.UNKNOWN_ROLE), "unknown role")
         if len(self.partial) + len(self.open) >= MAX_OPEN:
             self.passed.add(number)
-            return Reply(end_request(number, Protocol.OVERLOADED), "too many requests on a connection")
+            return FastCgiReply(end_request(number, ProtocolStatus.OVERLOADED), "too many requests on a connection")
         self.passed.discard(number)
         self.partial[number] = _Partial(bool(flags & KEEP_CONN))
         return None
 
-    def _stray(self, number: int) -> Reply | None:
+    def _stray(self, number: int) -> FastCgiReply | None:
         """A record of a request that is whole, answered or was never begun: the last is told so, once."""
         if number in self.open or number in self.passed:
             return None
         self.passed.add(number)
-        return Reply(answer(number, "400 Bad Request", {}, b""), "record of a request never begun")
+        return FastCgiReply(answer(number, "400 Bad Request", {}, b""), "record of a request never begun")
 
     def _abort(self, number: int) -> Message | None:
         if self.partial.pop(number, None) is not None:
             self.passed.add(number)
-            return Reply(end_request(number))
-        return Aborted(number) if number in self.open else None
+            return FastCgiReply(end_request(number))
+        return FastCgiAbort(number) if number in self.open else None
 
-    def _params(self, number: int, partial: _Partial, content: bytes) -> Reply | None:
+    def _params(self, number: int, partial: _Partial, content: bytes) -> FastCgiReply | None:
         if content:
             if len(partial.params) + len(content) > MAX_PARAMS:
                 return self._reject(number, "413 Content Too Large", "parameters too long", last=True)
@@ -279,10 +279,10 @@
             return None
         del self.partial[number]
         self.open.add(number)
-        return Call(number, partial.keep, partial.pairs, bytes(partial.body))
+        return FastCgiCall(number, partial.keep, partial.pairs, bytes(partial.body))
 
-    def _reject(self, number: int, status: str, fault: str, last: bool = False) -> Reply:
+    def _reject(self, number: int, status: str, fault: str, last: bool = False) -> FastCgiReply:
         """A request that cannot be read is answered `failed`; its later records are passed over."""
         del self.partial[number]
         self.passed.add(number)
-        return Reply(answer(number, status, {}, b""), fault, last)
+        return FastCgiReply(answer(number, status, {}, b""), fault, last)
--- a/onyxwick/net/front.py
+++ b/onyxwick/net/front.py
@@ -13,21 +13,21 @@
 
 from onyxwick import logs
 from onyxwick.config.relay import SHUT_LEAST, SHUT_SHARE
-from onyxwick.core import Core
-from onyxwick.core.ending import HELD_AFTER_S, LAST_WORDS_S, EndingSchedule, EndKind, Stage
-from onyxwick.core.reasons import ConnectionEnd
+from onyxwick.core import RequestEngine
+from onyxwick.core.ending import HELD_AFTER_S, LAST_WORDS_S, ShutdownSchedule, ShutdownKind, ShutdownStage
+from onyxwick.core.reasons import ConnectionCloseReason
 from onyxwick.core.stall import STALL_S
 from onyxwick.counters import Counters
 from onyxwick.net import errors, room
 from onyxwick.net.buffer import readable, seconds_since_sent, unread
 from onyxwick.net.calls import OwnerFields
-from onyxwick.net.client import READ_S, Client
+from onyxwick.net.client import READ_S, FrontConnection
 from onyxwick.net.delivery import STALLED_S
 from onyxwick.net.listening import BACKLOG
 from onyxwick.net.write_queue import ByteBudget
 
 if TYPE_CHECKING:
-    from onyxwick.cells.holding import Holding
+    from onyxwick.cells.holding import ConnectionReservation
 
 log = logs.get()
 UNREAD_WAIT_US = 500_000  # what is not read is cut off in seconds: no use in coming back before
@@ -46,17 +46,17 @@
 ACCEPT_REST_MOST = 4 * BACKLOG  # accepted then at most: clients may go on coming
 
 
-class Front:
+class FastCgiFront:
     """Accepts clients and keeps track of what is owed to them."""
 
     def __init__(
         self,
-        core: Core,
+        core: RequestEngine,
         counters: Counters,
         ready: Callable[[], bool],
         most_clients: int,
         most_held: int,
-        holding: Holding | None = None,
+        holding: ConnectionReservation | None = None,
         tenant_field: str = "",
         site_field: str = "",
     ) -> None:
@@ -67,38 +67,38 @@
         self.core, self.counters, self.ready = core, counters, ready
         self.most_clients, self.most_held = most_clients, most_held
         self.classes = {c.name: c for c in core.settings.classes}
-        self.clients: dict[Client, asyncio.Task[None]] = {}  # oldest first
+        self.clients: dict[FrontConnection, asyncio.Task[None]] = {}  # oldest first
         self.next_connection = partial(next, itertools.count(1))  # numbers of connections, for the logs
         self.budget = ByteBudget()
         self.accept_failures = 0
         self.accept_failing_since = (
             0.0  # monotonic: connections that wait have not been accepted since; else 0
         )
-        self.shut: set[Client] = set()  # their end is written; they go as soon as the client closes its own
-        self.given_up: set[Client] = set()  # no clients any more, but their sockets are not closed yet
-        self.ending: EndingSchedule | None = None  # drained, or told to end: when each connection ends
-        self.stage = Stage.SERVING  # as last looked at
+        self.shut: set[FrontConnection] = set()  # their end is written; they go as soon as the client closes its own
+        self.given_up: set[FrontConnection] = set()  # no clients any more, but their sockets are not closed yet
+        self.ending: ShutdownSchedule | None = None  # drained, or told to end: when each connection ends
+        self.stage = ShutdownStage.SERVING  # as last looked at
         self._stage_since = 0.0  # monotonic seconds at which the stage was first looked at
         self._held_checked = False
 
     # ---- endings -----------------------------------------------------------------------------------------
 
-    def begin_ending(self, schedule: EndingSchedule) -> None:
+    def begin_ending(self, schedule: ShutdownSchedule) -> None:
         """From now on connections end as the schedule says. A drain's own replaces that of an earlier drain;
         a termination keeps what a drain has promised."""
-        if self.ending is not None and schedule.kind is not EndKind.DRAIN:
+        if self.ending is not None and schedule.kind is not ShutdownKind.DRAIN:
             schedule = schedule.with_earlier(self.ending)
-        self.ending, self.stage, self._held_checked = schedule, Stage.SERVING, False
+        self.ending, self.stage, self._held_checked = schedule, ShutdownStage.SERVING, False
         self.advance(time.monotonic())
 
     def resume(self) -> None:
         """Clients are welcome again: what has not ended yet stays open."""
-        self.ending, self.stage = None, Stage.SERVING
+        self.ending, self.stage = None, ShutdownStage.SERVING
         log.info("ending taken back", clients=len(self.clients), owed=len(self.core.lifecycles))
 
-    def stage_at(self, now: float) -> Stage:
+    def stage_at(self, now: float) -> ShutdownStage:
         """How far the ending is, by the time alone."""
-        return Stage.SERVING if self.ending is None else self.ending.stage(now)
+        return ShutdownStage.SERVING if self.ending is None else self.ending.stage(now)
 
     def advance(self, now: float) -> None:
         """Do what the stage asks for, with each connection. What is owed is given back a look later: after a
@@ -112,10 +112,10 @@
         must_end = now >= schedule.fails_at
         for client in list(self.clients):
             client.advance(stage, now, gives_back=not fresh, must_end=must_end)
-        if schedule.kind is EndKind.DRAIN and now - schedule.begun_at >= HELD_AFTER_S:
+        if schedule.kind is ShutdownKind.DRAIN and now - schedule.begun_at >= HELD_AFTER_S:
             self._check_held(now)
 
-    def _enter(self, stage: Stage, schedule: EndingSchedule, now: float) -> None:
+    def _enter(self, stage: ShutdownStage, schedule: ShutdownSchedule, now: float) -> None:
         self.stage, self._stage_since = stage, now
         name, clients = stage.name.lower(), list(self.clients)
         half = sum(client.parser.half for client in clients)
@@ -125,7 +125,7 @@
             "ending", kind=schedule.kind.value, stage=name, after_s=round(now - schedule.begun_at, 3),
             clients=len(clients), owed=len(self.core.lifecycles), half=half, unwritten=unwritten,
         )  # fmt: skip
-        if stage >= Stage.ENDS_HALF_CALLS:
+        if stage >= ShutdownStage.ENDS_HALF_CALLS:
             held = [client for client in clients if not client.shut_at]
             for client in held[:MOST_TOLD]:
                 client.tell_held(now, name)
@@ -172,13 +172,13 @@
                     task.cancel()  # its end was written, and the client does not close its own
             elif client.writes.stalled(now, STALLED_S):
                 self.counters.add("client.stalled")
-                client.end = client.end or ConnectionEnd.STALLED
+                client.end = client.end or ConnectionCloseReason.STALLED
                 task.cancel()
             elif client.hears_no_more:
-                client.close_when_written(now, ConnectionEnd.CLOSING)
+                client.close_when_written(now, ConnectionCloseReason.CLOSING)
             elif client.overstays(now):
                 self.counters.add("client.overstayed")
-                self._give_up(client, now, ConnectionEnd.IDLE)
+                self._give_up(client, now, ConnectionCloseReason.IDLE)
 
     async def watch_turns(self) -> None:
         """Tell the watch that the loop turns, also while nobody asks."""
@@ -195,10 +195,10 @@
         if least is None:
             return False
         self.counters.add("client.displaced")
-        self._give_up(least, now, ConnectionEnd.DISPLACED)
+        self._give_up(least, now, ConnectionCloseReason.DISPLACED)
         return True
 
-    def _give_up(self, client: Client, now: float, reason: ConnectionEnd) -> None:
+    def _give_up(self, client: FrontConnection, now: float, reason: ConnectionCloseReason) -> None:
         """End a connection that owes nothing and has nothing unread: softly, as far as there are places for
         such as linger, else at once, behind its written end."""
         full = len(self.shut) >= max(SHUT_LEAST, self.most_clients // SHUT_SHARE)
@@ -279,7 +279,7 @@
             conn.close()
             return
         self.counters.add("client.accepted")
-        client = Client(self, conn)
+        client = FrontConnection(self, conn)
         client.not_read_since = self._came_up(conn)
         task = asyncio.get_running_loop().create_task(client.run())
         self.clients[client] = task
@@ -292,12 +292,12 @@
             return self.accept_failing_since
         return now - told if told > ACCEPT_WAIT_S else 0.0
 
-    def _gone(self, client: Client, _: asyncio.Task[None]) -> None:
+    def _gone(self, client: FrontConnection, _: asyncio.Task[None]) -> None:
         self.clients.pop(client, None)
         self.shut.discard(client)
         self.given_up.discard(client)
 
-    async def finish(self, schedule: EndingSchedule) -> None:
+    async def finish(self, schedule: ShutdownSchedule) -> None:
         """Carry a termination's schedule through: return once all connections have ended and nothing is owed,
         a moment after its last stage at the latest."""
         if self.ending is None:
@@ -306,14 +306,14 @@
         while self.clients or not self.core.idle.is_set():
             now = time.monotonic()
             self.advance(now)
-            if self.stage is Stage.CLOSED:
+            if self.stage is ShutdownStage.CLOSED:
                 closed_at = closed_at or now
                 if now >= closed_at + LAST_WORDS_S:
                     break
             await asyncio.sleep(READ_S)
         tasks, owed = list(self.clients.values()), len(self.core.lifecycles)
         for client, task in list(self.clients.items()):
-            client.end = client.end or ConnectionEnd.CLOSING
+            client.end = client.end or ConnectionCloseReason.CLOSING
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
         log.info("ended", cut=len(tasks), owed=owed, crossed=self.counters.counts["client.crossed"])
--- a/onyxwick/net/resp.py
+++ b/onyxwick/net/resp.py
@@ -21,7 +21,7 @@
     return b"".join(parts)
 
 
-class Parser:
+class RespParser:
     """The arrays that arrive on one connection."""
 
     def __init__(self) -> None:
--- a/onyxwick/net/room.py
+++ b/onyxwick/net/room.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seat:
+class ConnectionSlot:
     """What the front knows of one connection, in monotonic seconds."""
 
     calls: int  # calls whole on it so far
@@ -32,7 +32,7 @@
 
 
 def order(
-    seat: Seat, now: float, rest_s: float = REST_S, half_rest_s: float = HALF_REST_S
+    seat: ConnectionSlot, now: float, rest_s: float = REST_S, half_rest_s: float = HALF_REST_S
 ) -> tuple[int, float] | None:
     """Where it stands among those that may give up their place (lowest first); None: it keeps its place."""
     if seat.owed or seat.pending or seat.ending:
--- a/onyxwick/net/subscription.py
+++ b/onyxwick/net/subscription.py
@@ -14,30 +14,30 @@
 from onyxwick.distribution.codec import HEAD_BYTES, stub_of
 from onyxwick.distribution.follower import (
     Action,
-    Connect,
-    Deliver,
-    Disconnect,
+    ConnectToParent,
+    DeliverEvent,
+    DisconnectFromParent,
     Follower,
-    Install,
-    Refresh,
-    Send,
+    InstallSnapshot,
+    RefreshFreshness,
+    SendLine,
 )
-from onyxwick.distribution.model import MAX_LINE_BYTES, Event, Freshness
-from onyxwick.distribution.replica import Snapshot
+from onyxwick.distribution.model import MAX_LINE_BYTES, FeedEvent, Freshness
+from onyxwick.distribution.replica import FeedSnapshot
 
 log = logs.get()
 FIRST_RETRY_US = 100_000
 MAX_RETRY_US = 1_000_000
 
 
-class Sink(Protocol):
+class FeedSink(Protocol):
     """Takes what a follower delivers, in order."""
 
-    def deliver(self, event: Event, from_snapshot: bool) -> None:
+    def deliver(self, event: FeedEvent, from_snapshot: bool) -> None:
         """One event, or a purge of a snapshot that is still being loaded."""
         ...
 
-    def install(self, snapshot: Snapshot) -> None:
+    def install(self, snapshot: FeedSnapshot) -> None:
         """A whole state, in place of all that was delivered before."""
         ...
 
@@ -104,7 +104,7 @@
         self,
         follower: Follower,
         parents: Sequence[Address],
-        sink: Sink,
+        sink: FeedSink,
         counters: Counters,
         clock: Callable[[], int] = steady_us,
     ) -> None:
@@ -140,24 +140,24 @@
     def _act(self, actions: Sequence[Action]) -> None:
         for action in actions:
             match action:
-                case Deliver() | Install() | Refresh():
+                case DeliverEvent() | InstallSnapshot() | RefreshFreshness():
                     self._hand_on(action)
-                case Connect(parent):
+                case ConnectToParent(parent):
                     self._opening = asyncio.get_running_loop().create_task(self._open(self.parents[parent]))
-                case Send(data):
+                case SendLine(data):
                     if self._connection is not None and self._connection.transport is not None:
                         self._connection.transport.write(data)
-                case Disconnect(reason):
+                case DisconnectFromParent(reason):
                     self._disconnect(reason)
 
-    def _hand_on(self, action: Deliver | Install | Refresh) -> None:
+    def _hand_on(self, action: DeliverEvent | InstallSnapshot | RefreshFreshness) -> None:
         try:
             match action:
-                case Deliver(event, from_snapshot):
+                case DeliverEvent(event, from_snapshot):
                     self.sink.deliver(event, from_snapshot)
-                case Install(snapshot):
+                case InstallSnapshot(snapshot):
                     self.sink.install(snapshot)
-                case Refresh(freshness):
+                case RefreshFreshness(freshness):
                     self.sink.refresh(freshness)
         except Exception:
             # An event that the sink cannot take would not be taken a second time either.
--- a/onyxwick/service.py
+++ b/onyxwick/service.py
@@ -10,15 +10,15 @@
 
 from onyxwick import logs
 from onyxwick.config import ConfigError
-from onyxwick.config.relay import Config
+from onyxwick.config.relay import DirectorConfig
 from onyxwick.config.service import ServiceConfig, TraceConfig
-from onyxwick.core import Core
-from onyxwick.core.members import Members
+from onyxwick.core import RequestEngine
+from onyxwick.core.members import EndpointTable
 from onyxwick.counters import Counters
 from onyxwick.interface import EndpointFeedReceived, RequestRouter, RouterSettings
 from onyxwick.logic import Router
-from onyxwick.net.caches import Caches
-from onyxwick.net.coordinator import Coordinator
+from onyxwick.net.caches import CacheConnectionPool
+from onyxwick.net.coordinator import CoordinatorFeed
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Coroutine
@@ -27,14 +27,14 @@
     from onyxwick.admin.cells import CellsApi
     from onyxwick.admin.http import Handler, HttpServer
     from onyxwick.admin.sites import SitesApi
-    from onyxwick.cells import Cells, Plan
-    from onyxwick.cells.holding import Holding
+    from onyxwick.cells import CellRouter, CellPlan
+    from onyxwick.cells.holding import ConnectionReservation
     from onyxwick.config.service import SitesConfig
     from onyxwick.dns.server import DnsFront
     from onyxwick.net.subscription import Subscription
-    from onyxwick.sites import Plan as SitePlan
-    from onyxwick.sites import Sites
-    from onyxwick.store.durable import Durable
+    from onyxwick.sites import SitePlan as SitePlan
+    from onyxwick.sites import SiteRouter
+    from onyxwick.store.durable import DurableState
 
 log = logs.get()
 TRACE_TICK_S = 0.25
@@ -44,16 +44,16 @@
 QUOTAS_DOCUMENT = "quotas"
 
 
-class Service:
+class HostedService:
     """One director's hosted parts, made in the order in which they need each other: what decides, then (with
     the core that it is in) what lasts, then (with the event loop) what runs beside it."""
 
-    def __init__(self, config: Config, told: ServiceConfig) -> None:
+    def __init__(self, config: DirectorConfig, told: ServiceConfig) -> None:
         self.config, self.told = config, told
-        self.cells: Cells | None = None
-        self.sites: Sites | None = None
-        self.durable: Durable | None = None
-        self.guests: list[Cells] = []  # the cells of other sites' boxes
+        self.cells: CellRouter | None = None
+        self.sites: SiteRouter | None = None
+        self.durable: DurableState | None = None
+        self.guests: list[CellRouter] = []  # the cells of other sites' boxes
         self.subscription: Subscription | None = None  # to the distribution tree, where one is followed
         self.trace_until = float("inf") if told.trace is not None and told.trace.on else 0.0
 
@@ -62,39 +62,39 @@
     def decide(self, settings: RouterSettings, seed: int, now: int) -> RequestRouter:
         if self.told.sites is None:
             return self._within(settings, seed, now)
-        from onyxwick.sites import Plan, Sites
+        from onyxwick.sites import SitePlan, SiteRouter
 
         top, most = self.told.sites.topology, self.config.most_open
-        self.sites = Sites(settings, seed, now, top, Plan(top), self._within, most)
+        self.sites = SiteRouter(settings, seed, now, top, SitePlan(top), self._within, most)
         return self.sites
 
     def _within(self, settings: RouterSettings, seed: int, now: int) -> RequestRouter:
         """What decides for one site's boxes; the first one made is the own site's."""
         if self.told.plan is None:
             return Router(settings, seed, now)
-        from onyxwick.cells import Cells
+        from onyxwick.cells import CellRouter
 
         plan = self.told.plan if self.cells is None else self.cells.plan
-        cells = Cells(settings, seed, now, plan, self.config.most_open)
+        cells = CellRouter(settings, seed, now, plan, self.config.most_open)
         if self.cells is None:
             self.cells = cells
         else:
             self.guests.append(cells)
         return cells
 
-    def places(self) -> tuple[Holding | None, str, str]:
+    def places(self) -> tuple[ConnectionReservation | None, str, str]:
         """What the front must know: each cell's part of its places, who asks, and from which site."""
         site = self.sites.top.policy.field if self.sites is not None else ""
         if self.cells is None:
             return None, "X-Tenant" if self.sites is not None else "", site
-        from onyxwick.cells.holding import Holding
+        from onyxwick.cells.holding import ConnectionReservation
 
         most = (self.config.most_held, self.config.most_clients)
-        return Holding(self.cells, *most), self.cells.plan.policy.tenant_field, site
+        return ConnectionReservation(self.cells, *most), self.cells.plan.policy.tenant_field, site
 
     # ---- what lasts -------------------------------------------------------------------------------------
 
-    def attach(self, core: Core, members: Members, counters: Counters) -> None:
+    def attach(self, core: RequestEngine, members: EndpointTable, counters: Counters) -> None:
         """What lasted, read before anything is decided. Refused (a StoreError) rather than half of it."""
         self.core, self.members, self.counters = core, members, counters
         told = self.told.store
@@ -102,19 +102,19 @@
             return
         from hashlib import blake2b
 
-        from onyxwick.store.durable import Durable
-        from onyxwick.store.engine import Limits
-        from onyxwick.store.files import Disk
+        from onyxwick.store.durable import DurableState
+        from onyxwick.store.engine import StoreLimits
+        from onyxwick.store.files import DiskFiles
         from onyxwick.store.sealing import read_keys
 
-        self.durable = Durable(
-            Disk(told.folder),
+        self.durable = DurableState(
+            DiskFiles(told.folder),
             read_keys(told.key_file),
             blake2b(told.installation.encode(), digest_size=16).digest(),
             core.now(),
             self.config.settings.rules.purge_retention_us,
             told.bookings,
-            Limits(log=told.log_bytes, total=told.total_bytes),
+            StoreLimits(log=told.log_bytes, total=told.total_bytes),
         )
         self.durable.load_tenants(self.told.tenants)
         self._recorded_plan(self.durable)
@@ -123,7 +123,7 @@
 
             self.sites.watch.recalled([of_row(row) for row in self.durable.site_orders()])
 
-    def _recorded_plan(self, durable: Durable) -> None:
+    def _recorded_plan(self, durable: DurableState) -> None:
         """The plan that a call has made goes before the file's, which it was made from."""
         row = durable.plan()
         if row is None or self.cells is None:
@@ -133,7 +133,7 @@
         self.cells.apply(self.core.now(), plan_of_json(row["plan"], int(row["version"])))
         log.info("plan of cells from the store", version=self.cells.plan.version)
 
-    def pace(self, coordinator: Coordinator, caches: Caches) -> None:
+    def pace(self, coordinator: CoordinatorFeed, caches: CacheConnectionPool) -> None:
         """Coming back from its store, a director may be one of many that do at once: it calls for the feed
         after a wait drawn from its seed, and opens its connections to caches step by step (core/pacing.py).
         It serves meanwhile from what it recovered and what the configuration told. With sites, what it asks
@@ -154,7 +154,7 @@
             coordinator.initial_delay_us = back.wait_us
             caches.share = lambda: back.share(self.core.now())
 
-    def follow(self, coordinator: Coordinator) -> Coroutine[None, None, None]:
+    def follow(self, coordinator: CoordinatorFeed) -> Coroutine[None, None, None]:
         """What keeps lists and purges coming: the coordinator itself, or a node of the distribution tree."""
         told = self.told.feed
         if told is None:
@@ -183,16 +183,16 @@
 
     # ---- reload -----------------------------------------------------------------------------------------
 
-    def reload(self, plan: Plan | None) -> None:
+    def reload(self, plan: CellPlan | None) -> None:
         """The file's plan, over whatever the administration API has made of it since."""
         if self.cells is None or plan is None:
             if (self.cells is None) is not (plan is None):
                 log.warning("cells are switched on and off at a restart only")
             return
-        from onyxwick.cells import Control, PlanError
+        from onyxwick.cells import CellPlanControl, PlanError
 
         try:
-            changed = Control(self.cells, self.core.now, self.core.handle).change(plan)
+            changed = CellPlanControl(self.cells, self.core.now, self.core.handle).change(plan)
         except PlanError as error:
             raise ConfigError(str(error)) from None
         if changed:
@@ -234,11 +234,11 @@
         if self.durable is not None:
             await self.durable.close()
 
-    async def _recovering(self, durable: Durable) -> None:
+    async def _recovering(self, durable: DurableState) -> None:
         """Serve on without the feed once it has not been heard for long enough; recorded drains stay."""
-        from onyxwick.store.recovery import Phase
+        from onyxwick.store.recovery import RecoveryPhase
 
-        while durable.recovery.phase is Phase.CHECKING:
+        while durable.recovery.phase is RecoveryPhase.CHECKING:
             await asyncio.sleep(RECOVERY_TICK_S)
             if durable.recovery.tick(self.core.now()):
                 log.warning("recovery without the feed", **durable.recovery.shown())
@@ -251,19 +251,19 @@
 
     async def _trace(self, told: TraceConfig) -> None:
         """Write a trace while it is wanted: always, or for a while from each SIGUSR2 on."""
-        from onyxwick.trace.sink import Bounds
-        from onyxwick.trace.watch import Watch
+        from onyxwick.trace.sink import SinkLimits
+        from onyxwick.trace.watch import DecisionTracer
 
         loop, bounds = (
             asyncio.get_running_loop(),
-            Bounds(told.file_bytes, told.file_us / 1e6, told.total_bytes),
+            SinkLimits(told.file_bytes, told.file_us / 1e6, told.total_bytes),
         )
         core = self.core
         try:
             while True:
                 if core.watch is None and loop.time() < self.trace_until:
                     now = core.now()
-                    core.watch = Watch(core.settings, self.config.name, told.folder, bounds, now)
+                    core.watch = DecisionTracer(core.settings, self.config.name, told.folder, bounds, now)
                     core.watch.listed(now, self.members.listed.values())
                     log.info("trace begun", folder=str(told.folder))
                 elif core.watch is not None and loop.time() >= self.trace_until:
@@ -310,9 +310,9 @@
         if self.cells is None:
             return None
         from onyxwick.admin.cells import CellsApi
-        from onyxwick.cells import Control
+        from onyxwick.cells import CellPlanControl
 
-        return CellsApi(Control(self.cells, self.core.now, self.core.handle))
+        return CellsApi(CellPlanControl(self.cells, self.core.now, self.core.handle))
 
     def _sites_api(self) -> SitesApi | None:
         if self.sites is None:
--- a/onyxwick/settings.py
+++ b/onyxwick/settings.py
@@ -115,7 +115,7 @@
                 key_scope=get(at + "group", SCOPE.__getitem__, KeyScope.CELL),
                 key_window_us=get(at + "window_us", int, 0),
                 stream=get(at + "stream", flag, False),
-                write=pairs.column(info + "class_write", flag, n, False),
+                is_write=pairs.column(info + "class_write", flag, n, False),
                 segmented=pairs.column(info + "segmented", flag, n, False),
                 freshness_lifetime_us=pairs.column(info + "lifetime_by_class_us", int, n, 0),
                 stale_grace_us=pairs.column(info + "usable_after_us", int, n, 0),
--- a/onyxwick/sites/evidence.py
+++ b/onyxwick/sites/evidence.py
@@ -26,7 +26,7 @@
 MOST_MEMBERS = 4096  # watched; more are not looked at
 
 
-class Kind(Enum):
+class AttemptEvidence(Enum):
     """How an attempt speaks of the machine that it went to. The value: how much of a proof it is."""
 
     ANSWERED = "answered"
@@ -37,29 +37,29 @@
 
     @property
     def proof(self) -> float:
-        return 0.5 if self is Kind.CUT else 1.0
+        return 0.5 if self is AttemptEvidence.CUT else 1.0
 
 
-def kind_of(event: AttemptEnded, connect_us: int) -> Kind | None:
+def kind_of(event: AttemptEnded, connect_us: int) -> AttemptEvidence | None:
     """What an ended attempt says of its member; None: nothing."""
     match event.status:
         case AttemptStatus.OK | AttemptStatus.MISS | AttemptStatus.OVERLOADED | AttemptStatus.ERROR:
-            return Kind.ANSWERED
+            return AttemptEvidence.ANSWERED
         case AttemptStatus.CONNECT_FAILED:
             slow = event.latency_us >= REFUSED_BELOW * (connect_us or CONNECT_US)
-            return Kind.UNREACHED if slow else Kind.REFUSED
+            return AttemptEvidence.UNREACHED if slow else AttemptEvidence.REFUSED
         case AttemptStatus.RESET:
-            return Kind.CUT
+            return AttemptEvidence.CUT
         case AttemptStatus.TIMEOUT:
-            return Kind.SILENT if event.latency_us >= OVERDUE_US else None
+            return AttemptEvidence.SILENT if event.latency_us >= OVERDUE_US else None
     return None
 
 
-FIRM = (Kind.REFUSED.value, Kind.UNREACHED.value)  # nobody can be there and that slow
+FIRM = (AttemptEvidence.REFUSED.value, AttemptEvidence.UNREACHED.value)  # nobody can be there and that slow
 
 
 @dataclass(slots=True)
-class Sight:
+class MemberObservation:
     """What was seen of one member."""
 
     answered_us: int = 0
@@ -68,7 +68,7 @@
     score: float = 0.0  # of failures since it last answered
     failed_us: int = 0  # the last of those
     first_us: int = 0  # and the first
-    kind: Kind = Kind.ANSWERED  # the last one
+    kind: AttemptEvidence = AttemptEvidence.ANSWERED  # the last one
 
     def dark(self, now: int) -> bool:
         if self.score >= DARK and now - self.failed_us <= SEEN_US:
@@ -89,9 +89,9 @@
     def answered(self, now: int) -> None:
         self.answered_us, self.score, self.first_us, self.failed_us = now, 0.0, 0, 0
         self.waited_us = now if self.out else 0
-        self.kind = Kind.ANSWERED
+        self.kind = AttemptEvidence.ANSWERED
 
-    def failed(self, now: int, kind: Kind) -> None:
+    def failed(self, now: int, kind: AttemptEvidence) -> None:
         if now - self.failed_us > SEEN_US:
             self.score, self.first_us = 0.0, 0
         self.score += kind.proof
@@ -100,7 +100,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class PlaceObservation:
     """A place as the latest seconds show it."""
 
     tried: int = 0
@@ -130,10 +130,10 @@
 
 
 @dataclass(slots=True)
-class Place:
+class PlaceEvidence:
     """One site, hub or the archive."""
 
-    members: dict[str, Sight] = field(default_factory=dict)
+    members: dict[str, MemberObservation] = field(default_factory=dict)
     answered_us: int = 0
     failed_us: int = 0
     out: int = 0  # attempts under way
@@ -150,7 +150,7 @@
 
     def __init__(self, connect_us: int) -> None:
         self.connect_us = connect_us
-        self.places: dict[str, Place] = {}
+        self.places: dict[str, PlaceEvidence] = {}
         self.place_of: dict[str, str] = {}
         self.feed_us = 0  # when the list's source was last heard
         self.woke_us = 0  # when a pause or a cut of our own last ended
@@ -163,7 +163,7 @@
                 gone = self.places[place].members.pop(member, None)
                 self.places[place].out -= gone.out if gone is not None else 0
         for member, place in wanted.items():
-            self.places.setdefault(place, Place()).members.setdefault(member, Sight())
+            self.places.setdefault(place, PlaceEvidence()).members.setdefault(member, MemberObservation())
         self.place_of = wanted
 
     def restarted(self, member: str) -> None:
@@ -171,9 +171,9 @@
         place = self.place_of.get(member)
         if place is not None:
             old = self.places[place].members[member]
-            self.places[place].members[member] = Sight(out=old.out)
+            self.places[place].members[member] = MemberObservation(out=old.out)
 
-    def _sight(self, member: str) -> Sight | None:
+    def _sight(self, member: str) -> MemberObservation | None:
         place = self.place_of.get(member)
         return self.places[place].members.get(member) if place is not None else None
 
@@ -186,7 +186,7 @@
         place = self.places.get(name)
         return place is None or place.quiet(now)
 
-    def ended(self, now: int, event: AttemptEnded) -> Kind | None:
+    def ended(self, now: int, event: AttemptEnded) -> AttemptEvidence | None:
         sight = self._sight(event.member)
         if sight is None:
             return None
@@ -195,8 +195,8 @@
         kind = kind_of(event, self.connect_us)
         called_off = event.status is AttemptStatus.CANCELLED and event.latency_us >= OVERDUE_US
         if called_off and sight.answered_us < now - event.latency_us:
-            kind = Kind.SILENT  # for want of patience, and nothing had been heard since it was sent
-        if kind is Kind.ANSWERED:
+            kind = AttemptEvidence.SILENT  # for want of patience, and nothing had been heard since it was sent
+        if kind is AttemptEvidence.ANSWERED:
             self._answered(now, event.member, sight)
         elif kind is not None and now - event.latency_us >= self.woke_us:
             sight.failed(now, kind)
@@ -205,7 +205,7 @@
             sight.waited_us = 0
         return kind
 
-    def _answered(self, now: int, member: str, sight: Sight) -> None:
+    def _answered(self, now: int, member: str, sight: MemberObservation) -> None:
         sight.answered(now)
         self.places[self.place_of[member]].answered_us = now
 
@@ -216,7 +216,7 @@
         if answered:
             self._answered(now, member, sight)
         elif now - took_us >= self.woke_us:
-            sight.failed(now, Kind.UNREACHED)
+            sight.failed(now, AttemptEvidence.UNREACHED)
             self.places[self.place_of[member]].failed_us = now
 
     def fed(self, now: int) -> None:
@@ -230,10 +230,10 @@
             for sight in place.members.values():
                 sight.score, sight.first_us, sight.failed_us, sight.waited_us = 0.0, 0, 0, 0
 
-    def seen(self, now: int, name: str) -> Seen:
+    def seen(self, now: int, name: str) -> PlaceObservation:
         place = self.places.get(name)
         if place is None:
-            return Seen()
+            return PlaceObservation()
         tried = [s for s in place.members.values() if s.tried(now)]
         dark = [] if place.quiet(now) else [s for s in tried if s.dark(now)]
         kinds = Counter(["waiting" if s.score < DARK else s.kind.value for s in dark]) if dark else {}
@@ -242,7 +242,7 @@
         known = len(place.members)
         proofs = sum(max(1.0, s.score) for s in dark)
         told = tuple(sorted(kinds.items()))
-        return Seen(len(tried), len(dark), known, place.answered_us, since, told, proofs)
+        return PlaceObservation(len(tried), len(dark), known, place.answered_us, since, told, proofs)
 
     def outside_us(self, but: Iterable[str]) -> int:
         """When anything beside some places was last heard, the list's source included."""
--- a/onyxwick/sites/fleet.py
+++ b/onyxwick/sites/fleet.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable, Mapping
 from dataclasses import replace
 
-from onyxwick.cells.arbiter import Arbiter
+from onyxwick.cells.arbiter import ShareArbiter
 from onyxwick.interface import (
     Action,
     AnswerDetail,
@@ -45,16 +45,16 @@
     TimerFired,
 )
 from onyxwick.logic import Router
-from onyxwick.sites.homes import Way
+from onyxwick.sites.homes import SiteRoute
 from onyxwick.sites.life import AWAY
 from onyxwick.sites.model import Topology
-from onyxwick.sites.orders import Order
+from onyxwick.sites.orders import SiteCommand
 from onyxwick.sites.parts import guest_settings, parts
-from onyxwick.sites.plan import Plan
-from onyxwick.sites.refusal import Ladder, by_worth
-from onyxwick.sites.slices import word
-from onyxwick.sites.unit import Home, Try, Unit
-from onyxwick.sites.watch import Changed, Watch
+from onyxwick.sites.plan import SitePlan
+from onyxwick.sites.refusal import SheddingLevels, by_worth
+from onyxwick.sites.slices import stable_hash
+from onyxwick.sites.unit import SiteRequestOwner, RoutedAttempt, ActiveSite
+from onyxwick.sites.watch import SiteTransition, SiteMonitor
 
 S = 1_000_000
 TICK_US, ARBITER_EVERY = 100_000, 5
@@ -74,7 +74,7 @@
 Decide = Callable[[RouterSettings, int, int], RequestRouter]
 
 
-class Sites:
+class SiteRouter:
     """`share`, where it is set: of its usual limits that a director allows itself after a start
     (core/pacing.py)."""
 
@@ -84,7 +84,7 @@
         seed: int,
         now: int,
         top: Topology,
-        plan: Plan,
+        plan: SitePlan,
         decide: Decide = Router,
         most_open: int = 2000,
     ) -> None:
@@ -93,19 +93,19 @@
         self.set, self.top, self.home, self.now = settings, top, home, now
         self.decide, self.most_open = decide, most_open
         self.share: Callable[[int], float] | None = None
-        self.random = random.Random(seed ^ word("sites"))
+        self.random = random.Random(seed ^ stable_hash("sites"))
         self.classes = {c.name: c for c in settings.classes}
         works = {n: float(k.sending_us) for n, k in top.kinds.items()}
         self.priority = by_worth(self.classes, {n: works.get(n, float(S)) for n in self.classes})
-        self.watch = Watch(settings, top, plan, home, now)
-        self.units: dict[str, Unit] = {}
-        self.requests: dict[str, Home] = {}
+        self.watch = SiteMonitor(settings, top, plan, home, now)
+        self.units: dict[str, ActiveSite] = {}
+        self.requests: dict[str, SiteRequestOwner] = {}
         self.purges: deque[tuple[int, ObjectsPurged]] = deque(maxlen=PURGES_MOST)
         self.counts: dict[str, int] = {}
         self.shed_now: dict[str, str] = {}  # refused by the last `handle` before any router saw it, and why
         self.out: list[Action] = []
         self.ticks = 0
-        self.arbiter = Arbiter({home: 1.0}, 0, KEPT_STORES)
+        self.arbiter = ShareArbiter({home: 1.0}, 0, KEPT_STORES)
         self._unit(home, seed)
         self.out.append(SetTimer(now + TICK_US, TOKEN))
 
@@ -152,7 +152,7 @@
             self._pass(unit, [TimerFired(inner)])
         return None
 
-    def _pass(self, unit: Unit, events: list[Event]) -> None:
+    def _pass(self, unit: ActiveSite, events: list[Event]) -> None:
         """Events to one site's decider; its actions are taken note of and passed on."""
         for action in unit.decider.handle(self.now, events):
             match action:
@@ -174,9 +174,9 @@
                 case _:
                     self.out.append(action)
 
-    def _sent(self, unit: Unit, request: str, member: str, source: str | None) -> None:
+    def _sent(self, unit: ActiveSite, request: str, member: str, source: str | None) -> None:
         home = self.requests[request]
-        home.tries.append(Try(unit.site, home.local(unit.site), member, source))
+        home.tries.append(RoutedAttempt(unit.site, home.local(unit.site), member, source))
         home.out += 1
         self.watch.evidence.sent(self.now, member)
         told = unit.told.get(source) if source is not None else None
@@ -198,9 +198,9 @@
             return None
         self.watch.asked(self.now, site, ask.object_id)
         calm = self.watch.calm
-        if (calm and site == self.home) or (kind.write and self.set.cache_bypass):
+        if (calm and site == self.home) or (kind.is_write and self.set.cache_bypass):
             # A write runs at the archive, whatever boxes there are.
-            return self._enter(ask, kind, site, self.units[self.home], Way(self.home))
+            return self._enter(ask, kind, site, self.units[self.home], SiteRoute(self.home))
         if self.watch.strangers(self.now, site):
             self._took(self.watch.step(self.now, site, self._pressure))
         way = self.watch.way(self.now, ask, kind, site, self._squeeze)
@@ -214,28 +214,28 @@
             return self._shed(ask, unit, why)
         return self._enter(ask, kind, site, unit, way)
 
-    def _enter(self, ask: RequestArrived, kind: RequestClass, site: str, unit: Unit, way: Way) -> None:
-        home = Home(ask, kind, site, unit.site, self.now, self.now + ask.expires_in_us, way.trial)
+    def _enter(self, ask: RequestArrived, kind: RequestClass, site: str, unit: ActiveSite, way: SiteRoute) -> None:
+        home = SiteRequestOwner(ask, kind, site, unit.site, self.now, self.now + ask.expires_in_us, way.trial)
         self.requests[ask.request_id] = home
         if way.trial:
             self.watch.trial(self.now, site)
         self._join(unit, home)
         self._pass(unit, [ask])
 
-    def _join(self, unit: Unit, home: Home) -> None:
+    def _join(self, unit: ActiveSite, home: SiteRequestOwner) -> None:
         unit.open += 1
         unit.used_us = self.now
-        home.gated = not self.watch.calm and not home.kind.write
+        home.gated = not self.watch.calm and not home.kind.is_write
         if home.gated:
             unit.ladder.gate.enter(home.tenant, 1.0)
 
-    def _leave(self, unit: Unit, home: Home) -> None:
+    def _leave(self, unit: ActiveSite, home: SiteRequestOwner) -> None:
         unit.open -= 1
         if home.gated:
             unit.ladder.gate.leave(home.tenant)
             home.gated = False
 
-    def _shed(self, ask: RequestArrived, unit: Unit, why: str) -> None:
+    def _shed(self, ask: RequestArrived, unit: ActiveSite, why: str) -> None:
         """Refused before any router saw it: at once, with a time to return where the settings allow one."""
         self._count(f"refused.{why}.{ask.class_name}")
         self.shed_now[ask.request_id] = why
@@ -261,7 +261,7 @@
         home.over |= event.is_final
         self._close(event.request_id, home)
 
-    def _source(self, one: Try, event: AttemptEnded) -> None:
+    def _source(self, one: RoutedAttempt, event: AttemptEnded) -> None:
         """What a box of the own site tells of where it filled from."""
         evidence = self.watch.evidence
         if one.source is None or evidence.place_of.get(one.member) != self.home:
@@ -271,7 +271,7 @@
         elif event.detail is AnswerDetail.SOURCE_UNREACHABLE:
             evidence.source(self.now, one.source, False, event.latency_us)
 
-    def _learn(self, unit: Unit, home: Home, event: AttemptEnded) -> None:
+    def _learn(self, unit: ActiveSite, home: SiteRequestOwner, event: AttemptEnded) -> None:
         if not event.is_final or event.status is not AttemptStatus.OK or home.over:
             return
         took = self.now - home.arrived
@@ -280,7 +280,7 @@
         if home.gated:
             unit.ladder.learn(self.now, late, home.kind.latency_objective_us)
 
-    def _given_up(self, unit: Unit, request: str, action: RejectRequest | FailRequest) -> None:
+    def _given_up(self, unit: ActiveSite, request: str, action: RejectRequest | FailRequest) -> None:
         """A router gives a request up. One that only tried a site goes on to where it belongs."""
         home = self.requests.get(request)
         if home is None or home.unit != unit.site or home.over:
@@ -291,7 +291,7 @@
         self.out.append(action)
         self._over(request, home)
 
-    def _second(self, request: str, home: Home) -> bool:
+    def _second(self, request: str, home: SiteRequestOwner) -> bool:
         """Move a request to its object's new home; False where it may not, or there is none."""
         left = home.deadline - self.now
         spent = len(home.tries) >= self.set.limits.max_attempts or left <= self.set.tick_us
@@ -318,16 +318,16 @@
         self._pass(unit, [replace(home.ask, expires_in_us=left, is_retry=True)])
         return True
 
-    def _done_trying(self, home: Home) -> None:
+    def _done_trying(self, home: SiteRequestOwner) -> None:
         if home.trial:
             home.trial = False
             self.watch.trial_over(home.site)
 
-    def _over(self, request: str, home: Home) -> None:
+    def _over(self, request: str, home: SiteRequestOwner) -> None:
         home.over = True
         self._close(request, home)
 
-    def _close(self, request: str, home: Home) -> None:
+    def _close(self, request: str, home: SiteRequestOwner) -> None:
         """Forget a request once it is answered and nothing of it runs."""
         if home.over:
             self._done_trying(home)
@@ -357,7 +357,7 @@
             if changed or gone:
                 self._pass(unit, [EndpointsChanged(EndpointListKind.CHANGE, (*changed, *gone))])
 
-    def _unit(self, site: str, seed: int | None = None) -> Unit:
+    def _unit(self, site: str, seed: int | None = None) -> ActiveSite:
         """What this director uses a site's boxes with; made when it is first wanted."""
         unit = self.units.get(site)
         if unit is not None:
@@ -365,8 +365,8 @@
         own = site == self.home
         told = self.set if own else guest_settings(self.set, self.top, site)
         number = self.random.getrandbits(64) if seed is None else seed
-        ladder = Ladder(self.most_open, self.top.reserves, number ^ word(site))
-        unit = self.units[site] = Unit(site, self.decide(told, number, self.now), ladder, self.now)
+        ladder = SheddingLevels(self.most_open, self.top.reserves, number ^ stable_hash(site))
+        unit = self.units[site] = ActiveSite(site, self.decide(told, number, self.now), ladder, self.now)
         if not own:
             self._pass(unit, [replace(p, age_us=p.age_us + self.now - at) for at, p in self.purges])
             self._share_stores()
@@ -423,7 +423,7 @@
             self._share_stores()
             self._let_go()
 
-    def _took(self, changed: Changed | None) -> None:
+    def _took(self, changed: SiteTransition | None) -> None:
         """A site is held to be in another state: what follows from it, and the word of it."""
         if changed is None:
             return
@@ -453,13 +453,13 @@
 
     # ---- operators --------------------------------------------------------------------------------------
 
-    def order(self, now: int, order: Order) -> None:
+    def order(self, now: int, order: SiteCommand) -> None:
         """An operator's order from this instant on; what it leads to comes from the next `handle`."""
         self.now = now
         self.watch.orders.take(order)
         self._took(self.watch.step(now, order.site, self._pressure))
 
-    def replan(self, now: int, plan: Plan) -> None:
+    def replan(self, now: int, plan: SitePlan) -> None:
         """Another plan for the same topology, as a worker thread has made it."""
         self.now = now
         self.watch.replan(plan)
--- a/onyxwick/sites/homes.py
+++ b/onyxwick/sites/homes.py
@@ -4,16 +4,16 @@
 
 from dataclasses import dataclass
 
-from onyxwick.sites.life import AWAY, Life, Phase
+from onyxwick.sites.life import AWAY, SiteLifecycle, SitePhase
 from onyxwick.sites.model import EVERYBODY
-from onyxwick.sites.plan import Key, Plan, Row, key_of
+from onyxwick.sites.plan import Key, SitePlan, LossPlanRow, key_of
 from onyxwick.sites.slices import SLICES, home_of, kept_of, slice_of, turn_of
 
 READY = 0.5  # of a left site's boxes that the list must name for requests to try it
 
 
 @dataclass(frozen=True, slots=True)
-class Way:
+class SiteRoute:
     """`site` None: refused, for `why`. `trial`: the site is not known to answer."""
 
     site: str | None
@@ -21,17 +21,17 @@
     why: str = ""
 
 
-class Homes:
+class ServingSites:
     """The plan as it applies to what is lost now."""
 
-    def __init__(self, plan: Plan, home: str = "") -> None:
+    def __init__(self, plan: SitePlan, home: str = "") -> None:
         """`home`: the own site. While this director serves, only its boxes can be lost: its clients are
         here."""
         self.plan, self.home = plan, home
         self.lost: frozenset[str] = frozenset()
         self.hubs: frozenset[str] = frozenset()
-        self.row = Row()
-        self.rows: dict[Key, Row] = {}
+        self.row = LossPlanRow()
+        self.rows: dict[Key, LossPlanRow] = {}
         self.tables: dict[tuple[Key, str, str], list[str | None]] = {}
 
     def change(self, lost: frozenset[str], hubs: frozenset[str]) -> bool:
@@ -39,13 +39,13 @@
         if (lost, hubs) == (self.lost, self.hubs):
             return False
         self.lost, self.hubs = lost, hubs
-        self.row = self._of(lost) if lost or hubs else Row()
+        self.row = self._of(lost) if lost or hubs else LossPlanRow()
         return True
 
-    def _of(self, lost: frozenset[str]) -> Row:
+    def _of(self, lost: frozenset[str]) -> LossPlanRow:
         return self.plan.row(lost - {self.home}, self.hubs, lost & {self.home})
 
-    def _row(self, site: str) -> tuple[Key, Row]:
+    def _row(self, site: str) -> tuple[Key, LossPlanRow]:
         """The row with a site lost, whether it is held to be so already or not."""
         lost = self.lost | {site}
         return key_of(lost, self.hubs), self.row if site in self.lost else self._of(lost)
@@ -65,7 +65,7 @@
             found = table[number] = home_of(site, number, weights) or ""
         return found or None
 
-    def _any(self, row: Row, site: str) -> dict[str, float]:
+    def _any(self, row: LossPlanRow, site: str) -> dict[str, float]:
         """Of a class that the plan knows nothing of: as the site's other classes."""
         out: dict[str, float] = {}
         for (origin, _), shares in row.homes.items():
@@ -86,26 +86,26 @@
         share = kept.get((site, kind, tenant), kept.get((site, kind, EVERYBODY), 1.0))
         return share >= 1.0 or kept_of(name) < 1 - (1 - share) * squeeze
 
-    def way(self, life: Life, kind: str, name: str, own: bool, may_try: bool) -> Way:
+    def way(self, life: SiteLifecycle, kind: str, name: str, own: bool, may_try: bool) -> SiteRoute:
         """Where a request for an object of one site's clients goes, by that site's state. `own`: it is this
         director's site; `may_try`: one more request may try a site that is not known to answer."""
         site, phase = life.name, life.phase
-        if phase is Phase.STEADY:
-            return Way(site)
-        if phase in (Phase.SUSPECT, Phase.LOST):
+        if phase is SitePhase.STEADY:
+            return SiteRoute(site)
+        if phase in (SitePhase.SUSPECT, SitePhase.LOST):
             if own or may_try:
-                return Way(site, trial=not own)
-            return Way(None, why="in_doubt")
-        if phase is Phase.EVACUATED and may_try:
-            return Way(site, trial=True)
-        if phase is Phase.EVACUATED or turn_of(site, name) < life.share:
+                return SiteRoute(site, trial=not own)
+            return SiteRoute(None, why="in_doubt")
+        if phase is SitePhase.EVACUATED and may_try:
+            return SiteRoute(site, trial=True)
+        if phase is SitePhase.EVACUATED or turn_of(site, name) < life.share:
             home = self.new_home(site, kind, name)
-            return Way(home, why="" if home else "no_room")
-        if phase is Phase.EVACUATING and life.seen_dark and not own:
-            return Way(None, why="moving")
-        return Way(site)  # not moved yet, where stores and archive are left or nothing is dark; or home again
+            return SiteRoute(home, why="" if home else "no_room")
+        if phase is SitePhase.EVACUATING and life.seen_dark and not own:
+            return SiteRoute(None, why="moving")
+        return SiteRoute(site)  # not moved yet, where stores and archive are left or nothing is dark; or home again
 
 
-def is_left(life: Life) -> bool:
+def is_left(life: SiteLifecycle) -> bool:
     """Is a site's room gone from the plan's point of view?"""
-    return life.phase in AWAY or (life.phase is Phase.RETURNING and life.share > 0)
+    return life.phase in AWAY or (life.phase is SitePhase.RETURNING and life.share > 0)
--- a/onyxwick/sites/model.py
+++ b/onyxwick/sites/model.py
@@ -18,7 +18,7 @@
 EVERYBODY = ""  # the tenant of load that names none
 
 
-class SitesError(ValueError):
+class TopologyError(ValueError):
     """A topology that cannot be used. Names what is wrong: the kind of row, its name and its field."""
 
     def __init__(self, kind: str, name: str, field_name: str, text: str) -> None:
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Path:
+class NetworkLink:
     """The link between two places (sites, hubs, the archive). Capacity 0: not bounded."""
 
     ends: tuple[str, str]
@@ -58,7 +58,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
+class PlannedClass:
     """A class of requests as the plan weighs it. `sending_us`: of one answer at full pace; `fill_us`: the
     same of one fill, at its source; `fill_share`: of its requests that are filled; `relay_share`: of its
     fills that a relay store must fetch from the archive."""
@@ -84,7 +84,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Load:
+class OfferedLoad:
     """Requests a second of one class and tenant from the clients of one site, as stated or as seen."""
 
     kind: str
@@ -94,7 +94,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Policy:
+class SitePolicy:
     """How sites are watched, left and returned to."""
 
     field: str = SITE_FIELD  # the request field that names the client's site
@@ -114,17 +114,17 @@
     sites: Mapping[str, Site]
     hubs: Mapping[str, Hub]
     archive: Hub  # named `archive`
-    kinds: Mapping[str, Kind]
-    loads: tuple[Load, ...]
-    paths: Mapping[frozenset[str], Path] = field(default_factory=dict)
+    kinds: Mapping[str, PlannedClass]
+    loads: tuple[OfferedLoad, ...]
+    paths: Mapping[frozenset[str], NetworkLink] = field(default_factory=dict)
     reserves: Mapping[str, float] = field(default_factory=dict)  # tenant: share of its load that is kept
-    policy: Policy = field(default_factory=Policy)
+    policy: SitePolicy = field(default_factory=SitePolicy)
 
     @property
     def directors(self) -> int:
         return sum(site.directors for site in self.sites.values())
 
-    def path(self, one: str, other: str) -> Path | None:
+    def path(self, one: str, other: str) -> NetworkLink | None:
         return self.paths.get(frozenset((one, other)))
 
     def delay_us(self, one: str, other: str) -> int:
@@ -158,12 +158,12 @@
     rows = (("site", top.sites, MOST_SITES), ("hub", top.hubs, MOST_HUBS), ("load", top.kinds, MOST_KINDS))
     for kind, found, most in rows:
         if len(found) > most:
-            raise SitesError(kind, "", "count", f"{len(found)} are over the bound of {most}")
+            raise TopologyError(kind, "", "count", f"{len(found)} are over the bound of {most}")
     tenants = {load.tenant for load in top.loads}
     if len(tenants) > MOST_TENANTS:
-        raise SitesError("load", "", "tenants", f"{len(tenants)} are over the bound of {MOST_TENANTS}")
+        raise TopologyError("load", "", "tenants", f"{len(tenants)} are over the bound of {MOST_TENANTS}")
     if len(top.sites) < 2:
-        raise SitesError("site", next(iter(top.sites), ""), "count", "the loss of a site wants two at least")
+        raise TopologyError("site", next(iter(top.sites), ""), "count", "the loss of a site wants two at least")
 
 
 def _check_names(top: Topology) -> None:
@@ -172,11 +172,11 @@
     for kind, rows in (("site", top.sites), ("hub", top.hubs)):
         for row in rows.values():
             if row.name in seen:
-                raise SitesError(kind, row.name, "name", f"is {seen[row.name]}'s name too")
+                raise TopologyError(kind, row.name, "name", f"is {seen[row.name]}'s name too")
             seen[row.name] = f"a {kind}"
             if kind == "site" and row.zone in zones:
                 text = f"zone '{row.zone}' is site '{zones[row.zone]}' already"
-                raise SitesError(kind, row.name, "zone", text)
+                raise TopologyError(kind, row.name, "zone", text)
             if kind == "site":
                 zones[row.zone] = row.name
 
@@ -186,20 +186,20 @@
     for path in top.paths.values():
         for end in path.ends:
             if end not in places:
-                raise SitesError("path", " - ".join(path.ends), "between", f"there is no place '{end}'")
+                raise TopologyError("path", " - ".join(path.ends), "between", f"there is no place '{end}'")
     for site in top.sites.values():
         for name in site.failover:
             if name not in top.sites or name == site.name:
-                raise SitesError("site", site.name, "failover", f"'{name}' is no other site")
+                raise TopologyError("site", site.name, "failover", f"'{name}' is no other site")
     for load in top.loads:
         if load.site not in top.sites:
-            raise SitesError("load", load.kind, "rate_per_s", f"there is no site '{load.site}'")
+            raise TopologyError("load", load.kind, "rate_per_s", f"there is no site '{load.site}'")
         if load.kind not in top.kinds:
-            raise SitesError("load", load.kind, "class", "is no class with a load")
+            raise TopologyError("load", load.kind, "class", "is no class with a load")
     tenants = {load.tenant for load in top.loads}
     for tenant in top.reserves:
         if tenant not in tenants:
-            raise SitesError("sites", "", "reserves", f"tenant '{tenant}' has no load")
+            raise TopologyError("sites", "", "reserves", f"tenant '{tenant}' has no load")
 
 
 def check(top: Topology) -> Topology:
--- a/onyxwick/sites/parts.py
+++ b/onyxwick/sites/parts.py
@@ -17,7 +17,7 @@
 
 from onyxwick.interface import FleetShareChanged, RouterSettings
 from onyxwick.sites.model import Topology
-from onyxwick.sites.plan import Row
+from onyxwick.sites.plan import LossPlanRow
 
 LEAST_WARM = 0.25  # of a site's boxes, for all guests: trials and what a plan does not know of
 ROOM = 1.5  # times what the plan has for guests: they come unevenly, and a limit is no load
@@ -31,7 +31,7 @@
 
 
 def parts(
-    top: Topology, row: Row, lost: Collection[str], site: str, home: str, stores: float, silent: int = 0
+    top: Topology, row: LossPlanRow, lost: Collection[str], site: str, home: str, stores: float, silent: int = 0
 ) -> FleetShareChanged:
     """What one decider of a director at `home` may ask of a site's boxes, and of the `stores`. `silent`:
     directors that serve nobody now, whose part of what is warm the others take."""
--- a/onyxwick/sites/pictures.py
+++ b/onyxwick/sites/pictures.py
@@ -9,13 +9,13 @@
 matplotlib.use("Agg")
 from matplotlib import pyplot
 
-from onyxwick.sites.planner import Study
+from onyxwick.sites.planner import LossStudy
 from onyxwick.sites.programme import spelled
 
 MOST_ROWS, MOST_COLUMNS = 60, 40  # the fullest ones; more would be no picture
 
 
-def draw(study: Study, path: Path) -> None:
+def draw(study: LossStudy, path: Path) -> None:
     """Losses by places, the share used as colour and figure; what is refused stands beside each loss."""
     outcomes = sorted(
         study.outcomes.values(), key=lambda o: -max((u.share for u in o.use.values()), default=0)
--- a/onyxwick/sites/plan.py
+++ b/onyxwick/sites/plan.py
@@ -18,12 +18,12 @@
 Key = frozenset[str]
 
 
-class PlanMismatch(ValueError):
+class PlanMismatchError(ValueError):
     """A plan that was made for another topology, or is no plan; the text says which."""
 
 
 @dataclass(frozen=True, slots=True)
-class Row:
+class LossPlanRow:
     """One loss. `homes`: (site, class) to new homes by share; `kept`: (site, class, tenant) to the share that
     is served, where it is under 1; `guests`: of each survivor's boxes, the share that others' clients use."""
 
@@ -54,16 +54,16 @@
     return frozenset(sites) | {f"hub {hub}" for hub in hubs} | {f"boxes of {site}" for site in boxes}
 
 
-class Plan:
+class SitePlan:
     """All rows for one topology."""
 
-    def __init__(self, top: Topology, rows: Mapping[Key, Row] | None = None) -> None:
+    def __init__(self, top: Topology, rows: Mapping[Key, LossPlanRow] | None = None) -> None:
         self.top, self.digest = top, digest(top)
-        self.rows: dict[Key, Row] = dict(rows or {})
-        self.made: dict[Key, Row] = {}  # put together where no row was made
+        self.rows: dict[Key, LossPlanRow] = dict(rows or {})
+        self.made: dict[Key, LossPlanRow] = {}  # put together where no row was made
         self.stated = bool(rows)
 
-    def row(self, sites: Iterable[str], hubs: Iterable[str] = (), boxes: Iterable[str] = ()) -> Row:
+    def row(self, sites: Iterable[str], hubs: Iterable[str] = (), boxes: Iterable[str] = ()) -> LossPlanRow:
         """What to do while these places are lost, exactly as planned or put together."""
         key = key_of(sites, hubs, boxes)
         found = self.rows.get(key) or self.made.get(key)
@@ -73,7 +73,7 @@
             found = self.made[key] = self._put_together(frozenset(sites), frozenset(hubs), frozenset(boxes))
         return found
 
-    def _put_together(self, sites: Key, hubs: Key, boxes: Key) -> Row:
+    def _put_together(self, sites: Key, hubs: Key, boxes: Key) -> LossPlanRow:
         """Each lost site's own row without those that are lost too; the least that any single loss keeps."""
         homes: dict[tuple[str, str], Mapping[str, float]] = {}
         kept: dict[tuple[str, str, str], float] = {}
@@ -81,14 +81,14 @@
         alive = [s for s in self.top.sites.values() if s.name not in gone]
         own = {site: key_of([site]) for site in sites} | {site: key_of((), (), [site]) for site in boxes}
         for part in [*own.values(), *(key_of([], [hub]) for hub in hubs)]:
-            for at, share in self.rows.get(part, Row()).kept.items():
+            for at, share in self.rows.get(part, LossPlanRow()).kept.items():
                 kept[at] = min(share, kept.get(at, 1.0))
         for site, part in sorted(own.items()):
-            row = self.rows.get(part, Row())
+            row = self.rows.get(part, LossPlanRow())
             for kind in self.top.kinds:
                 told = {s: w for s, w in row.homes.get((site, kind), {}).items() if s not in gone}
                 homes[(site, kind)] = told or _by_capacity(alive)
-        return Row(homes, kept, dict.fromkeys((s.name for s in alive), 1 / max(1, len(alive))))
+        return LossPlanRow(homes, kept, dict.fromkeys((s.name for s in alive), 1 / max(1, len(alive))))
 
 
 def _by_capacity(alive: list[Site]) -> dict[str, float]:
@@ -99,7 +99,7 @@
 # ---- as JSON ----------------------------------------------------------------------------------------------
 
 
-def to_json(plan: Plan) -> dict[str, Any]:
+def to_json(plan: SitePlan) -> dict[str, Any]:
     rows = []
     for key, row in sorted(plan.rows.items(), key=lambda pair: sorted(pair[0])):
         rows.append(
@@ -113,21 +113,21 @@
     return {"format": FORMAT, "topology": plan.digest, "rows": rows}
 
 
-def of_json(top: Topology, data: Any) -> Plan:
+def of_json(top: Topology, data: Any) -> SitePlan:
     """A plan as `to_json` wrote it; PlanMismatch where it is none, or one for another topology."""
     if not isinstance(data, dict) or data.get("format") != FORMAT or not isinstance(data.get("rows"), list):
-        raise PlanMismatch(f"no plan of format {FORMAT}")
+        raise PlanMismatchError(f"no plan of format {FORMAT}")
     if data.get("topology") != digest(top):
-        raise PlanMismatch(
+        raise PlanMismatchError(
             f"made for topology {data.get('topology')}, and the service file states {digest(top)}:"
             " make it anew with `onyxwick sites plan`"
         )
-    rows: dict[Key, Row] = {}
+    rows: dict[Key, LossPlanRow] = {}
     try:
         for told in data["rows"]:
             homes = {(str(s), str(k)): dict(shares) for s, k, shares in told["homes"]}
             kept = {(str(s), str(k), str(t)): float(share) for s, k, t, share in told["kept"]}
-            rows[frozenset(told["lost"])] = Row(homes, kept, dict(told["guests"]))
+            rows[frozenset(told["lost"])] = LossPlanRow(homes, kept, dict(told["guests"]))
     except (KeyError, TypeError, ValueError) as error:
-        raise PlanMismatch(f"a row of the plan cannot be read: {error!r}") from None
-    return Plan(top, rows)
+        raise PlanMismatchError(f"a row of the plan cannot be read: {error!r}") from None
+    return SitePlan(top, rows)
--- a/onyxwick/sites/planner.py
+++ b/onyxwick/sites/planner.py
@@ -8,24 +8,24 @@
 from itertools import combinations
 
 from onyxwick.sites.model import Topology
-from onyxwick.sites.plan import Key, Plan, Row, key_of
-from onyxwick.sites.programme import NEAREST, Loss, Outcome, Resource, Use, solve, spelled
+from onyxwick.sites.plan import Key, SitePlan, LossPlanRow, key_of
+from onyxwick.sites.programme import NEAREST, SiteLoss, LossOutcome, Resource, ResourceUse, solve, spelled
 
 MOST_PAIRS = 2_000
 SAME = 1e-3  # shares nearer than this are the same
 
 
 @dataclass(slots=True)
-class Study:
+class LossStudy:
     """Every loss that was looked at, with what became of it, and the plan made of them."""
 
     top: Topology
-    outcomes: dict[Key, Outcome] = field(default_factory=dict)
+    outcomes: dict[Key, LossOutcome] = field(default_factory=dict)
     left_out: int = 0  # pairs that share a survivor and were over the bound
     apart: int = 0  # pairs that share none: what each loses is what it loses alone
 
-    def plan(self) -> Plan:
-        return Plan(self.top, {key: _row(self.top, out) for key, out in self.outcomes.items()})
+    def plan(self) -> SitePlan:
+        return SitePlan(self.top, {key: _row(self.top, out) for key, out in self.outcomes.items()})
 
     def findings(self) -> list[str]:
         """What cannot be borne, in words with figures; the steady state and single losses first."""
@@ -46,10 +46,10 @@
         return out
 
 
-def _row(top: Topology, outcome: Outcome) -> Row:
+def _row(top: Topology, outcome: LossOutcome) -> LossPlanRow:
     guests = {}
     for name in top.sites:
-        use: Use | None = outcome.use.get(("boxes", name))
+        use: ResourceUse | None = outcome.use.get(("boxes", name))
         if name not in outcome.loss.sites | outcome.loss.boxes and use is not None:
             guests[name] = use.share
     own = {load.site: 0.0 for load in top.loads}
@@ -59,14 +59,14 @@
         own[load.site] += 0.0 if kind.write else load.rate_per_s * kind.work * kept
     for name, share in guests.items():
         guests[name] = max(0.0, share - own.get(name, 0.0) / max(1e-9, top.sites[name].capacity))
-    return Row(outcome.homes, outcome.kept, {name: round(share, 6) for name, share in guests.items()})
+    return LossPlanRow(outcome.homes, outcome.kept, {name: round(share, 6) for name, share in guests.items()})
 
 
 def _near(top: Topology, site: str) -> set[str]:
     return set(top.near(site, top.sites)[:NEAREST])
 
 
-def _pairs(study: Study) -> list[tuple[str, str]]:
+def _pairs(study: LossStudy) -> list[tuple[str, str]]:
     """Those whose survivors meet, the ones with the least room left between them first."""
     top = study.top
     near = {site: _near(top, site) for site in top.sites}
@@ -82,7 +82,7 @@
     return [(one, other) for _, one, other in meeting[:MOST_PAIRS]]
 
 
-def _room(study: Study, lost: str, survivor: str) -> float:
+def _room(study: LossStudy, lost: str, survivor: str) -> float:
     """Of a survivor's boxes that one loss leaves free, in transfers."""
     outcome = study.outcomes.get(key_of([lost]))
     use = outcome.use.get(("boxes", survivor)) if outcome is not None else None
@@ -90,29 +90,29 @@
     return capacity - use.used if use is not None else capacity
 
 
-def losses(study: Study, pairs: bool) -> Iterator[Loss]:
+def losses(study: LossStudy, pairs: bool) -> Iterator[SiteLoss]:
     """In the order of solving: pairs are chosen by what the single losses left."""
-    yield Loss()
+    yield SiteLoss()
     for site in study.top.sites:
-        yield Loss(frozenset([site]))
+        yield SiteLoss(frozenset([site]))
     for hub in study.top.hubs:
-        yield Loss(hubs=frozenset([hub]))
+        yield SiteLoss(hubs=frozenset([hub]))
     for site in study.top.sites:
-        yield Loss(boxes=frozenset([site]))
+        yield SiteLoss(boxes=frozenset([site]))
     if pairs and len(study.top.sites) > 2:
         for one, other in _pairs(study):
-            yield Loss(frozenset([one, other]))
+            yield SiteLoss(frozenset([one, other]))
 
 
-def study(top: Topology, pairs: bool = True) -> Study:
+def study(top: Topology, pairs: bool = True) -> LossStudy:
     """Every loss solved; `programme.Unsolved` where HiGHS gives no answer."""
-    out = Study(top)
+    out = LossStudy(top)
     for loss in losses(out, pairs):
         out.outcomes[key_of(loss.sites, loss.hubs, loss.boxes)] = solve(top, loss)
     return out
 
 
-def compared(one: Outcome, other: Outcome) -> dict[Resource, float]:
+def compared(one: LossOutcome, other: LossOutcome) -> dict[Resource, float]:
     """Resources by how much more of their capacity the second loss uses than the first."""
     return {
         r: use.share - one.use[r].share
--- a/onyxwick/sites/programme.py
+++ b/onyxwick/sites/programme.py
@@ -17,7 +17,7 @@
 from scipy.optimize import linprog
 from scipy.sparse import csr_matrix
 
-from onyxwick.sites.model import ARCHIVE, Kind, Load, Topology
+from onyxwick.sites.model import ARCHIVE, PlannedClass, OfferedLoad, Topology
 from onyxwick.sites.plan import key_of
 
 NEAREST = 12  # survivors that may take a lost site's load, the nearest ones
@@ -35,12 +35,12 @@
 Resource = tuple[str, ...]  # ("boxes", site), ("stores", hub), ("archive",), ("link", a, b)
 
 
-class Unsolved(Exception):
+class PlanUnsolvedError(Exception):
     """HiGHS found no answer; the text is its own."""
 
 
 @dataclass(frozen=True, slots=True)
-class Loss:
+class SiteLoss:
     """What is lost at once; `boxes`: sites whose boxes alone are, and whose clients stay."""
 
     sites: frozenset[str] = frozenset()
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Use:
+class ResourceUse:
     """Transfers at once of a resource, and how many it has."""
 
     used: float
@@ -64,17 +64,17 @@
 
 
 @dataclass(slots=True)
-class Outcome:
+class LossOutcome:
     """The answer for one loss. Shares are of what is served; `kept` is what is served of what is asked."""
 
-    loss: Loss
+    loss: SiteLoss
     homes: dict[tuple[str, str], dict[str, float]] = field(
         default_factory=dict
     )  # (site, class): {site: share}
     kept: dict[tuple[str, str, str], float] = field(
         default_factory=dict
     )  # (site, class, tenant): under 1 only
-    use: dict[Resource, Use] = field(default_factory=dict)
+    use: dict[Resource, ResourceUse] = field(default_factory=dict)
     need: dict[Resource, float] = field(default_factory=dict)  # transfers more, for nothing to be refused
     worth: float = 0.0  # a second, served
     asked: float = 0.0
@@ -108,7 +108,7 @@
 class _Demand:
     """Requests a second that come by the same ways and may be served at the same places."""
 
-    load: Load
+    load: OfferedLoad
     rate: float
     arrivals: dict[str, float]
     places: tuple[str, ...]
@@ -118,7 +118,7 @@
 class _Matter:
     """What one loss leaves: capacities, the split of fills, and what a request at a place uses."""
 
-    def __init__(self, top: Topology, loss: Loss) -> None:
+    def __init__(self, top: Topology, loss: SiteLoss) -> None:
         self.top, self.loss = top, loss
         self.without = loss.sites | loss.boxes
         self.alive = [s for s in top.sites if s not in self.without]
@@ -141,7 +141,7 @@
     def arrivals(self, site: str) -> dict[str, float]:
         return self.top.arrivals(site, self.loss.sites)
 
-    def uses(self, kind: Kind, arrivals: dict[str, float], place: str) -> dict[Resource, float]:
+    def uses(self, kind: PlannedClass, arrivals: dict[str, float], place: str) -> dict[Resource, float]:
         """Transfers for each request a second."""
         out: dict[Resource, float] = {}
 
@@ -167,7 +167,7 @@
             add(_link(place, ARCHIVE), kind.fill_work)
         return out
 
-    def demands(self, loads: Iterable[Load]) -> list[_Demand]:
+    def demands(self, loads: Iterable[OfferedLoad]) -> list[_Demand]:
         """A demand for each load; of a lost site's, one for the objects that nobody else wants, which move,
         and one for each site that its clients come to, for those that are there already."""
         out = []
@@ -405,7 +405,7 @@
         bounds[-1] = (0.0, most_of_last)
     found = linprog(cost, A_ub=left, b_ub=right, bounds=bounds, method="highs")
     if found.x is None:
-        raise Unsolved(str(found.message))
+        raise PlanUnsolvedError(str(found.message))
     return np.asarray(found.x)
 
 
@@ -441,11 +441,11 @@
     return any(amount > headroom * matter.capacity(r) for r, amount in sources.items())
 
 
-def solve(top: Topology, loss: Loss) -> Outcome:
+def solve(top: Topology, loss: SiteLoss) -> LossOutcome:
     """The answer for one loss; Unsolved where HiGHS gives none."""
     matter = _Matter(top, loss)
     demands, base = _split(matter)
-    out = Outcome(loss, asked=sum(x.rate_per_s * top.kinds[x.kind].worth for x in top.loads))
+    out = LossOutcome(loss, asked=sum(x.rate_per_s * top.kinds[x.kind].worth for x in top.loads))
     fixed = out.asked - sum(d.rate * top.kinds[d.load.kind].worth for d in demands)
     programme = _Programme(matter, demands, base)
     if not programme.choices:
@@ -460,7 +460,7 @@
     return out
 
 
-def _fill_in(out: Outcome, programme: _Programme, rates: np.ndarray, base: dict[Resource, float]) -> None:
+def _fill_in(out: LossOutcome, programme: _Programme, rates: np.ndarray, base: dict[Resource, float]) -> None:
     matter, demands = programme.matter, programme.demands
     got = programme._of_demand() @ rates
     moved: dict[tuple[str, str], dict[str, float]] = {}
@@ -480,7 +480,7 @@
     out.kept = {at: max(0.0, g / a) for at, (a, g) in asked.items() if g < a * (1 - 1e-4)}
     used = programme._use() @ rates
     for resource, amount in zip(programme.resources, used, strict=True):
-        out.use[resource] = Use(float(amount) + base.get(resource, 0.0), matter.capacity(resource))
+        out.use[resource] = ResourceUse(float(amount) + base.get(resource, 0.0), matter.capacity(resource))
     for resource, amount in base.items():
         if resource not in out.use:
-            out.use[resource] = Use(amount, matter.capacity(resource))
+            out.use[resource] = ResourceUse(amount, matter.capacity(resource))
--- a/onyxwick/sites/refusal.py
+++ b/onyxwick/sites/refusal.py
@@ -13,7 +13,7 @@
 import random
 from collections.abc import Mapping
 
-from onyxwick.cells.limits import Gate
+from onyxwick.cells.limits import AdmissionGate
 from onyxwick.interface import Idempotency, RequestClass
 
 S = 1_000_000
@@ -33,7 +33,7 @@
     order = sorted(
         classes.values(),
         key=lambda c: (
-            c.idempotency is Idempotency.NON_IDEMPOTENT or c.write,
+            c.idempotency is Idempotency.NON_IDEMPOTENT or c.is_write,
             c.priority_weight / max(1.0, work_us[c.name]),
             c.name,
         ),
@@ -41,11 +41,11 @@
     return {c.name: n / max(1, len(order) - 1) for n, c in enumerate(order)}
 
 
-class Ladder:
+class SheddingLevels:
     """One site's: what is still let in, and the reserve that its router has."""
 
     def __init__(self, most_open: int, reserves: Mapping[str, float], seed: int) -> None:
-        self.gate = Gate(most_open)
+        self.gate = AdmissionGate(most_open)
         self.reserves = reserves
         self.random = random.Random(seed)
         self.pressure, self.level = 0.0, 0
@@ -89,7 +89,7 @@
 
     def refusal(self, kind: RequestClass, tenant: str, again: bool, priority: float) -> str | None:
         """Why a request is not let in, or None."""
-        if kind.write or kind.idempotency is Idempotency.NON_IDEMPOTENT:
+        if kind.is_write or kind.idempotency is Idempotency.NON_IDEMPOTENT:
             return None  # last of all: the archive's own limits hold for it
         if self.level < 2:
             return None  # the router's own limits are enough
--- a/onyxwick/sites/roster.py
+++ b/onyxwick/sites/roster.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Standing:
+class PlaceAvailability:
     """What the list tells of one place. Shares are of what the topology states for it."""
 
     listed: float = 1.0  # members named ready
@@ -22,7 +22,7 @@
     warmth: float = 1.0  # and can give now
 
 
-class Roster:
+class SiteMembership:
     """Members and their places."""
 
     def __init__(self, settings: RouterSettings, top: Topology) -> None:
@@ -30,7 +30,7 @@
         self.listed: dict[str, Member] = {}
         self.most: dict[str, int] = {}  # of a hub: the most stores that the list has named
         self.loaded = False
-        self.known: dict[str, tuple[Standing, int]] = {}  # as reckoned last, and until when that holds
+        self.known: dict[str, tuple[PlaceAvailability, int]] = {}  # as reckoned last, and until when that holds
         self.site_of_zone = {s.zone: s.name for s in top.sites.values()}
         self.hub_of_zone = {h.zone: h.name for h in top.hubs.values()}
 
@@ -71,10 +71,10 @@
     def _ready(self, place: str) -> list[Member]:
         return [m for m in self.listed.values() if m.state is MemberState.READY and self.place_of(m) == place]
 
-    def standing(self, place: str, now: int) -> Standing:
+    def standing(self, place: str, now: int) -> PlaceAvailability:
         """What the list tells of a place; reckoned anew when the list changes, or while a member warms up."""
         if not self.loaded:
-            return Standing()
+            return PlaceAvailability()
         held = self.known.get(place)
         if held is not None and now < held[1]:
             return held[0]
@@ -83,7 +83,7 @@
         planned = self.top.hubs[place].capacity if hub else self.top.sites[place].capacity
         members = self._ready(place)
         sizes = [(m.weight if m.weight > 0 else planned / known, self._warm(m, now, hub)) for m in members]
-        out = Standing(
+        out = PlaceAvailability(
             min(1.0, len(members) / known),
             min(1.0, sum(size for size, _ in sizes) / max(1e-9, planned)),
             min(1.0, sum(size * warm for size, warm in sizes) / max(1e-9, planned)),
--- a/onyxwick/sites/shown.py
+++ b/onyxwick/sites/shown.py
@@ -4,12 +4,12 @@
 
 from typing import Any
 
-from onyxwick.sites.fleet import Sites
-from onyxwick.sites.life import Phase
+from onyxwick.sites.fleet import SiteRouter
+from onyxwick.sites.life import SitePhase
 from onyxwick.sites.slices import slice_of, turn_of
 
 
-def show(sites: Sites, now: int) -> dict[str, Any]:
+def show(sites: SiteRouter, now: int) -> dict[str, Any]:
     """All of the state that an operator can act on."""
     return {
         "home": sites.home,
@@ -25,7 +25,7 @@
     }
 
 
-def _place(sites: Sites, name: str, now: int) -> dict[str, Any]:
+def _place(sites: SiteRouter, name: str, now: int) -> dict[str, Any]:
     life, seen, standing = (
         sites.watch.lives[name],
         sites.watch.evidence.seen(now, name),
@@ -54,13 +54,13 @@
     return out
 
 
-def explain(sites: Sites, site: str, kind: str, name: str) -> list[str]:
+def explain(sites: SiteRouter, site: str, kind: str, name: str) -> list[str]:
     """Why an object of a site's clients goes where it goes at this instant. KeyError for what is unknown."""
     life, told = sites.watch.lives[site], sites.classes[kind]
     if site not in sites.top.sites:
         raise KeyError(site)
     out = [f"Site '{site}' is {life.phase.value}: {life.why}."]
-    if told.write and sites.set.cache_bypass:
+    if told.is_write and sites.set.cache_bypass:
         return [
             *out,
             f"A '{kind}' runs at the archive and is sent there from here, whatever boxes there are.",
@@ -69,7 +69,7 @@
         out.append(f"Held to be lost: {', '.join(sorted(sites.watch.homes.lost))}.")
     if not sites.watch.homes.kept(site, kind, "", name, 1.0):
         return [*out, "The plan has no room for this object in that loss: it is refused at once."]
-    if life.phase is Phase.STEADY:
+    if life.phase is SitePhase.STEADY:
         return [*out, f"It is served by the boxes of '{site}'."]
     new, turn = sites.watch.homes.new_home(site, kind, name), turn_of(site, name)
     out.append(
--- a/onyxwick/sites/slices.py
+++ b/onyxwick/sites/slices.py
@@ -16,19 +16,19 @@
 SLICES = 1024
 
 
-def word(text: str) -> int:
+def stable_hash(text: str) -> int:
     return int.from_bytes(blake2b(text.encode(), digest_size=8).digest(), "big")
 
 
 @lru_cache(maxsize=1 << 14)
 def slice_of(name: str) -> int:
     """The slice of an object, all its parts alike."""
-    return word(name) % SLICES
+    return stable_hash(name) % SLICES
 
 
 @lru_cache(maxsize=1 << 16)
 def _draw(origin: str, number: int, site: str) -> float:
-    return -math.log((word(f"{origin}/{number}/{site}") + 1) / (2**64 + 1))
+    return -math.log((stable_hash(f"{origin}/{number}/{site}") + 1) / (2**64 + 1))
 
 
 def home_of(origin: str, number: int, weights: Mapping[str, float]) -> str | None:
@@ -46,10 +46,10 @@
 def turn_of(origin: str, name: str) -> float:
     """When an object's turn comes in a move away from a site: 0 among the first, just under 1 among the last.
     Not by the bits that choose its slice's home: each step moves a part of every home's slices."""
-    return word(f"turn/{origin}/{slice_of(name)}") / 2**64
+    return stable_hash(f"turn/{origin}/{slice_of(name)}") / 2**64
 
 
 @lru_cache(maxsize=1 << 14)
 def kept_of(name: str) -> float:
     """Where an object stands among those that are refused last (0) and first (just under 1)."""
-    return word(f"kept/{name}") / 2**64
+    return stable_hash(f"kept/{name}") / 2**64
--- a/onyxwick/sites/unit.py
+++ b/onyxwick/sites/unit.py
@@ -5,11 +5,11 @@
 from dataclasses import dataclass, field
 
 from onyxwick.interface import FleetShareChanged, Member, RequestArrived, RequestClass, RequestRouter
-from onyxwick.sites.refusal import Ladder
+from onyxwick.sites.refusal import SheddingLevels
 
 
 @dataclass(frozen=True, slots=True)
-class Try:
+class RoutedAttempt:
     """One attempt of a request: which unit's router ordered it, as its how-manieth."""
 
     unit: str
@@ -19,7 +19,7 @@
 
 
 @dataclass(slots=True)
-class Home:
+class SiteRequestOwner:
     """Where one request lives. It moves once at the most, and only what may run twice."""
 
     ask: RequestArrived
@@ -33,7 +33,7 @@
     moved: bool = False
     over: bool = False
     out: int = 0
-    tries: list[Try] = field(default_factory=list)
+    tries: list[RoutedAttempt] = field(default_factory=list)
 
     @property
     def tenant(self) -> str:
@@ -48,10 +48,10 @@
         return next((n for n, one in enumerate(self.tries) if (one.unit, one.number) == (unit, local)), None)
 
 
-class Unit:
+class ActiveSite:
     """A site's decider, what it was told of the list, its ladder."""
 
-    def __init__(self, site: str, decider: RequestRouter, ladder: Ladder, now: int) -> None:
+    def __init__(self, site: str, decider: RequestRouter, ladder: SheddingLevels, now: int) -> None:
         self.site, self.decider, self.ladder = site, decider, ladder
         self.told: dict[str, Member] = {}
         self.open = 0
--- a/onyxwick/sites/wanted.py
+++ b/onyxwick/sites/wanted.py
@@ -14,7 +14,7 @@
 AGAIN_US = 120 * S  # or asked for twice within so long
 
 
-class Wanted:
+class LocalDemand:
     """When each object was asked for by own clients, the last time and the time before."""
 
     def __init__(self) -> None:
--- a/onyxwick/sites/watch.py
+++ b/onyxwick/sites/watch.py
@@ -6,52 +6,52 @@
 from dataclasses import dataclass
 
 from onyxwick.interface import EndpointsChanged, Idempotency, RequestArrived, RequestClass, RouterSettings
-from onyxwick.sites.evidence import SEEN_US, Evidence, Kind
-from onyxwick.sites.homes import READY, Homes, Way, is_left
-from onyxwick.sites.life import AWAY, Life, Phase, Signs
+from onyxwick.sites.evidence import SEEN_US, Evidence, AttemptEvidence
+from onyxwick.sites.homes import READY, ServingSites, SiteRoute, is_left
+from onyxwick.sites.life import AWAY, SiteLifecycle, SitePhase, SiteHealthSignals
 from onyxwick.sites.model import Topology
-from onyxwick.sites.orders import Order, Orders
-from onyxwick.sites.plan import Plan
-from onyxwick.sites.roster import Roster
-from onyxwick.sites.wanted import Wanted
+from onyxwick.sites.orders import SiteCommand, SiteCommands
+from onyxwick.sites.plan import SitePlan
+from onyxwick.sites.roster import SiteMembership
+from onyxwick.sites.wanted import LocalDemand
 
 S = 1_000_000
 TRIAL_US = 150_000  # between two trials of a site that is left
 ASKED_US = 5 * S
 UNASKED_US = 10 * S  # without its clients, a left site is returned to on the list's word alone
 PAUSED_US = 2 * S  # between two ticks: the process was stopped
-TRIED = (Phase.SUSPECT, Phase.LOST, Phase.EVACUATED)
+TRIED = (SitePhase.SUSPECT, SitePhase.LOST, SitePhase.EVACUATED)
 
 
 @dataclass(frozen=True, slots=True)
-class Changed:
+class SiteTransition:
     """A site entered another state."""
 
     name: str
-    before: Phase
-    life: Life
+    before: SitePhase
+    life: SiteLifecycle
 
 
-class Watch:
+class SiteMonitor:
     """All places of one director's topology, as it sees them from its own site."""
 
-    def __init__(self, settings: RouterSettings, top: Topology, plan: Plan, home: str, now: int) -> None:
+    def __init__(self, settings: RouterSettings, top: Topology, plan: SitePlan, home: str, now: int) -> None:
         self.top, self.home = top, home
-        self.roster, self.evidence = Roster(settings, top), Evidence(settings.limits.connect_timeout_us)
-        self.homes, self.orders = Homes(plan, home), Orders()
-        self.lives = {name: Life(name, now, top.policy) for name in (*top.sites, *top.hubs)}
+        self.roster, self.evidence = SiteMembership(settings, top), Evidence(settings.limits.connect_timeout_us)
+        self.homes, self.orders = ServingSites(plan, home), SiteCommands()
+        self.lives = {name: SiteLifecycle(name, now, top.policy) for name in (*top.sites, *top.hubs)}
         self.asked_us: dict[str, int] = {home: now}  # when a site's clients last came here
         self.trial_us: dict[str, int] = {}
         self.trials: dict[str, int] = {}  # out now
         self.well_us: dict[str, int] = {}  # since when trials are answered
         self.listed_us: dict[str, int] = {}  # since when enough of its boxes are listed
-        self.wanted = Wanted()
+        self.wanted = LocalDemand()
         self.calm, self.cut_off, self.begun = True, False, False
         self.ticked_us = now
 
     # ---- what comes in ----------------------------------------------------------------------------------
 
-    def listed(self, now: int, event: EndpointsChanged) -> list[Changed]:
+    def listed(self, now: int, event: EndpointsChanged) -> list[SiteTransition]:
         anew = self.roster.changed(event)
         self.evidence.listed(self.roster.ready())
         for member in anew:
@@ -61,14 +61,14 @@
         self.begun = True
         return self._begin(now)
 
-    def _begin(self, now: int) -> list[Changed]:
+    def _begin(self, now: int) -> list[SiteTransition]:
         """The first list after a start: a site found cold has just come back, and others left it before."""
         out = []
         for name in self.top.sites:
             standing, life = self.roster.standing(name, now), self.lives[name]
-            life.began(now, Signs(listed=standing.listed, room=standing.room, warmth=standing.warmth))
-            if life.phase is not Phase.STEADY:
-                out.append(Changed(name, Phase.STEADY, life))
+            life.began(now, SiteHealthSignals(listed=standing.listed, room=standing.room, warmth=standing.warmth))
+            if life.phase is not SitePhase.STEADY:
+                out.append(SiteTransition(name, SitePhase.STEADY, life))
         self.arrange()
         return out
 
@@ -84,9 +84,9 @@
     def trial_over(self, site: str) -> None:
         self.trials[site] = max(0, self.trials.get(site, 0) - 1)
 
-    def tried(self, now: int, site: str, kind: Kind | None) -> None:
+    def tried(self, now: int, site: str, kind: AttemptEvidence | None) -> None:
         """An attempt of a trial has ended."""
-        if kind is Kind.ANSWERED:
+        if kind is AttemptEvidence.ANSWERED:
             self.well_us[site] = self.well_us.get(site) or now
         elif kind is not None:
             self.well_us[site] = 0
@@ -100,29 +100,29 @@
         kind: RequestClass,
         site: str,
         squeeze: Callable[[str], float],
-    ) -> Way:
+    ) -> SiteRoute:
         """Where a request of one site's clients goes. Steady strangers must be stepped first (`strangers`).
         `squeeze`: of what the plan refuses, the share that is too much for a site's boxes now."""
         way = self._way(now, ask, kind, site)
         if way.site is not None and not way.trial:
             tight = squeeze(way.site)
             if not self.homes.kept(site, kind.name, ask.tenant or "", ask.object_id, tight):
-                return Way(None, why="plan")
+                return SiteRoute(None, why="plan")
         return way
 
-    def _way(self, now: int, ask: RequestArrived, kind: RequestClass, site: str) -> Way:
-        doubted = site != self.home and self.lives[site].phase in (Phase.SUSPECT, *AWAY)
-        if doubted and self.lives[self.home].phase is Phase.STEADY and self.wanted.here(now, ask.object_id):
-            return Way(self.home)  # it is here already, whatever its new home is
+    def _way(self, now: int, ask: RequestArrived, kind: RequestClass, site: str) -> SiteRoute:
+        doubted = site != self.home and self.lives[site].phase in (SitePhase.SUSPECT, *AWAY)
+        if doubted and self.lives[self.home].phase is SitePhase.STEADY and self.wanted.here(now, ask.object_id):
+            return SiteRoute(self.home)  # it is here already, whatever its new home is
         may_try = self._may_try(now, site, kind)
         way = self.homes.way(self.lives[site], kind.name, ask.object_id, site == self.home, may_try)
         if way.site is not None and way.site != self.home and self.cut_off:
-            return Way(None, why="cut_off")
+            return SiteRoute(None, why="cut_off")
         return way
 
     def strangers(self, now: int, site: str) -> bool:
         """Do clients come whose site is held to be steady though nothing was heard of it lately?"""
-        return site != self.home and self.lives[site].phase is Phase.STEADY and not self._heard(now, site)
+        return site != self.home and self.lives[site].phase is SitePhase.STEADY and not self._heard(now, site)
 
     def _heard(self, now: int, site: str) -> bool:
         place = self.evidence.places.get(site)
@@ -133,7 +133,7 @@
         life = self.lives[site]
         if kind.idempotency is not Idempotency.IDEMPOTENT or life.phase not in TRIED:
             return False
-        if life.phase is Phase.SUSPECT:
+        if life.phase is SitePhase.SUSPECT:
             return self.trials.get(site, 0) < self.top.policy.trials
         if self.roster.standing(site, now).listed < READY or self.trials.get(site, 0) >= 1:
             return False
@@ -141,7 +141,7 @@
 
     # ---- the clock --------------------------------------------------------------------------------------
 
-    def tick(self, now: int, pressure: Callable[[str], float]) -> list[Changed]:
+    def tick(self, now: int, pressure: Callable[[str], float]) -> list[SiteTransition]:
         """Some times a second. `pressure`: late and refused answers at a site's boxes, as used from here."""
         if now - self.ticked_us > PAUSED_US:
             self.evidence.woke(now)
@@ -152,7 +152,7 @@
         self.cut_off = cut_off
         out = []
         for name, life in self.lives.items():
-            if life.phase is Phase.STEADY and self._quiet(now, name, life):
+            if life.phase is SitePhase.STEADY and self._quiet(now, name, life):
                 life.at = now
             elif (changed := self.step(now, name, pressure)) is not None:
                 out.append(changed)
@@ -164,31 +164,31 @@
         asked = [s for s in there if now - self.asked_us.get(s, -ASKED_US) < ASKED_US]
         return sum(self.top.sites[s].directors for s in asked)
 
-    def _quiet(self, now: int, name: str, life: Life) -> bool:
+    def _quiet(self, now: int, name: str, life: SiteLifecycle) -> bool:
         """Is there nothing that a steady site's state could change by? Most are so, most of the time."""
         ordered = name in self.orders.held
         listed = not self.roster.loaded or self.roster.standing(name, now).listed > 0
         return listed and not ordered and not life.flaps and self.evidence.quiet(now, name)
 
-    def step(self, now: int, name: str, pressure: Callable[[str], float]) -> Changed | None:
+    def step(self, now: int, name: str, pressure: Callable[[str], float]) -> SiteTransition | None:
         life = self.lives[name]
         before = life.phase
         life.step(now, self._signs(now, name, life, pressure), self.orders.word(name))
         if life.phase is before:
             return None
-        if life.phase is not Phase.RETURNING:
+        if life.phase is not SitePhase.RETURNING:
             self.well_us[name] = 0
         self.arrange()
-        return Changed(name, before, life)
+        return SiteTransition(name, before, life)
 
     def arrange(self) -> None:
         """What follows from the sites' states: the plan's row, and who is calm."""
         sites = frozenset(n for n in self.top.sites if is_left(self.lives[n]))
         hubs = frozenset(n for n in self.top.hubs if self.lives[n].phase in AWAY)
         self.homes.change(sites, hubs)
-        self.calm = all(life.phase is Phase.STEADY for life in self.lives.values())
+        self.calm = all(life.phase is SitePhase.STEADY for life in self.lives.values())
 
-    def _signs(self, now: int, name: str, life: Life, pressure: Callable[[str], float]) -> Signs:
+    def _signs(self, now: int, name: str, life: SiteLifecycle, pressure: Callable[[str], float]) -> SiteHealthSignals:
         seen, standing = self.evidence.seen(now, name), self.roster.standing(name, now)
         own, hub = name == self.home, name in self.top.hubs
         came = now - self.asked_us.get(name, -UNASKED_US)
@@ -196,7 +196,7 @@
         enough = standing.listed >= READY
         self.listed_us[name] = (self.listed_us.get(name) or now) if enough else 0
         unasked = hub or came >= UNASKED_US
-        return Signs(
+        return SiteHealthSignals(
             dark=seen.mostly_dark,
             dark_since=seen.dark_since,
             only_silent=seen.only_silent,
@@ -214,10 +214,10 @@
             cause=seen.cause(),
         )
 
-    def _pressure(self, name: str, life: Life, pressure: Callable[[str], float]) -> float:
+    def _pressure(self, name: str, life: SiteLifecycle, pressure: Callable[[str], float]) -> float:
         """Late and refused where a site's objects go: its new homes while it is left, itself as it
         returns."""
-        if name in self.top.hubs or life.phase is Phase.RETURNING:
+        if name in self.top.hubs or life.phase is SitePhase.RETURNING:
             return pressure(name)
         homes = self.homes.row.homes
         targets = {s for (origin, _), shares in homes.items() if origin == name for s in shares}
@@ -225,7 +225,7 @@
 
     # ---- operators --------------------------------------------------------------------------------------
 
-    def recalled(self, orders: list[Order]) -> None:
+    def recalled(self, orders: list[SiteCommand]) -> None:
         """Orders that were given before a restart."""
         for order in orders:
             if order.site in self.lives:
@@ -235,9 +235,9 @@
         """The sites whose drill has ended by now."""
         return self.orders.step(now, self.lives, worst)
 
-    def replan(self, plan: Plan) -> None:
+    def replan(self, plan: SitePlan) -> None:
         """Another plan for the same topology."""
-        self.homes = Homes(plan, self.home)
+        self.homes = ServingSites(plan, self.home)
         self.arrange()
 
     def left(self) -> set[str]:
--- a/onyxwick/start.py
+++ b/onyxwick/start.py
@@ -15,8 +15,8 @@
 from onyxwick import logs
 from onyxwick.config import ConfigError, relay
 from onyxwick.config.errors import ConfigUnreadableError
-from onyxwick.config.relay import Config
-from onyxwick.lifecycle import Director, Unusable, read_service
+from onyxwick.config.relay import DirectorConfig
+from onyxwick.lifecycle import Director, StartupError, read_service
 from onyxwick.net import listening
 
 if TYPE_CHECKING:
@@ -40,13 +40,13 @@
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             runner.run(_run(told, service, handed, early))
             _leave()
-    except Unusable as error:
+    except StartupError as error:
         print(f"onyxwick: {error}", file=sys.stderr)
         return 2
     return 0
 
 
-def _load_patiently() -> tuple[Config, ServiceConfig | None]:
+def _load_patiently() -> tuple[DirectorConfig, ServiceConfig | None]:
     """The configuration of a start; ConfigError where it cannot be used, or not be read for too long."""
     for _ in range(START_TRIES):
         try:
@@ -64,7 +64,7 @@
 
 
 async def _run(
-    told: Config, service: ServiceConfig | None, handed: socket.socket | None, early: Sequence[int]
+    told: DirectorConfig, service: ServiceConfig | None, handed: socket.socket | None, early: Sequence[int]
 ) -> None:
     if service is None or service.store is None:
         director = Director(told, service)
@@ -74,6 +74,6 @@
         try:
             director = Director(told, service)
         except StoreError as error:
-            raise Unusable(f"the store in {service.store.folder.name} is not opened: {error}") from None
+            raise StartupError(f"the store in {service.store.folder.name} is not opened: {error}") from None
     director.early = early
     return await director.run(handed)
--- a/onyxwick/store/__init__.py
+++ b/onyxwick/store/__init__.py
@@ -7,20 +7,20 @@
 
 from typing import TYPE_CHECKING, Any
 
-from onyxwick.store.errors import Busy, Conflict, Failed, Full, Refused, StoreError
+from onyxwick.store.errors import StoreBusyError, VersionConflictError, StoreFailedError, StoreFullError, StoreUnusableError, StoreError
 
 if TYPE_CHECKING:
-    from onyxwick.store.engine import Engine, Limits, Op, Transaction
+    from onyxwick.store.engine import StoreEngine, StoreLimits, WriteOperation, Transaction
 
 __all__ = [
-    "Busy",
-    "Conflict",
-    "Engine",
-    "Failed",
-    "Full",
-    "Limits",
-    "Op",
-    "Refused",
+    "StoreBusyError",
+    "VersionConflictError",
+    "StoreEngine",
+    "StoreFailedError",
+    "StoreFullError",
+    "StoreLimits",
+    "WriteOperation",
+    "StoreUnusableError",
     "StoreError",
     "Transaction",
 ]
--- a/onyxwick/store/committer.py
+++ b/onyxwick/store/committer.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass
 
 from onyxwick import logs
-from onyxwick.store.engine import Batch, Engine, Transaction
-from onyxwick.store.errors import Failed, StoreError
+from onyxwick.store.engine import WriteBatch, StoreEngine, Transaction
+from onyxwick.store.errors import StoreFailedError, StoreError
 
 log = logs.get()
 MOST_BATCH = 256  # transactions in one write
@@ -20,12 +20,12 @@
 COMPACT_SLICE_S = 0.005  # of one step, between which commits go on
 
 
-class Overloaded(StoreError):
+class StoreOverloadedError(StoreError):
     """Too many commits wait; nothing was done."""
 
 
 @dataclass(slots=True)
-class Waiting:
+class PendingCommit:
     transaction: Transaction
     done: asyncio.Future[None]
     since: float
@@ -35,9 +35,9 @@
     """The one writer of an engine inside an event loop. The disk is waited for in a thread of its own; the
     index is touched in the loop alone, so that readers need no lock."""
 
-    def __init__(self, engine: Engine, clock: Callable[[], float] = time.monotonic) -> None:
+    def __init__(self, engine: StoreEngine, clock: Callable[[], float] = time.monotonic) -> None:
         self.engine, self.clock = engine, clock
-        self.waiting: deque[Waiting] = deque()
+        self.waiting: deque[PendingCommit] = deque()
         self.more = asyncio.Event()
         self.disk = ThreadPoolExecutor(1, "store")
         self.commits = self.batches = 0
@@ -50,10 +50,10 @@
         """Returns once it is durable. Conflict, Full, Failed, Overloaded: nothing of it was done (after
         Failed it may or may not be found when the store is opened again)."""
         if len(self.waiting) >= MOST_WAITING:
-            raise Overloaded(f"{MOST_WAITING} commits wait")
+            raise StoreOverloadedError(f"{MOST_WAITING} commits wait")
         if self.task.done():
-            raise Failed("the store is closed")
-        entry = Waiting(transaction, asyncio.get_running_loop().create_future(), self.clock())
+            raise StoreFailedError("the store is closed")
+        entry = PendingCommit(transaction, asyncio.get_running_loop().create_future(), self.clock())
         self.waiting.append(entry)
         self.more.set()
         await entry.done
@@ -64,7 +64,7 @@
         finally:
             # However the writer ends, nobody is left waiting: what waits was not written.
             for entry in self.waiting:
-                _settle(entry, Failed("the store is closed"))
+                _settle(entry, StoreFailedError("the store is closed"))
             self.waiting.clear()
 
     async def _serve(self) -> None:
@@ -81,7 +81,7 @@
             if self._may_compact():
                 await self._compact(loop)
 
-    async def _write(self, loop: asyncio.AbstractEventLoop, entries: list[Waiting]) -> None:
+    async def _write(self, loop: asyncio.AbstractEventLoop, entries: list[PendingCommit]) -> None:
         try:
             batch, errors = self.engine.prepare([entry.transaction for entry in entries])
             await loop.run_in_executor(self.disk, self.engine.write, batch)
@@ -96,7 +96,7 @@
             log.exception("error in a commit")
             self.engine.failed = f"an error of the store's own ({error!r}); open the store anew"
             for entry in entries:
-                _settle(entry, Failed(self.engine.failed))
+                _settle(entry, StoreFailedError(self.engine.failed))
             return
         now = self.clock()
         for entry, refused in zip(entries, errors, strict=True):
@@ -147,7 +147,7 @@
         }
 
 
-def _settle(entry: Waiting, error: StoreError | None) -> None:
+def _settle(entry: PendingCommit, error: StoreError | None) -> None:
     if entry.done.done():
         return
     if error is None:
@@ -156,4 +156,4 @@
         entry.done.set_exception(error)
 
 
-__all__ = ["Batch", "Committer", "Overloaded"]
+__all__ = ["WriteBatch", "Committer", "StoreOverloadedError"]
--- a/onyxwick/store/durable.py
+++ b/onyxwick/store/durable.py
@@ -18,10 +18,10 @@
 from onyxwick import logs
 from onyxwick.interface import EndpointsChanged, MemberState
 from onyxwick.store.committer import Committer
-from onyxwick.store.engine import Engine, Limits, Op, Transaction
-from onyxwick.store.errors import Refused, StoreError
+from onyxwick.store.engine import StoreEngine, StoreLimits, WriteOperation, Transaction
+from onyxwick.store.errors import StoreUnusableError, StoreError
 from onyxwick.store.files import Files
-from onyxwick.store.recovery import Drain, Phase, Purge, Recovery
+from onyxwick.store.recovery import MemberDrain, RecoveryPhase, RecordedPurge, Recovery
 from onyxwick.store.sealing import Sealer
 from onyxwick.tenants import Tenant, Tenants, read_key, read_zone
 
@@ -61,9 +61,9 @@
     try:
         schema, row = decode(value)
     except (msgspec.MsgspecError, ValueError, TypeError) as error:
-        raise Refused(f"row '{key}' cannot be read: {error}") from None
+        raise StoreUnusableError(f"row '{key}' cannot be read: {error}") from None
     if kind not in SCHEMAS or schema > SCHEMAS[kind]:
-        raise Refused(f"row '{key}' has schema {schema}, newer than this program knows")
+        raise StoreUnusableError(f"row '{key}' has schema {schema}, newer than this program knows")
     while schema < SCHEMAS[kind]:
         row = UPGRADES[kind, schema](row)
         schema += 1
@@ -97,7 +97,7 @@
             tenant.add_key(*read_key(name, base64.b64encode(secret).decode()))
 
 
-class Durable:
+class DurableState:
     """An open store with its recovery. Used in the event loop alone."""
 
     def __init__(
@@ -108,13 +108,13 @@
         now: int,
         settles_us: int,
         bookings: bool = False,
-        limits: Limits | None = None,
+        limits: StoreLimits | None = None,
     ) -> None:
         self.recovery = Recovery(now, settles_us)
         self.recovery.opened(now)
         self.sealer, self.bookings = sealer, bookings
         try:
-            self.engine = Engine(files, limits, installation)
+            self.engine = StoreEngine(files, limits, installation)
             self._replay(now)
         except StoreError as error:
             self.recovery.refuse(now, str(error))
@@ -127,8 +127,8 @@
         return [(key, unpack(key, value)) for key, value in self.engine.scan(prefix)]
 
     def _replay(self, now: int) -> None:
-        drains = [Drain(**row) for _, row in self._rows("drain/")]
-        purges = [Purge(**row) for _, row in self._rows("purge/")]
+        drains = [MemberDrain(**row) for _, row in self._rows("drain/")]
+        purges = [RecordedPurge(**row) for _, row in self._rows("purge/")]
         bookings = [key.partition("/")[2] for key, _ in self._rows("booking/")]
         feed = self.engine.get("feed/last")
         reached = int(unpack("feed/last", feed)["index"]) if feed else 0
@@ -170,13 +170,13 @@
         value = self.engine.get("plan/now")
         return unpack("plan/now", value) if value else None
 
-    def changes(self, prefixes: Iterable[str], rows: Mapping[str, Row]) -> list[Op]:
+    def changes(self, prefixes: Iterable[str], rows: Mapping[str, Row]) -> list[WriteOperation]:
         """What makes the rows under some prefixes be these. A sealed secret that is the same one is left."""
         held = {key: row for prefix in prefixes for key, row in self._rows(prefix)}
-        ops = [Op(key, None) for key in held if key not in rows]
+        ops = [WriteOperation(key, None) for key in held if key not in rows]
         for key, row in rows.items():
             if key not in held or self._plain(key, held[key]) != self._plain(key, row):
-                ops.append(Op(key, pack(key, row)))
+                ops.append(WriteOperation(key, pack(key, row)))
         return ops
 
     def _plain(self, key: str, row: Row) -> Row:
@@ -186,7 +186,7 @@
             return row
         return {**row, sealed: self.sealer.open(row[sealed], key)}
 
-    def tenant_changes(self, name: str, tenant: Tenant | None) -> list[Op]:
+    def tenant_changes(self, name: str, tenant: Tenant | None) -> list[WriteOperation]:
         """Ops after a tenant was changed, or (None) deleted."""
         prefixes = (f"tenant/{name}", f"zone/{name}/", f"key/{name}/", f"gone/{name}")
         rows = tenant_rows(tenant, self.sealer) if tenant else {f"gone/{name}": Row()}
@@ -195,13 +195,13 @@
 
     # ---- commits ----------------------------------------------------------------------------------------
 
-    async def commit(self, ops: list[Op], by: str) -> None:
+    async def commit(self, ops: list[WriteOperation], by: str) -> None:
         """Durable when it returns; StoreError: nothing of it holds."""
         if ops:
             assert self.committer is not None
             await self.committer.commit(Transaction(tuple(ops), by, time.time_ns() // 1000))
 
-    async def note(self, ops: list[Op], by: str) -> None:
+    async def note(self, ops: list[WriteOperation], by: str) -> None:
         """The same for what others can tell again: a failure is logged and counted, and nobody waits."""
         try:
             await self.commit(ops, by)
@@ -218,16 +218,16 @@
             held = self.engine.get(f"drain/{m.address}")
             by = unpack(f"drain/{m.address}", held)["by"] if held else ""
             if m.state is not MemberState.READY and not held:
-                ops.append(self.drain_op(Drain(m.address, "coordinator", m.started_at_us, "", now)))
+                ops.append(self.drain_op(MemberDrain(m.address, "coordinator", m.started_at_us, "", now)))
             elif (
-                m.state is MemberState.READY and by == "coordinator" and self.recovery.phase is Phase.SERVING
+                m.state is MemberState.READY and by == "coordinator" and self.recovery.phase is RecoveryPhase.SERVING
             ):
                 # Not before the feed is heard: the list of a start may be older than what is recorded.
-                ops.append(Op(f"drain/{m.address}", None))
+                ops.append(WriteOperation(f"drain/{m.address}", None))
         self._later(ops)
 
     def purge_told(self, group: int, name: str | None, unix_us: int, now: int) -> None:
-        self._later(self.purge_ops(Purge(group, name, unix_us), now))
+        self._later(self.purge_ops(RecordedPurge(group, name, unix_us), now))
 
     def index_told(self, index: int, now: int) -> bool:
         """The feed has been heard up to a number; True where that ends the recovery's checking."""
@@ -237,38 +237,38 @@
             self._later([self.feed_op(index)])
         return ended
 
-    def _later(self, ops: list[Op]) -> None:
+    def _later(self, ops: list[WriteOperation]) -> None:
         """Recorded as soon as the disk has it; the coordinator can tell it again, so nobody waits."""
         if ops and self.committer is not None:
             task = asyncio.get_running_loop().create_task(self.note(ops, "coordinator"))
             self.notes.add(task)
             task.add_done_callback(self.notes.discard)
 
-    def drain_op(self, drain: Drain) -> Op:
-        return Op(f"drain/{drain.member}", pack(f"drain/{drain.member}", asdict(drain)))
+    def drain_op(self, drain: MemberDrain) -> WriteOperation:
+        return WriteOperation(f"drain/{drain.member}", pack(f"drain/{drain.member}", asdict(drain)))
 
-    def purge_ops(self, purge: Purge, now: int) -> list[Op]:
+    def purge_ops(self, purge: RecordedPurge, now: int) -> list[WriteOperation]:
         """A purge, and the end of those that all machines must have done."""
         key = f"purge/{purge.unix_us:020d}/{purge.group}/{purge.object or ''}"
-        ops = [Op(key, pack(key, asdict(purge)))]
+        ops = [WriteOperation(key, pack(key, asdict(purge)))]
         held = list(self.engine.keys("purge/"))
         over = max(0, len(held) - PURGES_MOST)
         done = now - self.recovery.settles_us
         ops += [
-            Op(old, None) for n, old in enumerate(held) if old != key and (n < over or int(old[6:26]) < done)
+            WriteOperation(old, None) for n, old in enumerate(held) if old != key and (n < over or int(old[6:26]) < done)
         ]
         return ops
 
-    def feed_op(self, index: int) -> Op:
-        return Op("feed/last", pack("feed/last", {"index": index}))
+    def feed_op(self, index: int) -> WriteOperation:
+        return WriteOperation("feed/last", pack("feed/last", {"index": index}))
 
     def site_orders(self) -> list[Row]:
         """What operators have ordered of sites (`sites/orders.py`), as it stood last."""
         return [row for _, row in self._rows("siteorder/")]
 
-    def site_order_op(self, site: str, row: Row | None) -> Op:
+    def site_order_op(self, site: str, row: Row | None) -> WriteOperation:
         key = f"siteorder/{site}"
-        return Op(key, pack(key, row) if row is not None else None)
+        return WriteOperation(key, pack(key, row) if row is not None else None)
 
     # ---- calls ------------------------------------------------------------------------------------------
 
@@ -277,14 +277,14 @@
         value = self.engine.get(f"call/{key}")
         return unpack(f"call/{key}", value) if value else None
 
-    def call_ops(self, key: str, row: Row, now: int) -> list[Op]:
-        ops = [Op(f"call/{key}", pack(f"call/{key}", row))]
+    def call_ops(self, key: str, row: Row, now: int) -> list[WriteOperation]:
+        ops = [WriteOperation(f"call/{key}", pack(f"call/{key}", row))]
         rows = self._rows("call/")
         if len(rows) >= CALLS_MOST:
             rows.sort(key=lambda pair: pair[1]["at_us"])
-            ops += [Op(k, None) for k, _ in rows[: len(rows) // 10]]
+            ops += [WriteOperation(k, None) for k, _ in rows[: len(rows) // 10]]
         else:
-            ops += [Op(k, None) for k, r in rows if now - r["at_us"] > CALLS_KEPT_US]
+            ops += [WriteOperation(k, None) for k, r in rows if now - r["at_us"] > CALLS_KEPT_US]
         return ops
 
     # ---- bookings ---------------------------------------------------------------------------------------
@@ -292,10 +292,10 @@
     async def intend(self, request: str, now: int) -> None:
         """Recorded before a request that must not run twice is sent."""
         key = f"booking/{request}"
-        await self.commit([Op(key, pack(key, {"at_us": now}))], "core")
+        await self.commit([WriteOperation(key, pack(key, {"at_us": now}))], "core")
 
     async def ended(self, request: str) -> None:
-        await self.note([Op(f"booking/{request}", None)], "core")
+        await self.note([WriteOperation(f"booking/{request}", None)], "core")
 
 
 def _of_tenant(key: str, name: str) -> bool:
@@ -303,4 +303,4 @@
     return key.split("/")[1] == name
 
 
-__all__ = ["Durable", "Row", "Rows", "pack", "unpack"]
+__all__ = ["DurableState", "Row", "Rows", "pack", "unpack"]
--- a/onyxwick/store/engine.py
+++ b/onyxwick/store/engine.py
@@ -18,7 +18,7 @@
 from sortedcontainers import SortedDict
 
 from onyxwick.store import records as r
-from onyxwick.store.errors import Conflict, Failed, Full, Refused, StoreError
+from onyxwick.store.errors import VersionConflictError, StoreFailedError, StoreFullError, StoreUnusableError, StoreError
 from onyxwick.store.files import Files
 
 ANY = -1  # of a version: whatever it is
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
+class StoreLimits:
     """Bounds in bytes: of one segment, of the log beyond the last checkpoint, of everything."""
 
     segment: int = 8 << 20
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Op:
+class WriteOperation:
     """Set a key to a value, or with None delete it. `version`: what it must have now (0: none; ANY)."""
 
     key: str
@@ -48,31 +48,31 @@
 class Transaction:
     """Several keys at once, whole or not at all; who did it, and when, is kept in the log."""
 
-    ops: tuple[Op, ...]
+    ops: tuple[WriteOperation, ...]
     by: str = ""
     at_us: int = 0
 
 
 @dataclass(slots=True)
-class Entry:
+class IndexEntry:
     value: bytes | None
     version: int
     number: int  # of the record that made it
 
 
 @dataclass(slots=True)
-class Batch:
+class WriteBatch:
     """Transactions on their way to the disk."""
 
     data: bytes = b""
-    payloads: list[r.Payload] = field(default_factory=list)
+    payloads: list[r.RecordPayload] = field(default_factory=list)
     first: int = 0
 
 
-class Snapshot:
+class StoreSnapshot:
     """The store as it was at one record, while writers go on."""
 
-    def __init__(self, engine: Engine, number: int) -> None:
+    def __init__(self, engine: StoreEngine, number: int) -> None:
         self.engine, self.number = engine, number
 
     def get(self, key: str) -> bytes | None:
@@ -86,13 +86,13 @@
                 yield key, value
 
 
-class Engine:
+class StoreEngine:
     """An open store. Refused where opening it could forget something."""
 
-    def __init__(self, files: Files, limits: Limits | None = None, store: bytes | None = None) -> None:
-        self.files, self.limits = files, limits or Limits()
-        self.index: SortedDict[str, Entry] = SortedDict()
-        self.older: dict[str, list[Entry]] = {}  # entries that a snapshot may still ask for
+    def __init__(self, files: Files, limits: StoreLimits | None = None, store: bytes | None = None) -> None:
+        self.files, self.limits = files, limits or StoreLimits()
+        self.index: SortedDict[str, IndexEntry] = SortedDict()
+        self.older: dict[str, list[IndexEntry]] = {}  # entries that a snapshot may still ask for
         self.snapshots: dict[int, int] = {}  # number: how many hold it
         self.number = 0  # of the last record
         self.acknowledged = 0
@@ -126,14 +126,14 @@
         if not segments and not checkpoints:
             return self._create(wanted, marked)
         # Taken in as a plain mapping and ordered once: a million ordered insertions would take seconds.
-        plain: dict[str, Entry] = {}
+        plain: dict[str, IndexEntry] = {}
         self._load_checkpoint(checkpoints, bool(segments), plain)
         self._replay(segments, plain)
         self.index = SortedDict(plain)
         if wanted is not None and self.store != wanted:
-            raise Refused("this store belongs to another installation")
+            raise StoreUnusableError("this store belongs to another installation")
         if self.number < self.acknowledged:
-            raise Refused(
+            raise StoreUnusableError(
                 f"records {self.number + 1} to {self.acknowledged} were acknowledged and are not there:"
                 " drains, purges and configuration in them may be lost"
             )
@@ -144,14 +144,14 @@
         slots = r.read_marks(self.files.read("mark")) if there else []
         if not slots:
             if others:
-                raise Refused("the mark of what was acknowledged is gone or does not hold")
+                raise StoreUnusableError("the mark of what was acknowledged is gone or does not hold")
             return False
         self.store, self.acknowledged, self.turn = max(slots, key=lambda slot: slot[2])
         return True
 
     def _create(self, wanted: bytes | None, marked: bool) -> None:
         if marked and self.acknowledged:
-            raise Refused(f"all {self.acknowledged} acknowledged records are gone")
+            raise StoreUnusableError(f"all {self.acknowledged} acknowledged records are gone")
         self.store = wanted or secrets.token_bytes(16)
         # The mark first: a log without it is refused, and an empty store without its log is made anew.
         for _ in range(2):
@@ -159,14 +159,14 @@
         self.files.sync_folder()
         self._new_segment()
 
-    def _load_checkpoint(self, found: list[tuple[int, str]], segments: bool, index: dict[str, Entry]) -> None:
+    def _load_checkpoint(self, found: list[tuple[int, str]], segments: bool, index: dict[str, IndexEntry]) -> None:
         """The newest that holds. One that does not is passed over only if what it held is in the log still,
         which `_replay` finds out."""
         for number, name in found:
             data = self.files.read(name)
             try:
                 store, upto, rows = r.read_checkpoint(data, name)
-            except Refused:
+            except StoreUnusableError:
                 if number == found[-1][0] and not segments:
                     raise
                 continue
@@ -174,15 +174,15 @@
             self.number = self.checkpoint_at = upto
             self._checkpoint_bytes = len(data)
             for key, value, version in rows:
-                index[key] = Entry(value, version, upto)
+                index[key] = IndexEntry(value, version, upto)
             return
 
     def _same_store(self, store: bytes, name: str) -> None:
         if self.store and store != self.store:
-            raise Refused(f"{name}: belongs to another store")
+            raise StoreUnusableError(f"{name}: belongs to another store")
         self.store = store
 
-    def _replay(self, segments: list[tuple[int, str]], index: dict[str, Entry]) -> None:
+    def _replay(self, segments: list[tuple[int, str]], index: dict[str, IndexEntry]) -> None:
         for place, (number, name) in enumerate(segments):
             last = place == len(segments) - 1
             if not last and self._needless(segments[place + 1][1]):
@@ -190,7 +190,7 @@
             data = self.files.read(name)
             try:
                 store, segment, before = r.read_segment_header(data, name)
-            except Refused:
+            except StoreUnusableError:
                 # A segment that was begun and never written to holds nothing that was promised.
                 if last and self.number >= self.acknowledged and len(data) <= r.SEGMENT.size:
                     self.files.remove(name)
@@ -198,9 +198,9 @@
                 raise
             self._same_store(store, name)
             if segment != number:
-                raise Refused(f"{name}: says that it is segment {segment}")
+                raise StoreUnusableError(f"{name}: says that it is segment {segment}")
             if before > self.number:
-                raise Refused(f"records {self.number + 1} to {before} are missing before {name}")
+                raise StoreUnusableError(f"records {self.number + 1} to {before} are missing before {name}")
             end = self._replay_one(data, before, index)
             self.segment, self.segment_size = segment, end
             self.sizes[name] = end
@@ -208,19 +208,19 @@
             if end < len(data):
                 self.torn += len(data) - end
                 if not last and self.number < self._before_next(segments[place + 1][1]):
-                    raise Refused(f"{name}: damaged behind record {self.number}, and more follows it")
+                    raise StoreUnusableError(f"{name}: damaged behind record {self.number}, and more follows it")
 
     def _needless(self, following: str) -> bool:
         """Does the checkpoint hold all that lies before a segment?"""
         try:
             return self.checkpoint_at > 0 and self._before_next(following) <= self.checkpoint_at
-        except Refused:
+        except StoreUnusableError:
             return False
 
     def _before_next(self, name: str) -> int:
         return r.read_segment_header(self.files.read(name), name)[2]
 
-    def _replay_one(self, data: bytes, before: int, index: dict[str, Entry]) -> int:
+    def _replay_one(self, data: bytes, before: int, index: dict[str, IndexEntry]) -> int:
         """Take in a segment's records; where the last whole one ends."""
         end = r.SEGMENT.size
         for found in r.records(data, end, before):
@@ -228,12 +228,12 @@
             if found.number <= self.number:
                 continue  # the checkpoint has it
             if found.number != self.number + 1:
-                raise Refused(f"record {self.number + 1} is missing before {found.number}")
+                raise StoreUnusableError(f"record {self.number + 1} is missing before {found.number}")
             for key, value, version in r.read_payload(found.payload, found.number).ops:
                 if value is None:
                     index.pop(key, None)
                 else:
-                    index[key] = Entry(value, version, found.number)
+                    index[key] = IndexEntry(value, version, found.number)
             self.number = found.number
         return end
 
@@ -277,19 +277,19 @@
             if value is not None:
                 yield key, value
 
-    def at(self, key: str, number: int) -> Entry | None:
+    def at(self, key: str, number: int) -> IndexEntry | None:
         """A key's entry as of a record."""
-        entry: Entry | None = self.index.get(key)
+        entry: IndexEntry | None = self.index.get(key)
         if entry is not None and entry.number <= number:
             return entry
         return next((e for e in reversed(self.older.get(key, [])) if e.number <= number), None)
 
     @contextmanager
-    def snapshot(self) -> Iterator[Snapshot]:
+    def snapshot(self) -> Iterator[StoreSnapshot]:
         number = self.number
         self.snapshots[number] = self.snapshots.get(number, 0) + 1
         try:
-            yield Snapshot(self, number)
+            yield StoreSnapshot(self, number)
         finally:
             self.snapshots[number] -= 1
             if not self.snapshots[number]:
@@ -302,12 +302,12 @@
 
     # ---- writing ----------------------------------------------------------------------------------------
 
-    def prepare(self, transactions: Sequence[Transaction]) -> tuple[Batch, list[StoreError | None]]:
+    def prepare(self, transactions: Sequence[Transaction]) -> tuple[WriteBatch, list[StoreError | None]]:
         """One write for several transactions; each that cannot be done has its error, and no other is
         harmed."""
         if self.failed:
-            raise Failed(self.failed)
-        batch, errors = Batch(first=self.number + 1), list[StoreError | None]()
+            raise StoreFailedError(self.failed)
+        batch, errors = WriteBatch(first=self.number + 1), list[StoreError | None]()
         versions: dict[str, int] = {}
         parts: list[bytes] = []
         for transaction in transactions:
@@ -323,7 +323,7 @@
         batch.data = b"".join(parts)
         return batch, errors
 
-    def _checked(self, transaction: Transaction, versions: dict[str, int], waiting: int) -> r.Payload:
+    def _checked(self, transaction: Transaction, versions: dict[str, int], waiting: int) -> r.RecordPayload:
         """The payload with the versions that it makes. Conflict, Full, or StoreError where it cannot be."""
         ops: r.Ops = []
         seen: set[str] = set()
@@ -333,21 +333,21 @@
             seen.add(op.key)
             now = versions.get(op.key, self.version(op.key))
             if op.version not in (ANY, now):
-                raise Conflict(op.key, op.version, now)
+                raise VersionConflictError(op.key, op.version, now)
             ops.append((op.key, op.value, now + 1 if op.value is not None else 0))
         size = sum(len(key) + len(value or b"") for key, value, _ in ops)
         if size > r.MOST_PAYLOAD // 2:
             raise StoreError(f"a transaction of {size} bytes is too large")
         grows = any(value is not None for _, value, _ in ops)
         if grows and self.size() + waiting + size > self.limits.total:
-            raise Full(f"the store holds {self.size()} bytes of {self.limits.total}")
-        return r.Payload(transaction.at_us, transaction.by, ops)
+            raise StoreFullError(f"the store holds {self.size()} bytes of {self.limits.total}")
+        return r.RecordPayload(transaction.at_us, transaction.by, ops)
 
-    def write(self, batch: Batch) -> None:
+    def write(self, batch: WriteBatch) -> None:
         """Put a batch on the disk, durable when this returns. Failed after any error of the disk: what has
         reached it then is not known, so nothing more is acknowledged."""
         if self.failed:
-            raise Failed(self.failed)
+            raise StoreFailedError(self.failed)
         if not batch.payloads:
             return
         try:
@@ -362,14 +362,14 @@
             self._write_mark(batch.first + len(batch.payloads) - 1)
         except OSError as error:
             self.failed = f"the disk failed ({error}); open the store anew"
-            raise Failed(self.failed) from error
+            raise StoreFailedError(self.failed) from error
         self.segment_size += len(batch.data)
         self.sizes[name] = self.segment_size
         self.log_bytes += len(batch.data)
         self.written += len(batch.data) + r.MARK.size
         self.asked += sum(len(k) + len(v or b"") for p in batch.payloads for k, v, _ in p.ops)
 
-    def finish(self, batch: Batch) -> None:
+    def finish(self, batch: WriteBatch) -> None:
         """Make a written batch seen by readers."""
         for number, payload in enumerate(batch.payloads, batch.first):
             self._apply(payload, number)
@@ -385,18 +385,18 @@
             if error is not None:
                 raise error
 
-    def _apply(self, payload: r.Payload, number: int) -> None:
+    def _apply(self, payload: r.RecordPayload, number: int) -> None:
         for key, value, version in payload.ops:
             old = self.index.get(key)
             if self.snapshots:
                 held = self.older.setdefault(key, [])
-                held.append(old if old is not None else Entry(None, 0, 0))
+                held.append(old if old is not None else IndexEntry(None, 0, 0))
             if value is None:
                 self.index.pop(key, None)
                 if self.snapshots:  # a snapshot of later must not find what was deleted
-                    self.older[key].append(Entry(None, 0, number))
+                    self.older[key].append(IndexEntry(None, 0, number))
             else:
-                self.index[key] = Entry(value, version, number)
+                self.index[key] = IndexEntry(value, version, number)
 
     def _write_mark(self, number: int) -> None:
         self.turn += 1
@@ -429,7 +429,7 @@
         """Write a checkpoint and drop what it makes needless, a step at a time while `budget` says so; True
         when it is done. A crash at any step loses nothing: what is dropped is dropped last."""
         if self.failed:
-            raise Failed(self.failed)
+            raise StoreFailedError(self.failed)
         if self.job is None:
             self.job = self._compaction()
         try:
@@ -440,7 +440,7 @@
         except OSError as error:
             self.job = None
             self.failed = f"the disk failed in a compaction ({error}); open the store anew"
-            raise Failed(self.failed) from error
+            raise StoreFailedError(self.failed) from error
         self.job = None
         return True
 
@@ -458,7 +458,7 @@
                 if not keys:
                     break
                 last, rows = keys[-1], self._rows(keys, view.number)
-                part = r.record(n, r.encode(r.Payload(0, "", rows)))
+                part = r.record(n, r.encode(r.RecordPayload(0, "", rows)))
                 self.files.write(temporary, at, part)
                 at, count = at + len(part), count + len(rows)
                 yield len(part)
@@ -510,5 +510,5 @@
 def _number_of(name: str) -> int:
     digits = name.rpartition("-")[2]
     if not digits.isdigit():
-        raise Refused(f"{name}: is no file of this store")
+        raise StoreUnusableError(f"{name}: is no file of this store")
     return int(digits)
--- a/onyxwick/store/errors.py
+++ b/onyxwick/store/errors.py
@@ -7,15 +7,15 @@
     """The store cannot do what was asked."""
 
 
-class Refused(StoreError):
+class StoreUnusableError(StoreError):
     """The files cannot be opened without the risk of forgetting something; the text says what may be lost."""
 
 
-class Busy(StoreError):
+class StoreBusyError(StoreError):
     """Another process has the store open."""
 
 
-class Conflict(StoreError):
+class VersionConflictError(StoreError):
     """A compare-and-set found another version; nothing of the transaction was done."""
 
     def __init__(self, key: str, wanted: int, found: int) -> None:
@@ -23,9 +23,9 @@
         self.key, self.wanted, self.found = key, wanted, found
 
 
-class Full(StoreError):
+class StoreFullError(StoreError):
     """The store's bound on size is reached; deletions and compaction are still possible."""
 
 
-class Failed(StoreError):
+class StoreFailedError(StoreError):
     """The disk failed: nothing more is acknowledged until the store is opened anew."""
--- a/onyxwick/store/files.py
+++ b/onyxwick/store/files.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Protocol
 
-from onyxwick.store.errors import Busy
+from onyxwick.store.errors import StoreBusyError
 
 
 class Files(Protocol):
@@ -31,7 +31,7 @@
     def close(self) -> None: ...
 
 
-class Disk:
+class DiskFiles:
     """A real folder."""
 
     def __init__(self, folder: Path) -> None:
@@ -89,7 +89,7 @@
                 fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
             except OSError:
                 os.close(file)
-                raise Busy(f"{self.folder.name}: another process has this store open") from None
+                raise StoreBusyError(f"{self.folder.name}: another process has this store open") from None
             self.lock_file = file
 
     def close(self) -> None:
--- a/onyxwick/store/records.py
+++ b/onyxwick/store/records.py
@@ -16,7 +16,7 @@
 import crc32c
 import msgspec
 
-from onyxwick.store.errors import Refused
+from onyxwick.store.errors import StoreUnusableError
 
 RECORD = struct.Struct("<IIQ")  # bytes of the payload, checksum, number
 SEGMENT = struct.Struct("<8s16sQQI")  # magic, store, segment, number of the record before its first, checksum
@@ -27,7 +27,7 @@
 Ops = list[tuple[str, bytes | None, int]]  # key, value (None: deleted), version
 
 
-class Payload(msgspec.Struct, array_like=True):
+class RecordPayload(msgspec.Struct, array_like=True):
     """One transaction: all of it holds or nothing."""
 
     at_us: int
@@ -35,7 +35,7 @@
     ops: list[tuple[str, bytes | None, int]]
 
 
-_payloads = msgspec.msgpack.Decoder(Payload)
+_payloads = msgspec.msgpack.Decoder(RecordPayload)
 encode = msgspec.msgpack.Encoder().encode
 
 
@@ -51,7 +51,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
+class DecodedRecord:
     """One record that holds, and where the next one begins. `payload` is a view into what was read."""
 
     number: int
@@ -59,7 +59,7 @@
     end: int
 
 
-def records(data: bytes, at: int, number: int) -> Iterator[Found]:
+def records(data: bytes, at: int, number: int) -> Iterator[DecodedRecord]:
     """Records from an offset on whose numbers follow `number`, up to the first that does not hold.
 
     Read at opening, a million at a time: views in place of copies, names looked up once.
@@ -73,15 +73,15 @@
         payload = view[at + head : end]
         if check_of(found, payload) != check:
             return
-        yield Found(found, payload, end)
+        yield DecodedRecord(found, payload, end)
         at, number = end, found
 
 
-def read_payload(data: bytes | memoryview, number: int) -> Payload:
+def read_payload(data: bytes | memoryview, number: int) -> RecordPayload:
     try:
         return _payloads.decode(data)
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
-        raise Refused(f"record {number} holds its checksum and cannot be read: {error}") from None
+        raise StoreUnusableError(f"record {number} holds its checksum and cannot be read: {error}") from None
 
 
 def _sealed(shape: struct.Struct, *values: Any) -> bytes:
@@ -100,7 +100,7 @@
 def read_segment_header(data: bytes, name: str) -> tuple[bytes, int, int]:
     """Store, number of the segment and of the record before its first. Refused where it does not hold."""
     if len(data) < SEGMENT.size or not _holds(data[: SEGMENT.size]) or not data.startswith(SEGMENT_MAGIC):
-        raise Refused(f"{name}: its header does not hold; the records in it may be lost")
+        raise StoreUnusableError(f"{name}: its header does not hold; the records in it may be lost")
     _, store, segment, before, _ = SEGMENT.unpack_from(data)
     return store, segment, before
 
@@ -131,15 +131,15 @@
 def read_checkpoint(data: bytes, name: str) -> tuple[bytes, int, Ops]:
     """Store, number up to which it holds everything, and the rows. Refused where any byte does not hold."""
     if len(data) < CHECKPOINT_SIZE or not _holds(data[:CHECKPOINT_SIZE]):
-        raise Refused(f"{name}: its header does not hold")
+        raise StoreUnusableError(f"{name}: its header does not hold")
     magic, store, number, count = struct.unpack_from("<8s16sQQ", data)
     if magic != CHECKPOINT_MAGIC:
-        raise Refused(f"{name}: is no checkpoint")
+        raise StoreUnusableError(f"{name}: is no checkpoint")
     rows: Ops = []
     at, chunk = CHECKPOINT_SIZE, 0
     for found in records(data, at, 0):
         rows += read_payload(found.payload, found.number).ops
         at, chunk = found.end, found.number
     if at != len(data) or len(rows) != count:
-        raise Refused(f"{name}: ends after {chunk} whole parts with {len(rows)} of {count} rows")
+        raise StoreUnusableError(f"{name}: ends after {chunk} whole parts with {len(rows)} of {count} rows")
     return store, number, rows
--- a/onyxwick/store/recovery.py
+++ b/onyxwick/store/recovery.py
@@ -19,7 +19,7 @@
 CATCH_UP_US = 10_000_000  # after so long without the feed the list at hand is taken, drains kept
 
 
-class Phase(Enum):
+class RecoveryPhase(Enum):
     OPENING = "opening"
     REPLAYING = "replaying"
     CHECKING = "checking"
@@ -28,20 +28,20 @@
 
 
 LEGAL = {
-    Phase.OPENING: {Phase.REPLAYING, Phase.REFUSED},
-    Phase.REPLAYING: {Phase.CHECKING, Phase.REFUSED},
-    Phase.CHECKING: {Phase.SERVING},
-    Phase.SERVING: set[Phase](),
-    Phase.REFUSED: set[Phase](),
+    RecoveryPhase.OPENING: {RecoveryPhase.REPLAYING, RecoveryPhase.REFUSED},
+    RecoveryPhase.REPLAYING: {RecoveryPhase.CHECKING, RecoveryPhase.REFUSED},
+    RecoveryPhase.CHECKING: {RecoveryPhase.SERVING},
+    RecoveryPhase.SERVING: set[RecoveryPhase](),
+    RecoveryPhase.REFUSED: set[RecoveryPhase](),
 }
 
 
-class IllegalPhase(RuntimeError):
+class IllegalRecoveryPhaseError(RuntimeError):
     """A step between two states that no rule allows."""
 
 
 @dataclass(frozen=True, slots=True)
-class Drain:
+class MemberDrain:
     """A member that is to get nothing. `by` 'operator' or 'coordinator'; `since_us`: the start of the
     process that was meant, as the list told it."""
 
@@ -53,7 +53,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Purge:
+class RecordedPurge:
     group: int
     object: str | None
     unix_us: int
@@ -64,34 +64,34 @@
     """One director's way back."""
 
     def __init__(self, now: int, settles_us: int) -> None:
-        self.phase, self.since = Phase.OPENING, now
+        self.phase, self.since = RecoveryPhase.OPENING, now
         self.settles_us = settles_us
-        self.drains: dict[str, Drain] = {}
-        self.purges: list[Purge] = []
+        self.drains: dict[str, MemberDrain] = {}
+        self.purges: list[RecordedPurge] = []
         self.bookings: dict[str, None] = {}  # sent and not ended when the director ended
         self.reached = 0  # the last number of the feed that the store knows of
         self.why = ""
         self.late = False  # serving without the feed heard: the coordinator's recorded drains still hold
 
-    def _enter(self, phase: Phase, now: int, why: str = "") -> None:
+    def _enter(self, phase: RecoveryPhase, now: int, why: str = "") -> None:
         if phase not in LEGAL[self.phase]:
-            raise IllegalPhase(f"recovery: {self.phase.value} to {phase.value}")
+            raise IllegalRecoveryPhaseError(f"recovery: {self.phase.value} to {phase.value}")
         self.phase, self.since, self.why = phase, now, why
 
     # ---- the way back -----------------------------------------------------------------------------------
 
     def opened(self, now: int) -> None:
-        self._enter(Phase.REPLAYING, now, "the store is read")
+        self._enter(RecoveryPhase.REPLAYING, now, "the store is read")
 
     def refuse(self, now: int, why: str) -> None:
         """The store cannot be trusted: the director must not serve as if nothing had been ordered."""
-        self._enter(Phase.REFUSED, now, why)
+        self._enter(RecoveryPhase.REFUSED, now, why)
 
     def replayed(
         self,
         now: int,
-        drains: Iterable[Drain],
-        purges: Iterable[Purge],
+        drains: Iterable[MemberDrain],
+        purges: Iterable[RecordedPurge],
         bookings: Iterable[str],
         reached: int,
     ) -> None:
@@ -99,15 +99,15 @@
         self.purges = [p for p in purges if now - p.unix_us <= self.settles_us]
         self.bookings = dict.fromkeys(bookings)
         self.reached = reached
-        self._enter(Phase.CHECKING, now, f"waits for number {reached} of the feed")
+        self._enter(RecoveryPhase.CHECKING, now, f"waits for number {reached} of the feed")
 
     def heard(self, now: int, index: int) -> bool:
         """The feed has been heard up to a number; True where that ends the checking, or lifts the
         coordinator's recorded drains that were kept because the feed came late."""
-        if index < self.reached or not (self.phase is Phase.CHECKING or self.late):
+        if index < self.reached or not (self.phase is RecoveryPhase.CHECKING or self.late):
             return False
-        if self.phase is Phase.CHECKING:
-            self._enter(Phase.SERVING, now)
+        if self.phase is RecoveryPhase.CHECKING:
+            self._enter(RecoveryPhase.SERVING, now)
         self.late = False
         # What the coordinator had drained it has told again by now, or has lifted.
         self.drains = {m: d for m, d in self.drains.items() if d.by == "operator"}
@@ -116,15 +116,15 @@
     def tick(self, now: int) -> bool:
         """True where the feed was not heard in time: the director serves on with what it has, and the drains
         that it knows of stay until the feed is heard."""
-        if self.phase is Phase.CHECKING and now - self.since > CATCH_UP_US:
-            self._enter(Phase.SERVING, now, "the feed was not heard in time; recorded drains are kept")
+        if self.phase is RecoveryPhase.CHECKING and now - self.since > CATCH_UP_US:
+            self._enter(RecoveryPhase.SERVING, now, "the feed was not heard in time; recorded drains are kept")
             self.late = True
             return True
         return False
 
     @property
     def serves(self) -> bool:
-        return self.phase in (Phase.CHECKING, Phase.SERVING)
+        return self.phase in (RecoveryPhase.CHECKING, RecoveryPhase.SERVING)
 
     # ---- what may be decided ----------------------------------------------------------------------------
 
@@ -154,7 +154,7 @@
 
     # ---- changes while serving --------------------------------------------------------------------------
 
-    def drained(self, drain: Drain) -> None:
+    def drained(self, drain: MemberDrain) -> None:
         self.drains[drain.member] = drain
 
     def lifted(self, member: str) -> bool:
--- a/onyxwick/store/sealing.py
+++ b/onyxwick/store/sealing.py
@@ -11,7 +11,7 @@
 
 from cryptography.fernet import Fernet, InvalidToken, MultiFernet
 
-from onyxwick.store.errors import Refused
+from onyxwick.store.errors import StoreUnusableError
 
 
 class Sealer:
@@ -19,7 +19,7 @@
         try:
             self.keys = MultiFernet([Fernet(key) for key in keys])
         except ValueError as error:
-            raise Refused(f"the key file holds what is no key: {error}") from None
+            raise StoreUnusableError(f"the key file holds what is no key: {error}") from None
 
     def seal(self, secret: bytes) -> bytes:
         return self.keys.encrypt(secret)
@@ -29,7 +29,7 @@
         try:
             return self.keys.decrypt(sealed)
         except InvalidToken:
-            raise Refused(f"{what}: no key of the key file opens it") from None
+            raise StoreUnusableError(f"{what}: no key of the key file opens it") from None
 
     def renew(self, sealed: bytes) -> bytes:
         """The same under the newest key."""
@@ -40,10 +40,10 @@
     try:
         lines = [line.strip() for line in path.read_text().splitlines()]
     except (OSError, UnicodeDecodeError) as error:
-        raise Refused(f"{path.name}: {error}") from None
+        raise StoreUnusableError(f"{path.name}: {error}") from None
     keys = [line for line in lines if line and not line.startswith("#")]
     if not keys:
-        raise Refused(f"{path.name}: holds no key")
+        raise StoreUnusableError(f"{path.name}: holds no key")
     return Sealer(keys)
 
 
--- a/onyxwick/tenants.py
+++ b/onyxwick/tenants.py
@@ -31,12 +31,12 @@
     """What was asked of the tenants cannot be; the text names the field."""
 
 
-class Exists(TenantError):
+class AlreadyExistsError(TenantError):
     """What was to be made is there already."""
 
 
 @dataclass(slots=True, eq=False)
-class Zone:
+class TenantZone:
     """One zone with its static names; what lies under `routed` is answered by the core."""
 
     name: dns.name.Name
@@ -57,7 +57,7 @@
         self.name, self.token = name, token
         self.quota, self.admin_quota = Quota(per_s), Quota(ADMIN_PER_S)
         self.keys: dict[dns.name.Name, bytes] = {}
-        self.zones: dict[dns.name.Name, Zone] = {}
+        self.zones: dict[dns.name.Name, TenantZone] = {}
 
     def add_key(self, name: dns.name.Name, secret: bytes) -> None:
         if name not in self.keys and len(self.keys) >= MOST_KEYS:
@@ -106,7 +106,7 @@
     return read_name(name), raw
 
 
-def read_zone(tenant: str, name: str, text: str, routed: str | None = None) -> Zone:
+def read_zone(tenant: str, name: str, text: str, routed: str | None = None) -> TenantZone:
     """A zone from the text of a zone file. Includes are off: the text may be a tenant's."""
     if len(text) > MOST_TEXT:
         raise TenantError(f"zone '{name}': over {MOST_TEXT} bytes")
@@ -121,10 +121,10 @@
     assert isinstance(data, dns.versioned.Zone)
     if below is not None and (below == origin or not below.is_subdomain(origin)):
         raise TenantError(f"zone '{name}': 'routed' is no name below it")
-    return Zone(origin, tenant, data, below)
+    return TenantZone(origin, tenant, data, below)
 
 
-def read_zone_file(tenant: str, name: str, path: Path, routed: str | None = None) -> Zone:
+def read_zone_file(tenant: str, name: str, path: Path, routed: str | None = None) -> TenantZone:
     try:
         return read_zone(tenant, name, path.read_text(), routed)
     except OSError as error:
@@ -136,11 +136,11 @@
 
     def __init__(self) -> None:
         self.tenants: dict[str, Tenant] = {}
-        self.zones: dict[dns.name.Name, Zone] = {}  # of all tenants: a name is looked up in one step a label
+        self.zones: dict[dns.name.Name, TenantZone] = {}  # of all tenants: a name is looked up in one step a label
 
     def add(self, tenant: Tenant) -> None:
         if tenant.name in self.tenants:
-            raise Exists(f"tenant '{tenant.name}' exists")
+            raise AlreadyExistsError(f"tenant '{tenant.name}' exists")
         if len(self.tenants) >= MOST_TENANTS:
             raise TenantError(f"{MOST_TENANTS} tenants at most")
         self.tenants[tenant.name] = tenant
@@ -149,21 +149,21 @@
         for zone in self.tenants.pop(name).zones:
             del self.zones[zone]
 
-    def add_zone(self, zone: Zone) -> None:
+    def add_zone(self, zone: TenantZone) -> None:
         """Take in a zone, or the new text of one that this tenant has. A name has one tenant for good."""
         held, tenant = self.zones.get(zone.name), self.tenants[zone.tenant]
         if held is not None and held.tenant != zone.tenant:
-            raise Exists(f"zone '{zone.name}' exists")
+            raise AlreadyExistsError(f"zone '{zone.name}' exists")
         if (above := self.zone_of(zone.name)) is not None and above.tenant != zone.tenant:
-            raise Exists(f"zone '{zone.name}' lies in another tenant's")
+            raise AlreadyExistsError(f"zone '{zone.name}' lies in another tenant's")
         if held is None and len(tenant.zones) >= MOST_ZONES:
             raise TenantError(f"a tenant holds {MOST_ZONES} zones at most")
         self.zones[zone.name] = tenant.zones[zone.name] = zone
 
-    def remove_zone(self, zone: Zone) -> None:
+    def remove_zone(self, zone: TenantZone) -> None:
         del self.zones[zone.name], self.tenants[zone.tenant].zones[zone.name]
 
-    def zone_of(self, name: dns.name.Name) -> Zone | None:
+    def zone_of(self, name: dns.name.Name) -> TenantZone | None:
         """The nearest zone at or above a name."""
         while True:
             if zone := self.zones.get(name):
--- a/onyxwick/trace/anonymise.py
+++ b/onyxwick/trace/anonymise.py
@@ -16,7 +16,7 @@
 from blake3 import blake3
 
 from onyxwick.trace import format as f
-from onyxwick.trace.model import Told, TraceError
+from onyxwick.trace.model import NotificationKind, TraceError
 from onyxwick.trace.recorder import number
 from onyxwick.trace.table import NAMES, Column, Strings, Table
 
@@ -84,33 +84,33 @@
         if "director" in data:
             out["director"] = self.name("director", str(data["director"]))
         match kind:
-            case Told.LIST:
+            case NotificationKind.LIST:
                 out |= {"version": data.get("version", 0), "full": bool(data.get("full"))}
                 out["members"] = [
                     [self.name("member", str(m[0])), self.name("zone", str(m[1])), *m[2:6]]
                     for m in data.get("members", ())
                 ]
-            case Told.PURGE:
+            case NotificationKind.PURGE:
                 held = data.get("object")
                 hidden = None if held is None else self.number("object", _as_number(held))
                 out |= {"group": data.get("group"), "object": hidden, "unix_us": data.get("unix_us")}
-            case Told.SENT:
+            case NotificationKind.SENT:
                 out |= {
                     "id": self.number("request", int(data["id"])),
                     "member": self.name("member", str(data.get("member", ""))),
                     "class": data.get("class", ""),
                 }
-            case Told.CLOCK:
+            case NotificationKind.CLOCK:
                 out["mono_us"] = data.get("mono_us", 0)
-            case Told.CONFIG:
+            case NotificationKind.CONFIG:
                 out["version"] = data.get("version", 0)
         return kind, at, out
 
-    def header(self, header: f.Header) -> f.Header:
+    def header(self, header: f.FileHeader) -> f.FileHeader:
         director = "+".join(self.name("director", name) for name in header.director.split("+"))
         run = self.name("director", f"run {header.run}")
         clocks = {self.name("director", name): row for name, row in header.clocks.items()}
-        return f.Header(
+        return f.FileHeader(
             header.version,
             director,
             run,
--- a/onyxwick/trace/audit.py
+++ b/onyxwick/trace/audit.py
@@ -15,7 +15,7 @@
 import numpy as np
 
 from onyxwick.trace import format as f
-from onyxwick.trace.model import NEVER, ONCE, STATUSES, S, Told, Verdict
+from onyxwick.trace.model import NEVER, ONCE, STATUSES, S, NotificationKind, RecordedVerdict
 from onyxwick.trace.table import Column, Strings, Table
 
 SLACK_US = 50_000  # what each time limit is longer by on sockets
@@ -26,7 +26,7 @@
 
 
 @dataclass(slots=True)
-class Report:
+class AuditReport:
     """What was found. `broken` and `doubtful` hold findings; a rule in neither was kept or not looked at."""
 
     broken: list[dict[str, Any]] = field(default_factory=list)
@@ -65,7 +65,7 @@
 
 
 @dataclass(slots=True)
-class Known:
+class AuditedMember:
     """What one director had been told of one member, as times at which it changed."""
 
     at: list[int] = field(default_factory=list)
@@ -73,13 +73,13 @@
     listed: list[bool] = field(default_factory=list)
 
 
-def told_lists(told: Iterable[tuple[int, int, dict[str, Any]]], own: str) -> dict[tuple[str, str], Known]:
+def told_lists(told: Iterable[tuple[int, int, dict[str, Any]]], own: str) -> dict[tuple[str, str], AuditedMember]:
     """By director and member, in order of time."""
-    out: dict[tuple[str, str], Known] = {}
+    out: dict[tuple[str, str], AuditedMember] = {}
     seen: dict[str, set[str]] = {}
-    for kind, at, data in sorted((t for t in told if t[0] in (Told.LIST, Told.START)), key=lambda t: t[1]):
+    for kind, at, data in sorted((t for t in told if t[0] in (NotificationKind.LIST, NotificationKind.START)), key=lambda t: t[1]):
         director = str(data.get("director", own))
-        if kind == Told.START:
+        if kind == NotificationKind.START:
             for member in seen.pop(director, set()):
                 _change(out, director, member, at, False, False)
             continue
@@ -94,9 +94,9 @@
 
 
 def _change(
-    out: dict[tuple[str, str], Known], director: str, member: str, at: int, ready: bool, listed: bool
+    out: dict[tuple[str, str], AuditedMember], director: str, member: str, at: int, ready: bool, listed: bool
 ) -> None:
-    known = out.setdefault((director, member), Known())
+    known = out.setdefault((director, member), AuditedMember())
     known.at.append(at)
     known.ready.append(ready)
     known.listed.append(listed)
@@ -105,8 +105,8 @@
 class Audit:
     """Told events first (`prepare`), then every table once (`add`), then `report`."""
 
-    def __init__(self, header: f.Header, told: list[tuple[int, int, dict[str, Any]]]) -> None:
-        self.header, self.out = header, Report()
+    def __init__(self, header: f.FileHeader, told: list[tuple[int, int, dict[str, Any]]]) -> None:
+        self.header, self.out = header, AuditReport()
         rules = header.rules
         self.drain_us = int(rules.get("drain_grace_us", 500_000)) + SLACK_US
         self.purge_us = int(rules.get("purge_grace_us", 1_000_000)) + SLACK_US
@@ -117,7 +117,7 @@
         self.ids: list[Column] = []
         self.ats: list[Column] = []
         self.once: dict[int, list[tuple[str, int, bool]]] = {}  # request: (director, at, it may have run)
-        self.early = [(int(d["id"]), str(d.get("director", "")), at) for k, at, d in told if k == Told.SENT]
+        self.early = [(int(d["id"]), str(d.get("director", "")), at) for k, at, d in told if k == NotificationKind.SENT]
         self.spent: dict[str, list[tuple[Column, Column]]] = {}  # member: times, classes of what went there
         self.hits: dict[str, list[Column]] = {}  # class: how long hits took
         self.last_at = 0
@@ -128,7 +128,7 @@
         """By director and object or group: (told at, purged at)."""
         out: dict[tuple[str, Any], list[tuple[int, int]]] = {}
         for kind, at, data in told:
-            if kind == Told.PURGE:
+            if kind == NotificationKind.PURGE:
                 director = str(data.get("director", self.header.director))
                 key = ("group", data["group"]) if data.get("object") is None else ("object", data["object"])
                 out.setdefault((director, key), []).append((at, int(data["unix_us"])))
@@ -138,7 +138,7 @@
         """Members that started late: (since, weight, kind)."""
         out: dict[str, dict[int, tuple[int, float, str]]] = {}
         for kind, _, data in told:
-            for row in data.get("members", ()) if kind == Told.LIST else ():
+            for row in data.get("members", ()) if kind == NotificationKind.LIST else ():
                 member, member_kind, weight, since = str(row[0]), str(row[2]), float(row[4]), int(row[5])
                 if since:
                     out.setdefault(member, {})[since] = (since, weight, member_kind)
@@ -165,7 +165,7 @@
 
     def _open(self, table: Table) -> None:
         self._count("one answer", len(table))
-        for row in np.flatnonzero(table.lives["verdict"] == Verdict.OPEN):
+        for row in np.flatnonzero(table.lives["verdict"] == RecordedVerdict.OPEN):
             self.out.add("one answer", True, request=self._id(table, int(row)), found="no final answer")
 
     def _id(self, table: Table, row: int) -> str:
@@ -213,7 +213,7 @@
             self.out.add("not listed", True, request=request, member=member, role=role, found=text)
 
     def _ready(
-        self, table: Table, owner: Column, rows: Column, at: Column, known: Known, member: str, role: str
+        self, table: Table, owner: Column, rows: Column, at: Column, known: AuditedMember, member: str, role: str
     ) -> None:
         """Within one director's own clock: no doubt from others'."""
         times = np.array(known.at)
@@ -346,7 +346,7 @@
 
     # ---- the end ----------------------------------------------------------------------------------------
 
-    def report(self) -> Report:
+    def report(self) -> AuditReport:
         """After the last table."""
         self._check_twice()
         self._check_early()
@@ -381,11 +381,11 @@
                 self.out.add("booking once", True, request=f"{request:016x}", may_have_run=len(times))
 
 
-def audit(header: f.Header, tables: Iterable[Table], told: list[tuple[int, int, dict[str, Any]]]) -> Report:
+def audit(header: f.FileHeader, tables: Iterable[Table], told: list[tuple[int, int, dict[str, Any]]]) -> AuditReport:
     out = Audit(header, told)
     for table in tables:
         out.add(table)
     return out.report()
 
 
-__all__ = ["Audit", "Report", "Strings", "audit"]
+__all__ = ["Audit", "AuditReport", "Strings", "audit"]
--- a/onyxwick/trace/clocks.py
+++ b/onyxwick/trace/clocks.py
@@ -56,7 +56,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fit:
+class ClockFit:
     """From a director's steady time to the first director's: t - offset - drift * (t - origin)."""
 
     offset_us: float = 0.0
@@ -75,7 +75,7 @@
 
 def fit(
     first: Column, other: Column, earlier: Column | None = None, later: Column | None = None, seed: int = 1
-) -> Fit:
+) -> ClockFit:
     """The other director's clock against the first one's.
 
     `first` and `other`: steady times at which each was told of the same events. `earlier` (on the first's
@@ -85,10 +85,10 @@
     bounds = 0 if earlier is None else len(earlier)
     if events < LEAST_EVENTS:
         if not bounds or earlier is None or later is None:
-            return Fit(doubt_us=UNKNOWN_US)
+            return ClockFit(doubt_us=UNKNOWN_US)
         # The retries alone: the other's clock is at least so far behind as makes each come later.
         gap = float(np.min(np.asarray(later, float) - np.asarray(earlier, float)))
-        return Fit(min(0.0, gap), doubt_us=abs(gap) + UNKNOWN_US / 1e3, events=events, retries=bounds)
+        return ClockFit(min(0.0, gap), doubt_us=abs(gap) + UNKNOWN_US / 1e3, events=events, retries=bounds)
     gaps = np.asarray(other, np.float64) - np.asarray(first, np.float64)
     origin = float(np.median(other))
     slope = _slope(np.asarray(other, np.float64), gaps, seed)
@@ -97,13 +97,13 @@
     # The events are told late by chance, to both alike: what is left over is this lateness and the doubt.
     spread = np.abs(rest - offset)
     doubt = float(np.quantile(spread, 0.9)) / max(1.0, events**0.5) * 3 + 1000.0
-    out = Fit(offset, slope, origin, doubt, events, bounds)
+    out = ClockFit(offset, slope, origin, doubt, events, bounds)
     if earlier is None or later is None or not bounds:
         return out
     broken = np.asarray(earlier, np.float64) - out.to_first(np.asarray(later))
     worst = float(broken.max())
     if worst > 0:
-        out = Fit(offset, slope, origin, max(doubt, worst), events, bounds, int((broken > 0).sum()))
+        out = ClockFit(offset, slope, origin, max(doubt, worst), events, bounds, int((broken > 0).sum()))
     return out
 
 
--- a/onyxwick/trace/compare.py
+++ b/onyxwick/trace/compare.py
@@ -10,8 +10,8 @@
 import numpy as np
 
 from onyxwick.trace import format as f
-from onyxwick.trace.model import OPEN_STATUS, STATUSES, Verdict, Why
-from onyxwick.trace.summary import Worths
+from onyxwick.trace.model import OPEN_STATUS, STATUSES, RecordedVerdict, DecisionReason
+from onyxwick.trace.summary import PriorityWeights
 from onyxwick.trace.table import Column, Table
 
 KINDS = ("class", "tenant", "cell", "member", "source", "outcome", "cause", "choice", "verdict")
@@ -26,10 +26,10 @@
     lost: float = 0.0
     by: dict[tuple[str, str], list[float]] = field(default_factory=dict)  # (kind, name): [asked, lost]
 
-    def add(self, header: f.Header, table: Table) -> None:
+    def add(self, header: f.FileHeader, table: Table) -> None:
         if not len(table):
             return
-        asked, _, served = Worths(header).of(table)
+        asked, _, served = PriorityWeights(header).of(table)
         lost = asked - served
         self.asked += float(asked.sum())
         self.lost += float(lost.sum())
@@ -54,18 +54,18 @@
     status, detail = table.last("status", OPEN_STATUS), table.last("detail")
     ends = [f"{s} / {d}" for s in (*STATUSES, "none") for d in range(16)]
     out["outcome"] = (np.minimum(status, len(STATUSES)) * 16 + np.minimum(detail, 15), ends)
-    whys = [w.name.lower() if w in Why._value2member_map_ else str(w) for w in map(_why, range(256))]
+    whys = [w.name.lower() if w in DecisionReason._value2member_map_ else str(w) for w in map(_why, range(256))]
     out["cause"] = (lives["why"].astype(np.int64), whys)
     out["choice"] = (table.last("why"), whys)
-    out["verdict"] = (lives["verdict"].astype(np.int64), [v.name.lower() for v in Verdict])
+    out["verdict"] = (lives["verdict"].astype(np.int64), [v.name.lower() for v in RecordedVerdict])
     return out
 
 
-def _why(number: int) -> Why:
-    return Why(number) if number in Why._value2member_map_ else Why.UNKNOWN
+def _why(number: int) -> DecisionReason:
+    return DecisionReason(number) if number in DecisionReason._value2member_map_ else DecisionReason.UNKNOWN
 
 
-def losses(header: f.Header, tables: Iterable[Table]) -> Losses:
+def losses(header: f.FileHeader, tables: Iterable[Table]) -> Losses:
     out = Losses()
     for table in tables:
         out.add(header, table)
--- a/onyxwick/trace/cut.py
+++ b/onyxwick/trace/cut.py
@@ -9,14 +9,14 @@
 import numpy as np
 
 from onyxwick.trace import format as f
-from onyxwick.trace.model import Verdict
+from onyxwick.trace.model import RecordedVerdict
 from onyxwick.trace.reader import Trace
 from onyxwick.trace.recorder import number
 from onyxwick.trace.table import Column, Strings, Table
 
 
 @dataclass(frozen=True, slots=True)
-class Wanted:
+class TraceFilter:
     """None: any. Times are Unix us, of the arrival; `end` is not part of it."""
 
     begin: int | None = None
@@ -27,9 +27,9 @@
     object: str | None = None
     request: str | None = None
     member: str | None = None
-    verdict: Verdict | None = None
+    verdict: RecordedVerdict | None = None
 
-    def in_block(self, head: f.Head) -> bool:
+    def in_block(self, head: f.BlockHead) -> bool:
         """Can the block hold a request that is wanted?"""
         if self.begin is not None and head.last < self.begin:
             return False
@@ -72,7 +72,7 @@
         return out
 
 
-def cut(trace: Trace, wanted: Wanted, strings: Strings, told: bool = True) -> Iterator[Table]:
+def cut(trace: Trace, wanted: TraceFilter, strings: Strings, told: bool = True) -> Iterator[Table]:
     """The wanted requests, block by block, with what was told in the time that is wanted."""
     for head, table in trace.tables(strings, lambda h: wanted.in_block(h) or (told and _told_in(h, wanted))):
         out = (
@@ -86,11 +86,11 @@
             yield out
 
 
-def _in_time(at: int, wanted: Wanted) -> bool:
+def _in_time(at: int, wanted: TraceFilter) -> bool:
     return (wanted.begin is None or at >= wanted.begin) and (wanted.end is None or at < wanted.end)
 
 
-def _told_in(head: f.Head, wanted: Wanted) -> bool:
+def _told_in(head: f.BlockHead, wanted: TraceFilter) -> bool:
     if not head.told:
         return False
     return not (
--- a/onyxwick/trace/explain.py
+++ b/onyxwick/trace/explain.py
@@ -4,30 +4,30 @@
 
 from datetime import UTC, datetime
 
-from onyxwick.trace.model import NEVER, OPEN_STATUS, STATUSES, Verdict, Why
+from onyxwick.trace.model import NEVER, OPEN_STATUS, STATUSES, RecordedVerdict, DecisionReason
 from onyxwick.trace.table import Table
 
 CHOICES = {
-    Why.UNKNOWN: "",
-    Why.HOME: "the first box in the object's order",
-    Why.TURN: "the second box in its order, as two take turns over a hot part",
-    Why.EJECTED: "as the boxes before it were ejected",
-    Why.COLD: "as the boxes before it were cold and their budget spent",
-    Why.FULL: "as the boxes before it had no room",
-    Why.TRIED: "as the boxes before it had been tried",
-    Why.DIRECT: "past the boxes",
-    Why.SECOND_COPY: "as a second copy, the first being overdue",
+    DecisionReason.UNKNOWN: "",
+    DecisionReason.HOME: "the first box in the object's order",
+    DecisionReason.TURN: "the second box in its order, as two take turns over a hot part",
+    DecisionReason.EJECTED: "as the boxes before it were ejected",
+    DecisionReason.COLD: "as the boxes before it were cold and their budget spent",
+    DecisionReason.FULL: "as the boxes before it had no room",
+    DecisionReason.TRIED: "as the boxes before it had been tried",
+    DecisionReason.DIRECT: "past the boxes",
+    DecisionReason.SECOND_COPY: "as a second copy, the first being overdue",
 }
 ENDS = {
-    Why.ANSWERED: "by that attempt's answer",
-    Why.NO_TIME: "as its time was over",
-    Why.NO_ATTEMPTS: "as all allowed attempts were spent",
-    Why.NO_BOX: "as no box could take it",
-    Why.NO_SOURCE: "as the box lacked it and no source could fill it",
-    Why.MAY_HAVE_RUN: "as it may have run and must not run twice",
-    Why.NO_RETRIES: "as the retry budget was spent",
-    Why.SHED: "as its cell did not let it in",
-    Why.CLIENT_LEFT: "as the client had left",
+    DecisionReason.ANSWERED: "by that attempt's answer",
+    DecisionReason.NO_TIME: "as its time was over",
+    DecisionReason.NO_ATTEMPTS: "as all allowed attempts were spent",
+    DecisionReason.NO_BOX: "as no box could take it",
+    DecisionReason.NO_SOURCE: "as the box lacked it and no source could fill it",
+    DecisionReason.MAY_HAVE_RUN: "as it may have run and must not run twice",
+    DecisionReason.NO_RETRIES: "as the retry budget was spent",
+    DecisionReason.SHED: "as its cell did not let it in",
+    DecisionReason.CLIENT_LEFT: "as the client had left",
 }
 DETAILS = {
     1: "a hit", 2: "filled", 3: "filled by way of the origin", 4: "joined to a fill under way",
@@ -36,11 +36,11 @@
     10: "the origin failed",
 }  # fmt: skip
 VERDICTS = {
-    Verdict.SERVED: "It was served",
-    Verdict.REFUSED: "It was refused",
-    Verdict.FAILED: "It failed",
-    Verdict.LEFT: "Its client left",
-    Verdict.OPEN: "It was still under way when the trace ends",
+    RecordedVerdict.SERVED: "It was served",
+    RecordedVerdict.REFUSED: "It was refused",
+    RecordedVerdict.FAILED: "It failed",
+    RecordedVerdict.LEFT: "Its client left",
+    RecordedVerdict.OPEN: "It was still under way when the trace ends",
 }
 
 
@@ -68,11 +68,11 @@
     start = int(table.starts[row])
     for n in range(int(lives["attempts"][row])):
         out.append(f"Attempt {n}: " + _attempt(table, start + n))
-    verdict = Verdict(int(lives["verdict"][row]))
-    why = ENDS.get(Why(int(lives["why"][row])), "")
+    verdict = RecordedVerdict(int(lives["verdict"][row]))
+    why = ENDS.get(DecisionReason(int(lives["why"][row])), "")
     took, after = int(lives["took"][row]), int(lives["after"][row])
-    tail = f" with {int(lives['bytes'][row])} bytes" if verdict is Verdict.SERVED else ""
-    when = f" after {_ms(took)}" if verdict is not Verdict.OPEN else ""
+    tail = f" with {int(lives['bytes'][row])} bytes" if verdict is RecordedVerdict.SERVED else ""
+    when = f" after {_ms(took)}" if verdict is not RecordedVerdict.OPEN else ""
     out.append(f"{VERDICTS[verdict]}{when}{tail}{', ' + why if why else ''}.")
     if after:
         out.append(f"It was told to come back after {_ms(after)}.")
@@ -82,7 +82,7 @@
 def _attempt(table: Table, at: int) -> str:
     a = {name: int(column[at]) for name, column in table.attempts.items()}
     member, source = table.strings[a["member"]], table.strings[a["source"]]
-    why = CHOICES.get(Why(a["why"]) if a["why"] in Why._value2member_map_ else Why.UNKNOWN, "")
+    why = CHOICES.get(DecisionReason(a["why"]) if a["why"] in DecisionReason._value2member_map_ else DecisionReason.UNKNOWN, "")
     text = f"at {_ms(a['decided'])} {member} was chosen" + (f", {why}" if why else "")
     text += (
         f"; a miss was to be filled from {source} at rank {a['rank']}"
--- a/onyxwick/trace/export.py
+++ b/onyxwick/trace/export.py
@@ -10,7 +10,7 @@
 
 import numpy as np
 
-from onyxwick.trace.model import ATTEMPTS, LIVES, NEVER, OPEN_STATUS, STATUSES, Verdict, Why
+from onyxwick.trace.model import ATTEMPTS, LIVES, NEVER, OPEN_STATUS, STATUSES, RecordedVerdict, DecisionReason
 from onyxwick.trace.table import MEMBERS, NAMES, Table
 
 TIMES = ("decided", "sent", "ended", "cancel")
@@ -34,7 +34,7 @@
     if name in ("id", "object"):
         return f"{value:016x}"
     if name == "verdict":
-        return Verdict(value).name.lower() if value in Verdict._value2member_map_ else str(value)
+        return RecordedVerdict(value).name.lower() if value in RecordedVerdict._value2member_map_ else str(value)
     return _cause(value) if name == "why" else value
 
 
@@ -49,7 +49,7 @@
 
 
 def _cause(value: int) -> str:
-    return Why(value).name.lower() if value in Why._value2member_map_ else str(value)
+    return DecisionReason(value).name.lower() if value in DecisionReason._value2member_map_ else str(value)
 
 
 def json_lines(tables: Iterable[Table], path: Path) -> int:
