--- a/onyxwick/trace/format.py
+++ b/onyxwick/trace/format.py
@@ -14,7 +14,7 @@
 import msgspec
 import zstandard
 
-from onyxwick.trace.model import ATTEMPTS, LIVES, MAJOR, MINOR, SIZES, Damaged, TraceError
+from onyxwick.trace.model import ATTEMPTS, LIVES, MAJOR, MINOR, SIZES, TraceDamagedError, TraceError
 
 FILE_MAGIC, BLOCK, INDEX, END = b"OWTRACE\n", b"OWB1", b"OWX1", b"OWTREND\n"
 FRAME = struct.Struct("<4sIIII")  # magic, bytes of the head, of the body, of the body unpacked, checksum
@@ -26,7 +26,7 @@
 BLOOM_HASHES, BLOOM_BITS = 4, 8  # bits for each key: one in forty is let through in vain
 
 
-class Head(msgspec.Struct, omit_defaults=True):
+class BlockHead(msgspec.Struct, omit_defaults=True):
     """What a block says of itself without being unpacked."""
 
     lives: int = 0
@@ -44,14 +44,14 @@
     told: int = 0
 
 
-class Body(msgspec.Struct):
+class BlockBody(msgspec.Struct):
     strings: list[str]
     lives: dict[str, bytes]
     attempts: dict[str, bytes]
     told: list[tuple[int, int, dict[str, Any]]]
 
 
-class Header(msgspec.Struct):
+class FileHeader(msgspec.Struct):
     """The file's first words."""
 
     version: tuple[int, int]
@@ -64,14 +64,14 @@
     clocks: dict[str, dict[str, float]] = {}  # of a merged file, by director: offset_us, drift_ppm, doubt_us
 
 
-class Entry(msgspec.Struct, array_like=True):
+class BlockIndexEntry(msgspec.Struct, array_like=True):
     offset: int
     size: int
-    head: Head
+    head: BlockHead
 
 
-_heads, _bodies = msgspec.msgpack.Decoder(Head), msgspec.msgpack.Decoder(Body)
-_headers, _indexes = msgspec.msgpack.Decoder(Header), msgspec.msgpack.Decoder(list[Entry])
+_heads, _bodies = msgspec.msgpack.Decoder(BlockHead), msgspec.msgpack.Decoder(BlockBody)
+_headers, _indexes = msgspec.msgpack.Decoder(FileHeader), msgspec.msgpack.Decoder(list[BlockIndexEntry])
 encode = msgspec.msgpack.Encoder().encode
 
 
@@ -124,12 +124,12 @@
     return FRAME.pack(magic, len(head), len(body), len(raw), check) + head + body
 
 
-def opening(header: Header) -> bytes:
+def opening(header: FileHeader) -> bytes:
     data = encode(header)
     return OPENING.pack(FILE_MAGIC, len(data), crc32c.crc32c(data)) + data
 
 
-def read_opening(file: BinaryIO) -> tuple[Header, int]:
+def read_opening(file: BinaryIO) -> tuple[FileHeader, int]:
     """The header, and where the frames begin. TraceError names what is wrong."""
     data = file.read(OPENING.size)
     if len(data) < OPENING.size or not data.startswith(FILE_MAGIC):
@@ -152,25 +152,25 @@
 def read_frame_sizes(data: bytes) -> tuple[bytes, int, int, int, int]:
     """Magic, sizes of head, body and unpacked body, checksum. Damaged where no frame could be so."""
     if len(data) < FRAME.size:
-        raise Damaged("a frame is cut")
+        raise TraceDamagedError("a frame is cut")
     magic, head, body, raw, check = FRAME.unpack_from(data)
     if magic not in (BLOCK, INDEX):
-        raise Damaged("no frame begins here")
+        raise TraceDamagedError("no frame begins here")
     if head > MOST_HEAD or body > MOST_BODY or raw > MOST_RAW:
-        raise Damaged(f"a frame claims {head}, {body} and {raw} bytes")
+        raise TraceDamagedError(f"a frame claims {head}, {body} and {raw} bytes")
     return magic, head, body, raw, check
 
 
 def checked(head: bytes, body: bytes, check: int) -> None:
     if crc32c.crc32c(body, crc32c.crc32c(head)) != check:
-        raise Damaged("a frame's checksum does not hold")
+        raise TraceDamagedError("a frame's checksum does not hold")
 
 
-def read_head(data: bytes) -> Head:
+def read_head(data: bytes) -> BlockHead:
     try:
         return _heads.decode(data)
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
-        raise Damaged(f"a block's head cannot be read: {error}") from None
+        raise TraceDamagedError(f"a block's head cannot be read: {error}") from None
 
 
 def unpack(body: bytes, raw: int) -> bytes:
@@ -178,39 +178,39 @@
     try:
         out = zstandard.ZstdDecompressor().decompress(body, max_output_size=max(1, raw))
     except zstandard.ZstdError as error:
-        raise Damaged(f"a block cannot be unpacked: {error}") from None
+        raise TraceDamagedError(f"a block cannot be unpacked: {error}") from None
     if len(out) != raw:
-        raise Damaged("a block unpacks to another size than told")
+        raise TraceDamagedError("a block unpacks to another size than told")
     return out
 
 
-def read_body(raw: bytes, head: Head) -> Body:
+def read_body(raw: bytes, head: BlockHead) -> BlockBody:
     """The columns, each of the length that the head tells."""
     try:
         body = _bodies.decode(raw)
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
-        raise Damaged(f"a block cannot be read: {error}") from None
+        raise TraceDamagedError(f"a block cannot be read: {error}") from None
     if len(body.strings) > MOST_STRINGS or max(head.lives, head.attempts) > MOST_ROWS:
-        raise Damaged("a block holds too much")
+        raise TraceDamagedError("a block holds too much")
     for columns, known, rows in ((body.lives, LIVES, head.lives), (body.attempts, ATTEMPTS, head.attempts)):
         for name, code in known.items():
             if len(columns.get(name, b"")) != rows * SIZES[code]:
-                raise Damaged(f"column '{name}' does not hold {rows} values")
+                raise TraceDamagedError(f"column '{name}' does not hold {rows} values")
     return body
 
 
-def index_frame(entries: list[Entry], offset: int) -> bytes:
+def index_frame(entries: list[BlockIndexEntry], offset: int) -> bytes:
     """The index and the file's last words. The filters stay in the blocks: they are most of a head, and only
     a search for one id wants them."""
-    bare = [Entry(e.offset, e.size, msgspec.structs.replace(e.head, bloom=b"")) for e in entries]
+    bare = [BlockIndexEntry(e.offset, e.size, msgspec.structs.replace(e.head, bloom=b"")) for e in entries]
     return frame(INDEX, b"", encode(bare)) + CLOSING.pack(offset, END)
 
 
-def read_index(raw: bytes) -> list[Entry]:
+def read_index(raw: bytes) -> list[BlockIndexEntry]:
     try:
         return _indexes.decode(raw)
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
-        raise Damaged(f"the index cannot be read: {error}") from None
+        raise TraceDamagedError(f"the index cannot be read: {error}") from None
 
 
 def columns(known: dict[str, str]) -> dict[str, array[int]]:
--- a/onyxwick/trace/merge.py
+++ b/onyxwick/trace/merge.py
@@ -10,8 +10,8 @@
 import numpy as np
 
 from onyxwick.trace import format as f
-from onyxwick.trace.clocks import Fit, OwnClock, fit
-from onyxwick.trace.model import RETRY, Told, TraceError, Verdict
+from onyxwick.trace.clocks import ClockFit, OwnClock, fit
+from onyxwick.trace.model import RETRY, NotificationKind, TraceError, RecordedVerdict
 from onyxwick.trace.reader import Trace, open_trace
 from onyxwick.trace.table import Column, Strings, Table, join, sealed
 
@@ -21,20 +21,20 @@
 
 
 @dataclass(slots=True)
-class Source:
+class MergeSource:
     """All files of one director, over its restarts."""
 
     director: str
     traces: list[Trace] = field(default_factory=list)
     clock: dict[str, OwnClock] = field(default_factory=dict)  # by run
-    fit: Fit = field(default_factory=Fit)
+    fit: ClockFit = field(default_factory=ClockFit)
 
     def steady(self, trace: Trace, times: Column) -> Column:
         return self.clock[trace.header.run].steady(times)
 
 
 @dataclass(slots=True)
-class Notes:
+class MergeNotes:
     """What a first pass over a director's files finds for its clock."""
 
     events: dict[tuple[Any, ...], float] = field(default_factory=dict)  # what was told: when
@@ -42,12 +42,12 @@
     retried: list[tuple[tuple[int, int], float]] = field(default_factory=list)
 
 
-def sources(paths: list[Path]) -> list[Source]:
+def sources(paths: list[Path]) -> list[MergeSource]:
     """The files by director; TraceError where one cannot be read."""
-    out: dict[str, Source] = {}
+    out: dict[str, MergeSource] = {}
     for path in paths:
         trace = open_trace(path)
-        out.setdefault(trace.header.director, Source(trace.header.director)).traces.append(trace)
+        out.setdefault(trace.header.director, MergeSource(trace.header.director)).traces.append(trace)
     if not out:
         raise TraceError("no trace is named")
     for source in out.values():
@@ -55,7 +55,7 @@
     return list(out.values())
 
 
-def _told(source: Source) -> Iterator[tuple[Trace, int, int, dict[str, Any]]]:
+def _told(source: MergeSource) -> Iterator[tuple[Trace, int, int, dict[str, Any]]]:
     strings = Strings()
     for trace in source.traces:
         for _, table in trace.tables(strings, lambda head: head.told > 0):
@@ -63,25 +63,25 @@
                 yield trace, kind, at, data
 
 
-def _own_clocks(source: Source) -> None:
+def _own_clocks(source: MergeSource) -> None:
     samples: dict[str, list[tuple[int, int]]] = {t.header.run: [] for t in source.traces}
     for trace, kind, at, data in _told(source):
-        if kind == Told.CLOCK:
+        if kind == NotificationKind.CLOCK:
             samples[trace.header.run].append((at, int(data["mono_us"])))
     source.clock = {run: OwnClock(pairs) for run, pairs in samples.items()}
 
 
 def _event_key(kind: int, data: dict[str, Any]) -> tuple[Any, ...] | None:
     """What makes a telling the same event for all directors; None where it is a director's own."""
-    if kind == Told.PURGE:
+    if kind == NotificationKind.PURGE:
         return (kind, data.get("group"), data.get("object"), data.get("unix_us"))
-    if kind == Told.LIST and data.get("version"):
+    if kind == NotificationKind.LIST and data.get("version"):
         return (kind, data["version"])
     return None
 
 
-def _notes(source: Source) -> Notes:
-    out, strings = Notes(), Strings()
+def _notes(source: MergeSource) -> MergeNotes:
+    out, strings = MergeNotes(), Strings()
     for trace in source.traces:
         for _, table in trace.tables(strings):
             times = source.steady(trace, np.array([at for _, at, _ in table.told], np.float64))
@@ -92,9 +92,9 @@
     return out
 
 
-def _note_retries(table: Table, at: Column, out: Notes) -> None:
+def _note_retries(table: Table, at: Column, out: MergeNotes) -> None:
     lives = table.lives
-    refused = np.flatnonzero(np.isin(lives["verdict"], (Verdict.REFUSED, Verdict.FAILED)))
+    refused = np.flatnonzero(np.isin(lives["verdict"], (RecordedVerdict.REFUSED, RecordedVerdict.FAILED)))
     for row in refused:
         key = (int(lives["object"][row]), int(lives["part"][row]))
         out.refused[key] = float(at[row] + lives["took"][row])
@@ -102,7 +102,7 @@
         out.retried.append(((int(lives["object"][row]), int(lives["part"][row])), float(at[row])))
 
 
-def align(found: list[Source]) -> None:
+def align(found: list[MergeSource]) -> None:
     """Fit every director's clock to the first one's."""
     for source in found:
         _own_clocks(source)
@@ -127,7 +127,7 @@
         source.fit = fit(a, b, earlier, later)
 
 
-def _aligned(source: Source, strings: Strings) -> Iterator[tuple[float, Table]]:
+def _aligned(source: MergeSource, strings: Strings) -> Iterator[tuple[float, Table]]:
     """A director's tables in order, on the first one's clock, each with the least arrival still to come."""
     for trace in source.traces:
         for head, table in trace.tables(strings):
@@ -143,7 +143,7 @@
             yield float(last) - REACH_US, Table(lives, table.attempts, strings, told)
 
 
-def merged(found: list[Source], strings: Strings) -> Generator[Table, None, None]:
+def merged(found: list[MergeSource], strings: Strings) -> Generator[Table, None, None]:
     """Tables of all directors in order of arrival. Holds what `REACH_US` can still overtake, and no more."""
     feeds = [_aligned(source, strings) for source in found]
     marks = [-np.inf] * len(feeds)
@@ -180,20 +180,20 @@
     return [rest]
 
 
-class Writer:
+class TraceWriter:
     """A new trace from tables."""
 
-    def __init__(self, path: Path, header: f.Header) -> None:
+    def __init__(self, path: Path, header: f.FileHeader) -> None:
         self.file = path.open("wb")
         data = f.opening(header)
         self.file.write(data)
-        self.offset, self.entries = len(data), list[f.Entry]()
+        self.offset, self.entries = len(data), list[f.BlockIndexEntry]()
         self.lives = 0
 
     def add(self, table: Table, dropped: int = 0) -> None:
         head, data = sealed(table, dropped)
         self.file.write(data)
-        self.entries.append(f.Entry(self.offset, len(data), head))
+        self.entries.append(f.BlockIndexEntry(self.offset, len(data), head))
         self.offset += len(data)
         self.lives += len(table)
 
@@ -202,7 +202,7 @@
         self.file.close()
 
 
-def merged_header(found: list[Source]) -> f.Header:
+def merged_header(found: list[MergeSource]) -> f.FileHeader:
     first = found[0].traces[0].header
     clocks = {
         s.director: {
@@ -215,7 +215,7 @@
         }
         for s in found
     }
-    return f.Header(
+    return f.FileHeader(
         first.version, "+".join(s.director for s in found), first.run, first.unix_us, first.mono_us,
         first.classes, first.rules, clocks,
     )  # fmt: skip
@@ -226,7 +226,7 @@
     found = sources(paths)
     align(found)
     header = merged_header(found)
-    writer = Writer(out, header)
+    writer = TraceWriter(out, header)
     strings = Strings()
     dropped = sum(e.head.dropped for s in found for t in s.traces for e in t.entries)
     for table in merged(found, strings):
--- a/onyxwick/trace/model.py
+++ b/onyxwick/trace/model.py
@@ -16,11 +16,11 @@
     """A file that is no trace, or one of a format that this reader does not know; the text says which."""
 
 
-class Damaged(TraceError):
+class TraceDamagedError(TraceError):
     """A part of a trace that cannot be read; what is before and behind it can."""
 
 
-class Verdict(IntEnum):
+class RecordedVerdict(IntEnum):
     """How a request ended for its client. OPEN: the file ends before it did."""
 
     OPEN = 0
@@ -30,7 +30,7 @@
     LEFT = 4
 
 
-class Why(IntEnum):
+class DecisionReason(IntEnum):
     """Why an attempt went where it went, or why the final answer is what it is."""
 
     UNKNOWN = 0
@@ -53,7 +53,7 @@
     CLIENT_LEFT = 28
 
 
-class Told(IntEnum):
+class NotificationKind(IntEnum):
     """What a director was told, or tells of itself."""
 
     START = 1
--- a/onyxwick/trace/reader.py
+++ b/onyxwick/trace/reader.py
@@ -8,15 +8,15 @@
 from typing import BinaryIO
 
 from onyxwick.trace import format as f
-from onyxwick.trace.model import Damaged, TraceError
+from onyxwick.trace.model import TraceDamagedError, TraceError
 from onyxwick.trace.table import Strings, Table, of_body
 
 SCAN = 1 << 20  # bytes looked through at a time for the next frame
-Wanted = Callable[[f.Head], bool]
+Wanted = Callable[[f.BlockHead], bool]
 
 
 @dataclass(slots=True)
-class Loss:
+class ReadLoss:
     """Bytes of a file that could not be read, and why."""
 
     offset: int
@@ -30,11 +30,11 @@
 
     path: Path
     file: BinaryIO
-    header: f.Header
+    header: f.FileHeader
     begin: int
     size: int
-    entries: list[f.Entry] = field(default_factory=list)
-    losses: list[Loss] = field(default_factory=list)
+    entries: list[f.BlockIndexEntry] = field(default_factory=list)
+    losses: list[ReadLoss] = field(default_factory=list)
     indexed: bool = False
     read_bytes: int = 0
 
@@ -50,17 +50,17 @@
         self.read_bytes += len(data)
         return data
 
-    def head(self, entry: f.Entry) -> f.Head:
+    def head(self, entry: f.BlockIndexEntry) -> f.BlockHead:
         """A block's own head, without its body: a hint and no more, as its checksum covers both."""
         _, size, _, _, _ = f.read_frame_sizes(self.read(entry.offset, f.FRAME.size))
         return f.read_head(self.read(entry.offset + f.FRAME.size, size))
 
-    def block(self, entry: f.Entry, strings: Strings) -> Table:
+    def block(self, entry: f.BlockIndexEntry, strings: Strings) -> Table:
         """One block's table; Damaged where it cannot be read."""
         data = self.read(entry.offset, entry.size)
         magic, head, body, raw, check = f.read_frame_sizes(data)
         if magic != f.BLOCK or f.FRAME.size + head + body > len(data):
-            raise Damaged("a block is cut")
+            raise TraceDamagedError("a block is cut")
         head_bytes = data[f.FRAME.size : f.FRAME.size + head]
         body_bytes = data[f.FRAME.size + head : f.FRAME.size + head + body]
         f.checked(head_bytes, body_bytes, check)
@@ -68,7 +68,7 @@
         parsed = f.read_body(f.unpack(body_bytes, raw), f.read_head(head_bytes))
         return of_body(parsed, strings, self.header.director)
 
-    def tables(self, strings: Strings, wanted: Wanted | None = None) -> Iterator[tuple[f.Head, Table]]:
+    def tables(self, strings: Strings, wanted: Wanted | None = None) -> Iterator[tuple[f.BlockHead, Table]]:
         """Blocks that can hold what is wanted. A damaged one is noted among the losses and passed over."""
         for entry in self.entries:
             if wanted is not None and not wanted(entry.head):
@@ -77,8 +77,8 @@
                 if wanted is not None and not entry.head.bloom and not wanted(self.head(entry)):
                     continue  # the index has no filters: the block's own head says more
                 table = self.block(entry, strings)
-            except Damaged as error:
-                self.losses.append(Loss(entry.offset, entry.size, str(error)))
+            except TraceDamagedError as error:
+                self.losses.append(ReadLoss(entry.offset, entry.size, str(error)))
                 continue
             yield entry.head, table
 
@@ -115,7 +115,7 @@
             return False
         f.checked(data[f.FRAME.size : f.FRAME.size + head], data[f.FRAME.size + head :], check)
         entries = f.read_index(f.unpack(data[f.FRAME.size + head :], raw))
-    except Damaged:
+    except TraceDamagedError:
         return False
     if any(e.offset < trace.begin or e.size < 0 or e.offset + e.size > offset for e in entries):
         return False
@@ -129,9 +129,9 @@
     while at < trace.size:
         try:
             size, entry = _frame_at(trace, at)
-        except Damaged as error:
+        except TraceDamagedError as error:
             following = _next_magic(trace, at + 1)
-            trace.losses.append(Loss(at, following - at, str(error)))
+            trace.losses.append(ReadLoss(at, following - at, str(error)))
             at = following
             continue
         if entry is not None:
@@ -139,19 +139,19 @@
         at += size
 
 
-def _frame_at(trace: Trace, at: int) -> tuple[int, f.Entry | None]:
+def _frame_at(trace: Trace, at: int) -> tuple[int, f.BlockIndexEntry | None]:
     start = trace.read(at, f.FRAME.size)
     if start[-f.CLOSING.size :].endswith(f.END) or (len(start) == f.CLOSING.size and start.endswith(f.END)):
         return len(start), None
     magic, head, body, _, check = f.read_frame_sizes(start)
     data = trace.read(at + f.FRAME.size, head + body)
     if len(data) < head + body:
-        raise Damaged("the file ends inside a frame")
+        raise TraceDamagedError("the file ends inside a frame")
     f.checked(data[:head], data[head:], check)
     size = f.FRAME.size + head + body
     if magic == f.INDEX:
         return size, None
-    return size, f.Entry(at, size, f.read_head(data[:head]))
+    return size, f.BlockIndexEntry(at, size, f.read_head(data[:head]))
 
 
 def _next_magic(trace: Trace, at: int) -> int:
--- a/onyxwick/trace/recorder.py
+++ b/onyxwick/trace/recorder.py
@@ -21,9 +21,9 @@
     RETRY,
     STATUSES,
     WRITE,
-    Told,
-    Verdict,
-    Why,
+    NotificationKind,
+    RecordedVerdict,
+    DecisionReason,
 )
 
 BLOCK_LIVES = 4096  # in one block
@@ -37,10 +37,10 @@
 
 
 @dataclass(slots=True)
-class Belief:
+class MemberBelief:
     """What was believed of a member when it was chosen."""
 
-    why: int = Why.UNKNOWN
+    why: int = DecisionReason.UNKNOWN
     pending: int = 0
     room: float = 0.0
     failing: float = 0.0
@@ -48,7 +48,7 @@
 
 
 @dataclass(slots=True)
-class Try:
+class RecordedAttempt:
     """One attempt."""
 
     member: str
@@ -57,7 +57,7 @@
     flags: int
     age_ms: int
     decided: int
-    belief: Belief
+    belief: MemberBelief
     sent: int = NEVER
     ended: int = NEVER
     cancel: int = NEVER
@@ -67,16 +67,16 @@
 
 
 @dataclass(slots=True)
-class Story:
+class RecordedRequest:
     """One request under way."""
 
     ask: RequestArrived
     at: int
     cell: str
     once: bool
-    tries: list[Try] = field(default_factory=list)
-    verdict: int = Verdict.OPEN
-    why: int = Why.UNKNOWN
+    tries: list[RecordedAttempt] = field(default_factory=list)
+    verdict: int = RecordedVerdict.OPEN
+    why: int = DecisionReason.UNKNOWN
     took: int = 0
     after: int = 0
     bytes: int = 0
@@ -98,7 +98,7 @@
     return out
 
 
-class Block:
+class RecordedBlock:
     """Columns as they fill."""
 
     def __init__(self, now: int) -> None:
@@ -106,7 +106,7 @@
         self.lives, self.attempts = f.columns(LIVES), f.columns(ATTEMPTS)
         self.strings: dict[str, int] = {"": 0}
         self.told: list[tuple[int, int, dict[str, Any]]] = []
-        self.head = f.Head()
+        self.head = f.BlockHead()
         self.seen: tuple[set[str], set[str], set[str], set[str]] = (set(), set(), set(), set())
 
     def text(self, value: str) -> int:
@@ -115,7 +115,7 @@
             place = self.strings[value] = len(self.strings)
         return place
 
-    def add(self, story: Story) -> None:
+    def add(self, story: RecordedRequest) -> None:
         ask, head = story.ask, self.head
         request, name = number(ask.request_id), number(ask.object_id)
         head.first = min(head.first or story.at, story.at)
@@ -138,7 +138,7 @@
             members.add(one.member)
             self._add_try(one)
 
-    def _add_try(self, one: Try) -> None:
+    def _add_try(self, one: RecordedAttempt) -> None:
         belief = one.belief
         row = (
             one.decided, one.sent, one.ended, one.cancel, self.text(one.member), self.text(one.source),
@@ -152,7 +152,7 @@
     def _bloom(self) -> bytes:
         return f.bloom_of([*self.lives["id"], *self.lives["object"]]) if self.lives["id"] else b""
 
-    def sealed(self) -> tuple[f.Head, bytes]:
+    def sealed(self) -> tuple[f.BlockHead, bytes]:
         """Head and frame. What this costs is the writer's, not the request's."""
         head = self.head
         head.lives, head.attempts = len(self.lives["id"]), len(self.attempts["sent"])
@@ -161,7 +161,7 @@
         if self.told:
             head.first = min([head.first or self.told[0][1], *(at for _, at, _ in self.told)])
             head.last = max([head.last, *(at for _, at, _ in self.told)])
-        body = f.Body(list(self.strings), _bytes(self.lives), _bytes(self.attempts), self.told)
+        body = f.BlockBody(list(self.strings), _bytes(self.lives), _bytes(self.attempts), self.told)
         return head, f.frame(f.BLOCK, f.encode(head), f.encode(body))
 
 
@@ -172,10 +172,10 @@
 class Recorder:
     """Takes note of what a core does. `full` gets blocks that are to be written; False: it has no room."""
 
-    def __init__(self, now: int, full: Callable[[Block], bool], once: frozenset[str] = frozenset()) -> None:
+    def __init__(self, now: int, full: Callable[[RecordedBlock], bool], once: frozenset[str] = frozenset()) -> None:
         self.full, self.once = full, once
-        self.stories: dict[str, Story] = {}
-        self.block = Block(now)
+        self.stories: dict[str, RecordedRequest] = {}
+        self.block = RecordedBlock(now)
         self.dropped = 0
 
     # ---- what happens -----------------------------------------------------------------------------------
@@ -184,9 +184,9 @@
         if len(self.stories) >= MOST_OPEN or ask.request_id in self.stories:
             self.dropped += 1
             return
-        self.stories[ask.request_id] = Story(ask, now, cell, ask.class_name in self.once)
+        self.stories[ask.request_id] = RecordedRequest(ask, now, cell, ask.class_name in self.once)
 
-    def decided(self, now: int, action: ForwardRequest | ForwardWithFill, belief: Belief) -> None:
+    def decided(self, now: int, action: ForwardRequest | ForwardWithFill, belief: MemberBelief) -> None:
         story = self.stories.get(action.request_id)
         if story is None:
             return
@@ -196,12 +196,12 @@
             return
         after = min(now - story.at, NEVER - 1)
         if isinstance(action, ForwardRequest):
-            story.tries.append(Try(action.member, "", 0, 0, 0, after, belief))
+            story.tries.append(RecordedAttempt(action.member, "", 0, 0, 0, after, belief))
             return
         source = "" if action.fill_source == action.member else action.fill_source
         age = action.max_age_us // 1000
         story.tries.append(
-            Try(action.member, source, action.retention_rank, int(action.fill_options), age, after, belief)
+            RecordedAttempt(action.member, source, action.retention_rank, int(action.fill_options), age, after, belief)
         )
 
     def sent(self, request: str, attempt: int, at: int) -> None:
@@ -216,7 +216,7 @@
         story = self.stories.get(request)
         if story is not None and story.once:
             self.told(
-                now, Told.SENT, {"id": number(request), "member": member, "class": story.ask.class_name}
+                now, NotificationKind.SENT, {"id": number(request), "member": member, "class": story.ask.class_name}
             )
 
     def cancelled(self, now: int, request: str, attempt: int) -> None:
@@ -233,7 +233,7 @@
         one.detail, one.dated = event.detail.value, dated_us
         self._close(now, event.request_id, story)
 
-    def finished(self, now: int, request: str, verdict: Verdict, why: Why, after: int, size: int) -> None:
+    def finished(self, now: int, request: str, verdict: RecordedVerdict, why: DecisionReason, after: int, size: int) -> None:
         """The final answer, or the client's leaving; only the first of them counts."""
         story = self.stories.get(request)
         if story is None or story.verdict:
@@ -242,7 +242,7 @@
         story.after, story.bytes = after, size
         self._close(now, request, story)
 
-    def told(self, now: int, kind: Told, data: dict[str, Any]) -> None:
+    def told(self, now: int, kind: NotificationKind, data: dict[str, Any]) -> None:
         if len(self.block.told) >= MOST_TOLD:
             self.flush(now)
         if len(self.block.told) < MOST_TOLD:
@@ -250,7 +250,7 @@
 
     # ---- blocks -----------------------------------------------------------------------------------------
 
-    def _close(self, now: int, request: str, story: Story) -> None:
+    def _close(self, now: int, request: str, story: RecordedRequest) -> None:
         if story.verdict and all(one.status != OPEN_STATUS for one in story.tries):
             del self.stories[request]
             self.block.add(story)
@@ -269,11 +269,11 @@
             return
         block.head.open, block.head.dropped = len(self.stories), self.dropped
         if self.full(block):
-            self.dropped, self.block = 0, Block(now)
+            self.dropped, self.block = 0, RecordedBlock(now)
         else:  # the writer is behind: these are left out whole, and the next block says how many
             self.dropped += len(block.lives["id"])
             told = block.told
-            self.block = Block(now)
+            self.block = RecordedBlock(now)
             self.block.told = told[-MOST_TOLD:]
 
     def finish(self, now: int) -> None:
@@ -282,5 +282,5 @@
             story.took = story.took or max(0, now - story.at)
             del self.stories[request]
             self.block.add(story)
-        self.told(now, Told.STOP, {})
+        self.told(now, NotificationKind.STOP, {})
         self.flush(now)
--- a/onyxwick/trace/sink.py
+++ b/onyxwick/trace/sink.py
@@ -15,7 +15,7 @@
 
 from onyxwick.trace import format as f
 from onyxwick.trace.model import TraceError
-from onyxwick.trace.recorder import Block
+from onyxwick.trace.recorder import RecordedBlock
 
 WAITING = 4  # blocks that wait to be written; over it whole requests are left out
 AGAIN_S = 5.0  # after the disk refused
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
+class SinkLimits:
     """Of one file and of all: whichever comes first begins a new file; the oldest go."""
 
     file_bytes: int = 64 << 20
@@ -31,7 +31,7 @@
     total_bytes: int = 1 << 30
 
 
-class Disk:
+class SinkFolder:
     """The file calls that a sink makes; tests put their own in its place."""
 
     def open(self, path: Path) -> BinaryIO:
@@ -53,7 +53,7 @@
 
 
 @dataclass(slots=True)
-class Counts:
+class SinkCounts:
     blocks: int = 0
     bytes: int = 0
     lost_blocks: int = 0
@@ -68,17 +68,17 @@
     def __init__(
         self,
         folder: Path,
-        header: f.Header,
-        bounds: Bounds | None = None,
-        disk: Disk | None = None,
+        header: f.FileHeader,
+        bounds: SinkLimits | None = None,
+        disk: SinkFolder | None = None,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self.folder, self.header = folder, header
-        self.bounds, self.disk, self.clock = bounds or Bounds(), disk or Disk(), clock
-        self.counts = Counts()
-        self.waiting: queue.Queue[Block | None] = queue.Queue(WAITING)
+        self.bounds, self.disk, self.clock = bounds or SinkLimits(), disk or SinkFolder(), clock
+        self.counts = SinkCounts()
+        self.waiting: queue.Queue[RecordedBlock | None] = queue.Queue(WAITING)
         self.file: BinaryIO | None = None
-        self.entries: list[f.Entry] = []
+        self.entries: list[f.BlockIndexEntry] = []
         self.offset, self.opened, self.number, self.again_at = 0, 0.0, 0, 0.0
         self.lost = 0  # requests lost since the last block that was written
         self.thread: threading.Thread | None = None
@@ -89,7 +89,7 @@
         self.thread = threading.Thread(target=self._run, name="trace", daemon=True)
         self.thread.start()
 
-    def take(self, block: Block) -> bool:
+    def take(self, block: RecordedBlock) -> bool:
         """A block to be written; False at once where too many wait."""
         try:
             self.waiting.put_nowait(block)
@@ -113,7 +113,7 @@
             self.write(block)
         self.close()
 
-    def write(self, block: Block) -> None:
+    def write(self, block: RecordedBlock) -> None:
         """One block, or its loss counted."""
         block.head.dropped += self.lost
         head, data = block.sealed()
@@ -125,12 +125,12 @@
             self._failed(error, head)
             return
         self.lost = 0
-        self.entries.append(f.Entry(self.offset, len(data), head))
+        self.entries.append(f.BlockIndexEntry(self.offset, len(data), head))
         self.offset += len(data)
         self.counts.blocks += 1
         self.counts.bytes += len(data)
 
-    def _failed(self, error: OSError, head: f.Head) -> None:
+    def _failed(self, error: OSError, head: f.BlockHead) -> None:
         self.counts.lost_blocks += 1
         self.counts.lost_requests += head.lives
         self.counts.errors = [*self.counts.errors[-7:], str(error)]
--- a/onyxwick/trace/summary.py
+++ b/onyxwick/trace/summary.py
@@ -11,7 +11,7 @@
 from hdrh.histogram import HdrHistogram
 
 from onyxwick.trace import format as f
-from onyxwick.trace.model import RETRY, Verdict
+from onyxwick.trace.model import RETRY, RecordedVerdict
 from onyxwick.trace.table import Column, Table
 
 SECOND = 1_000_000
@@ -22,10 +22,10 @@
 
 
 @dataclass(slots=True)
-class Group:
+class SummaryGroup:
     """One class, tenant, cell or member."""
 
-    counts: Column = field(default_factory=lambda: np.zeros(len(Verdict), np.int64))
+    counts: Column = field(default_factory=lambda: np.zeros(len(RecordedVerdict), np.int64))
     asked: float = 0.0  # worth, as are in_time and served
     in_time: float = 0.0
     served: float = 0.0
@@ -38,7 +38,7 @@
         quantile = self.latency.get_value_at_percentile
         return {
             "requests": int(self.counts.sum()),
-            **{v.name.lower(): int(self.counts[v]) for v in Verdict},
+            **{v.name.lower(): int(self.counts[v]) for v in RecordedVerdict},
             "worth": round(self.asked, 1),
             "service": round(self.served / self.asked, 4) if self.asked else 1.0,
             "in_time": round(self.in_time / self.asked, 4) if self.asked else 1.0,
@@ -61,10 +61,10 @@
         histogram.record_value(max(1, value), count)
 
 
-class Worths:
+class PriorityWeights:
     """What requests are worth, by class; the header says it."""
 
-    def __init__(self, header: f.Header) -> None:
+    def __init__(self, header: f.FileHeader) -> None:
         self.classes = {str(c["name"]): c for c in header.classes}
 
     def column(self, table: Table, name: str, default: float) -> Column:
@@ -81,7 +81,7 @@
         part."""
         worth, late = self.column(table, "worth", 1.0), self.column(table, "late_worth", 0.0)
         limit = self.column(table, "aim_us", np.inf) + self.column(table, "grace_us", 0.0)
-        served = table.lives["verdict"] == Verdict.SERVED
+        served = table.lives["verdict"] == RecordedVerdict.SERVED
         in_time = served & (table.lives["took"] <= limit)
         return worth, worth * in_time, worth * (in_time + late * (served & ~in_time))
 
@@ -89,13 +89,13 @@
 class Summary:
     """Add tables in any order, then ask for `shown`."""
 
-    def __init__(self, header: f.Header) -> None:
-        self.worths = Worths(header)
-        self.groups: dict[str, dict[str, Group]] = {k: {} for k in ("class", "tenant", "cell", "member")}
+    def __init__(self, header: f.FileHeader) -> None:
+        self.worths = PriorityWeights(header)
+        self.groups: dict[str, dict[str, SummaryGroup]] = {k: {} for k in ("class", "tenant", "cell", "member")}
         self.seconds: dict[int, list[float]] = {}  # second: [asked, served]
         self.sources: dict[str, int] = {}
         self.origin_bytes: dict[str, int] = {}
-        self.whole = Group()
+        self.whole = SummaryGroup()
         self.dropped = self.lives = 0
 
     def add(self, table: Table, dropped: int = 0) -> None:
@@ -119,11 +119,11 @@
         for number in np.unique(numbers):
             name = table.strings[int(number)]
             if name or kind == "class":
-                self._group(groups.setdefault(name, Group()), table, numbers == number, worths)
+                self._group(groups.setdefault(name, SummaryGroup()), table, numbers == number, worths)
 
-    def _group(self, group: Group, table: Table, rows: Column, worths: tuple[Column, Column, Column]) -> None:
+    def _group(self, group: SummaryGroup, table: Table, rows: Column, worths: tuple[Column, Column, Column]) -> None:
         lives = table.lives
-        group.counts += np.bincount(lives["verdict"][rows], minlength=len(Verdict))[: len(Verdict)]
+        group.counts += np.bincount(lives["verdict"][rows], minlength=len(RecordedVerdict))[: len(RecordedVerdict)]
         asked, in_time, served = (float(w[rows].sum()) for w in worths)
         group.asked, group.in_time, group.served = (
             group.asked + asked, group.in_time + in_time, group.served + served,
@@ -131,7 +131,7 @@
         group.retries += int((lives["flags"][rows] & RETRY != 0).sum())
         group.attempts += int(lives["attempts"][rows].sum(dtype=np.int64))
         group.bytes += int(lives["bytes"][rows].sum(dtype=np.int64))
-        record(group.latency, lives["took"][rows & (lives["verdict"] == Verdict.SERVED)].astype(np.int64))
+        record(group.latency, lives["took"][rows & (lives["verdict"] == RecordedVerdict.SERVED)].astype(np.int64))
 
     def _seconds(self, table: Table, worths: tuple[Column, Column, Column]) -> None:
         seconds = table.lives["at"] // SECOND
@@ -145,7 +145,7 @@
 
     def _sources(self, table: Table) -> None:
         detail = table.serving("detail")
-        served = table.lives["verdict"] == Verdict.SERVED
+        served = table.lives["verdict"] == RecordedVerdict.SERVED
         for number, name in SOURCES.items():
             rows = served & (detail == number)
             if rows.any():
@@ -182,7 +182,7 @@
         }
 
 
-def summarise(header: f.Header, tables: Iterable[tuple[f.Head, Table]]) -> Summary:
+def summarise(header: f.FileHeader, tables: Iterable[tuple[f.BlockHead, Table]]) -> Summary:
     out = Summary(header)
     for head, table in tables:
         out.add(table, head.dropped)
--- a/onyxwick/trace/table.py
+++ b/onyxwick/trace/table.py
@@ -10,7 +10,7 @@
 import numpy as np
 
 from onyxwick.trace import format as f
-from onyxwick.trace.model import ATTEMPTS, LIVES, Damaged
+from onyxwick.trace.model import ATTEMPTS, LIVES, TraceDamagedError
 
 NAMES = ("class", "tenant", "cell", "director")  # columns of lives that are numbers of strings
 MEMBERS = ("member", "source")  # the same of attempts
@@ -109,7 +109,7 @@
     )
 
 
-def of_body(body: f.Body, strings: Strings, director: str) -> Table:
+def of_body(body: f.BlockBody, strings: Strings, director: str) -> Table:
     """A block's columns with its names put into the common table. Damaged where a name does not exist."""
     numbers = np.array([strings.number(name) for name in body.strings] or [0], np.int64)
     lives = {name: np.frombuffer(body.lives[name], f"<{_code(code)}") for name, code in LIVES.items()}
@@ -119,10 +119,10 @@
     for columns, names in ((lives, NAMES), (attempts, MEMBERS)):
         for name in names:
             if len(columns[name]) and int(columns[name].max()) >= len(numbers):
-                raise Damaged(f"column '{name}' names what is not there")
+                raise TraceDamagedError(f"column '{name}' names what is not there")
             columns[name] = numbers[columns[name]]
     if int(lives["attempts"].sum(dtype=np.int64)) != len(attempts["sent"]):
-        raise Damaged("attempts do not add up")
+        raise TraceDamagedError("attempts do not add up")
     own = lives["director"] == 0
     if own.any():
         lives["director"] = np.where(own, strings.number(director), lives["director"])
@@ -159,11 +159,11 @@
     return [strings[int(n)] for n in used], back
 
 
-def sealed(table: Table, dropped: int = 0, open_: int = 0) -> tuple[f.Head, bytes]:
+def sealed(table: Table, dropped: int = 0, open_: int = 0) -> tuple[f.BlockHead, bytes]:
     """A table as a block: head and frame."""
     lives, attempts = table.lives, table.attempts
     names, back = _local([*(lives[n] for n in NAMES), *(attempts[n] for n in MEMBERS)], table.strings)
-    head = f.Head(lives=len(table), attempts=len(attempts["sent"]), told=len(table.told))
+    head = f.BlockHead(lives=len(table), attempts=len(attempts["sent"]), told=len(table.told))
     head.dropped, head.open = dropped, open_
     times = [at for _, at, _ in table.told]
     if len(table):
@@ -184,5 +184,5 @@
                 for n, code in known.items()
             }
         )
-    body = f.Body(names, out[0], out[1], table.told)
+    body = f.BlockBody(names, out[0], out[1], table.told)
     return head, f.frame(f.BLOCK, f.encode(head), f.encode(body))
--- a/onyxwick/trace/watch.py
+++ b/onyxwick/trace/watch.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from onyxwick import logs
-from onyxwick.core.model import Answer, Outcome, Verdict
+from onyxwick.core.model import FinalAnswer, AttemptOutcome, AnswerStatus
 from onyxwick.interface import (
     Action,
     AttemptEnded,
@@ -34,18 +34,18 @@
 from onyxwick.logic import Router
 from onyxwick.trace import format as f
 from onyxwick.trace import why
-from onyxwick.trace.model import MAJOR, MINOR, Told, Why
-from onyxwick.trace.model import Verdict as Final
+from onyxwick.trace.model import MAJOR, MINOR, NotificationKind, DecisionReason
+from onyxwick.trace.model import RecordedVerdict as Final
 from onyxwick.trace.recorder import Recorder, number
-from onyxwick.trace.sink import Bounds, Sink
+from onyxwick.trace.sink import SinkLimits, Sink
 
 log = logs.get()
 CLOCK_US = 1_000_000  # between two records of both clocks
 LEAST_LEFT_US = 1000  # under it a request had no time for an attempt
-FINALS = {Verdict.SERVED: Final.SERVED, Verdict.REFUSED: Final.REFUSED, Verdict.FAILED: Final.FAILED}
+FINALS = {AnswerStatus.SERVED: Final.SERVED, AnswerStatus.REJECTED: Final.REFUSED, AnswerStatus.FAILED: Final.FAILED}
 
 
-def header_of(settings: RouterSettings, director: str, unix_us: int, mono_us: int) -> f.Header:
+def header_of(settings: RouterSettings, director: str, unix_us: int, mono_us: int) -> f.FileHeader:
     """What a reader must know to judge: classes with worth and aims, the rules' figures."""
     r = settings.rules
     classes: list[dict[str, Any]] = [
@@ -57,7 +57,7 @@
             "stretch": c.latency_objective_stretch,
             "deadline_us": c.deadline_us,
             "once": c.idempotency is Idempotency.NON_IDEMPOTENT,
-            "write": c.write,
+            "write": c.is_write,
             "fresh_us": c.freshness_lifetime_us,
         }
         for c in settings.classes
@@ -74,14 +74,14 @@
         "parent_overload_multiple": r.parent_overload_multiple,
     }
     figures = {name: float(value) for name, value in rules.items()}
-    return f.Header((MAJOR, MINOR), director, secrets.token_hex(8), unix_us, mono_us, classes, figures)
+    return f.FileHeader((MAJOR, MINOR), director, secrets.token_hex(8), unix_us, mono_us, classes, figures)
 
 
 def _mono_us() -> int:
     return time.monotonic_ns() // 1000
 
 
-class Watch:
+class DecisionTracer:
     """What a core calls while a trace is written. Every call is bounded and none raises."""
 
     def __init__(
@@ -89,7 +89,7 @@
         settings: RouterSettings,
         director: str,
         folder: Path,
-        bounds: Bounds,
+        bounds: SinkLimits,
         now: int,
         mono: Callable[[], int] = _mono_us,
     ) -> None:
@@ -100,12 +100,12 @@
         self.broken = False
         self.clock_at = now
         self.sink.start()
-        self.recorder.told(now, Told.START, {})
+        self.recorder.told(now, NotificationKind.START, {})
         self._clock(now)
 
     def _clock(self, now: int) -> None:
         self.clock_at = now
-        self.recorder.told(now, Told.CLOCK, {"mono_us": self.mono()})
+        self.recorder.told(now, NotificationKind.CLOCK, {"mono_us": self.mono()})
 
     def listed(self, now: int, members: Iterable[Member]) -> None:
         """The list as it is known when the trace begins."""
@@ -141,14 +141,14 @@
                     for m in event.members
                 ]
                 full = event.kind is not EndpointListKind.CHANGE
-                self.recorder.told(now, Told.LIST, {"members": rows, "full": full, "version": event.version})
+                self.recorder.told(now, NotificationKind.LIST, {"members": rows, "full": full, "version": event.version})
             case ObjectsPurged(group, name, age):
                 told = {
                     "group": group,
                     "object": None if name is None else number(name),
                     "unix_us": now - age,
                 }
-                self.recorder.told(now, Told.PURGE, told)
+                self.recorder.told(now, NotificationKind.PURGE, told)
 
     def _action(self, now: int, decider: RequestRouter, action: Action) -> None:
         match action:
@@ -172,7 +172,7 @@
                     "now": action.state,
                     "why": action.reason,
                 }
-                self.recorder.told(now, Told.SITE, told | {"share": action.share_away})
+                self.recorder.told(now, NotificationKind.SITE, told | {"share": action.share_away})
 
     def _ending(self, now: int, decider: RequestRouter, request: str) -> None:
         """The cause of a refusal is noted where it was decided; the answer itself comes by `answered`."""
@@ -181,15 +181,15 @@
             return
         router = _router_of(decider, request)
         if request in getattr(decider, "shed_now", ()):
-            story.why = Why.SHED
+            story.why = DecisionReason.SHED
         elif router is None or story.job is None:
-            story.why = Why.NO_TIME if story.ask.expires_in_us <= LEAST_LEFT_US else Why.NO_BOX
+            story.why = DecisionReason.NO_TIME if story.ask.expires_in_us <= LEAST_LEFT_US else DecisionReason.NO_BOX
         else:
             story.why = why.ending(router, story.job, now)
 
     # ---- around attempts and answers --------------------------------------------------------------------
 
-    def ended(self, now: int, event: AttemptEnded, sent_us: int, outcome: Outcome) -> None:
+    def ended(self, now: int, event: AttemptEnded, sent_us: int, outcome: AttemptOutcome) -> None:
         if self.broken:
             return
         try:
@@ -197,21 +197,21 @@
                 self.recorder.sent(event.request_id, event.attempt_index, sent_us)
             status = outcome.status
             told = event if event.status is status else replace(event, status=status)
-            self.recorder.ended(now, told, outcome.dated_us)
+            self.recorder.ended(now, told, outcome.origin_date_us)
         except Exception:
             self._fault()
 
-    def answered(self, now: int, request: str, answer: Answer | None) -> None:
+    def answered(self, now: int, request: str, answer: FinalAnswer | None) -> None:
         """The one final answer, or None where the client left before it."""
         if self.broken:
             return
         try:
             if answer is None:
-                return self.recorder.finished(now, request, Final.LEFT, Why.CLIENT_LEFT, 0, 0)
-            served = answer.verdict is Verdict.SERVED
+                return self.recorder.finished(now, request, Final.LEFT, DecisionReason.CLIENT_LEFT, 0, 0)
+            served = answer.status is AnswerStatus.SERVED
             story = self.recorder.stories.get(request)
-            cause = Why.ANSWERED if served else Why(story.why) if story is not None else Why.UNKNOWN
-            final, size = FINALS[answer.verdict], len(answer.body)
+            cause = DecisionReason.ANSWERED if served else DecisionReason(story.why) if story is not None else DecisionReason.UNKNOWN
+            final, size = FINALS[answer.status], len(answer.body)
             self.recorder.finished(now, request, final, cause, answer.retry_after_us, size)
         except Exception:
             self._fault()
--- a/tests/cells.py
+++ b/tests/cells.py
@@ -4,8 +4,8 @@
 
 from dataclasses import replace
 
-from onyxwick.cells import Cell, Cells, Plan, Tenant
-from onyxwick.cells.model import MoveOrder, Policy
+from onyxwick.cells import Cell, CellRouter, CellPlan, TenantSpec
+from onyxwick.cells.model import MigrationSpec, CellPolicy
 from onyxwick.interface import (
     Action,
     AnswerDetail,
@@ -30,27 +30,27 @@
 
 def plan_of(
     cells: tuple[Cell, ...] = (Cell("a"), Cell("b")),
-    tenants: tuple[Tenant, ...] = (Tenant("t1", cells=("a",)), Tenant("t2", cells=("b",))),
-    moves: tuple[MoveOrder, ...] = (),
-    policy: Policy | None = None,
-) -> Plan:
-    return Plan(
+    tenants: tuple[TenantSpec, ...] = (TenantSpec("t1", cells=("a",)), TenantSpec("t2", cells=("b",))),
+    moves: tuple[MigrationSpec, ...] = (),
+    policy: CellPolicy | None = None,
+) -> CellPlan:
+    return CellPlan(
         {c.name: c for c in cells},
         {t.name: t for t in tenants},
         {m.name: m for m in moves},
-        policy or Policy(),
+        policy or CellPolicy(),
     )
 
 
 class CellWorld:
     """Cells with eight boxes; every action since the last call is returned."""
 
-    def __init__(self, plan: Plan | None = None, boxes: tuple[Member, ...] = BOXES, most: int = 400) -> None:
+    def __init__(self, plan: CellPlan | None = None, boxes: tuple[Member, ...] = BOXES, most: int = 400) -> None:
         self.now = 100 * S
         self.asked = 0
         self.open: dict[tuple[str, int], str] = {}  # attempts under way: where
         self.flown: dict[str, int] = {}  # attempts of each request
-        self.cells = Cells(SET, 7, self.now, plan or plan_of(), most)
+        self.cells = CellRouter(SET, 7, self.now, plan or plan_of(), most)
         self.give(EndpointsChanged(EndpointListKind.SNAPSHOT, (*boxes, *PARENTS, ORIGIN)))
 
     def give(self, *events: Event) -> list[Action]:
--- a/tests/faulty_files.py
+++ b/tests/faulty_files.py
@@ -10,7 +10,7 @@
 import random
 from dataclasses import dataclass, field
 
-from onyxwick.store.errors import Busy
+from onyxwick.store.errors import StoreBusyError
 
 PAGE = 512
 
@@ -108,7 +108,7 @@
 
     def lock(self) -> None:
         if self.locked:
-            raise Busy("open elsewhere")
+            raise StoreBusyError("open elsewhere")
         self.locked = True
 
     def close(self) -> None:
--- a/tests/feed_world.py
+++ b/tests/feed_world.py
@@ -13,26 +13,26 @@
 from onyxwick.distribution.fanout import FanOut, FanOutLimits, Subscriber
 from onyxwick.distribution.follower import (
     Action,
-    Connect,
-    Deliver,
-    Disconnect,
+    ConnectToParent,
+    DeliverEvent,
+    DisconnectFromParent,
     Follower,
     FollowerLimits,
-    Install,
-    Refresh,
-    Send,
+    InstallSnapshot,
+    RefreshFreshness,
+    SendLine,
 )
 from onyxwick.distribution.model import (
     CacheListChange,
     CacheRow,
     Cursor,
-    Event,
+    FeedEvent,
     Freshness,
     PurgeEvent,
     PurgeKey,
 )
 from onyxwick.distribution.publisher import Publisher, PublisherLimits
-from onyxwick.distribution.replica import Replica, Snapshot
+from onyxwick.distribution.replica import Replica, FeedSnapshot
 
 S = 1_000_000
 START = 1_800_000_000 * S
@@ -112,21 +112,21 @@
     def act(self, actions: Sequence[Action]) -> None:
         for action in actions:
             match action:
-                case Connect(parent):
+                case ConnectToParent(parent):
                     self.world.connect(self, self.world.nodes[self.parents[parent]])
-                case Send(data):
+                case SendLine(data):
                     self.world.at(self.world.delay(), partial(self.world.asked, self.up, data))
-                case Disconnect():
+                case DisconnectFromParent():
                     self.world.end(self.up)
                     self.up = None
-                case Deliver(event, from_snapshot):
+                case DeliverEvent(event, from_snapshot):
                     self.deliver(event, from_snapshot)
-                case Install(snapshot):
+                case InstallSnapshot(snapshot):
                     self.install(snapshot)
-                case Refresh(freshness):
+                case RefreshFreshness(freshness):
                     self.fanout.fresh(freshness)
 
-    def deliver(self, event: Event, from_snapshot: bool) -> None:
+    def deliver(self, event: FeedEvent, from_snapshot: bool) -> None:
         if isinstance(event.payload, PurgeEvent):
             self.purge(event.cursor, event.payload)
         if not from_snapshot:
@@ -140,7 +140,7 @@
             self.seen[purge.key] = purge.unix_ms
             self.applied.append((cursor, purge))
 
-    def install(self, snapshot: Snapshot) -> None:
+    def install(self, snapshot: FeedSnapshot) -> None:
         self.installed += 1
         self.cursors.append(snapshot.cursor)
         self.replica.install(snapshot)
@@ -372,7 +372,7 @@
         pass
 
 
-def purge(number: int) -> Event:
+def purge(number: int) -> FeedEvent:
     payload = PurgeEvent(PurgeKey(f"{number:016x}", None), NOW_MS + number)
     return codec.encode_event(Cursor(HISTORY, number), payload)
 
@@ -387,8 +387,8 @@
 
 def following(cursor: Cursor = Cursor(HISTORY, 5)) -> Follower:  # noqa: B008
     follower = Follower(2, NoWait(), cursor)
-    assert follower.start(START) == (Connect(0),)
-    assert follower.connected(START) == (Send(b"follow %d\n" % cursor.packed),)
+    assert follower.start(START) == (ConnectToParent(0),)
+    assert follower.connected(START) == (SendLine(b"follow %d\n" % cursor.packed),)
     return follower
 
 
@@ -396,6 +396,6 @@
     for cursor in (Cursor(HISTORY, 4), Cursor(HISTORY - 1, 900)):
         follower = following()
         (gone,) = follower.line(START, codec.encode_snapshot_begin(cursor, 0))
-        assert isinstance(gone, Disconnect)
+        assert isinstance(gone, DisconnectFromParent)
         assert "stepback" in gone.reason
         assert follower.cursor == Cursor(HISTORY, 5)
--- a/tests/ground.py
+++ b/tests/ground.py
@@ -12,9 +12,9 @@
 
 import uvloop
 
-from onyxwick.core import Answer, Core, Request, RequestLifecycle
+from onyxwick.core import FinalAnswer, RequestEngine, ClientRequest, RequestLifecycle
 from onyxwick.core.clock import steady_us
-from onyxwick.core.members import Members
+from onyxwick.core.members import EndpointTable
 from onyxwick.counters import Counters
 from onyxwick.interface import (
     Action,
@@ -32,9 +32,9 @@
     TimerFired,
 )
 from onyxwick.net import fastcgi
-from onyxwick.net.caches import Caches
-from onyxwick.net.coordinator import Coordinator
-from onyxwick.net.front import Front
+from onyxwick.net.caches import CacheConnectionPool
+from onyxwick.net.coordinator import CoordinatorFeed
+from onyxwick.net.front import FastCgiFront
 from onyxwick.net.listening import listen
 from tests.world import SETTINGS, member
 
@@ -81,11 +81,11 @@
     """One director without a process; `cache` makes a member whose socket the test holds."""
 
     def __init__(self, settings: RouterSettings = SETTINGS, connect_us: int = 5_000_000) -> None:
-        self.script, self.members, self.counters = Script(), Members(), Counters()
-        self.caches = Caches(self.members, self.counters, connect_us)
-        self.core = Core(settings, 7, self.caches, self.members, self.counters, decide=lambda *_: self.script)
-        self.front = Front(self.core, self.counters, lambda: True, 64, 10_000_000)
-        self.answers: list[Answer] = []
+        self.script, self.members, self.counters = Script(), EndpointTable(), Counters()
+        self.caches = CacheConnectionPool(self.members, self.counters, connect_us)
+        self.core = RequestEngine(settings, 7, self.caches, self.members, self.counters, decide=lambda *_: self.script)
+        self.front = FastCgiFront(self.core, self.counters, lambda: True, 64, 10_000_000)
+        self.answers: list[FinalAnswer] = []
         self.opened = list[socket.socket]()
         self.tasks = list[asyncio.Task[None]]()
         self.asked = 0
@@ -116,9 +116,9 @@
 
         yield let_up
 
-    def follow(self, address: tuple[str, int]) -> Coordinator:
+    def follow(self, address: tuple[str, int]) -> CoordinatorFeed:
         """The director follows the feed at this address from now on."""
-        follower = Coordinator(self.core, self.counters)
+        follower = CoordinatorFeed(self.core, self.counters)
         follower.move(address)
         self.tasks.append(asyncio.get_running_loop().create_task(follower.follow()))
         return follower
@@ -129,11 +129,11 @@
         self.opened.append(conn)
         return conn
 
-    def request(self, kind: str = "chunk", **more: object) -> Request:
+    def request(self, kind: str = "chunk", **more: object) -> ClientRequest:
         self.asked += 1
         fields = {"id": f"{self.asked:016x}", "class_name": kind, "object": "7f3a9c21e0b4d655", "part": 0}
         told = {"group": 17, "arrived_us": steady_us(), "timeout_us": 9_000_000}
-        return Request(**{**fields, **told, **more})  # type: ignore[arg-type]
+        return ClientRequest(**{**fields, **told, **more})  # type: ignore[arg-type]
 
     def start(self, kind: str = "chunk", **more: object) -> RequestLifecycle:
         lifecycle = self.core.start(self.request(kind, **more), self.answers.append)
@@ -210,7 +210,7 @@
     }
     begin = fastcgi.BEGIN_BODY.pack(fastcgi.RESPONDER, int(keep))
     params = fastcgi.write_pairs({name.encode(): value.encode() for name, value in pairs.items()})
-    kind = fastcgi.Type
+    kind = fastcgi.RecordType
     records = ((kind.BEGIN, begin), (kind.PARAMS, params), (kind.PARAMS, b""), (kind.STDIN, b""))
     return b"".join(fastcgi.record(k, number, content) for k, content in records)
 
--- a/tests/test_callers_on_time.py
+++ b/tests/test_callers_on_time.py
@@ -14,10 +14,10 @@
 
 from onyxwick.admin.http import HttpRequest, HttpServer
 from onyxwick.config import relay
-from onyxwick.core.phase import Phase
+from onyxwick.core.phase import DirectorPhase
 from onyxwick.counters import Counters
 from onyxwick.dns import server as dns_server
-from onyxwick.door.orders import Orders
+from onyxwick.door.orders import OperatorCommands
 from onyxwick.lifecycle import Director
 from tests.exchange import FOLDER
 
@@ -100,8 +100,8 @@
 
     async def play() -> None:
         director = Director(relay.read(json.loads((FOLDER / "config.json").read_text())))
-        director.phase = Phase.DRAINED
-        director._drained(Orders(1, True, drain_called_at=time.monotonic()))
-        assert director.phase is Phase.DRAINED and director.front.ending is not None
+        director.phase = DirectorPhase.DRAINED
+        director._drained(OperatorCommands(1, True, drain_called_at=time.monotonic()))
+        assert director.phase is DirectorPhase.DRAINED and director.front.ending is not None
 
     asyncio.run(play())
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -10,7 +10,7 @@
 import pytest
 
 from onyxwick.config.errors import ConfigError
-from onyxwick.core.members import PURGES_KEPT_US, Members
+from onyxwick.core.members import PURGES_KEPT_US, EndpointTable
 from onyxwick.distribution.fanout import FanOut, FanOutLimits, Subscriber
 from onyxwick.lab.scale import bounds
 from onyxwick.lab.scale.fits import fit
@@ -175,7 +175,7 @@
 
 
 def test_a_purge_is_taken_in_without_a_copy_of_all_others() -> None:
-    members, held = Members(), None
+    members, held = EndpointTable(), None
     reference: dict[tuple[int | None, str | None], int] = {}
     for n in range(3_000):
         now = n * 50_000
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -8,14 +8,14 @@
 
 import pytest
 
-from onyxwick.cells import Cell, Conflict, Control, Plan, PlanError, Tenant
-from onyxwick.cells.fleet import Cells
-from onyxwick.cells.holding import Holding
-from onyxwick.cells.model import MoveOrder, Policy
-from onyxwick.cells.moves import LEGAL, IllegalMove, Move, Phase, Signs
+from onyxwick.cells import Cell, PlanVersionConflictError, CellPlanControl, CellPlan, PlanError, TenantSpec
+from onyxwick.cells.fleet import CellRouter
+from onyxwick.cells.holding import ConnectionReservation
+from onyxwick.cells.model import MigrationSpec, CellPolicy
+from onyxwick.cells.moves import LEGAL, IllegalMigrationStepError, Migration, MigrationPhase, CellHealthSignals
 from onyxwick.cells.shown import explain, show
-from onyxwick.core import Core, Order, Outcome
-from onyxwick.core.members import Members
+from onyxwick.core import RequestEngine, AttemptSpec, AttemptOutcome
+from onyxwick.core.members import EndpointTable
 from onyxwick.counters import Counters
 from onyxwick.interface import (
     AnswerDetail,
@@ -28,13 +28,13 @@
     TimerFired,
 )
 from onyxwick.net import fastcgi
-from onyxwick.net.client import Client
-from onyxwick.net.front import Front
+from onyxwick.net.client import FrontConnection
+from onyxwick.net.front import FastCgiFront
 from tests.cells import BOXES, SET, CellWorld, plan_of, refusals
 from tests.world import ORIGIN, PARENTS, S, sent
 
-WELL = Signs(seats=4, ready=4, warmth=1.0, pressure=0.0, old_ready=4, open_old=0, open_new=0)
-MOVE = MoveOrder("m", "t1", ("b",), warm_us=2 * S, bake_us=S)
+WELL = CellHealthSignals(seats=4, ready=4, warmth=1.0, pressure=0.0, old_ready=4, open_old=0, open_new=0)
+MOVE = MigrationSpec("m", "t1", ("b",), warm_us=2 * S, bake_us=S)
 
 
 def _settle(w: CellWorld, seconds: float) -> None:
@@ -79,12 +79,12 @@
     w = CellWorld()
     w.ask("nobody")
     assert refusals(w.last) and w.cells.counts["unknown_tenant"] == 1
-    w = CellWorld(plan_of(policy=Policy(default_tenant="t2")))
+    w = CellWorld(plan_of(policy=CellPolicy(default_tenant="t2")))
     assert w.where(w.ask(None)) == "b"
 
 
 def test_a_rate_is_kept_and_tells_when_to_return() -> None:
-    w = CellWorld(plan_of(tenants=(Tenant("t1", cells=("a",), rate_per_s=10), Tenant("t2", cells=("b",)))))
+    w = CellWorld(plan_of(tenants=(TenantSpec("t1", cells=("a",), rate_per_s=10), TenantSpec("t2", cells=("b",)))))
     answers = []
     for _ in range(30):
         w.ask("t1")
@@ -136,7 +136,7 @@
 
 def test_dead_boxes_keep_their_seats_for_a_while() -> None:
     """A cell whose boxes die is not given its neighbour's at once: what killed them would go on."""
-    w = CellWorld(plan_of(policy=Policy(seat_us=5 * S)))
+    w = CellWorld(plan_of(policy=CellPolicy(seat_us=5 * S)))
     own = w.cells.roster.placement.members("b")
     for box in BOXES:
         if box.address not in own:
@@ -161,9 +161,9 @@
         request = w.ask("t1")
         w.end(request)
     assert [p for n, p in enumerate(seen) if not n or seen[n - 1] is not p] == [
-        Phase.WARMING,
-        Phase.CUTTING,
-        Phase.DRAINING,
+        MigrationPhase.WARMING,
+        MigrationPhase.CUTTING,
+        MigrationPhase.DRAINING,
     ]
     assert shares == sorted(shares), "the share only grows while all is well"
     assert w.where(booking) == "a", "the booking under way is the old cell's"
@@ -171,19 +171,19 @@
     w.end(booking, AttemptStatus.RESET)  # its answer is lost during the cut
     assert w.flown[booking] == 1, "it may have run, so nobody sends it again"
     w.pass_time(200_000)
-    assert w.cells.moves["m"].phase is Phase.DONE
+    assert w.cells.moves["m"].phase is MigrationPhase.DONE
     assert explain(w.cells, "t1", "x")[-1] == "It is served by cell 'b'."
 
 
 def test_an_object_never_goes_back_while_a_move_warms() -> None:
-    move = Move(MOVE, 0)
+    move = Migration(MOVE, 0)
     took: set[int] = set()
     for n in range(1, 40):
         move.step(n * 100_000, WELL)
         now = {key for key in range(0, 2**64, 2**56 + 12345) if move.takes(key)}
         assert took <= now
         took = now
-    assert move.phase is Phase.DONE and len(took) == 256
+    assert move.phase is MigrationPhase.DONE and len(took) == 256
 
 
 def test_a_move_into_cold_boxes_never_gives_them_more_than_they_can_bear() -> None:
@@ -196,12 +196,12 @@
     for _ in range(150):
         _settle(w, 0.1)
         move = w.cells.moves["m"]
-        assert move.share <= w.cells.roster.warmth(("b",), w.now) + 1e-9 or move.phase is not Phase.WARMING
-        if move.phase is not Phase.WARMING:
+        assert move.share <= w.cells.roster.warmth(("b",), w.now) + 1e-9 or move.phase is not MigrationPhase.WARMING
+        if move.phase is not MigrationPhase.WARMING:
             assert w.now - since >= SET.rules.warm_up_us
-    assert move.share < 1 and move.phase is Phase.WARMING, "a box is warm only after 16 s"
+    assert move.share < 1 and move.phase is MigrationPhase.WARMING, "a box is warm only after 16 s"
     _settle(w, 3)
-    assert move.phase in (Phase.CUTTING, Phase.DRAINING, Phase.DONE)
+    assert move.phase in (MigrationPhase.CUTTING, MigrationPhase.DRAINING, MigrationPhase.DONE)
 
 
 def test_a_drain_or_a_death_in_the_target_pauses_a_move_and_a_loss_after_the_cut_turns_it_back() -> None:
@@ -212,39 +212,39 @@
         w.change(box, MemberState.DRAINING)
     _settle(w, 0.2)
     move = w.cells.moves["m"]
-    assert move.phase is Phase.PAUSED and move.share < 0.2
+    assert move.phase is MigrationPhase.PAUSED and move.share < 0.2
     for box in target[:3]:
         w.change(box, MemberState.READY)
-    while move.phase in (Phase.PAUSED, Phase.WARMING):
+    while move.phase in (MigrationPhase.PAUSED, MigrationPhase.WARMING):
         _settle(w, 0.1)
-    assert move.phase is Phase.CUTTING
+    assert move.phase is MigrationPhase.CUTTING
     for box in target:
         w.change(box, MemberState.REMOVED)
     _settle(w, 0.3)
-    assert move.phase is Phase.ABORTED and w.where(w.ask("t1")) == "a"
+    assert move.phase is MigrationPhase.ABORTED and w.where(w.ask("t1")) == "a"
 
 
-@pytest.mark.parametrize("phase", [p for p in Phase if p is not Phase.DONE])
-def test_a_move_can_be_taken_back_from_every_state_but_its_end(phase: Phase) -> None:
-    move = Move(MOVE, 0)
-    move.phase, move.share = phase, 0.7 * (phase not in (Phase.RETURNING, Phase.ABORTED))
-    assert move.abort(S, "taken back") is (phase is not Phase.ABORTED)
+@pytest.mark.parametrize("phase", [p for p in MigrationPhase if p is not MigrationPhase.DONE])
+def test_a_move_can_be_taken_back_from_every_state_but_its_end(phase: MigrationPhase) -> None:
+    move = Migration(MOVE, 0)
+    move.phase, move.share = phase, 0.7 * (phase not in (MigrationPhase.RETURNING, MigrationPhase.ABORTED))
+    assert move.abort(S, "taken back") is (phase is not MigrationPhase.ABORTED)
     assert move.share == 0
     move.step(2 * S, replace(WELL, open_new=3))
-    assert move.phase is Phase.RETURNING or phase in (Phase.PLANNED, Phase.ABORTED)
+    assert move.phase is MigrationPhase.RETURNING or phase in (MigrationPhase.PLANNED, MigrationPhase.ABORTED)
     move.step(3 * S, WELL)
-    assert move.phase is Phase.ABORTED and not any(move.takes(k) for k in range(0, 2**64, 2**58))
+    assert move.phase is MigrationPhase.ABORTED and not any(move.takes(k) for k in range(0, 2**64, 2**58))
 
 
 def test_only_legal_steps_are_possible() -> None:
-    for phase in Phase:
-        for to in Phase:
-            move = Move(MOVE, 0)
+    for phase in MigrationPhase:
+        for to in MigrationPhase:
+            move = Migration(MOVE, 0)
             move.phase = phase
             if to not in LEGAL[phase]:
-                with pytest.raises(IllegalMove):
+                with pytest.raises(IllegalMigrationStepError):
                     move._enter(to, 1, "")
-    assert not LEGAL[Phase.DONE] and not LEGAL[Phase.ABORTED]
+    assert not LEGAL[MigrationPhase.DONE] and not LEGAL[MigrationPhase.ABORTED]
 
 
 @pytest.mark.parametrize("step", range(0, 60, 4))
@@ -254,7 +254,7 @@
     for _ in range(step):
         _settle(w, 0.1)
         w.end(w.ask("t1"))
-    again = Cells(SET, 8, w.now, w.cells.plan, 400)
+    again = CellRouter(SET, 8, w.now, w.cells.plan, 400)
     again.handle(
         w.now,
         [EndpointsChanged(EndpointListKind.SNAPSHOT, (*BOXES, *PARENTS, ORIGIN)), ObjectsPurged(1, None, 5)],
@@ -265,12 +265,12 @@
 
 
 def test_two_moves_that_cross_and_a_tenant_deleted_while_it_moves() -> None:
-    cross = (MOVE, MoveOrder("n", "t2", ("a",), warm_us=2 * S, bake_us=S))
+    cross = (MOVE, MigrationSpec("n", "t2", ("a",), warm_us=2 * S, bake_us=S))
     w = CellWorld(plan_of(moves=cross))
     _settle(w, 1)
     booking = w.ask("t1", "save")
     old = w.where(booking)
-    w.cells.apply(w.now, plan_of(tenants=(Tenant("t2", cells=("b",)),), moves=(cross[1],)))
+    w.cells.apply(w.now, plan_of(tenants=(TenantSpec("t2", cells=("b",)),), moves=(cross[1],)))
     w.ask("t1")
     assert refusals(w.last), "a deleted tenant's new requests are refused"
     w.end(booking)
@@ -282,7 +282,7 @@
 def test_a_cell_taken_out_of_the_plan_ends_what_it_has() -> None:
     w = CellWorld()
     request = w.ask("t2")
-    w.cells.apply(w.now, plan_of((Cell("a"),), (Tenant("t1", cells=("a",)),)))
+    w.cells.apply(w.now, plan_of((Cell("a"),), (TenantSpec("t1", cells=("a",)),)))
     assert w.cells.units["b"].leaving and w.where(request) == "b"
     w.end(request)
     assert set(w.cells.units) == {"a"} and len(w.cells.units["a"].router.caches) in (4, 8)
@@ -292,13 +292,13 @@
 def test_changes_are_whole_or_nothing_and_by_version() -> None:
     w = CellWorld()
     flushed: list[int] = []
-    control = Control(w.cells, lambda: w.now, lambda: flushed.append(1))
+    control = CellPlanControl(w.cells, lambda: w.now, lambda: flushed.append(1))
     running = control.plan
     for wrong in (
         plan_of((Cell("a", ("b0",)), Cell("b", ("b0",)))),  # a member in two cells
         plan_of((Cell("a"), Cell("b", ("none-such",)))),  # a cell with no members
         plan_of(tuple(Cell(f"c{n}") for n in range(9)), ()),  # more cells than boxes
-        plan_of(moves=(MoveOrder("m", "who", ("a",)),)),  # an unknown tenant
+        plan_of(moves=(MigrationSpec("m", "who", ("a",)),)),  # an unknown tenant
     ):
         with pytest.raises(PlanError):
             control.change(wrong)
@@ -306,7 +306,7 @@
     new = plan_of((Cell("a"), Cell("b"), Cell("c")))
     assert control.change(new, made_for=1) and control.plan.version == 2 and len(flushed) == 1
     assert not control.change(new, made_for=1), "the same call again changes nothing and is no conflict"
-    with pytest.raises(Conflict):
+    with pytest.raises(PlanVersionConflictError):
         control.change(plan_of(), made_for=1)
     assert control.plan.version == 2 and show(w.cells)["version"] == 2
 
@@ -332,13 +332,13 @@
 
 def test_lists_without_weights_give_each_cell_a_part_of_the_guess() -> None:
     told = replace(SET, weight_source="off", zone_link_kb_per_s=56_000.0, transfer_kb_per_s=6_900.0)
-    cells = Cells(told, 7, 0, plan_of(), 400)
+    cells = CellRouter(told, 7, 0, plan_of(), 400)
     rows = tuple(replace(b, weight=0.0) for b in (*BOXES, *PARENTS, ORIGIN))
     cells.handle(0, [EndpointsChanged(EndpointListKind.SNAPSHOT, rows)])
     routers = [unit.router for unit in cells.units.values()]
     boxes = sum(r._size(p) for r in routers for p in r.caches)
-    whole = Plan({"one": Cell("one")}, {})
-    alone = Cells(told, 7, 0, whole, 400)
+    whole = CellPlan({"one": Cell("one")}, {})
+    alone = CellRouter(told, 7, 0, whole, 400)
     alone.handle(0, [EndpointsChanged(EndpointListKind.SNAPSHOT, rows)])
     router = alone.units["one"].router
     assert boxes == pytest.approx(sum(router._size(p) for p in router.caches))
@@ -350,7 +350,7 @@
 def test_unread_answers_and_connections_of_one_cell_leave_the_others_theirs() -> None:
     """Clients that never read fill their own cell's part of the front and no more."""
     w = CellWorld()
-    holding = Holding(w.cells, most_bytes=1_000_000, most_clients=100)
+    holding = ConnectionReservation(w.cells, most_bytes=1_000_000, most_clients=100)
     releases = []
     while not holding.full("a"):
         releases.append(holding.hold("a", 10_000))
@@ -375,28 +375,28 @@
     another cell's client is served; and what is cut off gives its part back."""
 
     class Instant:
-        async def run(self, order: Order) -> Outcome:
-            return Outcome(AttemptStatus.OK, AnswerDetail.HIT, body=bytes(100_000), tag="t")
+        async def run(self, order: AttemptSpec) -> AttemptOutcome:
+            return AttemptOutcome(AttemptStatus.OK, AnswerDetail.HIT, body=bytes(100_000), etag="t")
 
     async def play() -> None:
         plan = plan_of()
-        members, counters = Members(), Counters()
-        core = Core(SET, 7, Instant(), members, counters, decide=lambda s, n, at: Cells(s, n, at, plan, 400))
+        members, counters = EndpointTable(), Counters()
+        core = RequestEngine(SET, 7, Instant(), members, counters, decide=lambda s, n, at: CellRouter(s, n, at, plan, 400))
         rows = (*BOXES, *PARENTS, ORIGIN)
         core.list_changed(
             EndpointsChanged(EndpointListKind.SNAPSHOT, rows), {m.address: ("127.0.0.1", 9) for m in rows}
         )
         cells = core.router
-        assert isinstance(cells, Cells)
-        holding = Holding(cells, 2_000_000, 40)
-        front = Front(core, counters, lambda: True, 40, 50_000_000, holding, "X-Tenant")
+        assert isinstance(cells, CellRouter)
+        holding = ConnectionReservation(cells, 2_000_000, 40)
+        front = FastCgiFront(core, counters, lambda: True, 40, 50_000_000, holding, "X-Tenant")
         clients = []
         for tenant, sizes in (("t1", 4096), ("t2", 4_000_000)):
             ours, theirs = socket.socketpair()
             for sock in (ours, theirs):
                 sock.setblocking(False)
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, sizes)
-            client = Client(front, ours)
+            client = FrontConnection(front, ours)
             clients.append((tenant, client, theirs, asyncio.get_running_loop().create_task(client.run())))
         loop = asyncio.get_running_loop()
         for n in range(1, 31):
@@ -428,6 +428,6 @@
     }
     pairs = fastcgi.write_pairs({k.encode(): v.encode() for k, v in params.items()})
     begin = fastcgi.BEGIN_BODY.pack(fastcgi.RESPONDER, 1)
-    kinds = ((fastcgi.Type.BEGIN, begin), (fastcgi.Type.PARAMS, pairs))
-    ends = ((fastcgi.Type.PARAMS, b""), (fastcgi.Type.STDIN, b""))
+    kinds = ((fastcgi.RecordType.BEGIN, begin), (fastcgi.RecordType.PARAMS, pairs))
+    ends = ((fastcgi.RecordType.PARAMS, b""), (fastcgi.RecordType.STDIN, b""))
     return b"".join(fastcgi.record(kind, number, content) for kind, content in kinds + ends)
--- a/tests/test_cells_placement.py
+++ b/tests/test_cells_placement.py
@@ -10,10 +10,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from onyxwick.cells.arbiter import Arbiter
-from onyxwick.cells.limits import Adaptive, Gate, Pool
-from onyxwick.cells.model import Cell, KeyRange, MoveOrder, PlanError, Tenant, check
-from onyxwick.cells.placement import Placement, place, word
+from onyxwick.cells.arbiter import ShareArbiter
+from onyxwick.cells.limits import AdaptiveLimit, AdmissionGate, ReservedPool
+from onyxwick.cells.model import Cell, KeyRange, MigrationSpec, PlanError, TenantSpec, check
+from onyxwick.cells.placement import Placement, place, stable_hash
 from onyxwick.interface import Member
 from tests.cells import plan_of
 from tests.world import S, member
@@ -26,7 +26,7 @@
 
 
 def _placed(cells: int, tenants: int, boxes: list[Member], span: int = 1) -> Placement:
-    rows = tuple(Tenant(f"tenant-{n}", span=span) for n in range(tenants))
+    rows = tuple(TenantSpec(f"tenant-{n}", span=span) for n in range(tenants))
     return place(plan_of(tuple(Cell(f"c{n}") for n in range(cells)), rows), boxes, KINDS)
 
 
@@ -75,12 +75,12 @@
 
 def test_objects_of_a_tenant_go_by_range_and_by_draw() -> None:
     cells = (Cell("a"), Cell("b"), Cell("c"))
-    row = Tenant("t", cells=("a", "b"), ranges=(KeyRange(0, 0x3F, ("c",)),))
+    row = TenantSpec("t", cells=("a", "b"), ranges=(KeyRange(0, 0x3F, ("c",)),))
     placed = place(plan_of(cells, (row,)), _fleet(12, 1), KINDS)
     for n in range(200):
         name = f"{n:016x}"
         order = placed.candidates("t", name)
-        assert (order == ("c",)) == (word(name) >> 56 <= 0x3F)
+        assert (order == ("c",)) == (stable_hash(name) >> 56 <= 0x3F)
         assert set(order) in ({"c"}, {"a", "b"})
         assert f"Cell '{order[0]}' has" in placed.explain("t", name)[-1]
     first = [placed.candidates("t", f"{n:016x}")[0] for n in range(2000)]
@@ -94,26 +94,26 @@
         ((Cell("a", fallback="z"),), (), (), "fallback: there is no cell 'z'"),
         ((Cell("a", fallback="a"),), (), (), "fallback: a cell cannot fall back on itself"),
         ((Cell("a", fallback="b"), Cell("b", fallback="a")), (), (), "chains could end in a circle"),
-        ((Cell("a"),), (Tenant("t", cells=("b",)),), (), "cells: there is no cell 'b'"),
-        ((Cell("a"),), (Tenant("t", span=2),), (), "span: 2 cells are wanted and there are 1"),
+        ((Cell("a"),), (TenantSpec("t", cells=("b",)),), (), "cells: there is no cell 'b'"),
+        ((Cell("a"),), (TenantSpec("t", span=2),), (), "span: 2 cells are wanted and there are 1"),
         (
             (Cell("a"),),
-            (Tenant("t", ranges=(KeyRange(0, 9, ("a",)), KeyRange(9, 12, ("a",)))),),
+            (TenantSpec("t", ranges=(KeyRange(0, 9, ("a",)), KeyRange(9, 12, ("a",)))),),
             (),
             "ranges: 09-0c overlaps another range",
         ),
-        ((Cell("a"),), (), (MoveOrder("m", "t", ("a",)),), "tenant: there is no tenant 't'"),
+        ((Cell("a"),), (), (MigrationSpec("m", "t", ("a",)),), "tenant: there is no tenant 't'"),
         (
             (Cell("a"),),
-            (Tenant("t"),),
-            (MoveOrder("m", "t", ("a",), 0, 9), MoveOrder("n", "t", ("a",), 5, 20)),
+            (TenantSpec("t"),),
+            (MigrationSpec("m", "t", ("a",), 0, 9), MigrationSpec("n", "t", ("a",), 5, 20)),
             "move 'm' moves the same keys",
         ),
         ((), (), (), "a plan has one cell at least"),
     ],
 )
 def test_what_does_not_fit_is_named(
-    cells: tuple[Cell, ...], tenants: tuple[Tenant, ...], moves: tuple[MoveOrder, ...], wanted: str
+    cells: tuple[Cell, ...], tenants: tuple[TenantSpec, ...], moves: tuple[MigrationSpec, ...], wanted: str
 ) -> None:
     with pytest.raises(PlanError) as error:
         check(plan_of(cells, tenants, moves))
@@ -127,7 +127,7 @@
 ) -> None:
     """Whatever is asked and whichever cells come and go: the greatest parts of any window sum to one."""
     window = 3 * S
-    arbiter, now, names = Arbiter(dict.fromkeys("abcd", 1.0), window), 0, set("abcd")
+    arbiter, now, names = ShareArbiter(dict.fromkeys("abcd", 1.0), window), 0, set("abcd")
     history = [(now, dict(arbiter.parts))]
     for cell, asked, leaves in steps:
         now += 500_000
@@ -146,7 +146,7 @@
 
 
 def test_a_flood_in_one_cell_leaves_the_others_half_of_their_part() -> None:
-    arbiter = Arbiter(dict.fromkeys("abcd", 1.0), 3 * S)
+    arbiter = ShareArbiter(dict.fromkeys("abcd", 1.0), 3 * S)
     for n in range(100):
         arbiter.demand["a"] += 1000
         arbiter.demand["b"] += 1
@@ -160,7 +160,7 @@
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(st.lists(st.tuples(st.sampled_from("abc"), st.booleans()), max_size=300))
 def test_no_cell_reaches_anothers_reserve_of_a_pool(steps: list[tuple[str, bool]]) -> None:
-    pool = Pool(100, 0.7, {"a": 2.0, "b": 1.0, "c": 1.0})
+    pool = ReservedPool(100, 0.7, {"a": 2.0, "b": 1.0, "c": 1.0})
     for name, takes in steps:
         if takes and pool.fits(name):
             pool.change(name, 1)
@@ -172,7 +172,7 @@
 
 
 def test_a_gate_sheds_the_least_class_first_and_holds_each_to_its_part_under_pressure() -> None:
-    gate = Gate(100)
+    gate = AdmissionGate(100)
     gate.adaptive.limit = 100.0
     for _ in range(50):
         gate.enter("loud", 1.0)
@@ -192,7 +192,7 @@
 
 def test_an_adaptive_limit_falls_with_late_answers_and_comes_back() -> None:
     """A resource that serves 20 at once in time, under 60 that want it: the limit settles about there."""
-    limit, now, seen = Adaptive(200), 0, []
+    limit, now, seen = AdaptiveLimit(200), 0, []
     for n in range(4000):
         now += 10_000
         used = int(min(60.0, limit.limit))
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -11,7 +11,7 @@
 
 from onyxwick.core.clock import FeedStamps
 from onyxwick.interface import AttemptStatus, EndpointsChanged, ObjectsPurged, SetTimer, TimerFired
-from onyxwick.net.coordinator import Coordinator, newest_stamp_us
+from onyxwick.net.coordinator import CoordinatorFeed, newest_stamp_us
 from tests.ground import Ground, ask, played
 
 HOUR_US = 3_600_000_000
@@ -34,15 +34,15 @@
     return WallClock(monkeypatch)
 
 
-def _tell(feed: Coordinator, event: dict[str, object]) -> None:
+def _tell(feed: CoordinatorFeed, event: dict[str, object]) -> None:
     feed.line(json.dumps({"index": feed.last + 1, **event}).encode())
 
 
-def _purge(feed: Coordinator, stamp_us: int) -> None:
+def _purge(feed: CoordinatorFeed, stamp_us: int) -> None:
     _tell(feed, {"evict": {"ref": "7f3a9c21e0b4d655", "unix_ms": stamp_us // 1000}})
 
 
-def _start(feed: Coordinator, started_us: int) -> None:
+def _start(feed: CoordinatorFeed, started_us: int) -> None:
     row = {"id": "c0", "addr": "127.0.0.1:1", "zone": "edge-1", "kind": "box", "state": "SERVING"}
     servers = [{**row, "weight": 6, "started_ms": started_us // 1000}]
     _tell(feed, {"endpoints": {"version": 2, "full": False, "servers": servers}})
@@ -50,7 +50,7 @@
 
 def test_a_purge_has_its_age_while_the_wall_clock_is_stepped(wall: WallClock) -> None:
     async def play(ground: Ground) -> None:
-        feed = Coordinator(ground.core, ground.counters)
+        feed = CoordinatorFeed(ground.core, ground.counters)
         feed.line(b"0")
         for step_us in (HOUR_US, -HOUR_US, 5_000_000, 0):
             wall.step_us = step_us
@@ -66,7 +66,7 @@
 
 def test_a_cache_that_starts_while_the_wall_clock_is_stepped_is_cold(wall: WallClock) -> None:
     async def play(ground: Ground) -> None:
-        feed = Coordinator(ground.core, ground.counters)
+        feed = CoordinatorFeed(ground.core, ground.counters)
         feed.line(b"0")
         for step_us in (HOUR_US, -HOUR_US, 5_000_000, 0):
             wall.step_us = step_us
@@ -91,7 +91,7 @@
         begun = time.monotonic()
         await ground.until(lambda: TimerFired("hedge") in ground.script.events)
         assert time.monotonic() - begun < 0.2
-        assert lifecycle.request.id in ground.core.lifecycles
+        assert lifecycle.request.request_id in ground.core.lifecycles
 
     played(play)
 
@@ -102,7 +102,7 @@
         lifecycle = ground.start()
         await ground.until(lambda: ground.script.events)
         ground.script.ended = lambda request, status: []
-        ground.script.timer = lambda: ask(lifecycle.request.id, "c0")
+        ground.script.timer = lambda: ask(lifecycle.request.request_id, "c0")
         ground.core.handle(TimerFired("hedge"))
         ground.core.purged(17, None, ground.core.now())
         await ground.until(lambda: ground.script.ends() == [AttemptStatus.NOT_SENT])
@@ -150,7 +150,7 @@
     """What the configuration told seemed an hour old: its purges had been dropped, its starts were warm."""
 
     async def play(ground: Ground) -> None:
-        feed, now = Coordinator(ground.core, ground.counters), wall.true_us() - HOUR_US  # of the feed's clock
+        feed, now = CoordinatorFeed(ground.core, ground.counters), wall.true_us() - HOUR_US  # of the feed's clock
         row = {"id": "c0", "addr": "127.0.0.1:1", "zone": "edge-1", "kind": "box", "state": "SERVING"}
         servers = [{**row, "weight": 6, "started_ms": (now - 2 * S_US) // 1000}]
         purge = {"shard": 17, "unix_ms": (now - 3 * S_US) // 1000}
@@ -204,7 +204,7 @@
     """Though no purge ever comes over the live feed."""
 
     async def play(ground: Ground, ahead_us: int) -> None:
-        feed = Coordinator(ground.core, ground.counters)
+        feed = CoordinatorFeed(ground.core, ground.counters)
         feed.known(_known(wall.true_us() - ahead_us))
         purge = next(e for e in ground.script.events if isinstance(e, ObjectsPurged) and e.object_group == 17)
         assert 2 * S_US < purge.age_us < 4 * S_US, ahead_us
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from onyxwick.cells import Cell, KeyRange, MoveOrder, Plan, Policy, Tenant
+from onyxwick.cells import Cell, KeyRange, MigrationSpec, CellPlan, CellPolicy, TenantSpec
 from onyxwick.config import ConfigError, hcl, relay, service
 from onyxwick.config.cells import json_of_plan, plan_of_json, read_plan
 from onyxwick.config.fields import Fields
@@ -159,7 +159,7 @@
     """What the API shows is what it reads back: an operator edits one row and sends the whole."""
     some = st.lists(st.sampled_from(sorted(cells)), min_size=1, max_size=3, unique=True).map(tuple)
     tenants = {
-        name: Tenant(
+        name: TenantSpec(
             name,
             data.draw(st.floats(0.1, 5)),
             1,
@@ -171,14 +171,14 @@
         for name in data.draw(st.sets(NAMES))
     }
     moves = {
-        name: MoveOrder(f"m{name}", name, data.draw(some), 0, 9, data.draw(st.integers(0, 99)) * 1_000_000)
+        name: MigrationSpec(f"m{name}", name, data.draw(some), 0, 9, data.draw(st.integers(0, 99)) * 1_000_000)
         for name in tenants
     }
-    policy = Policy(
+    policy = CellPolicy(
         "X-Who", None, data.draw(st.integers(0, 9)) * 1_000, data.draw(st.sampled_from([0.0, 0.5]))
     )
     rows = {name: Cell(name, (), weight) for name, weight in cells.items()}
-    plan = Plan(rows, tenants, {m.name: m for m in moves.values()}, policy, 4)
+    plan = CellPlan(rows, tenants, {m.name: m for m in moves.values()}, policy, 4)
     again = plan_of_json(json.loads(json.dumps(json_of_plan(plan))), 4)
     assert again.same(plan) and again.version == 4
 
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -14,27 +14,27 @@
 from onyxwick.core.clock import wall_us
 from onyxwick.counters import Counters
 from onyxwick.distribution import codec
-from onyxwick.distribution.admission import Admission, AdmissionLimits
+from onyxwick.distribution.admission import SubscriberAdmission, AdmissionLimits
 from onyxwick.distribution.documents import Assembler, DocumentError, split
 from onyxwick.distribution.durable import DurableFeed
 from onyxwick.distribution.fanout import FanOut, FanOutLimits, SubscriberState
 from onyxwick.distribution.follower import (
     PLAIN_COORDINATOR,
     TRANSITIONS,
-    Connect,
-    Deliver,
-    Disconnect,
+    ConnectToParent,
+    DeliverEvent,
+    DisconnectFromParent,
     Follower,
     FollowerState,
-    Install,
-    Send,
+    InstallSnapshot,
+    SendLine,
 )
 from onyxwick.distribution.model import (
     MAX_DOCUMENT_BYTES,
     CacheListChange,
     CacheRow,
     Cursor,
-    Event,
+    FeedEvent,
     FeedGapError,
     Freshness,
     IllegalTransitionError,
@@ -46,12 +46,12 @@
     UnknownPayload,
 )
 from onyxwick.distribution.publisher import Publisher, PublisherLimits, new_history
-from onyxwick.distribution.replica import Replica, Snapshot
+from onyxwick.distribution.replica import Replica, FeedSnapshot
 from onyxwick.distribution.tree import TreeError, TreeLimits, plan
 from onyxwick.lab.scale.small import node_config
-from onyxwick.net.distribution_node import Root
+from onyxwick.net.distribution_node import PublisherNode
 from onyxwick.net.subscription import Subscription
-from onyxwick.store.engine import Engine
+from onyxwick.store.engine import StoreEngine
 from onyxwick.store.errors import StoreError
 from tests.faulty_files import FaultyFiles
 from tests.feed_world import (
@@ -72,22 +72,22 @@
 def test_a_follower_takes_the_next_event_alone() -> None:
     follower = following()
     taken = follower.line(START, purge(6).line.strip())
-    assert taken == (Deliver(purge(6)),), "with its line feed, as a relay sends it on"
+    assert taken == (DeliverEvent(purge(6)),), "with its line feed, as a relay sends it on"
     assert follower.line(START, purge(6).line) == ()
     assert follower.counts["duplicate"] == 1
     (gone,) = follower.line(START, purge(8).line)
-    assert isinstance(gone, Disconnect)
+    assert isinstance(gone, DisconnectFromParent)
     assert "gap" in gone.reason
     assert follower.cursor.number == 6
-    assert follower.tick(START) == (Connect(1),), "the next parent is asked, from the same cursor"
-    assert follower.connected(START) == (Send(b"follow %d\n" % Cursor(HISTORY, 6).packed),)
+    assert follower.tick(START) == (ConnectToParent(1),), "the next parent is asked, from the same cursor"
+    assert follower.connected(START) == (SendLine(b"follow %d\n" % Cursor(HISTORY, 6).packed),)
 
 
 def test_an_event_announced_that_never_came_ends_the_connection() -> None:
     follower = following()
     assert follower.line(START, codec.encode_announcement(Cursor(HISTORY, 7))) == ()
     (gone,) = follower.line(START, codec.encode_announcement(Cursor(HISTORY, 7)))
-    assert isinstance(gone, Disconnect)
+    assert isinstance(gone, DisconnectFromParent)
 
 
 def test_a_silent_parent_is_given_up_within_its_time() -> None:
@@ -95,7 +95,7 @@
     follower.line(START, codec.encode_announcement(Cursor(HISTORY, 5)))
     assert follower.tick(START + 699_999) == ()
     (gone,) = follower.tick(START + 700_000)
-    assert isinstance(gone, Disconnect)
+    assert isinstance(gone, DisconnectFromParent)
     assert follower.state is FollowerState.WAITING
 
 
@@ -109,7 +109,7 @@
     assert follower.state is FollowerState.FOLLOWING
     follower.tick(late + 5 * S)
     (gone,) = follower.tick(late + 5 * S + 300_000)
-    assert isinstance(gone, Disconnect), "a parent that is silent all the same is given up after it"
+    assert isinstance(gone, DisconnectFromParent), "a parent that is silent all the same is given up after it"
 
 
 def test_a_snapshot_of_an_earlier_state_or_history_is_refused() -> None:
@@ -121,13 +121,13 @@
     for cut in range(1, len(lines)):
         follower = following()
         actions = [a for line in lines[:cut] for a in follower.line(START, line)]
-        assert all(isinstance(a, Deliver) and a.from_snapshot for a in actions)
+        assert all(isinstance(a, DeliverEvent) and a.from_snapshot for a in actions)
         assert follower.cursor == Cursor(HISTORY, 5), "no step before the whole snapshot"
     follower = following()
     actions = [a for line in lines for a in follower.line(START, line)]
-    assert isinstance(actions[-1], Install)
+    assert isinstance(actions[-1], InstallSnapshot)
     assert follower.cursor == Cursor(HISTORY, 9)
-    assert follower.line(START, purge(10).line) == (Deliver(purge(10)),)
+    assert follower.line(START, purge(10).line) == (DeliverEvent(purge(10)),)
 
 
 def test_a_snapshot_mixed_with_others_or_cut_short_is_dropped() -> None:
@@ -136,8 +136,8 @@
         follower = following()
         follower.line(START, begin)
         actions = [a for line in wrong for a in follower.line(START, line)]
-        assert any(isinstance(a, Disconnect) for a in actions)
-        assert not any(isinstance(a, Install) for a in actions)
+        assert any(isinstance(a, DisconnectFromParent) for a in actions)
+        assert not any(isinstance(a, InstallSnapshot) for a in actions)
         assert follower.cursor == Cursor(HISTORY, 5)
 
 
@@ -181,9 +181,9 @@
     follower.start(START)
     follower.connected(START)
     (gone,) = follower.line(START, b"3\n")
-    assert isinstance(gone, Disconnect)
+    assert isinstance(gone, DisconnectFromParent)
     follower.tick(START)
-    assert follower.connected(START) == (Send(b"follow 0\n"),)
+    assert follower.connected(START) == (SendLine(b"follow 0\n"),)
 
 
 def test_the_tables_of_transitions_are_kept() -> None:
@@ -228,14 +228,14 @@
 def test_an_event_that_cannot_be_read_is_passed_on_and_counted(line: bytes) -> None:
     follower = following()
     (passed_on,) = follower.line(START, line % Cursor(HISTORY, 6).packed)
-    assert isinstance(passed_on, Deliver)
+    assert isinstance(passed_on, DeliverEvent)
     assert isinstance(passed_on.event.payload, UnknownPayload)
     assert follower.counts["bad.event"] == 1
     relay = filled(5)
     relay.apply(passed_on.event, NOW_MS)
     sent_on = line % Cursor(HISTORY, 6).packed + b"\n"
     assert relay.log.lines[-1] == sent_on, "a newer reader may know it"
-    assert follower.line(START, purge(7).line) == (Deliver(purge(7)),)
+    assert follower.line(START, purge(7).line) == (DeliverEvent(purge(7)),)
 
 
 def test_numbers_out_of_range_and_endless_garbage_are_refused() -> None:
@@ -244,7 +244,7 @@
             codec.decode(line)
     follower = following()
     actions = [a for _ in range(20) for a in follower.line(START, b"garbage")]
-    assert [type(a) for a in actions] == [Disconnect]
+    assert [type(a) for a in actions] == [DisconnectFromParent]
     with pytest.raises(MalformedLineError):
         codec.decode_follow(b"follow 99999999999999999999999")
 
@@ -264,10 +264,10 @@
         had: list[int] = []
 
         class Sink:
-            def deliver(self, event: Event, from_snapshot: bool) -> None:
+            def deliver(self, event: FeedEvent, from_snapshot: bool) -> None:
                 had.append(event.cursor.number)
 
-            def install(self, snapshot: Snapshot) -> None: ...
+            def install(self, snapshot: FeedSnapshot) -> None: ...
 
             def refresh(self, freshness: Freshness) -> None: ...
 
@@ -283,7 +283,7 @@
         return had, follower.counts["bad.event"]
 
     assert asyncio.run(main()) == ([1, 2, 3], 1)
-    assert codec.decode(codec.stub_of(b'{"index":7,"document":{"te')) == Event(
+    assert codec.decode(codec.stub_of(b'{"index":7,"document":{"te')) == FeedEvent(
         Cursor(0, 7), UnknownPayload("no known payload among ['index', 'oversized']"),
         b'{"index":7,"oversized":true}\n',
     )  # fmt: skip
@@ -320,7 +320,7 @@
     publisher = Publisher(replica, START, limits)
     publisher.submit_document("a", "x" * 60_000)
     publisher.submit(PurgeEvent(PurgeKey("p", None), NOW_MS), NOW_MS)
-    sent, now, sizes = list[Event](), START, list[int]()
+    sent, now, sizes = list[FeedEvent](), START, list[int]()
     while True:
         events = publisher.due(now)
         for event in events:
@@ -371,8 +371,8 @@
     with pytest.raises(FeedGapError):
         replica.apply(purge(5), NOW_MS)
     with pytest.raises(StepBackError):
-        replica.install(Snapshot(Cursor(HISTORY, 2), ()))
-    replica.install(Snapshot(Cursor(HISTORY + 1, 0), ()))
+        replica.install(FeedSnapshot(Cursor(HISTORY, 2), ()))
+    replica.install(FeedSnapshot(Cursor(HISTORY + 1, 0), ()))
     assert replica.cursor == Cursor(HISTORY + 1, 0)
 
 
@@ -385,7 +385,7 @@
     assert fanout.follow(subscriber, Cursor(HISTORY, 3), START)
     data = b"".join(iter(lambda: fanout.take(subscriber, 60_000, START), b""))
     messages = [codec.decode(line) for line in data.splitlines()]
-    purges = [m for m in messages if isinstance(m, Event)]
+    purges = [m for m in messages if isinstance(m, FeedEvent)]
     assert len(purges) == 2_000, "compaction loses none that may still bind"
     assert subscriber.state is SubscriberState.LIVE
     assert subscriber.cursor == replica.cursor
@@ -444,7 +444,7 @@
 
 
 def test_admission_keeps_its_rate_and_its_bound() -> None:
-    admission = Admission(AdmissionLimits(per_s=50, burst=10, most_wait_us=2 * S))
+    admission = SubscriberAdmission(AdmissionLimits(per_s=50, burst=10, most_wait_us=2 * S))
     waits = [admission.wait_us(START) for _ in range(300)]
     let_in = [w for w in waits if w is not None]
     assert waits.count(None) > 0
@@ -456,7 +456,7 @@
 
 def test_the_feed_survives_a_restart_of_the_publisher() -> None:
     disk = FaultyFiles()
-    replica, feed = Replica(), DurableFeed(Engine(disk))
+    replica, feed = Replica(), DurableFeed(StoreEngine(disk))
     assert feed.load(replica, HISTORY) == Cursor(0, 0)
     publisher = Publisher(replica, START)
     row = CacheRow("c1", False, {"id": "c1", "addr": "10.0.0.1:5050", "state": "SERVING"})
@@ -468,7 +468,7 @@
     for event in events:
         replica.apply(event, NOW_MS)
     feed.engine.close()
-    again, reopened = Replica(), DurableFeed(Engine(disk))
+    again, reopened = Replica(), DurableFeed(StoreEngine(disk))
     assert reopened.load(again, HISTORY + 60) == Cursor(0, 2)
     assert again.cursor == replica.cursor
     assert list(again.state.payloads()) == list(replica.state.payloads())
@@ -510,9 +510,9 @@
 
 
 def test_a_publisher_whose_disk_fails_announces_nothing_and_ends(tmp_path: Path) -> None:
-    async def main() -> Root:
+    async def main() -> PublisherNode:
         listen = ("127.79.9.1", 7400)
-        root = Root(replace(node_config("root", Role.PUBLISHER, listen), store=tmp_path / "store"))
+        root = PublisherNode(replace(node_config("root", Role.PUBLISHER, listen), store=tmp_path / "store"))
         assert root.durable is not None
         files = FaultyFiles()
         root.durable.engine.files = files
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -21,11 +21,11 @@
 from onyxwick.core.clock import wall_us
 from onyxwick.counters import Counters
 from onyxwick.distribution.follower import Follower
-from onyxwick.distribution.model import Event, Freshness, PurgeEvent
-from onyxwick.distribution.replica import PurgeTable, Snapshot
-from onyxwick.lab.faults.relay import Relay as LinkRelay
-from onyxwick.lab.faults.relay import Way
-from onyxwick.lab.machines import Coordinator
+from onyxwick.distribution.model import FeedEvent, Freshness, PurgeEvent
+from onyxwick.distribution.replica import PurgeTable, FeedSnapshot
+from onyxwick.lab.faults.relay import LinkRelay as LinkRelay
+from onyxwick.lab.faults.relay import LinkDirection
+from onyxwick.lab.machines import CoordinatorEmulator
 from onyxwick.lab.programs import Program
 from onyxwick.lab.scale.processes import reachable
 from onyxwick.lab.scale.sweeps import CONFIG, rows
@@ -47,12 +47,12 @@
         self.documents = 0
         self.table = PurgeTable()
 
-    def deliver(self, event: Event, from_snapshot: bool) -> None:
+    def deliver(self, event: FeedEvent, from_snapshot: bool) -> None:
         if isinstance(event.payload, PurgeEvent) and self.table.add(event.payload):
             assert event.payload.key.ref is not None
             self.purges.append(event.payload.key.ref)
 
-    def install(self, snapshot: Snapshot) -> None:
+    def install(self, snapshot: FeedSnapshot) -> None:
         pass
 
     def refresh(self, freshness: Freshness) -> None:
@@ -64,14 +64,14 @@
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
-        self.feed = Coordinator(FEED, wall_us)
+        self.feed = CoordinatorEmulator(FEED, wall_us)
         self.index = 0
         self.nodes: dict[str, subprocess.Popen[bytes]] = {}
         self.directors: list[Program] = []
         self.admins: list[Address] = []
         self.recorders: list[Recorder] = []
         self.tasks: list[asyncio.Task[None]] = []
-        self.way = Way("relay-0", "root")
+        self.way = LinkDirection("relay-0", "root")
         self.sent: list[str] = []
 
     def tell(self, payload: dict[str, Any]) -> None:
--- a/tests/test_distribution_trees.py
+++ b/tests/test_distribution_trees.py
@@ -7,12 +7,12 @@
 import pytest
 
 from onyxwick.distribution.follower import (
-    Deliver,
+    DeliverEvent,
     Follower,
     FollowerState,
     _Load,
 )
-from onyxwick.distribution.model import Cursor, Event, PurgeKey, SnapshotBegin
+from onyxwick.distribution.model import Cursor, FeedEvent, PurgeKey, SnapshotBegin
 from onyxwick.distribution.replica import EventLog, PurgeTable
 from tests.feed_world import Faults, Node, S, World, check_earlier_states_are_refused
 
@@ -147,20 +147,20 @@
 # ---- planted bugs ---------------------------------------------------------------------------------------
 
 
-def _takes_anything(self: Follower, now: int, event: Event) -> list[object]:
+def _takes_anything(self: Follower, now: int, event: FeedEvent) -> list[object]:
     if event.cursor <= self.cursor:
         return []
     self._working()
     self.cursor = event.cursor  # a gap is not noticed
-    return [Deliver(event)]
+    return [DeliverEvent(event)]
 
 
-def _takes_twice(self: Follower, now: int, event: Event) -> list[object]:
+def _takes_twice(self: Follower, now: int, event: FeedEvent) -> list[object]:
     if event.cursor.packed > self.cursor.packed + 1:
         return list(self._give_up(now, "gap"))
     self._working()
     self.cursor = max(self.cursor, event.cursor)  # an event that came before is delivered again
-    return [Deliver(event)]
+    return [DeliverEvent(event)]
 
 
 def _forgets_purges(self: PurgeTable, now_ms: int) -> list[PurgeKey]:
--- a/tests/test_dns_routing.py
+++ b/tests/test_dns_routing.py
@@ -14,10 +14,10 @@
 import dns.update
 
 from onyxwick import Router
-from onyxwick.cells import Cell, Cells, Plan, Tenant
+from onyxwick.cells import Cell, CellRouter, CellPlan, TenantSpec
 from onyxwick.config.service import load
-from onyxwick.core import Core
-from onyxwick.core.members import Members
+from onyxwick.core import RequestEngine
+from onyxwick.core.members import EndpointTable
 from onyxwick.counters import Counters
 from onyxwick.dns.naming import Naming
 from onyxwick.dns.server import DnsFront
@@ -41,8 +41,8 @@
     """A core with the DNS front before it, and boxes that count when they are asked."""
 
     def __init__(self, decide: Callable[[RouterSettings, int, int], RequestRouter] = Router) -> None:
-        self.members, self.counters = Members(), Counters()
-        self.core = Core(SETTINGS, 7, Naming(), self.members, self.counters, decide=decide)
+        self.members, self.counters = EndpointTable(), Counters()
+        self.core = RequestEngine(SETTINGS, 7, Naming(), self.members, self.counters, decide=decide)
         config = load(FOLDER / "service.hcl")
         self.front = DnsFront(self.core, self.counters, config)
         self.asked: dict[str, list[float]] = {box: [] for box in BOXES}
@@ -208,8 +208,8 @@
 
 def test_names_go_through_cells_too() -> None:
     """A tenant's names lead to its own cell's boxes, at any load, and leave nothing open behind them."""
-    plan = Plan(
-        {"a": Cell("a", ("c0",)), "b": Cell("b", ("c1", "c2"))}, {"depot": Tenant("depot", cells=("a",))}
+    plan = CellPlan(
+        {"a": Cell("a", ("c0",)), "b": Cell("b", ("c1", "c2"))}, {"depot": TenantSpec("depot", cells=("a",))}
     )
 
     async def scene(depot: Depot) -> None:
@@ -218,10 +218,10 @@
             await client(resolver, part)
         assert {address for _, address in resolver.named} == {BOXES["c0"][0]}
         cells = depot.core.router
-        assert isinstance(cells, Cells)
+        assert isinstance(cells, CellRouter)
         assert not cells.requests and cells.units["a"].open == 0
 
     async def main() -> None:
-        await Depot(lambda s, seed, now: Cells(s, seed, now, plan, 400)).run(scene)
+        await Depot(lambda s, seed, now: CellRouter(s, seed, now, plan, 400)).run(scene)
 
     asyncio.run(main())
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -8,7 +8,7 @@
 import pytest
 
 from onyxwick.door import orders as o
-from onyxwick.door.calls import Call, Kind, Refused, route
+from onyxwick.door.calls import OperatorCall, OperatorCallKind, OperatorCallRejectedError, route
 from onyxwick.door.figures import figures
 from onyxwick.door.persisted_commands import PersistedCommands
 from onyxwick.interface import MemberState
@@ -20,15 +20,15 @@
 @pytest.mark.parametrize(
     ("method", "path", "call"),
     [
-        ("GET", "/ready", Call(Kind.READY)),
-        ("GET", "/metrics", Call(Kind.METRICS)),
-        ("POST", "/caches/disable/s-91af9fb1", Call(Kind.DISABLE, "s-91af9fb1")),
-        ("POST", "/caches/enable/s-91af9fb1", Call(Kind.ENABLE, "s-91af9fb1")),
-        ("POST", "/drain", Call(Kind.DRAIN)),
-        ("POST", "/undrain", Call(Kind.UNDRAIN)),
+        ("GET", "/ready", OperatorCall(OperatorCallKind.READY)),
+        ("GET", "/metrics", OperatorCall(OperatorCallKind.METRICS)),
+        ("POST", "/caches/disable/s-91af9fb1", OperatorCall(OperatorCallKind.DISABLE, "s-91af9fb1")),
+        ("POST", "/caches/enable/s-91af9fb1", OperatorCall(OperatorCallKind.ENABLE, "s-91af9fb1")),
+        ("POST", "/drain", OperatorCall(OperatorCallKind.DRAIN)),
+        ("POST", "/undrain", OperatorCall(OperatorCallKind.UNDRAIN)),
     ],
 )
-def test_each_call_of_the_platform_is_known(method: str, path: str, call: Call) -> None:
+def test_each_call_of_the_platform_is_known(method: str, path: str, call: OperatorCall) -> None:
     assert route(method, path) == call
 
 
@@ -50,14 +50,14 @@
     ],
 )
 def test_what_is_no_call_is_a_4xx_with_a_reason(method: str, path: str, status: int) -> None:
-    with pytest.raises(Refused) as refused:
+    with pytest.raises(OperatorCallRejectedError) as refused:
         route(method, path)
     assert refused.value.status == status and refused.value.text
     assert (refused.value.allow != "") is (status == 405)
 
 
 def test_calls_again_change_nothing_and_one_enable_ends_the_ban() -> None:
-    none = o.Orders()
+    none = o.OperatorCommands()
     out = o.disable(none, "c0", 5 * S)
     assert out.held == {"c0"} and out.version == 1
     assert o.disable(out, "c0", 6 * S) is out  # a second call: the same orders, no new version
@@ -70,7 +70,7 @@
 
 def test_a_cache_left_out_is_shown_draining_whatever_the_list_says_and_comes_back_cold() -> None:
     told = member("c0", since=1 * S)
-    out = o.disable(o.Orders(), "c0", 5 * S)
+    out = o.disable(o.OperatorCommands(), "c0", 5 * S)
     assert o.shown(told, out, 5 * S).state is MemberState.DRAINING
     assert o.shown(replace(told, state=MemberState.REMOVED), out, 5 * S).state is MemberState.REMOVED
     assert (
@@ -87,13 +87,13 @@
 
 
 def test_a_drain_and_its_end_are_one_version_each() -> None:
-    drained = o.drain(o.Orders(), True)
+    drained = o.drain(o.OperatorCommands(), True)
     assert drained.drained and drained.version == 1 and o.drain(drained, True) is drained
-    assert not o.drain(drained, False).drained and o.newer(drained, o.Orders()) is drained
+    assert not o.drain(drained, False).drained and o.newer(drained, o.OperatorCommands()) is drained
 
 
 def test_known_ids_are_bounded_and_the_oldest_go_first() -> None:
-    known = o.Known(most=3)
+    known = o.KnownCaches(most=3)
     known.add(["a", "b", "c"])
     known.add(["a", "d"])  # 'a' listed again is young again
     assert "b" not in known and all(name in known for name in "acd")
@@ -102,7 +102,7 @@
 def test_the_file_holds_the_orders_whole_and_is_read_once_for_each_change(tmp_path: Path) -> None:
     mine, theirs = PersistedCommands(tmp_path, "n1"), PersistedCommands(tmp_path, "n1")
     assert theirs.read() is None  # nothing yet
-    orders, known = o.enable(o.disable(o.Orders(), "c0", 1 * S), "c0", 2 * S), o.Known()
+    orders, known = o.enable(o.disable(o.OperatorCommands(), "c0", 1 * S), "c0", 2 * S), o.KnownCaches()
     known.add(["c0", "c1"])
     mine.write(o.drain(orders, True), known)
     assert mine.read() is None  # what it wrote itself is no news to it
--- a/tests/test_ending_schedule.py
+++ b/tests/test_ending_schedule.py
@@ -10,8 +10,8 @@
     HELD_AFTER_S,
     RECENT_S,
     ConnectionState,
-    Stage,
-    Step,
+    ShutdownStage,
+    ConnectionStep,
     drain_schedule,
     kill_after_s,
     next_step,
@@ -23,10 +23,10 @@
 
 def test_a_drain_refuses_before_requests_are_recent_and_closes_before_connections_are_held() -> None:
     schedule = drain_schedule(100.0)
-    assert schedule.stage(99.9) is Stage.SERVING and schedule.stage(100.0) is Stage.ENDS_FREE
-    assert schedule.begins_at(Stage.REFUSES) + 1.0 <= 100.0 + HELD_AFTER_S - RECENT_S
-    assert schedule.begins_at(Stage.CLOSED) + 0.5 < 100.0 + HELD_AFTER_S
-    assert schedule.stage(1e9) is Stage.CLOSED
+    assert schedule.stage(99.9) is ShutdownStage.SERVING and schedule.stage(100.0) is ShutdownStage.ENDS_FREE
+    assert schedule.begins_at(ShutdownStage.REFUSES) + 1.0 <= 100.0 + HELD_AFTER_S - RECENT_S
+    assert schedule.begins_at(ShutdownStage.CLOSED) + 0.5 < 100.0 + HELD_AFTER_S
+    assert schedule.stage(1e9) is ShutdownStage.CLOSED
 
 
 @pytest.mark.parametrize("longest_s", [0.0, 0.05, 0.3, 0.8, 1.5, 3.0, 15.0])
@@ -38,11 +38,11 @@
     schedule = termination_schedule(100.0, 100.0 + stood_still_s, longest_s, successor)
     kill_at = 100.0 + kill_after_s(longest_s)
     assert list(schedule.begins) == sorted(schedule.begins)
-    assert schedule.begins_at(Stage.GIVES_BACK) <= schedule.fails_at <= kill_at - 0.2
+    assert schedule.begins_at(ShutdownStage.GIVES_BACK) <= schedule.fails_at <= kill_at - 0.2
     newcomers_s = schedule.accept_until - 100.0 - stood_still_s
     assert newcomers_s == 0.0 if successor else 0.4 < newcomers_s < 0.8
     if not stood_still_s:
-        assert schedule.begins_at(Stage.CLOSED) <= kill_at - 0.2
+        assert schedule.begins_at(ShutdownStage.CLOSED) <= kill_at - 0.2
 
 
 def test_what_a_drain_has_promised_holds_in_a_termination() -> None:
@@ -67,4 +67,4 @@
     ],
 )
 def test_what_each_stage_does_with_a_connection(state: ConnectionState, steps: str) -> None:
-    assert [next_step(stage, state) for stage in Stage] == [Step(name) for name in steps.split()]
+    assert [next_step(stage, state) for stage in ShutdownStage] == [ConnectionStep(name) for name in steps.split()]
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -16,11 +16,11 @@
 import pytest
 
 from onyxwick.config import relay
-from onyxwick.core import Answer, Verdict
+from onyxwick.core import FinalAnswer, AnswerStatus
 from onyxwick.core.clock import steady_us
 from onyxwick.core.ending import drain_schedule, termination_schedule
-from onyxwick.core.model import Order, Outcome
-from onyxwick.core.reasons import ConnectionEnd
+from onyxwick.core.model import AttemptSpec, AttemptOutcome
+from onyxwick.core.reasons import ConnectionCloseReason
 from onyxwick.interface import (
     Action,
     AttemptStatus,
@@ -36,7 +36,7 @@
 from onyxwick.net import cache_link, coordinator, fastcgi, front, resp, room
 from onyxwick.net import client as client_module
 from onyxwick.net.client import LINGER_S
-from onyxwick.net.coordinator import Coordinator
+from onyxwick.net.coordinator import CoordinatorFeed
 from onyxwick.net.write_queue import ByteBudget, PendingWrite, WriteQueue
 from tests.ground import FOUND, PATIENCE_S, Ground, ask, call, played
 from tests.world import SETTINGS
@@ -92,12 +92,12 @@
         _on_arrival(ground, "c0", "c1")
         lifecycle = ground.start()
         first = await ground.accepted(sock)
-        await ground.read(first, lifecycle.request.id.encode())
-        first.send(_answer(lifecycle.request.id))
+        await ground.read(first, lifecycle.request.request_id.encode())
+        first.send(_answer(lifecycle.request.request_id))
         await ground.until(lambda: ground.answers)
         await let_up()
         await ground.until(lambda: ground.script.ends() == [AttemptStatus.OK, AttemptStatus.NOT_SENT])
-        assert ground.answers[0].verdict is Verdict.SERVED
+        assert ground.answers[0].status is AnswerStatus.SERVED
 
     played(play)
 
@@ -112,8 +112,8 @@
         _on_error(ground, lambda request: ask(request, "c1"))  # at once, and the way is not up in time
         lifecycle = ground.start("hold")
         first = await ground.accepted(sock)
-        await ground.read(first, lifecycle.request.id.encode())
-        first.send(_answer(lifecycle.request.id, b"failed", b"-", b""))
+        await ground.read(first, lifecycle.request.request_id.encode())
+        first.send(_answer(lifecycle.request.request_id, b"failed", b"-", b""))
         await ground.until(lambda: ground.caches.links.get("c1"))
         await asyncio.sleep(0.35)  # the window passes
         second = await let_up()
@@ -131,10 +131,10 @@
         _on_arrival(ground, "c0", "c0")
         lifecycle = ground.start("save")
         conn = await ground.accepted(sock)
-        await ground.read(conn, lifecycle.request.id.encode())
+        await ground.read(conn, lifecycle.request.request_id.encode())
         await ground.until(lambda: ground.script.ends())
         assert ground.script.ends() == [AttemptStatus.NOT_SENT]
-        conn.send(_answer(lifecycle.request.id))
+        conn.send(_answer(lifecycle.request.request_id))
         await ground.until(lambda: ground.answers)
 
     played(play)
@@ -151,7 +151,7 @@
         feed = socket.create_server(("127.0.0.1", 0))
         feed.setblocking(False)
         ground.opened.append(feed)
-        follower = Coordinator(ground.core, ground.counters)
+        follower = CoordinatorFeed(ground.core, ground.counters)
         follower.move(feed.getsockname())
         ground.tasks.append(asyncio.get_running_loop().create_task(follower.follow()))
         silent = await ground.accepted(feed)
@@ -209,7 +209,7 @@
 
 def _leave(sock: socket.socket, end: str, number: int = 1) -> None:
     if end == "abort":
-        sock.send(fastcgi.record(fastcgi.Type.ABORT, number, b""))
+        sock.send(fastcgi.record(fastcgi.RecordType.ABORT, number, b""))
     elif end == "half-close":
         sock.shutdown(socket.SHUT_WR)
     else:
@@ -329,15 +329,15 @@
         _on_error(ground, lambda request: [FailRequest(request)])
         lifecycle = ground.start(held_tag="4be0c1927d55a6f3")
         conn = await ground.accepted(sock)
-        await ground.read(conn, lifecycle.request.id.encode())
-        conn.send(_answer(lifecycle.request.id, b"unchanged", b"digest=0000000000000000,note=HIT", b""))
+        await ground.read(conn, lifecycle.request.request_id.encode())
+        conn.send(_answer(lifecycle.request.request_id, b"unchanged", b"digest=0000000000000000,note=HIT", b""))
         await ground.until(lambda: ground.answers)
-        assert ground.answers[0].verdict is Verdict.FAILED and ground.counters.counts["bad.tag"] == 1
+        assert ground.answers[0].status is AnswerStatus.FAILED and ground.counters.counts["bad.tag"] == 1
         lifecycle = ground.start(held_tag="4be0c1927d55a6f3")  # and that connection goes on
-        await ground.read(conn, lifecycle.request.id.encode())
-        conn.send(_answer(lifecycle.request.id, b"unchanged", FOUND, b""))
+        await ground.read(conn, lifecycle.request.request_id.encode())
+        conn.send(_answer(lifecycle.request.request_id, b"unchanged", FOUND, b""))
         await ground.until(lambda: len(ground.answers) == 2)
-        assert ground.answers[1].unchanged
+        assert ground.answers[1].not_modified
 
     played(play)
 
@@ -348,8 +348,8 @@
         _on_arrival(ground, "c0")
         lifecycle = ground.start(timeout_us=800_000)
         conn = await ground.accepted(sock)
-        await ground.read(conn, lifecycle.request.id.encode())
-        conn.send(_answer(lifecycle.request.id, body=b"x" * 9000)[:-9000])
+        await ground.read(conn, lifecycle.request.request_id.encode())
+        conn.send(_answer(lifecycle.request.request_id, body=b"x" * 9000)[:-9000])
 
         async def drip() -> None:
             while True:
@@ -360,7 +360,7 @@
         await ground.until(lambda: ground.script.ends() == [AttemptStatus.TIMEOUT])
         later = ground.start()
         other = await ground.accepted(sock)  # not behind the one that never ends
-        await ground.read(other, later.request.id.encode())
+        await ground.read(other, later.request.request_id.encode())
 
     played(play)
 
@@ -372,10 +372,10 @@
         _on_arrival(ground, "c0")
         lifecycle = ground.start()
         conn = await ground.accepted(sock)
-        await ground.read(conn, lifecycle.request.id.encode())
+        await ground.read(conn, lifecycle.request.request_id.encode())
         (link,) = ground.caches.links["c0"]
         (only,) = link.calls.values()
-        words = [lifecycle.request.id.encode(), b"data", FOUND, b"walk"]
+        words = [lifecycle.request.request_id.encode(), b"data", FOUND, b"walk"]
         deeds: list[Callable[[], None]] = [lambda: link._answered(words), lambda: link.expire(only)]
         for deed in deeds if first == "answer" else reversed(deeds):
             deed()  # both before the lifecycle hears of either
@@ -392,8 +392,8 @@
         _on_arrival(ground, "c0")
         lifecycle = ground.start()
         conn = await ground.accepted(sock)
-        await ground.read(conn, lifecycle.request.id.encode())
-        conn.send(_answer(lifecycle.request.id)[:-3])
+        await ground.read(conn, lifecycle.request.request_id.encode())
+        conn.send(_answer(lifecycle.request.request_id)[:-3])
         conn.close()
         await ground.until(lambda: ground.script.ends() == [AttemptStatus.RESET])
         assert not ground.answers and not ground.caches.links
@@ -475,11 +475,11 @@
     def __init__(self) -> None:
         self.runs = 0
 
-    async def run(self, order: Order) -> Outcome:
+    async def run(self, order: AttemptSpec) -> AttemptOutcome:
         self.runs += 1
         if self.runs > 1:
             await asyncio.sleep(PATIENCE_S)
-        return Outcome(AttemptStatus.OK, body=b"x" * 240_000)
+        return AttemptOutcome(AttemptStatus.OK, body=b"x" * 240_000)
 
 
 @pytest.mark.parametrize("end", ["half-close", "close", "reset"])
@@ -526,7 +526,7 @@
         sock.send(call(1, keep=False))
         await ground.until(lambda: ground.core.lifecycles)
         (lifecycle,) = ground.core.lifecycles.values()
-        sock.send(fastcgi.record(fastcgi.Type.ABORT, 1, b""))
+        sock.send(fastcgi.record(fastcgi.RecordType.ABORT, 1, b""))
         await ground.until(lambda: lifecycle.client_departed)
         await ground.read(sock, fastcgi.end_request(1))
 
@@ -540,9 +540,9 @@
         _on_arrival(ground, "c0")
         sock = await ground.client()
         sock.send(call(1, keep=False) + call(2))  # in one read
-        await ground.read(sock, fastcgi.end_request(2, fastcgi.Protocol.OVERLOADED))
+        await ground.read(sock, fastcgi.end_request(2, fastcgi.ProtocolStatus.OVERLOADED))
         sock.send(call(3))  # and in one of its own, the first still owed
-        await ground.read(sock, fastcgi.end_request(3, fastcgi.Protocol.OVERLOADED))
+        await ground.read(sock, fastcgi.end_request(3, fastcgi.ProtocolStatus.OVERLOADED))
         assert len(ground.core.lifecycles) == 1
 
     played(play)
@@ -627,7 +627,7 @@
         ((client, _),) = ground.front.clients.items()
         sock.send(call(2))
         client.close_softly(
-            1.0, ConnectionEnd.IDLE
+            1.0, ConnectionCloseReason.IDLE
         )  # in the same turn: the call is in the socket and not read
         await ground.until(lambda: ground.counters.counts["client.crossed"])
         assert not ground.core.lifecycles and not ground.script.events
@@ -681,7 +681,7 @@
 
 def test_a_reload_in_the_turn_in_which_the_feeds_silence_is_over_is_no_error() -> None:
     async def play(ground: Ground) -> None:
-        follower = Coordinator(ground.core, ground.counters)
+        follower = CoordinatorFeed(ground.core, ground.counters)
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(10) as follower.limit:
                 follower.limit.reschedule(asyncio.get_running_loop().time())
@@ -725,15 +725,15 @@
         _on_arrival(ground, "c0")
         lifecycle = ground.start(arrived_us=steady_us())
         conn = await ground.accepted(sock)
-        await ground.read(conn, lifecycle.request.id.encode())
+        await ground.read(conn, lifecycle.request.request_id.encode())
         (link,) = ground.caches.links["c0"]
         from onyxwick.core.lifecycles import ClientDeparted
 
         lifecycle.mailbox.put(ClientDeparted(overdue=True))
-        link._answered([lifecycle.request.id.encode(), b"data", FOUND, b"walk"])
+        link._answered([lifecycle.request.request_id.encode(), b"data", FOUND, b"walk"])
         await ground.until(lambda: not ground.core.lifecycles)
-        assert [a.verdict for a in ground.answers] == [Verdict.FAILED]
-        assert isinstance(ground.answers[0], Answer) and cache_link.STUCK_S > 0
+        assert [a.status for a in ground.answers] == [AnswerStatus.FAILED]
+        assert isinstance(ground.answers[0], FinalAnswer) and cache_link.STUCK_S > 0
 
     played(play)
 
@@ -743,9 +743,9 @@
     at_the_end: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     taken, most = list[socket.socket](), 0
-    admit = front.Front._admit
+    admit = front.FastCgiFront._admit
 
-    def counting(self: front.Front, conn: socket.socket) -> None:
+    def counting(self: front.FastCgiFront, conn: socket.socket) -> None:
         nonlocal most
         taken.append(conn)
         admit(self, conn)
@@ -771,7 +771,7 @@
         assert most <= places + lingering + front.GIVEN_UP_MOST
         assert first
 
-    monkeypatch.setattr(front.Front, "_admit", counting)
+    monkeypatch.setattr(front.FastCgiFront, "_admit", counting)
     played(play)
 
 
--- a/tests/test_ends_on_time.py
+++ b/tests/test_ends_on_time.py
@@ -9,21 +9,21 @@
 from pathlib import Path
 
 from onyxwick.lab.soak.persistent import Habit
-from onyxwick.lab.soak.plan import Fault, Kind
-from onyxwick.lab.soak.report import Plan, Report
+from onyxwick.lab.soak.plan import SoakFault, SoakFaultKind
+from onyxwick.lab.soak.report import SoakPlan, SoakReport
 from onyxwick.lab.soak.sweep import play
 
 SHORT = 0.27  # of the usual deadlines: SIGKILL comes 1.51 s after SIGTERM
 BUSY = (Habit.PIPELINED, Habit.PIECES, Habit.RESTING, Habit.PINGS, Habit.BUSY)
 
 
-def _played(plan: Plan, folder: Path) -> Report:
+def _played(plan: SoakPlan, folder: Path) -> SoakReport:
     report = play(plan, folder)
     assert report.judged, report.data()
     return report
 
 
-def _found(report: Report, *rules: str) -> list[str]:
+def _found(report: SoakReport, *rules: str) -> list[str]:
     return [f"{finding.rule}: {finding.proof}" for finding in report.findings if finding.rule in rules]
 
 
@@ -32,21 +32,21 @@
 ) -> None:
     """One is drained once, one by two callers at once, one in a row of calls, one while accept fails."""
     faults = (
-        Fault(1, Kind.DRAIN, 0, 2.0, 4.6, 0),
-        Fault(2, Kind.DRAIN, 1, 2.0, 4.6, 2),
-        Fault(3, Kind.DRAIN, 2, 2.0, 4.6, 3),
-        Fault(4, Kind.ACCEPT, 3, 1.8, 3.0, 1),
-        Fault(5, Kind.DRAIN, 3, 2.0, 4.6, 0),
+        SoakFault(1, SoakFaultKind.DRAIN, 0, 2.0, 4.6, 0),
+        SoakFault(2, SoakFaultKind.DRAIN, 1, 2.0, 4.6, 2),
+        SoakFault(3, SoakFaultKind.DRAIN, 2, 2.0, 4.6, 3),
+        SoakFault(4, SoakFaultKind.ACCEPT, 3, 1.8, 3.0, 1),
+        SoakFault(5, SoakFaultKind.DRAIN, 3, 2.0, 4.6, 0),
     )
-    report = _played(Plan(5, 4, 8.5, scripted=faults, habits=BUSY), tmp_path)
+    report = _played(SoakPlan(5, 4, 8.5, scripted=faults, habits=BUSY), tmp_path)
     assert not _found(report, "held past a drain", "lost", "director"), report.data()
 
 
 def test_a_director_told_to_end_leaves_nothing_unanswered_at_the_earliest_kill(tmp_path: Path) -> None:
     """Deadlines are short, and clients go on asking on open connections until SIGKILL."""
-    faults = tuple(Fault(n, Kind.TERM, n, 2.0, 0.1, n) for n in range(4))
+    faults = tuple(SoakFault(n, SoakFaultKind.TERM, n, 2.0, 0.1, n) for n in range(4))
     report = _played(
-        Plan(5, 4, 5.0, scripted=faults, habits=BUSY, deadline_share=SHORT, held=False), tmp_path
+        SoakPlan(5, 4, 5.0, scripted=faults, habits=BUSY, deadline_share=SHORT, held=False), tmp_path
     )
     assert not _found(report, "lost at a kill", "open at a kill", "lost", "director"), report.data()
 
@@ -54,7 +54,7 @@
 def test_answers_on_their_way_to_slow_readers_arrive_whole_though_the_director_is_drained(
     tmp_path: Path,
 ) -> None:
-    faults = (Fault(1, Kind.DRAIN, 0, 2.0, 4.6, 0),)
-    plan = Plan(5, 1, 8.5, scripted=faults, habits=(Habit.SLOW_READER,) * 3, answer_bytes=200_000)
+    faults = (SoakFault(1, SoakFaultKind.DRAIN, 0, 2.0, 4.6, 0),)
+    plan = SoakPlan(5, 1, 8.5, scripted=faults, habits=(Habit.SLOW_READER,) * 3, answer_bytes=200_000)
     report = _played(plan, tmp_path)
     assert not _found(report, "lost", "held past a drain"), report.data()
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -17,7 +17,7 @@
 from onyxwick.config import ConfigError
 from onyxwick.lab.faults import checkers as c
 from onyxwick.lab.faults.history import History, Row, read, write
-from onyxwick.lab.faults.relay import Relay, Way
+from onyxwick.lab.faults.relay import LinkRelay, LinkDirection
 from onyxwick.lab.faults.script import drawn
 from onyxwick.lab.faults.script import read as read_fleet
 from onyxwick.lab.faults.sweep import paired
@@ -31,20 +31,20 @@
 # ---- relays ---------------------------------------------------------------------------------------------
 
 
-async def _ground() -> tuple[Way, Relay, asyncio.Server]:
+async def _ground() -> tuple[LinkDirection, LinkRelay, asyncio.Server]:
     async def echo(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while data := await reader.read(1000):
             writer.write(data)
         writer.close()
 
     server = await asyncio.start_server(echo, *FAR)
-    way = Way("a", "b")
-    relay = Relay(way, NEAR, FAR, random.Random(1))
+    way = LinkDirection("a", "b")
+    relay = LinkRelay(way, NEAR, FAR, random.Random(1))
     await relay.start()
     return way, relay, server
 
 
-def _played(play: Callable[[Way, Relay], object]) -> None:
+def _played(play: Callable[[LinkDirection, LinkRelay], object]) -> None:
     async def run() -> None:
         way, relay, server = await _ground()
         try:
@@ -68,7 +68,7 @@
 def test_a_cut_way_says_nothing_and_gives_up_nothing(direction: str) -> None:
     """What is sent over it waits and comes through when it heals; new connections never come up meanwhile."""
 
-    async def play(way: Way, relay: Relay) -> None:
+    async def play(way: LinkDirection, relay: LinkRelay) -> None:
         reader, writer = await asyncio.open_connection(*NEAR)
         writer.write(b"one")
         assert await reader.readexactly(3) == b"one"
@@ -90,7 +90,7 @@
 
 
 def test_delay_and_rate_hold_back_and_resets_break_in_mid_message() -> None:
-    async def play(way: Way, relay: Relay) -> None:
+    async def play(way: LinkDirection, relay: LinkRelay) -> None:
         reader, writer = await asyncio.open_connection(*NEAR)
         way.delay_s = 0.1
         loop = asyncio.get_running_loop()
@@ -116,7 +116,7 @@
 
 
 def test_a_closed_end_comes_behind_what_it_sent_and_a_refused_target_is_told() -> None:
-    async def play(way: Way, relay: Relay) -> None:
+    async def play(way: LinkDirection, relay: LinkRelay) -> None:
         reader, writer = await asyncio.open_connection(*NEAR)
         writer.write(b"last")
         writer.write_eof()
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -7,27 +7,27 @@
 
 import pytest
 
-from onyxwick.core import Core
-from onyxwick.core.members import Members
+from onyxwick.core import RequestEngine
+from onyxwick.core.members import EndpointTable
 from onyxwick.counters import Counters
 from onyxwick.interface import RejectRequest
 from onyxwick.net import fastcgi
-from onyxwick.net.caches import Caches
-from onyxwick.net.client import Client
-from onyxwick.net.front import Front
+from onyxwick.net.caches import CacheConnectionPool
+from onyxwick.net.client import FrontConnection
+from onyxwick.net.front import FastCgiFront
 from tests.ground import Ground, ask, call, played
 from tests.world import SETTINGS
 
 
 def test_room_is_made_by_the_answered_then_the_silent_then_the_stuck_and_never_by_who_is_owed() -> None:
     async def play() -> list[str]:
-        members, counters = Members(), Counters()
-        core = Core(SETTINGS, 7, Caches(members, counters, 0), members, counters)
-        front = Front(core, counters, lambda: True, 3, 1_000_000)
+        members, counters = EndpointTable(), Counters()
+        core = RequestEngine(SETTINGS, 7, CacheConnectionPool(members, counters, 0), members, counters)
+        front = FastCgiFront(core, counters, lambda: True, 3, 1_000_000)
         names = ("busy", "idle", "asking", "silent", "fresh", "stuck", "answered")
         clients, pairs, left = {}, [socket.socketpair() for _ in names], list[str]()
         for name, pair in zip(names, pairs, strict=True):
-            clients[name] = client = Client(front, pair[0])
+            clients[name] = client = FrontConnection(front, pair[0])
             front.clients[client] = asyncio.get_running_loop().create_task(asyncio.sleep(60))
             client.calls = int(name not in ("silent", "fresh", "stuck"))
         clients["busy"].open[1] = None  # something is owed to it
@@ -49,19 +49,19 @@
 
 
 def test_a_body_without_end_is_refused_as_it_grows() -> None:
-    parser, kind = fastcgi.Parser(), fastcgi.Type
+    parser, kind = fastcgi.FastCgiParser(), fastcgi.RecordType
     parser.buffer.feed(fastcgi.record(kind.BEGIN, 1, fastcgi.BEGIN_BODY.pack(1, 1)))
     parser.buffer.feed(fastcgi.record(kind.PARAMS, 1, b"") + fastcgi.record(kind.STDIN, 1, bytes(48_000)))
     assert not list(parser.messages())
     parser.buffer.feed(fastcgi.record(kind.STDIN, 1, b"x") * 2)
     (reply,) = parser.messages()
-    assert isinstance(reply, fastcgi.Reply) and reply.last and b"413" in reply.data
+    assert isinstance(reply, fastcgi.FastCgiReply) and reply.last and b"413" in reply.data
 
 
 def test_the_order_of_places_given_up() -> None:
-    from onyxwick.net.room import HALF_REST_S, REST_S, Seat, order
+    from onyxwick.net.room import HALF_REST_S, REST_S, ConnectionSlot, order
 
-    def seat(**told: object) -> Seat:
+    def seat(**told: object) -> ConnectionSlot:
         fields = {
             "calls": 1,
             "owed": 0,
@@ -71,7 +71,7 @@
             "used_at": 10.0,
             "ending": False,
         }
-        return Seat(**{**fields, **told})  # type: ignore[arg-type]
+        return ConnectionSlot(**{**fields, **told})  # type: ignore[arg-type]
 
     now = 10.0
     assert order(seat(), now) == (0, 10.0)  # answered this instant: it gives up its place all the same
@@ -84,13 +84,13 @@
 
 
 def test_connections_to_a_member_grow_with_the_share_that_a_director_coming_back_allows_itself() -> None:
-    from onyxwick.net.caches import LINKS_LEAST, Caches
+    from onyxwick.net.caches import LINKS_LEAST, CacheConnectionPool
 
-    members, counters, share = Members(), Counters(), [0.2]
-    caches = Caches(members, counters, 0, most_links=256, share=lambda: share[0])
+    members, counters, share = EndpointTable(), Counters(), [0.2]
+    caches = CacheConnectionPool(members, counters, 0, most_links=256, share=lambda: share[0])
     assert caches._most_each() == LINKS_LEAST
     share[0] = 1.0
-    assert caches._most_each() == 8 and Caches(members, counters, 0, most_links=256)._most_each() == 8
+    assert caches._most_each() == 8 and CacheConnectionPool(members, counters, 0, most_links=256)._most_each() == 8
 
 
 def test_the_key_of_a_call_goes_on_to_the_cache_and_a_bad_one_is_refused() -> None:
@@ -112,12 +112,12 @@
 
 
 def test_the_feed_is_called_again_after_waits_drawn_below_a_bound_that_doubles() -> None:
-    from onyxwick.net.coordinator import FIRST_RETRY_US, MAX_RETRY_US, Coordinator
+    from onyxwick.net.coordinator import FIRST_RETRY_US, MAX_RETRY_US, CoordinatorFeed
 
     async def play() -> list[list[int]]:
-        members, counters = Members(), Counters()
-        core = Core(SETTINGS, 7, Caches(members, counters, 0), members, counters)
-        feeds = [Coordinator(core, counters, seed, 40) for seed in (1, 2)]
+        members, counters = EndpointTable(), Counters()
+        core = RequestEngine(SETTINGS, 7, CacheConnectionPool(members, counters, 0), members, counters)
+        feeds = [CoordinatorFeed(core, counters, seed, 40) for seed in (1, 2)]
         return [[feed.backoff.next_delay_us(FIRST_RETRY_US) for _ in range(8)] for feed in feeds]
 
     one, two = asyncio.run(play())
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from onyxwick.core.invariants import AttemptBegun, Invariants, Rule, Violation, budget
+from onyxwick.core.invariants import AttemptStarted, Invariants, InvariantRule, Violation, budget
 from onyxwick.interface import EndpointListKind, EndpointsChanged, Member, MemberState
 from tests.ground import FOUND, Ground, ask, call, played
 from tests.world import SETTINGS, member
@@ -38,10 +38,10 @@
             "accept_us": 0,
             "left_us": NOW + 2 * S - now,
         }
-        self.checks.attempt_begun(AttemptBegun(**{**facts, "number": number, **more}), now)  # type: ignore[arg-type]
+        self.checks.attempt_begun(AttemptStarted(**{**facts, "number": number, **more}), now)  # type: ignore[arg-type]
 
     @property
-    def rules(self) -> list[Rule]:
+    def rules(self) -> list[InvariantRule]:
         return [violation.rule for violation in self.found]
 
 
@@ -139,32 +139,32 @@
     c.begin(left_us=None if late else S)
 
 
-CASES: list[tuple[Rule, str, Callable[[Checked, int], None]]] = [
-    (Rule.SENT_FOR_DEPARTED, "chunk", _departed),
-    (Rule.SENT_AFTER_ANSWER, "chunk", _answered_before),
-    (Rule.SENT_TO_UNREADY, "chunk", _draining),
-    (Rule.SENT_TO_UNREADY, "chunk", _gone_source),
-    (Rule.SENT_OVER_PURGE, "chunk", _purged),
-    (Rule.SENT_OVER_PURGE, "chunk", _unbounded_after_a_purge),
-    (Rule.REPEATED_UNSAFELY, "save", _repeated),
-    (Rule.TIME_TOLD, "chunk", _time_told),
-    (Rule.SLOW_START, "chunk", _cold),
-    (Rule.SECOND_ANSWER, "chunk", _answer_twice),
-    (Rule.NO_ANSWER, "chunk", _never_answered),
-    (Rule.LATE_ANSWER, "chunk", _answered_late),
-    (Rule.CLOSED_OWING, "chunk", _closed_owing),
-    (Rule.COMMAND_UNWRITTEN, "chunk", _unwritten),
-    (Rule.HELD_IN_DRAIN, "chunk", _held),
-    (Rule.HELD_IN_DRAIN, "chunk", _held_idle),
-    (Rule.ANSWER_CUT, "chunk", _cut),
-    (Rule.OUTLIVED_KILL, "chunk", _outlives),
-    (Rule.CHECK_FAILED, "chunk", _check_fails),
+CASES: list[tuple[InvariantRule, str, Callable[[Checked, int], None]]] = [
+    (InvariantRule.SENT_FOR_DEPARTED, "chunk", _departed),
+    (InvariantRule.SENT_AFTER_ANSWER, "chunk", _answered_before),
+    (InvariantRule.SENT_TO_UNREADY, "chunk", _draining),
+    (InvariantRule.SENT_TO_UNREADY, "chunk", _gone_source),
+    (InvariantRule.SENT_OVER_PURGE, "chunk", _purged),
+    (InvariantRule.SENT_OVER_PURGE, "chunk", _unbounded_after_a_purge),
+    (InvariantRule.REPEATED_UNSAFELY, "save", _repeated),
+    (InvariantRule.TIME_TOLD, "chunk", _time_told),
+    (InvariantRule.SLOW_START, "chunk", _cold),
+    (InvariantRule.SECOND_ANSWER, "chunk", _answer_twice),
+    (InvariantRule.NO_ANSWER, "chunk", _never_answered),
+    (InvariantRule.LATE_ANSWER, "chunk", _answered_late),
+    (InvariantRule.CLOSED_OWING, "chunk", _closed_owing),
+    (InvariantRule.COMMAND_UNWRITTEN, "chunk", _unwritten),
+    (InvariantRule.HELD_IN_DRAIN, "chunk", _held),
+    (InvariantRule.HELD_IN_DRAIN, "chunk", _held_idle),
+    (InvariantRule.ANSWER_CUT, "chunk", _cut),
+    (InvariantRule.OUTLIVED_KILL, "chunk", _outlives),
+    (InvariantRule.CHECK_FAILED, "chunk", _check_fails),
 ]
 
 
 @pytest.mark.parametrize(("rule", "kind", "play"), CASES, ids=[case[2].__name__ for case in CASES])
 def test_a_breach_is_told_and_what_is_just_in_time_is_not(
-    rule: Rule, kind: str, play: Callable[[Checked, int], None]
+    rule: InvariantRule, kind: str, play: Callable[[Checked, int], None]
 ) -> None:
     sound, broken = Checked(kind), Checked(kind)
     play(sound, 0)
@@ -174,11 +174,11 @@
 
 
 def test_every_rule_has_a_planted_breach() -> None:
-    assert {rule for rule, _, _ in CASES} == set(Rule)
+    assert {rule for rule, _, _ in CASES} == set(InvariantRule)
 
 
 def test_a_repeat_by_key_is_sound_within_its_window_alone() -> None:
-    for late, found in ((0, []), (1, [Rule.REPEATED_UNSAFELY])):
+    for late, found in ((0, []), (1, [InvariantRule.REPEATED_UNSAFELY])):
         c = Checked("hold")
         c.begin()
         c.begin(NOW + 2 * S + (1 if late else -1), number=1)
@@ -204,7 +204,7 @@
         ground.core.guard.may_repeat = lambda lifecycle, number: True  # type: ignore[method-assign]  # planted
         lifecycle = ground.start("save")
         conn = await ground.accepted(cache)
-        await ground.read(conn, lifecycle.request.id.encode())
+        await ground.read(conn, lifecycle.request.request_id.encode())
         await ground.until(lambda: ground.counters.counts["violation.repeated_unsafely"] == 1)
         assert not ground.answers  # it is told, and served on
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -12,10 +12,10 @@
 
 from onyxwick.config import ConfigError
 from onyxwick.lab import arrivals, scenario
-from onyxwick.lab.audit import Given, Records, Send, Taken, audit, strays
+from onyxwick.lab.audit import Given, Records, RecordedSend, Taken, audit, strays
 from onyxwick.lab.compare import summary
-from onyxwick.lab.copies import Copy, Store, Truth
-from onyxwick.lab.link import Link
+from onyxwick.lab.copies import Copy, CopyStore, Truth
+from onyxwick.lab.link import EmulatedLink
 from onyxwick.lab.model import Tier
 from tests.exchange import ROOT
 from tests.world import S
@@ -25,7 +25,7 @@
 
 
 def test_transfers_share_a_link_and_keep_its_pace() -> None:
-    link = Link(BOX, 0)
+    link = EmulatedLink(BOX, 0)
     for _ in range(4):  # four on a link for two: each at half pace
         link.begin(0, 100_000)
     assert link.next_end(0) == pytest.approx(200_000, abs=2)
@@ -37,17 +37,17 @@
 
 
 def test_a_cold_machine_warms_up_and_falls_over_when_pushed() -> None:
-    link = Link(BOX, S, started=S)
+    link = EmulatedLink(BOX, S, started=S)
     assert link.warmth(S) == pytest.approx(0.18) and link.warmth(S + 17 * S) == 1.0
     pushed = [link.asked(S + n * 10_000, 100_000) for n in range(400)]
     assert any(pushed), "ten transfers' work a second and more, where it can do a fifth of two"
-    calm = Link(BOX, S, started=S)
+    calm = EmulatedLink(BOX, S, started=S)
     assert not any(calm.asked(S + n * 200_000, 100_000) for n in range(80))
-    assert not any(Link(BOX, S).asked(n, 10**9) for n in range(5)), "a warm one only slows down"
+    assert not any(EmulatedLink(BOX, S).asked(n, 10**9) for n in range(5)), "a warm one only slows down"
 
 
 def test_copies_age_are_ranked_and_purged() -> None:
-    truth, store = Truth(), Store(2)
+    truth, store = Truth(), CopyStore(2)
     old = truth.copy("a", 0, 1, 100)
     truth.purge(1, 200)
     assert truth.copy("a", 0, 1, 300).tag != old.tag == truth.copy("a", 0, 1, 150).tag
@@ -66,7 +66,7 @@
     for n in range(2):
         taken = Taken(f"r{n}", "t", 7, False, 5 * S, answers=1, verdict="served", tag="x")
         records.taken[taken.id] = taken
-        records.sends.append(Send(5 * S, "b1", taken.id, "p1"))
+        records.sends.append(RecordedSend(5 * S, "b1", taken.id, "p1"))
         records.given.append(Given(taken.id, "x", 3 * S, 5 * S))
     records.ran.append("w")
     records.purged.append((7, 2 * S, 2 * S))
@@ -79,8 +79,8 @@
     ("no answer", lambda r: setattr(r.taken["r0"], "answers", 0)),
     ("made by no cache", lambda r: setattr(r.taken["r0"], "tag", "y")),
     ("ran twice", lambda r: r.ran.append("w")),
-    ("drain", lambda r: r.sends.append(Send(S + 550_001, "b2", "r0", None))),
-    ("drain", lambda r: r.sends.append(Send(9 * S, "b1", "r0", "b2"))),
+    ("drain", lambda r: r.sends.append(RecordedSend(S + 550_001, "b2", "r0", None))),
+    ("drain", lambda r: r.sends.append(RecordedSend(9 * S, "b1", "r0", "b2"))),
     ("purge", lambda r: r.given.append(Given("r0", "x", 2 * S - 1, 3 * S + 50_001))),
     ("pushed over", lambda r: r.fallen.append(("b1", S))),
     ("director ended", lambda r: r.crashed.append("n0")),
@@ -97,7 +97,7 @@
 
 def test_the_rules_own_slack_is_no_breach_and_strays_are_seen() -> None:
     records = _sound()
-    records.sends.append(Send(S + 550_000, "b2", "r0", None))
+    records.sends.append(RecordedSend(S + 550_000, "b2", "r0", None))
     records.given.append(Given("r0", "x", S, 3 * S + 50_000))
     records.taken["r1"].answers, records.taken["r1"].left = 0, True
     assert not audit(records).counts
--- a/tests/test_operator_commands.py
+++ b/tests/test_operator_commands.py
@@ -16,7 +16,7 @@
 from onyxwick.core.clock import SteadyClock, steady_us
 from onyxwick.door import orders as o
 from onyxwick.door.persisted_commands import PersistedCommands
-from onyxwick.door.server import Door
+from onyxwick.door.server import OperationsServer
 from tests.exchange import DOOR, PATIENCE_S, Exchange
 
 
@@ -58,7 +58,7 @@
 def test_a_file_that_could_not_be_read_once_is_read_again(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    PersistedCommands(tmp_path, "n1").write(o.disable(o.Orders(), "c0", 1), o.Known())
+    PersistedCommands(tmp_path, "n1").write(o.disable(o.OperatorCommands(), "c0", 1), o.KnownCaches())
     persisted, real = PersistedCommands(tmp_path, "n1"), Path.read_bytes
 
     def fails(path: Path) -> bytes:
@@ -73,7 +73,7 @@
 
 
 def test_two_processes_that_are_ordered_something_at_once_both_keep_it() -> None:
-    first, second = o.disable(o.Orders(), "c0", 1), partial(o.disable, cache="c1", now=2)
+    first, second = o.disable(o.OperatorCommands(), "c0", 1), partial(o.disable, cache="c1", now=2)
     kept = o.rebased(first, [second])
     assert kept.held == {"c0", "c1"} and kept.version > first.version
 
@@ -85,7 +85,7 @@
     mine = SteadyClock()
     now = mine()
     PersistedCommands(tmp_path, "n1", mine).write(
-        o.enable(o.disable(o.Orders(), "c0", now), "c0", now), o.Known()
+        o.enable(o.disable(o.OperatorCommands(), "c0", now), "c0", now), o.KnownCaches()
     )
     for step in (hour_ns, -hour_ns):
         monkeypatch.setattr(time, "time_ns", lambda step=step: real() + step)
@@ -134,14 +134,14 @@
     assert _held(file) == ["c0"]
 
 
-def _door(folder: Path) -> Door:
+def _door(folder: Path) -> OperationsServer:
     """A door that listens nowhere; its file is the one that it shares with others of the folder."""
-    known = o.Known()
+    known = o.KnownCaches()
     known.add(["c0", "c1"])
     director = SimpleNamespace(ordered=lambda orders, names: None, written=lambda ordered, written: None)
     bound, address = socket.socket(), ("127.0.0.1", 0)
     with bound:
-        return Door(bound, address, director, o.Orders(), known, PersistedCommands(folder, "n1"), steady_us)
+        return OperationsServer(bound, address, director, o.OperatorCommands(), known, PersistedCommands(folder, "n1"), steady_us)
 
 
 def test_two_processes_that_write_their_file_in_the_same_moment_both_keep_their_commands(
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -14,9 +14,9 @@
 from onyxwick.admin.api import Api
 from onyxwick.admin.durable import DurableApi
 from onyxwick.admin.http import HttpError, HttpRequest
-from onyxwick.core import Core, Order, Outcome, Request
-from onyxwick.core.members import Members
-from onyxwick.core.model import Answer, Verdict
+from onyxwick.core import RequestEngine, AttemptSpec, AttemptOutcome, ClientRequest
+from onyxwick.core.members import EndpointTable
+from onyxwick.core.model import FinalAnswer, AnswerStatus
 from onyxwick.core.pacing import BackoffPolicy, ReconnectBackoff
 from onyxwick.counters import Counters
 from onyxwick.interface import (
@@ -27,9 +27,9 @@
     MemberState,
     ObjectsPurged,
 )
-from onyxwick.store import Failed, Full, Refused
-from onyxwick.store.durable import Durable, unpack
-from onyxwick.store.recovery import LEGAL, Drain, IllegalPhase, Phase, Purge, Recovery
+from onyxwick.store import StoreFailedError, StoreFullError, StoreUnusableError
+from onyxwick.store.durable import DurableState, unpack
+from onyxwick.store.recovery import LEGAL, MemberDrain, IllegalRecoveryPhaseError, RecoveryPhase, RecordedPurge, Recovery
 from onyxwick.store.sealing import Sealer, new_key, read_keys
 from onyxwick.tenants import Tenants
 from tests.faulty_files import FaultyFiles
@@ -40,10 +40,10 @@
 ADDRESSES = {m.address: ("127.0.0.1", 9) for m in ROWS}
 
 
-def _recovered(drains: list[Drain], reached: int = 5, now: int = 100 * S) -> Recovery:
+def _recovered(drains: list[MemberDrain], reached: int = 5, now: int = 100 * S) -> Recovery:
     recovery = Recovery(now, 6 * S)
     recovery.opened(now)
-    recovery.replayed(now, drains, [Purge(1, None, now - 2 * S), Purge(2, "o", now - 9 * S)], ["b1"], reached)
+    recovery.replayed(now, drains, [RecordedPurge(1, None, now - 2 * S), RecordedPurge(2, "o", now - 9 * S)], ["b1"], reached)
     return recovery
 
 
@@ -51,17 +51,17 @@
 
 
 def test_only_legal_steps_are_possible() -> None:
-    for phase in Phase:
-        for to in Phase:
+    for phase in RecoveryPhase:
+        for to in RecoveryPhase:
             recovery = Recovery(0, S)
             recovery.phase = phase
             if to not in LEGAL[phase]:
-                with pytest.raises(IllegalPhase):
+                with pytest.raises(IllegalRecoveryPhaseError):
                     recovery._enter(to, 1)
 
 
 def test_until_the_feed_is_heard_the_stricter_word_wins_and_then_the_coordinators() -> None:
-    recovery = _recovered([Drain("c0", "coordinator", 0), Drain("c1", "operator", 0)])
+    recovery = _recovered([MemberDrain("c0", "coordinator", 0), MemberDrain("c1", "operator", 0)])
     event = EndpointsChanged(EndpointListKind.SNAPSHOT, ROWS)
     states = {m.address: m.state for m in recovery.seen(event).members}
     assert states["c0"] is states["c1"] is MemberState.DRAINING and states["c2"] is MemberState.READY
@@ -75,7 +75,7 @@
 
 
 def test_another_process_under_a_drained_name_is_not_drained_by_the_coordinators_word() -> None:
-    recovery = _recovered([Drain("c0", "coordinator", 50 * S), Drain("c1", "operator", 50 * S)])
+    recovery = _recovered([MemberDrain("c0", "coordinator", 50 * S), MemberDrain("c1", "operator", 50 * S)])
     new = EndpointsChanged(EndpointListKind.CHANGE, (member("c0", since=90 * S), member("c1", since=90 * S)))
     assert [m.state for m in recovery.seen(new).members] == [MemberState.READY, MemberState.DRAINING]
     gone = EndpointsChanged(EndpointListKind.CHANGE, (replace(member("c1"), state=MemberState.REMOVED),))
@@ -83,14 +83,14 @@
 
 
 def test_a_feed_that_is_never_heard_keeps_the_drains_and_does_not_hold_the_service() -> None:
-    recovery = _recovered([Drain("c0", "coordinator")])
+    recovery = _recovered([MemberDrain("c0", "coordinator")])
     assert recovery.serves and not recovery.tick(109 * S)
-    assert recovery.tick(111 * S) and recovery.phase is Phase.SERVING
+    assert recovery.tick(111 * S) and recovery.phase is RecoveryPhase.SERVING
     assert recovery.held(member("c0")) and "not heard" in recovery.why
 
 
 def test_a_feed_heard_late_lifts_the_coordinators_drains_once_and_keeps_the_operators() -> None:
-    recovery = _recovered([Drain("c0", "coordinator"), Drain("c1", "operator")], reached=5)
+    recovery = _recovered([MemberDrain("c0", "coordinator"), MemberDrain("c1", "operator")], reached=5)
     assert recovery.tick(111 * S) and recovery.late
     assert not recovery.heard(112 * S, 4)  # not yet as far as the store had come
     assert recovery.heard(113 * S, 5) and not recovery.late
@@ -125,8 +125,8 @@
 # ---- rows -----------------------------------------------------------------------------------------------
 
 
-def _durable(files: FaultyFiles, bookings: bool = False) -> Durable:
-    return Durable(files, Sealer([KEY]), b"installation-one", 100 * S, 6 * S, bookings)
+def _durable(files: FaultyFiles, bookings: bool = False) -> DurableState:
+    return DurableState(files, Sealer([KEY]), b"installation-one", 100 * S, 6 * S, bookings)
 
 
 def test_keys_rotate_and_a_wrong_key_is_refused(tmp_path: Path) -> None:
@@ -136,22 +136,22 @@
     assert both.open(sealed, "x") == b"secret"
     again = both.renew(sealed)
     assert Sealer([new]).open(again, "x") == b"secret" and b"secret" not in again
-    with pytest.raises(Refused, match="key/x: no key of the key file opens it"):
+    with pytest.raises(StoreUnusableError, match="key/x: no key of the key file opens it"):
         Sealer([new]).open(sealed, "key/x")
     (tmp_path / "keys").write_text(f"# newest first\n{new}\n{old}\n")
     assert read_keys(tmp_path / "keys").open(sealed, "x") == b"secret"
     for text in ("", "# none\n", "short\n"):
         (tmp_path / "keys").write_text(text)
-        with pytest.raises(Refused):
+        with pytest.raises(StoreUnusableError):
             read_keys(tmp_path / "keys")
 
 
 def test_a_row_of_a_newer_schema_is_refused() -> None:
     from onyxwick.store.durable import encode
 
-    with pytest.raises(Refused, match="schema 9, newer"):
+    with pytest.raises(StoreUnusableError, match="schema 9, newer"):
         unpack("drain/c0", encode([9, {}]))
-    with pytest.raises(Refused, match="cannot be read"):
+    with pytest.raises(StoreUnusableError, match="cannot be read"):
         unpack("drain/c0", b"\xc1")
 
 
@@ -159,8 +159,8 @@
 
 
 class Nothing:
-    async def run(self, order: Order) -> Outcome:
-        return Outcome(AttemptStatus.OK, AnswerDetail.HIT)
+    async def run(self, order: AttemptSpec) -> AttemptOutcome:
+        return AttemptOutcome(AttemptStatus.OK, AnswerDetail.HIT)
 
 
 class Depot:
@@ -170,7 +170,7 @@
         self.files = files
         self.durable = _durable(files, bookings)
         self.durable.start()
-        self.core = Core(SETTINGS, 7, Nothing(), Members(), Counters())
+        self.core = RequestEngine(SETTINGS, 7, Nothing(), EndpointTable(), Counters())
         self.core.durable = self.durable
         self.tenants = Tenants()
         self.durable.load_tenants(self.tenants)
@@ -273,7 +273,7 @@
                     break  # the power went in the call: it is refused, and nothing after it is acknowledged
                 assert done[0] == 201
                 acknowledged.add(trying)
-        except (Crash, TimeoutError, Failed, Full):
+        except (Crash, TimeoutError, StoreFailedError, StoreFullError):
             pass
         again = Depot(files.after_crash(rng))
         found = set(again.tenants.tenants)
@@ -317,18 +317,18 @@
         depot = Depot(files, bookings=True)
 
         class Origin:
-            async def run(self, order: Order) -> Outcome:
+            async def run(self, order: AttemptSpec) -> AttemptOutcome:
                 kept = files.after_crash(random.Random(1))
                 intents = [k for k in _durable(kept).engine.keys("booking/")]
-                assert intents == [f"booking/{order.request.id}"], "durable before the first byte"
-                sent.append(order.request.id)
-                return Outcome(AttemptStatus.OK, body=b"done")
+                assert intents == [f"booking/{order.request.request_id}"], "durable before the first byte"
+                sent.append(order.request.request_id)
+                return AttemptOutcome(AttemptStatus.OK, body=b"done")
 
         depot.core.transport = Origin()
-        request = Request("b" * 16, "save", "0" * 16, 0, None, depot.core.now(), 3 * S)
-        answers: list[Answer] = []
+        request = ClientRequest("b" * 16, "save", "0" * 16, 0, None, depot.core.now(), 3 * S)
+        answers: list[FinalAnswer] = []
         await depot.core.serve(request, answers.append)
-        assert [a.verdict for a in answers] == [Verdict.SERVED] and sent == ["b" * 16]
+        assert [a.status for a in answers] == [AnswerStatus.SERVED] and sent == ["b" * 16]
         await depot.durable.close()
         assert not list(_durable(files.copy()).engine.keys("booking/")), "ended, so forgotten"
 
@@ -337,8 +337,8 @@
         await before.durable.intend("c" * 16, 1)
         again = Depot(open_.after_crash(random.Random(3)), bookings=True)
         answers.clear()
-        twice = Request("c" * 16, "save", "0" * 16, 0, None, again.core.now(), 3 * S)
+        twice = ClientRequest("c" * 16, "save", "0" * 16, 0, None, again.core.now(), 3 * S)
         await again.core.serve(twice, answers.append)
-        assert [a.verdict for a in answers] == [Verdict.FAILED] and sent == ["b" * 16]
+        assert [a.status for a in answers] == [AnswerStatus.FAILED] and sent == ["b" * 16]
 
     asyncio.run(play())
--- a/tests/test_reload_and_lists.py
+++ b/tests/test_reload_and_lists.py
@@ -16,7 +16,7 @@
 
 from onyxwick import lifecycle
 from onyxwick.config import relay
-from onyxwick.net.coordinator import Coordinator
+from onyxwick.net.coordinator import CoordinatorFeed
 from tests.exchange import FOLDER
 from tests.ground import PATIENCE_S, Ground, played
 
@@ -50,7 +50,7 @@
 
 def test_a_row_that_cannot_be_read_takes_no_other_of_its_list_along() -> None:
     async def play(ground: Ground) -> None:
-        feed = Coordinator(ground.core, ground.counters)
+        feed = CoordinatorFeed(ground.core, ground.counters)
         rows = [{"id": "c0", **ROW}, {"id": "c1", **ROW, "state": "UNHEARD-OF"}, {"id": "c2", **ROW}]
         event = {"index": 1, "endpoints": {"version": 2, "full": True, "servers": rows}}
         feed.line(json.dumps(event).encode())
@@ -65,7 +65,7 @@
         for feed in (old, new):
             feed.setblocking(False)
             ground.opened.append(feed)
-        follower = Coordinator(ground.core, ground.counters)
+        follower = CoordinatorFeed(ground.core, ground.counters)
         follower.move(old.getsockname())
         follower.beat = lambda: follower.move(new.getsockname())  # while a line is taken in
         ground.tasks.append(asyncio.get_running_loop().create_task(follower.follow()))
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -15,8 +15,8 @@
 from onyxwick.admin.durable import DurableApi
 from onyxwick.admin.http import HttpError, HttpRequest
 from onyxwick.admin.sites import SitesApi
-from onyxwick.core import Core
-from onyxwick.core.members import Members
+from onyxwick.core import RequestEngine
+from onyxwick.core.members import EndpointTable
 from onyxwick.counters import Counters
 from onyxwick.interface import (
     AnswerDetail,
@@ -34,22 +34,22 @@
 )
 from onyxwick.lab.faults import checkers as c
 from onyxwick.lab.faults.history import History
-from onyxwick.lab.faults.model import Fault, Fleet, When
+from onyxwick.lab.faults.model import InjectedFault, FleetScenario, When
 from onyxwick.lab.faults.script import read
 from onyxwick.lab.faults.simulate import Simulation, planned, topology_of
-from onyxwick.sites import Plan, Sites
-from onyxwick.sites.life import Phase, Word
+from onyxwick.sites import SitePlan, SiteRouter
+from onyxwick.sites.life import SitePhase, SiteDirective
 from onyxwick.sites.model import Topology
-from onyxwick.sites.orders import Order, of_row
-from onyxwick.sites.refusal import CLIMB, Ladder, by_worth
+from onyxwick.sites.orders import SiteCommand, of_row
+from onyxwick.sites.refusal import CLIMB, SheddingLevels, by_worth
 from onyxwick.sites.shown import explain, show
-from onyxwick.sites.wanted import AGAIN_US, LATELY_US, Wanted
+from onyxwick.sites.wanted import AGAIN_US, LATELY_US, LocalDemand
 from onyxwick.tenants import Tenants
-from onyxwick.trace.model import Told
+from onyxwick.trace.model import NotificationKind
 from onyxwick.trace.reader import open_trace
-from onyxwick.trace.sink import Bounds
+from onyxwick.trace.sink import SinkLimits
 from onyxwick.trace.table import Strings
-from onyxwick.trace.watch import Watch
+from onyxwick.trace.watch import DecisionTracer
 from tests.exchange import ROOT
 from tests.faulty_files import FaultyFiles
 from tests.test_recovery import Nothing, _durable
@@ -59,7 +59,7 @@
 
 
 @cache
-def _small() -> tuple[Fleet, Topology, Plan]:
+def _small() -> tuple[FleetScenario, Topology, SitePlan]:
     """The example's fleet with a quarter of its load on a quarter of its room and more at the stores (a part
     of few transfers comes in large pieces), for 42 s."""
     fleet = read(LOSS)
@@ -76,12 +76,12 @@
 
 def fault(
     what: str, name: str, at: float = 8, lasts: float = 10, how: str = "", amount: float = 0.0
-) -> Fault:
-    return Fault(f"{what} {name}", When(int(at * S)), what, name, int(lasts * S), how, amount)
+) -> InjectedFault:
+    return InjectedFault(f"{what} {name}", When(int(at * S)), what, name, int(lasts * S), how, amount)
 
 
 def play(
-    *faults: Fault, seed: int = 1, variant: str = "sites", change: Callable[[Fleet], Fleet] | None = None
+    *faults: InjectedFault, seed: int = 1, variant: str = "sites", change: Callable[[FleetScenario], FleetScenario] | None = None
 ) -> History:
     fleet, top, plan = _small()
     fleet = replace(fleet, faults=faults)
@@ -156,7 +156,7 @@
 
 
 def test_a_loss_that_the_list_tells_7_s_late_or_never_is_found_from_evidence() -> None:
-    def late(fleet: Fleet) -> Fleet:
+    def late(fleet: FleetScenario) -> FleetScenario:
         return replace(fleet, scenario=replace(fleet.scenario, told_after_us=7 * S))
 
     for history in (
@@ -206,7 +206,7 @@
 
 
 def test_bookings_out_at_the_instant_of_loss_run_once() -> None:
-    def bookings(fleet: Fleet) -> Fleet:
+    def bookings(fleet: FleetScenario) -> FleetScenario:
         loads = [replace(load, mix=(("booking", 1.0),)) for load in fleet.scenario.loads]
         return replace(fleet, scenario=replace(fleet.scenario, loads=tuple(loads), duration_us=20 * S))
 
@@ -257,7 +257,7 @@
 def test_load_does_not_keep_itself_up_after_its_cause_has_gone() -> None:
     """Twice the load and clients that come again: 10 s after the loss is over all is as before."""
 
-    def hard(fleet: Fleet) -> Fleet:
+    def hard(fleet: FleetScenario) -> FleetScenario:
         loads = [replace(load, rate_per_s=load.rate_per_s * 1.35) for load in fleet.scenario.loads]
         return replace(fleet, scenario=replace(fleet.scenario, loads=tuple(loads), duration_us=60 * S))
 
@@ -268,12 +268,12 @@
 # ---- the decider by hand --------------------------------------------------------------------------------
 
 
-def _decider() -> Sites:
+def _decider() -> SiteRouter:
     fleet, top, plan = _small()
     sim = Simulation("hand", fleet, 1, "sites", top, plan)
     sim._build()
     decider = sim.fronts[0].decider
-    assert isinstance(decider, Sites)
+    assert isinstance(decider, SiteRouter)
     return decider
 
 
@@ -309,7 +309,7 @@
     attempts numbered on, and no answer is held back."""
     decider, now = _decider(), 1_001 * S
     sent = [a for a in decider.handle(now, [_ask("a", site="west")]) if isinstance(a, ForwardWithFill)]
-    assert sent[0].member.startswith("west-") and decider.watch.lives["west"].phase is Phase.SUSPECT
+    assert sent[0].member.startswith("west-") and decider.watch.lives["west"].phase is SitePhase.SUSPECT
     for number in range(4):
         now += 400_000
         end = AttemptEnded("a", number, sent[-1].member, AttemptStatus.CONNECT_FAILED, 400_000, False)
@@ -328,7 +328,7 @@
 
 def test_an_order_is_shown_explained_and_undone() -> None:
     decider, now = _decider(), 1_001 * S
-    decider.order(now, Order("north", Word.EVACUATE, "flood"))
+    decider.order(now, SiteCommand("north", SiteDirective.EVACUATE, "flood"))
     for n in range(40):
         decider.handle(now + n * 100_000, [TimerFired("sites")])
     told = show(decider, now + 4 * S)
@@ -338,7 +338,7 @@
     assert "archive" in " ".join(explain(decider, "north", "booking", "7f3a9c21e0b4d655"))
     with pytest.raises(KeyError):
         explain(decider, "east", "job-sheet", "x")
-    decider.order(now + 5 * S, Order("north", Word.NONE))
+    decider.order(now + 5 * S, SiteCommand("north", SiteDirective.NONE))
     for n in range(200):
         decider.handle(now + 5 * S + n * 100_000, [TimerFired("sites")])
     assert show(decider, now + 30 * S)["sites"]["north"]["state"] == "steady"
@@ -354,7 +354,7 @@
             durable = _durable(files)
             durable.start()
             orders.append([of_row(row) for row in durable.site_orders()])
-            core = Core(SETTINGS, 7, Nothing(), Members(), Counters())
+            core = RequestEngine(SETTINGS, 7, Nothing(), EndpointTable(), Counters())
             sites = SitesApi(decider, lambda: 1_002 * S, lambda: None)
             api = Api(Tenants(), Counters(), "operator-token-1", dict, {"sites": sites})
             body = json.dumps({"word": "evacuate", "reason": "flood"}).encode()
@@ -364,18 +364,18 @@
                 with pytest.raises(HttpError, match="no block 'store'"):
                     api(request)
                 assert (await DurableApi(api, durable, core)(request))[0] == 200
-                assert decider.watch.orders.word("north") is Word.EVACUATE
+                assert decider.watch.orders.word("north") is SiteDirective.EVACUATE
                 nowhere = HttpRequest("PUT", "/sites/orders/nowhere", head, body)
                 with pytest.raises(HttpError, match="no site 'nowhere'"):
                     await DurableApi(api, durable, core)(nowhere)
             told = api(HttpRequest("GET", "/sites", head, b""))
             assert told[0] == 200
             await durable.close()
-        assert orders[0] == [] and [o.word for o in orders[1]] == [Word.EVACUATE]
+        assert orders[0] == [] and [o.word for o in orders[1]] == [SiteDirective.EVACUATE]
         decider.watch.recalled(orders[1])
         for n in range(30):
             decider.handle(1_003 * S + n * 100_000, [TimerFired("sites")])
-        assert decider.watch.lives["north"].phase is Phase.EVACUATED
+        assert decider.watch.lives["north"].phase is SitePhase.EVACUATED
 
     asyncio.run(play())
 
@@ -384,11 +384,11 @@
     decider = _decider()
 
     async def play() -> list[tuple[int, int, dict[str, object]]]:
-        core = Core(
-            SETTINGS, 7, Nothing(), Members(), Counters(), lambda: 1_002 * S, decide=lambda *_: decider
+        core = RequestEngine(
+            SETTINGS, 7, Nothing(), EndpointTable(), Counters(), lambda: 1_002 * S, decide=lambda *_: decider
         )
-        core.watch = Watch(SETTINGS, "n0", tmp_path, Bounds(), core.now(), lambda: 1)
-        decider.order(1_002 * S, Order("north", Word.EVACUATE, "flood"))
+        core.watch = DecisionTracer(SETTINGS, "n0", tmp_path, SinkLimits(), core.now(), lambda: 1)
+        decider.order(1_002 * S, SiteCommand("north", SiteDirective.EVACUATE, "flood"))
         core.handle()
         core.watch.stop(core.now())
         assert core.counters.counts["sites.evacuating.north"] == 1
@@ -396,7 +396,7 @@
         with open_trace(path) as trace:
             return [told for _, table in trace.tables(Strings()) for told in table.told]
 
-    told = [data for kind, _, data in asyncio.run(play()) if kind == Told.SITE]
+    told = [data for kind, _, data in asyncio.run(play()) if kind == NotificationKind.SITE]
     assert [(d["site"], d["now"], d["why"]) for d in told] == [("north", "evacuating", "an operator's order")]
 
 
@@ -404,7 +404,7 @@
 
 
 def test_the_ladder_is_climbed_by_pressure_and_left_more_slowly() -> None:
-    ladder, now = Ladder(100, {"a": 0.5}, 1), 0
+    ladder, now = SheddingLevels(100, {"a": 0.5}, 1), 0
     assert ladder.reserve == 1.0
     levels = []
     for n in range(200):
@@ -436,7 +436,7 @@
 
 
 def test_an_object_that_own_clients_want_is_here() -> None:
-    wanted = Wanted()
+    wanted = LocalDemand()
     wanted.asked(S, "o")
     assert wanted.here(S + LATELY_US, "o") and not wanted.here(2 * S + LATELY_US, "o")
     wanted.asked(50 * S, "o")
--- a/tests/test_sites_life.py
+++ b/tests/test_sites_life.py
@@ -10,17 +10,17 @@
 import pytest
 
 from onyxwick.interface import AttemptEnded, AttemptStatus
-from onyxwick.sites.evidence import OVERDUE_US, SPEAKS_US, Evidence, Kind, kind_of
-from onyxwick.sites.life import AWAY, LEGAL, IllegalLife, Life, Phase, Signs, Word
-from onyxwick.sites.model import Policy
-from onyxwick.sites.orders import GATE_US, Order, OrderError, Orders, of_row, read_order, to_row
+from onyxwick.sites.evidence import OVERDUE_US, SPEAKS_US, Evidence, AttemptEvidence, kind_of
+from onyxwick.sites.life import AWAY, LEGAL, IllegalSiteTransitionError, SiteLifecycle, SitePhase, SiteHealthSignals, SiteDirective
+from onyxwick.sites.model import SitePolicy
+from onyxwick.sites.orders import GATE_US, SiteCommand, SiteCommandError, SiteCommands, of_row, read_order, to_row
 
 S = 1_000_000
 TICK = 500_000
-POLICY = Policy(confirm_us=S, step_us=TICK, steps=2, back_steps=2, hold_us=S)
-WELL = Signs(outside_us=1 << 60, asked=True, answered_us=1 << 60, well_since=1)
+POLICY = SitePolicy(confirm_us=S, step_us=TICK, steps=2, back_steps=2, hold_us=S)
+WELL = SiteHealthSignals(outside_us=1 << 60, asked=True, answered_us=1 << 60, well_since=1)
 # What a director may see at a tick: names of signs, each over those of a site that is well.
-WORLD: dict[str, Signs] = {
+WORLD: dict[str, SiteHealthSignals] = {
     "well": WELL,
     "dark": replace(WELL, dark=True, dark_since=1, answered_us=0, well_since=0),
     "cut off": replace(
@@ -32,23 +32,23 @@
     "smaller": replace(WELL, room=0.5, warmth=0.5),
     "nobody asks": replace(WELL, dark=True, dark_since=1, answered_us=0, asked=False, well_since=0),
 }
-WORDS = (Word.NONE, Word.EVACUATE, Word.RETURN, Word.HOLD)
+WORDS = (SiteDirective.NONE, SiteDirective.EVACUATE, SiteDirective.RETURN, SiteDirective.HOLD)
 
 
 def test_an_illegal_step_has_a_name() -> None:
-    for phase in Phase:
-        for to in Phase:
-            life = Life("north", 0, POLICY)
+    for phase in SitePhase:
+        for to in SitePhase:
+            life = SiteLifecycle("north", 0, POLICY)
             life.phase = phase
             if to not in LEGAL[phase]:
-                with pytest.raises(IllegalLife, match="site 'north'"):
+                with pytest.raises(IllegalSiteTransitionError, match="site 'north'"):
                     life._enter(to, 1, "")
 
 
 # ---- the explorer ---------------------------------------------------------------------------------------
 
 
-def _key(life: Life, now: int) -> tuple[object, ...]:
+def _key(life: SiteLifecycle, now: int) -> tuple[object, ...]:
     """What decides how a life goes on; times relative to now and bounded."""
     passed = [min(8, (now - t) // TICK) for t in (life.since, life.moved_us, max(0, life.hold_until))]
     ahead = max(0, min(8, (life.hold_until - now) // TICK))
@@ -58,35 +58,35 @@
     )  # fmt: skip
 
 
-def _breach(before: Life, after: Life, signs: Signs, word: Word) -> str:
+def _breach(before: SiteLifecycle, after: SiteLifecycle, signs: SiteHealthSignals, word: SiteDirective) -> str:
     """The invariant that a step broke, in words."""
     step = 1 / min(POLICY.steps, POLICY.back_steps)
     if not 0.0 <= after.share <= 1.0:
         return f"a share of {after.share}"
-    if abs(after.share - before.share) > step + 1e-9 and after.phase is not Phase.STEADY:
+    if abs(after.share - before.share) > step + 1e-9 and after.phase is not SitePhase.STEADY:
         return f"the share moved by {after.share - before.share:+.2f} in one step"
-    if signs.cut_off and signs.listed > 0 and word is Word.NONE:
-        if after.share != before.share and after.phase not in (Phase.RETURNING, Phase.STEADY):
+    if signs.cut_off and signs.listed > 0 and word is SiteDirective.NONE:
+        if after.share != before.share and after.phase not in (SitePhase.RETURNING, SitePhase.STEADY):
             return "cut off, and a share changed"
         if after.phase in AWAY and before.phase not in AWAY:
             return "cut off, and a site was held to be lost"
-    if after.phase is Phase.STEADY and after.share != 0.0:
+    if after.phase is SitePhase.STEADY and after.share != 0.0:
         return "steady with objects away"
-    if after.phase is Phase.EVACUATED and after.share != 1.0:
+    if after.phase is SitePhase.EVACUATED and after.share != 1.0:
         return "evacuated with objects at home"
-    if not signs.asked and signs.listed > 0 and before.phase is Phase.SUSPECT and after.phase is Phase.LOST:
+    if not signs.asked and signs.listed > 0 and before.phase is SitePhase.SUSPECT and after.phase is SitePhase.LOST:
         return "lost, though nobody asks for it here"
     return ""
 
 
 def explore(
-    step: Callable[[Life, int, Signs, Word], None], depth: int, words: tuple[Word, ...] = WORDS
+    step: Callable[[SiteLifecycle, int, SiteHealthSignals, SiteDirective], None], depth: int, words: tuple[SiteDirective, ...] = WORDS
 ) -> tuple[int, list[str]]:
     """Every state that so many ticks of any signs and words lead to, breadth first: how many there are, and
     the shortest way to a breach (empty: none)."""
-    begin = Life("north", 0, POLICY)
+    begin = SiteLifecycle("north", 0, POLICY)
     seen = {_key(begin, 0)}
-    queue: deque[tuple[Life, int, list[str]]] = deque([(begin, 0, [])])
+    queue: deque[tuple[SiteLifecycle, int, list[str]]] = deque([(begin, 0, [])])
     while queue:
         life, now, way = queue.popleft()
         if len(way) >= depth:
@@ -111,35 +111,35 @@
     assert states > 2000
 
 
-def _ignoring_the_cut(life: Life, now: int, signs: Signs, word: Word) -> None:
+def _ignoring_the_cut(life: SiteLifecycle, now: int, signs: SiteHealthSignals, word: SiteDirective) -> None:
     life.step(now, replace(signs, cut_off=False, outside_us=1 << 60), word)
 
 
-def _lost_unasked(life: Life, now: int, signs: Signs, word: Word) -> None:
+def _lost_unasked(life: SiteLifecycle, now: int, signs: SiteHealthSignals, word: SiteDirective) -> None:
     life.step(now, replace(signs, asked=True), word)
 
 
-def _whole_at_once(life: Life, now: int, signs: Signs, word: Word) -> None:
+def _whole_at_once(life: SiteLifecycle, now: int, signs: SiteHealthSignals, word: SiteDirective) -> None:
     life.step(now, signs, word)
-    if life.phase is Phase.RETURNING:
+    if life.phase is SitePhase.RETURNING:
         life.share = 0.0
 
 
-def _evacuated_early(life: Life, now: int, signs: Signs, word: Word) -> None:
+def _evacuated_early(life: SiteLifecycle, now: int, signs: SiteHealthSignals, word: SiteDirective) -> None:
     life.step(now, signs, word)
-    if life.phase is Phase.EVACUATING and life.share > 0:
-        life.phase = Phase.EVACUATED
+    if life.phase is SitePhase.EVACUATING and life.share > 0:
+        life.phase = SitePhase.EVACUATED
 
 
-def _steady_too_soon(life: Life, now: int, signs: Signs, word: Word) -> None:
+def _steady_too_soon(life: SiteLifecycle, now: int, signs: SiteHealthSignals, word: SiteDirective) -> None:
     life.step(now, signs, word)
-    if life.phase is Phase.RETURNING and life.share < 0.6:
-        life.phase = Phase.STEADY
+    if life.phase is SitePhase.RETURNING and life.share < 0.6:
+        life.phase = SitePhase.STEADY
 
 
-def _over_one(life: Life, now: int, signs: Signs, word: Word) -> None:
+def _over_one(life: SiteLifecycle, now: int, signs: SiteHealthSignals, word: SiteDirective) -> None:
     life.step(now, signs, word)
-    if life.phase is Phase.RETURNING and signs.pressure:
+    if life.phase is SitePhase.RETURNING and signs.pressure:
         life.share += 0.4
 
 
@@ -147,7 +147,7 @@
 
 
 @pytest.mark.parametrize("bug", PLANTED, ids=lambda bug: bug.__name__)
-def test_every_planted_bug_is_found_with_the_way_to_it(bug: Callable[[Life, int, Signs, Word], None]) -> None:
+def test_every_planted_bug_is_found_with_the_way_to_it(bug: Callable[[SiteLifecycle, int, SiteHealthSignals, SiteDirective], None]) -> None:
     _, breach = explore(bug, 7)
     assert breach and len(breach) <= 8
 
@@ -162,25 +162,25 @@
             home.step(now + n * TICK, signs)
             dark = replace(WORLD["dark"], dark_since=now, outside_us=now + n * TICK)
             lost.step(now + n * TICK, dark)
-        assert home.phase is Phase.STEADY, (home.phase, home.why)
-        assert lost.phase is Phase.EVACUATED, (lost.phase, lost.why)
+        assert home.phase is SitePhase.STEADY, (home.phase, home.why)
+        assert lost.phase is SitePhase.EVACUATED, (lost.phase, lost.why)
 
 
-def _all(depth: int) -> Iterator[tuple[Life, int]]:
-    found: dict[tuple[object, ...], tuple[Life, int]] = {}
+def _all(depth: int) -> Iterator[tuple[SiteLifecycle, int]]:
+    found: dict[tuple[object, ...], tuple[SiteLifecycle, int]] = {}
 
-    def step(life: Life, now: int, signs: Signs, word: Word) -> None:
+    def step(life: SiteLifecycle, now: int, signs: SiteHealthSignals, word: SiteDirective) -> None:
         life.step(now, signs, word)
         found.setdefault(_key(life, now), (life, now))
 
-    explore(step, depth, (Word.NONE, Word.EVACUATE))
+    explore(step, depth, (SiteDirective.NONE, SiteDirective.EVACUATE))
     yield from found.values()
 
 
 # ---- by name --------------------------------------------------------------------------------------------
 
 
-def _run(life: Life, start: int, ticks: int, signs: Signs, word: Word = Word.NONE) -> int:
+def _run(life: SiteLifecycle, start: int, ticks: int, signs: SiteHealthSignals, word: SiteDirective = SiteDirective.NONE) -> int:
     for n in range(ticks):
         life.step(start + (n + 1) * TICK, signs, word)
     return start + ticks * TICK
@@ -188,7 +188,7 @@
 
 def test_a_flapping_site_is_returned_to_more_and_more_slowly() -> None:
     """Twenty minutes of 10 s up and 5 s down: far fewer moves than flaps."""
-    life, now, holds = Life("north", 0, POLICY), 0, []
+    life, now, holds = SiteLifecycle("north", 0, POLICY), 0, []
     for _ in range(80):
         now = _run(life, now, 10, replace(WORLD["dark"], dark_since=now, outside_us=1 << 60))
         now = _run(life, now, 20, replace(WELL, well_since=now))
@@ -197,12 +197,12 @@
 
 
 def test_a_paused_process_looks_again_before_it_acts() -> None:
-    life, now = Life("north", 0, POLICY), 0
+    life, now = SiteLifecycle("north", 0, POLICY), 0
     now = _run(life, now, 1, WORLD["dark"])
     assert str(life.phase.value) == "suspect"
     life.step(now + 20 * S, WORLD["dark"])
     assert str(life.phase.value) == "steady" and "stopped" in life.why
-    gone = Life("north", 0, POLICY)
+    gone = SiteLifecycle("north", 0, POLICY)
     now = _run(gone, 0, 12, WORLD["dark"])
     share, phase = gone.share, gone.phase
     gone.step(now + 20 * S, replace(WELL, well_since=1))
@@ -210,61 +210,61 @@
 
 
 def test_a_director_that_starts_beside_a_cold_site_leaves_its_objects_where_they_are() -> None:
-    life = Life("north", 0, POLICY)
-    life.began(0, Signs(warmth=0.2))
-    assert life.phase is Phase.RETURNING and life.share == pytest.approx(0.8)
-    fresh = Life("north", 0, POLICY)
-    fresh.began(0, Signs(warmth=0.9))
-    assert fresh.phase is Phase.STEADY
+    life = SiteLifecycle("north", 0, POLICY)
+    life.began(0, SiteHealthSignals(warmth=0.2))
+    assert life.phase is SitePhase.RETURNING and life.share == pytest.approx(0.8)
+    fresh = SiteLifecycle("north", 0, POLICY)
+    fresh.began(0, SiteHealthSignals(warmth=0.9))
+    assert fresh.phase is SitePhase.STEADY
 
 
 def test_a_site_that_comes_back_smaller_keeps_a_part_away_and_says_so() -> None:
-    life = Life("north", 0, POLICY)
+    life = SiteLifecycle("north", 0, POLICY)
     now = _run(life, 0, 12, WORLD["dark"])
     _run(life, now, 60, WORLD["smaller"])
-    assert life.phase is Phase.RETURNING and life.share == pytest.approx(0.5) and "smaller" in life.why
+    assert life.phase is SitePhase.RETURNING and life.share == pytest.approx(0.5) and "smaller" in life.why
 
 
 def test_an_order_goes_before_evidence_and_ordered_installations_wait_for_it() -> None:
-    life = Life("north", 0, POLICY)
-    now = _run(life, 0, 6, WELL, Word.EVACUATE)
+    life = SiteLifecycle("north", 0, POLICY)
+    now = _run(life, 0, 6, WELL, SiteDirective.EVACUATE)
     assert str(life.phase.value) == "evacuated" and not life.seen_dark
-    now = _run(life, now, 20, WELL, Word.EVACUATE)
+    now = _run(life, now, 20, WELL, SiteDirective.EVACUATE)
     assert str(life.phase.value) == "evacuated", "evidence does not bring back what an order has left"
     _run(life, now, 20, WELL)
     assert str(life.phase.value) == "steady"
-    waits = Life("north", 0, replace(POLICY, auto=False))
+    waits = SiteLifecycle("north", 0, replace(POLICY, auto=False))
     now = _run(waits, 0, 20, WORLD["dark"])
     assert waits.phase.value == "lost" and waits.share == 0.0
-    _run(waits, now, 6, WORLD["dark"], Word.EVACUATE)
-    assert waits.phase is Phase.EVACUATED
+    _run(waits, now, 6, WORLD["dark"], SiteDirective.EVACUATE)
+    assert waits.phase is SitePhase.EVACUATED
 
 
 def test_a_drill_stays_away_for_its_time_and_gives_way_to_a_real_loss() -> None:
-    orders, drilled, other = Orders(), Life("north", 0, POLICY), Life("west", 0, POLICY)
-    orders.take(Order("north", Word.EVACUATE, "drill", at_us=0, stay_us=3 * S))
+    orders, drilled, other = SiteCommands(), SiteLifecycle("north", 0, POLICY), SiteLifecycle("west", 0, POLICY)
+    orders.take(SiteCommand("north", SiteDirective.EVACUATE, "drill", at_us=0, stay_us=3 * S))
     lives, now, ended = {"north": drilled, "west": other}, 0, []
     for n in range(40):
         now = (n + 1) * TICK
         drilled.step(now, WELL, orders.word("north"))
         ended += orders.step(now, lives, 0.0)
-    assert ended == ["north"] and drilled.phase is Phase.STEADY and not orders.held
-    orders.take(Order("north", Word.EVACUATE, "drill", at_us=now, stay_us=300 * S))
+    assert ended == ["north"] and drilled.phase is SitePhase.STEADY and not orders.held
+    orders.take(SiteCommand("north", SiteDirective.EVACUATE, "drill", at_us=now, stay_us=300 * S))
     for n in range(6):
         drilled.step(now + n * TICK, WELL, orders.word("north"))
-    other.phase = Phase.SUSPECT
+    other.phase = SitePhase.SUSPECT
     orders.step(now + 7 * TICK, lives, 0.0)
-    assert orders.word("north") is Word.RETURN and "west" in orders.turned["north"]
+    assert orders.word("north") is SiteDirective.RETURN and "west" in orders.turned["north"]
 
 
 def test_a_drill_whose_gate_fails_turns_back_and_one_overtaken_by_the_loss_ends() -> None:
-    orders, life = Orders(), Life("north", 0, POLICY)
-    orders.take(Order("north", Word.EVACUATE, "drill", stay_us=300 * S))
+    orders, life = SiteCommands(), SiteLifecycle("north", 0, POLICY)
+    orders.take(SiteCommand("north", SiteDirective.EVACUATE, "drill", stay_us=300 * S))
     for now in (S, S + GATE_US // 2, S + GATE_US):
         orders.step(now, {"north": life}, 0.9)
-    assert orders.word("north") is Word.RETURN and "gate" in orders.turned["north"]
-    life.seen_dark, life.phase = True, Phase.EVACUATING
-    assert orders.step(9 * S, {"north": life}, 0.0) == ["north"] and orders.word("north") is Word.NONE
+    assert orders.word("north") is SiteDirective.RETURN and "gate" in orders.turned["north"]
+    life.seen_dark, life.phase = True, SitePhase.EVACUATING
+    assert orders.step(9 * S, {"north": life}, 0.0) == ["north"] and orders.word("north") is SiteDirective.NONE
 
 
 def test_orders_are_read_whole_and_kept_as_rows() -> None:
@@ -277,9 +277,9 @@
         ({"word": "evacuate", "stay": 5}, "unknown field 'stay'"),
         ({"word": "hold", "reason": 7}, "no text"),
     ):
-        with pytest.raises(OrderError, match=wanted):
+        with pytest.raises(SiteCommandError, match=wanted):
             read_order("north", data, 0)
-    with pytest.raises(OrderError):
+    with pytest.raises(SiteCommandError):
         of_row({"site": "north"})
 
 
@@ -299,19 +299,19 @@
 @pytest.mark.parametrize(
     ("status", "latency", "kind"),
     [
-        (AttemptStatus.OK, 10, Kind.ANSWERED),
-        (AttemptStatus.OVERLOADED, 10, Kind.ANSWERED),
-        (AttemptStatus.CONNECT_FAILED, 1000, Kind.REFUSED),
-        (AttemptStatus.CONNECT_FAILED, 400_000, Kind.UNREACHED),
-        (AttemptStatus.RESET, 10, Kind.CUT),
-        (AttemptStatus.TIMEOUT, 3 * S, Kind.SILENT),
+        (AttemptStatus.OK, 10, AttemptEvidence.ANSWERED),
+        (AttemptStatus.OVERLOADED, 10, AttemptEvidence.ANSWERED),
+        (AttemptStatus.CONNECT_FAILED, 1000, AttemptEvidence.REFUSED),
+        (AttemptStatus.CONNECT_FAILED, 400_000, AttemptEvidence.UNREACHED),
+        (AttemptStatus.RESET, 10, AttemptEvidence.CUT),
+        (AttemptStatus.TIMEOUT, 3 * S, AttemptEvidence.SILENT),
         (AttemptStatus.TIMEOUT, 50_000, None),
         (AttemptStatus.CANCELLED, 3 * S, None),
         (AttemptStatus.NOT_SENT, 0, None),
     ],
 )
 def test_each_end_of_an_attempt_says_what_it_says(
-    status: AttemptStatus, latency: int, kind: Kind | None
+    status: AttemptStatus, latency: int, kind: AttemptEvidence | None
 ) -> None:
     assert kind_of(_ended("n0", status, latency), 400_000) is kind
 
--- a/tests/test_sites_plan.py
+++ b/tests/test_sites_plan.py
@@ -14,24 +14,24 @@
 from onyxwick.config import ConfigError, hcl
 from onyxwick.config.fields import Fields
 from onyxwick.config.sites import check_against, read_plan, read_sites
-from onyxwick.sites.model import ARCHIVE, Hub, Kind, Load, Policy, Site, Topology, check
-from onyxwick.sites.model import Path as Way
-from onyxwick.sites.plan import Plan, PlanMismatch, key_of, of_json, to_json
+from onyxwick.sites.model import ARCHIVE, Hub, PlannedClass, OfferedLoad, SitePolicy, Site, Topology, check
+from onyxwick.sites.model import NetworkLink as Way
+from onyxwick.sites.plan import SitePlan, PlanMismatchError, key_of, of_json, to_json
 from onyxwick.sites.planner import study
-from onyxwick.sites.programme import Loss, solve
+from onyxwick.sites.programme import SiteLoss, solve
 from onyxwick.sites.slices import SLICES, home_of, homes, slice_of, turn_of
 from tests.exchange import ROOT
 from tests.world import SETTINGS
 
-VIDEO = Kind("video", 100_000, 40_000, 0.3, 0.5, worth=2.0)
-SHEET = Kind("sheet", 50_000, 20_000, 0.3, 0.5, worth=1.0)
-SAVE = Kind("save", 20_000, 20_000, 0.0, 0.0, worth=3.0, write=True)
+VIDEO = PlannedClass("video", 100_000, 40_000, 0.3, 0.5, worth=2.0)
+SHEET = PlannedClass("sheet", 50_000, 20_000, 0.3, 0.5, worth=1.0)
+SAVE = PlannedClass("save", 20_000, 20_000, 0.0, 0.0, worth=3.0, write=True)
 
 
 def top_of(sites: int = 3, capacity: float = 10.0, rate: float = 50.0, **changes: object) -> Topology:
     names = [f"s{n}" for n in range(sites)]
-    loads = [Load(k, s, rate, t) for s in names for k in ("video", "sheet") for t in ("a", "b")]
-    loads += [Load("save", s, 5.0, "a") for s in names]
+    loads = [OfferedLoad(k, s, rate, t) for s in names for k in ("video", "sheet") for t in ("a", "b")]
+    loads += [OfferedLoad("save", s, 5.0, "a") for s in names]
     top = Topology(
         {n: Site(n, n, capacity, 2, 4) for n in names},
         {h: Hub(h, h, 8.0) for h in ("h0", "h1")},
@@ -46,7 +46,7 @@
 def test_a_loss_that_can_be_borne_goes_to_the_others_within_their_headroom() -> None:
     """By hand: a site's work is 100 requests a second of 0.1 and 100 of 0.05 s, 15 transfers over both."""
     top = top_of(capacity=30.0)
-    steady, lost = solve(top, Loss()), solve(top, Loss(frozenset(["s0"])))
+    steady, lost = solve(top, SiteLoss()), solve(top, SiteLoss(frozenset(["s0"])))
     assert steady.use[("boxes", "s0")].used == pytest.approx(15.0) and steady.borne and not steady.homes
     assert lost.borne and not lost.kept
     used = [lost.use[("boxes", s)].used for s in ("s1", "s2")]
@@ -60,7 +60,7 @@
 def test_what_fits_nowhere_is_refused_by_worth_for_its_work_and_evenly() -> None:
     """Two sites of 18 with 0.9 usable bear 32.4 of 45: the sheets, worth as much for their work, share it."""
     top = top_of(capacity=18.0)
-    lost = solve(top, Loss(frozenset(["s0"])))
+    lost = solve(top, SiteLoss(frozenset(["s0"])))
     assert not lost.borne and lost.first is not None and lost.use[lost.first].share == pytest.approx(0.9)
     used = sum(lost.use[("boxes", s)].used for s in ("s1", "s2"))
     assert used == pytest.approx(32.4, rel=1e-3)
@@ -72,33 +72,33 @@
     more = sum(amount for (kind, *_), amount in lost.need.items() if kind == "boxes")
     assert more == pytest.approx((45 - 32.4) / 0.9, rel=0.02)
     wider = top_of(capacity=18.0 + more / 2 + 0.1)
-    assert solve(wider, Loss(frozenset(["s0"]))).borne, "with that much more it is borne"
+    assert solve(wider, SiteLoss(frozenset(["s0"]))).borne, "with that much more it is borne"
 
 
 def test_a_reserve_is_kept_before_worth() -> None:
     base = top_of(capacity=13.0)
-    cheap = Kind("video", 100_000, 40_000, 0.3, 0.5, worth=0.1)
+    cheap = PlannedClass("video", 100_000, 40_000, 0.3, 0.5, worth=0.1)
     top = replace(base, kinds={**base.kinds, "video": cheap})
-    without, kept = solve(top, Loss(frozenset(["s0", "s1"]))), None
-    kept = solve(replace(top, reserves={"a": 0.2}), Loss(frozenset(["s0", "s1"])))
+    without, kept = solve(top, SiteLoss(frozenset(["s0", "s1"]))), None
+    kept = solve(replace(top, reserves={"a": 0.2}), SiteLoss(frozenset(["s0", "s1"])))
     assert without.kept[("s0", "video", "a")] < 0.05
     assert all(v >= 0.2 - 1e-3 for (_, k, t), v in kept.kept.items() if (k, t) == ("video", "a"))
 
 
 def test_stores_links_and_archive_bind_too() -> None:
     thin = top_of(capacity=60.0, hubs={"h0": Hub("h0", "h0", 5.0)})
-    out = solve(thin, Loss(frozenset(["s0"])))
+    out = solve(thin, SiteLoss(frozenset(["s0"])))
     assert out.first == ("stores", "h0") and not out.borne
-    gone = solve(top_of(capacity=60.0), Loss(hubs=frozenset(["h0", "h1"])))
+    gone = solve(top_of(capacity=60.0), SiteLoss(hubs=frozenset(["h0", "h1"])))
     assert gone.use[(ARCHIVE,)].used == pytest.approx(5.7, rel=0.01), "with no store the archive fills all"
     paths = {frozenset(("s1", "s2")): Way(("s1", "s2"), 2.0, 1000)}
-    linked = solve(top_of(capacity=60.0, paths=paths), Loss(frozenset(["s0"])))
+    linked = solve(top_of(capacity=60.0, paths=paths), SiteLoss(frozenset(["s0"])))
     assert linked.use[("link", "s1", "s2")].used <= 1.8 + 1e-6
 
 
 def test_objects_that_others_want_too_stay_where_their_clients_come() -> None:
     kinds = {k.name: replace(k, shared=0.8) for k in (VIDEO, SHEET)} | {"save": SAVE}
-    lost = solve(top_of(capacity=30.0, kinds=kinds), Loss(frozenset(["s0"])))
+    lost = solve(top_of(capacity=30.0, kinds=kinds), SiteLoss(frozenset(["s0"])))
     used = [lost.use[("boxes", s)].used for s in ("s1", "s2")]
     assert sum(used) == pytest.approx(45.0, rel=0.01) and max(used) - min(used) < 3.1
 
@@ -111,9 +111,9 @@
     assert "of boxes of" in texts[0] and "transfers more" in texts[0]
     plan = done.plan()
     assert of_json(plan.top, json.loads(json.dumps(to_json(plan)))).rows == plan.rows
-    with pytest.raises(PlanMismatch, match="made for topology"):
+    with pytest.raises(PlanMismatchError, match="made for topology"):
         of_json(top_of(capacity=23.0), to_json(plan))
-    with pytest.raises(PlanMismatch, match="no plan"):
+    with pytest.raises(PlanMismatchError, match="no plan"):
         of_json(plan.top, {"rows": []})
 
 
@@ -121,7 +121,7 @@
     top = top_of(
         sites=30, capacity=30.0, hubs={"h0": Hub("h0", "h0", 90.0)}, archive=Hub(ARCHIVE, "h0", 90.0)
     )
-    out = solve(top, Loss(frozenset(["s0"])))
+    out = solve(top, SiteLoss(frozenset(["s0"])))
     assert out.borne and len(out.homes[("s0", "video")]) <= 12
     assert out.use[("boxes", "s29")].used == pytest.approx(15.0), "untouched sites are counted as they are"
 
@@ -132,7 +132,7 @@
     row = plan.row(["s0", "s1"])
     for origin in ("s0", "s1"):
         assert set(row.homes[(origin, "video")]) <= {"s2", "s3"}
-    assert Plan(top).row(["s0"]).homes[("s0", "sheet")] == pytest.approx(
+    assert SitePlan(top).row(["s0"]).homes[("s0", "sheet")] == pytest.approx(
         {"s1": 1 / 3, "s2": 1 / 3, "s3": 1 / 3}
     )
     assert plan.row(["s0"]) is plan.rows[key_of(["s0"])]
@@ -255,4 +255,4 @@
 
 
 def test_policy_has_room_for_both_kinds_of_directors() -> None:
-    assert 0 < Policy().guests < 1
+    assert 0 < SitePolicy().guests < 1
--- a/tests/test_slow_and_failing_calls.py
+++ b/tests/test_slow_and_failing_calls.py
@@ -20,8 +20,8 @@
 from onyxwick.interface import AttemptEnded, AttemptStatus, FailRequest, RejectRequest, SetTimer, TimerFired
 from onyxwick.net import coordinator, fastcgi, resp
 from onyxwick.net.buffer import Buffer
-from onyxwick.net.coordinator import Coordinator
-from onyxwick.net.front import Front
+from onyxwick.net.coordinator import CoordinatorFeed
+from onyxwick.net.front import FastCgiFront
 from onyxwick.net.listening import listen
 from tests.ground import FOUND, Ground, ask, call, played
 
@@ -72,7 +72,7 @@
         feed, line = socket.create_server(("127.0.0.1", 0)), _list_line(1, 200)
         feed.setblocking(False)
         ground.opened.append(feed)
-        follower = Coordinator(ground.core, ground.counters)
+        follower = CoordinatorFeed(ground.core, ground.counters)
         follower.move(feed.getsockname())
         ground.tasks.append(asyncio.get_running_loop().create_task(follower.follow()))
         conn = await ground.accepted(feed)
@@ -89,7 +89,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def play(ground: Ground) -> None:
-        follower, purges, applied = Coordinator(ground.core, ground.counters), [2], list[str | None]()
+        follower, purges, applied = CoordinatorFeed(ground.core, ground.counters), [2], list[str | None]()
 
         def purged(group: int, name: str | None, made: int) -> None:
             if name == "a" * 16 and purges[0]:
@@ -115,7 +115,7 @@
 
 def test_a_line_that_never_comes_whole_does_not_hold_up_the_feed_for_ever() -> None:
     async def play(ground: Ground) -> None:
-        follower = Coordinator(ground.core, ground.counters)
+        follower = CoordinatorFeed(ground.core, ground.counters)
         event = json.dumps({"index": 2, "evict": {"ref": "b" * 16, "unix_ms": 1}}).encode()
         for connection in range(coordinator.GAP_TRIES):
             follower.line(b'{"index":1,"evi')
@@ -160,7 +160,7 @@
             pass
 
     async def play(ground: Ground) -> None:
-        full = Front(ground.core, ground.counters, lambda: True, 0, 10_000_000)
+        full = FastCgiFront(ground.core, ground.counters, lambda: True, 0, 10_000_000)
         await full.accept_rest(Crowd())  # type: ignore[arg-type]
         assert ground.counters.counts["client.refused"] == 1025
 
@@ -197,7 +197,7 @@
         await ground.until(lambda: ground.caches.links.get("c0"))
         await asyncio.sleep(0.6)
         conn = await let_up()
-        told = _told_ms(await ground.read(conn, lifecycle.request.id.encode()))
+        told = _told_ms(await ground.read(conn, lifecycle.request.request_id.encode()))
         left_ms = (lifecycle.request.arrived_us + 1_500_000 - ground.core.now()) / 1000
         assert told <= left_ms + 150
 
@@ -250,9 +250,9 @@
         ground.script.arrived = lambda request: ask(request, "c0")
         lifecycle = ground.start()
         conn = await ground.accepted(cache)
-        await ground.read(conn, lifecycle.request.id.encode())
+        await ground.read(conn, lifecycle.request.request_id.encode())
         await asyncio.get_running_loop().sock_sendall(
-            conn, resp.command(lifecycle.request.id.encode(), b"data", FOUND, b"walk")
+            conn, resp.command(lifecycle.request.request_id.encode(), b"data", FOUND, b"walk")
         )
         await ground.until(lambda: ground.answers)
         assert ground.script.ends() == [AttemptStatus.OK]
@@ -294,7 +294,7 @@
         if end == "close":
             client.close()
         else:
-            client.send(fastcgi.record(fastcgi.Type.ABORT, 2, b""))
+            client.send(fastcgi.record(fastcgi.RecordType.ABORT, 2, b""))
         time.sleep(0.15)  # a long turn of the loop, in which nothing is read
         ground.core.handle(TimerFired("hedge"))
         await ground.until(lambda: not ground.core.lifecycles)
@@ -423,7 +423,7 @@
         first, second, loop = ground.cache("c0"), ground.cache("c1"), asyncio.get_running_loop()
         ground.script.arrived = lambda request: ask(request, "c0")
         lifecycle = ground.start(timeout_us=1_000_000)
-        name = lifecycle.request.id
+        name = lifecycle.request.request_id
         conn = await ground.accepted(first)
         await ground.read(conn, name.encode())
         await asyncio.sleep(0.4)
@@ -462,7 +462,7 @@
     return b"".join(json.dumps(event).encode() + b"\n" for event in events)
 
 
-async def _stopped(ground: Ground, stop_s: float, events: bytes) -> tuple[Coordinator, socket.socket]:
+async def _stopped(ground: Ground, stop_s: float, events: bytes) -> tuple[CoordinatorFeed, socket.socket]:
     """What follows the feed of a director that stands still while a call and events come, and the one
     connection to its cache, which is up and at rest."""
     cache, loop = ground.cache("c0"), asyncio.get_running_loop()
@@ -521,7 +521,7 @@
         due = ground.core.now() + 300_000
         ground.script.arrived = lambda request: [*ask(request, "c0"), SetTimer(due, "hedge")]
         lifecycle = ground.start()
-        conn, name = await ground.accepted(cache), lifecycle.request.id.encode()
+        conn, name = await ground.accepted(cache), lifecycle.request.request_id.encode()
         await ground.read(conn, name)
         await loop.sock_sendall(conn, resp.command(name, b"data", FOUND, b"x"))
         time.sleep(0.6)
@@ -544,7 +544,7 @@
         ground.opened[0].accept()[0].close()  # room for the next one, which comes up as its SYN is sent again
         time.sleep(1.3)
         conn = await ground.accepted(ground.opened[0])
-        await ground.read(conn, lifecycle.request.id.encode())
+        await ground.read(conn, lifecycle.request.request_id.encode())
 
     played(play)
 
