--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -17,19 +17,19 @@
 from onyxwick.lab.soak import plan as p
 from onyxwick.lab.soak.model import (
     Asked,
-    Call,
+    SoakCall,
     ClientConnection,
     DirectorDrained,
     Down,
-    Purged,
-    Records,
+    SoakPurge,
+    SoakRecords,
     Sent,
     Started,
     Termination,
     Unready,
 )
 from onyxwick.lab.soak.oracle import Oracle
-from onyxwick.lab.soak.report import Plan
+from onyxwick.lab.soak.report import SoakPlan
 from onyxwick.lab.soak.shim import KILL_IN_WRITE, Control, Field, build
 from onyxwick.lab.soak.sweep import play, shrunk
 from onyxwick.lab.soak.told import Played, Span
@@ -59,7 +59,7 @@
 
 
 def test_the_shrinker_finds_the_two_faults_that_fail_together() -> None:
-    plan = Plan(3, 10, 60)
+    plan = SoakPlan(3, 10, 60)
     numbers = [fault.number for fault in plan.faults()]
     guilty = {numbers[5], numbers[-3]}
     found = shrunk(plan, lambda tried: guilty <= set(tried.only or ()), 200)
@@ -141,97 +141,97 @@
 WORK = {"site-video": 60_000, "job-sheet": 20_000, "booking": 20_000}
 
 
-def _sound() -> Records:
+def _sound() -> SoakRecords:
     """One request that was served, with all that was told around it."""
-    records = Records()
-    call = Call("r1", "site-video", 3, 0, NOW, 2 * S, True, 0, NOW + 100_000, 1, "served", "t1")
+    records = SoakRecords()
+    call = SoakCall("r1", "site-video", 3, 0, NOW, 2 * S, True, 0, NOW + 100_000, 1, "served", "t1")
     records.calls["r1"] = call
     records.sent.append(Sent(NOW + 1_000, "box-0", "r1", "parent-0", 2 * S - 1_000, 0))
     records.given["r1"] = [("t1", NOW - S, NOW + 1_000)]
     return records
 
 
-def _lost(r: Records) -> None:
+def _lost(r: SoakRecords) -> None:
     r.calls["r1"] = replace(r.calls["r1"], answers=0, verdict="", tag="", ended_us=0)
 
 
-def _late(r: Records) -> None:
+def _late(r: SoakRecords) -> None:
     r.calls["r1"].ended_us = NOW + 2 * S + 600_000
 
 
-def _twice(r: Records) -> None:
+def _twice(r: SoakRecords) -> None:
     r.calls["r1"].answers = 2
 
 
-def _by_none(r: Records) -> None:
+def _by_none(r: SoakRecords) -> None:
     r.calls["r1"].tag = "t9"
 
 
-def _ran_twice(r: Records) -> None:
+def _ran_twice(r: SoakRecords) -> None:
     r.ran += ["r1", "r1"]
 
 
-def _departed(r: Records) -> None:
+def _departed(r: SoakRecords) -> None:
     r.calls["r1"].left_us = NOW
     r.sent.append(Sent(NOW + 200_000, "box-1", "r1", None, 1_000, 0))
 
 
-def _time_told(r: Records) -> None:
+def _time_told(r: SoakRecords) -> None:
     r.sent.append(Sent(NOW + 400_000, "box-1", "r1", None, 2 * S, 0))
 
 
-def _drain(r: Records) -> None:
+def _drain(r: SoakRecords) -> None:
     r.unready.append(Unready("parent-0", 0, NOW - S, NOW + S))
 
 
-def _purge(r: Records) -> None:
-    r.purged.append(Purged(3, NOW - S // 2, 0, NOW - 2 * S))
+def _purge(r: SoakRecords) -> None:
+    r.purged.append(SoakPurge(3, NOW - S // 2, 0, NOW - 2 * S))
 
 
-def _cold(r: Records) -> None:
+def _cold(r: SoakRecords) -> None:
     r.started.append(Started("box-0", NOW, NOW))
     r.asked += [Asked(NOW + n, "box-0", 33_333.0) for n in range(600)]
 
 
-def _violation(r: Records) -> None:
+def _violation(r: SoakRecords) -> None:
     r.counters["violation.no_answer"] = 1
 
 
-def _ended(r: Records) -> None:
+def _ended(r: SoakRecords) -> None:
     r.ended.append("n0.1 ended with 1 after SIGTERM")
 
 
-def _held_idle(r: Records) -> None:
+def _held_idle(r: SoakRecords) -> None:
     r.drained.append(DirectorDrained(0, NOW - 2 * S, NOW + 9 * S))
     r.connections.append(ClientConnection(0, "resting", NOW - 3 * S, 0, [r.calls["r1"]]))
 
 
-def _held_with_a_recent_request(r: Records) -> None:
+def _held_with_a_recent_request(r: SoakRecords) -> None:
     r.drained.append(DirectorDrained(0, NOW - 3 * S, NOW + 9 * S))
     call = replace(r.calls["r1"], ended_us=NOW + S + 200_000)  # sent 1 s before it had to be ended
     r.connections.append(ClientConnection(0, "busy", NOW - 3 * S, 0, [call]))
 
 
-def _lost_at_a_kill(r: Records) -> None:
+def _lost_at_a_kill(r: SoakRecords) -> None:
     _lost(r)
     r.terminations.append(Termination(0, NOW - S, NOW + S, True))
 
 
-def _open_at_a_kill(r: Records) -> None:
+def _open_at_a_kill(r: SoakRecords) -> None:
     r.terminations.append(Termination(0, NOW - 9 * S, NOW - 8 * S, True))
     r.connections.append(ClientConnection(0, "resting", NOW - 10 * S))
 
 
-def _forwarded_though_it_crossed(r: Records) -> None:
+def _forwarded_though_it_crossed(r: SoakRecords) -> None:
     _lost(r)
     r.calls["r1"].ended_us = NOW + 10_000
 
 
-def _task_failed(r: Records) -> None:
+def _task_failed(r: SoakRecords) -> None:
     r.lab_errors.append("RuntimeError")
 
 
-BREACHES: list[tuple[str, Callable[[Records], None]]] = [
+BREACHES: list[tuple[str, Callable[[SoakRecords], None]]] = [
     ("lost", _lost),
     ("late answer", _late),
     ("one answer", _twice),
@@ -253,7 +253,7 @@
 ]
 
 
-def _rules(records: Records) -> list[str]:
+def _rules(records: SoakRecords) -> list[str]:
     return [finding.rule for finding in Oracle(records, {"box-0": BOX}, WORK).findings()]
 
 
@@ -262,7 +262,7 @@
 
 
 @pytest.mark.parametrize(("rule", "plant"), BREACHES, ids=[plant.__name__ for _, plant in BREACHES])
-def test_a_planted_breach_is_found(rule: str, plant: Callable[[Records], None]) -> None:
+def test_a_planted_breach_is_found(rule: str, plant: Callable[[SoakRecords], None]) -> None:
     records = _sound()
     plant(records)
     assert _rules(records) == [rule]
@@ -310,10 +310,10 @@
 
 @pytest.mark.parametrize(
     ("kind", "director", "found"),
-    [(None, 0, 1), (p.Kind.TERM, 0, 0), (p.Kind.TERM, 1, 1), (p.Kind.HOLD, 0, 1)],
+    [(None, 0, 1), (p.SoakFaultKind.TERM, 0, 0), (p.SoakFaultKind.TERM, 1, 1), (p.SoakFaultKind.HOLD, 0, 1)],
 )
 def test_a_connection_that_ends_in_the_middle_of_a_call_is_found_unless_its_director_ends(
-    kind: p.Kind | None, director: int, found: int
+    kind: p.SoakFaultKind | None, director: int, found: int
 ) -> None:
     records, played = _sound(), Played()
     records.cut.append((0, NOW + S))
@@ -323,8 +323,8 @@
     assert _rules(records) == ["director"] * found
 
 
-@pytest.mark.parametrize(("kind", "late"), [(p.Kind.STOP, False), (p.Kind.FEED_LOST, True)])
-def test_a_lost_feed_puts_off_what_a_drain_binds_and_a_stop_does_not(kind: p.Kind, late: bool) -> None:
+@pytest.mark.parametrize(("kind", "late"), [(p.SoakFaultKind.STOP, False), (p.SoakFaultKind.FEED_LOST, True)])
+def test_a_lost_feed_puts_off_what_a_drain_binds_and_a_stop_does_not(kind: p.SoakFaultKind, late: bool) -> None:
     records, played = _sound(), Played()
     played.drained.append(("box-0", NOW, NOW + 9 * S))
     played.spans.append(Span(kind, 0, NOW - S, NOW + 2 * S))
@@ -338,7 +338,7 @@
 
 def test_a_short_soak_of_real_directors_breaks_no_rule(tmp_path: Path) -> None:
     """Thirty seconds under overlapping faults; a run that the lab was too late to judge says so."""
-    report = play(Plan(seed=1, directors=10, seconds=24.0), tmp_path)
+    report = play(SoakPlan(seed=1, directors=10, seconds=24.0), tmp_path)
     told = report.data()
     assert report.calls > 500 and sum(report.met.values()) > 50 and report.pairs, told
     if report.judged:
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -11,39 +11,39 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from onyxwick.store import (
-    Busy,
-    Conflict,
-    Engine,
-    Failed,
-    Full,
-    Limits,
-    Op,
-    Refused,
+    StoreBusyError,
+    VersionConflictError,
+    StoreEngine,
+    StoreFailedError,
+    StoreFullError,
+    StoreLimits,
+    WriteOperation,
+    StoreUnusableError,
     StoreError,
     Transaction,
 )
 from onyxwick.store import records as r
-from onyxwick.store.files import Disk
+from onyxwick.store.files import DiskFiles
 from tests.faulty_files import Crash, FaultyFiles
 
-SMALL = Limits(segment=700, log=2000, total=1 << 20)
+SMALL = StoreLimits(segment=700, log=2000, total=1 << 20)
 State = dict[str, bytes]
 
 
 def put(key: str, value: bytes | None, version: int = -1) -> Transaction:
-    return Transaction((Op(key, value, version),), "test", 1)
+    return Transaction((WriteOperation(key, value, version),), "test", 1)
 
 
-def content(engine: Engine) -> State:
+def content(engine: StoreEngine) -> State:
     return dict(engine.scan())
 
 
 def filled(files: FaultyFiles, count: int = 30, compact_at: int = -1) -> list[State]:
     """A store with some changes; its content after each of them."""
-    engine = Engine(files, SMALL)
+    engine = StoreEngine(files, SMALL)
     states = [content(engine)]
     for n in range(count):
-        ops = [Op(f"key-{n % 7}", b"v%d" % n * 3), Op(f"other-{n % 3}", None if n % 5 == 4 else b"x%d" % n)]
+        ops = [WriteOperation(f"key-{n % 7}", b"v%d" % n * 3), WriteOperation(f"other-{n % 3}", None if n % 5 == 4 else b"x%d" % n)]
         engine.commit(Transaction(tuple(ops), "test", n))
         states.append(content(engine))
         if n == compact_at:
@@ -56,22 +56,22 @@
 
 
 def test_transactions_are_whole_and_versions_guard_them() -> None:
-    engine = Engine(FaultyFiles())
+    engine = StoreEngine(FaultyFiles())
     engine.commit(put("a", b"1", 0))
-    with pytest.raises(Conflict, match="'b' has version 0, not 3"):
-        engine.commit(Transaction((Op("a", b"2", 1), Op("b", b"1", 3))))
+    with pytest.raises(VersionConflictError, match="'b' has version 0, not 3"):
+        engine.commit(Transaction((WriteOperation("a", b"2", 1), WriteOperation("b", b"1", 3))))
     assert content(engine) == {"a": b"1"} and engine.version("a") == 1
     batch, errors = engine.prepare([put("a", b"2", 1), put("a", b"3", 1), put("a", b"4", 2)])
-    assert [type(e) for e in errors] == [type(None), Conflict, type(None)], "one batch, each by itself"
+    assert [type(e) for e in errors] == [type(None), VersionConflictError, type(None)], "one batch, each by itself"
     engine.write(batch)
     engine.finish(batch)
     assert engine.get("a") == b"4" and engine.version("a") == 3
     with pytest.raises(StoreError, match="stands twice"):
-        engine.commit(Transaction((Op("a", b"1"), Op("a", b"2"))))
+        engine.commit(Transaction((WriteOperation("a", b"1"), WriteOperation("a", b"2"))))
 
 
 def test_snapshots_hold_while_writers_go_on() -> None:
-    engine = Engine(FaultyFiles(), SMALL)
+    engine = StoreEngine(FaultyFiles(), SMALL)
     for n in range(10):
         engine.commit(put(f"k{n}", b"old"))
     with engine.snapshot() as view, engine.snapshot() as again:
@@ -87,8 +87,8 @@
 
 
 def test_a_bound_on_size_refuses_growth_and_allows_deletion() -> None:
-    engine = Engine(FaultyFiles(), Limits(segment=500, log=1000, total=3000))
-    with pytest.raises(Full, match=r"of 3000"):
+    engine = StoreEngine(FaultyFiles(), StoreLimits(segment=500, log=1000, total=3000))
+    with pytest.raises(StoreFullError, match=r"of 3000"):
         for n in range(100):
             engine.commit(put(f"k{n}", bytes(100)))
     for n in range(12):
@@ -98,18 +98,18 @@
 
 
 def test_another_process_and_another_installation_are_kept_out(tmp_path: Path) -> None:
-    engine = Engine(Disk(tmp_path), store=b"installation-one")
+    engine = StoreEngine(DiskFiles(tmp_path), store=b"installation-one")
     engine.commit(put("a", b"1"))
-    with pytest.raises(Busy):
-        Engine(Disk(tmp_path))
+    with pytest.raises(StoreBusyError):
+        StoreEngine(DiskFiles(tmp_path))
     engine.close()
-    with pytest.raises(Refused, match="another installation"):
-        Engine(Disk(tmp_path), store=b"installation-two")
-    again = Engine(Disk(tmp_path), store=b"installation-one")
+    with pytest.raises(StoreUnusableError, match="another installation"):
+        StoreEngine(DiskFiles(tmp_path), store=b"installation-two")
+    again = StoreEngine(DiskFiles(tmp_path), store=b"installation-one")
     assert content(again) == {"a": b"1"}
     again.compact()
     again.close()
-    assert content(Engine(Disk(tmp_path))) == {"a": b"1"}
+    assert content(StoreEngine(DiskFiles(tmp_path))) == {"a": b"1"}
 
 
 # ---- cuts and flips -------------------------------------------------------------------------------------
@@ -118,8 +118,8 @@
 def _opened(files: FaultyFiles) -> State | None:
     """The content, or None where the store refuses. Nothing else may come of it."""
     try:
-        return content(Engine(files, SMALL))
-    except Refused as error:
+        return content(StoreEngine(files, SMALL))
+    except StoreUnusableError as error:
         assert len(str(error)) > 20, "it says what may be lost"
         return None
 
@@ -163,7 +163,7 @@
     one is what is being attempted."""
     if ignored:
         files.ignored.add(ignored)
-    engine = Engine(files, SMALL)
+    engine = StoreEngine(files, SMALL)
     state: State = {}
     for n in range(14):
         new = state | {f"k{n % 5}": b"value %d" % n * 20}
@@ -182,7 +182,7 @@
 
 def _survives(files: FaultyFiles, rng: random.Random, before: list[State]) -> bool:
     """After a crash: the last that was acknowledged is there, or what was being attempted is, whole."""
-    found = content(Engine(files.after_crash(rng), SMALL))
+    found = content(StoreEngine(files.after_crash(rng), SMALL))
     return found in (before[-2:] if len(before) > 1 else [{}, *before])
 
 
@@ -214,7 +214,7 @@
             _run(files, before, bug)
         try:
             caught += not _survives(files, random.Random(at), before or [{}])
-        except Refused:
+        except StoreUnusableError:
             caught += 1
     assert caught > 0
 
@@ -231,8 +231,8 @@
             flipped = files.copy()
             flipped.entries[name].now[at] ^= 1
             try:
-                found.append(content(Engine(flipped, SMALL)))
-            except Refused:
+                found.append(content(StoreEngine(flipped, SMALL)))
+            except StoreUnusableError:
                 continue
     assert any(state != last for state in found)
 
@@ -248,7 +248,7 @@
             files = files.after_crash(rng)
             files.crash_at = rng.randrange(1, 4)
             try:
-                Engine(files, SMALL)
+                StoreEngine(files, SMALL)
             except Crash:
                 continue
         assert _survives(files, rng, before or [{}]), seed
@@ -260,19 +260,19 @@
 @pytest.mark.parametrize("call", ["sync", "write"])
 def test_after_a_failed_call_nothing_more_is_acknowledged(call: str) -> None:
     files = FaultyFiles()
-    engine = Engine(files, SMALL)
+    engine = StoreEngine(files, SMALL)
     engine.commit(put("a", b"1"))
     files.fail.add(call)
-    with pytest.raises(Failed):
+    with pytest.raises(StoreFailedError):
         engine.commit(put("a", b"2"))
     files.fail.clear()
-    with pytest.raises(Failed, match="open the store anew"):
+    with pytest.raises(StoreFailedError, match="open the store anew"):
         engine.commit(put("a", b"3"))
-    with pytest.raises(Failed):
+    with pytest.raises(StoreFailedError):
         engine.compact()
     assert engine.get("a") == b"1", "readers see what was acknowledged"
     files.close()
-    assert content(Engine(files, SMALL))["a"] in (b"1", b"2")
+    assert content(StoreEngine(files, SMALL))["a"] in (b"1", b"2")
 
 
 def test_a_full_disk_and_a_short_write_lose_nothing() -> None:
@@ -280,15 +280,15 @@
         files, done, tried = FaultyFiles(), State(), State()
         files.room = room
         try:
-            engine = Engine(files, SMALL)
+            engine = StoreEngine(files, SMALL)
             for n in range(50):
                 tried = {f"k{n % 4}": b"%d" % n * 9}
                 engine.commit(put(*next(iter(tried.items()))))
                 done |= tried
-        except (Failed, OSError):
+        except (StoreFailedError, OSError):
             pass
         files.close()
-        found = content(Engine(files.after_crash(random.Random(room)), SMALL))
+        found = content(StoreEngine(files.after_crash(random.Random(room)), SMALL))
         # All that was acknowledged, and of what was being attempted all or nothing.
         assert found in (done, done | tried), room
 
@@ -302,7 +302,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.files, self.model = FaultyFiles(), State()
-        self.engine = Engine(self.files, SMALL)
+        self.engine = StoreEngine(self.files, SMALL)
 
     @rule(key=st.sampled_from("abcde"), value=st.one_of(st.none(), st.binary(max_size=200)))
     def change(self, key: str, value: bytes | None) -> None:
@@ -324,7 +324,7 @@
     @rule(seed=st.integers(0, 1 << 30))
     def lose_power(self, seed: int) -> None:
         self.files = self.files.after_crash(random.Random(seed))
-        self.engine = Engine(self.files, SMALL)
+        self.engine = StoreEngine(self.files, SMALL)
 
     @precondition(lambda self: not self.engine.failed)
     @rule(call=st.integers(1, 3), key=st.sampled_from("abcde"), seed=st.integers(0, 1 << 30))
@@ -336,7 +336,7 @@
             self.files.crash_at = -1
         except Crash:
             self.files = self.files.after_crash(random.Random(seed))
-            self.engine = Engine(self.files, SMALL)
+            self.engine = StoreEngine(self.files, SMALL)
             if content(self.engine) == self.model | {key: b"torn"}:
                 self.model[key] = b"torn"
 
@@ -358,13 +358,13 @@
 
     from onyxwick.store.committer import Committer
 
-    engine = Engine(Disk(tmp_path))
+    engine = StoreEngine(DiskFiles(tmp_path))
     broken = iter([True])
 
     def prepare(transactions: object) -> object:
         if next(broken, False):
             raise RuntimeError("planted")
-        return Engine.prepare(engine, transactions)  # type: ignore[arg-type]
+        return StoreEngine.prepare(engine, transactions)  # type: ignore[arg-type]
 
     engine.prepare = prepare  # type: ignore[assignment,method-assign]
 
@@ -375,7 +375,7 @@
             try:
                 await asyncio.wait_for(committer.commit(put(f"k{n}", b"v")), 5)
                 told.append("done")
-            except Failed as error:
+            except StoreFailedError as error:
                 told.append(str(error).split(" (")[0])
         await asyncio.wait_for(committer.close(), 5)
         return told
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -16,32 +16,32 @@
 from hypothesis import strategies as st
 
 from onyxwick.interface import AnswerDetail, AttemptEnded, AttemptStatus, ForwardWithFill, RequestArrived
-from onyxwick.lab.traces import CLASSES, RULES, START, Clock, Maker, make
+from onyxwick.lab.traces import CLASSES, RULES, START, TraceClock, Maker, make
 from onyxwick.trace import format as f
 from onyxwick.trace.anonymise import Anonymiser
 from onyxwick.trace.audit import Audit
 from onyxwick.trace.clocks import OwnClock, fit
 from onyxwick.trace.compare import compare, losses
-from onyxwick.trace.cut import Wanted, cut
+from onyxwick.trace.cut import TraceFilter, cut
 from onyxwick.trace.explain import explain
 from onyxwick.trace.export import json_lines, parquet
-from onyxwick.trace.merge import Writer, merge
-from onyxwick.trace.model import ATTEMPTS, LIVES, Damaged, Told, TraceError, Verdict, Why
+from onyxwick.trace.merge import TraceWriter, merge
+from onyxwick.trace.model import ATTEMPTS, LIVES, TraceDamagedError, NotificationKind, TraceError, RecordedVerdict, DecisionReason
 from onyxwick.trace.reader import Trace, open_trace
-from onyxwick.trace.recorder import Belief, Block, Recorder, number
-from onyxwick.trace.sink import Bounds, Disk, Sink
+from onyxwick.trace.recorder import MemberBelief, RecordedBlock, Recorder, number
+from onyxwick.trace.sink import SinkLimits, SinkFolder, Sink
 from onyxwick.trace.summary import Summary
 from onyxwick.trace.table import Strings, Table, join
 from tests.exchange import Exchange
 
 S = 1_000_000
-HEADER = f.Header((1, 0), "n0", "ab", START, 0, CLASSES, RULES)
+HEADER = f.FileHeader((1, 0), "n0", "ab", START, 0, CLASSES, RULES)
 
 
-def _recorded(count: int = 40, blocks: list[Block] | None = None) -> list[Block]:
+def _recorded(count: int = 40, blocks: list[RecordedBlock] | None = None) -> list[RecordedBlock]:
     out = blocks if blocks is not None else []
 
-    def take(block: Block) -> bool:
+    def take(block: RecordedBlock) -> bool:
         out.append(block)
         return True
 
@@ -52,24 +52,24 @@
         recorder.arrived(
             now, RequestArrived(request, kind, f"{n % 7:016x}", 3 * S, object_group=n % 5, tenant="t1")
         )
-        recorder.decided(now, ForwardWithFill(request, "box-1", "parent-1", 1), Belief(Why.HOME, 2, 1.0))
+        recorder.decided(now, ForwardWithFill(request, "box-1", "parent-1", 1), MemberBelief(DecisionReason.HOME, 2, 1.0))
         recorder.sent(request, 0, now + 500)
         end = AttemptEnded(request, 0, "box-1", AttemptStatus.OK, 9_000, True, AnswerDetail.HIT)
         recorder.ended(now + 9_000, end, now - S)
-        recorder.finished(now + 9_100, request, Verdict.SERVED, Why.ANSWERED, 0, 100)
+        recorder.finished(now + 9_100, request, RecordedVerdict.SERVED, DecisionReason.ANSWERED, 0, 100)
         if n % 16 == 15:
             recorder.flush(now)
     recorder.finish(START + S)
     return out
 
 
-def _file(path: Path, blocks: list[Block], index: bool = True) -> list[int]:
+def _file(path: Path, blocks: list[RecordedBlock], index: bool = True) -> list[int]:
     """A file; where each block begins, and the end of the last one."""
     data, places, entries = f.opening(HEADER), [], []
     for block in blocks:
         head, frame = block.sealed()
         places.append(len(data))
-        entries.append(f.Entry(len(data), len(frame), head))
+        entries.append(f.BlockIndexEntry(len(data), len(frame), head))
         data += frame
     places.append(len(data))
     path.write_bytes(data + (f.index_frame(entries, len(data)) if index else b""))
@@ -87,7 +87,7 @@
     ids, trace = _ids(tmp_path / "a.owt")
     assert ids == list(range(1, 41)) and trace.indexed and not trace.losses
     with open_trace(tmp_path / "a.owt") as again:
-        (table,) = [t for t in cut(again, Wanted(request=f"{5:016x}"), Strings(), told=False) if len(t)]
+        (table,) = [t for t in cut(again, TraceFilter(request=f"{5:016x}"), Strings(), told=False) if len(t)]
     story = "\n".join(explain(table, 0))
     wanted = (
         "0000000000000005 of tenant t1",
@@ -140,11 +140,11 @@
     [
         _frame(f.BLOCK, 10, 10, 0xFFFFFFFF),  # a block that claims 4 GB
         _frame(f.BLOCK, 0xFFFFFFFF, 10, 10),
-        f.frame(f.BLOCK, f.encode(f.Head(lives=1 << 30)), b""),
+        f.frame(f.BLOCK, f.encode(f.BlockHead(lives=1 << 30)), b""),
         f.frame(f.BLOCK, b"\x81" * 5000, b""),  # deep nesting
-        f.frame(f.BLOCK, f.encode(f.Head(lives=1)), b"\x91" * 100_000),
-        f.frame(f.BLOCK, f.encode(f.Head()), f.encode(f.Body(["a"] * 70_000, {}, {}, []))),
-        f.frame(f.INDEX, b"", f.encode([f.Entry(1, 1 << 60, f.Head())])) + f.CLOSING.pack(0, f.END),
+        f.frame(f.BLOCK, f.encode(f.BlockHead(lives=1)), b"\x91" * 100_000),
+        f.frame(f.BLOCK, f.encode(f.BlockHead()), f.encode(f.BlockBody(["a"] * 70_000, {}, {}, []))),
+        f.frame(f.INDEX, b"", f.encode([f.BlockIndexEntry(1, 1 << 60, f.BlockHead())])) + f.CLOSING.pack(0, f.END),
     ],
 )
 def test_hostile_files_are_refused_with_bounded_memory(tail: bytes, tmp_path: Path) -> None:
@@ -156,7 +156,7 @@
 
 def test_a_bomb_is_not_unpacked() -> None:
     bomb = zstandard.ZstdCompressor().compress(bytes(200 << 20))
-    with pytest.raises(Damaged):
+    with pytest.raises(TraceDamagedError):
         f.unpack(bomb, 1000)
 
 
@@ -175,11 +175,11 @@
 
 
 def test_a_newer_format_is_refused_by_name_and_an_older_minor_is_read(tmp_path: Path) -> None:
-    newer = f.opening(f.Header((2, 1), "n0", "ab", 0, 0, [], {}))
+    newer = f.opening(f.FileHeader((2, 1), "n0", "ab", 0, 0, [], {}))
     (tmp_path / "a.owt").write_bytes(newer)
     with pytest.raises(TraceError, match=r"a\.owt: format 2\.1 is newer than 1\.0"):
         open_trace(tmp_path / "a.owt")
-    (tmp_path / "a.owt").write_bytes(f.opening(f.Header((1, 9), "n0", "ab", 0, 0, [], {})))
+    (tmp_path / "a.owt").write_bytes(f.opening(f.FileHeader((1, 9), "n0", "ab", 0, 0, [], {})))
     assert not open_trace(tmp_path / "a.owt").entries
     with pytest.raises(TraceError, match="no trace"):
         open_trace(Path(__file__))
@@ -198,7 +198,7 @@
 # ---- the writer -----------------------------------------------------------------------------------------
 
 
-class Faulty(Disk):
+class Faulty(SinkFolder):
     """A disk that refuses: `room` bytes, then errors; or a folder that has gone."""
 
     def __init__(self, room: int) -> None:
@@ -231,7 +231,7 @@
 
 
 def test_a_folder_that_vanishes_ends_no_request_and_a_late_writer_drops_whole_ones(tmp_path: Path) -> None:
-    sink = Sink(tmp_path / "gone", HEADER, Bounds(file_bytes=1))
+    sink = Sink(tmp_path / "gone", HEADER, SinkLimits(file_bytes=1))
     for block in _recorded(32)[:2]:
         sink.write(block)
         for path in (tmp_path / "gone").glob("*"):
@@ -241,7 +241,7 @@
     recorder = Recorder(START, lambda block: False, frozenset())
     for n in range(10):
         recorder.arrived(START, RequestArrived(f"{n:016x}", "job-sheet", "0" * 16, S))
-        recorder.finished(START + 5, f"{n:016x}", Verdict.REFUSED, Why.NO_BOX, 0, 0)
+        recorder.finished(START + 5, f"{n:016x}", RecordedVerdict.REFUSED, DecisionReason.NO_BOX, 0, 0)
     recorder.flush(START + 9)
     assert recorder.dropped == 10 and not recorder.block.lives["id"]
 
@@ -250,7 +250,7 @@
     now = [0.0]
     blocks = _recorded(160)
     size = len(blocks[0].sealed()[1])
-    sink = Sink(tmp_path, HEADER, Bounds(4 * size, 60.0, 12 * size), clock=lambda: now[0])
+    sink = Sink(tmp_path, HEADER, SinkLimits(4 * size, 60.0, 12 * size), clock=lambda: now[0])
     for n, block in enumerate(blocks):
         now[0] = 45.0 * n
         sink.write(block)
@@ -304,16 +304,16 @@
     """Two runs of one name: each on its own clock pairs, told apart in time, with no rule broken between."""
     paths = []
     for n, run in enumerate(("a1", "b2")):
-        header = f.Header((1, 0), "n0", run, START + n * 60 * S, 0, CLASSES, RULES)
-        writer, strings = Writer(tmp_path / f"{run}.owt", header), Strings()
+        header = f.FileHeader((1, 0), "n0", run, START + n * 60 * S, 0, CLASSES, RULES)
+        writer, strings = TraceWriter(tmp_path / f"{run}.owt", header), Strings()
         begin = START + n * 60 * S
         lives = {name: np.zeros(20, np.int64) for name in LIVES}
         lives["id"], lives["at"] = np.arange(1, 21) + 100 * n, begin + np.arange(20) * S
-        lives["verdict"][:] = Verdict.REFUSED
+        lives["verdict"][:] = RecordedVerdict.REFUSED
         lives["director"][:] = strings.number("n0")
         attempts = {name: np.zeros(0, np.int64) for name in ATTEMPTS}
-        told: list[tuple[int, int, dict[str, int]]] = [(int(Told.START), begin - S, {})]
-        told += [(int(Told.CLOCK), begin + k * S, {"mono_us": 5_000 * S * n + k * S}) for k in range(20)]
+        told: list[tuple[int, int, dict[str, int]]] = [(int(NotificationKind.START), begin - S, {})]
+        told += [(int(NotificationKind.CLOCK), begin + k * S, {"mono_us": 5_000 * S * n + k * S}) for k in range(20)]
         writer.add(Table(lives, attempts, strings, told))
         writer.close()
         paths.append(tmp_path / f"{run}.owt")
@@ -340,12 +340,12 @@
 def test_a_sound_trace_breaks_nothing_and_planted_breaches_are_all_found_and_no_others(
     tmp_path: Path,
 ) -> None:
-    sound = Maker(tmp_path, 0, Clock(), 60, 600 * S, 3)
+    sound = Maker(tmp_path, 0, TraceClock(), 60, 600 * S, 3)
     sound.write()
     report = _judged(sound.path).report()
     assert not report.broken and report.looked_at["booking once"] > 500, report.shown()["broken"][:3]
     plant = {"one answer": 3, "drain": 4, "not listed": 5, "purge": 6, "booking once": 4, "cold": 400}
-    maker = Maker(tmp_path, 1, Clock(), 60, 600 * S, 3)
+    maker = Maker(tmp_path, 1, TraceClock(), 60, 600 * S, 3)
     planted = maker.write(plant)
     found: dict[str, set[str]] = {}
     for row in _judged(maker.path).report().broken:
@@ -381,7 +381,7 @@
 
 def test_a_booking_told_as_sent_before_a_crash_counts() -> None:
     told = [
-        (int(Told.SENT), START + n * S, {"id": 9, "member": "origin", "director": f"n{n}"}) for n in range(2)
+        (int(NotificationKind.SENT), START + n * S, {"id": 9, "member": "origin", "director": f"n{n}"}) for n in range(2)
     ]
     assert Audit(HEADER, told).report().counts == {"booking once": 1}
     assert not Audit(HEADER, told[:1]).report().counts
@@ -390,10 +390,10 @@
 def test_what_clocks_leave_in_doubt_is_not_called_broken() -> None:
     """A cold box sent just over its budget by two directors whose clocks may be a second off."""
     row = [["box-1", "d", "box", "ready", 1.0, START]]
-    told = [(int(Told.LIST), START, {"members": row, "full": True, "director": "n0"})]
+    told = [(int(NotificationKind.LIST), START, {"members": row, "full": True, "director": "n0"})]
     for doubt, wanted in ((0.0, "broken"), (2_000_000.0, "cannot be told, because the clocks")):
         clocks = {"n1": {"doubt_us": doubt}}
-        header = f.Header((1, 0), "n0+n1", "x", START, 0, CLASSES, RULES, clocks)
+        header = f.FileHeader((1, 0), "n0+n1", "x", START, 0, CLASSES, RULES, clocks)
         strings = Strings()
         count = 100  # 60 ms of work each 30 ms, where four times 0.18 to 0.3 of it are allowed
         lives = {name: np.zeros(count, np.int64) for name in LIVES}
@@ -415,7 +415,7 @@
 @pytest.fixture(scope="module")
 def hour(tmp_path_factory: pytest.TempPathFactory) -> Path:
     """Ten minutes of one director."""
-    maker = Maker(tmp_path_factory.mktemp("trace"), 0, Clock(), 60, 600 * S, 9)
+    maker = Maker(tmp_path_factory.mktemp("trace"), 0, TraceClock(), 60, 600 * S, 9)
     maker.write()
     return maker.path
 
@@ -423,7 +423,7 @@
 def test_a_cut_reads_only_the_blocks_that_can_match(hour: Path) -> None:
     with open_trace(hour) as trace:
         begin = START + 120 * S
-        tables = list(cut(trace, Wanted(begin, begin + 10 * S, class_name="booking"), Strings(), told=False))
+        tables = list(cut(trace, TraceFilter(begin, begin + 10 * S, class_name="booking"), Strings(), told=False))
         assert sum(map(len, tables)) > 5 and trace.read_bytes < 0.5 * trace.size
         assert all((t.lives["at"] >= begin).all() and (t.lives["at"] < begin + 10 * S).all() for t in tables)
 
@@ -449,7 +449,7 @@
     hide = Anonymiser(bytes(range(32)))
     out = tmp_path / "hidden.owt"
     with open_trace(hour) as trace:
-        writer, old, new = Writer(out, hide.header(trace.header)), Strings(), Strings()
+        writer, old, new = TraceWriter(out, hide.header(trace.header)), Strings(), Strings()
         raw: set[int] = set()
         for head, table in trace.tables(old):
             raw |= set(table.lives["id"].tolist()) | set(table.lives["object"].tolist())
@@ -475,7 +475,7 @@
     def window(change: Callable[[Table], None] | None) -> object:
         with open_trace(hour) as trace:
             tables = []
-            for table in cut(trace, Wanted(), Strings(), told=False):
+            for table in cut(trace, TraceFilter(), Strings(), told=False):
                 if change:
                     change(table)
                 tables.append(table)
@@ -483,7 +483,7 @@
 
     def spoil(table: Table) -> None:
         bad = table.last("member") == table.strings.numbers.get("box-5", -1)
-        table.lives["verdict"] = np.where(bad, int(Verdict.FAILED), table.lives["verdict"])
+        table.lives["verdict"] = np.where(bad, int(RecordedVerdict.FAILED), table.lives["verdict"])
 
     told = compare(window(None), window(spoil))  # type: ignore[arg-type]
     first = next(row for row in told["rows"] if row["kind"] == "member")
@@ -521,7 +521,7 @@
     assert ids == [0x9B1F03AA5C7E2D41, 0x9B1F03AA5C7E2D42] and trace.indexed
     with open_trace(path) as again:
         (table,) = [
-            t for t in cut(again, Wanted(request="9b1f03aa5c7e2d41"), Strings(), told=False) if len(t)
+            t for t in cut(again, TraceFilter(request="9b1f03aa5c7e2d41"), Strings(), told=False) if len(t)
         ]
     story = "\n".join(explain(table, 0))
     assert "c0 was chosen, the first box" in story and "filled from p0 at rank 1" in story
--- a/tests/world.py
+++ b/tests/world.py
@@ -46,9 +46,9 @@
     latency_objective_stretch=2.0,
     freshness_lifetime_us=8 * S,
 )
-SAVE = RequestClass("save", Idempotency.NON_IDEMPOTENT, 800_000, 3 * S, priority_weight=3.0, write=True)
+SAVE = RequestClass("save", Idempotency.NON_IDEMPOTENT, 800_000, 3 * S, priority_weight=3.0, is_write=True)
 HOLD = RequestClass(
-    "hold", Idempotency.WITH_KEY, 800_000, 3 * S, priority_weight=3.0, write=True, key_window_us=2 * S
+    "hold", Idempotency.WITH_KEY, 800_000, 3 * S, priority_weight=3.0, is_write=True, key_window_us=2 * S
 )
 RULES = ServiceRules(
     answer_grace_us=8_000,
