--- a/onyxwick/admin/cells.py
+++ b/onyxwick/admin/cells.py
@@ -5,8 +5,8 @@
 from typing import Any
 
 from onyxwick.admin.http import HttpError, HttpRequest
-from onyxwick.cells import PlanVersionConflictError, CellPlanControl, PlanError
-from onyxwick.cells.shown import explain, show
+from onyxwick.cells import CellPlanControl, PlanError, PlanVersionConflictError
+from onyxwick.cells.status import explain, show
 from onyxwick.config import ConfigError
 from onyxwick.config.cells import json_of_plan, plan_of_json
 
--- a/onyxwick/admin/durable.py
+++ b/onyxwick/admin/durable.py
@@ -14,7 +14,7 @@
 from onyxwick.config.cells import json_of_plan
 from onyxwick.core import RequestEngine
 from onyxwick.sites import kept
-from onyxwick.store import WriteOperation, StoreError
+from onyxwick.store import StoreError, WriteOperation
 from onyxwick.store.durable import DurableState, fill_tenant, pack, tenant_rows
 from onyxwick.store.recovery import MemberDrain
 from onyxwick.tenants import Tenant
--- a/onyxwick/admin/http.py
+++ b/onyxwick/admin/http.py
@@ -24,11 +24,21 @@
 CLIENTS, IDLE_S = 16, 10.0
 MOST_WAITED_S = 1.0  # in the socket, for a call that anybody still waits for
 REASONS = {
-    200: "OK", 201: "Created", 204: "No Content", 400: "Bad Request", 401: "Unauthorized", 403: "Forbidden",
-    404: "Not Found", 405: "Method Not Allowed", 409: "Conflict", 413: "Content Too Large",
-    429: "Too Many Requests", 431: "Request Header Fields Too Large", 500: "Internal Server Error",
+    200: "OK",
+    201: "Created",
+    204: "No Content",
+    400: "Bad Request",
+    401: "Unauthorized",
+    403: "Forbidden",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    409: "Conflict",
+    413: "Content Too Large",
+    429: "Too Many Requests",
+    431: "Request Header Fields Too Large",
+    500: "Internal Server Error",
     503: "Service Unavailable",
-}  # fmt: skip
+}
 
 
 class HttpError(Exception):
--- a/onyxwick/admin/sites.py
+++ b/onyxwick/admin/sites.py
@@ -6,7 +6,7 @@
 
 from onyxwick.admin.http import HttpError, HttpRequest
 from onyxwick.sites import SiteCommand, SiteCommandError, SiteRouter, read_order
-from onyxwick.sites.shown import explain, show
+from onyxwick.sites.status import explain, show
 
 Answer = tuple[int, object]
 
--- a/onyxwick/cells/__init__.py
+++ b/onyxwick/cells/__init__.py
@@ -1,18 +1,18 @@
 """Cells: each tenant or key range confined to a part of the fleet, and moved while it serves. No I/O here."""
 
-from onyxwick.cells.control import PlanVersionConflictError, CellPlanControl
-from onyxwick.cells.fleet import CellRouter
-from onyxwick.cells.model import Cell, KeyRange, MigrationSpec, CellPlan, PlanError, CellPolicy, TenantSpec
+from onyxwick.cells.model import Cell, CellPlan, CellPolicy, KeyRange, MigrationSpec, PlanError, TenantSpec
+from onyxwick.cells.plan_control import CellPlanControl, PlanVersionConflictError
+from onyxwick.cells.router import CellRouter
 
 __all__ = [
     "Cell",
-    "CellRouter",
-    "PlanVersionConflictError",
+    "CellPlan",
     "CellPlanControl",
+    "CellPolicy",
+    "CellRouter",
     "KeyRange",
     "MigrationSpec",
-    "CellPlan",
     "PlanError",
-    "CellPolicy",
+    "PlanVersionConflictError",
     "TenantSpec",
 ]
--- a/onyxwick/cells/admission.py
+++ b/onyxwick/cells/admission.py
@@ -5,9 +5,9 @@
 import random
 from collections.abc import Iterable
 
+from onyxwick.cells.active_cell import ActiveCell, CellRequestOwner
 from onyxwick.cells.limits import AdmissionGate, ReservedPool, TenantRates
 from onyxwick.cells.model import CellPlan, TenantSpec
-from onyxwick.cells.unit import CellRequestOwner, ActiveCell
 from onyxwick.interface import Idempotency, RequestClass, RouterSettings
 
 S = 1_000_000
@@ -34,7 +34,9 @@
         self.priority = priorities(settings.classes)
         self.rates = TenantRates(lambda: self.now / S)
         self.pool = ReservedPool(most_open, 0.0, {})
-        self.writes = AdmissionGate(most_open)  # at the origin, which all cells share; its owners are the cells
+        self.writes = AdmissionGate(
+            most_open
+        )  # at the origin, which all cells share; its owners are the cells
         self.weights: dict[str, float] = {}
         self.open_of: dict[tuple[str, str], int] = {}  # (tenant, cell): requests under way
         self.of_tenant: dict[str, int] = {}
--- a/onyxwick/cells/roster.py
+++ b/onyxwick/cells/membership.py
@@ -7,7 +7,14 @@
 
 from onyxwick.cells.model import CellPlan
 from onyxwick.cells.placement import Draws, Placement, check_members, place
-from onyxwick.interface import EndpointListKind, EndpointsChanged, Member, MemberState, RouterSettings
+from onyxwick.interface import (
+    EndpointListKind,
+    EndpointsChanged,
+    Member,
+    MemberState,
+    RouterSettings,
+    WeightSource,
+)
 from onyxwick.logic import DRAWN, GUESSED, PARENT_LINK
 
 
@@ -82,7 +89,7 @@
         """Where the list gives no weights: sizes by the links, as the module guesses them for a whole depot;
         a cell's router sees a part of one and would guess too much."""
         if (
-            self.set.weight_source != "off"
+            self.set.weight_source != WeightSource.NONE
             or not self.set.transfer_kb_per_s
             or not self.set.zone_link_kb_per_s
         ):
--- a/onyxwick/cells/moves.py
+++ b/onyxwick/cells/migration.py
@@ -96,7 +96,11 @@
         if self.phase in ENDED:
             return False
         if self.phase is not MigrationPhase.RETURNING:
-            self._enter(MigrationPhase.ABORTED if self.phase is MigrationPhase.PLANNED else MigrationPhase.RETURNING, now, why)
+            self._enter(
+                MigrationPhase.ABORTED if self.phase is MigrationPhase.PLANNED else MigrationPhase.RETURNING,
+                now,
+                why,
+            )
         return True
 
     def step(self, now: int, signs: CellHealthSignals) -> None:
@@ -129,7 +133,9 @@
         if not self._sound(signs):
             self.share *= signs.ready / max(1, signs.seats)
             self.well_since = 0
-            return self._enter(MigrationPhase.PAUSED, now, f"{signs.ready} of {signs.seats} new boxes are ready")
+            return self._enter(
+                MigrationPhase.PAUSED, now, f"{signs.ready} of {signs.seats} new boxes are ready"
+            )
         if self.begun + PATIENCE * self.order.warm_us < now:
             return self._enter(MigrationPhase.RETURNING, now, "the new cells did not bear the load in time")
         if signs.pressure > PRESSED:
--- a/onyxwick/cells/offline.py
+++ b/onyxwick/cells/offline.py
@@ -27,9 +27,9 @@
 def _members(config: Path | None) -> tuple[list[Member], tuple[str | None, ...], str]:
     if config is None:
         return [], (None,), ""
-    from onyxwick.config import relay
+    from onyxwick.config import director as relay
     from onyxwick.core.clock import FeedStamps, steady_us
-    from onyxwick.net.coordinator import read_members
+    from onyxwick.net.coordinator_feed import read_members
 
     told = relay.load({"RELAY_CONFIG": str(config)})
     listed: dict[str, Member] = {}
--- a/onyxwick/cells/control.py
+++ b/onyxwick/cells/plan_control.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from onyxwick.cells.fleet import CellRouter
 from onyxwick.cells.model import CellPlan
+from onyxwick.cells.router import CellRouter
 
 
 class PlanVersionConflictError(Exception):
--- a/onyxwick/cells/holding.py
+++ b/onyxwick/cells/reservation.py
@@ -5,8 +5,8 @@
 
 from collections.abc import Callable
 
-from onyxwick.cells.fleet import CellRouter
 from onyxwick.cells.limits import ReservedPool
+from onyxwick.cells.router import CellRouter
 
 
 class ConnectionReservation:
--- a/onyxwick/cells/fleet.py
+++ b/onyxwick/cells/router.py
@@ -11,13 +11,13 @@
 from collections import deque
 from dataclasses import replace
 
+from onyxwick.cells.active_cell import ActiveCell, CellRequestOwner
 from onyxwick.cells.admission import CellAdmission
 from onyxwick.cells.arbiter import ShareArbiter
+from onyxwick.cells.membership import CellMembership
+from onyxwick.cells.migration import ENDED, CellHealthSignals, Migration, MigrationPhase
 from onyxwick.cells.model import CellPlan, TenantSpec, check
-from onyxwick.cells.moves import ENDED, Migration, MigrationPhase, CellHealthSignals
 from onyxwick.cells.placement import stable_hash
-from onyxwick.cells.roster import CellMembership
-from onyxwick.cells.unit import CellRequestOwner, ActiveCell
 from onyxwick.interface import (
     Action,
     AttemptEnded,
@@ -41,6 +41,7 @@
     SetTimer,
     StreamStarted,
     TimerFired,
+    WeightSource,
 )
 from onyxwick.logic import Router
 
@@ -290,8 +291,8 @@
         """A new cell with a module of its own. Its turn for cold members is its own, its burst of retries a
         part of the director's, and the purges of before bind it as they bind the others."""
         settings = replace(self.set, router_index=self.set.router_index * len(self.plan.cells) + index)
-        if self.set.weight_source == "off" and self.set.zone_link_kb_per_s:
-            settings = replace(settings, weight_source="nominal")
+        if self.set.weight_source == WeightSource.NONE and self.set.zone_link_kb_per_s:
+            settings = replace(settings, weight_source=WeightSource.NOMINAL)
         router = Router(settings, self.random.getrandbits(64), self.now)
         share = weight / sum(self._weights().values())
         router.burst = router.retries = max(4.0, router.burst * share)
--- a/onyxwick/cells/shown.py
+++ b/onyxwick/cells/status.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from onyxwick.cells.fleet import CellRouter
-from onyxwick.cells.moves import MigrationPhase
+from onyxwick.cells.active_cell import ActiveCell
+from onyxwick.cells.migration import MigrationPhase
 from onyxwick.cells.placement import stable_hash
-from onyxwick.cells.unit import ActiveCell
+from onyxwick.cells.router import CellRouter
 
 
 def explain(cells: CellRouter, tenant: str, name: str) -> list[str]:
--- a/onyxwick/cli/config.py
+++ b/onyxwick/cli/config.py
@@ -13,7 +13,7 @@
 def check_file(path: Path) -> str:
     """What kind of file it is; ConfigError where it cannot be used."""
     if path.suffix == ".json":
-        from onyxwick.config import relay
+        from onyxwick.config import director as relay
 
         relay.load({"RELAY_CONFIG": str(path)})
         return "director"
--- a/onyxwick/cli/faults.py
+++ b/onyxwick/cli/faults.py
@@ -172,9 +172,17 @@
     except (OSError, ValueError) as error:
         raise UnusableInputError(str(error)) from None
     ctx.invoke(
-        faults_run, file=Path(found.scenario), seed=found.seed, variant=found.variant, slot=0, keep=None,
-        program=None, simulated=False, directors=None, as_json=False,
-    )  # fmt: skip
+        faults_run,
+        file=Path(found.scenario),
+        seed=found.seed,
+        variant=found.variant,
+        slot=0,
+        keep=None,
+        program=None,
+        simulated=False,
+        directors=None,
+        as_json=False,
+    )
 
 
 @faults.command()
--- a/onyxwick/cli/lab.py
+++ b/onyxwick/cli/lab.py
@@ -83,7 +83,9 @@
 
     scenario = read(file)
     if fault is not None and fault not in scenario.faults:
-        raise UnusableInputError(f"no fault '{fault}' in {file.name}; it has: {', '.join(scenario.faults) or 'none'}")
+        raise UnusableInputError(
+            f"no fault '{fault}' in {file.name}; it has: {', '.join(scenario.faults) or 'none'}"
+        )
 
     async def once() -> dict[str, Any]:
         run = ScenarioRun(scenario, seed, cells, fault, slot)
--- a/onyxwick/cli/remote.py
+++ b/onyxwick/cli/remote.py
@@ -43,7 +43,9 @@
             answer = connection.getresponse()
             told = json.loads(answer.read() or b"{}")
         except (OSError, http.client.HTTPException, ValueError) as error:
-            raise UnusableInputError(f"administration API at {self.address[0]}:{self.address[1]}: {error}") from None
+            raise UnusableInputError(
+                f"administration API at {self.address[0]}:{self.address[1]}: {error}"
+            ) from None
         finally:
             connection.close()
         if answer.status >= 400:
--- a/onyxwick/cli/scale.py
+++ b/onyxwick/cli/scale.py
@@ -69,9 +69,19 @@
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option("--slot", type=click.IntRange(0, 50), default=0, help="Keeps apart what runs at once.")
 def fleet(
-    shape: str, directors: int, regions: int, hosts: int, caches: int, seconds: float, purges: float,
-    changes: int, fault: str, cut_s: float, seed: int, slot: int,
-) -> None:  # fmt: skip
+    shape: str,
+    directors: int,
+    regions: int,
+    hosts: int,
+    caches: int,
+    seconds: float,
+    purges: float,
+    changes: int,
+    fault: str,
+    cut_s: float,
+    seed: int,
+    slot: int,
+) -> None:
     """Hollow directors under a publisher's events; exit 1 where an event was lost, repeated or disordered."""
     import uvloop
 
@@ -80,9 +90,19 @@
     from onyxwick.lab.scale.hollow import Shape
 
     plan = FleetPlan(
-        shape=Shape(shape), directors=directors, regions=regions, hosts=hosts, caches=caches, seconds=seconds,
-        purges_per_s=purges, changes=changes, fault=fault, cut_s=cut_s, seed=seed, slot=slot,
-    )  # fmt: skip
+        shape=Shape(shape),
+        directors=directors,
+        regions=regions,
+        hosts=hosts,
+        caches=caches,
+        seconds=seconds,
+        purges_per_s=purges,
+        changes=changes,
+        fault=fault,
+        cut_s=cut_s,
+        seed=seed,
+        slot=slot,
+    )
     try:
         fleet_of = HollowFleet(plan, lambda text: click.echo(text, err=True))
     except ValueError as error:
@@ -108,9 +128,14 @@
     "--times", type=click.FloatRange(0.01, 100), default=1.0, show_default=True, help="Of everything."
 )
 def capacity(
-    folder: Path, size_file: Path | None, directors: int | None, caches: int | None, requests: float | None,
-    purges: float | None, times: float,
-) -> None:  # fmt: skip
+    folder: Path,
+    size_file: Path | None,
+    directors: int | None,
+    caches: int | None,
+    requests: float | None,
+    purges: float | None,
+    times: float,
+) -> None:
     """The capacity page's tables from the measured figures in FOLDER, for a size."""
     from dataclasses import replace
 
--- a/onyxwick/cli/sites.py
+++ b/onyxwick/cli/sites.py
@@ -14,9 +14,9 @@
 from onyxwick.cli.remote import admin_option, json_option, remote_of, token_option
 
 if TYPE_CHECKING:
+    from onyxwick.sites.linear_program import LossOutcome
+    from onyxwick.sites.loss_study import LossStudy
     from onyxwick.sites.model import Topology
-    from onyxwick.sites.planner import LossStudy
-    from onyxwick.sites.programme import LossOutcome
 
 LOOK_S = 0.5  # between two looks at a drill
 file_argument = click.argument("file", type=click.Path(path_type=Path))
@@ -33,7 +33,7 @@
 
 
 def _studied(file: Path, pairs: bool) -> LossStudy:
-    from onyxwick.sites.planner import study
+    from onyxwick.sites.loss_study import study
 
     return study(_topology(file), pairs)
 
@@ -50,7 +50,7 @@
 
 
 def _row(outcome: LossOutcome) -> dict[str, Any]:
-    from onyxwick.sites.programme import spelled
+    from onyxwick.sites.linear_program import spelled
 
     first = outcome.first
     return {
@@ -80,7 +80,7 @@
     if out is not None:
         out.write_text(json.dumps(to_json(done.plan()), indent=1) + "\n")
     if plots is not None:
-        from onyxwick.sites.pictures import draw
+        from onyxwick.sites.views import draw
 
         plots.mkdir(parents=True, exist_ok=True)
         draw(done, plots / "losses.png")
--- a/onyxwick/cli/store.py
+++ b/onyxwick/cli/store.py
@@ -10,7 +10,7 @@
 import click
 
 from onyxwick.cli import UnusableInputError
-from onyxwick.store import StoreEngine, StoreUnusableError, StoreError
+from onyxwick.store import StoreEngine, StoreError, StoreUnusableError
 from onyxwick.store import records as r
 from onyxwick.store.files import DiskFiles
 
@@ -171,7 +171,7 @@
 
 
 def _write(target: StoreEngine, payload: r.RecordPayload) -> None:
-    from onyxwick.store import WriteOperation, Transaction
+    from onyxwick.store import Transaction, WriteOperation
 
     ops = tuple(WriteOperation(key, value) for key, value, _ in payload.ops)
     for at in range(0, len(ops), 1000):
@@ -239,7 +239,7 @@
 @store.command("new-key")
 def new_key() -> None:
     """Print a new key for the key file; put it on its first line to seal with it from now on."""
-    from onyxwick.store.sealing import new_key as made
+    from onyxwick.store.encryption import new_key as made
 
     click.echo(made())
 
--- a/onyxwick/cli/trace.py
+++ b/onyxwick/cli/trace.py
@@ -14,10 +14,10 @@
 import click
 
 from onyxwick.cli import UnusableInputError
-from onyxwick.trace.model import TraceError, RecordedVerdict
+from onyxwick.trace.model import RecordedVerdict, TraceError
 
 if TYPE_CHECKING:
-    from onyxwick.trace.cut import TraceFilter
+    from onyxwick.trace.filter import TraceFilter
     from onyxwick.trace.reader import Trace
     from onyxwick.trace.table import Strings, Table
 
@@ -74,12 +74,14 @@
 
     @wraps(command)
     def wrapped(**named: Any) -> None:
-        from onyxwick.trace.cut import TraceFilter
+        from onyxwick.trace.filter import TraceFilter
 
         chosen = {n: named.pop(n) for n in ("class_name", "tenant", "cell", "object", "member")}
         verdict = named.pop("verdict")
         begin, end = read_time(named.pop("begin")), read_time(named.pop("end"))
-        named["wanted"] = TraceFilter(begin, end, **chosen, verdict=RecordedVerdict[verdict.upper()] if verdict else None)
+        named["wanted"] = TraceFilter(
+            begin, end, **chosen, verdict=RecordedVerdict[verdict.upper()] if verdict else None
+        )
         command(**named)
 
     for option in reversed(options):
@@ -148,7 +150,7 @@
 @_usable
 def cut(file: Path, out: Path, wanted: TraceFilter, as_json: bool) -> None:
     """Write to OUT the requests that are wanted, and what was told in that time."""
-    from onyxwick.trace.cut import cut as chosen
+    from onyxwick.trace.filter import cut as chosen
     from onyxwick.trace.merge import TraceWriter
     from onyxwick.trace.reader import open_trace
     from onyxwick.trace.table import Strings
@@ -268,9 +270,9 @@
 @_usable
 def explain(files: tuple[Path, ...], request: str) -> None:
     """Tell one request's story; exit 1 where no file has it."""
-    from onyxwick.trace.cut import TraceFilter
-    from onyxwick.trace.cut import cut as chosen
     from onyxwick.trace.explain import explain as story
+    from onyxwick.trace.filter import TraceFilter
+    from onyxwick.trace.filter import cut as chosen
     from onyxwick.trace.table import Strings
 
     found = 0
@@ -327,14 +329,20 @@
 @json_option
 @_usable
 def compare(
-    a: Path, b: Path | None, a_from: str | None, a_to: str | None, b_from: str | None, b_to: str | None,
-    most: int, as_json: bool,
-) -> None:  # fmt: skip
+    a: Path,
+    b: Path | None,
+    a_from: str | None,
+    a_to: str | None,
+    b_from: str | None,
+    b_to: str | None,
+    most: int,
+    as_json: bool,
+) -> None:
     """What accounts for the worth that B lost more than A, the largest first."""
     from onyxwick.trace.compare import compare as compared
     from onyxwick.trace.compare import losses
-    from onyxwick.trace.cut import TraceFilter
-    from onyxwick.trace.cut import cut as chosen
+    from onyxwick.trace.filter import TraceFilter
+    from onyxwick.trace.filter import cut as chosen
     from onyxwick.trace.reader import open_trace
     from onyxwick.trace.table import Strings
 
--- a/onyxwick/config/cells.py
+++ b/onyxwick/config/cells.py
@@ -14,11 +14,11 @@
     TENANT_FIELD,
     WARM_US,
     Cell,
+    CellPlan,
+    CellPolicy,
     KeyRange,
     MigrationSpec,
-    CellPlan,
     PlanError,
-    CellPolicy,
     TenantSpec,
     check,
 )
--- a/onyxwick/config/relay.py
+++ b/onyxwick/config/director.py
@@ -110,7 +110,9 @@
     known = data.get("known", {})
     if not isinstance(known, dict) or not isinstance(known.get("updates", []), list):
         raise ConfigError("field 'known' is no list of events")
-    return DirectorConfig(str(data.get("name", "")), listen, coordinator, seed, sockets, memory_mb, known, settings)
+    return DirectorConfig(
+        str(data.get("name", "")), listen, coordinator, seed, sockets, memory_mb, known, settings
+    )
 
 
 def load(environment: Mapping[str, str] = os.environ) -> DirectorConfig:
--- a/onyxwick/config/sites.py
+++ b/onyxwick/config/sites.py
@@ -13,12 +13,12 @@
     ARCHIVE,
     SITE_FIELD,
     Hub,
-    PlannedClass,
     OfferedLoad,
-    SitePolicy,
+    PlannedClass,
     Site,
-    TopologyError,
+    SitePolicy,
     Topology,
+    TopologyError,
     check,
 )
 from onyxwick.sites.model import NetworkLink as Way
--- a/onyxwick/core/members.py
+++ b/onyxwick/core/endpoints.py
@@ -82,7 +82,9 @@
         listed = self.listed.get(member) if member is not None else None
         return listed.started_at_us if listed is not None else 0
 
-    def is_still_valid(self, member: str, source: str | None, request: ClientRequest, decided: DecisionSnapshot) -> bool:
+    def is_still_valid(
+        self, member: str, source: str | None, request: ClientRequest, decided: DecisionSnapshot
+    ) -> bool:
         """May what was decided then be sent now? A drain, a start or a purge may have been received in
         between."""
         if not self.ready(member) or (source is not None and not self.ready(source)):
--- a/onyxwick/core/engine.py
+++ b/onyxwick/core/engine.py
@@ -10,18 +10,25 @@
 
 from onyxwick import logs
 from onyxwick.core.clock import steady_us
+from onyxwick.core.endpoints import EndpointTable
 from onyxwick.core.invariants import AttemptStarted, Invariants, Violation
-from onyxwick.core.lifecycles import (
+from onyxwick.core.model import (
+    AnswerStatus,
+    AttemptOutcome,
+    AttemptSpec,
+    CacheTransport,
+    ClientRequest,
+    FinalAnswer,
+)
+from onyxwick.core.reasons import RejectionReason
+from onyxwick.core.request_lifecycle import (
+    AttemptDecided,
     AttemptFinished,
     ClientDeparted,
-    AttemptDecided,
-    RequestReleased,
     Mail,
     RequestLifecycle,
+    RequestReleased,
 )
-from onyxwick.core.members import EndpointTable
-from onyxwick.core.model import FinalAnswer, AttemptSpec, AttemptOutcome, ClientRequest, CacheTransport, AnswerStatus
-from onyxwick.core.reasons import RejectionReason
 from onyxwick.core.send_guard import SendGuard
 from onyxwick.core.stall import StallWatch
 from onyxwick.counters import Counters
@@ -55,7 +62,7 @@
 
 if TYPE_CHECKING:
     from onyxwick.store.durable import DurableState
-    from onyxwick.trace.watch import DecisionTracer
+    from onyxwick.trace.decision_tracer import DecisionTracer
 
 log = logs.get()
 OVERDUE_US = 20_000  # past its deadline a request is answered even if the module forgot it
@@ -86,7 +93,9 @@
         self.clock, self.most_open = clock, most_open
         self.latest = clock()
         self.watch: DecisionTracer | None = None  # writes a trace, where one is wanted
-        self.durable: DurableState | None = None  # what lasts over restarts, where the installation has a disk
+        self.durable: DurableState | None = (
+            None  # what lasts over restarts, where the installation has a disk
+        )
         # How the list is to be shown to the module, over what `durable` holds back: the operators' orders.
         self.adjust_list: Callable[[EndpointsChanged, int], EndpointsChanged] | None = None
         self.stalls = StallWatch(time.monotonic())
@@ -110,9 +119,14 @@
     def _violated(self, violation: Violation) -> None:
         self.counters.add(f"violation.{violation.rule.value}")
         log.error(
-            "invariant violated", rule=violation.rule.value, cause=violation.cause, request=violation.request,
-            attempt=violation.attempt, connection=violation.connection, member=violation.member,
-        )  # fmt: skip
+            "invariant violated",
+            rule=violation.rule.value,
+            cause=violation.cause,
+            request=violation.request,
+            attempt=violation.attempt,
+            connection=violation.connection,
+            member=violation.member,
+        )
 
     def _work_us(self) -> dict[str, float]:
         """Mean sending times by class, as the module has learned them; none where many routers decide."""
@@ -140,9 +154,13 @@
             elif isinstance(action, SiteStateChanged):
                 self.counters.add(f"sites.{action.state}.{action.site}")
                 log.warning(
-                    "site", site=action.site, was=action.previous_state, now=action.state, share=round(action.share_away, 3),
+                    "site",
+                    site=action.site,
+                    was=action.previous_state,
+                    now=action.state,
+                    share=round(action.share_away, 3),
                     why=action.reason,
-                )  # fmt: skip
+                )
             elif isinstance(action, SubscribeToEndpoints | PollEndpoints):
                 pass  # the coordinator's events come unasked
             elif lifecycle := self.lifecycles.get(action.request_id):
@@ -228,7 +246,10 @@
     # ---- one request ------------------------------------------------------------------------------------
 
     async def serve(
-        self, request: ClientRequest, reply: Callable[[FinalAnswer], None], transport: CacheTransport | None = None
+        self,
+        request: ClientRequest,
+        reply: Callable[[FinalAnswer], None],
+        transport: CacheTransport | None = None,
     ) -> None:
         """A request's whole lifecycle. `reply` is called once, or never if the client has left."""
         if lifecycle := self._take(request, reply, transport):
@@ -265,9 +286,13 @@
         lifecycle = RequestLifecycle(request, transport=transport)
         self.lifecycles[request.request_id] = lifecycle
         self.invariants.request_started(
-            request.request_id, request.class_name, request.object_group, request.object_id,
-            request.arrived_us + request.timeout_us, self.now(),
-        )  # fmt: skip
+            request.request_id,
+            request.class_name,
+            request.object_group,
+            request.object_id,
+            request.arrived_us + request.timeout_us,
+            self.now(),
+        )
         self.idle.clear()
         return lifecycle
 
@@ -290,7 +315,9 @@
                 self.invariants.answered(request.request_id, self.now())
                 reply(answer)
             if self.watch is not None:
-                self.watch.answered(self.now(), request.request_id, None if lifecycle.client_departed else answer)
+                self.watch.answered(
+                    self.now(), request.request_id, None if lifecycle.client_departed else answer
+                )
             await self._wind_up(lifecycle)
             if lifecycle.intended and self.durable is not None:
                 await self.durable.ended(request.request_id)
@@ -401,7 +428,8 @@
                     lifecycle.ordered_at.append(0)
                     number = len(lifecycle.attempts) - 1
                     self._report(
-                        lifecycle, AttemptFinished(action.member, number, AttemptOutcome(AttemptStatus.NOT_SENT), 0)
+                        lifecycle,
+                        AttemptFinished(action.member, number, AttemptOutcome(AttemptStatus.NOT_SENT), 0),
                     )
                 case CancelAttempt(_, number):
                     self._cancel(lifecycle, number)
@@ -442,7 +470,12 @@
 
     def _begun(self, number: int, order: AttemptSpec) -> None:
         begun = AttemptStarted(
-            order.request.request_id, number, order.member, order.fill_source, order.max_age_us, order.left_us()
+            order.request.request_id,
+            number,
+            order.member,
+            order.fill_source,
+            order.max_age_us,
+            order.left_us(),
         )
         self.invariants.attempt_begun(begun, self.now())
 
@@ -453,7 +486,11 @@
         self.counters.add(f"again.{reason}")
         request = lifecycle.request
         log.info(
-            "attempt again", request=request.request_id, connection=request.connection_id, attempt=number, after=reason
+            "attempt again",
+            request=request.request_id,
+            connection=request.connection_id,
+            attempt=number,
+            after=reason,
         )
 
     def _order(self, lifecycle: RequestLifecycle, mail: AttemptDecided, number: int) -> AttemptSpec:
@@ -463,7 +500,9 @@
         alone = request.class_name in self.once
         if isinstance(action, ForwardRequest):
             good = partial(self.guard.may_send, lifecycle, number, action.member, None, decided)
-            return AttemptSpec(request, action.member, timeout, needs_own_connection=alone, is_still_valid=good)
+            return AttemptSpec(
+                request, action.member, timeout, needs_own_connection=alone, is_still_valid=good
+            )
         source = None if action.fill_source == action.member else action.fill_source
         return AttemptSpec(
             request,
@@ -482,7 +521,12 @@
             task.cancel()
 
     def _ended(
-        self, lifecycle: RequestLifecycle, order: AttemptSpec, number: int, begun: int, task: asyncio.Task[AttemptOutcome]
+        self,
+        lifecycle: RequestLifecycle,
+        order: AttemptSpec,
+        number: int,
+        begun: int,
+        task: asyncio.Task[AttemptOutcome],
     ) -> None:
         lifecycle.attempts[number] = None
         if task.cancelled():
@@ -494,7 +538,9 @@
         else:
             outcome = task.result()
         lifecycle.ends[number] = outcome.status
-        self.invariants.attempt_ended(lifecycle.request.request_id, number, outcome.status.proves_not_executed)
+        self.invariants.attempt_ended(
+            lifecycle.request.request_id, number, outcome.status.proves_not_executed
+        )
         if outcome.status.proves_not_executed:
             lifecycle.ordered_at[number] = 0
         lifecycle.mailbox.put(
--- a/onyxwick/core/invariants.py
+++ b/onyxwick/core/invariants.py
@@ -23,6 +23,7 @@
     Member,
     MemberState,
     RouterSettings,
+    WeightSource,
 )
 
 DEPARTED_US = 100_000
@@ -209,7 +210,9 @@
         if known is None:
             return
         if known.answered_at:
-            self._broken(InvariantRule.SECOND_ANSWER, f"{now - known.answered_at} us after the first", request)
+            self._broken(
+                InvariantRule.SECOND_ANSWER, f"{now - known.answered_at} us after the first", request
+            )
         known.answered_at = now
         due = max(known.deadline_us, known.taken_at)  # one that came too late is answered at once
         if now > due + LATE_US:
@@ -220,7 +223,9 @@
         """Nothing more will come of it."""
         known = self.requests.pop(request, None)
         if known is not None and not known.answered_at and not known.departed_at:
-            self._broken(InvariantRule.NO_ANSWER, "it ended with neither an answer nor its client's leaving", request)
+            self._broken(
+                InvariantRule.NO_ANSWER, "it ended with neither an answer nor its client's leaving", request
+            )
 
     @_contained
     def connection_closed(self, connection: int, owed: int, by_client: bool) -> None:
@@ -243,7 +248,9 @@
     def answer_cut(self, connection: int, on_its_way: int) -> None:
         """The director closes a connection with bytes of answers on their way, before its last stage."""
         self.report(
-            Violation(InvariantRule.ANSWER_CUT, f"{on_its_way} bytes were on their way", connection=connection)
+            Violation(
+                InvariantRule.ANSWER_CUT, f"{on_its_way} bytes were on their way", connection=connection
+            )
         )
 
     @_contained
@@ -294,7 +301,9 @@
             since = self.removed.get(name, 0) if server is None else server.unready_since
             late = now - since
             if since and late > self.rules.drain_grace_us + SOCKET_SLACK_US:
-                self._broken_by(InvariantRule.SENT_TO_UNREADY, f"{name} is draining or gone for {late} us", begun)
+                self._broken_by(
+                    InvariantRule.SENT_TO_UNREADY, f"{name} is draining or gone for {late} us", begun
+                )
 
     def _check_purges(self, known: _Request, begun: AttemptStarted, now: int) -> None:
         kind = self.classes.get(known.class_name)
@@ -323,7 +332,11 @@
     def _check_slow_start(self, known: _Request, begun: AttemptStarted, now: int) -> None:
         for name in {begun.member, begun.source}:
             server = self.servers.get(name) if name is not None else None
-            if server is not None and server.info.started_at_us and self.settings.weight_source != "off":
+            if (
+                server is not None
+                and server.info.started_at_us
+                and self.settings.weight_source != WeightSource.NONE
+            ):
                 self._count_send(server, known.class_name, begun, now)
 
     def _count_send(self, server: _Server, class_name: str, begun: AttemptStarted, now: int) -> None:
--- a/onyxwick/core/model.py
+++ b/onyxwick/core/model.py
@@ -33,7 +33,9 @@
     is_retry: bool = False
     body: bytes = b""
     client_etag: str = ""  # tag of the copy that the client holds
-    idempotency_key: str = ""  # by which a cache knows a repeat of what it has already done; passed on unchanged
+    idempotency_key: str = (
+        ""  # by which a cache knows a repeat of what it has already done; passed on unchanged
+    )
     tenant: str | None = None
     client_site: str | None = None  # of the client
     connection_id: int = -1  # its number at the front, for the logs; -1: none of the front's
--- a/onyxwick/core/lifecycles.py
+++ b/onyxwick/core/request_lifecycle.py
@@ -6,8 +6,8 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from onyxwick.core.members import DecisionSnapshot
-from onyxwick.core.model import AttemptOutcome, ClientRequest, CacheTransport
+from onyxwick.core.endpoints import DecisionSnapshot
+from onyxwick.core.model import AttemptOutcome, CacheTransport, ClientRequest
 from onyxwick.interface import Action, AttemptStatus, ForwardRequest, ForwardWithFill
 
 
--- a/onyxwick/core/send_guard.py
+++ b/onyxwick/core/send_guard.py
@@ -5,8 +5,8 @@
 import time
 from collections.abc import Callable
 
-from onyxwick.core.lifecycles import RequestLifecycle
-from onyxwick.core.members import EndpointTable, DecisionSnapshot
+from onyxwick.core.endpoints import DecisionSnapshot, EndpointTable
+from onyxwick.core.request_lifecycle import RequestLifecycle
 from onyxwick.core.stall import StallWatch
 from onyxwick.interface import Idempotency, RouterSettings
 
@@ -33,7 +33,12 @@
         self._stalls_seen = 0
 
     def may_send(
-        self, lifecycle: RequestLifecycle, number: int, member: str, source: str | None, decided: DecisionSnapshot
+        self,
+        lifecycle: RequestLifecycle,
+        number: int,
+        member: str,
+        source: str | None,
+        decided: DecisionSnapshot,
     ) -> bool:
         """Is it still wanted, may it be a repeat, is its way still open?"""
         self._catch_up_after_stall()
--- a/onyxwick/core/ending.py
+++ b/onyxwick/core/shutdown.py
@@ -88,7 +88,9 @@
 
 def drain_schedule(called_at: float) -> ShutdownSchedule:
     """Of a drain that the operators called for at this time."""
-    return ShutdownSchedule(ShutdownKind.DRAIN, called_at, tuple(called_at + after for after in DRAIN_BEGINS_S))
+    return ShutdownSchedule(
+        ShutdownKind.DRAIN, called_at, tuple(called_at + after for after in DRAIN_BEGINS_S)
+    )
 
 
 def kill_after_s(longest_deadline_s: float) -> float:
@@ -114,7 +116,9 @@
     accept_until = heard_at + newcomers
     stages = [sent_at + after for after in begins]
     stages[-1] = max(stages[-1], accept_until)  # newcomers are told so, not reset
-    return ShutdownSchedule(ShutdownKind.TERMINATION, sent_at, tuple(stages), accept_until, sent_at + gives_back)
+    return ShutdownSchedule(
+        ShutdownKind.TERMINATION, sent_at, tuple(stages), accept_until, sent_at + gives_back
+    )
 
 
 class ConnectionStep(Enum):
--- a/onyxwick/distribution/__init__.py
+++ b/onyxwick/distribution/__init__.py
@@ -10,4 +10,4 @@
 from onyxwick.distribution.publisher import Publisher
 from onyxwick.distribution.replica import Replica
 
-__all__ = ["Cursor", "DistributionError", "FeedEvent", "FanOut", "Follower", "Publisher", "Replica"]
+__all__ = ["Cursor", "DistributionError", "FanOut", "FeedEvent", "Follower", "Publisher", "Replica"]
--- a/onyxwick/distribution/durable.py
+++ b/onyxwick/distribution/durable.py
@@ -24,8 +24,8 @@
     PurgeKey,
 )
 from onyxwick.distribution.publisher import new_history
-from onyxwick.distribution.replica import FeedState, Replica, FeedSnapshot
-from onyxwick.store.engine import StoreEngine, WriteOperation, Transaction
+from onyxwick.distribution.replica import FeedSnapshot, FeedState, Replica
+from onyxwick.store.engine import StoreEngine, Transaction, WriteOperation
 
 PREFIX = "distribution/"
 HEAD, UPSTREAM, LIST_VERSION = PREFIX + "head", PREFIX + "upstream", PREFIX + "list-version"
--- a/onyxwick/distribution/fanout.py
+++ b/onyxwick/distribution/fanout.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from onyxwick.distribution.admission import SubscriberAdmission, AdmissionLimits
+from onyxwick.distribution.admission import AdmissionLimits, SubscriberAdmission
 from onyxwick.distribution.codec import encode_announcement, encode_freshness
 from onyxwick.distribution.model import ORIGIN, Cursor, Freshness, IllegalTransitionError
 from onyxwick.distribution.replica import Replica
--- a/onyxwick/dns/lookup.py
+++ b/onyxwick/dns/lookup.py
@@ -68,7 +68,9 @@
                     response.additional.append(glue)
 
 
-def answer(zone: TenantZone, name: dns.name.Name, kind: dns.rdatatype.RdataType, out: dns.message.Message) -> None:
+def answer(
+    zone: TenantZone, name: dns.name.Name, kind: dns.rdatatype.RdataType, out: dns.message.Message
+) -> None:
     """Fill in the answer to a static name of this zone."""
     for _ in range(ALIASES):
         if cut := _cut(zone, name):
--- a/onyxwick/dns/naming.py
+++ b/onyxwick/dns/naming.py
@@ -7,7 +7,7 @@
 
 import dns.name
 
-from onyxwick.core import AttemptSpec, AttemptOutcome, ClientRequest
+from onyxwick.core import AttemptOutcome, AttemptSpec, ClientRequest
 from onyxwick.interface import AttemptStatus, Idempotency, RequestClass
 
 _OBJECT = re.compile(r"[0-9a-f]{16}").fullmatch
--- a/onyxwick/dns/server.py
+++ b/onyxwick/dns/server.py
@@ -24,7 +24,7 @@
 from onyxwick import logs
 from onyxwick.config.address import written
 from onyxwick.config.service import ServiceConfig
-from onyxwick.core import FinalAnswer, RequestEngine, AnswerStatus
+from onyxwick.core import AnswerStatus, FinalAnswer, RequestEngine
 from onyxwick.counters import Counters
 from onyxwick.dns import lookup, naming, update
 from onyxwick.net.buffer import Buffer
@@ -57,7 +57,11 @@
     """Answers for the tenants' zones. What lies under a routed name is the core's to say."""
 
     def __init__(
-        self, core: RequestEngine, counters: Counters, config: ServiceConfig, durable: DurableState | None = None
+        self,
+        core: RequestEngine,
+        counters: Counters,
+        config: ServiceConfig,
+        durable: DurableState | None = None,
     ) -> None:
         self.durable = durable
         self.core, self.counters, self.tenants = core, counters, config.tenants
@@ -191,7 +195,11 @@
     # ---- routed names -----------------------------------------------------------------------------------
 
     async def _routed(
-        self, zone: TenantZone, query: dns.message.Message, response: dns.message.Message, send: Callable[[], None]
+        self,
+        zone: TenantZone,
+        query: dns.message.Message,
+        response: dns.message.Message,
+        send: Callable[[], None],
     ) -> bool:
         """Answer a name under the routed one. True if `send` was called: right where the cache was chosen."""
         assert zone.routed is not None
--- a/onyxwick/lab/arrivals.py
+++ b/onyxwick/lab/arrivals.py
@@ -7,7 +7,7 @@
 
 import numpy as np
 
-from onyxwick.lab.model import ScenarioFault, ScenarioLoad, Scenario
+from onyxwick.lab.model import Scenario, ScenarioFault, ScenarioLoad
 
 GAP_US = 400_000  # between two parts of one object
 
@@ -36,7 +36,9 @@
     return rng.choice(load.objects, count, p=weights / weights.sum())
 
 
-def _one(scenario: Scenario, load: ScenarioLoad, rng: np.random.Generator, fault: ScenarioFault | None) -> list[Arrival]:
+def _one(
+    scenario: Scenario, load: ScenarioLoad, rng: np.random.Generator, fault: ScenarioFault | None
+) -> list[Arrival]:
     """A tenant's arrivals in one span of time; a fault's own where it is given."""
     begin, end = (
         (fault.begin_us, min(fault.end_us, scenario.duration_us)) if fault else (0, scenario.duration_us)
--- a/onyxwick/lab/changes.py
+++ b/onyxwick/lab/changes.py
@@ -30,7 +30,7 @@
 from onyxwick.lab.kills import TOKEN, ZONE
 from onyxwick.lab.model import Scenario
 from onyxwick.lab.platform import settings
-from onyxwick.store.sealing import new_key
+from onyxwick.store.encryption import new_key
 
 KEY_NAME, SECRET = "update.depot.lab.", base64.b64encode(b"onyxwick-lab-update-key").decode()
 ZONE_NAME = "depot.lab."
--- a/onyxwick/lab/cost.py
+++ b/onyxwick/lab/cost.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 from typing import Any
 
-from onyxwick.cells import Cell, CellRouter, CellPlan, TenantSpec
+from onyxwick.cells import Cell, CellPlan, CellRouter, TenantSpec
 from onyxwick.cells.placement import Draws, place
 from onyxwick.interface import (
     AnswerDetail,
--- a/onyxwick/lab/faults/fleet.py
+++ b/onyxwick/lab/faults/fleet.py
@@ -21,11 +21,11 @@
 from onyxwick.lab.faults.paths import Paths, UnreachedEventError
 from onyxwick.lab.faults.relay import LinkRelay
 from onyxwick.lab.feed import Feed, row_of
-from onyxwick.lab.machines import FILL_PACE, Ask, CoordinatorEmulator, Machine, FillFailedError, World
+from onyxwick.lab.machines import FILL_PACE, Ask, CoordinatorEmulator, FillFailedError, Machine, World
 from onyxwick.lab.model import Tier
 from onyxwick.lab.platform import PlatformLayout, configuration, settings
 from onyxwick.lab.programs import Program
-from onyxwick.store.sealing import new_key
+from onyxwick.store.encryption import new_key
 
 GROUPS = 64
 OUTSIDE = "outside"
@@ -174,7 +174,9 @@
     def told(self, director: FleetDirector) -> dict[str, Any]:
         fleet = self.fleet
         zones = (*fleet.hubs, *fleet.sites)
-        place = PlatformLayout(director.site, fleet.sites[director.site].directors, len(self.directors), zones)
+        place = PlatformLayout(
+            director.site, fleet.sites[director.site].directors, len(self.directors), zones
+        )
         return configuration(
             director.name,
             self.seed * 1000 + director.number,
--- a/onyxwick/lab/faults/history.py
+++ b/onyxwick/lab/faults/history.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from onyxwick.lab.audit import Earned, Given, Records, RecordedSend, Taken
+from onyxwick.lab.audit import Earned, Given, RecordedSend, Records, Taken
 
 
 class Row(msgspec.Struct, frozen=True, omit_defaults=True):
@@ -69,10 +69,18 @@
     out = []
     for t in records.taken.values():
         data = {
-            "tenant": t.tenant, "group": t.group, "write": t.write, "answers": t.answers, "left": t.left,
-            "verdict": t.verdict, "tag": t.tag, "class": t.class_name, "site": t.site, "ended_us": t.ended_us,
+            "tenant": t.tenant,
+            "group": t.group,
+            "write": t.write,
+            "answers": t.answers,
+            "left": t.left,
+            "verdict": t.verdict,
+            "tag": t.tag,
+            "class": t.class_name,
+            "site": t.site,
+            "ended_us": t.ended_us,
             "again": t.again,
-        }  # fmt: skip
+        }
         out.append(Row("call", t.sent_us, t.director, t.id, data))
     for e in records.earned:
         data = {"tenant": e.tenant, "class": e.class_name, "site": e.site, "worth": e.worth}
--- a/onyxwick/lab/faults/paths.py
+++ b/onyxwick/lab/faults/paths.py
@@ -76,7 +76,9 @@
         found = self.ways.get((one, other))
         if found is None:
             link = self.fleet.links.get(frozenset((one, other)))
-            found = self.ways[(one, other)] = LinkDirection(one, other, delay_s=link.delay_us / 1e6 if link else 0.0)
+            found = self.ways[(one, other)] = LinkDirection(
+                one, other, delay_s=link.delay_us / 1e6 if link else 0.0
+            )
         return found
 
     def path(self, one: str, other: str) -> Path:
--- a/onyxwick/lab/faults/run.py
+++ b/onyxwick/lab/faults/run.py
@@ -13,7 +13,7 @@
 from onyxwick.lab.faults.acts import FaultActions
 from onyxwick.lab.faults.fleet import OUTSIDE, Ground
 from onyxwick.lab.faults.history import History, Row, rows_of
-from onyxwick.lab.faults.model import InjectedFault, FleetScenario
+from onyxwick.lab.faults.model import FleetScenario, InjectedFault
 from onyxwick.lab.feed import row_of
 
 S = 1_000_000
@@ -27,7 +27,13 @@
     earlier revision, whose directors are played plain."""
 
     def __init__(
-        self, name: str, fleet: FleetScenario, seed: int, variant: str, slot: int = 0, tree: Path | None = None
+        self,
+        name: str,
+        fleet: FleetScenario,
+        seed: int,
+        variant: str,
+        slot: int = 0,
+        tree: Path | None = None,
     ) -> None:
         self.name, self.fleet, self.seed, self.variant = name, fleet, seed, variant
         self.ground = Ground(fleet, seed, variant, slot, tree)
--- a/onyxwick/lab/faults/script.py
+++ b/onyxwick/lab/faults/script.py
@@ -9,7 +9,7 @@
 from onyxwick.config import ConfigError, hcl
 from onyxwick.config.fields import Fields
 from onyxwick.lab import scenario as plain
-from onyxwick.lab.faults.model import ARCHIVE, Depot, InjectedFault, FleetScenario, FaultLink, Stores, When
+from onyxwick.lab.faults.model import ARCHIVE, Depot, FaultLink, FleetScenario, InjectedFault, Stores, When
 
 MINUTE = 60_000_000
 WHAT = {
@@ -124,7 +124,9 @@
         sites = {n: replace(s, share=s.share / whole) for n, s in sites.items()}
     count = sum(site.directors for site in sites.values())
     scenario = replace(scenario, directors=count)
-    fleet = FleetScenario(scenario, sites, hubs, archive_at, links, faults, failover, seen, told, reserves, local)
+    fleet = FleetScenario(
+        scenario, sites, hubs, archive_at, links, faults, failover, seen, told, reserves, local
+    )
     _check(fleet, path.name)
     return fleet
 
--- a/onyxwick/lab/faults/simulate.py
+++ b/onyxwick/lab/faults/simulate.py
@@ -39,14 +39,14 @@
     TimerFired,
 )
 from onyxwick.lab.arrivals import Arrival, draw, object_name
-from onyxwick.lab.audit import Earned, Given, Records, RecordedSend, Taken
+from onyxwick.lab.audit import Earned, Given, RecordedSend, Records, Taken
 from onyxwick.lab.clients import LATE_WORTH, PAUSE_S, RETRIES
 from onyxwick.lab.copies import Copy, CopyStore
 from onyxwick.lab.faults.fleet import topology_text, warm_names
 from onyxwick.lab.faults.history import History, Row, rows_of
-from onyxwick.lab.faults.model import ARCHIVE, InjectedFault, FleetScenario
+from onyxwick.lab.faults.model import ARCHIVE, FleetScenario, InjectedFault
 from onyxwick.lab.faults.simulated_faults import Faults, partial_of
-from onyxwick.lab.faults.simulation_model import COPIES, GROUPS, Box, SimulatedFront, Out, S, Then
+from onyxwick.lab.faults.simulation_model import COPIES, GROUPS, Box, Out, S, SimulatedFront, Then
 from onyxwick.lab.link import EmulatedLink
 from onyxwick.lab.machines import FILL_PACE
 from onyxwick.lab.model import ScenarioClass
@@ -178,7 +178,14 @@
         return (link.delay_us if link is not None else 0) + self.extra.get(ends, 0)
 
     def _give(
-        self, source: Box, to: str, name: str, part: int, job: ScenarioClass, held: bool, then: Callable[[str], None]
+        self,
+        source: Box,
+        to: str,
+        name: str,
+        part: int,
+        job: ScenarioClass,
+        held: bool,
+        then: Callable[[str], None],
     ) -> None:
         """A fill's source: a word of what came of it, to `then`."""
         if not source.up or not self.reaches(to, source.place):
@@ -312,7 +319,14 @@
         return self.after(self._delay(here, box.place), go)
 
     def _serve(
-        self, out: Out, box: Box, taken: Taken, job: ScenarioClass, source: str | None, flags: FillOption, rank: int
+        self,
+        out: Out,
+        box: Box,
+        taken: Taken,
+        job: ScenarioClass,
+        source: str | None,
+        flags: FillOption,
+        rank: int,
     ) -> None:
         """The attempt has come to its machine."""
         if out.over or not box.up or box.place in self.gone:
@@ -446,10 +460,17 @@
         front.ends[request] = answered
         self.after(limit, gave_up)
         ask = RequestArrived(
-            request, arrival.class_name, arrival.object, limit,
-            object_group=int(arrival.object[-4:], 16) % GROUPS, part=arrival.part, is_retry=tries > 0,
-            is_write=job.kind.is_write, tenant=arrival.tenant, client_site=site,
-        )  # fmt: skip
+            request,
+            arrival.class_name,
+            arrival.object,
+            limit,
+            object_group=int(arrival.object[-4:], 16) % GROUPS,
+            part=arrival.part,
+            is_retry=tries > 0,
+            is_write=job.kind.is_write,
+            tenant=arrival.tenant,
+            client_site=site,
+        )
         return self.after(self._delay(here, front.site), lambda: self.notify(front, ask))
 
     def _earned(self, arrival: Arrival, site: str, intended: int, job: ScenarioClass, served: bool) -> None:
@@ -503,7 +524,7 @@
 
 
 def planned(top: Topology) -> SitePlan:
-    from onyxwick.sites.planner import study
+    from onyxwick.sites.loss_study import study
 
     return study(top).plan()
 
--- a/onyxwick/lab/faults/simulated_faults.py
+++ b/onyxwick/lab/faults/simulated_faults.py
@@ -8,11 +8,11 @@
 
 from onyxwick.interface import Event, MemberState, ObjectsPurged
 from onyxwick.lab.audit import Records
-from onyxwick.lab.faults.model import InjectedFault, FleetScenario
-from onyxwick.lab.faults.simulation_model import GROUPS, Box, SimulatedFront, S, Then
+from onyxwick.lab.faults.model import FleetScenario, InjectedFault
+from onyxwick.lab.faults.simulation_model import GROUPS, Box, S, SimulatedFront, Then
 from onyxwick.lab.model import Scenario
 from onyxwick.sites import SiteCommand, SiteRouter
-from onyxwick.sites.life import SiteDirective
+from onyxwick.sites.lifecycle import SiteDirective
 
 
 class Simulated(Protocol):
--- a/onyxwick/lab/kills.py
+++ b/onyxwick/lab/kills.py
@@ -18,7 +18,7 @@
 from typing import Any
 
 from onyxwick.lab.model import Scenario
-from onyxwick.store.sealing import new_key
+from onyxwick.store.encryption import new_key
 
 TOKEN = "operator-token-of-the-lab"
 READY_S, WITHIN_S = 20.0, 0.5  # for the API to answer; in which the kill comes
@@ -52,10 +52,17 @@
         base = f"127.{150 + slot}"
         self.api, self.folder = f"{base}.8.1", Path(tempfile.mkdtemp(prefix="onyxwick-kill-"))
         rows = [
-            {"id": f"box-{n}", "addr": f"{base}.2.{n + 1}:5050", "zone": "depot-1", "kind": "box",
-             "state": "SERVING", "weight": 1.0, "started_ms": 0}
+            {
+                "id": f"box-{n}",
+                "addr": f"{base}.2.{n + 1}:5050",
+                "zone": "depot-1",
+                "kind": "box",
+                "state": "SERVING",
+                "weight": 1.0,
+                "started_ms": 0,
+            }
             for n in range(4)
-        ]  # fmt: skip
+        ]
         known = {
             "index": 1,
             "updates": [{"index": 1, "endpoints": {"version": 1, "full": True, "servers": rows}}],
--- a/onyxwick/lab/machines.py
+++ b/onyxwick/lab/machines.py
@@ -10,7 +10,7 @@
 from functools import partial
 
 from onyxwick.config.address import Address
-from onyxwick.lab.audit import Given, Records, RecordedSend
+from onyxwick.lab.audit import Given, RecordedSend, Records
 from onyxwick.lab.copies import Copy, CopyStore, Truth
 from onyxwick.lab.link import EmulatedLink
 from onyxwick.lab.model import ScenarioClass, Tier
@@ -164,7 +164,9 @@
         self.store.keep(ask.name, ask.part, copy, 1)
         return copy
 
-    async def _fill(self, name: str, part: int, oldest_us: int, told: dict[str, str], job: ScenarioClass) -> Copy:
+    async def _fill(
+        self, name: str, part: int, oldest_us: int, told: dict[str, str], job: ScenarioClass
+    ) -> Copy:
         source = self.world.machines.get(told["parent"])
         if source is None:
             raise FillFailedError("UP_DOWN")
--- a/onyxwick/lab/plans.py
+++ b/onyxwick/lab/plans.py
@@ -7,8 +7,8 @@
 import time
 from typing import Any
 
-from onyxwick.sites.model import Hub, PlannedClass, OfferedLoad, NetworkLink, Site, Topology, check
-from onyxwick.sites.planner import study
+from onyxwick.sites.loss_study import study
+from onyxwick.sites.model import Hub, NetworkLink, OfferedLoad, PlannedClass, Site, Topology, check
 
 SITES_A_HUB, NEAR = 20, 6
 BOXES, BOX_CAPACITY, RATE_PER_S = 6, 6.0, 120.0
--- a/onyxwick/lab/play.py
+++ b/onyxwick/lab/play.py
@@ -21,7 +21,7 @@
 from onyxwick.lab.platform import HUB, ZONE, configuration, settings
 from onyxwick.lab.programs import Program
 from onyxwick.lab.report import report_of
-from onyxwick.store.sealing import new_key
+from onyxwick.store.encryption import new_key
 
 GROUPS = 64
 SETTLE_S = 0.3
--- a/onyxwick/lab/programs.py
+++ b/onyxwick/lab/programs.py
@@ -43,10 +43,14 @@
     async def start(self) -> None:
         """Returns once it takes connections; RuntimeError with the end of its log where it does not."""
         process = self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "onyxwick",
-            env=self.environment, cwd=self.tree,
-            stderr=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE,
-        )  # fmt: skip
+            sys.executable,
+            "-m",
+            "onyxwick",
+            env=self.environment,
+            cwd=self.tree,
+            stderr=asyncio.subprocess.PIPE,
+            stdout=asyncio.subprocess.PIPE,
+        )
         assert process.stderr is not None
         self.reading = asyncio.get_running_loop().create_task(self._read(process.stderr))
         async with asyncio.timeout(READY_S):
--- a/onyxwick/lab/ramp.py
+++ b/onyxwick/lab/ramp.py
@@ -19,6 +19,7 @@
 
 from onyxwick.interface import (
     AnswerDetail,
+    AnswerDetailLevel,
     AttemptEnded,
     AttemptStatus,
     EndpointListKind,
@@ -38,6 +39,7 @@
     SetTimer,
     SiblingFills,
     TimerFired,
+    WeightSource,
 )
 from onyxwick.logic import Router
 
@@ -115,9 +117,9 @@
             zone_router_count=in_zone,
             router_index=director,
             tick_us=2_000,
-            weight_source="off",
+            weight_source=WeightSource.NONE,
             sibling_fills=SiblingFills.ANY,
-            answer_detail="all",
+            answer_detail=AnswerDetailLevel.FULL,
             transfer_kb_per_s=PACE,
             zone_link_kb_per_s=SIZE * LINK_SHARE * BOXES * PACE * wider * self.bias,
         )
--- a/onyxwick/lab/scale/fleet.py
+++ b/onyxwick/lab/scale/fleet.py
@@ -30,8 +30,8 @@
 from onyxwick.distribution.documents import split
 from onyxwick.distribution.model import Cursor
 from onyxwick.distribution.tree import TreeLimits, plan
-from onyxwick.lab.faults.relay import LinkRelay as LinkRelay
 from onyxwick.lab.faults.relay import LinkDirection
+from onyxwick.lab.faults.relay import LinkRelay as LinkRelay
 from onyxwick.lab.scale.fleet_plan import RELAYS_OF_A_REGION, FleetPlan, check
 from onyxwick.lab.scale.fleet_processes import Child, NodeProcess
 from onyxwick.lab.scale.fleet_results import (
@@ -104,10 +104,11 @@
 
     async def _start_tree(self) -> None:
         root = self._node(
-            "root", 0,
+            "root",
+            0,
             f'  role = "publisher"\n  coordinator = "{written(self.feed)}"\n  store = "store"\n'
-            '  bulk_bytes_per_s = 8000',
-        )  # fmt: skip
+            "  bulk_bytes_per_s = 8000",
+        )
         root.start()
         await reachable(root.listen)
         number = 0
@@ -164,9 +165,11 @@
             service.write_text(f"distribution {{\n  parents = [{parents}]\n}}\n")
         names = {"RELAY_CONFIG": str(self.folder / "director.json"), "ONYXWICK_SERVICE": str(service)}
         self.full = subprocess.Popen(
-            [sys.executable, "-m", "onyxwick"], env={**os.environ, **names},
-            stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL,
-        )  # fmt: skip
+            [sys.executable, "-m", "onyxwick"],
+            env={**os.environ, **names},
+            stdout=subprocess.DEVNULL,
+            stderr=subprocess.DEVNULL,
+        )
         await reachable(listen)
 
     # ---- events ---------------------------------------------------------------------------------------
@@ -342,9 +345,12 @@
         grown = sum(r["resident_kb"] - r["empty_kb"] for r in reports) / self.plan.directors
         out: dict[str, Any] = {
             "plan": {**asdict(self.plan), "shape": self.plan.shape.value},
-            "starved": starved, "machine_busy": round(busy, 3), "lag_p99_ms": round(lag, 2),
+            "starved": starved,
+            "machine_busy": round(busy, 3),
+            "lag_p99_ms": round(lag, 2),
             "published": {kind: len(times) for kind, times in asdict(self.published).items()},
-            "lost": seen.lost(self.published.purges), "disordered": sum(r["disordered"] for r in reports),
+            "lost": seen.lost(self.published.purges),
+            "disordered": sum(r["disordered"] for r in reports),
             "settled_s": settled,
             "delay_ms": {kind.name.lower(): seen.delays(kind) for kind in ObservationKind},
             "witness_delay_ms": {k.name.lower(): seen.delays(k, self.witnesses) for k in ObservationKind},
@@ -354,8 +360,9 @@
             "memory_kb_a_director": round(grown, 1),
             "full_director_kb": round(resident_kb(self.full.pid)) if self.full is not None else 0,
             "largest_tables": largest(reports),
-            "follower": summed(reports, "follower"), "counts": summed(reports, "counts"),
-        }  # fmt: skip
+            "follower": summed(reports, "follower"),
+            "counts": summed(reports, "counts"),
+        }
         if self.plan.shape is Shape.TREE:
             out["nodes"] = [short_status(node.status()) for node in self.nodes.values()]
             out["bytes_per_s_a_director"] = round(
--- a/onyxwick/lab/scale/fleet_processes.py
+++ b/onyxwick/lab/scale/fleet_processes.py
@@ -35,8 +35,9 @@
         with self.out.open("ab") as out:
             self.process = subprocess.Popen(
                 [sys.executable, "-m", "onyxwick", "distribution", "run", str(self.file)],
-                stdout=out, stderr=subprocess.DEVNULL,
-            )  # fmt: skip
+                stdout=out,
+                stderr=subprocess.DEVNULL,
+            )
 
     def signal(self, number: signal.Signals) -> None:
         """Send a signal, if it runs."""
--- a/onyxwick/lab/scale/hollow.py
+++ b/onyxwick/lab/scale/hollow.py
@@ -24,15 +24,15 @@
 
 from onyxwick import logs
 from onyxwick.config.address import Address
-from onyxwick.core import RequestEngine, AttemptSpec, AttemptOutcome, ClientRequest
+from onyxwick.core import AttemptOutcome, AttemptSpec, ClientRequest, RequestEngine
 from onyxwick.core.clock import steady_us
-from onyxwick.core.members import EndpointTable
+from onyxwick.core.endpoints import EndpointTable
 from onyxwick.counters import Counters
 from onyxwick.distribution.follower import Follower
 from onyxwick.interface import AnswerDetail, AttemptStatus, EndpointListKind, EndpointsChanged
 from onyxwick.lab.scale.processes import resident_kb
 from onyxwick.lab.scale.sweeps import settings
-from onyxwick.net.coordinator import CoordinatorFeed
+from onyxwick.net.coordinator_feed import CoordinatorFeed
 from onyxwick.net.director_feed import DirectorFeed
 from onyxwick.net.subscription import ReconnectDelays, Subscription
 
@@ -72,9 +72,11 @@
     def columns(self) -> dict[str, bytes]:
         """All columns, as bytes, for another process."""
         return {
-            "kinds": self.kinds.tobytes(), "directors": self.directors.tobytes(),
-            "published_ns": self.published_ns.tobytes(), "delays_ms": self.delays_ms.tobytes(),
-        }  # fmt: skip
+            "kinds": self.kinds.tobytes(),
+            "directors": self.directors.tobytes(),
+            "published_ns": self.published_ns.tobytes(),
+            "delays_ms": self.delays_ms.tobytes(),
+        }
 
 
 class ObservedCore(RequestEngine):
@@ -285,9 +287,13 @@
             "observations": self.observations.columns(),
             "since_ns": {director.number: director.since_ns for director in self.directors},
             "disordered": sum(d.disordered + d.core.disordered for d in self.directors),
-            "counts": dict(counts), "follower": dict(follower), "largest_tables": dict(tables),
-            "empty_kb": self.empty_kb, "resident_kb": resident_kb(os.getpid()), "cpu_s": time.process_time(),
-        }  # fmt: skip
+            "counts": dict(counts),
+            "follower": dict(follower),
+            "largest_tables": dict(tables),
+            "empty_kb": self.empty_kb,
+            "resident_kb": resident_kb(os.getpid()),
+            "cpu_s": time.process_time(),
+        }
 
 
 def host_main(spec: HostSpec, pipe: Pipe) -> None:
--- a/onyxwick/lab/scale/processes.py
+++ b/onyxwick/lab/scale/processes.py
@@ -108,10 +108,11 @@
     listed = [row | {"addr": f"{CACHE_HOST}:5050"} for row in rows(caches)]
     event = {"index": 1, "endpoints": {"version": 1, "full": True, "servers": listed}}
     configuration |= {
-        "listen": written(listen), "coordinator": written(feed),
+        "listen": written(listen),
+        "coordinator": written(feed),
         "known": {"index": 1, "updates": [event]},
         "limits": {"cores": 1, "memory_mb": 512, "sockets": 4096},
-    }  # fmt: skip
+    }
     path = folder / "config.json"
     path.write_text(json.dumps(configuration))
     return path
@@ -145,11 +146,14 @@
         for _ in range(count):
             _, future = connection.send(
                 {
-                    "SCRIPT_NAME": "/call/site-video", "HTTP_X_REQUEST_ID": f"{rng.getrandbits(64):016x}",
-                    "HTTP_X_TIMEOUT_MS": "4000", "HTTP_X_OBJECT": f"{rng.randrange(2000):016x}",
-                    "HTTP_X_NTH": "0", "HTTP_X_BATCH": "1",
+                    "SCRIPT_NAME": "/call/site-video",
+                    "HTTP_X_REQUEST_ID": f"{rng.getrandbits(64):016x}",
+                    "HTTP_X_TIMEOUT_MS": "4000",
+                    "HTTP_X_OBJECT": f"{rng.randrange(2000):016x}",
+                    "HTTP_X_NTH": "0",
+                    "HTTP_X_BATCH": "1",
                 }
-            )  # fmt: skip
+            )
             await future
         transport.close()
 
--- a/onyxwick/lab/scale/size.py
+++ b/onyxwick/lab/scale/size.py
@@ -124,9 +124,18 @@
     "document_bytes": "all documents of an installation that a director holds",
 }
 GROWING = (
-    "directors", "caches", "requests_per_s", "bits_per_s", "objects", "purges_per_s", "changes_per_day",
-    "changes_in_a_burst", "restarts_per_day", "machine_failures_per_day", "document_bytes",
-)  # fmt: skip
+    "directors",
+    "caches",
+    "requests_per_s",
+    "bits_per_s",
+    "objects",
+    "purges_per_s",
+    "changes_per_day",
+    "changes_in_a_burst",
+    "restarts_per_day",
+    "machine_failures_per_day",
+    "document_bytes",
+)
 
 
 def read(path: Path) -> Size:
--- a/onyxwick/lab/scale/sweeps.py
+++ b/onyxwick/lab/scale/sweeps.py
@@ -16,8 +16,8 @@
 
 import ujson
 
-from onyxwick.core import RequestEngine, AttemptSpec, AttemptOutcome
-from onyxwick.core.members import EndpointTable
+from onyxwick.core import AttemptOutcome, AttemptSpec, RequestEngine
+from onyxwick.core.endpoints import EndpointTable
 from onyxwick.counters import Counters
 from onyxwick.distribution.codec import encode_event
 from onyxwick.distribution.durable import DurableFeed
@@ -39,7 +39,7 @@
     TimerFired,
 )
 from onyxwick.logic import Router
-from onyxwick.net.coordinator import CoordinatorFeed
+from onyxwick.net.coordinator_feed import CoordinatorFeed
 from onyxwick.settings import Pairs, read_settings
 from onyxwick.store.engine import StoreEngine
 from onyxwick.store.files import DiskFiles
@@ -106,9 +106,15 @@
 
     def row(name: str, kind: str, where: str, number: int) -> dict[str, Any]:
         return {
-            "id": name, "addr": f"127.66.{number // 250}.{number % 250 + 1}:5050", "zone": where,
-            "kind": kind, "cell": 0, "state": "SERVING", "weight": 1.0, "started_ms": 0,
-        }  # fmt: skip
+            "id": name,
+            "addr": f"127.66.{number // 250}.{number % 250 + 1}:5050",
+            "zone": where,
+            "kind": kind,
+            "cell": 0,
+            "state": "SERVING",
+            "weight": 1.0,
+            "started_ms": 0,
+        }
 
     out = [row("p0", "parent", "hub", 0), row("o0", "origin", "hub", 1)]
     return out + [row(f"c{n}", "box", zone, n + 2) for n in range(caches)]
--- a/onyxwick/lab/scenario.py
+++ b/onyxwick/lab/scenario.py
@@ -7,7 +7,7 @@
 from onyxwick.config import ConfigError, hcl
 from onyxwick.config.fields import MISSING, Fields
 from onyxwick.interface import Idempotency, RequestClass
-from onyxwick.lab.model import ScenarioFault, Happening, ScenarioClass, ScenarioLoad, Scenario, Tier
+from onyxwick.lab.model import Happening, Scenario, ScenarioClass, ScenarioFault, ScenarioLoad, Tier
 
 MINUTE = 60_000_000
 REPEATS = {"free": Idempotency.IDEMPOTENT, "once": Idempotency.NON_IDEMPOTENT}
--- a/onyxwick/lab/soak/clients.py
+++ b/onyxwick/lab/soak/clients.py
@@ -9,7 +9,7 @@
 
 from onyxwick.config.address import Address
 from onyxwick.lab.clients import Connection, read_reply
-from onyxwick.lab.soak.model import BOOKING, JOB_SHEET, SITE_VIDEO, SoakCall, ClientConnection, SoakRecords
+from onyxwick.lab.soak.model import BOOKING, JOB_SHEET, SITE_VIDEO, ClientConnection, SoakCall, SoakRecords
 from onyxwick.net import fastcgi
 
 S = 1_000_000
@@ -127,7 +127,9 @@
         item, part = f"{rng.randrange(OBJECTS):016x}", rng.randrange(PARTS)
         request_id = f"{rng.getrandbits(64):016x}"
         timeout_us = max(20, int(rng.randint(least, most) * self.deadline_share)) * 1000
-        call = SoakCall(request_id, name, self.group(item), director, 0, timeout_us, fresh=not connection.asked)
+        call = SoakCall(
+            request_id, name, self.group(item), director, 0, timeout_us, fresh=not connection.asked
+        )
         params = {
             "SCRIPT_NAME": f"/call/{name}",
             "HTTP_X_REQUEST_ID": call.id,
--- a/onyxwick/lab/soak/operator_acts.py
+++ b/onyxwick/lab/soak/operator_acts.py
@@ -108,7 +108,11 @@
 
     def _disk_spans(self, director: SoakDirector) -> list[tuple[int, int]]:
         """When its folder took no write; a fault that is under way has no end yet."""
-        ended = [s for s in self.acts.played.spans if s.kind is SoakFaultKind.DISK and s.director == director.number]
+        ended = [
+            s
+            for s in self.acts.played.spans
+            if s.kind is SoakFaultKind.DISK and s.director == director.number
+        ]
         return [(s.from_us, s.until_us) for s in ended] + [
             (at, 1 << 62) for at in self.acts.disk_since[director.number]
         ]
--- a/onyxwick/lab/soak/oracle.py
+++ b/onyxwick/lab/soak/oracle.py
@@ -14,7 +14,7 @@
 
 from onyxwick.core.invariants import budget
 from onyxwick.lab.model import Tier
-from onyxwick.lab.soak.model import SoakCall, ClientConnection, Down, SoakRecords, Termination
+from onyxwick.lab.soak.model import ClientConnection, Down, SoakCall, SoakRecords, Termination
 
 S = 1_000_000
 SLACK_US, DRAIN_US, PURGE_US = 50_000, 500_000, 1_000_000
@@ -60,9 +60,18 @@
     def findings(self) -> list[Finding]:
         """Every broken rule."""
         checks = (
-            self._answers, self._once, self._departed, self._time_told, self._unready, self._purges,
-            self._slow_starts, self._held, self._killed_owing, self._inside, self._lab,
-        )  # fmt: skip
+            self._answers,
+            self._once,
+            self._departed,
+            self._time_told,
+            self._unready,
+            self._purges,
+            self._slow_starts,
+            self._held,
+            self._killed_owing,
+            self._inside,
+            self._lab,
+        )
         return [finding for check in checks for finding in check()]
 
     def _within(self, spans: list[Down], director: int, begin: int, end: int) -> bool:
--- a/onyxwick/lab/soak/persistent.py
+++ b/onyxwick/lab/soak/persistent.py
@@ -17,7 +17,7 @@
 from onyxwick.lab.clients import read_reply
 from onyxwick.lab.soak.clients import CLASSES, PARTS
 from onyxwick.lab.soak.clients import OBJECTS as ITEMS
-from onyxwick.lab.soak.model import SoakCall, ClientConnection, SoakRecords
+from onyxwick.lab.soak.model import ClientConnection, SoakCall, SoakRecords
 from onyxwick.net import fastcgi
 
 CONNECT_S, RECONNECT_S = 2.0, 0.3
--- a/onyxwick/lab/soak/plan.py
+++ b/onyxwick/lab/soak/plan.py
@@ -47,8 +47,18 @@
     PURGE = "purge"
 
 
-FLEET = frozenset({SoakFaultKind.CACHE_DRAIN, SoakFaultKind.CACHE_RESTART, SoakFaultKind.CACHE_HANG, SoakFaultKind.CACHE_FORGET, SoakFaultKind.PURGE})
-ENDS_PROCESS = frozenset({SoakFaultKind.TERM, SoakFaultKind.KILL, SoakFaultKind.TORN_WRITE, SoakFaultKind.HANDOVER})
+FLEET = frozenset(
+    {
+        SoakFaultKind.CACHE_DRAIN,
+        SoakFaultKind.CACHE_RESTART,
+        SoakFaultKind.CACHE_HANG,
+        SoakFaultKind.CACHE_FORGET,
+        SoakFaultKind.PURGE,
+    }
+)
+ENDS_PROCESS = frozenset(
+    {SoakFaultKind.TERM, SoakFaultKind.KILL, SoakFaultKind.TORN_WRITE, SoakFaultKind.HANDOVER}
+)
 LENGTHS_S = {
     SoakFaultKind.CLOCK: (2.0, 5.0),
     SoakFaultKind.ACCEPT: (0.2, 0.8),
@@ -115,7 +125,9 @@
         at, kinds = ready[director], list(next(deck))
         rng.shuffle(kinds)
         if rng.random() < THIRD:
-            third = rng.choice([kind for kind in SoakFaultKind if kind not in kinds and _sound((*kinds, kind))])
+            third = rng.choice(
+                [kind for kind in SoakFaultKind if kind not in kinds and _sound((*kinds, kind))]
+            )
             kinds.insert(0, third)
         end = at
         for n, kind in enumerate(kinds):
@@ -146,7 +158,9 @@
 def gaps(pairs: Counter[tuple[str, str]]) -> list[tuple[str, str]]:
     """Pairs that could be played and were not."""
     all_pairs = (
-        tuple(sorted(k.value for k in pair)) for pair in itertools.combinations(SoakFaultKind, 2) if _sound(pair)
+        tuple(sorted(k.value for k in pair))
+        for pair in itertools.combinations(SoakFaultKind, 2)
+        if _sound(pair)
     )
     return [(a, b) for a, b in all_pairs if (a, b) not in pairs]
 
--- a/onyxwick/lab/soak/process.py
+++ b/onyxwick/lab/soak/process.py
@@ -39,10 +39,15 @@
     async def start(self, environment: dict[str, str], pass_fd: int | None) -> None:
         """Start it; RuntimeError where it cannot be."""
         self.child = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "onyxwick", env=environment, cwd=self.tree,
-            stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.PIPE,
+            sys.executable,
+            "-m",
+            "onyxwick",
+            env=environment,
+            cwd=self.tree,
+            stdout=asyncio.subprocess.PIPE,
+            stderr=asyncio.subprocess.PIPE,
             pass_fds=() if pass_fd is None else (pass_fd,),
-        )  # fmt: skip
+        )
         assert self.child.stdout is not None and self.child.stderr is not None
         loop = asyncio.get_running_loop()
         self.reading = [
--- a/onyxwick/lab/soak/run.py
+++ b/onyxwick/lab/soak/run.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from onyxwick.config.address import written
-from onyxwick.lab.faults.relay import LinkRelay, LinkDirection
+from onyxwick.lab.faults.relay import LinkDirection, LinkRelay
 from onyxwick.lab.feed import Feed, row_of
 from onyxwick.lab.machines import CoordinatorEmulator, World
 from onyxwick.lab.platform import PlatformLayout, configuration, settings
@@ -202,10 +202,19 @@
         every_s = rng.choice(PERSISTENT_EVERY_S if drawn else SCRIPTED_EVERY_S)
         rest_s = PERSISTENT_REST_S if drawn else 0.0
         return PersistentClient(
-            director.number, director.listen, habit, self.records, self.clock, self.world.group, rng,
-            self.plan.deadlines_us, every_s, rest_s, lambda: director.takes_connections,
+            director.number,
+            director.listen,
+            habit,
+            self.records,
+            self.clock,
+            self.world.group,
+            rng,
+            self.plan.deadlines_us,
+            every_s,
+            rest_s,
+            lambda: director.takes_connections,
             lambda: not director.crawls,
-        )  # fmt: skip
+        )
 
     async def _fault(self, fault: SoakFault, begun: float) -> None:
         await asyncio.sleep(max(0.0, begun + fault.at_s - asyncio.get_running_loop().time()))
@@ -263,10 +272,17 @@
         for call in records.calls.values():
             verdicts[call.verdict or ("left" if call.left_us else "none")] += 1
         report = SoakReport(
-            self.plan, len(records.calls), verdicts, len(records.sent),
-            Counter(fault.kind.value for fault in faults), records.met, pairs_of(faults), findings,
-            worst / 1000, worst < TOO_LATE_US,
-        )  # fmt: skip
+            self.plan,
+            len(records.calls),
+            verdicts,
+            len(records.sent),
+            Counter(fault.kind.value for fault in faults),
+            records.met,
+            pairs_of(faults),
+            findings,
+            worst / 1000,
+            worst < TOO_LATE_US,
+        )
         if findings and self.keep is not None:
             report.kept = self._keep_all(report)
         shutil.rmtree(self.folder, ignore_errors=True)
--- a/onyxwick/lab/soak/servers.py
+++ b/onyxwick/lab/soak/servers.py
@@ -11,7 +11,7 @@
 from onyxwick.lab.link import EmulatedLink
 from onyxwick.lab.machines import Machine, World, reset
 from onyxwick.lab.model import Tier
-from onyxwick.lab.soak.model import Asked, SoakRecords, Sent
+from onyxwick.lab.soak.model import Asked, Sent, SoakRecords
 from onyxwick.net import resp
 from onyxwick.net.buffer import seconds_since_data
 
@@ -32,7 +32,14 @@
     """A machine that judges nothing: the oracle does, from what is written down here."""
 
     def __init__(
-        self, world: World, name: str, kind: str, zone: str, tier: Tier, address: Address, records: SoakRecords
+        self,
+        world: World,
+        name: str,
+        kind: str,
+        zone: str,
+        tier: Tier,
+        address: Address,
+        records: SoakRecords,
     ) -> None:
         super().__init__(world, name, kind, zone, tier, address)
         self.soak = records
--- a/onyxwick/lab/soak/surroundings.py
+++ b/onyxwick/lab/soak/surroundings.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from onyxwick.interface import Idempotency, RequestClass
-from onyxwick.lab.model import ScenarioClass, Scenario, Tier
+from onyxwick.lab.model import Scenario, ScenarioClass, Tier
 from onyxwick.lab.soak.model import BOOKING, JOB_SHEET, SITE_VIDEO
 
 S = 1_000_000
--- a/onyxwick/lab/soak/told.py
+++ b/onyxwick/lab/soak/told.py
@@ -13,7 +13,13 @@
 TROUBLED_US = 4 * S  # the same where a call of the director failed about then
 CUT_US = 1 * S  # after a process has ended or a drain is over connections may still end
 FEED_KINDS = {SoakFaultKind.FEED_LOST, SoakFaultKind.FEED_SLOW, SoakFaultKind.BROKEN}
-CALL_KINDS = {SoakFaultKind.RELOAD, SoakFaultKind.SOCKET, SoakFaultKind.CONNECT, SoakFaultKind.TRANSFER, SoakFaultKind.DISK}
+CALL_KINDS = {
+    SoakFaultKind.RELOAD,
+    SoakFaultKind.SOCKET,
+    SoakFaultKind.CONNECT,
+    SoakFaultKind.TRANSFER,
+    SoakFaultKind.DISK,
+}
 
 
 @dataclass(frozen=True, slots=True)
--- a/onyxwick/lab/startup.py
+++ b/onyxwick/lab/startup.py
@@ -73,9 +73,11 @@
         _answered(listen, _call("/ping"), b"200 OK", begun + PATIENCE_S)
         ready = time.monotonic() - begun
         fields = {
-            "HTTP_X_REQUEST_ID": os.urandom(8).hex(), "HTTP_X_TIMEOUT_MS": "3000",
-            "HTTP_X_OBJECT": os.urandom(8).hex(), "HTTP_X_NTH": "0",
-        }  # fmt: skip
+            "HTTP_X_REQUEST_ID": os.urandom(8).hex(),
+            "HTTP_X_TIMEOUT_MS": "3000",
+            "HTTP_X_OBJECT": os.urandom(8).hex(),
+            "HTTP_X_NTH": "0",
+        }
         _answered(listen, _call("/call/site-video", **fields), b"200 OK", begun + PATIENCE_S)
         return {"ready_s": ready, "answer_s": time.monotonic() - begun, "cpu_s": _spent(program.pid)}
     finally:
@@ -88,9 +90,11 @@
     told = ujson.loads((EXAMPLES / "config.json").read_text())
     listen, here = read_address(told["listen"]), EXAMPLES.parent
     toy = subprocess.Popen(
-        [sys.executable, str(EXAMPLES / "toy.py"), "serve"], cwd=here, stdout=subprocess.DEVNULL,
+        [sys.executable, str(EXAMPLES / "toy.py"), "serve"],
+        cwd=here,
+        stdout=subprocess.DEVNULL,
         env={**os.environ, "PYTHONPATH": str(here)},
-    )  # fmt: skip
+    )
     rows: dict[str, list[Row]] = {"now": [], "earlier": []}
     try:
         with tree_of(revision) as earlier:
--- a/onyxwick/lab/storage.py
+++ b/onyxwick/lab/storage.py
@@ -14,7 +14,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from onyxwick.store import StoreEngine, StoreLimits, WriteOperation, Transaction
+from onyxwick.store import StoreEngine, StoreLimits, Transaction, WriteOperation
 from onyxwick.store.committer import Committer
 from onyxwick.store.files import DiskFiles
 
@@ -115,7 +115,10 @@
         engine = StoreEngine(DiskFiles(folder), limits)
         for at in range(0, count, 2000):
             batch, _ = engine.prepare(
-                [Transaction((WriteOperation(f"key/{n:09d}", VALUE[:50]),), "lab", n) for n in range(at, at + 2000)]
+                [
+                    Transaction((WriteOperation(f"key/{n:09d}", VALUE[:50]),), "lab", n)
+                    for n in range(at, at + 2000)
+                ]
             )
             engine.write(batch)
             engine.finish(batch)
@@ -147,7 +150,9 @@
         engine = StoreEngine(DiskFiles(folder), StoreLimits(segment=1 << 20, log=4 << 20, total=64 << 20))
         compactions = 0
         for at in range(0, overwrites, 50):
-            ops = [Transaction((WriteOperation(f"k{n % 2000}", VALUE),), "lab", n) for n in range(at, at + 50)]
+            ops = [
+                Transaction((WriteOperation(f"k{n % 2000}", VALUE),), "lab", n) for n in range(at, at + 50)
+            ]
             batch, _ = engine.prepare(ops)
             engine.write(batch)
             engine.finish(batch)
--- a/onyxwick/lab/traces.py
+++ b/onyxwick/lab/traces.py
@@ -11,7 +11,17 @@
 
 from onyxwick.trace import format as f
 from onyxwick.trace.merge import TraceWriter
-from onyxwick.trace.model import NEVER, ONCE, RETRY, STATUSES, WRITE, S, NotificationKind, RecordedVerdict, DecisionReason
+from onyxwick.trace.model import (
+    NEVER,
+    ONCE,
+    RETRY,
+    STATUSES,
+    WRITE,
+    DecisionReason,
+    NotificationKind,
+    RecordedVerdict,
+    S,
+)
 from onyxwick.trace.table import Column, Strings, Table
 
 CLASSES: list[dict[str, Any]] = [
@@ -28,10 +38,16 @@
 ]
 SHARES = (0.52, 0.45, 0.03)
 RULES = {
-    "drain_grace_us": 500_000.0, "purge_grace_us": 1_000_000.0, "cold_start": 0.18, "cold_us": 17e6,
-    "overload_multiple": 4.0, "overload_window_us": 3e6, "parent_cold_start": 0.07, "parent_cold_us": 20e6,
+    "drain_grace_us": 500_000.0,
+    "purge_grace_us": 1_000_000.0,
+    "cold_start": 0.18,
+    "cold_us": 17e6,
+    "overload_multiple": 4.0,
+    "overload_window_us": 3e6,
+    "parent_cold_start": 0.07,
+    "parent_cold_us": 20e6,
     "parent_overload_multiple": 2.0,
-}  # fmt: skip
+}
 BOXES, PARENTS, TENANTS = 12, 3, 40
 CHUNK = 4096
 START = 1_772_434_800 * S  # a Monday in March
@@ -64,7 +80,11 @@
 
 def clocks(count: int) -> list[TraceClock]:
     """The first is right; the second 800 ms ahead and drifting by 200 ppm; the third steps back by 2 s."""
-    some = [TraceClock(), TraceClock(800_000.0, 200.0), TraceClock(-350_000.0, -40.0, START + 1200 * S, 2 * S)]
+    some = [
+        TraceClock(),
+        TraceClock(800_000.0, 200.0),
+        TraceClock(-350_000.0, -40.0, START + 1200 * S, 2 * S),
+    ]
     return (some * (count // len(some) + 1))[:count]
 
 
@@ -127,7 +147,10 @@
         seconds = START + np.arange(0, self.duration_us, S)
         shown = np.maximum.accumulate(self.clock.of(seconds))  # a core's clock never goes back
         mono = (seconds - START) * (1 + self.clock.drift_ppm * 1e-6)
-        out += [(int(NotificationKind.CLOCK), int(u), {"mono_us": int(m)}) for u, m in zip(shown, mono, strict=True)]
+        out += [
+            (int(NotificationKind.CLOCK), int(u), {"mono_us": int(m)})
+            for u, m in zip(shown, mono, strict=True)
+        ]
         return sorted(out, key=lambda t: t[1])
 
     # ---- one chunk of requests --------------------------------------------------------------------------
@@ -156,7 +179,9 @@
             "group": objects % 64,
             "flags": np.where(rng.random(count) < 0.02, RETRY, 0) | np.where(kind == 2, WRITE | ONCE, 0),
             "verdict": verdict.astype(np.int64),
-            "why": np.where(verdict == RecordedVerdict.SERVED, DecisionReason.ANSWERED, DecisionReason.NO_BOX),
+            "why": np.where(
+                verdict == RecordedVerdict.SERVED, DecisionReason.ANSWERED, DecisionReason.NO_BOX
+            ),
             "took": took,
             "after": np.where(verdict == RecordedVerdict.REFUSED, 300_000, 0),
             "bytes": np.where(verdict == RecordedVerdict.SERVED, rng.integers(2_000, 60_000, count), 0),
@@ -188,14 +213,24 @@
         dated = np.where(well & ~write, true[owner] - rng.integers(0, 250_000, count), 0)
         dated = np.where(detail == 2, true[owner], dated)
         return {
-            "decided": decided, "sent": sent, "ended": ended, "cancel": np.full(count, NEVER),
-            "member": member, "source": source, "rank": np.where(write, 0, 1 + 2 * (objects[owner] < 200)),
-            "flags": np.where(write, 0, 1), "age": np.where(kind[owner] == 1, 12_000, 0), "status": status,
-            "detail": detail, "why": np.where(first, DecisionReason.HOME, DecisionReason.TRIED),
+            "decided": decided,
+            "sent": sent,
+            "ended": ended,
+            "cancel": np.full(count, NEVER),
+            "member": member,
+            "source": source,
+            "rank": np.where(write, 0, 1 + 2 * (objects[owner] < 200)),
+            "flags": np.where(write, 0, 1),
+            "age": np.where(kind[owner] == 1, 12_000, 0),
+            "status": status,
+            "detail": detail,
+            "why": np.where(first, DecisionReason.HOME, DecisionReason.TRIED),
             "pending": rng.integers(0, 12, count),
-            "room": rng.integers(30, 60, count), "failing": rng.integers(0, 12, count),
-            "warm": np.full(count, 255), "dated": dated.astype(np.int64),
-        }  # fmt: skip
+            "room": rng.integers(30, 60, count),
+            "failing": rng.integers(0, 12, count),
+            "warm": np.full(count, 255),
+            "dated": dated.astype(np.int64),
+        }
 
     def _kept(self, box: Column, true: Column) -> Column:
         """Boxes that drain or are gone get nothing, and one that has started little."""
--- a/onyxwick/lifecycle.py
+++ b/onyxwick/lifecycle.py
@@ -14,13 +14,16 @@
 from typing import TYPE_CHECKING
 
 from onyxwick import logs
-from onyxwick.config import ConfigError, relay
+from onyxwick.config import ConfigError
+from onyxwick.config import director as relay
 from onyxwick.config.address import written
+from onyxwick.config.director import DirectorConfig
 from onyxwick.config.errors import ConfigUnreadableError
-from onyxwick.config.relay import DirectorConfig
 from onyxwick.core import RequestEngine
 from onyxwick.core.clock import steady_us
-from onyxwick.core.ending import (
+from onyxwick.core.endpoints import EndpointTable
+from onyxwick.core.phase import PHASE_CHANGES, DirectorPhase, IllegalPhaseChangeError
+from onyxwick.core.shutdown import (
     LAST_WORDS_S,
     ShutdownSchedule,
     ShutdownStage,
@@ -28,20 +31,18 @@
     kill_after_s,
     termination_schedule,
 )
-from onyxwick.core.members import EndpointTable
-from onyxwick.core.phase import PHASE_CHANGES, IllegalPhaseChangeError, DirectorPhase
 from onyxwick.counters import Counters
 from onyxwick.logic import Router
 from onyxwick.net import listening
-from onyxwick.net.caches import CacheConnectionPool
-from onyxwick.net.coordinator import CoordinatorFeed
+from onyxwick.net.cache_pool import CacheConnectionPool
+from onyxwick.net.coordinator_feed import CoordinatorFeed
 from onyxwick.net.front import FastCgiFront
 
 if TYPE_CHECKING:
     from onyxwick.config.service import ServiceConfig
-    from onyxwick.door.bridge import CommandExecutor
-    from onyxwick.door.orders import OperatorCommands
-    from onyxwick.door.server import OperationsServer
+    from onyxwick.operations.command_executor import CommandExecutor
+    from onyxwick.operations.operator_commands import OperatorCommands
+    from onyxwick.operations.server import OperationsServer
     from onyxwick.service import HostedService
 
 log = logs.get()
@@ -101,7 +102,7 @@
         """The director's side of the operators' door, where the configuration gives one."""
         if self.config.admin is None:
             return None
-        from onyxwick.door.bridge import CommandExecutor, persisted_commands
+        from onyxwick.operations.command_executor import CommandExecutor, persisted_commands
 
         bridge = CommandExecutor(
             self.core,
@@ -277,12 +278,14 @@
         if door.unwritten:
             log.error("the operators' commands were never written", commands=sorted(door.unwritten)[:16])
 
-    def _open_door(self, loop: asyncio.AbstractEventLoop, side: list[asyncio.Task[None]]) -> OperationsServer | None:
+    def _open_door(
+        self, loop: asyncio.AbstractEventLoop, side: list[asyncio.Task[None]]
+    ) -> OperationsServer | None:
         """The operators' door in its own thread; Unusable where its address cannot be listened on."""
         bridge, address = self.bridge, self.config.admin
         if bridge is None or address is None:
             return None
-        from onyxwick.door.server import OperationsServer
+        from onyxwick.operations.server import OperationsServer
 
         try:
             bound = listening.listen(address)
@@ -291,7 +294,9 @@
                 f"the operators' door cannot listen on {written(address)}: {error.strerror}"
             ) from None
         bridge.loop = loop
-        door = OperationsServer(bound, address, bridge, bridge.orders, bridge.known, bridge.persisted, steady_us)
+        door = OperationsServer(
+            bound, address, bridge, bridge.orders, bridge.known, bridge.persisted, steady_us
+        )
         door.start()
         side.append(self._keep("publish", lambda: self._publish(bridge)))
         self.door_counters = door.counters
--- a/onyxwick/logic.py
+++ b/onyxwick/logic.py
@@ -19,6 +19,7 @@
 from onyxwick.interface import (
     Action,
     AnswerDetail,
+    AnswerDetailLevel,
     AttemptEnded,
     AttemptStatus,
     CancelAttempt,
@@ -44,6 +45,7 @@
     SetTimer,
     SiblingFills,
     SubscribeToEndpoints,
+    WeightSource,
 )
 
 S = 1_000_000  # microseconds in a second
@@ -281,7 +283,7 @@
         own = (self.set.parent_kind, self.set.origin_kind)
         self.caches = [p for p in ready if p.info.zone == self.set.zone and p.info.kind not in own]
         self.boxes = max(self.boxes, len(self.caches))
-        if self.set.weight_source == "off" and self.set.transfer_kb_per_s:
+        if self.set.weight_source == WeightSource.NONE and self.set.transfer_kb_per_s:
             wider = max(1.0, math.sqrt(LINK_FOR / self.boxes))
             self.link = self.set.zone_link_kb_per_s / self.set.transfer_kb_per_s / wider
         self.parents = [p for p in ready if p.info.kind == self.set.parent_kind]
@@ -354,7 +356,7 @@
 
     def _order(self, key: str, peers: list[Peer]) -> list[Peer]:
         """Rendezvous order: the same at every front, in proportion to the listed weights."""
-        if self.set.weight_source in ("live", "off"):
+        if self.set.weight_source in (WeightSource.LIVE, WeightSource.NONE):
             return sorted(peers, key=lambda p: _draw(key, p.info.address))
         return sorted(peers, key=lambda p: _draw(key, p.info.address) / self._size(p))
 
@@ -415,7 +417,7 @@
         window, age = self.set.rules.overload_window_us, self.now - peer.cold_from
         while peer.spent and peer.spent[0][0] <= self.now - window:
             peer.spent.popleft()
-        guess = GUESSED if self.set.weight_source == "off" else 1.0
+        guess = GUESSED if self.set.weight_source == WeightSource.NONE else 1.0
         full = COLD_MARGIN * guess * multiple * self._size(peer) / routers
         spent = sum(c for _, c in peer.spent) + cost
         if spent <= full * share * window:
@@ -555,7 +557,9 @@
         if ask.size_kb and self.set.transfer_kb_per_s:
             self.work[kind.name].add(ask.size_kb / self.set.transfer_kb_per_s * S)
         if (
-            self.set.weight_source == "off" and not self.set.zone_link_kb_per_s and not kind.is_write
+            self.set.weight_source == WeightSource.NONE
+            and not self.set.zone_link_kb_per_s
+            and not kind.is_write
         ):  # Little's law
             self.asked *= math.exp((self.asked_at - self.now) / HALF_LIFE_US)
             self.asked, self.asked_at = self.asked + self.work[kind.name].mean / HALF_LIFE_US, self.now
@@ -713,10 +717,10 @@
             hit = event.detail in (AnswerDetail.HIT, AnswerDetail.STALE)
             self.latency[kind.name].add(event.latency_us)
             self._credit(peer)
-            if source and not hit and event.detail is not AnswerDetail.JOINED:
+            if source and not hit and event.detail is not AnswerDetail.COALESCED:
                 self._credit(source)
                 self.fill.add(event.latency_us)
-                told = self.set.answer_detail == "all"
+                told = self.set.answer_detail == AnswerDetailLevel.FULL
                 through = flight.behind and (not told or event.detail is AnswerDetail.FILLED_FROM_ORIGIN)
                 if flight.behind and through:
                     self._credit(flight.behind)
@@ -780,7 +784,7 @@
             # hits clear it, only fills clear the source. Else a refusing parent looks like full caches.
             # Where all is told, an error that names no side is the cache's own or its connection's.
             self._blame(peer, 0.5, False)
-            if event.status is not AttemptStatus.ERROR or self.set.answer_detail != "all":
+            if event.status is not AttemptStatus.ERROR or self.set.answer_detail != AnswerDetailLevel.FULL:
                 self._room(behind or source, True, event.status is AttemptStatus.OVERLOADED)
                 self._blame(source, 0.5, False)
 
--- a/onyxwick/net/cache_link.py
+++ b/onyxwick/net/cache_connection.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 from onyxwick import logs
-from onyxwick.core.model import AttemptSpec, AttemptOutcome
+from onyxwick.core.model import AttemptOutcome, AttemptSpec
 from onyxwick.core.reasons import ConnectionCloseReason
 from onyxwick.interface import AttemptStatus
 from onyxwick.net import errors, resp
@@ -18,7 +18,7 @@
 from onyxwick.net.write_queue import PendingWrite, Progress, WriteQueue
 
 if TYPE_CHECKING:
-    from onyxwick.net.caches import CacheConnectionPool
+    from onyxwick.net.cache_pool import CacheConnectionPool
 
 log = logs.get()
 RECENT = 128  # ids answered on one connection that are remembered
@@ -87,7 +87,9 @@
         """Queue an attempt; its result is set when it ends."""
         request_id, now = order.request.request_id.encode(), time.monotonic()
         future: asyncio.Future[AttemptOutcome] = asyncio.get_running_loop().create_future()
-        call = CacheCall(request_id, PendingWrite(b""), future, now, order.request.client_etag, order.needs_own_connection)
+        call = CacheCall(
+            request_id, PendingWrite(b""), future, now, order.request.client_etag, order.needs_own_connection
+        )
         call.write = PendingWrite(
             b"",
             lambda: order.left_us() > 0 and order.is_still_valid() and self._leads_to_member(),
@@ -141,7 +143,11 @@
             self.up, failed = True, AttemptStatus.RESET
             await self._talk(sock)
         except (OSError, TimeoutError):  # told to the attempts below
-            here = ConnectionCloseReason.CONNECT_FAILED_HERE if self.kept_back else ConnectionCloseReason.CONNECT_FAILED
+            here = (
+                ConnectionCloseReason.CONNECT_FAILED_HERE
+                if self.kept_back
+                else ConnectionCloseReason.CONNECT_FAILED
+            )
             self.end = self.end or (ConnectionCloseReason.BROKEN if self.up else here)
         except resp.RespError as error:
             self.end = ConnectionCloseReason.BAD_ANSWER
--- a/onyxwick/net/caches.py
+++ b/onyxwick/net/cache_pool.py
@@ -9,12 +9,12 @@
 
 from onyxwick import logs
 from onyxwick.core.clock import steady_us
-from onyxwick.core.members import EndpointTable
-from onyxwick.core.model import AttemptSpec, AttemptOutcome
+from onyxwick.core.endpoints import EndpointTable
+from onyxwick.core.model import AttemptOutcome, AttemptSpec
 from onyxwick.core.reasons import ConnectionCloseReason
 from onyxwick.counters import Counters
 from onyxwick.interface import AttemptStatus
-from onyxwick.net.cache_link import CacheConnection
+from onyxwick.net.cache_connection import CacheConnection
 from onyxwick.net.write_queue import ByteBudget
 
 log = logs.get()
@@ -77,7 +77,9 @@
         least = min(fit, key=lambda link: len(link.calls), default=None)
         if least is not None and not least.calls:
             return least
-        if least is None or ((order.needs_own_connection or len(fit) < self._most_each()) and self.count < self.most_links):
+        if least is None or (
+            (order.needs_own_connection or len(fit) < self._most_each()) and self.count < self.most_links
+        ):
             if self.count >= self.most_links:
                 self._close_idle()
             if self.count >= self.most_links + LINKS_OVER:
@@ -127,7 +129,9 @@
                     if link.writes.stalled(now, STALLED_S):
                         link.drop(ConnectionCloseReason.STALLED)
                     if not link.calls and not link.writes.pending and (link.retired or link.used_at < before):
-                        link.drop(ConnectionCloseReason.RETIRED if link.retired else ConnectionCloseReason.IDLE)
+                        link.drop(
+                            ConnectionCloseReason.RETIRED if link.retired else ConnectionCloseReason.IDLE
+                        )
 
     async def close(self) -> None:
         """End all connections."""
--- a/onyxwick/net/cache_wire.py
+++ b/onyxwick/net/cache_wire.py
@@ -4,7 +4,7 @@
 
 from functools import cache
 
-from onyxwick.core.model import AttemptSpec, AttemptOutcome
+from onyxwick.core.model import AttemptOutcome, AttemptSpec
 from onyxwick.interface import AnswerDetail, AttemptStatus, FillOption
 from onyxwick.net import resp
 
@@ -12,7 +12,7 @@
     "HIT": AnswerDetail.HIT,
     "MISS": AnswerDetail.FILLED,
     "MISS_ORIGIN": AnswerDetail.FILLED_FROM_ORIGIN,
-    "COLLAPSED": AnswerDetail.JOINED,
+    "COLLAPSED": AnswerDetail.COALESCED,
     "STALE": AnswerDetail.STALE,
     "UP_BUSY": AnswerDetail.SOURCE_REJECTED,
     "UP_DOWN": AnswerDetail.SOURCE_UNREACHABLE,
--- a/onyxwick/net/call_intake.py
+++ b/onyxwick/net/call_intake.py
@@ -6,15 +6,15 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from onyxwick.core import FinalAnswer, ClientRequest, AnswerStatus
-from onyxwick.core.ending import ShutdownStage
+from onyxwick.core import AnswerStatus, ClientRequest, FinalAnswer
 from onyxwick.core.reasons import ConnectionCloseReason, RejectionReason
+from onyxwick.core.shutdown import ShutdownStage
 from onyxwick.net import fastcgi
-from onyxwick.net.calls import answer_bytes, read_request
+from onyxwick.net.fastcgi_calls import answer_bytes, read_request
 
 if TYPE_CHECKING:
-    from onyxwick.cells.holding import ConnectionReservation
-    from onyxwick.net.client import FrontConnection
+    from onyxwick.cells.reservation import ConnectionReservation
+    from onyxwick.net.front_connection import FrontConnection
 
 
 class CallIntake:
@@ -32,7 +32,9 @@
         if client.ending:  # it has come before the end was written: it is owed an answer, and no more
             counters.add("answer.ending")
             self._refused(call, RejectionReason.CONNECTION_ENDING)
-            return client.send(call.number, fastcgi.end_request(call.number, fastcgi.ProtocolStatus.OVERLOADED))
+            return client.send(
+                call.number, fastcgi.end_request(call.number, fastcgi.ProtocolStatus.OVERLOADED)
+            )
         if not call.keep:
             client.end_with(ConnectionCloseReason.NOT_KEPT)
         name = call.params.get(b"SCRIPT_NAME", b"")
@@ -70,7 +72,9 @@
             return self._refuse(call, RejectionReason.CELL_FULL, "answer.cell_full", front.retry_us)
         return self.client.start(call.number, request)
 
-    def _refuse(self, call: fastcgi.FastCgiCall, reason: RejectionReason, counted: str, retry_after_us: int) -> None:
+    def _refuse(
+        self, call: fastcgi.FastCgiCall, reason: RejectionReason, counted: str, retry_after_us: int
+    ) -> None:
         self.front.counters.add(counted)
         self._refused(call, reason)
         answer = FinalAnswer(AnswerStatus.REJECTED, retry_after_us=retry_after_us)
--- a/onyxwick/net/delivery.py
+++ b/onyxwick/net/delivery.py
@@ -4,7 +4,7 @@
 
 import socket
 
-from onyxwick.core.ending import IN_FLIGHT_BYTES
+from onyxwick.core.shutdown import IN_FLIGHT_BYTES
 from onyxwick.net.buffer import in_flight
 
 STALLED_S = 10.0  # a client that takes nothing for so long is cut off
--- a/onyxwick/net/director_feed.py
+++ b/onyxwick/net/director_feed.py
@@ -19,8 +19,8 @@
     Payload,
     PurgeEvent,
 )
-from onyxwick.distribution.replica import PurgeTable, FeedSnapshot
-from onyxwick.net.coordinator import read_members
+from onyxwick.distribution.replica import FeedSnapshot, PurgeTable
+from onyxwick.net.coordinator_feed import read_members
 
 log = logs.get()
 ApplyDocument = Callable[[str], None]
@@ -119,9 +119,11 @@
         except ValueError as error:
             self.counters.add("refused.document")
             log.error(
-                "document refused, the last good one stays", name=document.name, version=document.version,
+                "document refused, the last good one stays",
+                name=document.name,
+                version=document.version,
                 reason=str(error),
-            )  # fmt: skip
+            )
         else:
             self.counters.add("document.applied")
             log.info("document in force", name=document.name, version=document.version)
--- a/onyxwick/net/distribution_node.py
+++ b/onyxwick/net/distribution_node.py
@@ -30,7 +30,7 @@
     UnknownPayload,
 )
 from onyxwick.distribution.publisher import Publisher, PublisherLimits
-from onyxwick.distribution.replica import Replica, FeedSnapshot
+from onyxwick.distribution.replica import FeedSnapshot, Replica
 from onyxwick.net.fanout_server import FanOutServer
 from onyxwick.net.subscription import ReconnectDelays, Subscription
 from onyxwick.store.engine import StoreEngine
--- a/onyxwick/net/fastcgi.py
+++ b/onyxwick/net/fastcgi.py
@@ -27,7 +27,9 @@
     )
 
 
-BEGIN, ABORT, PARAMS, STDIN = (int(kind) for kind in (RecordType.BEGIN, RecordType.ABORT, RecordType.PARAMS, RecordType.STDIN))
+BEGIN, ABORT, PARAMS, STDIN = (
+    int(kind) for kind in (RecordType.BEGIN, RecordType.ABORT, RecordType.PARAMS, RecordType.STDIN)
+)
 
 
 class ProtocolStatus(IntEnum):
@@ -104,7 +106,13 @@
     if size <= SLICE:  # nearly always: one record, copied once
         pad = -size % 8
         return b"".join(
-            (HEADER.pack(VERSION, RecordType.STDOUT, number, size, pad), head, body, bytes(pad), _tail(number))
+            (
+                HEADER.pack(VERSION, RecordType.STDOUT, number, size, pad),
+                head,
+                body,
+                bytes(pad),
+                _tail(number),
+            )
         )
     content = head + body
     parts = [record(RecordType.STDOUT, number, content[at : at + SLICE]) for at in range(0, size, SLICE)]
@@ -212,7 +220,9 @@
 
     def _management(self, kind: int, content: bytes) -> FastCgiReply:
         if kind != RecordType.GET_VALUES:
-            return FastCgiReply(record(RecordType.UNKNOWN, 0, bytes([kind]) + bytes(7)), "unknown management record")
+            return FastCgiReply(
+                record(RecordType.UNKNOWN, 0, bytes([kind]) + bytes(7)), "unknown management record"
+            )
         try:
             asked = read_pairs(content)
         except ValueError as error:
@@ -231,7 +241,9 @@
             return FastCgiReply(end_request(number, ProtocolStatus.UNKNOWN_ROLE), "unknown role")
         if len(self.partial) + len(self.open) >= MAX_OPEN:
             self.passed.add(number)
-            return FastCgiReply(end_request(number, ProtocolStatus.OVERLOADED), "too many requests on a connection")
+            return FastCgiReply(
+                end_request(number, ProtocolStatus.OVERLOADED), "too many requests on a connection"
+            )
         self.passed.discard(number)
         self.partial[number] = _Partial(bool(flags & KEEP_CONN))
         return None
--- a/onyxwick/net/calls.py
+++ b/onyxwick/net/fastcgi_calls.py
@@ -4,7 +4,7 @@
 
 import re
 
-from onyxwick.core import FinalAnswer, ClientRequest, AnswerStatus
+from onyxwick.core import AnswerStatus, ClientRequest, FinalAnswer
 from onyxwick.interface import RequestClass
 from onyxwick.net import fastcgi
 
--- a/onyxwick/net/front.py
+++ b/onyxwick/net/front.py
@@ -12,22 +12,23 @@
 from typing import TYPE_CHECKING
 
 from onyxwick import logs
-from onyxwick.config.relay import SHUT_LEAST, SHUT_SHARE
+from onyxwick.config.director import SHUT_LEAST, SHUT_SHARE
 from onyxwick.core import RequestEngine
-from onyxwick.core.ending import HELD_AFTER_S, LAST_WORDS_S, ShutdownSchedule, ShutdownKind, ShutdownStage
 from onyxwick.core.reasons import ConnectionCloseReason
+from onyxwick.core.shutdown import HELD_AFTER_S, LAST_WORDS_S, ShutdownKind, ShutdownSchedule, ShutdownStage
 from onyxwick.core.stall import STALL_S
 from onyxwick.counters import Counters
-from onyxwick.net import errors, room
+from onyxwick.net import connection_slots as room
+from onyxwick.net import errors
 from onyxwick.net.buffer import readable, seconds_since_sent, unread
-from onyxwick.net.calls import OwnerFields
-from onyxwick.net.client import READ_S, FrontConnection
 from onyxwick.net.delivery import STALLED_S
+from onyxwick.net.fastcgi_calls import OwnerFields
+from onyxwick.net.front_connection import READ_S, FrontConnection
 from onyxwick.net.listening import BACKLOG
 from onyxwick.net.write_queue import ByteBudget
 
 if TYPE_CHECKING:
-    from onyxwick.cells.holding import ConnectionReservation
+    from onyxwick.cells.reservation import ConnectionReservation
 
 log = logs.get()
 UNREAD_WAIT_US = 500_000  # what is not read is cut off in seconds: no use in coming back before
@@ -74,8 +75,12 @@
         self.accept_failing_since = (
             0.0  # monotonic: connections that wait have not been accepted since; else 0
         )
-        self.shut: set[FrontConnection] = set()  # their end is written; they go as soon as the client closes its own
-        self.given_up: set[FrontConnection] = set()  # no clients any more, but their sockets are not closed yet
+        self.shut: set[FrontConnection] = (
+            set()
+        )  # their end is written; they go as soon as the client closes its own
+        self.given_up: set[FrontConnection] = (
+            set()
+        )  # no clients any more, but their sockets are not closed yet
         self.ending: ShutdownSchedule | None = None  # drained, or told to end: when each connection ends
         self.stage = ShutdownStage.SERVING  # as last looked at
         self._stage_since = 0.0  # monotonic seconds at which the stage was first looked at
@@ -122,9 +127,15 @@
         unwritten = sum(client.writes.pending > 0 for client in clients)
         self.counters.add(f"ending.{schedule.kind.value}.{name}")
         log.info(
-            "ending", kind=schedule.kind.value, stage=name, after_s=round(now - schedule.begun_at, 3),
-            clients=len(clients), owed=len(self.core.lifecycles), half=half, unwritten=unwritten,
-        )  # fmt: skip
+            "ending",
+            kind=schedule.kind.value,
+            stage=name,
+            after_s=round(now - schedule.begun_at, 3),
+            clients=len(clients),
+            owed=len(self.core.lifecycles),
+            half=half,
+            unwritten=unwritten,
+        )
         if stage >= ShutdownStage.ENDS_HALF_CALLS:
             held = [client for client in clients if not client.shut_at]
             for client in held[:MOST_TOLD]:
--- a/onyxwick/net/client.py
+++ b/onyxwick/net/front_connection.py
@@ -13,14 +13,15 @@
 from typing import TYPE_CHECKING
 
 from onyxwick import logs
-from onyxwick.core import FinalAnswer, ClientRequest, RequestLifecycle
-from onyxwick.core.ending import ConnectionState, ShutdownStage, ConnectionStep, next_step
+from onyxwick.core import ClientRequest, FinalAnswer, RequestLifecycle
 from onyxwick.core.reasons import ConnectionCloseReason
-from onyxwick.net import fastcgi, room
+from onyxwick.core.shutdown import ConnectionState, ConnectionStep, ShutdownStage, next_step
+from onyxwick.net import connection_slots as room
+from onyxwick.net import fastcgi
 from onyxwick.net.buffer import ended, seconds_since_data, unread
 from onyxwick.net.call_intake import CallIntake
-from onyxwick.net.calls import answer_bytes
 from onyxwick.net.delivery import Delivery
+from onyxwick.net.fastcgi_calls import answer_bytes
 from onyxwick.net.write_queue import PendingWrite, WriteQueue
 
 if TYPE_CHECKING:
@@ -40,7 +41,9 @@
 PAUSE_BYTES = 2_000_000  # waiting on one connection: nothing more is read from it meanwhile
 LINGER_MOST_S = 15.0  # after its written end, however much is still on its way
 LAST_READ_MOST = 16  # reads of what stands in a socket, before nothing more is heard or it is closed
-BY_CLIENT = frozenset({ConnectionCloseReason.CLOSED_BY_PEER, ConnectionCloseReason.BROKEN, ConnectionCloseReason.STALLED})
+BY_CLIENT = frozenset(
+    {ConnectionCloseReason.CLOSED_BY_PEER, ConnectionCloseReason.BROKEN, ConnectionCloseReason.STALLED}
+)
 """Ends that are the client's own doing."""
 
 
@@ -104,9 +107,14 @@
         owed = [lifecycle.request.request_id for lifecycle in self.open.values() if lifecycle is not None]
         self.front.core.invariants.connection_closed(self.number, len(owed), reason in BY_CLIENT)
         log.info(
-            "connection closed", connection=self.number, reason=reason.value, calls=self.calls,
-            open_s=round(time.monotonic() - self.born, 3), owed=owed[:8], unwritten=self.writes.pending,
-        )  # fmt: skip
+            "connection closed",
+            connection=self.number,
+            reason=reason.value,
+            calls=self.calls,
+            open_s=round(time.monotonic() - self.born, 3),
+            owed=owed[:8],
+            unwritten=self.writes.pending,
+        )
 
     def _check_cut(self) -> None:
         """Does its close, where it is this director's doing, cut an answer that is on its way?"""
@@ -401,10 +409,17 @@
         """Log why the connection is still open."""
         owed = [lifecycle.request.request_id for lifecycle in self.open.values() if lifecycle is not None]
         log.info(
-            "connection held", connection=self.number, stage=stage, open_s=round(now - self.born, 3),
-            rest_s=round(now - self.used_at, 3), calls=self.calls, owed=owed[:4], half=self.parser.half,
-            unwritten=self.writes.pending, in_flight=self.delivery.in_flight(now),
-        )  # fmt: skip
+            "connection held",
+            connection=self.number,
+            stage=stage,
+            open_s=round(now - self.born, 3),
+            rest_s=round(now - self.used_at, 3),
+            calls=self.calls,
+            owed=owed[:4],
+            half=self.parser.half,
+            unwritten=self.writes.pending,
+            in_flight=self.delivery.in_flight(now),
+        )
 
     def close_softly(self, now: float, reason: ConnectionCloseReason) -> None:
         """End a connection that owes nothing: its end is written, and what still comes is read and passed
--- a/onyxwick/door/bridge.py
+++ b/onyxwick/operations/command_executor.py
@@ -14,12 +14,12 @@
 
 from onyxwick import logs
 from onyxwick.core import RequestEngine
-from onyxwick.core.members import EndpointTable
+from onyxwick.core.endpoints import EndpointTable
 from onyxwick.counters import Counters
-from onyxwick.door import orders as o
-from onyxwick.door.figures import figures
-from onyxwick.door.persisted_commands import PersistedCommands
 from onyxwick.interface import EndpointsChanged
+from onyxwick.operations import operator_commands as o
+from onyxwick.operations.metrics import figures
+from onyxwick.operations.persisted_commands import PersistedCommands
 
 log = logs.get()
 RECALL_S, RECALL_RETRY_S = 2.0, 0.05  # how long a start waits for a predecessor's file, and between two tries
@@ -40,7 +40,9 @@
         self.core, self.members, self.counters, self.persisted = core, members, counters, persisted
         self.ready_word, self.drained = ready_word, drained
         self.known = o.KnownCaches()
-        self.orders = self.applied = o.OperatorCommands()  # the latest; those the director's loop has taken up
+        self.orders = self.applied = (
+            o.OperatorCommands()
+        )  # the latest; those the director's loop has taken up
         self.published: dict[str, dict[str, object]] = figures({}, 0, 0, 0)
         self.loop: asyncio.AbstractEventLoop | None = None
 
--- a/onyxwick/door/persisted_commands.py
+++ b/onyxwick/operations/persisted_commands.py
@@ -21,7 +21,7 @@
 import ujson
 
 from onyxwick.core.clock import SteadyClock, steady_us
-from onyxwick.door.orders import KnownCaches, OperatorCommands, of_json, to_json
+from onyxwick.operations.operator_commands import KnownCaches, OperatorCommands, of_json, to_json
 
 MOST_BYTES = 1_000_000  # a larger file is no file of ours
 LOCK_TRIES, LOCK_RETRY_S = 5, 0.002  # the other process holds its lock for a read and a write
--- a/onyxwick/door/calls.py
+++ b/onyxwick/operations/routes.py
@@ -37,7 +37,11 @@
         self.status, self.text, self.allow = status, text, allow
 
 
-PLAIN = {"ready": (OperatorCallKind.READY, "GET"), "metrics": (OperatorCallKind.METRICS, "GET"), "drain": (OperatorCallKind.DRAIN, "POST")}
+PLAIN = {
+    "ready": (OperatorCallKind.READY, "GET"),
+    "metrics": (OperatorCallKind.METRICS, "GET"),
+    "drain": (OperatorCallKind.DRAIN, "POST"),
+}
 PLAIN["undrain"] = (OperatorCallKind.UNDRAIN, "POST")
 CACHES = {"disable": OperatorCallKind.DISABLE, "enable": OperatorCallKind.ENABLE}
 
@@ -59,4 +63,6 @@
 
 def _method(method: str, wanted: str) -> None:
     if method != wanted:
-        raise OperatorCallRejectedError(405, f"{method[:16]!r} is not for this call; it takes {wanted}", allow=wanted)
+        raise OperatorCallRejectedError(
+            405, f"{method[:16]!r} is not for this call; it takes {wanted}", allow=wanted
+        )
--- a/onyxwick/door/server.py
+++ b/onyxwick/operations/server.py
@@ -22,16 +22,18 @@
 from onyxwick import logs
 from onyxwick.admin.http import HttpError, HttpRequest, HttpServer
 from onyxwick.counters import Counters
-from onyxwick.door import orders as o
-from onyxwick.door.calls import OperatorCall, OperatorCallKind, OperatorCallRejectedError, route
-from onyxwick.door.persisted_commands import PersistedCommands
+from onyxwick.operations import operator_commands as o
+from onyxwick.operations.persisted_commands import PersistedCommands
+from onyxwick.operations.routes import OperatorCall, OperatorCallKind, OperatorCallRejectedError, route
 
 log = logs.get()
 PLACES = 32  # callers at once; a newcomer displaces the one open longest
 PATIENCE_S = 1.0  # a caller waits 1 s for its answer: one that has not finished its call by then waits none
 LOOK_S = 0.1  # between two looks at the file that the other process may have written
 STOP_S = 1.0  # the longest wait for the thread at the end
-LOOKS = frozenset({OperatorCallKind.READY, OperatorCallKind.METRICS})  # calls that change nothing, some ten times a second
+LOOKS = frozenset(
+    {OperatorCallKind.READY, OperatorCallKind.METRICS}
+)  # calls that change nothing, some ten times a second
 
 
 class DirectorControl(Protocol):
@@ -113,10 +115,14 @@
         answer = self._carry_out(call, time.monotonic() - request.waited_s)
         if call.kind not in LOOKS:
             log.info(
-                "operators' call answered", call=call.kind.value, cache=call.cache, status=answer[0],
-                version=self.orders.version, drained=self.orders.drained,
+                "operators' call answered",
+                call=call.kind.value,
+                cache=call.cache,
+                status=answer[0],
+                version=self.orders.version,
+                drained=self.orders.drained,
                 waited_s=round(request.waited_s, 3),
-            )  # fmt: skip
+            )
         return answer
 
     def _carry_out(self, call: OperatorCall, called_at: float) -> Answer:
@@ -126,7 +132,9 @@
         if call.kind is OperatorCallKind.METRICS:
             return 200, self.director.figures()
         if call.kind in (OperatorCallKind.DRAIN, OperatorCallKind.UNDRAIN):
-            self._order("", partial(o.drain, drained=call.kind is OperatorCallKind.DRAIN, called_at=called_at))
+            self._order(
+                "", partial(o.drain, drained=call.kind is OperatorCallKind.DRAIN, called_at=called_at)
+            )
             return 200, {"drained": self.orders.drained, **self._unkept()}
         if call.cache not in self.known:
             self.counters.add("door.unknown")
--- a/onyxwick/service.py
+++ b/onyxwick/service.py
@@ -10,15 +10,15 @@
 
 from onyxwick import logs
 from onyxwick.config import ConfigError
-from onyxwick.config.relay import DirectorConfig
+from onyxwick.config.director import DirectorConfig
 from onyxwick.config.service import ServiceConfig, TraceConfig
 from onyxwick.core import RequestEngine
-from onyxwick.core.members import EndpointTable
+from onyxwick.core.endpoints import EndpointTable
 from onyxwick.counters import Counters
 from onyxwick.interface import EndpointFeedReceived, RequestRouter, RouterSettings
 from onyxwick.logic import Router
-from onyxwick.net.caches import CacheConnectionPool
-from onyxwick.net.coordinator import CoordinatorFeed
+from onyxwick.net.cache_pool import CacheConnectionPool
+from onyxwick.net.coordinator_feed import CoordinatorFeed
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Coroutine
@@ -27,8 +27,8 @@
     from onyxwick.admin.cells import CellsApi
     from onyxwick.admin.http import Handler, HttpServer
     from onyxwick.admin.sites import SitesApi
-    from onyxwick.cells import CellRouter, CellPlan
-    from onyxwick.cells.holding import ConnectionReservation
+    from onyxwick.cells import CellPlan, CellRouter
+    from onyxwick.cells.reservation import ConnectionReservation
     from onyxwick.config.service import SitesConfig
     from onyxwick.dns.server import DnsFront
     from onyxwick.net.subscription import Subscription
@@ -87,7 +87,7 @@
         site = self.sites.top.policy.field if self.sites is not None else ""
         if self.cells is None:
             return None, "X-Tenant" if self.sites is not None else "", site
-        from onyxwick.cells.holding import ConnectionReservation
+        from onyxwick.cells.reservation import ConnectionReservation
 
         most = (self.config.most_held, self.config.most_clients)
         return ConnectionReservation(self.cells, *most), self.cells.plan.policy.tenant_field, site
@@ -103,9 +103,9 @@
         from hashlib import blake2b
 
         from onyxwick.store.durable import DurableState
+        from onyxwick.store.encryption import read_keys
         from onyxwick.store.engine import StoreLimits
         from onyxwick.store.files import DiskFiles
-        from onyxwick.store.sealing import read_keys
 
         self.durable = DurableState(
             DiskFiles(told.folder),
@@ -119,7 +119,7 @@
         self.durable.load_tenants(self.told.tenants)
         self._recorded_plan(self.durable)
         if self.sites is not None:
-            from onyxwick.sites.orders import of_row
+            from onyxwick.sites.operator_commands import of_row
 
             self.sites.watch.recalled([of_row(row) for row in self.durable.site_orders()])
 
@@ -251,8 +251,8 @@
 
     async def _trace(self, told: TraceConfig) -> None:
         """Write a trace while it is wanted: always, or for a while from each SIGUSR2 on."""
+        from onyxwick.trace.decision_tracer import DecisionTracer
         from onyxwick.trace.sink import SinkLimits
-        from onyxwick.trace.watch import DecisionTracer
 
         loop, bounds = (
             asyncio.get_running_loop(),
@@ -328,7 +328,7 @@
         from onyxwick.config.sites import read_plan
 
         return read_plan(told.topology, told.plan_file), []
-    from onyxwick.sites.planner import study
+    from onyxwick.sites.loss_study import study
 
     done = study(told.topology)
     return done.plan(), done.findings()
--- a/onyxwick/sites/__init__.py
+++ b/onyxwick/sites/__init__.py
@@ -1,19 +1,19 @@
 """Loss of a whole site: where its load goes, what is refused first, how it is returned to. No I/O here."""
 
-from onyxwick.sites.fleet import SiteRouter
-from onyxwick.sites.model import TopologyError, Topology
-from onyxwick.sites.orders import SiteCommand, SiteCommandError, read_order
-from onyxwick.sites.orders import to_row as kept
-from onyxwick.sites.plan import SitePlan, PlanMismatchError
+from onyxwick.sites.model import Topology, TopologyError
+from onyxwick.sites.operator_commands import SiteCommand, SiteCommandError, read_order
+from onyxwick.sites.operator_commands import to_row as kept
+from onyxwick.sites.plan import PlanMismatchError, SitePlan
+from onyxwick.sites.router import SiteRouter
 
 __all__ = [
+    "PlanMismatchError",
     "SiteCommand",
     "SiteCommandError",
     "SitePlan",
-    "PlanMismatchError",
     "SiteRouter",
-    "TopologyError",
     "Topology",
+    "TopologyError",
     "kept",
     "read_order",
 ]
--- a/onyxwick/sites/unit.py
+++ b/onyxwick/sites/active_site.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from onyxwick.interface import FleetShareChanged, Member, RequestArrived, RequestClass, RequestRouter
-from onyxwick.sites.refusal import SheddingLevels
+from onyxwick.sites.load_shedding import SheddingLevels
 
 
 @dataclass(frozen=True, slots=True)
--- a/onyxwick/sites/evidence.py
+++ b/onyxwick/sites/evidence.py
@@ -195,7 +195,9 @@
         kind = kind_of(event, self.connect_us)
         called_off = event.status is AttemptStatus.CANCELLED and event.latency_us >= OVERDUE_US
         if called_off and sight.answered_us < now - event.latency_us:
-            kind = AttemptEvidence.SILENT  # for want of patience, and nothing had been heard since it was sent
+            kind = (
+                AttemptEvidence.SILENT
+            )  # for want of patience, and nothing had been heard since it was sent
         if kind is AttemptEvidence.ANSWERED:
             self._answered(now, event.member, sight)
         elif kind is not None and now - event.latency_us >= self.woke_us:
--- a/onyxwick/sites/programme.py
+++ b/onyxwick/sites/linear_program.py
@@ -17,7 +17,7 @@
 from scipy.optimize import linprog
 from scipy.sparse import csr_matrix
 
-from onyxwick.sites.model import ARCHIVE, PlannedClass, OfferedLoad, Topology
+from onyxwick.sites.model import ARCHIVE, OfferedLoad, PlannedClass, Topology
 from onyxwick.sites.plan import key_of
 
 NEAREST = 12  # survivors that may take a lost site's load, the nearest ones
--- a/onyxwick/sites/planner.py
+++ b/onyxwick/sites/loss_study.py
@@ -7,9 +7,17 @@
 from dataclasses import dataclass, field
 from itertools import combinations
 
+from onyxwick.sites.linear_program import (
+    NEAREST,
+    LossOutcome,
+    Resource,
+    ResourceUse,
+    SiteLoss,
+    solve,
+    spelled,
+)
 from onyxwick.sites.model import Topology
-from onyxwick.sites.plan import Key, SitePlan, LossPlanRow, key_of
-from onyxwick.sites.programme import NEAREST, SiteLoss, LossOutcome, Resource, ResourceUse, solve, spelled
+from onyxwick.sites.plan import Key, LossPlanRow, SitePlan, key_of
 
 MOST_PAIRS = 2_000
 SAME = 1e-3  # shares nearer than this are the same
--- a/onyxwick/sites/roster.py
+++ b/onyxwick/sites/membership.py
@@ -30,7 +30,9 @@
         self.listed: dict[str, Member] = {}
         self.most: dict[str, int] = {}  # of a hub: the most stores that the list has named
         self.loaded = False
-        self.known: dict[str, tuple[PlaceAvailability, int]] = {}  # as reckoned last, and until when that holds
+        self.known: dict[
+            str, tuple[PlaceAvailability, int]
+        ] = {}  # as reckoned last, and until when that holds
         self.site_of_zone = {s.zone: s.name for s in top.sites.values()}
         self.hub_of_zone = {h.zone: h.name for h in top.hubs.values()}
 
--- a/onyxwick/sites/model.py
+++ b/onyxwick/sites/model.py
@@ -163,7 +163,9 @@
     if len(tenants) > MOST_TENANTS:
         raise TopologyError("load", "", "tenants", f"{len(tenants)} are over the bound of {MOST_TENANTS}")
     if len(top.sites) < 2:
-        raise TopologyError("site", next(iter(top.sites), ""), "count", "the loss of a site wants two at least")
+        raise TopologyError(
+            "site", next(iter(top.sites), ""), "count", "the loss of a site wants two at least"
+        )
 
 
 def _check_names(top: Topology) -> None:
--- a/onyxwick/sites/watch.py
+++ b/onyxwick/sites/monitor.py
@@ -6,14 +6,14 @@
 from dataclasses import dataclass
 
 from onyxwick.interface import EndpointsChanged, Idempotency, RequestArrived, RequestClass, RouterSettings
-from onyxwick.sites.evidence import SEEN_US, Evidence, AttemptEvidence
-from onyxwick.sites.homes import READY, ServingSites, SiteRoute, is_left
-from onyxwick.sites.life import AWAY, SiteLifecycle, SitePhase, SiteHealthSignals
+from onyxwick.sites.evidence import SEEN_US, AttemptEvidence, Evidence
+from onyxwick.sites.lifecycle import AWAY, SiteHealthSignals, SiteLifecycle, SitePhase
+from onyxwick.sites.local_demand import LocalDemand
+from onyxwick.sites.membership import SiteMembership
 from onyxwick.sites.model import Topology
-from onyxwick.sites.orders import SiteCommand, SiteCommands
+from onyxwick.sites.operator_commands import SiteCommand, SiteCommands
 from onyxwick.sites.plan import SitePlan
-from onyxwick.sites.roster import SiteMembership
-from onyxwick.sites.wanted import LocalDemand
+from onyxwick.sites.serving_sites import READY, ServingSites, SiteRoute, is_left
 
 S = 1_000_000
 TRIAL_US = 150_000  # between two trials of a site that is left
@@ -37,7 +37,10 @@
 
     def __init__(self, settings: RouterSettings, top: Topology, plan: SitePlan, home: str, now: int) -> None:
         self.top, self.home = top, home
-        self.roster, self.evidence = SiteMembership(settings, top), Evidence(settings.limits.connect_timeout_us)
+        self.roster, self.evidence = (
+            SiteMembership(settings, top),
+            Evidence(settings.limits.connect_timeout_us),
+        )
         self.homes, self.orders = ServingSites(plan, home), SiteCommands()
         self.lives = {name: SiteLifecycle(name, now, top.policy) for name in (*top.sites, *top.hubs)}
         self.asked_us: dict[str, int] = {home: now}  # when a site's clients last came here
@@ -66,7 +69,9 @@
         out = []
         for name in self.top.sites:
             standing, life = self.roster.standing(name, now), self.lives[name]
-            life.began(now, SiteHealthSignals(listed=standing.listed, room=standing.room, warmth=standing.warmth))
+            life.began(
+                now, SiteHealthSignals(listed=standing.listed, room=standing.room, warmth=standing.warmth)
+            )
             if life.phase is not SitePhase.STEADY:
                 out.append(SiteTransition(name, SitePhase.STEADY, life))
         self.arrange()
@@ -112,7 +117,11 @@
 
     def _way(self, now: int, ask: RequestArrived, kind: RequestClass, site: str) -> SiteRoute:
         doubted = site != self.home and self.lives[site].phase in (SitePhase.SUSPECT, *AWAY)
-        if doubted and self.lives[self.home].phase is SitePhase.STEADY and self.wanted.here(now, ask.object_id):
+        if (
+            doubted
+            and self.lives[self.home].phase is SitePhase.STEADY
+            and self.wanted.here(now, ask.object_id)
+        ):
             return SiteRoute(self.home)  # it is here already, whatever its new home is
         may_try = self._may_try(now, site, kind)
         way = self.homes.way(self.lives[site], kind.name, ask.object_id, site == self.home, may_try)
@@ -188,7 +197,9 @@
         self.homes.change(sites, hubs)
         self.calm = all(life.phase is SitePhase.STEADY for life in self.lives.values())
 
-    def _signs(self, now: int, name: str, life: SiteLifecycle, pressure: Callable[[str], float]) -> SiteHealthSignals:
+    def _signs(
+        self, now: int, name: str, life: SiteLifecycle, pressure: Callable[[str], float]
+    ) -> SiteHealthSignals:
         seen, standing = self.evidence.seen(now, name), self.roster.standing(name, now)
         own, hub = name == self.home, name in self.top.hubs
         came = now - self.asked_us.get(name, -UNASKED_US)
--- a/onyxwick/sites/orders.py
+++ b/onyxwick/sites/operator_commands.py
@@ -10,7 +10,7 @@
 from dataclasses import asdict, dataclass
 from typing import Any
 
-from onyxwick.sites.life import SiteLifecycle, SitePhase, SiteDirective
+from onyxwick.sites.lifecycle import SiteDirective, SiteLifecycle, SitePhase
 
 S = 1_000_000
 MOST_REASON = 256
@@ -108,7 +108,9 @@
                 self.take(SiteCommand(site, SiteDirective.NONE))
         return ended
 
-    def _gate(self, now: int, order: SiteCommand, life: SiteLifecycle, doubted: list[str], pressure: float) -> None:
+    def _gate(
+        self, now: int, order: SiteCommand, life: SiteLifecycle, doubted: list[str], pressure: float
+    ) -> None:
         site = order.site
         if doubted:
             self.turned[site] = f"site {min(doubted)} is in doubt: this one's room is wanted"
--- a/onyxwick/sites/fleet.py
+++ b/onyxwick/sites/router.py
@@ -45,16 +45,16 @@
     TimerFired,
 )
 from onyxwick.logic import Router
-from onyxwick.sites.homes import SiteRoute
-from onyxwick.sites.life import AWAY
+from onyxwick.sites.active_site import ActiveSite, RoutedAttempt, SiteRequestOwner
+from onyxwick.sites.lifecycle import AWAY
+from onyxwick.sites.load_shedding import SheddingLevels, by_worth
 from onyxwick.sites.model import Topology
-from onyxwick.sites.orders import SiteCommand
-from onyxwick.sites.parts import guest_settings, parts
+from onyxwick.sites.monitor import SiteMonitor, SiteTransition
+from onyxwick.sites.operator_commands import SiteCommand
 from onyxwick.sites.plan import SitePlan
-from onyxwick.sites.refusal import SheddingLevels, by_worth
-from onyxwick.sites.slices import stable_hash
-from onyxwick.sites.unit import SiteRequestOwner, RoutedAttempt, ActiveSite
-from onyxwick.sites.watch import SiteTransition, SiteMonitor
+from onyxwick.sites.serving_sites import SiteRoute
+from onyxwick.sites.shares import guest_settings, parts
+from onyxwick.sites.traffic_slices import stable_hash
 
 S = 1_000_000
 TICK_US, ARBITER_EVERY = 100_000, 5
@@ -214,7 +214,9 @@
             return self._shed(ask, unit, why)
         return self._enter(ask, kind, site, unit, way)
 
-    def _enter(self, ask: RequestArrived, kind: RequestClass, site: str, unit: ActiveSite, way: SiteRoute) -> None:
+    def _enter(
+        self, ask: RequestArrived, kind: RequestClass, site: str, unit: ActiveSite, way: SiteRoute
+    ) -> None:
         home = SiteRequestOwner(ask, kind, site, unit.site, self.now, self.now + ask.expires_in_us, way.trial)
         self.requests[ask.request_id] = home
         if way.trial:
--- a/onyxwick/sites/homes.py
+++ b/onyxwick/sites/serving_sites.py
@@ -4,10 +4,10 @@
 
 from dataclasses import dataclass
 
-from onyxwick.sites.life import AWAY, SiteLifecycle, SitePhase
+from onyxwick.sites.lifecycle import AWAY, SiteLifecycle, SitePhase
 from onyxwick.sites.model import EVERYBODY
-from onyxwick.sites.plan import Key, SitePlan, LossPlanRow, key_of
-from onyxwick.sites.slices import SLICES, home_of, kept_of, slice_of, turn_of
+from onyxwick.sites.plan import Key, LossPlanRow, SitePlan, key_of
+from onyxwick.sites.traffic_slices import SLICES, home_of, kept_of, slice_of, turn_of
 
 READY = 0.5  # of a left site's boxes that the list must name for requests to try it
 
@@ -103,7 +103,9 @@
             return SiteRoute(home, why="" if home else "no_room")
         if phase is SitePhase.EVACUATING and life.seen_dark and not own:
             return SiteRoute(None, why="moving")
-        return SiteRoute(site)  # not moved yet, where stores and archive are left or nothing is dark; or home again
+        return SiteRoute(
+            site
+        )  # not moved yet, where stores and archive are left or nothing is dark; or home again
 
 
 def is_left(life: SiteLifecycle) -> bool:
--- a/onyxwick/sites/parts.py
+++ b/onyxwick/sites/shares.py
@@ -31,7 +31,13 @@
 
 
 def parts(
-    top: Topology, row: LossPlanRow, lost: Collection[str], site: str, home: str, stores: float, silent: int = 0
+    top: Topology,
+    row: LossPlanRow,
+    lost: Collection[str],
+    site: str,
+    home: str,
+    stores: float,
+    silent: int = 0,
 ) -> FleetShareChanged:
     """What one decider of a director at `home` may ask of a site's boxes, and of the `stores`. `silent`:
     directors that serve nobody now, whose part of what is warm the others take."""
--- a/onyxwick/sites/shown.py
+++ b/onyxwick/sites/status.py
@@ -4,9 +4,9 @@
 
 from typing import Any
 
-from onyxwick.sites.fleet import SiteRouter
-from onyxwick.sites.life import SitePhase
-from onyxwick.sites.slices import slice_of, turn_of
+from onyxwick.sites.lifecycle import SitePhase
+from onyxwick.sites.router import SiteRouter
+from onyxwick.sites.traffic_slices import slice_of, turn_of
 
 
 def show(sites: SiteRouter, now: int) -> dict[str, Any]:
--- a/onyxwick/sites/pictures.py
+++ b/onyxwick/sites/views.py
@@ -9,8 +9,8 @@
 matplotlib.use("Agg")
 from matplotlib import pyplot
 
-from onyxwick.sites.planner import LossStudy
-from onyxwick.sites.programme import spelled
+from onyxwick.sites.linear_program import spelled
+from onyxwick.sites.loss_study import LossStudy
 
 MOST_ROWS, MOST_COLUMNS = 60, 40  # the fullest ones; more would be no picture
 
--- a/onyxwick/start.py
+++ b/onyxwick/start.py
@@ -13,9 +13,10 @@
 import uvloop
 
 from onyxwick import logs
-from onyxwick.config import ConfigError, relay
+from onyxwick.config import ConfigError
+from onyxwick.config import director as relay
+from onyxwick.config.director import DirectorConfig
 from onyxwick.config.errors import ConfigUnreadableError
-from onyxwick.config.relay import DirectorConfig
 from onyxwick.lifecycle import Director, StartupError, read_service
 from onyxwick.net import listening
 
--- a/onyxwick/store/__init__.py
+++ b/onyxwick/store/__init__.py
@@ -7,22 +7,29 @@
 
 from typing import TYPE_CHECKING, Any
 
-from onyxwick.store.errors import StoreBusyError, VersionConflictError, StoreFailedError, StoreFullError, StoreUnusableError, StoreError
+from onyxwick.store.errors import (
+    StoreBusyError,
+    StoreError,
+    StoreFailedError,
+    StoreFullError,
+    StoreUnusableError,
+    VersionConflictError,
+)
 
 if TYPE_CHECKING:
-    from onyxwick.store.engine import StoreEngine, StoreLimits, WriteOperation, Transaction
+    from onyxwick.store.engine import StoreEngine, StoreLimits, Transaction, WriteOperation
 
 __all__ = [
     "StoreBusyError",
-    "VersionConflictError",
     "StoreEngine",
+    "StoreError",
     "StoreFailedError",
     "StoreFullError",
     "StoreLimits",
-    "WriteOperation",
     "StoreUnusableError",
-    "StoreError",
     "Transaction",
+    "VersionConflictError",
+    "WriteOperation",
 ]
 
 
--- a/onyxwick/store/committer.py
+++ b/onyxwick/store/committer.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass
 
 from onyxwick import logs
-from onyxwick.store.engine import WriteBatch, StoreEngine, Transaction
-from onyxwick.store.errors import StoreFailedError, StoreError
+from onyxwick.store.engine import StoreEngine, Transaction, WriteBatch
+from onyxwick.store.errors import StoreError, StoreFailedError
 
 log = logs.get()
 MOST_BATCH = 256  # transactions in one write
@@ -156,4 +156,4 @@
         entry.done.set_exception(error)
 
 
-__all__ = ["WriteBatch", "Committer", "StoreOverloadedError"]
+__all__ = ["Committer", "StoreOverloadedError", "WriteBatch"]
--- a/onyxwick/store/durable.py
+++ b/onyxwick/store/durable.py
@@ -18,11 +18,11 @@
 from onyxwick import logs
 from onyxwick.interface import EndpointsChanged, MemberState
 from onyxwick.store.committer import Committer
-from onyxwick.store.engine import StoreEngine, StoreLimits, WriteOperation, Transaction
-from onyxwick.store.errors import StoreUnusableError, StoreError
+from onyxwick.store.encryption import Sealer
+from onyxwick.store.engine import StoreEngine, StoreLimits, Transaction, WriteOperation
+from onyxwick.store.errors import StoreError, StoreUnusableError
 from onyxwick.store.files import Files
-from onyxwick.store.recovery import MemberDrain, RecoveryPhase, RecordedPurge, Recovery
-from onyxwick.store.sealing import Sealer
+from onyxwick.store.recovery import MemberDrain, RecordedPurge, Recovery, RecoveryPhase
 from onyxwick.tenants import Tenant, Tenants, read_key, read_zone
 
 log = logs.get()
@@ -220,7 +220,9 @@
             if m.state is not MemberState.READY and not held:
                 ops.append(self.drain_op(MemberDrain(m.address, "coordinator", m.started_at_us, "", now)))
             elif (
-                m.state is MemberState.READY and by == "coordinator" and self.recovery.phase is RecoveryPhase.SERVING
+                m.state is MemberState.READY
+                and by == "coordinator"
+                and self.recovery.phase is RecoveryPhase.SERVING
             ):
                 # Not before the feed is heard: the list of a start may be older than what is recorded.
                 ops.append(WriteOperation(f"drain/{m.address}", None))
@@ -255,7 +257,9 @@
         over = max(0, len(held) - PURGES_MOST)
         done = now - self.recovery.settles_us
         ops += [
-            WriteOperation(old, None) for n, old in enumerate(held) if old != key and (n < over or int(old[6:26]) < done)
+            WriteOperation(old, None)
+            for n, old in enumerate(held)
+            if old != key and (n < over or int(old[6:26]) < done)
         ]
         return ops
 
@@ -263,7 +267,7 @@
         return WriteOperation("feed/last", pack("feed/last", {"index": index}))
 
     def site_orders(self) -> list[Row]:
-        """What operators have ordered of sites (`sites/orders.py`), as it stood last."""
+        """What operators have ordered of sites (`sites/operator_commands.py`), as it stood last."""
         return [row for _, row in self._rows("siteorder/")]
 
     def site_order_op(self, site: str, row: Row | None) -> WriteOperation:
--- a/onyxwick/store/engine.py
+++ b/onyxwick/store/engine.py
@@ -18,7 +18,13 @@
 from sortedcontainers import SortedDict
 
 from onyxwick.store import records as r
-from onyxwick.store.errors import VersionConflictError, StoreFailedError, StoreFullError, StoreUnusableError, StoreError
+from onyxwick.store.errors import (
+    StoreError,
+    StoreFailedError,
+    StoreFullError,
+    StoreUnusableError,
+    VersionConflictError,
+)
 from onyxwick.store.files import Files
 
 ANY = -1  # of a version: whatever it is
@@ -159,7 +165,9 @@
         self.files.sync_folder()
         self._new_segment()
 
-    def _load_checkpoint(self, found: list[tuple[int, str]], segments: bool, index: dict[str, IndexEntry]) -> None:
+    def _load_checkpoint(
+        self, found: list[tuple[int, str]], segments: bool, index: dict[str, IndexEntry]
+    ) -> None:
         """The newest that holds. One that does not is passed over only if what it held is in the log still,
         which `_replay` finds out."""
         for number, name in found:
@@ -208,7 +216,9 @@
             if end < len(data):
                 self.torn += len(data) - end
                 if not last and self.number < self._before_next(segments[place + 1][1]):
-                    raise StoreUnusableError(f"{name}: damaged behind record {self.number}, and more follows it")
+                    raise StoreUnusableError(
+                        f"{name}: damaged behind record {self.number}, and more follows it"
+                    )
 
     def _needless(self, following: str) -> bool:
         """Does the checkpoint hold all that lies before a segment?"""
--- a/onyxwick/store/recovery.py
+++ b/onyxwick/store/recovery.py
@@ -117,7 +117,9 @@
         """True where the feed was not heard in time: the director serves on with what it has, and the drains
         that it knows of stay until the feed is heard."""
         if self.phase is RecoveryPhase.CHECKING and now - self.since > CATCH_UP_US:
-            self._enter(RecoveryPhase.SERVING, now, "the feed was not heard in time; recorded drains are kept")
+            self._enter(
+                RecoveryPhase.SERVING, now, "the feed was not heard in time; recorded drains are kept"
+            )
             self.late = True
             return True
         return False
--- a/onyxwick/tenants.py
+++ b/onyxwick/tenants.py
@@ -136,7 +136,9 @@
 
     def __init__(self) -> None:
         self.tenants: dict[str, Tenant] = {}
-        self.zones: dict[dns.name.Name, TenantZone] = {}  # of all tenants: a name is looked up in one step a label
+        self.zones: dict[
+            dns.name.Name, TenantZone
+        ] = {}  # of all tenants: a name is looked up in one step a label
 
     def add(self, tenant: Tenant) -> None:
         if tenant.name in self.tenants:
--- a/onyxwick/trace/audit.py
+++ b/onyxwick/trace/audit.py
@@ -15,7 +15,7 @@
 import numpy as np
 
 from onyxwick.trace import format as f
-from onyxwick.trace.model import NEVER, ONCE, STATUSES, S, NotificationKind, RecordedVerdict
+from onyxwick.trace.model import NEVER, ONCE, STATUSES, NotificationKind, RecordedVerdict, S
 from onyxwick.trace.table import Column, Strings, Table
 
 SLACK_US = 50_000  # what each time limit is longer by on sockets
@@ -73,11 +73,15 @@
     listed: list[bool] = field(default_factory=list)
 
 
-def told_lists(told: Iterable[tuple[int, int, dict[str, Any]]], own: str) -> dict[tuple[str, str], AuditedMember]:
+def told_lists(
+    told: Iterable[tuple[int, int, dict[str, Any]]], own: str
+) -> dict[tuple[str, str], AuditedMember]:
     """By director and member, in order of time."""
     out: dict[tuple[str, str], AuditedMember] = {}
     seen: dict[str, set[str]] = {}
-    for kind, at, data in sorted((t for t in told if t[0] in (NotificationKind.LIST, NotificationKind.START)), key=lambda t: t[1]):
+    for kind, at, data in sorted(
+        (t for t in told if t[0] in (NotificationKind.LIST, NotificationKind.START)), key=lambda t: t[1]
+    ):
         director = str(data.get("director", own))
         if kind == NotificationKind.START:
             for member in seen.pop(director, set()):
@@ -117,7 +121,9 @@
         self.ids: list[Column] = []
         self.ats: list[Column] = []
         self.once: dict[int, list[tuple[str, int, bool]]] = {}  # request: (director, at, it may have run)
-        self.early = [(int(d["id"]), str(d.get("director", "")), at) for k, at, d in told if k == NotificationKind.SENT]
+        self.early = [
+            (int(d["id"]), str(d.get("director", "")), at) for k, at, d in told if k == NotificationKind.SENT
+        ]
         self.spent: dict[str, list[tuple[Column, Column]]] = {}  # member: times, classes of what went there
         self.hits: dict[str, list[Column]] = {}  # class: how long hits took
         self.last_at = 0
@@ -213,7 +219,14 @@
             self.out.add("not listed", True, request=request, member=member, role=role, found=text)
 
     def _ready(
-        self, table: Table, owner: Column, rows: Column, at: Column, known: AuditedMember, member: str, role: str
+        self,
+        table: Table,
+        owner: Column,
+        rows: Column,
+        at: Column,
+        known: AuditedMember,
+        member: str,
+        role: str,
     ) -> None:
         """Within one director's own clock: no doubt from others'."""
         times = np.array(known.at)
@@ -381,7 +394,9 @@
                 self.out.add("booking once", True, request=f"{request:016x}", may_have_run=len(times))
 
 
-def audit(header: f.FileHeader, tables: Iterable[Table], told: list[tuple[int, int, dict[str, Any]]]) -> AuditReport:
+def audit(
+    header: f.FileHeader, tables: Iterable[Table], told: list[tuple[int, int, dict[str, Any]]]
+) -> AuditReport:
     out = Audit(header, told)
     for table in tables:
         out.add(table)
--- a/onyxwick/trace/compare.py
+++ b/onyxwick/trace/compare.py
@@ -10,7 +10,7 @@
 import numpy as np
 
 from onyxwick.trace import format as f
-from onyxwick.trace.model import OPEN_STATUS, STATUSES, RecordedVerdict, DecisionReason
+from onyxwick.trace.model import OPEN_STATUS, STATUSES, DecisionReason, RecordedVerdict
 from onyxwick.trace.summary import PriorityWeights
 from onyxwick.trace.table import Column, Table
 
@@ -54,7 +54,9 @@
     status, detail = table.last("status", OPEN_STATUS), table.last("detail")
     ends = [f"{s} / {d}" for s in (*STATUSES, "none") for d in range(16)]
     out["outcome"] = (np.minimum(status, len(STATUSES)) * 16 + np.minimum(detail, 15), ends)
-    whys = [w.name.lower() if w in DecisionReason._value2member_map_ else str(w) for w in map(_why, range(256))]
+    whys = [
+        w.name.lower() if w in DecisionReason._value2member_map_ else str(w) for w in map(_why, range(256))
+    ]
     out["cause"] = (lives["why"].astype(np.int64), whys)
     out["choice"] = (table.last("why"), whys)
     out["verdict"] = (lives["verdict"].astype(np.int64), [v.name.lower() for v in RecordedVerdict])
--- a/onyxwick/trace/watch.py
+++ b/onyxwick/trace/decision_tracer.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from onyxwick import logs
-from onyxwick.core.model import FinalAnswer, AttemptOutcome, AnswerStatus
+from onyxwick.core.model import AnswerStatus, AttemptOutcome, FinalAnswer
 from onyxwick.interface import (
     Action,
     AttemptEnded,
@@ -32,17 +32,21 @@
     SiteStateChanged,
 )
 from onyxwick.logic import Router
+from onyxwick.trace import decision_reason as why
 from onyxwick.trace import format as f
-from onyxwick.trace import why
-from onyxwick.trace.model import MAJOR, MINOR, NotificationKind, DecisionReason
+from onyxwick.trace.model import MAJOR, MINOR, DecisionReason, NotificationKind
 from onyxwick.trace.model import RecordedVerdict as Final
 from onyxwick.trace.recorder import Recorder, number
-from onyxwick.trace.sink import SinkLimits, Sink
+from onyxwick.trace.sink import Sink, SinkLimits
 
 log = logs.get()
 CLOCK_US = 1_000_000  # between two records of both clocks
 LEAST_LEFT_US = 1000  # under it a request had no time for an attempt
-FINALS = {AnswerStatus.SERVED: Final.SERVED, AnswerStatus.REJECTED: Final.REFUSED, AnswerStatus.FAILED: Final.FAILED}
+FINALS = {
+    AnswerStatus.SERVED: Final.SERVED,
+    AnswerStatus.REJECTED: Final.REFUSED,
+    AnswerStatus.FAILED: Final.FAILED,
+}
 
 
 def header_of(settings: RouterSettings, director: str, unix_us: int, mono_us: int) -> f.FileHeader:
@@ -141,7 +145,9 @@
                     for m in event.members
                 ]
                 full = event.kind is not EndpointListKind.CHANGE
-                self.recorder.told(now, NotificationKind.LIST, {"members": rows, "full": full, "version": event.version})
+                self.recorder.told(
+                    now, NotificationKind.LIST, {"members": rows, "full": full, "version": event.version}
+                )
             case ObjectsPurged(group, name, age):
                 told = {
                     "group": group,
@@ -183,7 +189,9 @@
         if request in getattr(decider, "shed_now", ()):
             story.why = DecisionReason.SHED
         elif router is None or story.job is None:
-            story.why = DecisionReason.NO_TIME if story.ask.expires_in_us <= LEAST_LEFT_US else DecisionReason.NO_BOX
+            story.why = (
+                DecisionReason.NO_TIME if story.ask.expires_in_us <= LEAST_LEFT_US else DecisionReason.NO_BOX
+            )
         else:
             story.why = why.ending(router, story.job, now)
 
@@ -210,7 +218,13 @@
                 return self.recorder.finished(now, request, Final.LEFT, DecisionReason.CLIENT_LEFT, 0, 0)
             served = answer.status is AnswerStatus.SERVED
             story = self.recorder.stories.get(request)
-            cause = DecisionReason.ANSWERED if served else DecisionReason(story.why) if story is not None else DecisionReason.UNKNOWN
+            cause = (
+                DecisionReason.ANSWERED
+                if served
+                else DecisionReason(story.why)
+                if story is not None
+                else DecisionReason.UNKNOWN
+            )
             final, size = FINALS[answer.status], len(answer.body)
             self.recorder.finished(now, request, final, cause, answer.retry_after_us, size)
         except Exception:
@@ -233,9 +247,13 @@
         self.sink.stop()
         counts = self.sink.counts
         log.info(
-            "trace ended", blocks=counts.blocks, bytes=counts.bytes, lost_requests=counts.lost_requests,
-            dropped=self.recorder.dropped, errors=counts.errors[-1:],
-        )  # fmt: skip
+            "trace ended",
+            blocks=counts.blocks,
+            bytes=counts.bytes,
+            lost_requests=counts.lost_requests,
+            dropped=self.recorder.dropped,
+            errors=counts.errors[-1:],
+        )
 
 
 def _router_of(decider: RequestRouter, request: str) -> Router | None:
--- a/onyxwick/trace/explain.py
+++ b/onyxwick/trace/explain.py
@@ -4,7 +4,7 @@
 
 from datetime import UTC, datetime
 
-from onyxwick.trace.model import NEVER, OPEN_STATUS, STATUSES, RecordedVerdict, DecisionReason
+from onyxwick.trace.model import NEVER, OPEN_STATUS, STATUSES, DecisionReason, RecordedVerdict
 from onyxwick.trace.table import Table
 
 CHOICES = {
@@ -30,11 +30,17 @@
     DecisionReason.CLIENT_LEFT: "as the client had left",
 }
 DETAILS = {
-    1: "a hit", 2: "filled", 3: "filled by way of the origin", 4: "joined to a fill under way",
+    1: "a hit",
+    2: "filled",
+    3: "filled by way of the origin",
+    4: "joined to a fill under way",
     5: "an ageing copy",
-    6: "its source refused", 7: "its source was lost", 8: "its source lacked it", 9: "no place for a fill",
+    6: "its source refused",
+    7: "its source was lost",
+    8: "its source lacked it",
+    9: "no place for a fill",
     10: "the origin failed",
-}  # fmt: skip
+}
 VERDICTS = {
     RecordedVerdict.SERVED: "It was served",
     RecordedVerdict.REFUSED: "It was refused",
@@ -82,7 +88,10 @@
 def _attempt(table: Table, at: int) -> str:
     a = {name: int(column[at]) for name, column in table.attempts.items()}
     member, source = table.strings[a["member"]], table.strings[a["source"]]
-    why = CHOICES.get(DecisionReason(a["why"]) if a["why"] in DecisionReason._value2member_map_ else DecisionReason.UNKNOWN, "")
+    why = CHOICES.get(
+        DecisionReason(a["why"]) if a["why"] in DecisionReason._value2member_map_ else DecisionReason.UNKNOWN,
+        "",
+    )
     text = f"at {_ms(a['decided'])} {member} was chosen" + (f", {why}" if why else "")
     text += (
         f"; a miss was to be filled from {source} at rank {a['rank']}"
--- a/onyxwick/trace/export.py
+++ b/onyxwick/trace/export.py
@@ -10,7 +10,15 @@
 
 import numpy as np
 
-from onyxwick.trace.model import ATTEMPTS, LIVES, NEVER, OPEN_STATUS, STATUSES, RecordedVerdict, DecisionReason
+from onyxwick.trace.model import (
+    ATTEMPTS,
+    LIVES,
+    NEVER,
+    OPEN_STATUS,
+    STATUSES,
+    DecisionReason,
+    RecordedVerdict,
+)
 from onyxwick.trace.table import MEMBERS, NAMES, Table
 
 TIMES = ("decided", "sent", "ended", "cancel")
@@ -34,7 +42,9 @@
     if name in ("id", "object"):
         return f"{value:016x}"
     if name == "verdict":
-        return RecordedVerdict(value).name.lower() if value in RecordedVerdict._value2member_map_ else str(value)
+        return (
+            RecordedVerdict(value).name.lower() if value in RecordedVerdict._value2member_map_ else str(value)
+        )
     return _cause(value) if name == "why" else value
 
 
--- a/onyxwick/trace/merge.py
+++ b/onyxwick/trace/merge.py
@@ -11,7 +11,7 @@
 
 from onyxwick.trace import format as f
 from onyxwick.trace.clocks import ClockFit, OwnClock, fit
-from onyxwick.trace.model import RETRY, NotificationKind, TraceError, RecordedVerdict
+from onyxwick.trace.model import RETRY, NotificationKind, RecordedVerdict, TraceError
 from onyxwick.trace.reader import Trace, open_trace
 from onyxwick.trace.table import Column, Strings, Table, join, sealed
 
@@ -216,9 +216,15 @@
         for s in found
     }
     return f.FileHeader(
-        first.version, "+".join(s.director for s in found), first.run, first.unix_us, first.mono_us,
-        first.classes, first.rules, clocks,
-    )  # fmt: skip
+        first.version,
+        "+".join(s.director for s in found),
+        first.run,
+        first.unix_us,
+        first.mono_us,
+        first.classes,
+        first.rules,
+        clocks,
+    )
 
 
 def merge(paths: list[Path], out: Path) -> dict[str, Any]:
--- a/onyxwick/trace/recorder.py
+++ b/onyxwick/trace/recorder.py
@@ -21,9 +21,9 @@
     RETRY,
     STATUSES,
     WRITE,
+    DecisionReason,
     NotificationKind,
     RecordedVerdict,
-    DecisionReason,
 )
 
 BLOCK_LIVES = 4096  # in one block
@@ -127,11 +127,24 @@
         cells.add(story.cell)
         flags = RETRY * ask.is_retry | WRITE * ask.is_write | ONCE * story.once
         row = (
-            request, story.at, min(U32, ask.expires_in_us), self.text(ask.class_name),
-            self.text(ask.tenant or ""), self.text(story.cell), name, min(U16, ask.part),
-            -1 if ask.object_group is None else min(32767, ask.object_group), flags, story.verdict, story.why,
-            min(U32, story.took), min(U32, story.after), min(U32, story.bytes), 0, len(story.tries),
-        )  # fmt: skip
+            request,
+            story.at,
+            min(U32, ask.expires_in_us),
+            self.text(ask.class_name),
+            self.text(ask.tenant or ""),
+            self.text(story.cell),
+            name,
+            min(U16, ask.part),
+            -1 if ask.object_group is None else min(32767, ask.object_group),
+            flags,
+            story.verdict,
+            story.why,
+            min(U32, story.took),
+            min(U32, story.after),
+            min(U32, story.bytes),
+            0,
+            len(story.tries),
+        )
         for column, value in zip(self.lives.values(), row, strict=True):
             column.append(value)
         for one in story.tries:
@@ -141,11 +154,24 @@
     def _add_try(self, one: RecordedAttempt) -> None:
         belief = one.belief
         row = (
-            one.decided, one.sent, one.ended, one.cancel, self.text(one.member), self.text(one.source),
-            one.rank, one.flags, min(U32, one.age_ms), one.status, one.detail, belief.why,
-            min(U16, belief.pending), min(255, int(belief.room * 50)), min(255, int(belief.failing * 255)),
-            min(255, int(belief.warm * 255)), one.dated,
-        )  # fmt: skip
+            one.decided,
+            one.sent,
+            one.ended,
+            one.cancel,
+            self.text(one.member),
+            self.text(one.source),
+            one.rank,
+            one.flags,
+            min(U32, one.age_ms),
+            one.status,
+            one.detail,
+            belief.why,
+            min(U16, belief.pending),
+            min(255, int(belief.room * 50)),
+            min(255, int(belief.failing * 255)),
+            min(255, int(belief.warm * 255)),
+            one.dated,
+        )
         for column, value in zip(self.attempts.values(), row, strict=True):
             column.append(value)
 
@@ -172,7 +198,9 @@
 class Recorder:
     """Takes note of what a core does. `full` gets blocks that are to be written; False: it has no room."""
 
-    def __init__(self, now: int, full: Callable[[RecordedBlock], bool], once: frozenset[str] = frozenset()) -> None:
+    def __init__(
+        self, now: int, full: Callable[[RecordedBlock], bool], once: frozenset[str] = frozenset()
+    ) -> None:
         self.full, self.once = full, once
         self.stories: dict[str, RecordedRequest] = {}
         self.block = RecordedBlock(now)
@@ -201,7 +229,9 @@
         source = "" if action.fill_source == action.member else action.fill_source
         age = action.max_age_us // 1000
         story.tries.append(
-            RecordedAttempt(action.member, source, action.retention_rank, int(action.fill_options), age, after, belief)
+            RecordedAttempt(
+                action.member, source, action.retention_rank, int(action.fill_options), age, after, belief
+            )
         )
 
     def sent(self, request: str, attempt: int, at: int) -> None:
@@ -216,7 +246,9 @@
         story = self.stories.get(request)
         if story is not None and story.once:
             self.told(
-                now, NotificationKind.SENT, {"id": number(request), "member": member, "class": story.ask.class_name}
+                now,
+                NotificationKind.SENT,
+                {"id": number(request), "member": member, "class": story.ask.class_name},
             )
 
     def cancelled(self, now: int, request: str, attempt: int) -> None:
@@ -233,7 +265,9 @@
         one.detail, one.dated = event.detail.value, dated_us
         self._close(now, event.request_id, story)
 
-    def finished(self, now: int, request: str, verdict: RecordedVerdict, why: DecisionReason, after: int, size: int) -> None:
+    def finished(
+        self, now: int, request: str, verdict: RecordedVerdict, why: DecisionReason, after: int, size: int
+    ) -> None:
         """The final answer, or the client's leaving; only the first of them counts."""
         story = self.stories.get(request)
         if story is None or story.verdict:
--- a/onyxwick/trace/summary.py
+++ b/onyxwick/trace/summary.py
@@ -91,7 +91,9 @@
 
     def __init__(self, header: f.FileHeader) -> None:
         self.worths = PriorityWeights(header)
-        self.groups: dict[str, dict[str, SummaryGroup]] = {k: {} for k in ("class", "tenant", "cell", "member")}
+        self.groups: dict[str, dict[str, SummaryGroup]] = {
+            k: {} for k in ("class", "tenant", "cell", "member")
+        }
         self.seconds: dict[int, list[float]] = {}  # second: [asked, served]
         self.sources: dict[str, int] = {}
         self.origin_bytes: dict[str, int] = {}
@@ -121,17 +123,25 @@
             if name or kind == "class":
                 self._group(groups.setdefault(name, SummaryGroup()), table, numbers == number, worths)
 
-    def _group(self, group: SummaryGroup, table: Table, rows: Column, worths: tuple[Column, Column, Column]) -> None:
+    def _group(
+        self, group: SummaryGroup, table: Table, rows: Column, worths: tuple[Column, Column, Column]
+    ) -> None:
         lives = table.lives
-        group.counts += np.bincount(lives["verdict"][rows], minlength=len(RecordedVerdict))[: len(RecordedVerdict)]
+        group.counts += np.bincount(lives["verdict"][rows], minlength=len(RecordedVerdict))[
+            : len(RecordedVerdict)
+        ]
         asked, in_time, served = (float(w[rows].sum()) for w in worths)
         group.asked, group.in_time, group.served = (
-            group.asked + asked, group.in_time + in_time, group.served + served,
-        )  # fmt: skip
+            group.asked + asked,
+            group.in_time + in_time,
+            group.served + served,
+        )
         group.retries += int((lives["flags"][rows] & RETRY != 0).sum())
         group.attempts += int(lives["attempts"][rows].sum(dtype=np.int64))
         group.bytes += int(lives["bytes"][rows].sum(dtype=np.int64))
-        record(group.latency, lives["took"][rows & (lives["verdict"] == RecordedVerdict.SERVED)].astype(np.int64))
+        record(
+            group.latency, lives["took"][rows & (lives["verdict"] == RecordedVerdict.SERVED)].astype(np.int64)
+        )
 
     def _seconds(self, table: Table, worths: tuple[Column, Column, Column]) -> None:
         seconds = table.lives["at"] // SECOND
--- a/tests/cells.py
+++ b/tests/cells.py
@@ -4,8 +4,8 @@
 
 from dataclasses import replace
 
-from onyxwick.cells import Cell, CellRouter, CellPlan, TenantSpec
-from onyxwick.cells.model import MigrationSpec, CellPolicy
+from onyxwick.cells import Cell, CellPlan, CellRouter, TenantSpec
+from onyxwick.cells.model import CellPolicy, MigrationSpec
 from onyxwick.interface import (
     Action,
     AnswerDetail,
@@ -45,7 +45,9 @@
 class CellWorld:
     """Cells with eight boxes; every action since the last call is returned."""
 
-    def __init__(self, plan: CellPlan | None = None, boxes: tuple[Member, ...] = BOXES, most: int = 400) -> None:
+    def __init__(
+        self, plan: CellPlan | None = None, boxes: tuple[Member, ...] = BOXES, most: int = 400
+    ) -> None:
         self.now = 100 * S
         self.asked = 0
         self.open: dict[tuple[str, int], str] = {}  # attempts under way: where
--- a/tests/feed_world.py
+++ b/tests/feed_world.py
@@ -32,7 +32,7 @@
     PurgeKey,
 )
 from onyxwick.distribution.publisher import Publisher, PublisherLimits
-from onyxwick.distribution.replica import Replica, FeedSnapshot
+from onyxwick.distribution.replica import FeedSnapshot, Replica
 
 S = 1_000_000
 START = 1_800_000_000 * S
--- a/tests/ground.py
+++ b/tests/ground.py
@@ -12,9 +12,9 @@
 
 import uvloop
 
-from onyxwick.core import FinalAnswer, RequestEngine, ClientRequest, RequestLifecycle
+from onyxwick.core import ClientRequest, FinalAnswer, RequestEngine, RequestLifecycle
 from onyxwick.core.clock import steady_us
-from onyxwick.core.members import EndpointTable
+from onyxwick.core.endpoints import EndpointTable
 from onyxwick.counters import Counters
 from onyxwick.interface import (
     Action,
@@ -32,8 +32,8 @@
     TimerFired,
 )
 from onyxwick.net import fastcgi
-from onyxwick.net.caches import CacheConnectionPool
-from onyxwick.net.coordinator import CoordinatorFeed
+from onyxwick.net.cache_pool import CacheConnectionPool
+from onyxwick.net.coordinator_feed import CoordinatorFeed
 from onyxwick.net.front import FastCgiFront
 from onyxwick.net.listening import listen
 from tests.world import SETTINGS, member
@@ -83,7 +83,9 @@
     def __init__(self, settings: RouterSettings = SETTINGS, connect_us: int = 5_000_000) -> None:
         self.script, self.members, self.counters = Script(), EndpointTable(), Counters()
         self.caches = CacheConnectionPool(self.members, self.counters, connect_us)
-        self.core = RequestEngine(settings, 7, self.caches, self.members, self.counters, decide=lambda *_: self.script)
+        self.core = RequestEngine(
+            settings, 7, self.caches, self.members, self.counters, decide=lambda *_: self.script
+        )
         self.front = FastCgiFront(self.core, self.counters, lambda: True, 64, 10_000_000)
         self.answers: list[FinalAnswer] = []
         self.opened = list[socket.socket]()
--- a/tests/test_callers_on_time.py
+++ b/tests/test_callers_on_time.py
@@ -13,12 +13,12 @@
 import pytest
 
 from onyxwick.admin.http import HttpRequest, HttpServer
-from onyxwick.config import relay
+from onyxwick.config import director as relay
 from onyxwick.core.phase import DirectorPhase
 from onyxwick.counters import Counters
 from onyxwick.dns import server as dns_server
-from onyxwick.door.orders import OperatorCommands
 from onyxwick.lifecycle import Director
+from onyxwick.operations.operator_commands import OperatorCommands
 from tests.exchange import FOLDER
 
 PATIENCE_S, EVERY_S = 0.5, 0.05
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -10,7 +10,7 @@
 import pytest
 
 from onyxwick.config.errors import ConfigError
-from onyxwick.core.members import PURGES_KEPT_US, EndpointTable
+from onyxwick.core.endpoints import PURGES_KEPT_US, EndpointTable
 from onyxwick.distribution.fanout import FanOut, FanOutLimits, Subscriber
 from onyxwick.lab.scale import bounds
 from onyxwick.lab.scale.fits import fit
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -8,14 +8,20 @@
 
 import pytest
 
-from onyxwick.cells import Cell, PlanVersionConflictError, CellPlanControl, CellPlan, PlanError, TenantSpec
-from onyxwick.cells.fleet import CellRouter
-from onyxwick.cells.holding import ConnectionReservation
-from onyxwick.cells.model import MigrationSpec, CellPolicy
-from onyxwick.cells.moves import LEGAL, IllegalMigrationStepError, Migration, MigrationPhase, CellHealthSignals
-from onyxwick.cells.shown import explain, show
-from onyxwick.core import RequestEngine, AttemptSpec, AttemptOutcome
-from onyxwick.core.members import EndpointTable
+from onyxwick.cells import Cell, CellPlan, CellPlanControl, PlanError, PlanVersionConflictError, TenantSpec
+from onyxwick.cells.migration import (
+    LEGAL,
+    CellHealthSignals,
+    IllegalMigrationStepError,
+    Migration,
+    MigrationPhase,
+)
+from onyxwick.cells.model import CellPolicy, MigrationSpec
+from onyxwick.cells.reservation import ConnectionReservation
+from onyxwick.cells.router import CellRouter
+from onyxwick.cells.status import explain, show
+from onyxwick.core import AttemptOutcome, AttemptSpec, RequestEngine
+from onyxwick.core.endpoints import EndpointTable
 from onyxwick.counters import Counters
 from onyxwick.interface import (
     AnswerDetail,
@@ -26,10 +32,11 @@
     MemberState,
     ObjectsPurged,
     TimerFired,
+    WeightSource,
 )
 from onyxwick.net import fastcgi
-from onyxwick.net.client import FrontConnection
 from onyxwick.net.front import FastCgiFront
+from onyxwick.net.front_connection import FrontConnection
 from tests.cells import BOXES, SET, CellWorld, plan_of, refusals
 from tests.world import ORIGIN, PARENTS, S, sent
 
@@ -84,7 +91,9 @@
 
 
 def test_a_rate_is_kept_and_tells_when_to_return() -> None:
-    w = CellWorld(plan_of(tenants=(TenantSpec("t1", cells=("a",), rate_per_s=10), TenantSpec("t2", cells=("b",)))))
+    w = CellWorld(
+        plan_of(tenants=(TenantSpec("t1", cells=("a",), rate_per_s=10), TenantSpec("t2", cells=("b",))))
+    )
     answers = []
     for _ in range(30):
         w.ask("t1")
@@ -196,7 +205,10 @@
     for _ in range(150):
         _settle(w, 0.1)
         move = w.cells.moves["m"]
-        assert move.share <= w.cells.roster.warmth(("b",), w.now) + 1e-9 or move.phase is not MigrationPhase.WARMING
+        assert (
+            move.share <= w.cells.roster.warmth(("b",), w.now) + 1e-9
+            or move.phase is not MigrationPhase.WARMING
+        )
         if move.phase is not MigrationPhase.WARMING:
             assert w.now - since >= SET.rules.warm_up_us
     assert move.share < 1 and move.phase is MigrationPhase.WARMING, "a box is warm only after 16 s"
@@ -331,7 +343,9 @@
 
 
 def test_lists_without_weights_give_each_cell_a_part_of_the_guess() -> None:
-    told = replace(SET, weight_source="off", zone_link_kb_per_s=56_000.0, transfer_kb_per_s=6_900.0)
+    told = replace(
+        SET, weight_source=WeightSource.NONE, zone_link_kb_per_s=56_000.0, transfer_kb_per_s=6_900.0
+    )
     cells = CellRouter(told, 7, 0, plan_of(), 400)
     rows = tuple(replace(b, weight=0.0) for b in (*BOXES, *PARENTS, ORIGIN))
     cells.handle(0, [EndpointsChanged(EndpointListKind.SNAPSHOT, rows)])
@@ -381,7 +395,9 @@
     async def play() -> None:
         plan = plan_of()
         members, counters = EndpointTable(), Counters()
-        core = RequestEngine(SET, 7, Instant(), members, counters, decide=lambda s, n, at: CellRouter(s, n, at, plan, 400))
+        core = RequestEngine(
+            SET, 7, Instant(), members, counters, decide=lambda s, n, at: CellRouter(s, n, at, plan, 400)
+        )
         rows = (*BOXES, *PARENTS, ORIGIN)
         core.list_changed(
             EndpointsChanged(EndpointListKind.SNAPSHOT, rows), {m.address: ("127.0.0.1", 9) for m in rows}
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -11,7 +11,7 @@
 
 from onyxwick.core.clock import FeedStamps
 from onyxwick.interface import AttemptStatus, EndpointsChanged, ObjectsPurged, SetTimer, TimerFired
-from onyxwick.net.coordinator import CoordinatorFeed, newest_stamp_us
+from onyxwick.net.coordinator_feed import CoordinatorFeed, newest_stamp_us
 from tests.ground import Ground, ask, played
 
 HOUR_US = 3_600_000_000
@@ -150,7 +150,10 @@
     """What the configuration told seemed an hour old: its purges had been dropped, its starts were warm."""
 
     async def play(ground: Ground) -> None:
-        feed, now = CoordinatorFeed(ground.core, ground.counters), wall.true_us() - HOUR_US  # of the feed's clock
+        feed, now = (
+            CoordinatorFeed(ground.core, ground.counters),
+            wall.true_us() - HOUR_US,
+        )  # of the feed's clock
         row = {"id": "c0", "addr": "127.0.0.1:1", "zone": "edge-1", "kind": "box", "state": "SERVING"}
         servers = [{**row, "weight": 6, "started_ms": (now - 2 * S_US) // 1000}]
         purge = {"shard": 17, "unix_ms": (now - 3 * S_US) // 1000}
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -10,11 +10,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from onyxwick.cells import Cell, KeyRange, MigrationSpec, CellPlan, CellPolicy, TenantSpec
-from onyxwick.config import ConfigError, hcl, relay, service
+from onyxwick.cells import Cell, CellPlan, CellPolicy, KeyRange, MigrationSpec, TenantSpec
+from onyxwick.config import ConfigError, hcl, service
+from onyxwick.config import director as relay
 from onyxwick.config.cells import json_of_plan, plan_of_json, read_plan
 from onyxwick.config.fields import Fields
-from onyxwick.net.caches import LINKS_OVER
+from onyxwick.net.cache_pool import LINKS_OVER
 from tests.exchange import FOLDER
 
 GOOD = """
@@ -171,7 +172,9 @@
         for name in data.draw(st.sets(NAMES))
     }
     moves = {
-        name: MigrationSpec(f"m{name}", name, data.draw(some), 0, 9, data.draw(st.integers(0, 99)) * 1_000_000)
+        name: MigrationSpec(
+            f"m{name}", name, data.draw(some), 0, 9, data.draw(st.integers(0, 99)) * 1_000_000
+        )
         for name in tenants
     }
     policy = CellPolicy(
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -14,7 +14,7 @@
 from onyxwick.core.clock import wall_us
 from onyxwick.counters import Counters
 from onyxwick.distribution import codec
-from onyxwick.distribution.admission import SubscriberAdmission, AdmissionLimits
+from onyxwick.distribution.admission import AdmissionLimits, SubscriberAdmission
 from onyxwick.distribution.documents import Assembler, DocumentError, split
 from onyxwick.distribution.durable import DurableFeed
 from onyxwick.distribution.fanout import FanOut, FanOutLimits, SubscriberState
@@ -46,7 +46,7 @@
     UnknownPayload,
 )
 from onyxwick.distribution.publisher import Publisher, PublisherLimits, new_history
-from onyxwick.distribution.replica import Replica, FeedSnapshot
+from onyxwick.distribution.replica import FeedSnapshot, Replica
 from onyxwick.distribution.tree import TreeError, TreeLimits, plan
 from onyxwick.lab.scale.small import node_config
 from onyxwick.net.distribution_node import PublisherNode
@@ -220,11 +220,13 @@
 @pytest.mark.parametrize(
     "line",
     [
-        b'{"index":%d,"mystery":1}', b'{"index":%d,"evict":7}', b'{"index":%d,"evict":{"ref":"a"}}',
+        b'{"index":%d,"mystery":1}',
+        b'{"index":%d,"evict":7}',
+        b'{"index":%d,"evict":{"ref":"a"}}',
         b'{"index":%d,"endpoints":{"servers":[{"id":"a","state":"ODD"}]}}',
         b'{"index":%d,"document":{"name":"a","version":1,"part":2,"parts":2,"digest":"","text":""}}',
     ],
-)  # fmt: skip
+)
 def test_an_event_that_cannot_be_read_is_passed_on_and_counted(line: bytes) -> None:
     follower = following()
     (passed_on,) = follower.line(START, line % Cursor(HISTORY, 6).packed)
@@ -284,9 +286,10 @@
 
     assert asyncio.run(main()) == ([1, 2, 3], 1)
     assert codec.decode(codec.stub_of(b'{"index":7,"document":{"te')) == FeedEvent(
-        Cursor(0, 7), UnknownPayload("no known payload among ['index', 'oversized']"),
+        Cursor(0, 7),
+        UnknownPayload("no known payload among ['index', 'oversized']"),
         b'{"index":7,"oversized":true}\n',
-    )  # fmt: skip
+    )
     with pytest.raises(MalformedLineError):
         codec.decode(codec.stub_of(b"x" * 64))
 
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -22,9 +22,9 @@
 from onyxwick.counters import Counters
 from onyxwick.distribution.follower import Follower
 from onyxwick.distribution.model import FeedEvent, Freshness, PurgeEvent
-from onyxwick.distribution.replica import PurgeTable, FeedSnapshot
-from onyxwick.lab.faults.relay import LinkRelay as LinkRelay
+from onyxwick.distribution.replica import FeedSnapshot, PurgeTable
 from onyxwick.lab.faults.relay import LinkDirection
+from onyxwick.lab.faults.relay import LinkRelay as LinkRelay
 from onyxwick.lab.machines import CoordinatorEmulator
 from onyxwick.lab.programs import Program
 from onyxwick.lab.scale.processes import reachable
@@ -118,10 +118,10 @@
         listed = ", ".join(f'"{written(parent)}"' for parent in parents)
         service = self.folder / f"d{number}.hcl"
         service.write_text(
-            f'distribution {{\n  parents = [{listed}]\n}}\n'
+            f"distribution {{\n  parents = [{listed}]\n}}\n"
             f'admin {{\n  listen = "{written(admin)}"\n  token_file = "token"\n}}\n'
             'tenant "acme" {\n  quota_per_s = 10\n}\n'
-        )  # fmt: skip
+        )
         names = {"RELAY_CONFIG": str(self.folder / f"d{number}.json"), "ONYXWICK_SERVICE": str(service)}
         program = Program(f"d{number}", self.folder, listen, names)
         self.directors.append(program)
@@ -176,12 +176,13 @@
         (self.folder / "quotas.json").write_text('{"quotas": {"acme": 20}}')
         (self.folder / "bulk").write_text("x")
         self.start(
-            "root", ROOT,
+            "root",
+            ROOT,
             f'  role = "publisher"\n  coordinator = "{written(FEED)}"\n  store = "store"\n'
             "  bulk_bytes_per_s = 4000000\n"
             '  document "quotas" {\n    file = "quotas.json"\n  }\n'
             '  document "bulk" {\n    file = "bulk"\n  }',
-        )  # fmt: skip
+        )
         await LinkRelay(self.way, UPLINK, ROOT, random.Random(1)).start()
         for number, (listen, parents) in enumerate(
             zip(RELAYS, ((UPLINK,), (ROOT, RELAYS[0]), (ROOT, RELAYS[1])), strict=True)
--- a/tests/test_dns_routing.py
+++ b/tests/test_dns_routing.py
@@ -14,10 +14,10 @@
 import dns.update
 
 from onyxwick import Router
-from onyxwick.cells import Cell, CellRouter, CellPlan, TenantSpec
+from onyxwick.cells import Cell, CellPlan, CellRouter, TenantSpec
 from onyxwick.config.service import load
 from onyxwick.core import RequestEngine
-from onyxwick.core.members import EndpointTable
+from onyxwick.core.endpoints import EndpointTable
 from onyxwick.counters import Counters
 from onyxwick.dns.naming import Naming
 from onyxwick.dns.server import DnsFront
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -7,11 +7,11 @@
 
 import pytest
 
-from onyxwick.door import orders as o
-from onyxwick.door.calls import OperatorCall, OperatorCallKind, OperatorCallRejectedError, route
-from onyxwick.door.figures import figures
-from onyxwick.door.persisted_commands import PersistedCommands
 from onyxwick.interface import MemberState
+from onyxwick.operations import operator_commands as o
+from onyxwick.operations.metrics import figures
+from onyxwick.operations.persisted_commands import PersistedCommands
+from onyxwick.operations.routes import OperatorCall, OperatorCallKind, OperatorCallRejectedError, route
 from tests.world import member
 
 S = 1_000_000
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -25,7 +25,7 @@
 
 def drill(*lines: str, seed: str = "0") -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        [sys.executable, "-m", "onyxwick.drill"],
+        [sys.executable, "-m", "onyxwick.simulator_adapter"],
         input="\n".join(lines) + "\n",
         cwd=ROOT,
         capture_output=True,
@@ -37,12 +37,31 @@
 
 def test_a_short_life() -> None:
     talk = (
-        "BATCH 100", "FLUSH", "BATCH 1000", BORN, LIST, "FLUSH",
-        "BATCH 2000", "ACCEPT 3 r1 chunk - obj 6000000 - 4 0 -", "FUTURE 3 something", "FLUSH",
-        "BATCH 3000", "ANSWER 3 r1 - 0 - c0:1 301 900 0 -", "LEFT 3 none", "REMINDER 3 x", "FLUSH",
-        "BATCH 4000", "RECALLED 3 4 - 100", "ACCEPT 3 r2 save - obj 3000000 - 4 0 4", "FLUSH",
-        "BATCH 5000", "KILL 3", BORN, LIST, "FLUSH",
-    )  # fmt: skip
+        "BATCH 100",
+        "FLUSH",
+        "BATCH 1000",
+        BORN,
+        LIST,
+        "FLUSH",
+        "BATCH 2000",
+        "ACCEPT 3 r1 chunk - obj 6000000 - 4 0 -",
+        "FUTURE 3 something",
+        "FLUSH",
+        "BATCH 3000",
+        "ANSWER 3 r1 - 0 - c0:1 301 900 0 -",
+        "LEFT 3 none",
+        "REMINDER 3 x",
+        "FLUSH",
+        "BATCH 4000",
+        "RECALLED 3 4 - 100",
+        "ACCEPT 3 r2 save - obj 3000000 - 4 0 4",
+        "FLUSH",
+        "BATCH 5000",
+        "KILL 3",
+        BORN,
+        LIST,
+        "FLUSH",
+    )
     runs = [drill(*talk, seed=seed) for seed in ("0", "1")]
     assert runs[0].returncode == 0 and runs[0].stdout == runs[1].stdout
     replies = runs[0].stdout.split("READY\n")
--- a/tests/test_ending_schedule.py
+++ b/tests/test_ending_schedule.py
@@ -6,12 +6,12 @@
 
 import pytest
 
-from onyxwick.core.ending import (
+from onyxwick.core.shutdown import (
     HELD_AFTER_S,
     RECENT_S,
     ConnectionState,
-    ShutdownStage,
     ConnectionStep,
+    ShutdownStage,
     drain_schedule,
     kill_after_s,
     next_step,
@@ -67,4 +67,6 @@
     ],
 )
 def test_what_each_stage_does_with_a_connection(state: ConnectionState, steps: str) -> None:
-    assert [next_step(stage, state) for stage in ShutdownStage] == [ConnectionStep(name) for name in steps.split()]
+    assert [next_step(stage, state) for stage in ShutdownStage] == [
+        ConnectionStep(name) for name in steps.split()
+    ]
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -15,12 +15,12 @@
 
 import pytest
 
-from onyxwick.config import relay
-from onyxwick.core import FinalAnswer, AnswerStatus
+from onyxwick.config import director as relay
+from onyxwick.core import AnswerStatus, FinalAnswer
 from onyxwick.core.clock import steady_us
-from onyxwick.core.ending import drain_schedule, termination_schedule
-from onyxwick.core.model import AttemptSpec, AttemptOutcome
+from onyxwick.core.model import AttemptOutcome, AttemptSpec
 from onyxwick.core.reasons import ConnectionCloseReason
+from onyxwick.core.shutdown import drain_schedule, termination_schedule
 from onyxwick.interface import (
     Action,
     AttemptStatus,
@@ -33,10 +33,13 @@
     MemberState,
     RejectRequest,
 )
-from onyxwick.net import cache_link, coordinator, fastcgi, front, resp, room
-from onyxwick.net import client as client_module
-from onyxwick.net.client import LINGER_S
-from onyxwick.net.coordinator import CoordinatorFeed
+from onyxwick.net import cache_connection as cache_link
+from onyxwick.net import connection_slots as room
+from onyxwick.net import coordinator_feed as coordinator
+from onyxwick.net import fastcgi, front, resp
+from onyxwick.net import front_connection as client_module
+from onyxwick.net.coordinator_feed import CoordinatorFeed
+from onyxwick.net.front_connection import LINGER_S
 from onyxwick.net.write_queue import ByteBudget, PendingWrite, WriteQueue
 from tests.ground import FOUND, PATIENCE_S, Ground, ask, call, played
 from tests.world import SETTINGS
@@ -330,7 +333,9 @@
         lifecycle = ground.start(held_tag="4be0c1927d55a6f3")
         conn = await ground.accepted(sock)
         await ground.read(conn, lifecycle.request.request_id.encode())
-        conn.send(_answer(lifecycle.request.request_id, b"unchanged", b"digest=0000000000000000,note=HIT", b""))
+        conn.send(
+            _answer(lifecycle.request.request_id, b"unchanged", b"digest=0000000000000000,note=HIT", b"")
+        )
         await ground.until(lambda: ground.answers)
         assert ground.answers[0].status is AnswerStatus.FAILED and ground.counters.counts["bad.tag"] == 1
         lifecycle = ground.start(held_tag="4be0c1927d55a6f3")  # and that connection goes on
@@ -727,7 +732,7 @@
         conn = await ground.accepted(sock)
         await ground.read(conn, lifecycle.request.request_id.encode())
         (link,) = ground.caches.links["c0"]
-        from onyxwick.core.lifecycles import ClientDeparted
+        from onyxwick.core.request_lifecycle import ClientDeparted
 
         lifecycle.mailbox.put(ClientDeparted(overdue=True))
         link._answered([lifecycle.request.request_id.encode(), b"data", FOUND, b"walk"])
--- a/tests/test_endings_program.py
+++ b/tests/test_endings_program.py
@@ -189,9 +189,15 @@
     with socket.create_server(LISTEN) as held:
         environment = {**os.environ, "RELAY_CONFIG": str(path), "RELAY_LISTEN_FD": str(held.fileno())}
         done = subprocess.run(
-            [sys.executable, "-m", "onyxwick"], cwd=ROOT, env=environment, capture_output=True, text=True,
-            check=False, timeout=PATIENCE_S, pass_fds=(held.fileno(),),
-        )  # fmt: skip
+            [sys.executable, "-m", "onyxwick"],
+            cwd=ROOT,
+            env=environment,
+            capture_output=True,
+            text=True,
+            check=False,
+            timeout=PATIENCE_S,
+            pass_fds=(held.fileno(),),
+        )
     assert done.returncode == 2 and "limits.sockets" in done.stderr and "likely intent" in done.stderr
     assert str(path) in done.stderr and "Traceback" not in done.stderr, done.stderr
 
@@ -232,11 +238,15 @@
                 environment["TMPDIR"] = str(tmp_path)
                 programs.append(
                     subprocess.Popen(
-                        [sys.executable, "-m", "onyxwick"], cwd=ROOT, env=environment, text=True,
-                        stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL,
+                        [sys.executable, "-m", "onyxwick"],
+                        cwd=ROOT,
+                        env=environment,
+                        text=True,
+                        stdout=subprocess.DEVNULL,
+                        stderr=subprocess.DEVNULL,
                         preexec_fn=lambda: os.sched_setaffinity(0, {core}),
                     )
-                )  # fmt: skip
+                )
             took = [_ping((f"127.77.0.{10 + number}", 15050), 10.0) for number in range(7)]
             assert max(took) < 10.0, took
             for number in range(7):  # the door says the same
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -42,9 +42,14 @@
     path = tmp_path / "config.json"
     path.write_text(json.dumps({**json.loads((FOLDER / "config.json").read_text()), **change}))
     done = subprocess.run(
-        [sys.executable, "-m", "onyxwick"], cwd=ROOT, env={**os.environ, "RELAY_CONFIG": str(path)},
-        capture_output=True, text=True, check=False, timeout=PATIENCE_S,
-    )  # fmt: skip
+        [sys.executable, "-m", "onyxwick"],
+        cwd=ROOT,
+        env={**os.environ, "RELAY_CONFIG": str(path)},
+        capture_output=True,
+        text=True,
+        check=False,
+        timeout=PATIENCE_S,
+    )
     assert done.returncode == 2 and field in done.stderr and done.stderr.count("\n") == 1, done.stderr
 
 
@@ -56,9 +61,14 @@
     with socket.socket() as unbound, config.open() as file:
         fd = {"seven": "seven", "unbound": str(unbound.fileno()), "file": str(file.fileno())}[handed]
         done = subprocess.run(
-            [sys.executable, "-m", "onyxwick"], cwd=ROOT, capture_output=True, text=True, check=False,
+            [sys.executable, "-m", "onyxwick"],
+            cwd=ROOT,
+            capture_output=True,
+            text=True,
+            check=False,
             env={**os.environ, "RELAY_CONFIG": str(config), "RELAY_LISTEN_FD": fd},
-            pass_fds=() if handed == "seven" else (int(fd),), timeout=PATIENCE_S,
-        )  # fmt: skip
+            pass_fds=() if handed == "seven" else (int(fd),),
+            timeout=PATIENCE_S,
+        )
     told = done.stderr
     assert done.returncode == 2 and "RELAY_LISTEN_FD" in told and "likely intent" in told, told
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -8,6 +8,7 @@
 
 from onyxwick.interface import (
     AnswerDetail,
+    AnswerDetailLevel,
     AttemptStatus,
     CancelAttempt,
     ClientDisconnected,
@@ -16,6 +17,7 @@
     MemberState,
     SiblingFills,
     SubscribeToEndpoints,
+    WeightSource,
 )
 from tests.world import ALL, CACHES, ORIGIN, PARENTS, SETTINGS, S, World, fetched, finals, member, sent
 
@@ -37,7 +39,7 @@
 
 def test_untold_refusals_are_laid_to_the_source() -> None:
     """A parent that refuses is ejected; the caches, whose hits go on, keep their room (i86365e)."""
-    w = World(replace(SETTINGS, answer_detail="hit"))
+    w = World(replace(SETTINGS, answer_detail=AnswerDetailLevel.HIT_ONLY))
     for n in range(60):
         get = fetched(w.ask(name=f"o{n}"))
         refused = n % 2 == 0 and get.fill_source == "p0"
@@ -71,7 +73,7 @@
 
 def test_refused_fills_cut_deeper_than_late_ones() -> None:
     """A jammed origin is relieved by what fails, not only by what is late (west-schools big-2)."""
-    w = World(replace(SETTINGS, answer_detail="hit"))
+    w = World(replace(SETTINGS, answer_detail=AnswerDetailLevel.HIT_ONLY))
     w.router.peers["origin"].heard = 100.0  # often heard: single steps
     get = fetched(w.ask())
     w.end(AttemptStatus.OVERLOADED, member=get.member)
@@ -284,7 +286,9 @@
 @pytest.mark.parametrize("routers", [12, 40])
 def test_where_no_size_is_told_the_clients_of_a_location_tell_it(routers: int) -> None:
     """Neither weights nor links told: all answers in time, and half of the calls refused (red-sucursales)."""
-    unsized = replace(SETTINGS, weight_source="off", router_count=routers, zone_router_count=routers)
+    unsized = replace(
+        SETTINGS, weight_source=WeightSource.NONE, router_count=routers, zone_router_count=routers
+    )
     w = World(unsized, members=tuple(replace(m, weight=1.0) for m in ALL))
     out, refused, per_s = list[tuple[int, str, str]](), 0, 8
     for n in range(40 * per_s):
@@ -299,7 +303,9 @@
 
 
 def test_a_told_size_is_not_guessed_from_what_clients_ask() -> None:
-    told = replace(SETTINGS, weight_source="off", zone_link_kb_per_s=56_000.0, transfer_kb_per_s=6_900.0)
+    told = replace(
+        SETTINGS, weight_source=WeightSource.NONE, zone_link_kb_per_s=56_000.0, transfer_kb_per_s=6_900.0
+    )
     for settings in (told, SETTINGS):
         w = World(settings)
         before = w.router._size(w.router.caches[0])
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -17,7 +17,7 @@
 from onyxwick.config import ConfigError
 from onyxwick.lab.faults import checkers as c
 from onyxwick.lab.faults.history import History, Row, read, write
-from onyxwick.lab.faults.relay import LinkRelay, LinkDirection
+from onyxwick.lab.faults.relay import LinkDirection, LinkRelay
 from onyxwick.lab.faults.script import drawn
 from onyxwick.lab.faults.script import read as read_fleet
 from onyxwick.lab.faults.sweep import paired
@@ -145,9 +145,18 @@
 
 def _call(n: int, at: int, **changes: object) -> Row:
     data = {
-        "tenant": "t", "group": 7, "write": False, "answers": 1, "left": False, "verdict": "served",
-        "tag": f"x{n}", "class": "sheet", "site": "north", "ended_us": at + 1000, "again": False,
-    }  # fmt: skip
+        "tenant": "t",
+        "group": 7,
+        "write": False,
+        "answers": 1,
+        "left": False,
+        "verdict": "served",
+        "tag": f"x{n}",
+        "class": "sheet",
+        "site": "north",
+        "ended_us": at + 1000,
+        "again": False,
+    }
     return Row("call", at, "n0", f"r{n}", {**data, **changes})
 
 
@@ -306,8 +315,12 @@
     words = ["lab", "faults", "run", str(path), "--slot", "49", "--keep", str(tmp_path / "kept"), "--json"]
     done = subprocess.run(
         [sys.executable, "-m", "onyxwick", *words],
-        cwd=ROOT, capture_output=True, text=True, check=False, timeout=100,
-    )  # fmt: skip
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        check=False,
+        timeout=100,
+    )
     assert done.returncode == 0, done.stdout + done.stderr
     told = json.loads(done.stdout)
     assert told["audited"] > 300 and not told["broken"] and not told["false_alarms"]
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -8,13 +8,13 @@
 import pytest
 
 from onyxwick.core import RequestEngine
-from onyxwick.core.members import EndpointTable
+from onyxwick.core.endpoints import EndpointTable
 from onyxwick.counters import Counters
 from onyxwick.interface import RejectRequest
 from onyxwick.net import fastcgi
-from onyxwick.net.caches import CacheConnectionPool
-from onyxwick.net.client import FrontConnection
+from onyxwick.net.cache_pool import CacheConnectionPool
 from onyxwick.net.front import FastCgiFront
+from onyxwick.net.front_connection import FrontConnection
 from tests.ground import Ground, ask, call, played
 from tests.world import SETTINGS
 
@@ -59,7 +59,7 @@
 
 
 def test_the_order_of_places_given_up() -> None:
-    from onyxwick.net.room import HALF_REST_S, REST_S, ConnectionSlot, order
+    from onyxwick.net.connection_slots import HALF_REST_S, REST_S, ConnectionSlot, order
 
     def seat(**told: object) -> ConnectionSlot:
         fields = {
@@ -84,13 +84,16 @@
 
 
 def test_connections_to_a_member_grow_with_the_share_that_a_director_coming_back_allows_itself() -> None:
-    from onyxwick.net.caches import LINKS_LEAST, CacheConnectionPool
+    from onyxwick.net.cache_pool import LINKS_LEAST, CacheConnectionPool
 
     members, counters, share = EndpointTable(), Counters(), [0.2]
     caches = CacheConnectionPool(members, counters, 0, most_links=256, share=lambda: share[0])
     assert caches._most_each() == LINKS_LEAST
     share[0] = 1.0
-    assert caches._most_each() == 8 and CacheConnectionPool(members, counters, 0, most_links=256)._most_each() == 8
+    assert (
+        caches._most_each() == 8
+        and CacheConnectionPool(members, counters, 0, most_links=256)._most_each() == 8
+    )
 
 
 def test_the_key_of_a_call_goes_on_to_the_cache_and_a_bad_one_is_refused() -> None:
@@ -112,7 +115,7 @@
 
 
 def test_the_feed_is_called_again_after_waits_drawn_below_a_bound_that_doubles() -> None:
-    from onyxwick.net.coordinator import FIRST_RETRY_US, MAX_RETRY_US, CoordinatorFeed
+    from onyxwick.net.coordinator_feed import FIRST_RETRY_US, MAX_RETRY_US, CoordinatorFeed
 
     async def play() -> list[list[int]]:
         members, counters = EndpointTable(), Counters()
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from onyxwick.core.invariants import AttemptStarted, Invariants, InvariantRule, Violation, budget
+from onyxwick.core.invariants import AttemptStarted, InvariantRule, Invariants, Violation, budget
 from onyxwick.interface import EndpointListKind, EndpointsChanged, Member, MemberState
 from tests.ground import FOUND, Ground, ask, call, played
 from tests.world import SETTINGS, member
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -63,8 +63,12 @@
     (tmp_path / "KNOWN-RED.txt").write_text(listed + "\n")
     done = subprocess.run(
         [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider"],
-        cwd=tmp_path, capture_output=True, text=True, check=False, timeout=60,
-    )  # fmt: skip
+        cwd=tmp_path,
+        capture_output=True,
+        text=True,
+        check=False,
+        timeout=60,
+    )
     assert (done.returncode == 0) is good, done.stdout + done.stderr
     if good and listed:
         assert "known red: tests/test_it.py::test_it" in done.stdout
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -12,7 +12,7 @@
 
 from onyxwick.config import ConfigError
 from onyxwick.lab import arrivals, scenario
-from onyxwick.lab.audit import Given, Records, RecordedSend, Taken, audit, strays
+from onyxwick.lab.audit import Given, RecordedSend, Records, Taken, audit, strays
 from onyxwick.lab.compare import summary
 from onyxwick.lab.copies import Copy, CopyStore, Truth
 from onyxwick.lab.link import EmulatedLink
@@ -170,8 +170,12 @@
     (tmp_path / "noisy-cells.hcl").write_text((EXAMPLES / "noisy-cells.hcl").read_text())
     done = subprocess.run(
         [sys.executable, "-m", "onyxwick", "lab", "play", str(tmp_path / "short.hcl"), "--slot", "90"],
-        cwd=ROOT, capture_output=True, text=True, check=False, timeout=60,
-    )  # fmt: skip
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        check=False,
+        timeout=60,
+    )
     assert done.returncode == 0, done.stdout + done.stderr
     told = json.loads(done.stdout)
     assert told["audited"] > 100 and not told["broken"] and not told["strays"]
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -75,9 +75,13 @@
     with open("/dev/full", "w") as full:
         for stderr in (full.fileno(), closed_write, write_end):
             done = subprocess.run(
-                [sys.executable, "-c", LOGGING], stdout=subprocess.PIPE, stderr=stderr, text=True, timeout=20,
+                [sys.executable, "-c", LOGGING],
+                stdout=subprocess.PIPE,
+                stderr=stderr,
+                text=True,
+                timeout=20,
                 check=False,
-            )  # fmt: skip
+            )
             assert (done.returncode, done.stdout) == (0, "went on\n"), stderr
     for end in (read_end, write_end, closed_write):
         os.close(end)
--- a/tests/test_operator_commands.py
+++ b/tests/test_operator_commands.py
@@ -14,9 +14,9 @@
 import pytest
 
 from onyxwick.core.clock import SteadyClock, steady_us
-from onyxwick.door import orders as o
-from onyxwick.door.persisted_commands import PersistedCommands
-from onyxwick.door.server import OperationsServer
+from onyxwick.operations import operator_commands as o
+from onyxwick.operations.persisted_commands import PersistedCommands
+from onyxwick.operations.server import OperationsServer
 from tests.exchange import DOOR, PATIENCE_S, Exchange
 
 
@@ -141,7 +141,9 @@
     director = SimpleNamespace(ordered=lambda orders, names: None, written=lambda ordered, written: None)
     bound, address = socket.socket(), ("127.0.0.1", 0)
     with bound:
-        return OperationsServer(bound, address, director, o.OperatorCommands(), known, PersistedCommands(folder, "n1"), steady_us)
+        return OperationsServer(
+            bound, address, director, o.OperatorCommands(), known, PersistedCommands(folder, "n1"), steady_us
+        )
 
 
 def test_two_processes_that_write_their_file_in_the_same_moment_both_keep_their_commands(
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -14,9 +14,9 @@
 from onyxwick.admin.api import Api
 from onyxwick.admin.durable import DurableApi
 from onyxwick.admin.http import HttpError, HttpRequest
-from onyxwick.core import RequestEngine, AttemptSpec, AttemptOutcome, ClientRequest
-from onyxwick.core.members import EndpointTable
-from onyxwick.core.model import FinalAnswer, AnswerStatus
+from onyxwick.core import AttemptOutcome, AttemptSpec, ClientRequest, RequestEngine
+from onyxwick.core.endpoints import EndpointTable
+from onyxwick.core.model import AnswerStatus, FinalAnswer
 from onyxwick.core.pacing import BackoffPolicy, ReconnectBackoff
 from onyxwick.counters import Counters
 from onyxwick.interface import (
@@ -29,8 +29,15 @@
 )
 from onyxwick.store import StoreFailedError, StoreFullError, StoreUnusableError
 from onyxwick.store.durable import DurableState, unpack
-from onyxwick.store.recovery import LEGAL, MemberDrain, IllegalRecoveryPhaseError, RecoveryPhase, RecordedPurge, Recovery
-from onyxwick.store.sealing import Sealer, new_key, read_keys
+from onyxwick.store.encryption import Sealer, new_key, read_keys
+from onyxwick.store.recovery import (
+    LEGAL,
+    IllegalRecoveryPhaseError,
+    MemberDrain,
+    RecordedPurge,
+    Recovery,
+    RecoveryPhase,
+)
 from onyxwick.tenants import Tenants
 from tests.faulty_files import FaultyFiles
 from tests.world import CACHES, ORIGIN, PARENTS, SETTINGS, S, member
@@ -43,7 +50,13 @@
 def _recovered(drains: list[MemberDrain], reached: int = 5, now: int = 100 * S) -> Recovery:
     recovery = Recovery(now, 6 * S)
     recovery.opened(now)
-    recovery.replayed(now, drains, [RecordedPurge(1, None, now - 2 * S), RecordedPurge(2, "o", now - 9 * S)], ["b1"], reached)
+    recovery.replayed(
+        now,
+        drains,
+        [RecordedPurge(1, None, now - 2 * S), RecordedPurge(2, "o", now - 9 * S)],
+        ["b1"],
+        reached,
+    )
     return recovery
 
 
--- a/tests/test_reload_and_lists.py
+++ b/tests/test_reload_and_lists.py
@@ -15,8 +15,8 @@
 import uvloop
 
 from onyxwick import lifecycle
-from onyxwick.config import relay
-from onyxwick.net.coordinator import CoordinatorFeed
+from onyxwick.config import director as relay
+from onyxwick.net.coordinator_feed import CoordinatorFeed
 from tests.exchange import FOLDER
 from tests.ground import PATIENCE_S, Ground, played
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -7,6 +7,7 @@
 from onyxwick import Router
 from onyxwick.interface import (
     AnswerDetail,
+    AnswerDetailLevel,
     AttemptEnded,
     AttemptStatus,
     EndpointListKind,
@@ -26,7 +27,11 @@
     out = []
     for n in range(routers):
         settings = replace(
-            SETTINGS, router_count=routers, zone_router_count=in_zone, router_index=n, answer_detail="all"
+            SETTINGS,
+            router_count=routers,
+            zone_router_count=in_zone,
+            router_index=n,
+            answer_detail=AnswerDetailLevel.FULL,
         )
         router = Router(settings, 1000 + n, now)
         router.handle(now, [EndpointsChanged(EndpointListKind.RESTORED, members)])
