--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -16,7 +16,7 @@
 from onyxwick.admin.http import HttpError, HttpRequest
 from onyxwick.admin.sites import SitesApi
 from onyxwick.core import RequestEngine
-from onyxwick.core.members import EndpointTable
+from onyxwick.core.endpoints import EndpointTable
 from onyxwick.counters import Counters
 from onyxwick.interface import (
     AnswerDetail,
@@ -34,22 +34,22 @@
 )
 from onyxwick.lab.faults import checkers as c
 from onyxwick.lab.faults.history import History
-from onyxwick.lab.faults.model import InjectedFault, FleetScenario, When
+from onyxwick.lab.faults.model import FleetScenario, InjectedFault, When
 from onyxwick.lab.faults.script import read
 from onyxwick.lab.faults.simulate import Simulation, planned, topology_of
 from onyxwick.sites import SitePlan, SiteRouter
-from onyxwick.sites.life import SitePhase, SiteDirective
+from onyxwick.sites.lifecycle import SiteDirective, SitePhase
+from onyxwick.sites.load_shedding import CLIMB, SheddingLevels, by_worth
+from onyxwick.sites.local_demand import AGAIN_US, LATELY_US, LocalDemand
 from onyxwick.sites.model import Topology
-from onyxwick.sites.orders import SiteCommand, of_row
-from onyxwick.sites.refusal import CLIMB, SheddingLevels, by_worth
-from onyxwick.sites.shown import explain, show
-from onyxwick.sites.wanted import AGAIN_US, LATELY_US, LocalDemand
+from onyxwick.sites.operator_commands import SiteCommand, of_row
+from onyxwick.sites.status import explain, show
 from onyxwick.tenants import Tenants
+from onyxwick.trace.decision_tracer import DecisionTracer
 from onyxwick.trace.model import NotificationKind
 from onyxwick.trace.reader import open_trace
 from onyxwick.trace.sink import SinkLimits
 from onyxwick.trace.table import Strings
-from onyxwick.trace.watch import DecisionTracer
 from tests.exchange import ROOT
 from tests.faulty_files import FaultyFiles
 from tests.test_recovery import Nothing, _durable
@@ -81,7 +81,10 @@
 
 
 def play(
-    *faults: InjectedFault, seed: int = 1, variant: str = "sites", change: Callable[[FleetScenario], FleetScenario] | None = None
+    *faults: InjectedFault,
+    seed: int = 1,
+    variant: str = "sites",
+    change: Callable[[FleetScenario], FleetScenario] | None = None,
 ) -> History:
     fleet, top, plan = _small()
     fleet = replace(fleet, faults=faults)
--- a/tests/test_sites_life.py
+++ b/tests/test_sites_life.py
@@ -10,10 +10,26 @@
 import pytest
 
 from onyxwick.interface import AttemptEnded, AttemptStatus
-from onyxwick.sites.evidence import OVERDUE_US, SPEAKS_US, Evidence, AttemptEvidence, kind_of
-from onyxwick.sites.life import AWAY, LEGAL, IllegalSiteTransitionError, SiteLifecycle, SitePhase, SiteHealthSignals, SiteDirective
+from onyxwick.sites.evidence import OVERDUE_US, SPEAKS_US, AttemptEvidence, Evidence, kind_of
+from onyxwick.sites.lifecycle import (
+    AWAY,
+    LEGAL,
+    IllegalSiteTransitionError,
+    SiteDirective,
+    SiteHealthSignals,
+    SiteLifecycle,
+    SitePhase,
+)
 from onyxwick.sites.model import SitePolicy
-from onyxwick.sites.orders import GATE_US, SiteCommand, SiteCommandError, SiteCommands, of_row, read_order, to_row
+from onyxwick.sites.operator_commands import (
+    GATE_US,
+    SiteCommand,
+    SiteCommandError,
+    SiteCommands,
+    of_row,
+    read_order,
+    to_row,
+)
 
 S = 1_000_000
 TICK = 500_000
@@ -53,12 +69,20 @@
     passed = [min(8, (now - t) // TICK) for t in (life.since, life.moved_us, max(0, life.hold_until))]
     ahead = max(0, min(8, (life.hold_until - now) // TICK))
     return (
-        life.phase, round(life.share, 3), life.flaps, min(2, life.setbacks), life.ordered, life.seen_dark,
-        *passed, ahead,
-    )  # fmt: skip
+        life.phase,
+        round(life.share, 3),
+        life.flaps,
+        min(2, life.setbacks),
+        life.ordered,
+        life.seen_dark,
+        *passed,
+        ahead,
+    )
 
 
-def _breach(before: SiteLifecycle, after: SiteLifecycle, signs: SiteHealthSignals, word: SiteDirective) -> str:
+def _breach(
+    before: SiteLifecycle, after: SiteLifecycle, signs: SiteHealthSignals, word: SiteDirective
+) -> str:
     """The invariant that a step broke, in words."""
     step = 1 / min(POLICY.steps, POLICY.back_steps)
     if not 0.0 <= after.share <= 1.0:
@@ -74,13 +98,20 @@
         return "steady with objects away"
     if after.phase is SitePhase.EVACUATED and after.share != 1.0:
         return "evacuated with objects at home"
-    if not signs.asked and signs.listed > 0 and before.phase is SitePhase.SUSPECT and after.phase is SitePhase.LOST:
+    if (
+        not signs.asked
+        and signs.listed > 0
+        and before.phase is SitePhase.SUSPECT
+        and after.phase is SitePhase.LOST
+    ):
         return "lost, though nobody asks for it here"
     return ""
 
 
 def explore(
-    step: Callable[[SiteLifecycle, int, SiteHealthSignals, SiteDirective], None], depth: int, words: tuple[SiteDirective, ...] = WORDS
+    step: Callable[[SiteLifecycle, int, SiteHealthSignals, SiteDirective], None],
+    depth: int,
+    words: tuple[SiteDirective, ...] = WORDS,
 ) -> tuple[int, list[str]]:
     """Every state that so many ticks of any signs and words lead to, breadth first: how many there are, and
     the shortest way to a breach (empty: none)."""
@@ -147,7 +178,9 @@
 
 
 @pytest.mark.parametrize("bug", PLANTED, ids=lambda bug: bug.__name__)
-def test_every_planted_bug_is_found_with_the_way_to_it(bug: Callable[[SiteLifecycle, int, SiteHealthSignals, SiteDirective], None]) -> None:
+def test_every_planted_bug_is_found_with_the_way_to_it(
+    bug: Callable[[SiteLifecycle, int, SiteHealthSignals, SiteDirective], None],
+) -> None:
     _, breach = explore(bug, 7)
     assert breach and len(breach) <= 8
 
@@ -180,7 +213,13 @@
 # ---- by name --------------------------------------------------------------------------------------------
 
 
-def _run(life: SiteLifecycle, start: int, ticks: int, signs: SiteHealthSignals, word: SiteDirective = SiteDirective.NONE) -> int:
+def _run(
+    life: SiteLifecycle,
+    start: int,
+    ticks: int,
+    signs: SiteHealthSignals,
+    word: SiteDirective = SiteDirective.NONE,
+) -> int:
     for n in range(ticks):
         life.step(start + (n + 1) * TICK, signs, word)
     return start + ticks * TICK
@@ -241,7 +280,11 @@
 
 
 def test_a_drill_stays_away_for_its_time_and_gives_way_to_a_real_loss() -> None:
-    orders, drilled, other = SiteCommands(), SiteLifecycle("north", 0, POLICY), SiteLifecycle("west", 0, POLICY)
+    orders, drilled, other = (
+        SiteCommands(),
+        SiteLifecycle("north", 0, POLICY),
+        SiteLifecycle("west", 0, POLICY),
+    )
     orders.take(SiteCommand("north", SiteDirective.EVACUATE, "drill", at_us=0, stay_us=3 * S))
     lives, now, ended = {"north": drilled, "west": other}, 0, []
     for n in range(40):
@@ -264,7 +307,9 @@
         orders.step(now, {"north": life}, 0.9)
     assert orders.word("north") is SiteDirective.RETURN and "gate" in orders.turned["north"]
     life.seen_dark, life.phase = True, SitePhase.EVACUATING
-    assert orders.step(9 * S, {"north": life}, 0.0) == ["north"] and orders.word("north") is SiteDirective.NONE
+    assert (
+        orders.step(9 * S, {"north": life}, 0.0) == ["north"] and orders.word("north") is SiteDirective.NONE
+    )
 
 
 def test_orders_are_read_whole_and_kept_as_rows() -> None:
--- a/tests/test_sites_plan.py
+++ b/tests/test_sites_plan.py
@@ -14,12 +14,12 @@
 from onyxwick.config import ConfigError, hcl
 from onyxwick.config.fields import Fields
 from onyxwick.config.sites import check_against, read_plan, read_sites
-from onyxwick.sites.model import ARCHIVE, Hub, PlannedClass, OfferedLoad, SitePolicy, Site, Topology, check
+from onyxwick.sites.linear_program import SiteLoss, solve
+from onyxwick.sites.loss_study import study
+from onyxwick.sites.model import ARCHIVE, Hub, OfferedLoad, PlannedClass, Site, SitePolicy, Topology, check
 from onyxwick.sites.model import NetworkLink as Way
-from onyxwick.sites.plan import SitePlan, PlanMismatchError, key_of, of_json, to_json
-from onyxwick.sites.planner import study
-from onyxwick.sites.programme import SiteLoss, solve
-from onyxwick.sites.slices import SLICES, home_of, homes, slice_of, turn_of
+from onyxwick.sites.plan import PlanMismatchError, SitePlan, key_of, of_json, to_json
+from onyxwick.sites.traffic_slices import SLICES, home_of, homes, slice_of, turn_of
 from tests.exchange import ROOT
 from tests.world import SETTINGS
 
--- a/tests/test_sites_processes.py
+++ b/tests/test_sites_processes.py
@@ -142,8 +142,12 @@
     words = ["lab", "faults", "run", str(path), "--slot", str(slot), "--keep", str(kept), "--json"]
     done = subprocess.run(
         [sys.executable, "-m", "onyxwick", *words],
-        cwd=ROOT, capture_output=True, text=True, check=False, timeout=120,
-    )  # fmt: skip
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        check=False,
+        timeout=120,
+    )
     assert done.returncode == 0, done.stdout + done.stderr
     assert json.loads(done.stdout)["audited"] > 100
     return read(kept / "history.jsonl")
--- a/tests/test_slow_and_failing_calls.py
+++ b/tests/test_slow_and_failing_calls.py
@@ -15,12 +15,13 @@
 import pytest
 
 from onyxwick.core.clock import steady_us
-from onyxwick.core.ending import drain_schedule, termination_schedule
+from onyxwick.core.shutdown import drain_schedule, termination_schedule
 from onyxwick.core.stall import StallWatch
 from onyxwick.interface import AttemptEnded, AttemptStatus, FailRequest, RejectRequest, SetTimer, TimerFired
-from onyxwick.net import coordinator, fastcgi, resp
+from onyxwick.net import coordinator_feed as coordinator
+from onyxwick.net import fastcgi, resp
 from onyxwick.net.buffer import Buffer
-from onyxwick.net.coordinator import CoordinatorFeed
+from onyxwick.net.coordinator_feed import CoordinatorFeed
 from onyxwick.net.front import FastCgiFront
 from onyxwick.net.listening import listen
 from tests.ground import FOUND, Ground, ask, call, played
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -17,13 +17,13 @@
 from onyxwick.lab.soak import plan as p
 from onyxwick.lab.soak.model import (
     Asked,
-    SoakCall,
     ClientConnection,
     DirectorDrained,
     Down,
+    Sent,
+    SoakCall,
     SoakPurge,
     SoakRecords,
-    Sent,
     Started,
     Termination,
     Unready,
@@ -113,9 +113,13 @@
         control.set(name, value)
     environment = {**os.environ, **control.environment(build(tmp_path), folder)}
     done = subprocess.run(
-        [sys.executable, "-c", CALLS, str(folder), str(time.time())], env=environment, capture_output=True,
-        text=True, timeout=30, check=True,
-    )  # fmt: skip
+        [sys.executable, "-c", CALLS, str(folder), str(time.time())],
+        env=environment,
+        capture_output=True,
+        text=True,
+        timeout=30,
+        check=True,
+    )
     assert [int(line) for line in done.stdout.split()] == expected, done.stderr
     assert sum(control.counts().values()) == sum(number not in (0, 3, errno.EAGAIN) for number in expected)
 
@@ -324,7 +328,9 @@
 
 
 @pytest.mark.parametrize(("kind", "late"), [(p.SoakFaultKind.STOP, False), (p.SoakFaultKind.FEED_LOST, True)])
-def test_a_lost_feed_puts_off_what_a_drain_binds_and_a_stop_does_not(kind: p.SoakFaultKind, late: bool) -> None:
+def test_a_lost_feed_puts_off_what_a_drain_binds_and_a_stop_does_not(
+    kind: p.SoakFaultKind, late: bool
+) -> None:
     records, played = _sound(), Played()
     played.drained.append(("box-0", NOW, NOW + 9 * S))
     played.spans.append(Span(kind, 0, NOW - S, NOW + 2 * S))
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -12,15 +12,15 @@
 
 from onyxwick.store import (
     StoreBusyError,
-    VersionConflictError,
     StoreEngine,
+    StoreError,
     StoreFailedError,
     StoreFullError,
     StoreLimits,
-    WriteOperation,
     StoreUnusableError,
-    StoreError,
     Transaction,
+    VersionConflictError,
+    WriteOperation,
 )
 from onyxwick.store import records as r
 from onyxwick.store.files import DiskFiles
@@ -43,7 +43,10 @@
     engine = StoreEngine(files, SMALL)
     states = [content(engine)]
     for n in range(count):
-        ops = [WriteOperation(f"key-{n % 7}", b"v%d" % n * 3), WriteOperation(f"other-{n % 3}", None if n % 5 == 4 else b"x%d" % n)]
+        ops = [
+            WriteOperation(f"key-{n % 7}", b"v%d" % n * 3),
+            WriteOperation(f"other-{n % 3}", None if n % 5 == 4 else b"x%d" % n),
+        ]
         engine.commit(Transaction(tuple(ops), "test", n))
         states.append(content(engine))
         if n == compact_at:
@@ -62,7 +65,9 @@
         engine.commit(Transaction((WriteOperation("a", b"2", 1), WriteOperation("b", b"1", 3))))
     assert content(engine) == {"a": b"1"} and engine.version("a") == 1
     batch, errors = engine.prepare([put("a", b"2", 1), put("a", b"3", 1), put("a", b"4", 2)])
-    assert [type(e) for e in errors] == [type(None), VersionConflictError, type(None)], "one batch, each by itself"
+    assert [type(e) for e in errors] == [type(None), VersionConflictError, type(None)], (
+        "one batch, each by itself"
+    )
     engine.write(batch)
     engine.finish(batch)
     assert engine.get("a") == b"4" and engine.version("a") == 3
@@ -346,9 +351,12 @@
 
 
 Machine.TestCase.settings = settings(
-    max_examples=60, stateful_step_count=25, deadline=None, derandomize=True,
+    max_examples=60,
+    stateful_step_count=25,
+    deadline=None,
+    derandomize=True,
     suppress_health_check=list(HealthCheck),
-)  # fmt: skip
+)
 TestMachine = Machine.TestCase
 
 
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -16,20 +16,28 @@
 from hypothesis import strategies as st
 
 from onyxwick.interface import AnswerDetail, AttemptEnded, AttemptStatus, ForwardWithFill, RequestArrived
-from onyxwick.lab.traces import CLASSES, RULES, START, TraceClock, Maker, make
+from onyxwick.lab.traces import CLASSES, RULES, START, Maker, TraceClock, make
 from onyxwick.trace import format as f
 from onyxwick.trace.anonymise import Anonymiser
 from onyxwick.trace.audit import Audit
 from onyxwick.trace.clocks import OwnClock, fit
 from onyxwick.trace.compare import compare, losses
-from onyxwick.trace.cut import TraceFilter, cut
 from onyxwick.trace.explain import explain
 from onyxwick.trace.export import json_lines, parquet
+from onyxwick.trace.filter import TraceFilter, cut
 from onyxwick.trace.merge import TraceWriter, merge
-from onyxwick.trace.model import ATTEMPTS, LIVES, TraceDamagedError, NotificationKind, TraceError, RecordedVerdict, DecisionReason
+from onyxwick.trace.model import (
+    ATTEMPTS,
+    LIVES,
+    DecisionReason,
+    NotificationKind,
+    RecordedVerdict,
+    TraceDamagedError,
+    TraceError,
+)
 from onyxwick.trace.reader import Trace, open_trace
 from onyxwick.trace.recorder import MemberBelief, RecordedBlock, Recorder, number
-from onyxwick.trace.sink import SinkLimits, SinkFolder, Sink
+from onyxwick.trace.sink import Sink, SinkFolder, SinkLimits
 from onyxwick.trace.summary import Summary
 from onyxwick.trace.table import Strings, Table, join
 from tests.exchange import Exchange
@@ -52,7 +60,9 @@
         recorder.arrived(
             now, RequestArrived(request, kind, f"{n % 7:016x}", 3 * S, object_group=n % 5, tenant="t1")
         )
-        recorder.decided(now, ForwardWithFill(request, "box-1", "parent-1", 1), MemberBelief(DecisionReason.HOME, 2, 1.0))
+        recorder.decided(
+            now, ForwardWithFill(request, "box-1", "parent-1", 1), MemberBelief(DecisionReason.HOME, 2, 1.0)
+        )
         recorder.sent(request, 0, now + 500)
         end = AttemptEnded(request, 0, "box-1", AttemptStatus.OK, 9_000, True, AnswerDetail.HIT)
         recorder.ended(now + 9_000, end, now - S)
@@ -144,7 +154,8 @@
         f.frame(f.BLOCK, b"\x81" * 5000, b""),  # deep nesting
         f.frame(f.BLOCK, f.encode(f.BlockHead(lives=1)), b"\x91" * 100_000),
         f.frame(f.BLOCK, f.encode(f.BlockHead()), f.encode(f.BlockBody(["a"] * 70_000, {}, {}, []))),
-        f.frame(f.INDEX, b"", f.encode([f.BlockIndexEntry(1, 1 << 60, f.BlockHead())])) + f.CLOSING.pack(0, f.END),
+        f.frame(f.INDEX, b"", f.encode([f.BlockIndexEntry(1, 1 << 60, f.BlockHead())]))
+        + f.CLOSING.pack(0, f.END),
     ],
 )
 def test_hostile_files_are_refused_with_bounded_memory(tail: bytes, tmp_path: Path) -> None:
@@ -313,7 +324,10 @@
         lives["director"][:] = strings.number("n0")
         attempts = {name: np.zeros(0, np.int64) for name in ATTEMPTS}
         told: list[tuple[int, int, dict[str, int]]] = [(int(NotificationKind.START), begin - S, {})]
-        told += [(int(NotificationKind.CLOCK), begin + k * S, {"mono_us": 5_000 * S * n + k * S}) for k in range(20)]
+        told += [
+            (int(NotificationKind.CLOCK), begin + k * S, {"mono_us": 5_000 * S * n + k * S})
+            for k in range(20)
+        ]
         writer.add(Table(lives, attempts, strings, told))
         writer.close()
         paths.append(tmp_path / f"{run}.owt")
@@ -381,7 +395,8 @@
 
 def test_a_booking_told_as_sent_before_a_crash_counts() -> None:
     told = [
-        (int(NotificationKind.SENT), START + n * S, {"id": 9, "member": "origin", "director": f"n{n}"}) for n in range(2)
+        (int(NotificationKind.SENT), START + n * S, {"id": 9, "member": "origin", "director": f"n{n}"})
+        for n in range(2)
     ]
     assert Audit(HEADER, told).report().counts == {"booking once": 1}
     assert not Audit(HEADER, told[:1]).report().counts
@@ -423,7 +438,9 @@
 def test_a_cut_reads_only_the_blocks_that_can_match(hour: Path) -> None:
     with open_trace(hour) as trace:
         begin = START + 120 * S
-        tables = list(cut(trace, TraceFilter(begin, begin + 10 * S, class_name="booking"), Strings(), told=False))
+        tables = list(
+            cut(trace, TraceFilter(begin, begin + 10 * S, class_name="booking"), Strings(), told=False)
+        )
         assert sum(map(len, tables)) > 5 and trace.read_bytes < 0.5 * trace.size
         assert all((t.lives["at"] >= begin).all() and (t.lives["at"] < begin + 10 * S).all() for t in tables)
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -8,6 +8,7 @@
 from onyxwick.interface import (
     Action,
     AnswerDetail,
+    AnswerDetailLevel,
     AttemptEnded,
     AttemptStatus,
     EndpointListKind,
@@ -74,7 +75,7 @@
     zone_router_count=1,
     tick_us=2_000,
     coalesces_fills=True,
-    answer_detail="all",
+    answer_detail=AnswerDetailLevel.FULL,
     clients_mark_retries=True,
 )
 
