--- a/onyxwick/admin/durable.py
+++ b/onyxwick/admin/durable.py
@@ -15,7 +15,7 @@
 from onyxwick.core import RequestEngine
 from onyxwick.sites import kept
 from onyxwick.store import StoreError, WriteOperation
-from onyxwick.store.durable import DurableState, fill_tenant, pack, tenant_rows
+from onyxwick.store.durable import DurableState, fill_tenant, pack_row, tenant_rows
 from onyxwick.store.recovery import MemberDrain
 from onyxwick.tenants import Tenant
 
@@ -43,7 +43,7 @@
         if len(key) > 64 or not key.isascii():
             raise HttpError(400, "Idempotency-Key is no text of 64 characters")
         mark = hashlib.blake2b(f"{request.method} {request.path}\n".encode() + request.body).hexdigest()[:32]
-        if key and (held := self.durable.call(key)) is not None:
+        if key and (held := self.durable.idempotent_call(key)) is not None:
             if held["mark"] != mark:
                 raise HttpError(409, "Idempotency-Key was used for another call")
             return int(held["status"]), held["data"]
@@ -64,7 +64,7 @@
             raise HttpError(405, "method not allowed", {"Allow": "PUT"})
         order = sites.order(request, site)
         answer = 200, {"site": site, "word": order.word.value, "drill": order.drill}
-        await self._commit([self.durable.site_order_op(site, kept(order))], key, mark, answer)
+        await self._commit([self.durable.site_command_operation(site, kept(order))], key, mark, answer)
         sites.take(order)
         return answer
 
@@ -72,7 +72,7 @@
         now = time.time_ns() // 1000
         if key and ops:
             row = {"mark": mark, "status": answer[0], "data": answer[1], "at_us": now}
-            ops = ops + self.durable.call_ops(key, row, now)
+            ops = ops + self.durable.idempotent_call_operations(key, row, now)
         try:
             await self.durable.commit(ops, "administration API")
         except StoreError as error:
@@ -84,15 +84,15 @@
         if path == ["tenants"] and request.method == "POST":
             name = str(request.json().get("name", ""))
         before = tenants.tenants.get(name)
-        rows = tenant_rows(before, self.durable.sealer) if before else {}
+        rows = tenant_rows(before, self.durable.cipher) if before else {}
         cells = self.api.parts.get("cells")
         cells = cells if isinstance(cells, CellsApi) else None
         plan = cells.control.plan if cells is not None else None
         status, data = self.api(request)
-        ops = self.durable.tenant_changes(name, tenants.tenants.get(name)) if name else []
+        ops = self.durable.tenant_operations(name, tenants.tenants.get(name)) if name else []
         if cells is not None and cells.control.plan is not plan:
             row = {"version": cells.control.plan.version, "plan": json_of_plan(cells.control.plan)}
-            ops.append(WriteOperation("plan/now", pack("plan/now", row)))
+            ops.append(WriteOperation("plan/now", pack_row("plan/now", row)))
         try:
             await self._commit(ops, key, mark, (status, data))
         except HttpError:
@@ -115,10 +115,10 @@
         assert isinstance(token, bytes)
         quota = row["quota_per_s"]
         assert isinstance(quota, float)
-        old = Tenant(name, quota, self.durable.sealer.open(token, name).decode() if token else "")
+        old = Tenant(name, quota, self.durable.cipher.decrypt(token, name).decode() if token else "")
         tenants.add(old)
         fill_tenant(
-            old, tenants, [r for r in rows.items() if not r[0].startswith("tenant/")], self.durable.sealer
+            old, tenants, [r for r in rows.items() if not r[0].startswith("tenant/")], self.durable.cipher
         )
 
     # ---- drains -----------------------------------------------------------------------------------------
@@ -130,7 +130,7 @@
         match request.method, path:
             case "GET", []:
                 rows = {d.member: {"by": d.by, "reason": d.reason, "at_us": d.at_us} for d in drains.values()}
-                return 200, {"recovery": self.durable.recovery.shown(), "drains": rows}, []
+                return 200, {"recovery": self.durable.recovery.status(), "drains": rows}, []
             case "PUT", [member]:
                 if member not in self.core.members.listed:
                     raise HttpError(404, f"no member '{member}' on the list")
@@ -138,7 +138,7 @@
                 since = self.core.members.listed[member].started_at_us
                 drain = MemberDrain(member, "operator", since, reason, self.core.now())
                 self.pending = drain
-                return 200, {"member": member, "draining": True}, [self.durable.drain_op(drain)]
+                return 200, {"member": member, "draining": True}, [self.durable.drain_operation(drain)]
             case "DELETE", [member]:
                 known = member in drains
                 ops = [WriteOperation(f"drain/{member}", None)] if known else []
@@ -150,10 +150,10 @@
     def _drains_hold(self, path: list[str], method: str) -> None:
         """After the drain (or its lifting) is durable it binds the next decision."""
         if method == "PUT" and self.pending is not None:
-            self.durable.recovery.drained(self.pending)
+            self.durable.recovery.add_drain(self.pending)
             self.pending = None
         elif method == "DELETE":
-            self.durable.recovery.lifted(path[0])
+            self.durable.recovery.lift_drain(path[0])
         if method != "GET":
             self.core.resend_rows(path[0])
 
--- a/onyxwick/cli/store.py
+++ b/onyxwick/cli/store.py
@@ -42,7 +42,7 @@
         raise click.exceptions.Exit(1) from None
     except StoreError as error:
         raise UnusableInputError(str(error)) from None
-    state = engine.state()
+    state = engine.status()
     engine.close()
     text = "\n".join(f"{name}: {value}" for name, value in state.items())
     click.echo(json.dumps({"good": True, **state}) if as_json else text)
@@ -52,10 +52,10 @@
     """A row as JSON can hold it; sealed secrets stay sealed."""
     if value is None:
         return None
-    from onyxwick.store.durable import unpack
+    from onyxwick.store.durable import unpack_row
 
     try:
-        row = unpack(key, value)
+        row = unpack_row(key, value)
     except StoreError:
         return value.hex()
     return {n: v.hex() if isinstance(v, bytes) else v for n, v in row.items()}
@@ -81,10 +81,10 @@
     _open(folder).close()  # refuses where the log cannot be trusted
     found = 0
     for number, payload in _records(folder):
-        for name, value, version in payload.ops:
+        for name, value, version in payload.operations:
             if name == key:
                 shown = _shown(name, value)
-                line = {"record": number, "at_us": payload.at_us, "by": payload.by, "version": version}
+                line = {"record": number, "at_us": payload.at_us, "by": payload.author, "version": version}
                 click.echo(json.dumps({**line, "value": shown}))
                 found += 1
     if not found:
@@ -95,9 +95,9 @@
     out = []
     for path in sorted(folder.glob("log-*")):
         data = path.read_bytes()
-        _, _, before = r.read_segment_header(data, path.name)
-        for found in r.records(data, r.SEGMENT.size, before):
-            out.append((found.number, r.read_payload(found.payload, found.number)))
+        _, _, before = r.decode_segment_header(data, path.name)
+        for found in r.decode_records(data, r.SEGMENT_HEADER.size, before):
+            out.append((found.number, r.decode_payload(found.payload, found.number)))
     return out
 
 
@@ -106,9 +106,9 @@
 def compact(folder: Path) -> None:
     """Write a checkpoint and drop the log that it makes needless. The director must not run."""
     engine = _open(folder)
-    before = engine.size()
+    before = engine.total_bytes()
     engine.compact()
-    click.echo(f"{before} bytes before, {engine.size()} after")
+    click.echo(f"{before} bytes before, {engine.total_bytes()} after")
     engine.close()
 
 
@@ -132,7 +132,7 @@
         except (FileNotFoundError, StoreUnusableError):  # a compaction dropped a file in between
             shutil.rmtree(out)
             continue
-        records = engine.number
+        records = engine.last_record_number
         engine.close()
         click.echo(f"{records} records")
         return
@@ -153,19 +153,19 @@
     if out.exists():
         raise UnusableInputError(f"{out.name} is there already")
     payloads = _records(folder)
-    first = payloads[0][0] if payloads else source.number + 1
+    first = payloads[0][0] if payloads else source.last_record_number + 1
     chosen = [
         (n, p) for n, p in payloads if (until is None or p.at_us <= until) and (record is None or n <= record)
     ]
-    if source.checkpoint_at >= first or (record is not None and record < source.checkpoint_at):
-        raise UnusableInputError(f"this backup reaches back to record {source.checkpoint_at} only")
-    target = StoreEngine(DiskFiles(out), store=source.store)
+    if source.checkpoint.number >= first or (record is not None and record < source.checkpoint.number):
+        raise UnusableInputError(f"this backup reaches back to record {source.checkpoint.number} only")
+    target = StoreEngine(DiskFiles(out), expected_store_id=source.store_id)
     for path in sorted(folder.glob("checkpoint-*"))[-1:]:
-        _, _, rows = r.read_checkpoint(path.read_bytes(), path.name)
+        _, _, rows = r.decode_checkpoint(path.read_bytes(), path.name)
         _write(target, r.RecordPayload(0, "restore", rows))
     for _, payload in chosen:
         _write(target, payload)
-    click.echo(f"{len(chosen)} records after record {source.checkpoint_at}")
+    click.echo(f"{len(chosen)} records after record {source.checkpoint.number}")
     source.close()
     target.close()
 
@@ -173,9 +173,9 @@
 def _write(target: StoreEngine, payload: r.RecordPayload) -> None:
     from onyxwick.store import Transaction, WriteOperation
 
-    ops = tuple(WriteOperation(key, value) for key, value, _ in payload.ops)
+    ops = tuple(WriteOperation(key, value) for key, value, _ in payload.operations)
     for at in range(0, len(ops), 1000):
-        target.commit(Transaction(ops[at : at + 1000], payload.by, payload.at_us))
+        target.commit(Transaction(ops[at : at + 1000], payload.author, payload.at_us))
 
 
 @store.command()
@@ -206,28 +206,28 @@
     kept, lost, number = list[r.RecordPayload](), list[str](), 0
     for path in sorted(folder.glob("checkpoint-*")):
         try:
-            _, number, rows = r.read_checkpoint(path.read_bytes(), path.name)
+            _, number, rows = r.decode_checkpoint(path.read_bytes(), path.name)
             kept = [r.RecordPayload(0, "repair", rows)]
         except StoreUnusableError as error:
             lost.append(str(error))
     for path in sorted(folder.glob("log-*")):
         data = path.read_bytes()
         try:
-            _, _, before = r.read_segment_header(data, path.name)
+            _, _, before = r.decode_segment_header(data, path.name)
         except StoreUnusableError as error:
             lost.append(str(error))
             continue
         if before > number:
             lost.append(f"records {number + 1} to {before}, before {path.name}")
-        end = r.SEGMENT.size
-        for found in r.records(data, end, before):
+        end = r.SEGMENT_HEADER.size
+        for found in r.decode_records(data, end, before):
             if found.number > number:
-                kept.append(r.read_payload(found.payload, found.number))
+                kept.append(r.decode_payload(found.payload, found.number))
                 number = found.number
-            end = found.end
+            end = found.end_offset
         if end < len(data):
             lost.append(f"{len(data) - end} bytes of {path.name} behind record {number}")
-    marks = r.read_marks((folder / "mark").read_bytes()) if (folder / "mark").exists() else []
+    marks = r.decode_commit_marks((folder / "mark").read_bytes()) if (folder / "mark").exists() else []
     promised = max((n for _, n, _ in marks), default=None)
     if promised is None:
         lost.append("the mark: whether more was acknowledged cannot be told")
@@ -239,7 +239,7 @@
 @store.command("new-key")
 def new_key() -> None:
     """Print a new key for the key file; put it on its first line to seal with it from now on."""
-    from onyxwick.store.encryption import new_key as made
+    from onyxwick.store.encryption import generate_key as made
 
     click.echo(made())
 
--- a/onyxwick/core/engine.py
+++ b/onyxwick/core/engine.py
@@ -201,8 +201,8 @@
             else:
                 self.received_rows.pop(m.address, None)  # gone: nothing to tell of it again
         if self.durable is not None:
-            self.durable.list_told(event, self.now())
-            event = self.durable.recovery.seen(event)
+            self.durable.record_endpoints(event, self.now())
+            event = self.durable.recovery.with_drains(event)
         if self.adjust_list is not None:
             event = self.adjust_list(event, self.now())
         self.invariants.list_changed(event, self.now())
@@ -223,7 +223,7 @@
     def restore(self, durable: DurableState) -> None:
         """Take in what lasted: purges that a cache may not have done bind the first request already."""
         self.durable = durable
-        for purge in durable.recovery.purges_to_tell(self.now()):
+        for purge in durable.recovery.purges_to_replay(self.now()):
             self.invariants.purged(purge.object_group, purge.object_id, self.now() - purge.age_us, self.now())
             self.members.purged(purge.object_group, purge.object_id, self.now())
             self.handle(purge)
@@ -232,13 +232,13 @@
         """The coordinator's feed has been heard up to a number."""
         if self.durable is not None:
             held = list(self.durable.recovery.drains)
-            if self.durable.index_told(index, self.now()):
+            if self.durable.record_feed_number(index, self.now()):
                 self.resend_rows(*held)
 
     def purged(self, group: int, name: str | None, at_us: int) -> None:
         """A purge of the object `name`, or without one of the group, was received; made at `at_us`."""
         if self.durable is not None:
-            self.durable.purge_told(group, name, at_us, self.now())
+            self.durable.record_purge(group, name, at_us, self.now())
         self.invariants.purged(group, name, at_us, self.now())
         self.members.purged(group, name, self.now())
         self.handle(ObjectsPurged(group, name, max(0, self.now() - at_us)))
@@ -320,7 +320,7 @@
                 )
             await self._wind_up(lifecycle)
             if lifecycle.intended and self.durable is not None:
-                await self.durable.ended(request.request_id)
+                await self.durable.resolve_intent(request.request_id)
         finally:
             self.invariants.request_ended(request.request_id)
             del self.lifecycles[request.request_id]
@@ -408,14 +408,14 @@
 
     def _must_last(self, lifecycle: RequestLifecycle) -> bool:
         durable = self.durable
-        return durable is not None and durable.bookings and lifecycle.request.class_name in self.once
+        return durable is not None and durable.records_intents and lifecycle.request.class_name in self.once
 
     async def _intend(self, lifecycle: RequestLifecycle) -> None:
         """The intent of a request that must not run twice is durable before its first byte goes out. An error
         of the store is the request's failure: it was not sent."""
         if lifecycle.intended or self.durable is None:
             return
-        await self.durable.intend(lifecycle.request.request_id, self.now())
+        await self.durable.record_intent(lifecycle.request.request_id, self.now())
         lifecycle.intended = True
 
     async def _wind_up(self, lifecycle: RequestLifecycle) -> None:
--- a/onyxwick/distribution/durable.py
+++ b/onyxwick/distribution/durable.py
@@ -64,7 +64,7 @@
         changes[UPSTREAM] = _number(upstream)
         ops = tuple(WriteOperation(key, value) for key, value in changes.items())
         self.engine.commit(Transaction(ops, BY, now_us))
-        if self.engine.wants_compaction():
+        if self.engine.needs_compaction():
             self.engine.compact()
 
     def _changes(
--- a/onyxwick/dns/server.py
+++ b/onyxwick/dns/server.py
@@ -190,7 +190,7 @@
         """Durable before the update is answered; its serial can then never go back over a restart."""
         if self.durable is not None:
             tenant = self.tenants.tenants[zone.tenant]
-            await self.durable.commit(self.durable.tenant_changes(zone.tenant, tenant), "update")
+            await self.durable.commit(self.durable.tenant_operations(zone.tenant, tenant), "update")
 
     # ---- routed names -----------------------------------------------------------------------------------
 
--- a/onyxwick/lab/changes.py
+++ b/onyxwick/lab/changes.py
@@ -30,7 +30,7 @@
 from onyxwick.lab.kills import TOKEN, ZONE
 from onyxwick.lab.model import Scenario
 from onyxwick.lab.platform import settings
-from onyxwick.store.encryption import new_key
+from onyxwick.store.encryption import generate_key
 
 KEY_NAME, SECRET = "update.depot.lab.", base64.b64encode(b"onyxwick-lab-update-key").decode()
 ZONE_NAME = "depot.lab."
@@ -56,7 +56,7 @@
         }
         (self.folder / "director.json").write_text(json.dumps(told))
         (self.folder / "operator.token").write_text(TOKEN)
-        (self.folder / "store.keys").write_text(new_key())
+        (self.folder / "store.keys").write_text(generate_key())
         (self.folder / "depot.zone").write_text(ZONE.format(1))
         kept = 'store {\n  folder = "store"\n  key_file = "store.keys"\n  installation = "lab"\n}\n'
         (self.folder / "service.hcl").write_text(
--- a/onyxwick/lab/faults/fleet.py
+++ b/onyxwick/lab/faults/fleet.py
@@ -25,7 +25,7 @@
 from onyxwick.lab.model import Tier
 from onyxwick.lab.platform import PlatformLayout, configuration, settings
 from onyxwick.lab.programs import Program
-from onyxwick.store.encryption import new_key
+from onyxwick.store.encryption import generate_key
 
 GROUPS = 64
 OUTSIDE = "outside"
@@ -214,7 +214,7 @@
     def service(self, director: FleetDirector) -> str:
         """The service file of one director: nothing of sites in the variant without them."""
         (self.folder / "operator.token").write_text(TOKEN)
-        (self.folder / "store.keys").write_text(new_key())
+        (self.folder / "store.keys").write_text(generate_key())
         text = f'admin {{\n  listen = "{written(director.admin)}"\n  token_file = "operator.token"\n}}\n'
         text += f'store {{\n  folder = "store-{director.name}"\n  key_file = "store.keys"\n'
         text += '  installation = "lab"\n}\n'
--- a/onyxwick/lab/kills.py
+++ b/onyxwick/lab/kills.py
@@ -18,7 +18,7 @@
 from typing import Any
 
 from onyxwick.lab.model import Scenario
-from onyxwick.store.encryption import new_key
+from onyxwick.store.encryption import generate_key
 
 TOKEN = "operator-token-of-the-lab"
 READY_S, WITHIN_S = 20.0, 0.5  # for the API to answer; in which the kill comes
@@ -78,7 +78,7 @@
         }
         (self.folder / "director.json").write_text(json.dumps(told))
         (self.folder / "operator.token").write_text(TOKEN)
-        (self.folder / "store.keys").write_text(new_key())
+        (self.folder / "store.keys").write_text(generate_key())
         (self.folder / "service.hcl").write_text(
             f'admin {{\n  listen = "{self.api}:8053"\n  token_file = "operator.token"\n}}\n'
             'store {\n  folder = "store"\n  key_file = "store.keys"\n  installation = "lab"\n}\n'
--- a/onyxwick/lab/play.py
+++ b/onyxwick/lab/play.py
@@ -21,7 +21,7 @@
 from onyxwick.lab.platform import HUB, ZONE, configuration, settings
 from onyxwick.lab.programs import Program
 from onyxwick.lab.report import report_of
-from onyxwick.store.encryption import new_key
+from onyxwick.store.encryption import generate_key
 
 GROUPS = 64
 SETTLE_S = 0.3
@@ -113,7 +113,7 @@
         if text:
             self._service_file().write_text(text)
         if self.store:  # a store is one director's: each has a service file of its own, with its folder
-            (self.folder / "store.keys").write_text(new_key())
+            (self.folder / "store.keys").write_text(generate_key())
             for n in range(self.scenario.directors):
                 kept = f'\nstore {{\n  folder = "store-{n}"\n  key_file = "store.keys"\n'
                 kept += '  installation = "lab"\n  bookings = true\n}\n'
--- a/onyxwick/lab/storage.py
+++ b/onyxwick/lab/storage.py
@@ -111,7 +111,7 @@
     """Opening a store of so many records: from the log alone, and after a compaction."""
 
     def run(folder: Path) -> dict[str, Any]:
-        limits = StoreLimits(segment=64 << 20, log=1 << 40, total=1 << 40)
+        limits = StoreLimits(segment_bytes=64 << 20, log_bytes=1 << 40, total_bytes=1 << 40)
         engine = StoreEngine(DiskFiles(folder), limits)
         for at in range(0, count, 2000):
             batch, _ = engine.prepare(
@@ -121,11 +121,11 @@
                 ]
             )
             engine.write(batch)
-            engine.finish(batch)
+            engine.apply(batch)
         engine.close()
         begun = time.monotonic()
         engine = StoreEngine(DiskFiles(folder), limits)
-        from_log, size = time.monotonic() - begun, engine.size()
+        from_log, size = time.monotonic() - begun, engine.total_bytes()
         begun = time.monotonic()
         engine.compact()
         compacting = time.monotonic() - begun
@@ -147,7 +147,9 @@
     """Bytes written for each byte asked for, under steady overwrites of 2,000 keys with compactions."""
 
     def run(folder: Path) -> dict[str, Any]:
-        engine = StoreEngine(DiskFiles(folder), StoreLimits(segment=1 << 20, log=4 << 20, total=64 << 20))
+        engine = StoreEngine(
+            DiskFiles(folder), StoreLimits(segment_bytes=1 << 20, log_bytes=4 << 20, total_bytes=64 << 20)
+        )
         compactions = 0
         for at in range(0, overwrites, 50):
             ops = [
@@ -155,16 +157,19 @@
             ]
             batch, _ = engine.prepare(ops)
             engine.write(batch)
-            engine.finish(batch)
-            if engine.wants_compaction():
+            engine.apply(batch)
+            if engine.needs_compaction():
                 engine.compact()
                 compactions += 1
         told = {
             "overwrites": overwrites,
             "compactions": compactions,
-            "size_mb": round(engine.size() / 1e6, 2),
+            "size_mb": round(engine.total_bytes() / 1e6, 2),
         }
         engine.close()
-        return {**told, "bytes_written_for_each_asked": round(engine.written / engine.asked, 2)}
+        return {
+            **told,
+            "bytes_written_for_each_asked": round(engine.bytes_written / engine.bytes_requested, 2),
+        }
 
     return _in_folder(parent, run)
--- a/onyxwick/net/distribution_node.py
+++ b/onyxwick/net/distribution_node.py
@@ -125,7 +125,7 @@
         if self.config.store is None:
             self.replica.log.restart(Cursor(int(time.time()), 0))
             return ORIGIN
-        engine = StoreEngine(DiskFiles(self.config.store), store=STORE_NAME)
+        engine = StoreEngine(DiskFiles(self.config.store), expected_store_id=STORE_NAME)
         self.durable = DurableFeed(engine)
         return self.durable.load(self.replica, int(time.time()))
 
--- a/onyxwick/service.py
+++ b/onyxwick/service.py
@@ -103,29 +103,29 @@
         from hashlib import blake2b
 
         from onyxwick.store.durable import DurableState
-        from onyxwick.store.encryption import read_keys
+        from onyxwick.store.encryption import read_key_file
         from onyxwick.store.engine import StoreLimits
         from onyxwick.store.files import DiskFiles
 
         self.durable = DurableState(
             DiskFiles(told.folder),
-            read_keys(told.key_file),
+            read_key_file(told.key_file),
             blake2b(told.installation.encode(), digest_size=16).digest(),
             core.now(),
             self.config.settings.rules.purge_retention_us,
             told.bookings,
-            StoreLimits(log=told.log_bytes, total=told.total_bytes),
+            StoreLimits(log_bytes=told.log_bytes, total_bytes=told.total_bytes),
         )
         self.durable.load_tenants(self.told.tenants)
         self._recorded_plan(self.durable)
         if self.sites is not None:
             from onyxwick.sites.operator_commands import of_row
 
-            self.sites.watch.recalled([of_row(row) for row in self.durable.site_orders()])
+            self.sites.watch.recalled([of_row(row) for row in self.durable.site_command_rows()])
 
     def _recorded_plan(self, durable: DurableState) -> None:
         """The plan that a call has made goes before the file's, which it was made from."""
-        row = durable.plan()
+        row = durable.cell_plan()
         if row is None or self.cells is None:
             return
         from onyxwick.config.cells import plan_of_json
@@ -240,8 +240,8 @@
 
         while durable.recovery.phase is RecoveryPhase.CHECKING:
             await asyncio.sleep(RECOVERY_TICK_S)
-            if durable.recovery.tick(self.core.now()):
-                log.warning("recovery without the feed", **durable.recovery.shown())
+            if durable.recovery.on_tick(self.core.now()):
+                log.warning("recovery without the feed", **durable.recovery.status())
 
     def want_trace(self) -> None:
         """A trace from now on for as long as the file says (SIGUSR2)."""
--- a/onyxwick/store/__init__.py
+++ b/onyxwick/store/__init__.py
@@ -1,6 +1,6 @@
-"""A small embedded store: a log, an index, checkpoints and recovery beneath everything that must last.
+"""A small embedded store: a log, an index in memory, checkpoints and recovery.
 
-Its names are loaded when they are asked for: who only needs an error's name loads no library.
+Names other than errors are loaded on first use: a caller that only catches errors loads no library.
 """
 
 from __future__ import annotations
--- a/onyxwick/store/committer.py
+++ b/onyxwick/store/committer.py
@@ -1,4 +1,9 @@
-"""Commits of many at once: what comes while the disk is busy goes out together in the next write."""
+"""Group commit: transactions that arrive while the disk is busy go out together in the next write.
+
+One task is the only writer of a store. The disk is waited for in a thread of its own; the index is changed in
+the event loop alone, so that readers need no lock. Compaction runs between batches, in slices, for a bounded
+share of the time. Times in seconds of the clock that is passed in.
+"""
 
 from __future__ import annotations
 
@@ -10,150 +15,165 @@
 from dataclasses import dataclass
 
 from onyxwick import logs
-from onyxwick.store.engine import StoreEngine, Transaction, WriteBatch
-from onyxwick.store.errors import StoreError, StoreFailedError
-
-log = logs.get()
-MOST_BATCH = 256  # transactions in one write
-MOST_WAITING = 4096  # over it a commit is refused at once
-COMPACT_SHARE = 0.2  # of the time that may go to compaction
-COMPACT_SLICE_S = 0.005  # of one step, between which commits go on
+from onyxwick.store.engine import StoreEngine, Transaction
+from onyxwick.store.errors import StoreError, StoreFailedError, StoreOverloadedError
 
+__all__ = ["Committer", "StoreOverloadedError"]
 
-class StoreOverloadedError(StoreError):
-    """Too many commits wait; nothing was done."""
+log = logs.get()
+MAX_BATCH_TRANSACTIONS = 256
+MAX_PENDING_COMMITS = 4096
+"""Above it a commit is rejected at once."""
+MAX_COMPACTION_SHARE = 0.2
+"""Share of the time that compaction may take."""
+MIN_COMPACTION_WINDOW_S = 0.05
+COMPACTION_SLICE_S = 0.005
+"""Longest slice of a compaction, between which commits go on."""
+CLOSE_POLL_S = 0.001
 
 
 @dataclass(slots=True)
 class PendingCommit:
+    """A transaction with its caller's future; `submitted_at_s` on the committer's clock."""
+
     transaction: Transaction
-    done: asyncio.Future[None]
-    since: float
+    future: asyncio.Future[None]
+    submitted_at_s: float
 
 
 class Committer:
-    """The one writer of an engine inside an event loop. The disk is waited for in a thread of its own; the
-    index is touched in the loop alone, so that readers need no lock."""
+    """The one writer of a store inside an event loop; created where the loop runs."""
 
     def __init__(self, engine: StoreEngine, clock: Callable[[], float] = time.monotonic) -> None:
-        self.engine, self.clock = engine, clock
-        self.waiting: deque[PendingCommit] = deque()
-        self.more = asyncio.Event()
-        self.disk = ThreadPoolExecutor(1, "store")
-        self.commits = self.batches = 0
+        self.engine = engine
+        self.clock = clock
+        self.pending: deque[PendingCommit] = deque()
+        self.work_available = asyncio.Event()
+        self.disk_executor = ThreadPoolExecutor(1, "store")
+        self.commit_count = 0
+        self.batch_count = 0
         self.slowest_s = 0.0
-        self.compact_s = 0.0
-        self.began = clock()
+        self.compaction_s = 0.0  # spent on compaction since `window_started_at_s`
+        self.window_started_at_s = clock()
         self.task = asyncio.get_running_loop().create_task(self._run())
 
     async def commit(self, transaction: Transaction) -> None:
-        """Returns once it is durable. Conflict, Full, Failed, Overloaded: nothing of it was done (after
-        Failed it may or may not be found when the store is opened again)."""
-        if len(self.waiting) >= MOST_WAITING:
-            raise StoreOverloadedError(f"{MOST_WAITING} commits wait")
+        """Returns once the transaction is durable.
+
+        VersionConflictError, StoreFullError, InvalidTransactionError, StoreOverloadedError: nothing of it was
+        done. StoreFailedError: it may or may not be found when the store is opened again.
+        """
+        if len(self.pending) >= MAX_PENDING_COMMITS:
+            raise StoreOverloadedError(f"{MAX_PENDING_COMMITS} commits are pending, the most there may be")
         if self.task.done():
             raise StoreFailedError("the store is closed")
-        entry = PendingCommit(transaction, asyncio.get_running_loop().create_future(), self.clock())
-        self.waiting.append(entry)
-        self.more.set()
-        await entry.done
+        future = asyncio.get_running_loop().create_future()
+        self.pending.append(PendingCommit(transaction, future, self.clock()))
+        self.work_available.set()
+        await future
 
     async def _run(self) -> None:
         try:
-            await self._serve()
+            await self._write_batches()
         finally:
-            # However the writer ends, nobody is left waiting: what waits was not written.
-            for entry in self.waiting:
-                _settle(entry, StoreFailedError("the store is closed"))
-            self.waiting.clear()
+            # However the writer ends, no caller is left waiting: what is pending was not written.
+            for commit in self.pending:
+                _resolve(commit, StoreFailedError("the store is closed"))
+            self.pending.clear()
 
-    async def _serve(self) -> None:
+    async def _write_batches(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            if not self.waiting:
+            if not self.pending:
                 if self._may_compact():
                     await self._compact(loop)
                     continue
-                self.more.clear()
-                await self.more.wait()
-            batch = [self.waiting.popleft() for _ in range(min(MOST_BATCH, len(self.waiting)))]
-            await self._write(loop, batch)
+                self.work_available.clear()
+                await self.work_available.wait()
+            count = min(MAX_BATCH_TRANSACTIONS, len(self.pending))
+            await self._write(loop, [self.pending.popleft() for _ in range(count)])
             if self._may_compact():
                 await self._compact(loop)
 
-    async def _write(self, loop: asyncio.AbstractEventLoop, entries: list[PendingCommit]) -> None:
+    async def _write(self, loop: asyncio.AbstractEventLoop, commits: list[PendingCommit]) -> None:
         try:
-            batch, errors = self.engine.prepare([entry.transaction for entry in entries])
-            await loop.run_in_executor(self.disk, self.engine.write, batch)
-            self.engine.finish(batch)
-        except StoreError as failure:
-            for entry in entries:
-                _settle(entry, failure)
+            batch, errors = self.engine.prepare([commit.transaction for commit in commits])
+            await loop.run_in_executor(self.disk_executor, self.engine.write, batch)
+            self.engine.apply(batch)
+        except StoreError as error:
+            _resolve_all(commits, error)
             return
         except Exception as error:
-            # An error of the store's own: what reached the disk and what the index holds are not known, so,
-            # as after an error of the disk, nothing more is acknowledged.
+            # A fault of the store's own code: what reached the disk and the index is unknown, so that nothing
+            # more may be acknowledged, as after an error of the disk.
             log.exception("error in a commit")
-            self.engine.failed = f"an error of the store's own ({error!r}); open the store anew"
-            for entry in entries:
-                _settle(entry, StoreFailedError(self.engine.failed))
+            self.engine.failure = f"an error of the store's own ({error!r}); open the store anew"
+            _resolve_all(commits, StoreFailedError(self.engine.failure))
             return
         now = self.clock()
-        for entry, refused in zip(entries, errors, strict=True):
-            _settle(entry, refused)
-            self.slowest_s = max(self.slowest_s, now - entry.since)
-        self.commits += sum(refused is None for refused in errors)
-        self.batches += 1
+        for commit, rejection in zip(commits, errors, strict=True):
+            _resolve(commit, rejection)
+            self.slowest_s = max(self.slowest_s, now - commit.submitted_at_s)
+        self.commit_count += sum(rejection is None for rejection in errors)
+        self.batch_count += 1
 
     def _may_compact(self) -> bool:
-        """Is there something to compact, and has compaction not had its share of the time?"""
+        """Is there something to compact, and has compaction not used up its share of the time?"""
         engine = self.engine
-        if engine.failed or not (engine.job is not None or engine.wants_compaction()):
+        if engine.failure or not (engine.compaction is not None or engine.needs_compaction()):
             return False
-        return self.compact_s <= COMPACT_SHARE * max(0.05, self.clock() - self.began)
+        window_s = max(MIN_COMPACTION_WINDOW_S, self.clock() - self.window_started_at_s)
+        return self.compaction_s <= MAX_COMPACTION_SHARE * window_s
 
     async def _compact(self, loop: asyncio.AbstractEventLoop) -> None:
-        begun = self.clock()
+        started_at_s = self.clock()
+
+        def is_within_slice() -> bool:
+            return self.clock() - started_at_s < COMPACTION_SLICE_S
+
         try:
-            done = await loop.run_in_executor(
-                self.disk, self.engine.compact, lambda: self.clock() - begun < COMPACT_SLICE_S
-            )
+            done = await loop.run_in_executor(self.disk_executor, self.engine.compact, is_within_slice)
         except StoreError as error:
             log.error("compaction failed", error=str(error))
             done = True
-        self.compact_s += self.clock() - begun
+        self.compaction_s += self.clock() - started_at_s
         if done:
-            log.info("store compacted", **{k: v for k, v in self.engine.state().items() if k != "store"})
-            self.compact_s, self.began = 0.0, self.clock()
+            figures = {name: value for name, value in self.engine.status().items() if name != "store"}
+            log.info("store compacted", **figures)
+            self.compaction_s = 0.0
+            self.window_started_at_s = self.clock()
         await asyncio.sleep(0)
 
     async def close(self) -> None:
-        """What waits is done first, then the files are closed."""
-        while self.waiting and not self.task.done():
-            await asyncio.sleep(0.001)
+        """Write what is pending, then close the files."""
+        while self.pending and not self.task.done():
+            await asyncio.sleep(CLOSE_POLL_S)
         self.task.cancel()
         await asyncio.gather(self.task, return_exceptions=True)
-        self.disk.shutdown(wait=True)
+        self.disk_executor.shutdown(wait=True)
         self.engine.close()
 
     def metrics(self) -> dict[str, float]:
+        """Figures under their published names."""
         return {
-            "commits": self.commits,
-            "batches": self.batches,
-            "waiting": len(self.waiting),
+            "commits": self.commit_count,
+            "batches": self.batch_count,
+            "waiting": len(self.pending),
             "slowest_ms": round(self.slowest_s * 1000, 2),
-            "log_bytes": sum(self.engine.sizes.values()),
+            "log_bytes": self.engine.log.total_bytes,
             "keys": len(self.engine.index),
         }
 
 
-def _settle(entry: PendingCommit, error: StoreError | None) -> None:
-    if entry.done.done():
+def _resolve(commit: PendingCommit, error: StoreError | None) -> None:
+    if commit.future.done():
         return
     if error is None:
-        entry.done.set_result(None)
+        commit.future.set_result(None)
     else:
-        entry.done.set_exception(error)
+        commit.future.set_exception(error)
 
 
-__all__ = ["Committer", "StoreOverloadedError", "WriteBatch"]
+def _resolve_all(commits: list[PendingCommit], error: StoreError) -> None:
+    for commit in commits:
+        _resolve(commit, error)
--- a/onyxwick/store/encryption.py
+++ b/onyxwick/store/encryption.py
@@ -1,8 +1,8 @@
-"""Secrets in the store, sealed under a key file whose keys can be rotated.
+"""Encryption of the secrets in the store, under a key file whose keys can be rotated.
 
-The file holds one key a line, the newest first: it seals, all of them open. A key is 32 bytes in base64, as
-`onyxwick store new-key` prints. Fernet (AES-128 in CBC with HMAC-SHA256) of the cryptography library does
-the work.
+The file holds one key a line, the newest first: it encrypts, all of them decrypt. A key is 32 bytes in
+base64, as `onyxwick store new-key` prints it. The cipher is Fernet (AES-128 in CBC with HMAC-SHA256) of the
+cryptography library.
 """
 
 from __future__ import annotations
@@ -14,38 +14,45 @@
 from onyxwick.store.errors import StoreUnusableError
 
 
-class Sealer:
+class SecretCipher:
+    """Encrypts under the first of some keys. StoreUnusableError where one of them is no key."""
+
     def __init__(self, keys: list[str]) -> None:
         try:
             self.keys = MultiFernet([Fernet(key) for key in keys])
         except ValueError as error:
-            raise StoreUnusableError(f"the key file holds what is no key: {error}") from None
+            raise StoreUnusableError(
+                f"the key file holds a line that is no key: {error}; a key is 32 bytes in base64"
+            ) from None
 
-    def seal(self, secret: bytes) -> bytes:
+    def encrypt(self, secret: bytes) -> bytes:
+        """A secret under the newest key."""
         return self.keys.encrypt(secret)
 
-    def open(self, sealed: bytes, what: str) -> bytes:
-        """Refused where no key of the file opens it: it must not be taken for an empty secret."""
+    def decrypt(self, encrypted: bytes, row_key: str) -> bytes:
+        """The secret of a row; StoreUnusableError where no key of the file decrypts it."""
         try:
-            return self.keys.decrypt(sealed)
+            return self.keys.decrypt(encrypted)
         except InvalidToken:
-            raise StoreUnusableError(f"{what}: no key of the key file opens it") from None
+            raise StoreUnusableError(f"{row_key}: no key of the key file opens it") from None
 
-    def renew(self, sealed: bytes) -> bytes:
-        """The same under the newest key."""
-        return self.keys.rotate(sealed)
+    def reencrypt(self, encrypted: bytes) -> bytes:
+        """The same secret under the newest key."""
+        return self.keys.rotate(encrypted)
 
 
-def read_keys(path: Path) -> Sealer:
+def read_key_file(path: Path) -> SecretCipher:
+    """The cipher of a key file; StoreUnusableError where it cannot be read or holds no key."""
     try:
         lines = [line.strip() for line in path.read_text().splitlines()]
     except (OSError, UnicodeDecodeError) as error:
         raise StoreUnusableError(f"{path.name}: {error}") from None
     keys = [line for line in lines if line and not line.startswith("#")]
     if not keys:
-        raise StoreUnusableError(f"{path.name}: holds no key")
-    return Sealer(keys)
+        raise StoreUnusableError(f"{path.name}: holds no key; `onyxwick store new-key` prints one")
+    return SecretCipher(keys)
 
 
-def new_key() -> str:
+def generate_key() -> str:
+    """A new random key as a line of the key file."""
     return Fernet.generate_key().decode()
--- a/onyxwick/store/files.py
+++ b/onyxwick/store/files.py
@@ -1,7 +1,7 @@
-"""The file calls of the store, behind one small interface so that faults can be put in.
+"""The file calls of the store, behind one small interface so that tests can inject faults.
 
-Names are plain file names in one folder. What `write` has put in lasts only after `sync` of the file; that
-a file exists, has another name or is gone lasts only after `sync_folder`.
+Names are plain file names in one folder. A write is durable only after `sync` of the file; that a file
+exists, was renamed or removed is durable only after `sync_folder`. Offsets and sizes are in bytes.
 """
 
 from __future__ import annotations
@@ -13,88 +13,119 @@
 
 from onyxwick.store.errors import StoreBusyError
 
+LOCK_FILE = "lock"
 
-class Files(Protocol):
-    def names(self) -> list[str]: ...
-    def read(self, name: str) -> bytes: ...
-    def write(self, name: str, at: int, data: bytes) -> None:
-        """Put all of `data` at an offset; the file is made if need be. OSError where it cannot be."""
 
-    def truncate(self, name: str, size: int) -> None: ...
-    def sync(self, name: str) -> None: ...
-    def sync_folder(self) -> None: ...
-    def rename(self, name: str, new: str) -> None: ...
-    def remove(self, name: str) -> None: ...
+class StoreFiles(Protocol):
+    """One folder. OSError from any call that the disk or the system refuses."""
+
+    def names(self) -> list[str]:
+        """All files of the folder, sorted."""
+
+    def read(self, name: str) -> bytes:
+        """All bytes of a file."""
+
+    def write(self, name: str, offset: int, data: bytes) -> None:
+        """Write all of `data` at an offset; the file is created if need be."""
+
+    def truncate(self, name: str, size: int) -> None:
+        """Cut a file to a size."""
+
+    def sync(self, name: str) -> None:
+        """Make a file's content durable."""
+
+    def sync_folder(self) -> None:
+        """Make the folder's names durable."""
+
+    def rename(self, name: str, new: str) -> None:
+        """Rename a file; one that has the new name is replaced."""
+
+    def remove(self, name: str) -> None:
+        """Remove a file."""
+
     def lock(self) -> None:
-        """Keep other processes out; Busy where one is in."""
+        """Keep other processes out; StoreBusyError where one has the folder open."""
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Close all files and release the lock."""
 
 
 class DiskFiles:
-    """A real folder."""
+    """A folder on disk, created if need be; each method as in `StoreFiles`."""
 
     def __init__(self, folder: Path) -> None:
         folder.mkdir(parents=True, exist_ok=True)
         self.folder = folder
-        self.open_files: dict[str, int] = {}
-        self.lock_file: int | None = None
+        self.open_files: dict[str, int] = {}  # file descriptors by name
+        self.lock_descriptor: int | None = None
 
-    def _file(self, name: str) -> int:
+    def _descriptor(self, name: str) -> int:
         if name not in self.open_files:
             self.open_files[name] = os.open(self.folder / name, os.O_RDWR | os.O_CREAT, 0o600)
         return self.open_files[name]
 
     def names(self) -> list[str]:
+        """All files of the folder, sorted."""
         return sorted(path.name for path in self.folder.iterdir() if path.is_file())
 
     def read(self, name: str) -> bytes:
+        """All bytes of a file."""
         return (self.folder / name).read_bytes()
 
-    def write(self, name: str, at: int, data: bytes) -> None:
-        file, done = self._file(name), 0
-        while done < len(data):  # the system may take a part
-            done += os.pwrite(file, data[done:], at + done)
+    def write(self, name: str, offset: int, data: bytes) -> None:
+        """Write all of `data` at an offset; the file is created if need be."""
+        descriptor = self._descriptor(name)
+        done = 0
+        while done < len(data):  # one call may write only a part
+            done += os.pwrite(descriptor, data[done:], offset + done)
 
     def truncate(self, name: str, size: int) -> None:
-        os.ftruncate(self._file(name), size)
+        """Cut a file to a size."""
+        os.ftruncate(self._descriptor(name), size)
 
     def sync(self, name: str) -> None:
-        os.fdatasync(self._file(name))
+        """Make a file's content durable."""
+        os.fdatasync(self._descriptor(name))
 
     def sync_folder(self) -> None:
-        folder = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY)
+        """Make the folder's names durable."""
+        descriptor = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY)
         try:
-            os.fsync(folder)
+            os.fsync(descriptor)
         finally:
-            os.close(folder)
+            os.close(descriptor)
 
-    def _forget(self, name: str) -> None:
-        if (file := self.open_files.pop(name, None)) is not None:
-            os.close(file)
+    def _close_file(self, name: str) -> None:
+        if (descriptor := self.open_files.pop(name, None)) is not None:
+            os.close(descriptor)
 
     def rename(self, name: str, new: str) -> None:
-        self._forget(name)
-        self._forget(new)
+        """Rename a file; one that has the new name is replaced."""
+        self._close_file(name)
+        self._close_file(new)
         os.rename(self.folder / name, self.folder / new)
 
     def remove(self, name: str) -> None:
-        self._forget(name)
+        """Remove a file."""
+        self._close_file(name)
         os.unlink(self.folder / name)
 
     def lock(self) -> None:
-        if self.lock_file is None:
-            file = os.open(self.folder / "lock", os.O_RDWR | os.O_CREAT, 0o600)
-            try:
-                fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
-            except OSError:
-                os.close(file)
-                raise StoreBusyError(f"{self.folder.name}: another process has this store open") from None
-            self.lock_file = file
+        """Keep other processes out; StoreBusyError where one has the folder open."""
+        if self.lock_descriptor is not None:
+            return
+        descriptor = os.open(self.folder / LOCK_FILE, os.O_RDWR | os.O_CREAT, 0o600)
+        try:
+            fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
+        except OSError:
+            os.close(descriptor)
+            raise StoreBusyError(f"{self.folder.name}: another process has this store open") from None
+        self.lock_descriptor = descriptor
 
     def close(self) -> None:
+        """Close all files and release the lock."""
         for name in list(self.open_files):
-            self._forget(name)
-        if self.lock_file is not None:
-            os.close(self.lock_file)
-            self.lock_file = None
+            self._close_file(name)
+        if self.lock_descriptor is not None:
+            os.close(self.lock_descriptor)
+            self.lock_descriptor = None
--- /dev/null
+++ b/onyxwick/store/opening.py
@@ -0,0 +1,255 @@
+"""Opens a store's folder: reads the commit mark, the newest checkpoint and the log behind it.
+
+Raises StoreUnusableError wherever opening could lose acknowledged data. A torn write behind the last intact
+record is truncated; intact records behind the commit mark are taken in and acknowledged.
+"""
+
+from __future__ import annotations
+
+import secrets
+from dataclasses import dataclass
+from typing import NamedTuple
+
+from onyxwick.store import records
+from onyxwick.store.errors import StoreUnusableError
+from onyxwick.store.files import StoreFiles
+from onyxwick.store.index import IndexEntry, StoreIndex
+from onyxwick.store.segment_log import (
+    CHECKPOINT_PREFIX,
+    COMMIT_MARK_FILE,
+    SEGMENT_PREFIX,
+    SegmentLog,
+    number_in_name,
+    segment_name,
+)
+
+STORE_ID_BYTES = 16
+TEMPORARY_SUFFIX = ".tmp"
+
+
+class NumberedFile(NamedTuple):
+    """A segment or checkpoint file with the number in its name."""
+
+    number: int
+    name: str
+
+
+@dataclass(frozen=True, slots=True)
+class OpenedStore:
+    """What opening found. `torn_bytes`: truncated behind the last intact record."""
+
+    index: StoreIndex
+    log: SegmentLog
+    last_record_number: int
+    checkpoint_number: int
+    checkpoint_bytes: int
+    torn_bytes: int
+
+
+def open_store(files: StoreFiles, expected_store_id: bytes | None) -> OpenedStore:
+    """Open the folder, or create a store in it where it is empty.
+
+    Raises StoreUnusableError where data may be lost, or the store has another id than the expected one.
+    """
+    return _Opening(files).run(expected_store_id)
+
+
+class _Opening:
+    def __init__(self, files: StoreFiles) -> None:
+        self.files = files
+        self.log = SegmentLog(files)
+        self.entries: dict[str, IndexEntry] = {}
+        self.last_record_number = 0
+        self.checkpoint_number = 0
+        self.checkpoint_bytes = 0
+        self.torn_bytes = 0
+
+    def run(self, expected_store_id: bytes | None) -> OpenedStore:
+        names = self._remove_unfinished_checkpoints()
+        segments = sorted(_numbered(names, SEGMENT_PREFIX))
+        checkpoints = sorted(_numbered(names, CHECKPOINT_PREFIX), reverse=True)
+        has_data = bool(segments or checkpoints)
+        has_commit_mark = self._read_commit_mark(COMMIT_MARK_FILE in names, has_data)
+        if not has_data:
+            self._create(expected_store_id, has_commit_mark)
+        else:
+            self._load_checkpoint(checkpoints, bool(segments))
+            self._replay_segments(segments)
+            self._check_complete(expected_store_id)
+            self._finish_log()
+        return OpenedStore(
+            StoreIndex(self.entries),
+            self.log,
+            self.last_record_number,
+            self.checkpoint_number,
+            self.checkpoint_bytes,
+            self.torn_bytes,
+        )
+
+    def _remove_unfinished_checkpoints(self) -> set[str]:
+        names = set(self.files.names())
+        unfinished = {name for name in names if name.endswith(TEMPORARY_SUFFIX)}
+        for name in unfinished:
+            self.files.remove(name)
+        return names - unfinished
+
+    def _read_commit_mark(self, exists: bool, has_data: bool) -> bool:
+        marks = records.decode_commit_marks(self.files.read(COMMIT_MARK_FILE)) if exists else []
+        if not marks:
+            if has_data:
+                raise StoreUnusableError(
+                    f"{COMMIT_MARK_FILE}: the commit mark is missing or damaged;"
+                    " what was acknowledged is unknown"
+                )
+            return False
+        mark = max(marks, key=lambda mark: mark.sequence)
+        self.log.store_id = mark.store_id
+        self.log.acknowledged_number = mark.number
+        self.log.commit_mark_sequence = mark.sequence
+        return True
+
+    def _create(self, store_id: bytes | None, has_commit_mark: bool) -> None:
+        if has_commit_mark and self.log.acknowledged_number:
+            raise StoreUnusableError(f"all {self.log.acknowledged_number} acknowledged records are missing")
+        self.log.store_id = store_id or secrets.token_bytes(STORE_ID_BYTES)
+        # The commit mark first: a log without it is refused, an empty store without its log is created again.
+        for _ in range(2):
+            self.log.write_commit_mark(0)
+        self.files.sync_folder()
+        self.log.start_segment(0)
+
+    # ---- checkpoint -------------------------------------------------------------------------------------
+
+    def _load_checkpoint(self, checkpoints: list[NumberedFile], has_segments: bool) -> None:
+        """Load the newest intact one. A damaged one is skipped; whether the log still has what it held is
+        found out by the replay."""
+        for number, name in checkpoints:
+            data = self.files.read(name)
+            try:
+                checkpoint = records.decode_checkpoint(data, name)
+            except StoreUnusableError:
+                if number == checkpoints[-1].number and not has_segments:
+                    raise
+                continue
+            self._check_store_id(checkpoint.store_id, name)
+            self.last_record_number = checkpoint.number
+            self.checkpoint_number = checkpoint.number
+            self.checkpoint_bytes = len(data)
+            for key, value, version in checkpoint.rows:
+                self.entries[key] = IndexEntry(value, version, checkpoint.number)
+            return
+
+    def _check_store_id(self, store_id: bytes, name: str) -> None:
+        if self.log.store_id and store_id != self.log.store_id:
+            raise StoreUnusableError(f"{name}: belongs to another store")
+        self.log.store_id = store_id
+
+    # ---- log --------------------------------------------------------------------------------------------
+
+    def _replay_segments(self, segments: list[NumberedFile]) -> None:
+        for position, segment in enumerate(segments):
+            is_last = position == len(segments) - 1
+            following = None if is_last else segments[position + 1].name
+            if following is not None and self._is_redundant(following):
+                continue  # a crash came before it was removed: the checkpoint has all of it
+            if not self._replay_segment(segment, following):
+                return
+
+    def _replay_segment(self, segment: NumberedFile, following: str | None) -> bool:
+        """Take in one segment; False for an empty last one, which is removed."""
+        name = segment.name
+        data = self.files.read(name)
+        try:
+            header = records.decode_segment_header(data, name)
+        except StoreUnusableError:
+            if following is None and self._was_never_written(data):
+                self.files.remove(name)
+                return False
+            raise
+        self._check_segment_header(header, segment)
+        end = self._replay_records(data, header.preceding_number)
+        self.log.segment = header.segment
+        self.log.segment_bytes = end
+        self.log.segment_sizes[name] = end
+        if end < len(data):
+            self.torn_bytes += len(data) - end
+            if following is not None and self.last_record_number < self._preceding_number(following):
+                raise StoreUnusableError(
+                    f"{name}: damaged behind record {self.last_record_number}, and more records follow it"
+                )
+        return True
+
+    def _was_never_written(self, data: bytes) -> bool:
+        """Can a segment with a damaged header hold no acknowledged record?"""
+        complete = self.last_record_number >= self.log.acknowledged_number
+        return complete and len(data) <= records.SEGMENT_HEADER.size
+
+    def _check_segment_header(self, header: records.SegmentHeader, segment: NumberedFile) -> None:
+        self._check_store_id(header.store_id, segment.name)
+        if header.segment != segment.number:
+            raise StoreUnusableError(f"{segment.name}: its header names segment {header.segment}")
+        if header.preceding_number > self.last_record_number:
+            raise StoreUnusableError(
+                f"records {self.last_record_number + 1} to {header.preceding_number} are missing"
+                f" before {segment.name}"
+            )
+
+    def _is_redundant(self, following: str) -> bool:
+        """Does the checkpoint hold all that lies before a segment?"""
+        try:
+            preceding = self._preceding_number(following)
+        except StoreUnusableError:
+            return False
+        return self.checkpoint_number > 0 and preceding <= self.checkpoint_number
+
+    def _preceding_number(self, name: str) -> int:
+        return records.decode_segment_header(self.files.read(name), name).preceding_number
+
+    def _replay_records(self, data: bytes, preceding_number: int) -> int:
+        """Take in a segment's records; the offset behind the last intact one."""
+        end = records.SEGMENT_HEADER.size
+        for found in records.decode_records(data, end, preceding_number):
+            end = found.end_offset
+            if found.number <= self.last_record_number:
+                continue  # the checkpoint has it
+            if found.number != self.last_record_number + 1:
+                raise StoreUnusableError(
+                    f"record {self.last_record_number + 1} is missing before {found.number}"
+                )
+            payload = records.decode_payload(found.payload, found.number)
+            for key, value, version in payload.operations:
+                if value is None:
+                    self.entries.pop(key, None)
+                else:
+                    self.entries[key] = IndexEntry(value, version, found.number)
+            self.last_record_number = found.number
+        return end
+
+    # ---- the end of it ----------------------------------------------------------------------------------
+
+    def _check_complete(self, expected_store_id: bytes | None) -> None:
+        if expected_store_id is not None and self.log.store_id != expected_store_id:
+            raise StoreUnusableError("this store belongs to another installation")
+        if self.last_record_number < self.log.acknowledged_number:
+            raise StoreUnusableError(
+                f"records {self.last_record_number + 1} to {self.log.acknowledged_number} were acknowledged"
+                " and are missing: drains, purges and configuration in them may be lost"
+            )
+
+    def _finish_log(self) -> None:
+        """Truncate a torn write, so that nothing is appended behind it, and acknowledge what is intact."""
+        if not self.log.segment:
+            self.log.start_segment(self.last_record_number)
+            return
+        name = segment_name(self.log.segment)
+        if self.torn_bytes:
+            self.files.truncate(name, self.log.segment_bytes)
+            self.files.sync(name)
+        if self.log.acknowledged_number < self.last_record_number:
+            # Intact and durable, though never acknowledged: later records will follow them.
+            self.files.sync(name)
+            self.log.write_commit_mark(self.last_record_number)
+
+
+def _numbered(names: set[str], prefix: str) -> list[NumberedFile]:
+    return [NumberedFile(number_in_name(name), name) for name in names if name.startswith(prefix)]
--- a/onyxwick/store/records.py
+++ b/onyxwick/store/records.py
@@ -1,9 +1,9 @@
-"""Records, segments, marks and checkpoints as bytes, both ways. No I/O.
+"""The store's file formats, both ways and free of I/O: records, segments, commit marks and checkpoints.
 
-A record: length, checksum (CRC-32C over length, number and payload), number, payload. A segment begins with
-a header that names the store, so that files of another installation are not taken for this one's. The mark
-says up to which number everything has been acknowledged: what lies behind it may be torn by a crash and is
-nobody's; what lies before it and does not hold has been lost, and the store refuses to open.
+A record is length, checksum (CRC-32C over length, number and payload), number and payload. A segment begins
+with a header that identifies the store, so that files of another installation are not taken for this one's.
+The commit mark says up to which record number everything has been acknowledged: a torn write behind it was
+never acknowledged, whereas a damaged record before it means data loss, and the store refuses to open.
 """
 
 from __future__ import annotations
@@ -11,135 +11,182 @@
 import struct
 from collections.abc import Iterator
 from dataclasses import dataclass
-from typing import Any
+from typing import NamedTuple
 
 import crc32c
 import msgspec
 
 from onyxwick.store.errors import StoreUnusableError
 
-RECORD = struct.Struct("<IIQ")  # bytes of the payload, checksum, number
-SEGMENT = struct.Struct("<8s16sQQI")  # magic, store, segment, number of the record before its first, checksum
-MARK = struct.Struct("<8s16sQQI")  # magic, store, number acknowledged, turn, checksum
-SEGMENT_MAGIC, MARK_MAGIC, CHECKPOINT_MAGIC = b"OWLOG 1\n", b"OWMARK1\n", b"OWCKPT1\n"
-MOST_PAYLOAD = 16 << 20
-SLOT = 4096  # a mark has two of these, written in turn: a torn write spoils one
-Ops = list[tuple[str, bytes | None, int]]  # key, value (None: deleted), version
+RECORD_HEADER = struct.Struct("<IIQ")
+"""Bytes of the payload, checksum, record number."""
+SEGMENT_HEADER = struct.Struct("<8s16sQQI")
+"""Magic, store, segment, number of the record before its first, checksum."""
+COMMIT_MARK = struct.Struct("<8s16sQQI")
+"""Magic, store, acknowledged record number, sequence of the mark, checksum."""
+_CHECKPOINT_FIELDS = struct.Struct("<8s16sQQ")  # magic, store, record number, rows
+_CHECKSUM = struct.Struct("<I")
+_RECORD_CHECKED = struct.Struct("<IQ")  # what the checksum covers before the payload: length and number
+CHECKPOINT_HEADER_BYTES = _CHECKPOINT_FIELDS.size + _CHECKSUM.size
+SEGMENT_MAGIC = b"OWLOG 1\n"
+COMMIT_MARK_MAGIC = b"OWMARK1\n"
+CHECKPOINT_MAGIC = b"OWCKPT1\n"
+MAX_PAYLOAD_BYTES = 16 << 20
+COMMIT_MARK_SLOT_BYTES = 4096
+"""The mark's file has two slots of this size, written in turn: a torn write damages one of them."""
+StoredOperations = list[tuple[str, bytes | None, int]]
+"""Key, value (None: deleted) and version, as a record holds them."""
 
 
 class RecordPayload(msgspec.Struct, array_like=True):
-    """One transaction: all of it holds or nothing."""
+    """One transaction, in the order of its fields on disk: Unix microseconds, author, operations."""
 
     at_us: int
-    by: str
-    ops: list[tuple[str, bytes | None, int]]
+    author: str
+    operations: list[tuple[str, bytes | None, int]]
 
 
-_payloads = msgspec.msgpack.Decoder(RecordPayload)
-encode = msgspec.msgpack.Encoder().encode
+class SegmentHeader(NamedTuple):
+    """`preceding_number` is the number of the record before the segment's first."""
 
+    store_id: bytes
+    segment: int
+    preceding_number: int
 
-_HEAD = struct.Struct("<IQ")  # what the checksum covers before the payload: its length and its number
 
+class CommitMark(NamedTuple):
+    """Records up to `number` are acknowledged; of two marks the one with the larger sequence holds."""
+
+    store_id: bytes
+    number: int
+    sequence: int
 
-def _check(number: int, payload: bytes | memoryview) -> int:
-    return crc32c.crc32c(payload, crc32c.crc32c(_HEAD.pack(len(payload), number)))
 
+class Checkpoint(NamedTuple):
+    """All rows as of record `number`."""
 
-def record(number: int, payload: bytes) -> bytes:
-    return RECORD.pack(len(payload), _check(number, payload), number) + payload
+    store_id: bytes
+    number: int
+    rows: StoredOperations
 
 
 @dataclass(frozen=True, slots=True)
 class DecodedRecord:
-    """One record that holds, and where the next one begins. `payload` is a view into what was read."""
+    """One intact record; `payload` is a view into what was read, `end_offset` where the next one begins."""
 
     number: int
     payload: memoryview
-    end: int
+    end_offset: int
+
+
+_payload_decoder = msgspec.msgpack.Decoder(RecordPayload)
+encode_payload = msgspec.msgpack.Encoder().encode
+
 
+def _record_checksum(number: int, payload: bytes | memoryview) -> int:
+    return crc32c.crc32c(payload, crc32c.crc32c(_RECORD_CHECKED.pack(len(payload), number)))
 
-def records(data: bytes, at: int, number: int) -> Iterator[DecodedRecord]:
-    """Records from an offset on whose numbers follow `number`, up to the first that does not hold.
 
-    Read at opening, a million at a time: views in place of copies, names looked up once.
+def encode_record(number: int, payload: bytes) -> bytes:
+    """A record with its header."""
+    return RECORD_HEADER.pack(len(payload), _record_checksum(number, payload), number) + payload
+
+
+def decode_records(data: bytes, offset: int, number: int) -> Iterator[DecodedRecord]:
+    """Records from an offset on whose numbers follow `number`, up to the first that is not intact.
+
+    Opening reads a million of them: payloads are views, and names are looked up once.
     """
-    unpack, head, total, check_of, view = RECORD.unpack_from, RECORD.size, len(data), _check, memoryview(data)
-    while at + head <= total:
-        size, check, found = unpack(data, at)
-        end = at + head + size
-        if size > MOST_PAYLOAD or end > total or found != number + 1:
+    unpack = RECORD_HEADER.unpack_from
+    header_bytes = RECORD_HEADER.size
+    checksum_of = _record_checksum
+    total = len(data)
+    view = memoryview(data)
+    while offset + header_bytes <= total:
+        size, checksum, found = unpack(data, offset)
+        end = offset + header_bytes + size
+        if size > MAX_PAYLOAD_BYTES or end > total or found != number + 1:
             return
-        payload = view[at + head : end]
-        if check_of(found, payload) != check:
+        payload = view[offset + header_bytes : end]
+        if checksum_of(found, payload) != checksum:
             return
         yield DecodedRecord(found, payload, end)
-        at, number = end, found
+        offset = end
+        number = found
 
 
-def read_payload(data: bytes | memoryview, number: int) -> RecordPayload:
+def decode_payload(data: bytes | memoryview, number: int) -> RecordPayload:
+    """The payload of an intact record; StoreUnusableError where it has another form."""
     try:
-        return _payloads.decode(data)
+        return _payload_decoder.decode(data)
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
-        raise StoreUnusableError(f"record {number} holds its checksum and cannot be read: {error}") from None
-
-
-def _sealed(shape: struct.Struct, *values: Any) -> bytes:
-    bare = shape.pack(*values, 0)[:-4]
-    return bare + struct.pack("<I", crc32c.crc32c(bare))
+        raise StoreUnusableError(
+            f"record {number} has a valid checksum and cannot be read: {error}"
+        ) from None
 
 
-def _holds(data: bytes) -> bool:
-    return crc32c.crc32c(data[:-4]) == int.from_bytes(data[-4:], "little")
+def _with_checksum(data: bytes) -> bytes:
+    return data + _CHECKSUM.pack(crc32c.crc32c(data))
 
 
-def segment_header(store: bytes, segment: int, before: int) -> bytes:
-    return _sealed(SEGMENT, SEGMENT_MAGIC, store, segment, before)
+def _checksum_matches(data: bytes) -> bool:
+    return crc32c.crc32c(data[: -_CHECKSUM.size]) == int.from_bytes(data[-_CHECKSUM.size :], "little")
 
 
-def read_segment_header(data: bytes, name: str) -> tuple[bytes, int, int]:
-    """Store, number of the segment and of the record before its first. Refused where it does not hold."""
-    if len(data) < SEGMENT.size or not _holds(data[: SEGMENT.size]) or not data.startswith(SEGMENT_MAGIC):
-        raise StoreUnusableError(f"{name}: its header does not hold; the records in it may be lost")
-    _, store, segment, before, _ = SEGMENT.unpack_from(data)
-    return store, segment, before
+def encode_segment_header(store_id: bytes, segment: int, preceding_number: int) -> bytes:
+    """The first bytes of a segment."""
+    data = SEGMENT_HEADER.pack(SEGMENT_MAGIC, store_id, segment, preceding_number, 0)
+    return _with_checksum(data[: -_CHECKSUM.size])
 
 
-def mark_slot(store: bytes, number: int, turn: int) -> bytes:
-    return _sealed(MARK, MARK_MAGIC, store, number, turn)
+def decode_segment_header(data: bytes, name: str) -> SegmentHeader:
+    """The header of the segment file `name`; StoreUnusableError where it is damaged."""
+    header = data[: SEGMENT_HEADER.size]
+    intact = len(header) == SEGMENT_HEADER.size and header.startswith(SEGMENT_MAGIC)
+    if not intact or not _checksum_matches(header):
+        raise StoreUnusableError(f"{name}: its header is damaged; the records in it may be lost")
+    _, store_id, segment, preceding_number, _ = SEGMENT_HEADER.unpack(header)
+    return SegmentHeader(store_id, segment, preceding_number)
 
 
-def read_marks(data: bytes) -> list[tuple[bytes, int, int]]:
-    """The slots that hold: (store, number, turn)."""
-    out = []
-    for at in (0, SLOT):
-        slot = data[at : at + MARK.size]
-        if len(slot) == MARK.size and slot.startswith(MARK_MAGIC) and _holds(slot):
-            _, store, number, turn, _ = MARK.unpack(slot)
-            out.append((store, number, turn))
-    return out
+def encode_commit_mark(store_id: bytes, number: int, sequence: int) -> bytes:
+    """One slot of the commit mark's file."""
+    data = COMMIT_MARK.pack(COMMIT_MARK_MAGIC, store_id, number, sequence, 0)
+    return _with_checksum(data[: -_CHECKSUM.size])
 
 
-def checkpoint_header(store: bytes, number: int, count: int) -> bytes:
-    bare = struct.pack("<8s16sQQ", CHECKPOINT_MAGIC, store, number, count)
-    return bare + struct.pack("<I", crc32c.crc32c(bare))
+def decode_commit_marks(data: bytes) -> list[CommitMark]:
+    """The marks of the slots that are intact."""
+    marks = []
+    for offset in (0, COMMIT_MARK_SLOT_BYTES):
+        slot = data[offset : offset + COMMIT_MARK.size]
+        if len(slot) == COMMIT_MARK.size and slot.startswith(COMMIT_MARK_MAGIC) and _checksum_matches(slot):
+            _, store_id, number, sequence, _ = COMMIT_MARK.unpack(slot)
+            marks.append(CommitMark(store_id, number, sequence))
+    return marks
 
 
-CHECKPOINT_SIZE = 8 + 16 + 8 + 8 + 4
+def encode_checkpoint_header(store_id: bytes, number: int, count: int) -> bytes:
+    """The first bytes of a checkpoint of `count` rows as of record `number`."""
+    return _with_checksum(_CHECKPOINT_FIELDS.pack(CHECKPOINT_MAGIC, store_id, number, count))
 
 
-def read_checkpoint(data: bytes, name: str) -> tuple[bytes, int, Ops]:
-    """Store, number up to which it holds everything, and the rows. Refused where any byte does not hold."""
-    if len(data) < CHECKPOINT_SIZE or not _holds(data[:CHECKPOINT_SIZE]):
-        raise StoreUnusableError(f"{name}: its header does not hold")
-    magic, store, number, count = struct.unpack_from("<8s16sQQ", data)
+def decode_checkpoint(data: bytes, name: str) -> Checkpoint:
+    """The checkpoint file `name`; StoreUnusableError where any byte of it is damaged."""
+    if len(data) < CHECKPOINT_HEADER_BYTES or not _checksum_matches(data[:CHECKPOINT_HEADER_BYTES]):
+        raise StoreUnusableError(f"{name}: its header is damaged")
+    magic, store_id, number, count = _CHECKPOINT_FIELDS.unpack_from(data)
     if magic != CHECKPOINT_MAGIC:
         raise StoreUnusableError(f"{name}: is no checkpoint")
-    rows: Ops = []
-    at, chunk = CHECKPOINT_SIZE, 0
-    for found in records(data, at, 0):
-        rows += read_payload(found.payload, found.number).ops
-        at, chunk = found.end, found.number
-    if at != len(data) or len(rows) != count:
-        raise StoreUnusableError(f"{name}: ends after {chunk} whole parts with {len(rows)} of {count} rows")
-    return store, number, rows
+    rows: StoredOperations = []
+    end = CHECKPOINT_HEADER_BYTES
+    last_record = 0
+    for found in decode_records(data, end, 0):
+        rows += decode_payload(found.payload, found.number).operations
+        end = found.end_offset
+        last_record = found.number
+    if end != len(data) or len(rows) != count:
+        raise StoreUnusableError(
+            f"{name}: ends after {last_record} complete records with {len(rows)} of {count} rows"
+        )
+    return Checkpoint(store_id, number, rows)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -28,10 +28,10 @@
     ObjectsPurged,
 )
 from onyxwick.store import StoreFailedError, StoreFullError, StoreUnusableError
-from onyxwick.store.durable import DurableState, unpack
-from onyxwick.store.encryption import Sealer, new_key, read_keys
+from onyxwick.store.durable import DurableState, unpack_row
+from onyxwick.store.encryption import SecretCipher, generate_key, read_key_file
 from onyxwick.store.recovery import (
-    LEGAL,
+    TRANSITIONS,
     IllegalRecoveryPhaseError,
     MemberDrain,
     RecordedPurge,
@@ -42,15 +42,15 @@
 from tests.faulty_files import FaultyFiles
 from tests.world import CACHES, ORIGIN, PARENTS, SETTINGS, S, member
 
-KEY = new_key()
+KEY = generate_key()
 ROWS = (*CACHES, *PARENTS, ORIGIN)
 ADDRESSES = {m.address: ("127.0.0.1", 9) for m in ROWS}
 
 
 def _recovered(drains: list[MemberDrain], reached: int = 5, now: int = 100 * S) -> Recovery:
     recovery = Recovery(now, 6 * S)
-    recovery.opened(now)
-    recovery.replayed(
+    recovery.on_opened(now)
+    recovery.on_replayed(
         now,
         drains,
         [RecordedPurge(1, None, now - 2 * S), RecordedPurge(2, "o", now - 9 * S)],
@@ -68,52 +68,52 @@
         for to in RecoveryPhase:
             recovery = Recovery(0, S)
             recovery.phase = phase
-            if to not in LEGAL[phase]:
+            if to not in TRANSITIONS[phase]:
                 with pytest.raises(IllegalRecoveryPhaseError):
-                    recovery._enter(to, 1)
+                    recovery._transition(to, 1)
 
 
 def test_until_the_feed_is_heard_the_stricter_word_wins_and_then_the_coordinators() -> None:
     recovery = _recovered([MemberDrain("c0", "coordinator", 0), MemberDrain("c1", "operator", 0)])
     event = EndpointsChanged(EndpointListKind.SNAPSHOT, ROWS)
-    states = {m.address: m.state for m in recovery.seen(event).members}
+    states = {m.address: m.state for m in recovery.with_drains(event).members}
     assert states["c0"] is states["c1"] is MemberState.DRAINING and states["c2"] is MemberState.READY
-    assert not recovery.heard(101 * S, 4) and recovery.shown()["phase"] == "checking"
-    assert recovery.heard(101 * S, 5) and recovery.shown()["phase"] == "serving"
-    states = {m.address: m.state for m in recovery.seen(event).members}
+    assert not recovery.on_feed_number(101 * S, 4) and recovery.status()["phase"] == "checking"
+    assert recovery.on_feed_number(101 * S, 5) and recovery.status()["phase"] == "serving"
+    states = {m.address: m.state for m in recovery.with_drains(event).members}
     assert states["c0"] is MemberState.READY, "the coordinator has not told of a drain again: it was lifted"
     assert states["c1"] is MemberState.DRAINING, "an operator's drain is lifted by an operator alone"
-    assert recovery.lifted("c1") and not recovery.lifted("c1")
-    assert recovery.seen(event) is event
+    assert recovery.lift_drain("c1") and not recovery.lift_drain("c1")
+    assert recovery.with_drains(event) is event
 
 
 def test_another_process_under_a_drained_name_is_not_drained_by_the_coordinators_word() -> None:
     recovery = _recovered([MemberDrain("c0", "coordinator", 50 * S), MemberDrain("c1", "operator", 50 * S)])
     new = EndpointsChanged(EndpointListKind.CHANGE, (member("c0", since=90 * S), member("c1", since=90 * S)))
-    assert [m.state for m in recovery.seen(new).members] == [MemberState.READY, MemberState.DRAINING]
+    assert [m.state for m in recovery.with_drains(new).members] == [MemberState.READY, MemberState.DRAINING]
     gone = EndpointsChanged(EndpointListKind.CHANGE, (replace(member("c1"), state=MemberState.REMOVED),))
-    assert recovery.seen(gone).members[0].state is MemberState.REMOVED
+    assert recovery.with_drains(gone).members[0].state is MemberState.REMOVED
 
 
 def test_a_feed_that_is_never_heard_keeps_the_drains_and_does_not_hold_the_service() -> None:
     recovery = _recovered([MemberDrain("c0", "coordinator")])
-    assert recovery.serves and not recovery.tick(109 * S)
-    assert recovery.tick(111 * S) and recovery.phase is RecoveryPhase.SERVING
-    assert recovery.held(member("c0")) and "not heard" in recovery.why
+    assert recovery.may_serve and not recovery.on_tick(109 * S)
+    assert recovery.on_tick(111 * S) and recovery.phase is RecoveryPhase.SERVING
+    assert recovery.is_drained(member("c0")) and "not heard" in recovery.reason
 
 
 def test_a_feed_heard_late_lifts_the_coordinators_drains_once_and_keeps_the_operators() -> None:
     recovery = _recovered([MemberDrain("c0", "coordinator"), MemberDrain("c1", "operator")], reached=5)
-    assert recovery.tick(111 * S) and recovery.late
-    assert not recovery.heard(112 * S, 4)  # not yet as far as the store had come
-    assert recovery.heard(113 * S, 5) and not recovery.late
-    assert not recovery.held(member("c0")) and recovery.held(member("c1"))
-    assert not recovery.heard(114 * S, 6)  # nothing more to lift
+    assert recovery.on_tick(111 * S) and recovery.feed_overdue
+    assert not recovery.on_feed_number(112 * S, 4)  # not yet as far as the store had come
+    assert recovery.on_feed_number(113 * S, 5) and not recovery.feed_overdue
+    assert not recovery.is_drained(member("c0")) and recovery.is_drained(member("c1"))
+    assert not recovery.on_feed_number(114 * S, 6)  # nothing more to lift
 
 
 def test_purges_that_may_not_be_done_are_told_again_and_bookings_are_not_sent_again() -> None:
     recovery = _recovered([])
-    assert recovery.purges_to_tell(101 * S) == [ObjectsPurged(1, None, 3 * S)]
+    assert recovery.purges_to_replay(101 * S) == [ObjectsPurged(1, None, 3 * S)]
     assert not recovery.may_send("b1") and recovery.may_send("b2")
 
 
@@ -139,33 +139,33 @@
 
 
 def _durable(files: FaultyFiles, bookings: bool = False) -> DurableState:
-    return DurableState(files, Sealer([KEY]), b"installation-one", 100 * S, 6 * S, bookings)
+    return DurableState(files, SecretCipher([KEY]), b"installation-one", 100 * S, 6 * S, bookings)
 
 
 def test_keys_rotate_and_a_wrong_key_is_refused(tmp_path: Path) -> None:
-    old, new = new_key(), new_key()
-    sealed = Sealer([old]).seal(b"secret")
-    both = Sealer([new, old])
-    assert both.open(sealed, "x") == b"secret"
-    again = both.renew(sealed)
-    assert Sealer([new]).open(again, "x") == b"secret" and b"secret" not in again
+    old, new = generate_key(), generate_key()
+    sealed = SecretCipher([old]).encrypt(b"secret")
+    both = SecretCipher([new, old])
+    assert both.decrypt(sealed, "x") == b"secret"
+    again = both.reencrypt(sealed)
+    assert SecretCipher([new]).decrypt(again, "x") == b"secret" and b"secret" not in again
     with pytest.raises(StoreUnusableError, match="key/x: no key of the key file opens it"):
-        Sealer([new]).open(sealed, "key/x")
+        SecretCipher([new]).decrypt(sealed, "key/x")
     (tmp_path / "keys").write_text(f"# newest first\n{new}\n{old}\n")
-    assert read_keys(tmp_path / "keys").open(sealed, "x") == b"secret"
+    assert read_key_file(tmp_path / "keys").decrypt(sealed, "x") == b"secret"
     for text in ("", "# none\n", "short\n"):
         (tmp_path / "keys").write_text(text)
         with pytest.raises(StoreUnusableError):
-            read_keys(tmp_path / "keys")
+            read_key_file(tmp_path / "keys")
 
 
 def test_a_row_of_a_newer_schema_is_refused() -> None:
-    from onyxwick.store.durable import encode
+    from onyxwick.store.durable import encode_row
 
     with pytest.raises(StoreUnusableError, match="schema 9, newer"):
-        unpack("drain/c0", encode([9, {}]))
+        unpack_row("drain/c0", encode_row([9, {}]))
     with pytest.raises(StoreUnusableError, match="cannot be read"):
-        unpack("drain/c0", b"\xc1")
+        unpack_row("drain/c0", b"\xc1")
 
 
 # ---- the API --------------------------------------------------------------------------------------------
@@ -304,16 +304,16 @@
         depot.core.feed_observed(9)
         drained = EndpointsChanged(EndpointListKind.CHANGE, (replace(CACHES[0], state=MemberState.DRAINING),))
         depot.core.list_changed(drained, ADDRESSES)
-        await asyncio.gather(*depot.durable.notes)
+        await asyncio.gather(*depot.durable.background_commits)
         for seed in range(3):  # each time up with the old list, in which all are ready, and killed again
             depot = Depot(depot.files.after_crash(random.Random(seed)))
             depot.core.feed_observed(1)
-            await asyncio.gather(*depot.durable.notes)
-            assert depot.durable.recovery.reached == 9
+            await asyncio.gather(*depot.durable.background_commits)
+            assert depot.durable.recovery.last_feed_number == 9
             assert not depot.core.members.ready("c0") and depot.core.members.ready("c1")
         depot.core.feed_observed(10)
         assert depot.core.members.ready("c0"), "the feed is past it and has not drained it again"
-        await asyncio.gather(*depot.durable.notes)
+        await asyncio.gather(*depot.durable.background_commits)
         assert not list(depot.durable.engine.keys("drain/"))
 
     asyncio.run(play())
@@ -347,7 +347,7 @@
 
         open_ = FaultyFiles()
         before = Depot(open_, bookings=True)
-        await before.durable.intend("c" * 16, 1)
+        await before.durable.record_intent("c" * 16, 1)
         again = Depot(open_.after_crash(random.Random(3)), bookings=True)
         answers.clear()
         twice = ClientRequest("c" * 16, "save", "0" * 16, 0, None, again.core.now(), 3 * S)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -26,7 +26,7 @@
 from onyxwick.store.files import DiskFiles
 from tests.faulty_files import Crash, FaultyFiles
 
-SMALL = StoreLimits(segment=700, log=2000, total=1 << 20)
+SMALL = StoreLimits(segment_bytes=700, log_bytes=2000, total_bytes=1 << 20)
 State = dict[str, bytes]
 
 
@@ -69,7 +69,7 @@
         "one batch, each by itself"
     )
     engine.write(batch)
-    engine.finish(batch)
+    engine.apply(batch)
     assert engine.get("a") == b"4" and engine.version("a") == 3
     with pytest.raises(StoreError, match="stands twice"):
         engine.commit(Transaction((WriteOperation("a", b"1"), WriteOperation("a", b"2"))))
@@ -87,30 +87,30 @@
         assert dict(view.scan("k")) == dict(again.scan("k")) == {f"k{n}": b"old" for n in range(10)}
         with engine.snapshot() as later:
             assert later.get("k99") == b"new" and later.get("k2") is None and later.get("k1") == b"old"
-    assert not engine.older and not engine.snapshots
+    assert not engine.index.older_entries and not engine.index.open_snapshots
     assert [k for k, _ in engine.scan("k9")] == ["k9", "k99"]
 
 
 def test_a_bound_on_size_refuses_growth_and_allows_deletion() -> None:
-    engine = StoreEngine(FaultyFiles(), StoreLimits(segment=500, log=1000, total=3000))
+    engine = StoreEngine(FaultyFiles(), StoreLimits(segment_bytes=500, log_bytes=1000, total_bytes=3000))
     with pytest.raises(StoreFullError, match=r"of 3000"):
         for n in range(100):
             engine.commit(put(f"k{n}", bytes(100)))
     for n in range(12):
         engine.commit(put(f"k{n}", None))
-    assert engine.compact() and engine.size() < 2500
+    assert engine.compact() and engine.total_bytes() < 2500
     engine.commit(put("again", bytes(100)))
 
 
 def test_another_process_and_another_installation_are_kept_out(tmp_path: Path) -> None:
-    engine = StoreEngine(DiskFiles(tmp_path), store=b"installation-one")
+    engine = StoreEngine(DiskFiles(tmp_path), expected_store_id=b"installation-one")
     engine.commit(put("a", b"1"))
     with pytest.raises(StoreBusyError):
         StoreEngine(DiskFiles(tmp_path))
     engine.close()
     with pytest.raises(StoreUnusableError, match="another installation"):
-        StoreEngine(DiskFiles(tmp_path), store=b"installation-two")
-    again = StoreEngine(DiskFiles(tmp_path), store=b"installation-one")
+        StoreEngine(DiskFiles(tmp_path), expected_store_id=b"installation-two")
+    again = StoreEngine(DiskFiles(tmp_path), expected_store_id=b"installation-one")
     assert content(again) == {"a": b"1"}
     again.compact()
     again.close()
@@ -227,7 +227,7 @@
 def test_a_checksum_that_covers_less_than_the_length_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     import crc32c
 
-    monkeypatch.setattr(r, "_check", lambda number, payload: crc32c.crc32c(payload[:16]))
+    monkeypatch.setattr(r, "_record_checksum", lambda number, payload: crc32c.crc32c(payload[:16]))
     files = FaultyFiles()
     last = filled(files, 12)[-1]
     found = []
@@ -331,7 +331,7 @@
         self.files = self.files.after_crash(random.Random(seed))
         self.engine = StoreEngine(self.files, SMALL)
 
-    @precondition(lambda self: not self.engine.failed)
+    @precondition(lambda self: not self.engine.failure)
     @rule(call=st.integers(1, 3), key=st.sampled_from("abcde"), seed=st.integers(0, 1 << 30))
     def lose_power_in_a_commit(self, call: int, key: str, seed: int) -> None:
         self.files.crash_at = self.files.calls + call
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -32,8 +32,8 @@
 from onyxwick.sites.lifecycle import SiteDirective
 from onyxwick.sites.operator_commands import SiteCommand, of_row, to_row
 from onyxwick.store import records
-from onyxwick.store.durable import DurableState, pack, unpack
-from onyxwick.store.encryption import Sealer
+from onyxwick.store.durable import DurableState, pack_row, unpack_row
+from onyxwick.store.encryption import SecretCipher
 from onyxwick.store.engine import StoreEngine, Transaction, WriteOperation
 from onyxwick.store.files import DiskFiles
 from onyxwick.store.recovery import MemberDrain, RecordedPurge, RecoveryPhase
@@ -62,7 +62,7 @@
 @pytest.fixture
 def state(folder: Path) -> DurableState:
     return DurableState(
-        DiskFiles(folder / "store"), Sealer([KEY]), INSTALLATION, START_US + 20 * S, 60 * S, True
+        DiskFiles(folder / "store"), SecretCipher([KEY]), INSTALLATION, START_US + 20 * S, 60 * S, True
     )
 
 
@@ -71,8 +71,8 @@
 
 def test_checkpoint_segments_and_commit_mark_are_read(state: DurableState) -> None:
     engine = state.engine
-    assert engine.store == INSTALLATION
-    assert engine.state() == {
+    assert engine.store_id == INSTALLATION
+    assert engine.status() == {
         "store": INSTALLATION.hex(),
         "records": 16,
         "keys": 16,
@@ -103,7 +103,7 @@
     globex = tenants.tenants["globex"]
     assert (globex.quota.per_s, globex.token, globex.keys, globex.zones) == (20.0, "", {}, {})
     assert tenants.by_token("acme-token-0123456789") is acme
-    assert state.tenant_changes("acme", acme) == [], "what was read is what is stored"
+    assert state.tenant_operations("acme", acme) == [], "what was read is what is stored"
 
 
 def test_a_tenant_deleted_by_a_call_stays_deleted(state: DurableState) -> None:
@@ -114,7 +114,7 @@
 
 
 def test_the_plan_is_read(state: DurableState) -> None:
-    row = state.plan()
+    row = state.cell_plan()
     assert row is not None
     plan = plan_of_json(row["plan"], row["version"])
     assert plan.version == 3
@@ -128,7 +128,7 @@
 def test_drains_purges_intents_and_the_feed_are_read(state: DurableState) -> None:
     recovery = state.recovery
     assert recovery.phase is RecoveryPhase.CHECKING
-    assert recovery.reached == 12
+    assert recovery.last_feed_number == 12
     assert recovery.drains == {
         "box-1": MemberDrain("box-1", "coordinator", START_US - 90 * S, "", START_US + 4 * S),
         "box-2": MemberDrain("box-2", "operator", 0, "disk swap", START_US + 5 * S),
@@ -137,28 +137,28 @@
         RecordedPurge(3, "00000000000000aa", START_US + 6 * S, 11),
         RecordedPurge(4, None, START_US + 7 * S, 12),
     ]
-    assert list(recovery.bookings) == ["0000000000000b01"]
+    assert list(recovery.unresolved_intents) == ["0000000000000b01"]
     assert not recovery.may_send("0000000000000b01")
     assert recovery.may_send("0000000000000b02")
 
 
 def test_site_commands_are_read(state: DurableState) -> None:
-    commands = [of_row(row) for row in state.site_orders()]
+    commands = [of_row(row) for row in state.site_command_rows()]
     assert commands == [
         SiteCommand("site-north", SiteDirective.EVACUATE, "exercise", "operator", START_US + 12 * S, 120 * S),
         SiteCommand("site-south", SiteDirective.HOLD, "", "operator", START_US + 13 * S, 0),
     ]
-    assert [to_row(command) for command in commands] == state.site_orders()
+    assert [to_row(command) for command in commands] == state.site_command_rows()
 
 
 def test_the_outcome_of_an_idempotent_call_is_read(state: DurableState) -> None:
-    assert state.call("create-acme") == {
+    assert state.idempotent_call("create-acme") == {
         "mark": "0123456789abcdef0123456789abcdef",
         "status": 201,
         "at_us": START_US + 14 * S,
         "data": {"name": "acme", "quota_per_s": 250.0, "zones": [], "keys": []},
     }
-    assert state.call("another") is None
+    assert state.idempotent_call("another") is None
 
 
 def test_every_row_is_packed_to_the_bytes_that_were_read(state: DurableState) -> None:
@@ -178,52 +178,52 @@
     }
     assert {key.partition("/")[0] for key in rows} == kinds
     for key, value in rows.items():
-        assert pack(key, unpack(key, value)) == value, key
+        assert pack_row(key, unpack_row(key, value)) == value, key
     drain = state.recovery.drains["box-2"]
-    assert state.drain_op(drain) == WriteOperation("drain/box-2", rows["drain/box-2"])
+    assert state.drain_operation(drain) == WriteOperation("drain/box-2", rows["drain/box-2"])
     purge = state.recovery.purges[1]
     key = f"purge/{purge.unix_us:020d}/4/"
-    assert state.purge_ops(purge, START_US + 8 * S)[0] == WriteOperation(key, rows[key])
-    assert state.feed_op(12) == WriteOperation("feed/last", rows["feed/last"])
+    assert state.purge_operations(purge, START_US + 8 * S)[0] == WriteOperation(key, rows[key])
+    assert state.feed_number_operation(12) == WriteOperation("feed/last", rows["feed/last"])
 
 
 def test_records_name_who_wrote_them_and_are_encoded_to_the_same_bytes() -> None:
     data = (STORED / "store" / "log-0000000005").read_bytes()
-    store, segment, before = records.read_segment_header(data, "log-0000000005")
+    store, segment, before = records.decode_segment_header(data, "log-0000000005")
     assert (store, segment) == (INSTALLATION, 5)
-    written = records.segment_header(store, segment, before)
-    for found in records.records(data, len(written), before):
-        payload = records.read_payload(found.payload, found.number)
-        assert payload.by == "administration API"
+    written = records.encode_segment_header(store, segment, before)
+    for found in records.decode_records(data, len(written), before):
+        payload = records.decode_payload(found.payload, found.number)
+        assert payload.author == "administration API"
         assert payload.at_us in [START_US + n * S for n in (13, 14, 15)]
-        written += records.record(found.number, records.encode(payload))
+        written += records.encode_record(found.number, records.encode_payload(payload))
     assert found.number == 16
     assert written == data
     checkpoint = (STORED / "store" / "checkpoint-00000000000000000007").read_bytes()
-    store, number, rows = records.read_checkpoint(checkpoint, "checkpoint")
+    store, number, rows = records.decode_checkpoint(checkpoint, "checkpoint")
     assert (store, number, len(rows)) == (INSTALLATION, 7, 10)
-    header = records.checkpoint_header(store, number, len(rows))
-    part = records.record(1, records.encode(records.RecordPayload(0, "", rows)))
+    header = records.encode_checkpoint_header(store, number, len(rows))
+    part = records.encode_record(1, records.encode_payload(records.RecordPayload(0, "", rows)))
     assert header + part == checkpoint
     mark = (STORED / "store" / "mark").read_bytes()
-    slots = records.read_marks(mark)
+    slots = records.decode_commit_marks(mark)
     assert max(number for _, number, _ in slots) == 16
     for store, number, turn in slots:
-        at = (turn % 2) * records.SLOT
-        slot = records.mark_slot(store, number, turn)
+        at = (turn % 2) * records.COMMIT_MARK_SLOT_BYTES
+        slot = records.encode_commit_mark(store, number, turn)
         assert mark[at : at + len(slot)] == slot
 
 
 def test_a_store_goes_on_and_is_read_again_after_a_compaction(folder: Path) -> None:
-    engine = StoreEngine(DiskFiles(folder / "store"), store=INSTALLATION)
+    engine = StoreEngine(DiskFiles(folder / "store"), expected_store_id=INSTALLATION)
     rows = dict(engine.scan())
     engine.commit(Transaction((WriteOperation("tenant/globex", None),), "test", START_US))
     engine.compact()
     engine.close()
-    again = StoreEngine(DiskFiles(folder / "store"), store=INSTALLATION)
+    again = StoreEngine(DiskFiles(folder / "store"), expected_store_id=INSTALLATION)
     del rows["tenant/globex"]
     assert dict(again.scan()) == rows
-    assert again.number == 17
+    assert again.last_record_number == 17
     again.close()
 
 
@@ -341,7 +341,7 @@
 
 
 def test_a_publishers_store_is_read(folder: Path) -> None:
-    engine = StoreEngine(DiskFiles(folder / "feed" / "publisher"), store=INSTALLATION)
+    engine = StoreEngine(DiskFiles(folder / "feed" / "publisher"), expected_store_id=INSTALLATION)
     replica = Replica()
     assert DurableFeed(engine).load(replica, START_US // S + 99) == Cursor(0, 9)
     _check_feed(replica)
