--- /dev/null
+++ b/onyxwick/admin/durable_api.py
@@ -0,0 +1,211 @@
+"""The administration API over a store: a change is answered when it is durable, and the same call is done
+once.
+
+A call with an `Idempotency-Key` that was done before gets its first answer again. A change is made in memory,
+committed, then answered; where the store rejects it, it is undone in memory and answered with status 503.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import hashlib
+import time
+from dataclasses import dataclass, field
+
+from onyxwick.admin.api import Answer, Api
+from onyxwick.admin.cells import CellsApi
+from onyxwick.admin.http import HttpError, HttpRequest
+from onyxwick.admin.sites import SitesApi
+from onyxwick.cells.plan_control import CellPlanControl
+from onyxwick.config.cells import json_of_plan
+from onyxwick.core import RequestEngine
+from onyxwick.sites import kept
+from onyxwick.store import StoreError, WriteOperation
+from onyxwick.store.durable_state import DurableState
+from onyxwick.store.recovery import DrainSource, MemberDrain
+from onyxwick.store.row_schema import IdempotentCall, StoredPlan, StoredRow
+from onyxwick.store.tenant_rows import add_tenant, tenant_key, tenant_rows
+from onyxwick.tenants import Tenants
+
+MAX_IDEMPOTENCY_KEY = 64  # characters
+MAX_REASON = 256  # characters of a drain's reason that are kept
+FINGERPRINT_DIGITS = 32
+AUTHOR = "administration API"
+
+
+@dataclass(frozen=True, slots=True)
+class CallIdentity:
+    """Tells a repeated call from another one; `key` is empty for a call without an `Idempotency-Key`."""
+
+    key: str
+    fingerprint: str
+
+
+@dataclass(frozen=True, slots=True)
+class TenantBackup:
+    """A tenant's rows before a change; none where it did not exist."""
+
+    name: str
+    rows: dict[str, StoredRow] = field(default_factory=dict)
+
+    def restore(self, tenants: Tenants, durable: DurableState) -> None:
+        """Put the tenant back as it was."""
+        if self.name in tenants.tenants:
+            tenants.remove(self.name)
+        own_key = tenant_key(self.name)
+        if own_key in self.rows:
+            parts = [(key, row) for key, row in self.rows.items() if key != own_key]
+            add_tenant(tenants, self.name, self.rows[own_key], parts, durable.cipher)
+
+
+class DurableApi:
+    """Wraps the API's calls, one change at a time."""
+
+    def __init__(self, api: Api, durable: DurableState, core: RequestEngine) -> None:
+        self.api = api
+        self.durable = durable
+        self.core = core
+        self.lock = asyncio.Lock()
+
+    async def __call__(self, request: HttpRequest) -> Answer:
+        """Answer one call; HttpError where it is rejected, with status 503 where it could not be made
+        durable."""
+        path = [part for part in request.path.split("/") if part]
+        if path[:1] == ["drains"]:
+            self.api.operator_of(request)
+        elif request.method == "GET":
+            return self.api(request)
+        async with self.lock:
+            return await self._answer_once(request, path)
+
+    async def _answer_once(self, request: HttpRequest, path: list[str]) -> Answer:
+        identity = _identity_of(request)
+        if identity.key:
+            done = self.durable.idempotent_call(identity.key)
+            if done is not None:
+                if done.fingerprint != identity.fingerprint:
+                    raise HttpError(409, "Idempotency-Key was used for another call")
+                return done.status, done.data
+        if path[:1] == ["drains"]:
+            return await self._drains(request, path[1:], identity)
+        sites = self.api.parts.get("sites")
+        if path[:2] == ["sites", "orders"] and len(path) == 3 and isinstance(sites, SitesApi):
+            return await self._site_command(request, sites, path[2], identity)
+        return await self._change(request, path, identity)
+
+    async def _commit(self, operations: list[WriteOperation], identity: CallIdentity, answer: Answer) -> None:
+        now = time.time_ns() // 1000
+        if identity.key and operations:
+            status, data = answer
+            call = IdempotentCall(identity.fingerprint, status, data, now)
+            operations = operations + self.durable.idempotent_call_operations(identity.key, call, now)
+        try:
+            await self.durable.commit(operations, AUTHOR)
+        except StoreError as error:
+            raise HttpError(503, f"not durable, and not done: {error}") from None
+
+    # ---- tenants and the plan of cells ------------------------------------------------------------------
+
+    async def _change(self, request: HttpRequest, path: list[str], identity: CallIdentity) -> Answer:
+        tenants = self.api.tenants
+        name = _tenant_name(request, path)
+        before = tenants.tenants.get(name)
+        backup = TenantBackup(name, tenant_rows(before, self.durable.cipher) if before else {})
+        control = self._plan_control()
+        plan = control.plan if control is not None else None
+        answer = self.api(request)
+        operations = self.durable.tenant_operations(name, tenants.tenants.get(name)) if name else []
+        if control is not None and control.plan is not plan:
+            stored = StoredPlan(control.plan.version, json_of_plan(control.plan))
+            operations.append(self.durable.cell_plan_operation(stored))
+        try:
+            await self._commit(operations, identity, answer)
+        except HttpError:
+            if name:
+                backup.restore(tenants, self.durable)
+            if control is not None and plan is not None and control.plan is not plan:
+                control.change(plan)
+            raise
+        return answer
+
+    def _plan_control(self) -> CellPlanControl | None:
+        cells = self.api.parts.get("cells")
+        return cells.control if isinstance(cells, CellsApi) else None
+
+    # ---- site commands ----------------------------------------------------------------------------------
+
+    async def _site_command(
+        self, request: HttpRequest, sites: SitesApi, site: str, identity: CallIdentity
+    ) -> Answer:
+        """An operator's command for a site: durable before it takes effect."""
+        self.api.operator_of(request)
+        if request.method != "PUT":
+            raise HttpError(405, "method not allowed", {"Allow": "PUT"})
+        command = sites.order(request, site)
+        answer = 200, {"site": site, "word": command.word.value, "drill": command.drill}
+        await self._commit([self.durable.site_command_operation(site, kept(command))], identity, answer)
+        sites.take(command)
+        return answer
+
+    # ---- drains -----------------------------------------------------------------------------------------
+
+    async def _drains(self, request: HttpRequest, path: list[str], identity: CallIdentity) -> Answer:
+        """An operator's drains: the member gets no new requests until the drain is lifted, over restarts
+        too. A drain takes effect when it is durable."""
+        match request.method, path:
+            case "GET", []:
+                answer = self._drain_list()
+                await self._commit([], identity, answer)
+                return answer
+            case "PUT", [member]:
+                return await self._add_drain(request, member, identity)
+            case "DELETE", [member]:
+                return await self._lift_drain(member, identity)
+        raise HttpError(404, "nothing here")
+
+    def _drain_list(self) -> Answer:
+        recovery = self.durable.recovery
+        drains = {
+            drain.member: {"by": drain.by.value, "reason": drain.reason, "at_us": drain.at_us}
+            for drain in recovery.drains.values()
+        }
+        return 200, {"recovery": recovery.status(), "drains": drains}
+
+    async def _add_drain(self, request: HttpRequest, member: str, identity: CallIdentity) -> Answer:
+        listed = self.core.members.listed
+        if member not in listed:
+            raise HttpError(404, f"no member '{member}' on the list")
+        reason = str(request.json().get("reason", ""))[:MAX_REASON]
+        started_at_us = listed[member].started_at_us
+        drain = MemberDrain(member, DrainSource.OPERATOR, started_at_us, reason, self.core.now())
+        answer = 200, {"member": member, "draining": True}
+        await self._commit([self.durable.drain_operation(drain)], identity, answer)
+        self.durable.recovery.add_drain(drain)
+        self.core.resend_rows(member)
+        return answer
+
+    async def _lift_drain(self, member: str, identity: CallIdentity) -> Answer:
+        operations = self.durable.lift_operations(member)
+        answer = 200, {"member": member, "lifted": bool(operations)}
+        await self._commit(operations, identity, answer)
+        self.durable.recovery.lift_drain(member)
+        self.core.resend_rows(member)
+        return answer
+
+
+def _identity_of(request: HttpRequest) -> CallIdentity:
+    key = request.headers.get("idempotency-key", "")
+    if len(key) > MAX_IDEMPOTENCY_KEY or not key.isascii():
+        raise HttpError(400, f"Idempotency-Key is no text of {MAX_IDEMPOTENCY_KEY} characters")
+    digest = hashlib.blake2b(f"{request.method} {request.path}\n".encode() + request.body)
+    return CallIdentity(key, digest.hexdigest()[:FINGERPRINT_DIGITS])
+
+
+def _tenant_name(request: HttpRequest, path: list[str]) -> str:
+    """The tenant that a call changes; empty where it changes none."""
+    if path == ["tenants"] and request.method == "POST":
+        return str(request.json().get("name", ""))
+    return path[1] if path[:1] == ["tenants"] and len(path) > 1 else ""
+
+
+__all__ = ["DurableApi"]
--- a/onyxwick/admin/sites.py
+++ b/onyxwick/admin/sites.py
@@ -12,7 +12,7 @@
 
 
 class SitesApi:
-    """Calls under /sites. Orders are taken where they can be kept: see `admin/durable.py`."""
+    """Calls under /sites. Orders are taken where they can be kept: see `admin/durable_api.py`."""
 
     def __init__(self, sites: SiteRouter, clock: Callable[[], int], flush: Callable[[], None]) -> None:
         self.sites, self.clock, self.flush = sites, clock, flush
--- a/onyxwick/cli/store.py
+++ b/onyxwick/cli/store.py
@@ -52,7 +52,7 @@
     """A row as JSON can hold it; sealed secrets stay sealed."""
     if value is None:
         return None
-    from onyxwick.store.durable import unpack_row
+    from onyxwick.store.row_schema import unpack_row
 
     try:
         row = unpack_row(key, value)
--- a/onyxwick/core/engine.py
+++ b/onyxwick/core/engine.py
@@ -61,7 +61,7 @@
 from onyxwick.logic import Router
 
 if TYPE_CHECKING:
-    from onyxwick.store.durable import DurableState
+    from onyxwick.store.durable_state import DurableState
     from onyxwick.trace.decision_tracer import DecisionTracer
 
 log = logs.get()
--- a/onyxwick/dns/server.py
+++ b/onyxwick/dns/server.py
@@ -33,7 +33,7 @@
 from onyxwick.tenants import TenantZone, read_zone
 
 if TYPE_CHECKING:
-    from onyxwick.store.durable import DurableState
+    from onyxwick.store.durable_state import DurableState
 
 log = logs.get()
 PLAIN_SIZE, EDNS_SIZE = 512, 1232  # answers over UDP without and with EDNS
--- a/onyxwick/lab/scale/sweeps.py
+++ b/onyxwick/lab/scale/sweeps.py
@@ -20,7 +20,7 @@
 from onyxwick.core.endpoints import EndpointTable
 from onyxwick.counters import Counters
 from onyxwick.distribution.codec import encode_event
-from onyxwick.distribution.durable import DurableFeed
+from onyxwick.distribution.durable_feed import DurableFeed
 from onyxwick.distribution.model import Cursor, PurgeEvent, PurgeKey
 from onyxwick.distribution.replica import Replica
 from onyxwick.interface import (
--- a/onyxwick/net/distribution_node.py
+++ b/onyxwick/net/distribution_node.py
@@ -15,7 +15,7 @@
 from onyxwick.core.clock import steady_us, wall_us
 from onyxwick.counters import Counters
 from onyxwick.distribution.documents import Assembler, DocumentError
-from onyxwick.distribution.durable import DurableFeed
+from onyxwick.distribution.durable_feed import DurableFeed
 from onyxwick.distribution.fanout import FanOut, FanOutLimits
 from onyxwick.distribution.follower import PLAIN_COORDINATOR, Follower, FollowerLimits, FollowerState
 from onyxwick.distribution.model import (
--- a/onyxwick/service.py
+++ b/onyxwick/service.py
@@ -34,7 +34,7 @@
     from onyxwick.net.subscription import Subscription
     from onyxwick.sites import SitePlan as SitePlan
     from onyxwick.sites import SiteRouter
-    from onyxwick.store.durable import DurableState
+    from onyxwick.store.durable_state import DurableState
 
 log = logs.get()
 TRACE_TICK_S = 0.25
@@ -102,7 +102,7 @@
             return
         from hashlib import blake2b
 
-        from onyxwick.store.durable import DurableState
+        from onyxwick.store.durable_state import DurableState
         from onyxwick.store.encryption import read_key_file
         from onyxwick.store.engine import StoreLimits
         from onyxwick.store.files import DiskFiles
@@ -125,12 +125,12 @@
 
     def _recorded_plan(self, durable: DurableState) -> None:
         """The plan that a call has made goes before the file's, which it was made from."""
-        row = durable.cell_plan()
-        if row is None or self.cells is None:
+        stored = durable.cell_plan()
+        if stored is None or self.cells is None:
             return
         from onyxwick.config.cells import plan_of_json
 
-        self.cells.apply(self.core.now(), plan_of_json(row["plan"], int(row["version"])))
+        self.cells.apply(self.core.now(), plan_of_json(stored.plan, stored.version))
         log.info("plan of cells from the store", version=self.cells.plan.version)
 
     def pace(self, coordinator: CoordinatorFeed, caches: CacheConnectionPool) -> None:
@@ -302,7 +302,7 @@
     def _lasting(self, api: Api) -> Handler:
         if self.durable is None:
             return api
-        from onyxwick.admin.durable import DurableApi
+        from onyxwick.admin.durable_api import DurableApi
 
         return DurableApi(api, self.durable, self.core)
 
--- /dev/null
+++ b/onyxwick/store/durable_state.py
@@ -0,0 +1,278 @@
+"""A director's state in its store: tenants, the plan of cells, drains, purges, intents, commands and calls.
+
+Reads rows as typed records, makes the operations that change them, and commits these. What a caller was
+promised is committed before it is answered; what the coordinator can send again is committed in the
+background. Times in Unix microseconds.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from collections.abc import Iterable, Mapping
+
+from onyxwick import logs
+from onyxwick.interface import EndpointsChanged, Member, MemberState
+from onyxwick.store import row_schema as schema
+from onyxwick.store.committer import Committer
+from onyxwick.store.encryption import SecretCipher
+from onyxwick.store.engine import StoreEngine, StoreLimits, Transaction, WriteOperation
+from onyxwick.store.errors import StoreError, StoreFailedError
+from onyxwick.store.files import StoreFiles
+from onyxwick.store.recovery import DrainSource, MemberDrain, RecordedPurge, Recovery, RecoveryPhase
+from onyxwick.store.row_schema import IdempotentCall, StoredPlan, StoredRow, pack_row, unpack_row
+from onyxwick.store.tenant_rows import (
+    add_tenant,
+    deleted_tenant_key,
+    is_of_tenant,
+    tenant_prefixes,
+    tenant_rows,
+    with_plain_secret,
+)
+from onyxwick.tenants import Tenant, Tenants
+
+__all__ = ["DurableState"]
+
+log = logs.get()
+CALL_RETENTION_US = 86_400_000_000
+"""For how long the outcome of an idempotent call is repeated: a day."""
+MAX_CALLS = 5000
+MAX_PURGES = 4096
+CALLS_DROPPED_SHARE = 10  # one in so many of the oldest calls is dropped over the bound
+
+
+class DurableState:
+    """An open store with its recovery. Used in the event loop alone.
+
+    StoreError where the store cannot be opened; the recovery then says why.
+    """
+
+    def __init__(
+        self,
+        files: StoreFiles,
+        cipher: SecretCipher,
+        installation_id: bytes,
+        now: int,
+        purge_retention_us: int,
+        records_intents: bool = False,
+        limits: StoreLimits | None = None,
+    ) -> None:
+        self.recovery = Recovery(now, purge_retention_us)
+        self.recovery.on_opened(now)
+        self.cipher = cipher
+        self.records_intents = records_intents
+        try:
+            self.engine = StoreEngine(files, limits, installation_id)
+            self._replay(now)
+        except StoreError as error:
+            self.recovery.on_unusable(now, str(error))
+            raise
+        self.committer: Committer | None = None
+        self.failed_background_commits = 0
+        self.background_commits: set[asyncio.Task[None]] = set()
+
+    def _rows(self, prefix: str) -> list[tuple[str, StoredRow]]:
+        return [(key, unpack_row(key, value)) for key, value in self.engine.scan(prefix)]
+
+    def _row(self, key: str) -> StoredRow | None:
+        value = self.engine.get(key)
+        return unpack_row(key, value) if value else None
+
+    def _replay(self, now: int) -> None:
+        drains = [schema.drain_of_row(row) for _, row in self._rows(schema.drain_key(""))]
+        purges = [schema.purge_of_row(row) for _, row in self._rows(schema.PURGE_PREFIX)]
+        intents = [key.partition("/")[2] for key, _ in self._rows(schema.intent_key(""))]
+        feed = self._row(schema.FEED_KEY)
+        last_feed_number = int(feed["index"]) if feed else 0
+        self.recovery.on_replayed(now, drains, purges, intents, last_feed_number)
+
+    def start(self) -> None:
+        """Begin to take commits; called where the event loop runs."""
+        self.committer = Committer(self.engine)
+
+    async def close(self) -> None:
+        """Write what is pending and close the files."""
+        if self.committer is not None:
+            await self.committer.close()
+        else:
+            self.engine.close()
+
+    # ---- tenants ----------------------------------------------------------------------------------------
+
+    def load_tenants(self, tenants: Tenants) -> int:
+        """Replace tenants of the service file by the store's, and remove those that a call has deleted.
+
+        Returns the number of stored and deleted tenants. StoreUnusableError or TenantError for a bad row.
+        """
+        deleted = [key.partition("/")[2] for key, _ in self._rows(deleted_tenant_key(""))]
+        for name in deleted:
+            if name in tenants.tenants:
+                tenants.remove(name)
+        stored = self._rows("tenant/")
+        for key, row in stored:
+            name = key.partition("/")[2]
+            if name in tenants.tenants:
+                tenants.remove(name)
+            parts = self._rows(f"zone/{name}/") + self._rows(f"key/{name}/")
+            add_tenant(tenants, name, row, parts, self.cipher)
+        return len(stored) + len(deleted)
+
+    def tenant_operations(self, name: str, tenant: Tenant | None) -> list[WriteOperation]:
+        """What to commit after a tenant was changed or (None) deleted."""
+        rows = tenant_rows(tenant, self.cipher) if tenant else {deleted_tenant_key(name): StoredRow()}
+        operations = self._operations_for(tenant_prefixes(name), rows)
+        return [operation for operation in operations if is_of_tenant(operation.key, name)]
+
+    def _operations_for(self, prefixes: Iterable[str], rows: Mapping[str, StoredRow]) -> list[WriteOperation]:
+        """What makes the rows under some prefixes be these. A row with the same secret is left as it is."""
+        stored = {key: row for prefix in prefixes for key, row in self._rows(prefix)}
+        operations = [WriteOperation(key, None) for key in stored if key not in rows]
+        for key, row in rows.items():
+            if key not in stored or self._plain(key, stored[key]) != self._plain(key, row):
+                operations.append(WriteOperation(key, pack_row(key, row)))
+        return operations
+
+    def _plain(self, key: str, row: StoredRow) -> StoredRow:
+        return with_plain_secret(key, row, self.cipher)
+
+    # ---- the plan of cells ------------------------------------------------------------------------------
+
+    def cell_plan(self) -> StoredPlan | None:
+        """The plan of cells that a call has made; None: the service file's holds."""
+        row = self._row(schema.PLAN_KEY)
+        return schema.plan_of_row(row) if row is not None else None
+
+    def cell_plan_operation(self, plan: StoredPlan) -> WriteOperation:
+        """What to commit after the plan was changed."""
+        return WriteOperation(schema.PLAN_KEY, pack_row(schema.PLAN_KEY, schema.plan_row(plan)))
+
+    # ---- commits ----------------------------------------------------------------------------------------
+
+    async def commit(self, operations: list[WriteOperation], author: str) -> None:
+        """Returns once the operations are durable; StoreError: none of them holds."""
+        if not operations:
+            return
+        if self.committer is None:
+            raise StoreFailedError("the store takes no commits before `start`")
+        await self.committer.commit(Transaction(tuple(operations), author, time.time_ns() // 1000))
+
+    async def commit_best_effort(self, operations: list[WriteOperation], author: str) -> None:
+        """The same for what can be received again: a failure is logged and counted, not raised."""
+        try:
+            await self.commit(operations, author)
+        except StoreError as error:
+            self.failed_background_commits += 1
+            log.warning("not recorded", by=author, error=str(error))
+
+    def _commit_in_background(self, operations: list[WriteOperation]) -> None:
+        """The coordinator can send it again, so nobody waits for it."""
+        if operations and self.committer is not None:
+            commit = self.commit_best_effort(operations, "coordinator")
+            task = asyncio.get_running_loop().create_task(commit)
+            self.background_commits.add(task)
+            task.add_done_callback(self.background_commits.discard)
+
+    # ---- drains, purges, the feed -----------------------------------------------------------------------
+
+    def record_endpoints(self, event: EndpointsChanged, now: int) -> None:
+        """Record what the coordinator drains or removes, until its list says otherwise."""
+        operations = (self._endpoint_operation(member, now) for member in event.members)
+        self._commit_in_background([operation for operation in operations if operation is not None])
+
+    def _endpoint_operation(self, member: Member, now: int) -> WriteOperation | None:
+        key = schema.drain_key(member.address)
+        row = self._row(key)
+        if member.state is not MemberState.READY:
+            if row is not None:
+                return None
+            drain = MemberDrain(member.address, DrainSource.COORDINATOR, member.started_at_us, "", now)
+            return self.drain_operation(drain)
+        is_coordinators = row is not None and row["by"] == DrainSource.COORDINATOR.value
+        # Not before the feed is received: the list of a start may be older than what is recorded.
+        if is_coordinators and self.recovery.phase is RecoveryPhase.SERVING:
+            return WriteOperation(key, None)
+        return None
+
+    def record_purge(self, group: int, object_id: str | None, unix_us: int, now: int) -> None:
+        """Record a purge of an object or (None) of a group."""
+        self._commit_in_background(self.purge_operations(RecordedPurge(group, object_id, unix_us), now))
+
+    def record_feed_number(self, number: int, now: int) -> bool:
+        """The feed was received up to a number; True where that changes what the recovery holds back."""
+        changed = self.recovery.on_feed_number(now, number)
+        if number > self.recovery.last_feed_number:  # a start receives old numbers once more
+            self.recovery.last_feed_number = number
+            self._commit_in_background([self.feed_number_operation(number)])
+        return changed
+
+    def drain_operation(self, drain: MemberDrain) -> WriteOperation:
+        """What records a drain."""
+        key = schema.drain_key(drain.member)
+        return WriteOperation(key, pack_row(key, schema.drain_row(drain)))
+
+    def lift_operations(self, member: str) -> list[WriteOperation]:
+        """What removes a member's drain; empty where none holds."""
+        if member not in self.recovery.drains:
+            return []
+        return [WriteOperation(schema.drain_key(member), None)]
+
+    def purge_operations(self, purge: RecordedPurge, now: int) -> list[WriteOperation]:
+        """What records a purge, and removes those that all caches must have carried out."""
+        new_key = schema.purge_key(purge)
+        stored = list(self.engine.keys(schema.PURGE_PREFIX))
+        excess = max(0, len(stored) - MAX_PURGES)
+        expired_us = now - self.recovery.purge_retention_us
+        redundant = [
+            key
+            for position, key in enumerate(stored)
+            if key != new_key and (position < excess or schema.purge_key_unix_us(key) < expired_us)
+        ]
+        write = WriteOperation(new_key, pack_row(new_key, schema.purge_row(purge)))
+        return [write, *(WriteOperation(key, None) for key in redundant)]
+
+    def feed_number_operation(self, number: int) -> WriteOperation:
+        """What records the last number of the feed."""
+        return WriteOperation(schema.FEED_KEY, pack_row(schema.FEED_KEY, schema.feed_row(number)))
+
+    # ---- site commands ----------------------------------------------------------------------------------
+
+    def site_command_rows(self) -> list[StoredRow]:
+        """The operators' commands for sites, in the form of `sites/operator_commands.py`."""
+        return [row for _, row in self._rows(schema.site_command_key(""))]
+
+    def site_command_operation(self, site: str, row: StoredRow | None) -> WriteOperation:
+        """What records a site's command, or (None) removes it."""
+        key = schema.site_command_key(site)
+        return WriteOperation(key, pack_row(key, row) if row is not None else None)
+
+    # ---- idempotent calls -------------------------------------------------------------------------------
+
+    def idempotent_call(self, idempotency_key: str) -> IdempotentCall | None:
+        """The first outcome of a call with an idempotency key."""
+        row = self._row(schema.call_key(idempotency_key))
+        return schema.call_of_row(row) if row is not None else None
+
+    def idempotent_call_operations(
+        self, idempotency_key: str, call: IdempotentCall, now: int
+    ) -> list[WriteOperation]:
+        """What records a call's outcome, and removes those that have expired or exceed the bound."""
+        key = schema.call_key(idempotency_key)
+        write = WriteOperation(key, pack_row(key, schema.call_row(call)))
+        stored = self._rows(schema.call_key(""))
+        if len(stored) >= MAX_CALLS:
+            stored.sort(key=lambda pair: pair[1]["at_us"])
+            dropped = [old for old, _ in stored[: len(stored) // CALLS_DROPPED_SHARE]]
+        else:
+            dropped = [old for old, row in stored if now - row["at_us"] > CALL_RETENTION_US]
+        return [write, *(WriteOperation(old, None) for old in dropped)]
+
+    # ---- write-ahead intents ----------------------------------------------------------------------------
+
+    async def record_intent(self, request_id: str, now: int) -> None:
+        """Made durable before a non-idempotent request is sent; StoreError: it must not be sent."""
+        key = schema.intent_key(request_id)
+        await self.commit([WriteOperation(key, pack_row(key, schema.intent_row(now)))], "core")
+
+    async def resolve_intent(self, request_id: str) -> None:
+        """The request has ended: its intent is removed."""
+        await self.commit_best_effort([WriteOperation(schema.intent_key(request_id), None)], "core")
--- a/onyxwick/store/recovery.py
+++ b/onyxwick/store/recovery.py
@@ -1,10 +1,9 @@
-"""What a director may decide before, while and after it has its state back. Events and time in, answers
-out; no I/O.
+"""What a director may decide before, while and after it reads its store. Events and time in, answers out.
 
-Two know of drains and purges: the store (what this director was told, or its operator ordered, before it
-ended) and the coordinator (what holds now, once its feed has been heard up to the number that the store had
-reached). Until then the stricter word wins, member by member; after that the coordinator's does, except for
-an operator's own drains, which only an operator lifts.
+The store knows the drains and purges from before the director ended; the coordinator knows the present ones,
+once its feed has been received up to the number that the store had recorded. Until then the stricter of the
+two holds, member by member. After that the coordinator's holds, except for an operator's own drains, which
+only an operator lifts. Times in Unix microseconds; no I/O.
 """
 
 from __future__ import annotations
@@ -13,13 +12,16 @@
 from dataclasses import dataclass, replace
 from enum import Enum
 
+from onyxwick.errors import OnyxwickError
 from onyxwick.interface import EndpointsChanged, Member, MemberState, ObjectsPurged
 
-MAX_INTENTS = 100_000  # intents remembered
-FEED_TIMEOUT_US = 10_000_000  # after so long without the feed the list at hand is taken, drains kept
+FEED_TIMEOUT_US = 10_000_000
+"""Without the feed for so long, the director serves from the list at hand; recorded drains stay."""
 
 
 class RecoveryPhase(Enum):
+    """Where a director is on its way back; `TRANSITIONS` has the legal steps."""
+
     OPENING = "opening"
     REPLAYING = "replaying"
     CHECKING = "checking"
@@ -36,17 +38,29 @@
 }
 
 
-class IllegalRecoveryPhaseError(RuntimeError):
-    """A step between two states that no rule allows."""
+class IllegalRecoveryPhaseError(OnyxwickError, RuntimeError):
+    """A transition that the table of phases does not have."""
+
+    def __init__(self, phase: RecoveryPhase, wanted: RecoveryPhase) -> None:
+        super().__init__(f"recovery: {phase.value} to {wanted.value}")
+        self.phase = phase
+        self.wanted = wanted
+
+
+class DrainSource(Enum):
+    """Who ordered a drain, and so who may lift it."""
+
+    OPERATOR = "operator"
+    COORDINATOR = "coordinator"
 
 
 @dataclass(frozen=True, slots=True)
 class MemberDrain:
-    """A member that is to get nothing. `by` 'operator' or 'coordinator'; `since_us`: the start of the
-    process that was meant, as the list told it."""
+    """A member that is to get no requests. `since_us`: the start of the process that was drained, as the
+    endpoint list reported it; `at_us`: when the drain was recorded."""
 
     member: str
-    by: str
+    by: DrainSource
     since_us: int = 0
     reason: str = ""
     at_us: int = 0
@@ -54,6 +68,8 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordedPurge:
+    """A purge of one object or, without one, of a group, made at `unix_us`; `index` is its feed number."""
+
     group: int
     object: str | None
     unix_us: int
@@ -61,104 +77,114 @@
 
 
 class Recovery:
-    """One director's way back."""
+    """One director's recovery, and the drains that hold while it serves."""
 
-    def __init__(self, now: int, settles_us: int) -> None:
-        self.phase, self.phase_since_us = RecoveryPhase.OPENING, now
-        self.purge_retention_us = settles_us
+    def __init__(self, now: int, purge_retention_us: int) -> None:
+        self.phase = RecoveryPhase.OPENING
+        self.phase_since_us = now
+        self.purge_retention_us = purge_retention_us
         self.drains: dict[str, MemberDrain] = {}
         self.purges: list[RecordedPurge] = []
-        self.unresolved_intents: dict[str, None] = {}  # sent and not ended when the director ended
-        self.last_feed_number = 0  # the last number of the feed that the store knows of
+        self.unresolved_intents: dict[str, None] = {}  # requests under way when the director ended
+        self.last_feed_number = 0  # of the feed, as the store has recorded it
         self.reason = ""
-        self.feed_overdue = (
-            False  # serving without the feed heard: the coordinator's recorded drains still hold
-        )
+        self.feed_overdue = False  # it serves without the feed: the coordinator's recorded drains still hold
 
-    def _transition(self, phase: RecoveryPhase, now: int, why: str = "") -> None:
+    def _transition(self, phase: RecoveryPhase, now: int, reason: str = "") -> None:
         if phase not in TRANSITIONS[self.phase]:
-            raise IllegalRecoveryPhaseError(f"recovery: {self.phase.value} to {phase.value}")
-        self.phase, self.phase_since_us, self.reason = phase, now, why
+            raise IllegalRecoveryPhaseError(self.phase, phase)
+        self.phase = phase
+        self.phase_since_us = now
+        self.reason = reason
 
-    # ---- the way back -----------------------------------------------------------------------------------
+    # ---- phases -----------------------------------------------------------------------------------------
 
     def on_opened(self, now: int) -> None:
+        """The store's files are being read."""
         self._transition(RecoveryPhase.REPLAYING, now, "the store is read")
 
-    def on_unusable(self, now: int, why: str) -> None:
-        """The store cannot be trusted: the director must not serve as if nothing had been ordered."""
-        self._transition(RecoveryPhase.REFUSED, now, why)
+    def on_unusable(self, now: int, reason: str) -> None:
+        """The store cannot be trusted: the director must not serve without the drains in it."""
+        self._transition(RecoveryPhase.REFUSED, now, reason)
 
     def on_replayed(
         self,
         now: int,
         drains: Iterable[MemberDrain],
         purges: Iterable[RecordedPurge],
-        bookings: Iterable[str],
-        reached: int,
+        intents: Iterable[str],
+        last_feed_number: int,
     ) -> None:
+        """What the store holds; purges that all caches must have carried out are left out."""
         self.drains = {drain.member: drain for drain in drains}
-        self.purges = [p for p in purges if now - p.unix_us <= self.purge_retention_us]
-        self.unresolved_intents = dict.fromkeys(bookings)
-        self.last_feed_number = reached
-        self._transition(RecoveryPhase.CHECKING, now, f"waits for number {reached} of the feed")
+        self.purges = [purge for purge in purges if now - purge.unix_us <= self.purge_retention_us]
+        self.unresolved_intents = dict.fromkeys(intents)
+        self.last_feed_number = last_feed_number
+        self._transition(RecoveryPhase.CHECKING, now, f"waits for number {last_feed_number} of the feed")
 
     def on_feed_number(self, now: int, index: int) -> bool:
-        """The feed has been heard up to a number; True where that ends the checking, or lifts the
-        coordinator's recorded drains that were kept because the feed came late."""
-        if index < self.last_feed_number or not (self.phase is RecoveryPhase.CHECKING or self.feed_overdue):
+        """The feed was received up to a number; True where that ends the checking, or lifts the coordinator's
+        recorded drains that were kept because the feed was overdue."""
+        is_waiting = self.phase is RecoveryPhase.CHECKING or self.feed_overdue
+        if index < self.last_feed_number or not is_waiting:
             return False
         if self.phase is RecoveryPhase.CHECKING:
             self._transition(RecoveryPhase.SERVING, now)
         self.feed_overdue = False
-        # What the coordinator had drained it has told again by now, or has lifted.
-        self.drains = {m: d for m, d in self.drains.items() if d.by == "operator"}
+        # Drains of the coordinator that still hold were reported again before this number.
+        self.drains = {name: drain for name, drain in self.drains.items() if drain.by is DrainSource.OPERATOR}
         return True
 
     def on_tick(self, now: int) -> bool:
-        """True where the feed was not heard in time: the director serves on with what it has, and the drains
-        that it knows of stay until the feed is heard."""
+        """True where the feed is overdue: the director serves on, and recorded drains stay until it comes."""
         if self.phase is RecoveryPhase.CHECKING and now - self.phase_since_us > FEED_TIMEOUT_US:
-            self._transition(
-                RecoveryPhase.SERVING, now, "the feed was not heard in time; recorded drains are kept"
-            )
+            reason = "the feed was not heard in time; recorded drains are kept"
+            self._transition(RecoveryPhase.SERVING, now, reason)
             self.feed_overdue = True
             return True
         return False
 
     @property
     def may_serve(self) -> bool:
+        """May requests be taken?"""
         return self.phase in (RecoveryPhase.CHECKING, RecoveryPhase.SERVING)
 
-    # ---- what may be decided ----------------------------------------------------------------------------
+    # ---- decisions --------------------------------------------------------------------------------------
 
-    def is_drained(self, m: Member) -> bool:
-        """Is a member on the list to get nothing, whatever the list says?"""
-        drain = self.drains.get(m.address)
-        if drain is None or m.state is MemberState.REMOVED:
+    def is_drained(self, member: Member) -> bool:
+        """Is a member of the list to get no requests, whatever the list says?"""
+        drain = self.drains.get(member.address)
+        if drain is None or member.state is MemberState.REMOVED:
             return False
-        # A coordinator's drain meant one process: another one under the same name is not drained by it. An
-        # operator's means the name, as long as it stands.
-        return drain.by == "operator" or m.started_at_us <= drain.since_us
+        # The coordinator drains one process: a later one of the same name is not drained. An operator drains
+        # the name.
+        return drain.by is DrainSource.OPERATOR or member.started_at_us <= drain.since_us
 
     def with_drains(self, event: EndpointsChanged) -> EndpointsChanged:
-        """The list as it is to be decided from."""
-        if not self.drains or not any(self.is_drained(m) for m in event.members):
+        """The list with drained members shown as draining."""
+        if not self.drains or not any(self.is_drained(member) for member in event.members):
             return event
-        rows = (replace(m, state=MemberState.DRAINING) if self.is_drained(m) else m for m in event.members)
-        return replace(event, members=tuple(rows))
+        members = (
+            replace(member, state=MemberState.DRAINING) if self.is_drained(member) else member
+            for member in event.members
+        )
+        return replace(event, members=tuple(members))
 
     def purges_to_replay(self, now: int) -> list[ObjectsPurged]:
-        """What binds the first request already: every purge that a cache may not have done yet."""
-        return [ObjectsPurged(p.group, p.object, max(0, now - p.unix_us)) for p in self.purges]
+        """Purges that a cache may not have carried out yet: they bind from the first request on."""
+        return [
+            ObjectsPurged(purge.group, purge.object, max(0, now - purge.unix_us)) for purge in self.purges
+        ]
 
-    def may_send(self, request: str) -> bool:
-        """May a request that must not run twice be sent? Not if an attempt of it was under way at the end."""
-        return request not in self.unresolved_intents
+    def may_send(self, request_id: str) -> bool:
+        """May a non-idempotent request be sent? Not if an attempt of it was under way when the director
+        ended."""
+        return request_id not in self.unresolved_intents
 
     # ---- changes while serving --------------------------------------------------------------------------
 
     def add_drain(self, drain: MemberDrain) -> None:
+        """A drain that is recorded holds from now on."""
         self.drains[drain.member] = drain
 
     def lift_drain(self, member: str) -> bool:
@@ -166,6 +192,7 @@
         return self.drains.pop(member, None) is not None
 
     def status(self) -> Mapping[str, object]:
+        """Figures for logs and the administration API, under their published names."""
         return {
             "phase": self.phase.value,
             "why": self.reason,
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -16,7 +16,7 @@
 from onyxwick.distribution import codec
 from onyxwick.distribution.admission import AdmissionLimits, SubscriberAdmission
 from onyxwick.distribution.documents import Assembler, DocumentError, split
-from onyxwick.distribution.durable import DurableFeed
+from onyxwick.distribution.durable_feed import DurableFeed
 from onyxwick.distribution.fanout import FanOut, FanOutLimits, SubscriberState
 from onyxwick.distribution.follower import (
     PLAIN_COORDINATOR,
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -12,7 +12,7 @@
 import pytest
 
 from onyxwick.admin.api import Api
-from onyxwick.admin.durable import DurableApi
+from onyxwick.admin.durable_api import DurableApi
 from onyxwick.admin.http import HttpError, HttpRequest
 from onyxwick.core import AttemptOutcome, AttemptSpec, ClientRequest, RequestEngine
 from onyxwick.core.endpoints import EndpointTable
@@ -28,10 +28,11 @@
     ObjectsPurged,
 )
 from onyxwick.store import StoreFailedError, StoreFullError, StoreUnusableError
-from onyxwick.store.durable import DurableState, unpack_row
+from onyxwick.store.durable_state import DurableState
 from onyxwick.store.encryption import SecretCipher, generate_key, read_key_file
 from onyxwick.store.recovery import (
     TRANSITIONS,
+    DrainSource,
     IllegalRecoveryPhaseError,
     MemberDrain,
     RecordedPurge,
@@ -74,7 +75,9 @@
 
 
 def test_until_the_feed_is_heard_the_stricter_word_wins_and_then_the_coordinators() -> None:
-    recovery = _recovered([MemberDrain("c0", "coordinator", 0), MemberDrain("c1", "operator", 0)])
+    recovery = _recovered(
+        [MemberDrain("c0", DrainSource.COORDINATOR, 0), MemberDrain("c1", DrainSource.OPERATOR, 0)]
+    )
     event = EndpointsChanged(EndpointListKind.SNAPSHOT, ROWS)
     states = {m.address: m.state for m in recovery.with_drains(event).members}
     assert states["c0"] is states["c1"] is MemberState.DRAINING and states["c2"] is MemberState.READY
@@ -88,7 +91,9 @@
 
 
 def test_another_process_under_a_drained_name_is_not_drained_by_the_coordinators_word() -> None:
-    recovery = _recovered([MemberDrain("c0", "coordinator", 50 * S), MemberDrain("c1", "operator", 50 * S)])
+    recovery = _recovered(
+        [MemberDrain("c0", DrainSource.COORDINATOR, 50 * S), MemberDrain("c1", DrainSource.OPERATOR, 50 * S)]
+    )
     new = EndpointsChanged(EndpointListKind.CHANGE, (member("c0", since=90 * S), member("c1", since=90 * S)))
     assert [m.state for m in recovery.with_drains(new).members] == [MemberState.READY, MemberState.DRAINING]
     gone = EndpointsChanged(EndpointListKind.CHANGE, (replace(member("c1"), state=MemberState.REMOVED),))
@@ -96,14 +101,16 @@
 
 
 def test_a_feed_that_is_never_heard_keeps_the_drains_and_does_not_hold_the_service() -> None:
-    recovery = _recovered([MemberDrain("c0", "coordinator")])
+    recovery = _recovered([MemberDrain("c0", DrainSource.COORDINATOR)])
     assert recovery.may_serve and not recovery.on_tick(109 * S)
     assert recovery.on_tick(111 * S) and recovery.phase is RecoveryPhase.SERVING
     assert recovery.is_drained(member("c0")) and "not heard" in recovery.reason
 
 
 def test_a_feed_heard_late_lifts_the_coordinators_drains_once_and_keeps_the_operators() -> None:
-    recovery = _recovered([MemberDrain("c0", "coordinator"), MemberDrain("c1", "operator")], reached=5)
+    recovery = _recovered(
+        [MemberDrain("c0", DrainSource.COORDINATOR), MemberDrain("c1", DrainSource.OPERATOR)], reached=5
+    )
     assert recovery.on_tick(111 * S) and recovery.feed_overdue
     assert not recovery.on_feed_number(112 * S, 4)  # not yet as far as the store had come
     assert recovery.on_feed_number(113 * S, 5) and not recovery.feed_overdue
@@ -160,7 +167,7 @@
 
 
 def test_a_row_of_a_newer_schema_is_refused() -> None:
-    from onyxwick.store.durable import encode_row
+    from onyxwick.store.row_schema import encode_row, unpack_row
 
     with pytest.raises(StoreUnusableError, match="schema 9, newer"):
         unpack_row("drain/c0", encode_row([9, {}]))
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -12,7 +12,7 @@
 import pytest
 
 from onyxwick.admin.api import Api
-from onyxwick.admin.durable import DurableApi
+from onyxwick.admin.durable_api import DurableApi
 from onyxwick.admin.http import HttpError, HttpRequest
 from onyxwick.admin.sites import SitesApi
 from onyxwick.core import RequestEngine
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -13,7 +13,7 @@
 from onyxwick.core.clock import SteadyClock
 from onyxwick.distribution import codec
 from onyxwick.distribution.documents import Assembler, digest_of
-from onyxwick.distribution.durable import DurableFeed
+from onyxwick.distribution.durable_feed import DurableFeed
 from onyxwick.distribution.model import (
     Announcement,
     CacheListChange,
@@ -32,11 +32,12 @@
 from onyxwick.sites.lifecycle import SiteDirective
 from onyxwick.sites.operator_commands import SiteCommand, of_row, to_row
 from onyxwick.store import records
-from onyxwick.store.durable import DurableState, pack_row, unpack_row
+from onyxwick.store.durable_state import DurableState
 from onyxwick.store.encryption import SecretCipher
 from onyxwick.store.engine import StoreEngine, Transaction, WriteOperation
 from onyxwick.store.files import DiskFiles
-from onyxwick.store.recovery import MemberDrain, RecordedPurge, RecoveryPhase
+from onyxwick.store.recovery import DrainSource, MemberDrain, RecordedPurge, RecoveryPhase
+from onyxwick.store.row_schema import IdempotentCall, pack_row, unpack_row
 from onyxwick.tenants import Tenant, Tenants, read_name
 from onyxwick.trace.model import NEVER, DecisionReason, NotificationKind, RecordedVerdict
 from onyxwick.trace.reader import open_trace
@@ -114,9 +115,9 @@
 
 
 def test_the_plan_is_read(state: DurableState) -> None:
-    row = state.cell_plan()
-    assert row is not None
-    plan = plan_of_json(row["plan"], row["version"])
+    stored = state.cell_plan()
+    assert stored is not None
+    plan = plan_of_json(stored.plan, stored.version)
     assert plan.version == 3
     assert plan.cells["cell-a"].members == ("box-1", "box-2")
     assert plan.cells["cell-a"].weight == 2.0
@@ -130,8 +131,8 @@
     assert recovery.phase is RecoveryPhase.CHECKING
     assert recovery.last_feed_number == 12
     assert recovery.drains == {
-        "box-1": MemberDrain("box-1", "coordinator", START_US - 90 * S, "", START_US + 4 * S),
-        "box-2": MemberDrain("box-2", "operator", 0, "disk swap", START_US + 5 * S),
+        "box-1": MemberDrain("box-1", DrainSource.COORDINATOR, START_US - 90 * S, "", START_US + 4 * S),
+        "box-2": MemberDrain("box-2", DrainSource.OPERATOR, 0, "disk swap", START_US + 5 * S),
     }
     assert recovery.purges == [
         RecordedPurge(3, "00000000000000aa", START_US + 6 * S, 11),
@@ -152,12 +153,12 @@
 
 
 def test_the_outcome_of_an_idempotent_call_is_read(state: DurableState) -> None:
-    assert state.idempotent_call("create-acme") == {
-        "mark": "0123456789abcdef0123456789abcdef",
-        "status": 201,
-        "at_us": START_US + 14 * S,
-        "data": {"name": "acme", "quota_per_s": 250.0, "zones": [], "keys": []},
-    }
+    assert state.idempotent_call("create-acme") == IdempotentCall(
+        "0123456789abcdef0123456789abcdef",
+        201,
+        {"name": "acme", "quota_per_s": 250.0, "zones": [], "keys": []},
+        START_US + 14 * S,
+    )
     assert state.idempotent_call("another") is None
 
 
@@ -184,6 +185,14 @@
     purge = state.recovery.purges[1]
     key = f"purge/{purge.unix_us:020d}/4/"
     assert state.purge_operations(purge, START_US + 8 * S)[0] == WriteOperation(key, rows[key])
+    plan, call = state.cell_plan(), state.idempotent_call("create-acme")
+    assert plan is not None and call is not None
+    assert state.cell_plan_operation(plan) == WriteOperation("plan/now", rows["plan/now"])
+    call_operation = state.idempotent_call_operations("create-acme", call, START_US + 15 * S)[0]
+    assert call_operation.key == "call/create-acme" and call_operation.value is not None
+    row = unpack_row("call/create-acme", call_operation.value)
+    assert row == unpack_row("call/create-acme", rows["call/create-acme"])
+    assert list(row) == ["mark", "status", "data", "at_us"]
     assert state.feed_number_operation(12) == WriteOperation("feed/last", rows["feed/last"])
 
 
