--- a/onyxwick/cli/distribution.py
+++ b/onyxwick/cli/distribution.py
@@ -52,13 +52,13 @@
 
     With racks, each director's parents stand in different ones.
     """
-    from onyxwick.distribution.tree import TreeError, TreeLimits, plan
+    from onyxwick.distribution.tree import TreeError, TreeLimits, plan_tree
 
     names = [f"relay-{number}" for number in range(1, relays + 1)]
     leaves = [f"director-{number}" for number in range(1, directors + 1)]
     try:
         domains = {name: f"rack-{place % racks}" for place, name in enumerate(names)} if racks > 1 else {}
-        rows = plan("root", names, leaves, TreeLimits(width, parents), domains)
+        rows = plan_tree("root", names, leaves, TreeLimits(width, parents), domains)
     except TreeError as error:
         raise UnusableInputError(str(error)) from None
     loads = Counter(rows[leaf][0] for leaf in leaves)
--- a/onyxwick/distribution/codec.py
+++ b/onyxwick/distribution/codec.py
@@ -33,11 +33,11 @@
     UnknownPayload,
 )
 
-GONE = "DELETED"
-HEAD_BYTES = 64
+DELETED_STATE = "DELETED"
+OVERSIZED_HEAD_BYTES = 64
 """Of a line that is too long, what is kept to read its number from."""
 _INDEX = re.compile(rb'\s*\{\s*"index"\s*:\s*(\d{1,19})\b').match
-_CACHE_STATES = ("SERVING", "DRAINING", GONE)
+_CACHE_STATES = ("SERVING", "DRAINING", DELETED_STATE)
 
 
 def decode(line: bytes) -> Message:
@@ -122,7 +122,7 @@
         state = row.get("state")
         if row.get("id") is None or state not in _CACHE_STATES:
             raise PayloadError(f"a cache without an id, or in state {state!r}")
-        rows.append(CacheRow(str(row["id"]), state == GONE, row))
+        rows.append(CacheRow(str(row["id"]), state == DELETED_STATE, row))
     version = value.get("version") or 0
     return CacheListChange(tuple(rows), bool(value.get("full")), version if _is_whole(version) else 0)
 
@@ -184,7 +184,7 @@
         self._hash.update(line.rstrip(b"\n"))
         self._hash.update(b"\n")
 
-    def text(self) -> str:
+    def hex_digest(self) -> str:
         """The digest so far, as hexadecimal digits."""
         return self._hash.hexdigest()
 
@@ -194,7 +194,7 @@
     return b"follow %d\n" % cursor.packed
 
 
-def stub_of(head: bytes) -> bytes:
+def oversized_line_stub(head: bytes) -> bytes:
     """A short line in place of one that is too long, of which only the beginning was kept.
 
     It has the event's number, if that could be read: the event is passed over like any other that cannot be
--- a/onyxwick/distribution/documents.py
+++ b/onyxwick/distribution/documents.py
@@ -8,11 +8,11 @@
 from onyxwick.distribution.model import (
     MAX_DOCUMENT_BYTES,
     MAX_DOCUMENTS,
-    PART_BYTES,
+    MAX_PART_BYTES,
     DistributionError,
     Document,
     DocumentPart,
-    PublishRefusedError,
+    PublishRejectedError,
 )
 
 DIGEST_BYTES = 16
@@ -22,20 +22,20 @@
     """A part that fits no document: wrong order, size or digest."""
 
 
-def digest_of(text: str) -> str:
+def document_digest(text: str) -> str:
     """The digest that a document's parts carry, as hexadecimal digits."""
     return blake2b(text.encode(), digest_size=DIGEST_BYTES).hexdigest()
 
 
-def split(name: str, version: int, text: str) -> list[DocumentPart]:
+def split_document(name: str, version: int, text: str) -> list[DocumentPart]:
     """The parts of a document; PublishRefusedError where it is too large."""
     size = len(text.encode())
     if size > MAX_DOCUMENT_BYTES:
-        raise PublishRefusedError(f"document '{name}' has {size} bytes, {MAX_DOCUMENT_BYTES} at most")
+        raise PublishRejectedError(f"document '{name}' has {size} bytes, {MAX_DOCUMENT_BYTES} at most")
     # A character has four bytes at most: parts are cut by characters, so that each is valid by itself.
-    step = PART_BYTES // 4 if size > len(text) else PART_BYTES
+    step = MAX_PART_BYTES // 4 if size > len(text) else MAX_PART_BYTES
     texts = [text[at : at + step] for at in range(0, len(text), step)] or [""]
-    digest = digest_of(text)
+    digest = document_digest(text)
     return [DocumentPart(name, version, n, len(texts), digest, part) for n, part in enumerate(texts)]
 
 
@@ -48,7 +48,7 @@
     size: int = 0
 
 
-class Assembler:
+class DocumentAssembler:
     """Collects parts in order. A newer version of a document displaces an unfinished older one."""
 
     def __init__(self) -> None:
@@ -71,7 +71,7 @@
             return None
         return self._finish(part.name)
 
-    def unfinished(self) -> list[DocumentPart]:
+    def unfinished_parts(self) -> list[DocumentPart]:
         """The parts held of documents not yet whole, for a snapshot."""
         return [
             DocumentPart(name, held.version, n, held.parts, held.digest, text)
@@ -82,7 +82,7 @@
     def _begin(self, part: DocumentPart) -> _Partial:
         if part.name not in self._partial and len(self._partial) >= MAX_DOCUMENTS:
             raise DocumentError(f"over {MAX_DOCUMENTS} documents are unfinished")
-        if part.parts > MAX_DOCUMENT_BYTES // (PART_BYTES // 4) + 1:
+        if part.parts > MAX_DOCUMENT_BYTES // (MAX_PART_BYTES // 4) + 1:
             raise DocumentError(f"document '{part.name}' has {part.parts} parts")
         partial = self._partial[part.name] = _Partial(part.version, part.digest, part.parts)
         return partial
@@ -95,6 +95,6 @@
     def _finish(self, name: str) -> Document:
         partial = self._partial.pop(name)
         text = "".join(partial.texts)
-        if digest_of(text) != partial.digest:
+        if document_digest(text) != partial.digest:
             raise DocumentError(f"document '{name}' does not have the digest that its parts name")
         return Document(name, partial.version, partial.digest, text)
--- a/onyxwick/distribution/durable_feed.py
+++ b/onyxwick/distribution/durable_feed.py
@@ -1,8 +1,8 @@
-"""The publisher's state in the embedded store: what its replica holds, and the cursors, in one transaction.
+"""The publisher's state in the embedded store: its replica's state and the cursors, in one transaction.
 
-Not the log but the state is kept: after a restart a follower that is current goes on, one that is behind gets
-a snapshot. An event is announced only when the transaction that holds it is durable, so that a restart never
-gives its number to another event.
+Not the log but the state is stored: after a restart a follower that is current goes on, one that is behind
+gets a snapshot. An event is announced only when the transaction that holds it is durable, so that a restart
+never gives its number to another event. Values are lines of the feed, or decimal numbers.
 """
 
 from __future__ import annotations
@@ -10,8 +10,9 @@
 from collections.abc import Iterable, Iterator
 
 from onyxwick.distribution.codec import decode, encode_event
-from onyxwick.distribution.documents import split
+from onyxwick.distribution.documents import split_document
 from onyxwick.distribution.model import (
+    ORIGIN,
     CacheListChange,
     CacheRow,
     Cursor,
@@ -28,9 +29,15 @@
 from onyxwick.store.engine import StoreEngine, Transaction, WriteOperation
 
 PREFIX = "distribution/"
-HEAD, UPSTREAM, LIST_VERSION = PREFIX + "head", PREFIX + "upstream", PREFIX + "list-version"
-CACHE, PURGE, DOCUMENT = PREFIX + "cache/", PREFIX + "purge/", PREFIX + "document/"
-BY = "distribution"
+HEAD_KEY = PREFIX + "head"
+UPSTREAM_KEY = PREFIX + "upstream"
+LIST_VERSION_KEY = PREFIX + "list-version"
+CACHE_PREFIX = PREFIX + "cache/"
+PURGE_PREFIX = PREFIX + "purge/"
+DOCUMENT_PREFIX = PREFIX + "document/"
+AUTHOR = "distribution"
+Changes = dict[str, bytes | None]
+"""New values by key; None deletes."""
 
 
 class DurableFeed:
@@ -40,109 +47,118 @@
         self.engine = engine
 
     def load(self, replica: Replica, unix_s: int) -> Cursor:
-        """Fill a replica from the store, or begin a new history; the cursor of what was read upstream."""
-        head = self.engine.get(HEAD)
+        """Fill a replica from the store, or begin a new history; the cursor of what was read upstream.
+
+        DistributionError where the store holds something else; StoreError where the disk fails.
+        """
+        head = self.engine.get(HEAD_KEY)
         if head is None:
             replica.log.restart(new_history(unix_s))
-            self.engine.commit(Transaction((WriteOperation(HEAD, _number(replica.cursor)),), BY))
-            return Cursor(0, 0)
-        replica.install(FeedSnapshot(_cursor(head), tuple(self._payloads())))
-        upstream = self.engine.get(UPSTREAM)
-        return Cursor(0, 0) if upstream is None else _cursor(upstream)
+            operation = WriteOperation(HEAD_KEY, _encode_cursor(replica.cursor))
+            self.engine.commit(Transaction((operation,), AUTHOR))
+            return ORIGIN
+        replica.install(FeedSnapshot(_decode_cursor(head), tuple(self._payloads())))
+        upstream = self.engine.get(UPSTREAM_KEY)
+        return ORIGIN if upstream is None else _decode_cursor(upstream)
 
     def save(self, events: Iterable[FeedEvent], upstream: Cursor, state: FeedState, now_us: int) -> None:
         """Make events durable before they are applied to `state`; StoreError where the disk fails."""
-        changes: dict[str, bytes | None] = {}
+        changes: Changes = {}
         documents: dict[str, list[DocumentPart]] = {}
         last: Cursor | None = None
         for event in events:
             changes |= self._changes(event.payload, state, documents)
             last = event.cursor
         if last is not None:
-            changes[HEAD] = _number(last)
-        changes |= self._expired(state, now_us // 1000)
-        changes[UPSTREAM] = _number(upstream)
-        ops = tuple(WriteOperation(key, value) for key, value in changes.items())
-        self.engine.commit(Transaction(ops, BY, now_us))
+            changes[HEAD_KEY] = _encode_cursor(last)
+        for purge_key in state.purges.expire(now_us // 1000):
+            changes[_purge_key(purge_key)] = None
+        changes[UPSTREAM_KEY] = _encode_cursor(upstream)
+        operations = tuple(WriteOperation(key, value) for key, value in changes.items())
+        self.engine.commit(Transaction(operations, AUTHOR, now_us))
         if self.engine.needs_compaction():
             self.engine.compact()
 
     def _changes(
         self, payload: Payload, state: FeedState, documents: dict[str, list[DocumentPart]]
-    ) -> dict[str, bytes | None]:
+    ) -> Changes:
         if isinstance(payload, PurgeEvent):
-            return {PURGE + _purge_name(payload.key): _line(payload)}
+            return {_purge_key(payload.key): _encode_payload(payload)}
         if isinstance(payload, CacheListChange):
             return self._list_changes(payload, state)
-        if not isinstance(payload, DocumentPart):
-            return {}
-        # Parts of a document that is not whole yet are not kept: the publisher sends it anew after a restart.
-        parts = documents.setdefault(payload.name, list(_parts_of(state, payload)))
-        parts.append(payload)
-        if payload.part + 1 < payload.parts:
-            return {}
-        text = "".join(part.text for part in parts if part.digest == payload.digest)
-        document = Document(payload.name, payload.version, payload.digest, text)
-        return {DOCUMENT + payload.name: b"".join(_line(part) for part in _split(document))}
-
-    def _list_changes(self, change: CacheListChange, state: FeedState) -> dict[str, bytes | None]:
-        changes: dict[str, bytes | None] = {}
+        if isinstance(payload, DocumentPart):
+            return _document_changes(payload, state, documents)
+        return {}
+
+    def _list_changes(self, change: CacheListChange, state: FeedState) -> Changes:
+        changes: Changes = {}
         if change.full:
-            changes |= {CACHE + name: None for name in state.rows}
-            changes |= {key: None for key in self.engine.keys(CACHE)}
+            changes |= {CACHE_PREFIX + name: None for name in state.rows}
+            changes |= {key: None for key in self.engine.keys(CACHE_PREFIX)}
         for row in change.rows:
             single = CacheListChange((row,), False, 0)
-            changes[CACHE + row.id] = None if row.gone else _line(single)
-        changes[LIST_VERSION] = b"%d" % change.version
+            changes[CACHE_PREFIX + row.id] = None if row.deleted else _encode_payload(single)
+        changes[LIST_VERSION_KEY] = b"%d" % change.version
         return changes
 
-    def _expired(self, state: FeedState, now_ms: int) -> dict[str, bytes | None]:
-        return {PURGE + _purge_name(key): None for key in state.purges.expire(now_ms)}
-
     def _payloads(self) -> Iterator[Payload]:
-        for _, value in self.engine.scan(PURGE):
-            yield from _payloads_of(value)
+        for _, value in self.engine.scan(PURGE_PREFIX):
+            yield from _decode_payloads(value)
         rows = tuple(self._rows())
-        version = int(self.engine.get(LIST_VERSION) or 0)
+        version = int(self.engine.get(LIST_VERSION_KEY) or 0)
         if rows or version:
             yield CacheListChange(rows, True, version)
-        for _, value in self.engine.scan(DOCUMENT):
-            yield from _payloads_of(value)
+        for _, value in self.engine.scan(DOCUMENT_PREFIX):
+            yield from _decode_payloads(value)
 
     def _rows(self) -> Iterator[CacheRow]:
-        for _, value in self.engine.scan(CACHE):
-            for payload in _payloads_of(value):
+        for _, value in self.engine.scan(CACHE_PREFIX):
+            for payload in _decode_payloads(value):
                 if isinstance(payload, CacheListChange):
                     yield from payload.rows
 
 
-def _split(document: Document) -> list[DocumentPart]:
-    return split(document.name, document.version, document.text)
+def _document_changes(
+    payload: DocumentPart, state: FeedState, documents: dict[str, list[DocumentPart]]
+) -> Changes:
+    """Only complete documents are stored: the publisher sends an incomplete one again after a restart.
+
+    `documents` collects the parts of one save, beginning with those that the state has already.
+    """
+    parts = documents.setdefault(payload.name, list(_earlier_parts(state, payload)))
+    parts.append(payload)
+    if payload.part + 1 < payload.parts:
+        return {}
+    text = "".join(part.text for part in parts if part.digest == payload.digest)
+    document = Document(payload.name, payload.version, payload.digest, text)
+    stored_parts = split_document(document.name, document.version, document.text)
+    return {DOCUMENT_PREFIX + payload.name: b"".join(_encode_payload(part) for part in stored_parts)}
 
 
-def _parts_of(state: FeedState, payload: DocumentPart) -> Iterator[DocumentPart]:
-    for part in state.assembler.unfinished():
+def _earlier_parts(state: FeedState, payload: DocumentPart) -> Iterator[DocumentPart]:
+    for part in state.assembler.unfinished_parts():
         if (part.name, part.digest) == (payload.name, payload.digest):
             yield part
 
 
-def _number(cursor: Cursor) -> bytes:
+def _encode_cursor(cursor: Cursor) -> bytes:
     return b"%d" % cursor.packed
 
 
-def _cursor(value: bytes) -> Cursor:
+def _decode_cursor(value: bytes) -> Cursor:
     return Cursor.unpack(int(value))
 
 
-def _purge_name(key: PurgeKey) -> str:
-    return f"ref/{key.ref}" if key.ref is not None else f"shard/{key.shard}"
+def _purge_key(key: PurgeKey) -> str:
+    name = f"ref/{key.ref}" if key.ref is not None else f"shard/{key.shard}"
+    return PURGE_PREFIX + name
 
 
-def _line(payload: Payload) -> bytes:
-    return encode_event(Cursor(0, 0), payload).line
+def _encode_payload(payload: Payload) -> bytes:
+    return encode_event(ORIGIN, payload).line
 
 
-def _payloads_of(value: bytes) -> Iterator[Payload]:
+def _decode_payloads(value: bytes) -> Iterator[Payload]:
     for line in value.splitlines():
         message = decode(line)
         if not isinstance(message, FeedEvent):
--- a/onyxwick/distribution/fanout.py
+++ b/onyxwick/distribution/fanout.py
@@ -1,7 +1,7 @@
 """The sending side of a node: which bytes each subscriber gets next.
 
 Subscribers pull: each has a cursor into the one log that all share, so its memory does not grow with events,
-and a slow one delays nobody. One that falls behind the log is given a snapshot.
+and a slow one delays no other. One that falls behind the log gets a snapshot. Times in microseconds.
 """
 
 from __future__ import annotations
@@ -12,10 +12,9 @@
 
 from onyxwick.distribution.admission import AdmissionLimits, SubscriberAdmission
 from onyxwick.distribution.codec import encode_announcement, encode_freshness
-from onyxwick.distribution.model import ORIGIN, Cursor, Freshness, IllegalTransitionError
-from onyxwick.distribution.replica import Replica
-
-S_US = 1_000_000
+from onyxwick.distribution.model import ORIGIN, SECOND_US, Cursor, Freshness
+from onyxwick.distribution.replica import Replica, lines_within
+from onyxwick.distribution.transitions import check_transition
 
 
 class SubscriberState(Enum):
@@ -28,89 +27,95 @@
     CLOSED = "closed"
 
 
+_S = SubscriberState
 TRANSITIONS: dict[SubscriberState, frozenset[SubscriberState]] = {
-    SubscriberState.CONNECTED: frozenset({SubscriberState.ADMITTED, SubscriberState.CLOSED}),
-    SubscriberState.ADMITTED: frozenset(
-        {SubscriberState.LOADING, SubscriberState.LIVE, SubscriberState.CLOSED}
-    ),
-    SubscriberState.LOADING: frozenset({SubscriberState.LIVE, SubscriberState.CLOSED}),
-    SubscriberState.LIVE: frozenset({SubscriberState.LOADING, SubscriberState.CLOSED}),
-    SubscriberState.CLOSED: frozenset(),
+    _S.CONNECTED: frozenset({_S.ADMITTED, _S.CLOSED}),
+    _S.ADMITTED: frozenset({_S.LOADING, _S.LIVE, _S.CLOSED}),
+    _S.LOADING: frozenset({_S.LIVE, _S.CLOSED}),
+    _S.LIVE: frozenset({_S.LOADING, _S.CLOSED}),
+    _S.CLOSED: frozenset(),
 }
 
 
 @dataclass(frozen=True, slots=True)
 class FanOutLimits:
-    """Bounds of one node. `stuck_us`: a subscriber that takes nothing for so long is closed."""
+    """Bounds of one node. `follow_timeout_us`: for the subscriber's request; `stalled_timeout_us`: a
+    subscriber that reads nothing for so long is closed."""
 
-    width: int = 256
+    max_subscribers: int = 256
     high_water_bytes: int = 65_536
-    heartbeat_us: int = 200_000
-    follow_us: int = 2 * S_US
-    stuck_us: int = 10 * S_US
+    heartbeat_interval_us: int = 200_000
+    follow_timeout_us: int = 2 * SECOND_US
+    stalled_timeout_us: int = 10 * SECOND_US
     admission: AdmissionLimits = field(default_factory=AdmissionLimits)
 
 
 @dataclass(slots=True, eq=False)
 class Subscriber:
-    """One connection. `unsent_bytes` is what its socket has not taken yet, as last reported."""
+    """One connection; `snapshot_position` is the next line of the snapshot that it is loading."""
 
-    since: int
+    connected_at_us: int
     state: SubscriberState = SubscriberState.CONNECTED
     cursor: Cursor = ORIGIN
-    admitted_at: int = 0
-    snapshot: tuple[bytes, ...] = ()
+    admitted_at_us: int = 0
+    snapshot_lines: tuple[bytes, ...] = ()
     snapshot_cursor: Cursor = ORIGIN
-    snapshot_place: int = 0
-    progress_at: int = 0
+    snapshot_position: int = 0
+    progress_at_us: int = 0
 
-    def enter(self, state: SubscriberState) -> None:
+    def transition(self, state: SubscriberState) -> None:
         """Change the state; IllegalTransitionError where the table does not allow it."""
-        if state not in TRANSITIONS[self.state]:
-            raise IllegalTransitionError(f"from {self.state.value} to {state.value}")
+        check_transition(TRANSITIONS, self.state, state)
         self.state = state
 
 
 class FanOut:
-    """All subscribers of one node. The caller moves bytes: it asks `take` whenever a socket has room.
+    """All subscribers of one node. The caller moves bytes: it calls `next_bytes` whenever a socket can take
+    some.
 
-    `authoritative`: this node is the publisher, behind which no subscriber can be.
+    `authoritative`: this node is the publisher, which no subscriber can be ahead of.
     """
 
     def __init__(
         self, replica: Replica, limits: FanOutLimits | None = None, authoritative: bool = False
     ) -> None:
-        self.replica, self.limits, self.authoritative = replica, limits or FanOutLimits(), authoritative
+        self.replica = replica
+        self.limits = limits or FanOutLimits()
+        self.authoritative = authoritative
         self.admission = SubscriberAdmission(self.limits.admission)
         self.subscribers: set[Subscriber] = set()
         self.counts: Counter[str] = Counter()
-        self.freshness: bytes = b""
-        self._beat_at = 0
+        self.pending_freshness_line = b""
+        self._next_heartbeat_us = 0
+
+    # ---- connections ----------------------------------------------------------------------------------
 
-    def connect(self, now: int) -> Subscriber | None:
-        """A new connection; None where the node has its full width already."""
-        if len(self.subscribers) >= self.limits.width:
+    def on_connected(self, now: int) -> Subscriber | None:
+        """A new connection; None where the node has as many as it may."""
+        if len(self.subscribers) >= self.limits.max_subscribers:
             self.counts["refused.width"] += 1
             return None
-        subscriber = Subscriber(since=now, progress_at=now)
+        subscriber = Subscriber(connected_at_us=now, progress_at_us=now)
         self.subscribers.add(subscriber)
         return subscriber
 
-    def follow(self, subscriber: Subscriber, cursor: Cursor, now: int) -> bool:
-        """The subscriber's request to follow from a cursor; False: it is refused and to be closed.
+    def on_follow(self, subscriber: Subscriber, cursor: Cursor, now: int) -> bool:
+        """The subscriber's request to follow from a cursor; False: it is rejected and to be closed.
 
         A relay that is a little behind the subscriber sends it nothing until it has caught up. At the
-        publisher (`authoritative`) the same is proof of lost events: its disk is an older copy. That is
-        refused.
+        publisher (`authoritative`) the same proves that events were lost, as its disk is an older copy, and
+        is rejected.
         """
         if not self._may_follow(cursor):
             return False
-        wait = self.admission.wait_us(now)
-        if wait is None:
+        wait_us = self.admission.wait_us(now)
+        if wait_us is None:
             self.counts["refused.rate"] += 1
             return False
-        subscriber.enter(SubscriberState.ADMITTED)
-        subscriber.cursor, subscriber.admitted_at, subscriber.progress_at = cursor, now + wait, now + wait
+        subscriber.transition(SubscriberState.ADMITTED)
+        subscriber.cursor = cursor
+        subscriber.admitted_at_us = now + wait_us
+        subscriber.progress_at_us = now + wait_us
         self.counts["admitted"] += 1
         return True
 
@@ -124,83 +129,88 @@
             return False
         return True
 
-    def close(self, subscriber: Subscriber) -> None:
-        """The connection is gone."""
+    def on_closed(self, subscriber: Subscriber) -> None:
+        """The connection has ended."""
         self.subscribers.discard(subscriber)
         if subscriber.state is not SubscriberState.CLOSED:
-            subscriber.enter(SubscriberState.CLOSED)
-        subscriber.snapshot = ()
+            subscriber.transition(SubscriberState.CLOSED)
+        subscriber.snapshot_lines = ()
+
+    def close_reason(self, subscriber: Subscriber, unsent_bytes: int, now: int) -> str:
+        """Why a subscriber is to be closed, or an empty text.
+
+        One with nothing unsent makes progress by being idle; one that reads nothing holds memory.
+        """
+        if subscriber.state is SubscriberState.CONNECTED:
+            waited_us = now - subscriber.connected_at_us
+            return "no line 'follow N'" if waited_us > self.limits.follow_timeout_us else ""
+        if unsent_bytes < self.limits.high_water_bytes:
+            subscriber.progress_at_us = max(subscriber.progress_at_us, now)
+            return ""
+        is_stalled = now - subscriber.progress_at_us > self.limits.stalled_timeout_us
+        return "reads nothing" if is_stalled else ""
+
+    # ---- bytes to send --------------------------------------------------------------------------------
 
-    def take(self, subscriber: Subscriber, room: int, now: int) -> bytes:
-        """The next bytes for a subscriber whose socket has room for so many; empty: nothing to send now."""
-        if room <= 0 or not self._may_send(subscriber, now):
+    def next_bytes(self, subscriber: Subscriber, free_bytes: int, now: int) -> bytes:
+        """The next bytes for a subscriber whose send buffer has so many free; empty: nothing to send now."""
+        if free_bytes <= 0 or not self._may_send(subscriber, now):
             return b""
         if subscriber.state is SubscriberState.LOADING:
-            data = self._take_snapshot(subscriber, room)
+            data = self._next_snapshot_bytes(subscriber, free_bytes)
         elif subscriber.cursor >= self.replica.cursor:
             return b""
         elif self.replica.log.can_resume(subscriber.cursor):
-            data, subscriber.cursor = self.replica.log.lines_after(subscriber.cursor, room)
+            data, subscriber.cursor = self.replica.log.lines_after(subscriber.cursor, free_bytes)
         else:
             self._begin_snapshot(subscriber, now)
-            data = self._take_snapshot(subscriber, room)
+            data = self._next_snapshot_bytes(subscriber, free_bytes)
         if data:
-            subscriber.progress_at = now
+            subscriber.progress_at_us = now
         return data
 
     def _may_send(self, subscriber: Subscriber, now: int) -> bool:
-        if subscriber.state is SubscriberState.ADMITTED and now >= subscriber.admitted_at:
-            subscriber.enter(SubscriberState.LIVE)
+        if subscriber.state is SubscriberState.ADMITTED and now >= subscriber.admitted_at_us:
+            subscriber.transition(SubscriberState.LIVE)
         return subscriber.state in (SubscriberState.LIVE, SubscriberState.LOADING)
 
     def _begin_snapshot(self, subscriber: Subscriber, now: int) -> None:
-        subscriber.enter(SubscriberState.LOADING)
-        subscriber.snapshot_cursor, subscriber.snapshot = self.replica.snapshot_lines(now // 1000)
-        subscriber.snapshot_place = 0
+        subscriber.transition(SubscriberState.LOADING)
+        snapshot = self.replica.snapshot_lines(now // 1000)
+        subscriber.snapshot_cursor = snapshot.cursor
+        subscriber.snapshot_lines = snapshot.lines
+        subscriber.snapshot_position = 0
         self.counts["snapshots"] += 1
 
-    def _take_snapshot(self, subscriber: Subscriber, room: int) -> bytes:
-        lines, parts, size = subscriber.snapshot, list[bytes](), 0
-        place = subscriber.snapshot_place
-        while place < len(lines) and (not parts or size + len(lines[place]) <= room):
-            parts.append(lines[place])
-            size += len(lines[place])
-            place += 1
-        subscriber.snapshot_place = place
-        if place == len(lines):
-            subscriber.snapshot, subscriber.cursor = (), subscriber.snapshot_cursor
-            subscriber.enter(SubscriberState.LIVE)
-        return b"".join(parts)
-
-    def fresh(self, message: Freshness) -> None:
+    def _next_snapshot_bytes(self, subscriber: Subscriber, free_bytes: int) -> bytes:
+        lines = lines_within(subscriber.snapshot_lines, subscriber.snapshot_position, free_bytes)
+        subscriber.snapshot_position += len(lines)
+        if subscriber.snapshot_position == len(subscriber.snapshot_lines):
+            subscriber.snapshot_lines = ()
+            subscriber.cursor = subscriber.snapshot_cursor
+            subscriber.transition(SubscriberState.LIVE)
+        return b"".join(lines)
+
+    # ---- heartbeats -----------------------------------------------------------------------------------
+
+    def on_freshness(self, message: Freshness) -> None:
         """The publisher was reached; passed on with the next heartbeat."""
         if message.cursor <= self.replica.cursor:
-            self.freshness = encode_freshness(message.cursor, message.published_ms)
+            self.pending_freshness_line = encode_freshness(message.cursor, message.published_ms)
 
     def heartbeat(self, now: int) -> bytes:
         """The line due now for each subscriber that `is_current`; empty between two heartbeats."""
-        if now < self._beat_at:
+        if now < self._next_heartbeat_us:
             return b""
-        self._beat_at = now + self.limits.heartbeat_us
-        line, self.freshness = self.freshness + encode_announcement(self.replica.cursor), b""
-        return line
+        self._next_heartbeat_us = now + self.limits.heartbeat_interval_us
+        lines = self.pending_freshness_line + encode_announcement(self.replica.cursor)
+        self.pending_freshness_line = b""
+        return lines
 
     def is_current(self, subscriber: Subscriber) -> bool:
-        """Has a subscriber been given all there is?"""
+        """Has a subscriber been sent every event?"""
         return subscriber.state is SubscriberState.LIVE and subscriber.cursor == self.replica.cursor
 
-    def expired(self, subscriber: Subscriber, unsent_bytes: int, now: int) -> str:
-        """Why a subscriber is to be closed, or an empty text.
-
-        One with nothing unsent makes progress by being idle; one that reads nothing holds a place and memory.
-        """
-        if subscriber.state is SubscriberState.CONNECTED:
-            return "no line 'follow N'" if now - subscriber.since > self.limits.follow_us else ""
-        if unsent_bytes < self.limits.high_water_bytes:
-            subscriber.progress_at = max(subscriber.progress_at, now)
-            return ""
-        return "reads nothing" if now - subscriber.progress_at > self.limits.stuck_us else ""
-
-    def behind(self) -> int:
-        """Subscribers that have not been given all there is."""
+    def count_behind(self) -> int:
+        """Subscribers that have not been sent every event."""
         return sum(not self.is_current(subscriber) for subscriber in self.subscribers)
--- a/onyxwick/distribution/model.py
+++ b/onyxwick/distribution/model.py
@@ -13,11 +13,12 @@
 """Packed cursors stay below 2^63, which every JSON reader in use here takes as a whole number."""
 MAX_LINE_BYTES = 4_194_304
 """Longest line of a feed, the same bound as the coordinator's feed has."""
+SECOND_US = 1_000_000
 MAX_DOCUMENT_BYTES = 1_048_576
 """Longest configuration document, in bytes of UTF-8."""
 MAX_DOCUMENTS = 256
 """Documents with different names that a feed carries."""
-PART_BYTES = 12_288
+MAX_PART_BYTES = 12_288
 """Bytes of a document in one event: a purge waits behind no more than one of them at each hop."""
 
 
@@ -37,7 +38,7 @@
     """An event's number is not the one after the cursor."""
 
 
-class StepBackError(DistributionError):
+class OlderSnapshotError(DistributionError):
     """A snapshot is older than what the follower has, or belongs to an earlier history."""
 
 
@@ -45,7 +46,7 @@
     """A state machine was asked for a transition that its table does not have."""
 
 
-class PublishRefusedError(DistributionError):
+class PublishRejectedError(DistributionError):
     """The publisher does not take an event; the text names the bound or the field."""
 
 
@@ -88,7 +89,7 @@
     """One cache of a list: its id, whether it has gone, and all its fields, passed on unchanged."""
 
     id: str
-    gone: bool
+    deleted: bool
     fields: Mapping[str, Any]
 
 
--- a/onyxwick/distribution/replica.py
+++ b/onyxwick/distribution/replica.py
@@ -3,8 +3,9 @@
 from __future__ import annotations
 
 from collections import deque
-from collections.abc import Iterable, Iterator
+from collections.abc import Iterable, Iterator, Sequence
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from onyxwick.distribution.codec import (
     LinesDigest,
@@ -12,7 +13,7 @@
     encode_snapshot_begin,
     encode_snapshot_end,
 )
-from onyxwick.distribution.documents import Assembler, DocumentError, split
+from onyxwick.distribution.documents import DocumentAssembler, DocumentError, split_document
 from onyxwick.distribution.model import (
     MAX_DOCUMENTS,
     ORIGIN,
@@ -23,16 +24,16 @@
     DocumentPart,
     FeedEvent,
     FeedGapError,
+    OlderSnapshotError,
     Payload,
     PurgeEvent,
     PurgeKey,
-    StepBackError,
 )
 
-LOG_BYTES = 4_194_304
-"""Bytes of recent events that a node can replay; who is further behind gets a snapshot."""
+MAX_LOG_BYTES = 4_194_304
+"""Bytes of recent events that a node can replay; a subscriber further behind gets a snapshot."""
 PURGE_RETENTION_MS = 60_000
-"""How long a purge is part of snapshots. Has to exceed the time in which caches carry a purge out."""
+"""How long a purge is part of snapshots; longer than caches need to carry a purge out."""
 MAX_PURGES = 131_072
 """Purges kept at once: 36 minutes of 60 a second, were they all retained. The publisher admits half of it."""
 
@@ -40,38 +41,39 @@
 class PurgeTable:
     """The latest purge of each object and group, for as long as it may bind."""
 
-    def __init__(self, retention_ms: int = PURGE_RETENTION_MS, most: int = MAX_PURGES) -> None:
-        self.retention_ms, self.most = retention_ms, most
-        self.times: dict[PurgeKey, int] = {}  # in the order of their coming: the oldest is first
+    def __init__(self, retention_ms: int = PURGE_RETENTION_MS, max_purges: int = MAX_PURGES) -> None:
+        self.retention_ms = retention_ms
+        self.max_purges = max_purges
+        self.unix_ms_by_key: dict[PurgeKey, int] = {}  # in the order of arrival: the oldest is first
 
     def __len__(self) -> int:
-        return len(self.times)
+        return len(self.unix_ms_by_key)
 
     def add(self, purge: PurgeEvent) -> bool:
         """Take a purge in; False where the same or a later one of its key is held already."""
-        known = self.times.get(purge.key)
-        if known is not None and known >= purge.unix_ms:
+        known_ms = self.unix_ms_by_key.get(purge.key)
+        if known_ms is not None and known_ms >= purge.unix_ms:
             return False
-        self.times.pop(purge.key, None)
-        self.times[purge.key] = purge.unix_ms
-        if len(self.times) > self.most:
-            del self.times[next(iter(self.times))]
+        self.unix_ms_by_key.pop(purge.key, None)
+        self.unix_ms_by_key[purge.key] = purge.unix_ms
+        if len(self.unix_ms_by_key) > self.max_purges:
+            del self.unix_ms_by_key[next(iter(self.unix_ms_by_key))]
         return True
 
     def expire(self, now_ms: int) -> list[PurgeKey]:
         """Drop what is older than the retention, oldest first; the keys dropped. Amortised constant time."""
         dropped = []
-        for key, unix_ms in self.times.items():
+        for key, unix_ms in self.unix_ms_by_key.items():
             if unix_ms >= now_ms - self.retention_ms:
                 break
             dropped.append(key)
         for key in dropped:
-            del self.times[key]
+            del self.unix_ms_by_key[key]
         return dropped
 
     def events(self) -> Iterator[PurgeEvent]:
         """All purges held, oldest first."""
-        for key, unix_ms in self.times.items():
+        for key, unix_ms in self.unix_ms_by_key.items():
             yield PurgeEvent(key, unix_ms)
 
 
@@ -83,10 +85,10 @@
         self.list_version = 0
         self.purges = PurgeTable(retention_ms)
         self.documents: dict[str, Document] = {}
-        self.assembler = Assembler()
+        self.assembler = DocumentAssembler()
 
     def apply(self, payload: Payload) -> Document | None:
-        """Take one payload in; the document that it completes, if any. DocumentError: a part out of place."""
+        """Take one payload in; the document that it completes, if any. DocumentError: a part out of order."""
         if isinstance(payload, PurgeEvent):
             self.purges.add(payload)
             return None
@@ -100,7 +102,7 @@
             self.rows.clear()
         self.list_version = change.version
         for row in change.rows:
-            if row.gone:
+            if row.deleted:
                 self.rows.pop(row.id, None)
             else:
                 self.rows[row.id] = row
@@ -120,15 +122,28 @@
         if self.rows or self.list_version:
             yield CacheListChange(tuple(self.rows.values()), True, self.list_version)
         for document in self.documents.values():
-            yield from split(document.name, document.version, document.text)
-        yield from self.assembler.unfinished()
+            yield from split_document(document.name, document.version, document.text)
+        yield from self.assembler.unfinished_parts()
+
+
+def lines_within(lines: Sequence[bytes], position: int, max_bytes: int) -> list[bytes]:
+    """Lines from a position on: one at least if there is one, then as many as fit into so many bytes."""
+    chosen: list[bytes] = []
+    size_bytes = 0
+    while position < len(lines) and (not chosen or size_bytes + len(lines[position]) <= max_bytes):
+        line = lines[position]
+        chosen.append(line)
+        size_bytes += len(line)
+        position += 1
+    return chosen
 
 
 class EventLog:
     """Recent events as lines, consecutive in one history, bounded in bytes."""
 
-    def __init__(self, most_bytes: int = LOG_BYTES) -> None:
-        self.most_bytes, self.size = most_bytes, 0
+    def __init__(self, max_bytes: int = MAX_LOG_BYTES) -> None:
+        self.max_bytes = max_bytes
+        self.size_bytes = 0
         self.lines: deque[bytes] = deque()
         self.last = ORIGIN
 
@@ -142,52 +157,58 @@
         if event.cursor != self.last.following():
             raise FeedGapError(f"event {event.cursor} after {self.last}")
         self.lines.append(event.line)
-        self.size += len(event.line)
+        self.size_bytes += len(event.line)
         self.last = event.cursor
-        while self.size > self.most_bytes and len(self.lines) > 1:
-            self.size -= len(self.lines.popleft())
+        while self.size_bytes > self.max_bytes and len(self.lines) > 1:
+            self.size_bytes -= len(self.lines.popleft())
 
     def restart(self, cursor: Cursor) -> None:
-        """Hold nothing, and go on behind a cursor."""
+        """Drop all events, and go on behind a cursor."""
         self.lines.clear()
-        self.size, self.last = 0, cursor
+        self.size_bytes = 0
+        self.last = cursor
 
     def can_resume(self, cursor: Cursor) -> bool:
         """Are all events behind a cursor held?"""
-        same = cursor.history == self.last.history
-        return same and self.first_number <= cursor.number + 1 <= self.last.number + 1
+        is_same_history = cursor.history == self.last.history
+        return is_same_history and self.first_number <= cursor.number + 1 <= self.last.number + 1
 
     def line_after(self, cursor: Cursor) -> bytes | None:
         """The line of the event behind a cursor that `can_resume`; None at the end."""
-        place = cursor.number + 1 - self.first_number
-        return self.lines[place] if place < len(self.lines) else None
+        position = cursor.number + 1 - self.first_number
+        return self.lines[position] if position < len(self.lines) else None
 
-    def lines_after(self, cursor: Cursor, most_bytes: int) -> tuple[bytes, Cursor]:
-        """Lines behind a cursor that `can_resume`: one at least if there is one, then up to so many bytes."""
-        place, parts, size = cursor.number + 1 - self.first_number, list[bytes](), 0
-        while place < len(self.lines) and (not parts or size + len(self.lines[place]) <= most_bytes):
-            parts.append(self.lines[place])
-            size += len(self.lines[place])
-            place += 1
-        return b"".join(parts), Cursor(cursor.history, cursor.number + len(parts))
+    def lines_after(self, cursor: Cursor, max_bytes: int) -> tuple[bytes, Cursor]:
+        """Lines behind a cursor that `can_resume`, and the cursor behind them: one line at least if there is
+        one, then as many as fit into so many bytes."""
+        lines = lines_within(self.lines, cursor.number + 1 - self.first_number, max_bytes)
+        return b"".join(lines), Cursor(cursor.history, cursor.number + len(lines))
 
 
 @dataclass(frozen=True, slots=True)
 class FeedSnapshot:
-    """A state as of a cursor: as payloads where it was received, with its lines where it is sent on."""
+    """A state as of a cursor, as the payloads that make it."""
 
     cursor: Cursor
     payloads: tuple[Payload, ...]
 
 
+class SnapshotLines(NamedTuple):
+    """A state as of a cursor, as the lines that are sent."""
+
+    cursor: Cursor
+    lines: tuple[bytes, ...]
+
+
 class Replica:
     """A copy of the feed: its log and its state, always of the same cursor."""
 
-    def __init__(self, log_bytes: int = LOG_BYTES, retention_ms: int = PURGE_RETENTION_MS) -> None:
+    def __init__(self, log_bytes: int = MAX_LOG_BYTES, retention_ms: int = PURGE_RETENTION_MS) -> None:
         self.retention_ms = retention_ms
-        self.log, self.state = EventLog(log_bytes), FeedState(retention_ms)
-        self.bad_documents = 0
-        self._snapshot: tuple[Cursor, tuple[bytes, ...]] | None = None
+        self.log = EventLog(log_bytes)
+        self.state = FeedState(retention_ms)
+        self.rejected_documents = 0
+        self._snapshot: SnapshotLines | None = None
 
     @property
     def cursor(self) -> Cursor:
@@ -201,22 +222,22 @@
         try:
             return self.state.apply(event.payload)
         except DocumentError:
-            self.bad_documents += 1  # its number counts all the same: the next version mends it
+            self.rejected_documents += 1  # the event still counts: the document's next version replaces it
             return None
 
     def install(self, snapshot: FeedSnapshot) -> None:
-        """Replace the state by a snapshot's; StepBackError if it is older than what is held."""
+        """Replace the state by a snapshot's; OlderSnapshotError if it is older than the replica."""
         if snapshot.cursor < self.cursor:
-            raise StepBackError(f"snapshot of {snapshot.cursor} under {self.cursor}")
+            raise OlderSnapshotError(f"snapshot of {snapshot.cursor} under {self.cursor}")
         self.state = _state_of(snapshot.payloads, self.retention_ms)
         self.log.restart(snapshot.cursor)
         self._snapshot = None
 
-    def snapshot_lines(self, now_ms: int) -> tuple[Cursor, tuple[bytes, ...]]:
-        """The state as lines. One made earlier is given again while the log goes on from it: many
-        subscribers that come at once share one copy."""
+    def snapshot_lines(self, now_ms: int) -> SnapshotLines:
+        """The state as lines. An earlier one is reused while the log goes on from it: many subscribers that
+        connect at once share one copy."""
         held = self._snapshot
-        if held is not None and self.log.can_resume(held[0]) and self._covers(held[0]):
+        if held is not None and self.log.can_resume(held.cursor) and self._is_recent(held.cursor):
             return held
         self.state.purges.expire(now_ms)
         cursor = self.cursor
@@ -224,12 +245,14 @@
         digest = LinesDigest()
         for line in body:
             digest.add(line)
-        lines = (encode_snapshot_begin(cursor, len(body)), *body, encode_snapshot_end(cursor, digest.text()))
-        self._snapshot = cursor, lines
+        begin = encode_snapshot_begin(cursor, len(body))
+        end = encode_snapshot_end(cursor, digest.hex_digest())
+        self._snapshot = SnapshotLines(cursor, (begin, *body, end))
         return self._snapshot
 
-    def _covers(self, cursor: Cursor) -> bool:
-        """Is less than half of the log behind a cursor? Else who loads from there may fall out of it."""
+    def _is_recent(self, cursor: Cursor) -> bool:
+        """Is less than half of the log behind a cursor? A subscriber that loads from further back could fall
+        out of the log."""
         return cursor.number >= self.log.first_number + len(self.log.lines) // 2 - 1
 
 
--- a/onyxwick/lab/scale/capacity.py
+++ b/onyxwick/lab/scale/capacity.py
@@ -17,7 +17,7 @@
 import numpy as np
 
 from onyxwick.distribution.admission import AdmissionLimits
-from onyxwick.distribution.replica import LOG_BYTES, PURGE_RETENTION_MS
+from onyxwick.distribution.replica import MAX_LOG_BYTES, PURGE_RETENTION_MS
 from onyxwick.lab.scale.fits import SlopeFit
 from onyxwick.lab.scale.size import DAY_S, Size
 from onyxwick.lab.scale.slopes import fit_of
@@ -607,7 +607,7 @@
     per_s = AdmissionLimits().per_s
     rows = [
         ("events missed in a cut of ten minutes", f"{events:.0f}"),
-        ("their bytes, for one director", f"{backlog / 1e3:.0f} kB of {LOG_BYTES / 1e3:.0f} kB of log"),
+        ("their bytes, for one director", f"{backlog / 1e3:.0f} kB of {MAX_LOG_BYTES / 1e3:.0f} kB of log"),
         ("directors that return at once, mean region", f"{region:.0f}"),
         ("bytes for them, replayed", f"{region * backlog / 1e6:.0f} MB"),
         ("time to admit them at one relay", f"{max(0.0, region - AdmissionLimits().burst) / per_s:.2f} s"),
--- a/onyxwick/lab/scale/fleet.py
+++ b/onyxwick/lab/scale/fleet.py
@@ -27,9 +27,9 @@
 
 from onyxwick.config.address import Address, written
 from onyxwick.distribution.codec import encode_event
-from onyxwick.distribution.documents import split
+from onyxwick.distribution.documents import split_document
 from onyxwick.distribution.model import Cursor
-from onyxwick.distribution.tree import TreeLimits, plan
+from onyxwick.distribution.tree import TreeLimits, plan_tree
 from onyxwick.lab.faults.relay import LinkDirection
 from onyxwick.lab.faults.relay import LinkRelay as LinkRelay
 from onyxwick.lab.scale.fleet_plan import RELAYS_OF_A_REGION, FleetPlan, check
@@ -134,7 +134,7 @@
             relays = [f"relay-{n}" for n in range(first, first + RELAYS_OF_A_REGION)]
             numbers = range(place, self.plan.directors, len(self.regions))
             names = {f"d{n}": n for n in numbers}
-            tree = plan("root", relays, list(names), TreeLimits(width=2048))
+            tree = plan_tree("root", relays, list(names), TreeLimits(max_children=2048))
             for name, number in names.items():
                 out[number] = tuple(self.nodes[parent].listen for parent in tree[name])
         return out
@@ -197,7 +197,7 @@
         head = ujson.dumps({"published_ns": now, "pad": ""})
         text = ujson.dumps({"published_ns": now, "pad": "x" * max(0, self.plan.change_bytes - len(head))})
         name = f"doc-{len(self.published.documents) % DOCUMENTS}"
-        for part in split(name, len(self.published.documents), text):
+        for part in split_document(name, len(self.published.documents), text):
             line = encode_event(Cursor(0, 0), part).line
             self._tell({"document": ujson.loads(line)["document"]})
 
--- a/onyxwick/lab/scale/hollow.py
+++ b/onyxwick/lab/scale/hollow.py
@@ -179,7 +179,7 @@
         """Seconds since the publisher was last heard from; None where the feed does not tell."""
         if self.subscription is None:
             return None
-        age = self.subscription.follower.age_us(steady_us())
+        age = self.subscription.follower.staleness_us(steady_us())
         return None if age is None else age / 1e6
 
     def tables(self) -> dict[str, int]:
--- a/onyxwick/net/director_feed.py
+++ b/onyxwick/net/director_feed.py
@@ -8,7 +8,7 @@
 from onyxwick.core import RequestEngine
 from onyxwick.core.clock import FeedStamps
 from onyxwick.counters import Counters
-from onyxwick.distribution.documents import Assembler, DocumentError
+from onyxwick.distribution.documents import DocumentAssembler, DocumentError
 from onyxwick.distribution.model import (
     CacheListChange,
     Cursor,
@@ -42,7 +42,7 @@
         self.purges, self.stamps = PurgeTable(), FeedStamps()
         self.versions: dict[str, tuple[int, str]] = {}  # of each document seen whole: version and digest
         self.cursor = Cursor(0, 0)
-        self._assembler = Assembler()
+        self._assembler = DocumentAssembler()
 
     def deliver(self, event: FeedEvent, from_snapshot: bool) -> None:
         """One event; one that cannot be used is counted and logged, and the feed goes on."""
@@ -57,7 +57,7 @@
 
     def install(self, snapshot: FeedSnapshot) -> None:
         """A whole state. Its purges have been delivered before."""
-        self._assembler = Assembler()
+        self._assembler = DocumentAssembler()
         for payload in snapshot.payloads:
             if isinstance(payload, PurgeEvent):
                 continue
--- a/onyxwick/net/distribution_node.py
+++ b/onyxwick/net/distribution_node.py
@@ -14,10 +14,11 @@
 from onyxwick.config.errors import ConfigError
 from onyxwick.core.clock import steady_us, wall_us
 from onyxwick.counters import Counters
-from onyxwick.distribution.documents import Assembler, DocumentError
+from onyxwick.distribution.documents import DocumentAssembler, DocumentError
 from onyxwick.distribution.durable_feed import DurableFeed
 from onyxwick.distribution.fanout import FanOut, FanOutLimits
-from onyxwick.distribution.follower import PLAIN_COORDINATOR, Follower, FollowerLimits, FollowerState
+from onyxwick.distribution.follower import Follower, FollowerState
+from onyxwick.distribution.follower_actions import PLAIN_COORDINATOR, FollowerLimits
 from onyxwick.distribution.model import (
     MAX_DOCUMENT_BYTES,
     ORIGIN,
@@ -25,7 +26,7 @@
     DocumentPart,
     FeedEvent,
     Freshness,
-    PublishRefusedError,
+    PublishRejectedError,
     PurgeEvent,
     UnknownPayload,
 )
@@ -71,7 +72,7 @@
 
     def refresh(self, freshness: Freshness) -> None:
         """Pass on that the publisher was reached."""
-        self.fanout.fresh(freshness)
+        self.fanout.on_freshness(freshness)
 
     async def run(self) -> None:
         """Serve until cancelled."""
@@ -87,7 +88,7 @@
     def status(self) -> dict[str, Any]:
         """Figures for SIGUSR1 and the exit."""
         now, follower = steady_us(), self.subscription.follower
-        age = follower.age_us(now)
+        age = follower.staleness_us(now)
         return {
             **_status(self.config, self.replica, self.fanout, self.server, self.counters),
             "parent": follower.parent,
@@ -109,7 +110,7 @@
         upstream = self._open_store()
         limits = PublisherLimits(bulk_bytes_per_s=config.bulk_bytes_per_s)
         self.publisher = Publisher(self.replica, steady_us(), limits)
-        self._assembler = Assembler()
+        self._assembler = DocumentAssembler()
         # What was read upstream while documents waited to be sent is read again after a restart.
         self._saved_upstream = upstream
         self._flushing: asyncio.TimerHandle | asyncio.Handle | None = None
@@ -117,7 +118,11 @@
         self.subscription: Subscription | None = None
         if config.parents:
             follower = Follower(
-                1, ReconnectDelays(config.seed, steady_us()), upstream, PLAIN_COORDINATOR, restarts=True
+                1,
+                ReconnectDelays(config.seed, steady_us()),
+                upstream,
+                PLAIN_COORDINATOR,
+                resets_on_restart=True,
             )
             self.subscription = Subscription(follower, config.parents, self, self.counters)
 
@@ -137,10 +142,10 @@
             if isinstance(event.payload, DocumentPart):
                 self._document_part(event.payload)
             elif isinstance(event.payload, UnknownPayload):
-                raise PublishRefusedError(event.payload.detail)
+                raise PublishRejectedError(event.payload.detail)
             else:
                 self.publisher.submit(event.payload, steady_us() // 1000)
-        except (PublishRefusedError, DocumentError) as error:
+        except (PublishRejectedError, DocumentError) as error:
             self.counters.add("refused.event")
             log.error("event not published", index=event.cursor.packed, reason=str(error))
         self._schedule(0.0)
@@ -165,7 +170,7 @@
         for name, text in texts:
             try:
                 version = self.publisher.submit_document(name, text)
-            except PublishRefusedError as error:
+            except PublishRejectedError as error:
                 raise ConfigError(f"document '{name}': {error}") from None
             log.info("document", name=name, version=version)
         self._schedule(0.0)
@@ -186,8 +191,8 @@
     def _flush(self) -> None:
         self._flushing = None
         now = steady_us()
-        events = self.publisher.due(now)
-        if not self.publisher.bulk and self.subscription is not None:
+        events = self.publisher.take_due_events(now)
+        if not self.publisher.document_queue and self.subscription is not None:
             self._saved_upstream = self.subscription.follower.cursor
         if events:
             if not self._save(events, now):
@@ -195,7 +200,7 @@
             for event in events:
                 self.replica.apply(event, now // 1000)
             self.server.published()
-        wait_us = self.publisher.next_due_us(now)
+        wait_us = self.publisher.next_due_in_us(now)
         if wait_us is not None:
             self._schedule(max(0.001, wait_us / 1e6))
 
@@ -229,7 +234,7 @@
     async def _keep_fresh(self) -> None:
         while True:
             if self._reaches_its_source():
-                self.fanout.fresh(Freshness(self.replica.cursor, wall_us() // 1000))
+                self.fanout.on_freshness(Freshness(self.replica.cursor, wall_us() // 1000))
             await asyncio.sleep(FRESHNESS_S)
 
     def _reaches_its_source(self) -> bool:
@@ -251,7 +256,7 @@
     def status(self) -> dict[str, Any]:
         """Figures for SIGUSR1 and the exit."""
         out = _status(self.config, self.replica, self.fanout, self.server, self.counters)
-        return {**out, "queued": len(self.publisher.urgent) + len(self.publisher.bulk)}
+        return {**out, "queued": len(self.publisher.urgent_queue) + len(self.publisher.document_queue)}
 
 
 def _read_document(row: DocumentFile) -> str:
@@ -267,7 +272,7 @@
 
 
 def _fanout_limits(config: NodeConfig) -> FanOutLimits:
-    return FanOutLimits(width=config.width, admission=config.admission)
+    return FanOutLimits(max_subscribers=config.width, admission=config.admission)
 
 
 def _status(
@@ -279,12 +284,12 @@
         "history": replica.cursor.history,
         "number": replica.cursor.number,
         "subscribers": len(fanout.subscribers),
-        "behind": fanout.behind(),
-        "log_bytes": replica.log.size,
+        "behind": fanout.count_behind(),
+        "log_bytes": replica.log.size_bytes,
         "caches": len(replica.state.rows),
         "purges": len(replica.state.purges),
         "documents": {name: row.version for name, row in replica.state.documents.items()},
-        "bad_documents": replica.bad_documents,
+        "bad_documents": replica.rejected_documents,
         "sent_bytes": server.sent_bytes,
         "cpu_s": round(time.process_time(), 3),
         "fanout": dict(fanout.counts),
--- a/onyxwick/net/fanout_server.py
+++ b/onyxwick/net/fanout_server.py
@@ -34,7 +34,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast("asyncio.Transport", transport)  # uvloop's own does not inherit from it
         self.transport.set_write_buffer_limits(high=self.server.fanout.limits.high_water_bytes)
-        self.subscriber = self.server.fanout.connect(self.server.clock())
+        self.subscriber = self.server.fanout.on_connected(self.server.clock())
         if self.subscriber is None:
             self.transport.abort()
         else:
@@ -61,10 +61,10 @@
             log.warning("bad request of a subscriber", detail=str(error))
             self.transport.abort()
             return
-        if not server.fanout.follow(self.subscriber, cursor, now):
+        if not server.fanout.on_follow(self.subscriber, cursor, now):
             self.transport.abort()
             return
-        wait_s = (self.subscriber.admitted_at - now) / 1e6
+        wait_s = (self.subscriber.admitted_at_us - now) / 1e6
         asyncio.get_running_loop().call_later(wait_s + 0.001 if wait_s > 0 else 0, self.pump)
 
     def unsent_bytes(self) -> int:
@@ -79,7 +79,7 @@
         now = server.clock()
         while not self._paused:
             room = server.fanout.limits.high_water_bytes - transport.get_write_buffer_size()
-            data = server.fanout.take(subscriber, room, now)
+            data = server.fanout.next_bytes(subscriber, room, now)
             if not data:
                 return
             server.sent_bytes += len(data)
@@ -95,7 +95,7 @@
     def connection_lost(self, exc: Exception | None) -> None:
         self.server.connections.discard(self)
         if self.subscriber is not None:
-            self.server.fanout.close(self.subscriber)
+            self.server.fanout.on_closed(self.subscriber)
 
 
 class FanOutServer:
@@ -145,7 +145,7 @@
             if line and unsent == 0 and self.fanout.is_current(subscriber):
                 self.sent_bytes += len(line)
                 transport.write(line)
-            elif reason := self.fanout.expired(subscriber, unsent, now):
+            elif reason := self.fanout.close_reason(subscriber, unsent, now):
                 self.counters.add("subscriber.expired")
                 log.info("subscriber closed", reason=reason)
                 transport.abort()
--- a/onyxwick/net/subscription.py
+++ b/onyxwick/net/subscription.py
@@ -11,13 +11,13 @@
 from onyxwick.core.clock import steady_us
 from onyxwick.core.pacing import BackoffPolicy, ReconnectBackoff
 from onyxwick.counters import Counters
-from onyxwick.distribution.codec import HEAD_BYTES, stub_of
-from onyxwick.distribution.follower import (
+from onyxwick.distribution.codec import OVERSIZED_HEAD_BYTES, oversized_line_stub
+from onyxwick.distribution.follower import Follower
+from onyxwick.distribution.follower_actions import (
     Action,
     ConnectToParent,
     DeliverEvent,
     DisconnectFromParent,
-    Follower,
     InstallSnapshot,
     RefreshFreshness,
     SendLine,
@@ -82,7 +82,7 @@
         lines = bytes(self._rest[:end]).split(b"\n")
         del self._rest[: end + 1]
         if self._oversized:
-            lines[0], self._oversized = stub_of(self._oversized), b""
+            lines[0], self._oversized = oversized_line_stub(self._oversized), b""
         self.owner.received(self, lines)
 
     def _bound(self) -> None:
@@ -90,7 +90,7 @@
         if self._oversized:
             self._rest.clear()
         elif len(self._rest) > MAX_LINE_BYTES:
-            self._oversized = bytes(self._rest[:HEAD_BYTES])
+            self._oversized = bytes(self._rest[:OVERSIZED_HEAD_BYTES])
             self._rest.clear()
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -121,12 +121,12 @@
         try:
             while True:
                 await self._until_deadline()
-                self._act(self.follower.tick(self.clock()))
+                self._act(self.follower.on_tick(self.clock()))
         finally:
             self._act(self.follower.stop())
 
     async def _until_deadline(self) -> None:
-        deadline = self.follower.deadline
+        deadline = self.follower.deadline_us
         wait_s = None if deadline is None else max(0.0, (deadline - self.clock()) / 1e6)
         self._changed.clear()
         try:
@@ -174,7 +174,7 @@
             self.connection_failed(connection, repr(error))
             return
         if self._connection is connection:
-            self._act(self.follower.connected(self.clock()))
+            self._act(self.follower.on_connected(self.clock()))
             self._changed.set()
 
     def connection_failed(self, connection: _Connection, reason: str) -> None:
@@ -187,7 +187,7 @@
         self.counters.add("distribution.lost")
         place = self.follower.parent
         log.info("parent of the feed lost", parent=written(self.parents[place]), reason=reason)
-        self._act(self.follower.lost(self.clock(), reason))
+        self._act(self.follower.on_connection_lost(self.clock(), reason))
         self._changed.set()
 
     def _disconnect(self, reason: str) -> None:
@@ -205,6 +205,6 @@
             if connection is not self._connection:
                 return
             if line:
-                self._act(self.follower.line(self.clock(), line))
+                self._act(self.follower.on_line(self.clock(), line))
         if self.on_line is not None:
             self.on_line()
--- a/onyxwick/service.py
+++ b/onyxwick/service.py
@@ -159,12 +159,15 @@
         told = self.told.feed
         if told is None:
             return coordinator.follow()
-        from onyxwick.distribution.follower import Follower, FollowerLimits
+        from onyxwick.distribution.follower import Follower
+        from onyxwick.distribution.follower_actions import FollowerLimits
         from onyxwick.net.director_feed import DirectorFeed
         from onyxwick.net.subscription import ReconnectDelays, Subscription
 
         delays = ReconnectDelays(self.config.seed ^ SUBSCRIPTION_DRAW, self.core.now())
-        follower = Follower(len(told.parents), delays, limits=FollowerLimits(stale_us=told.stale_after_us))
+        follower = Follower(
+            len(told.parents), delays, limits=FollowerLimits(stale_after_us=told.stale_after_us)
+        )
         sink = DirectorFeed(self.core, self.counters, {QUOTAS_DOCUMENT: self.told.tenants.apply_quotas})
         self.subscription = Subscription(follower, told.parents, sink, self.counters, self.core.now)
         self.subscription.on_line = coordinator.beat
@@ -175,7 +178,7 @@
         if self.subscription is None:
             return {}
         follower = self.subscription.follower
-        age_us = follower.age_us(self.core.now())
+        age_us = follower.staleness_us(self.core.now())
         return {"feed": follower.state.value, "feed_age_ms": None if age_us is None else age_us // 1000}
 
     def _feed_heard(self) -> None:
--- a/onyxwick/store/compaction.py
+++ b/onyxwick/store/compaction.py
@@ -35,12 +35,13 @@
 
 
 def compaction_steps(
-    files: StoreFiles, log: SegmentLog, index: StoreIndex, last_record_number: int, checkpoint: CheckpointInfo
+    log: SegmentLog, index: StoreIndex, last_record_number: int, checkpoint: CheckpointInfo
 ) -> Iterator[int]:
     """Steps that each yield the bytes that they wrote. OSError as the files raise it.
 
     `checkpoint` is updated once the new one is durable; what it makes redundant is removed in the last step.
     """
+    files = log.files
     with index.snapshot(last_record_number) as snapshot:
         log.start_segment(last_record_number)  # so that all earlier segments can be removed as files
         first_kept_segment = segment_name(log.segment)
@@ -52,7 +53,7 @@
     checkpoint.number = last_record_number
     checkpoint.size_bytes = size_bytes
     yield 0
-    _remove_redundant(files, log, first_kept_segment, name)
+    _remove_redundant(log, first_kept_segment, name)
 
 
 def _write_rows(files: StoreFiles, store_id: bytes, snapshot: StoreSnapshot) -> Generator[int, None, int]:
@@ -79,11 +80,11 @@
     return end
 
 
-def _remove_redundant(files: StoreFiles, log: SegmentLog, first_kept_segment: str, checkpoint: str) -> None:
-    for name in files.names():
+def _remove_redundant(log: SegmentLog, first_kept_segment: str, checkpoint: str) -> None:
+    for name in log.files.names():
         is_old_segment = name.startswith(SEGMENT_PREFIX) and name < first_kept_segment
         is_old_checkpoint = name.startswith(CHECKPOINT_PREFIX) and name != checkpoint
         if is_old_segment or is_old_checkpoint:
-            files.remove(name)
+            log.files.remove(name)
             log.segment_sizes.pop(name, None)
-    files.sync_folder()
+    log.files.sync_folder()
--- a/onyxwick/store/engine.py
+++ b/onyxwick/store/engine.py
@@ -35,7 +35,6 @@
     def __init__(
         self, files: StoreFiles, limits: StoreLimits | None = None, expected_store_id: bytes | None = None
     ) -> None:
-        self.files = files
         self.limits = limits or StoreLimits()
         self.failure = ""  # why nothing more is acknowledged; empty while the disk works
         self.bytes_written = 0  # with `bytes_requested` for the write amplification
@@ -170,9 +169,7 @@
         """
         self._check_working()
         if self.compaction is None:
-            self.compaction = compaction_steps(
-                self.files, self.log, self.index, self.last_record_number, self.checkpoint
-            )
+            self.compaction = compaction_steps(self.log, self.index, self.last_record_number, self.checkpoint)
         try:
             for written in self.compaction:
                 self.bytes_written += written
@@ -187,7 +184,7 @@
 
     def close(self) -> None:
         """Close the files and release the lock."""
-        self.files.close()
+        self.log.files.close()
 
     def status(self) -> dict[str, Any]:
         """Figures for logs and `onyxwick store`, under their published names."""
--- a/tests/feed_world.py
+++ b/tests/feed_world.py
@@ -11,12 +11,12 @@
 from onyxwick.distribution import codec
 from onyxwick.distribution.codec import decode_follow
 from onyxwick.distribution.fanout import FanOut, FanOutLimits, Subscriber
-from onyxwick.distribution.follower import (
+from onyxwick.distribution.follower import Follower
+from onyxwick.distribution.follower_actions import (
     Action,
     ConnectToParent,
     DeliverEvent,
     DisconnectFromParent,
-    Follower,
     FollowerLimits,
     InstallSnapshot,
     RefreshFreshness,
@@ -100,12 +100,14 @@
     def begin(self) -> None:
         """Start, or start anew with nothing."""
         self.replica = Replica(self.log_bytes, RETENTION_MS)
-        limits = FanOutLimits(width=64, high_water_bytes=16_384)
+        limits = FanOutLimits(max_subscribers=64, high_water_bytes=16_384)
         self.fanout = FanOut(self.replica, limits, authoritative=not self.parents)
         self.follower: Follower | None = None
         if self.parents:
             waits = Waits(self.world.rng)
-            self.follower = Follower(len(self.parents), waits, limits=FollowerLimits(return_us=20 * S))
+            self.follower = Follower(
+                len(self.parents), waits, limits=FollowerLimits(return_to_first_after_us=20 * S)
+            )
 
     # ---- the follower's side ------------------------------------------------------------------------------
 
@@ -124,7 +126,7 @@
                 case InstallSnapshot(snapshot):
                     self.install(snapshot)
                 case RefreshFreshness(freshness):
-                    self.fanout.fresh(freshness)
+                    self.fanout.on_freshness(freshness)
 
     def deliver(self, event: FeedEvent, from_snapshot: bool) -> None:
         if isinstance(event.payload, PurgeEvent):
@@ -194,18 +196,18 @@
     def beat(self) -> None:
         """Timers of all nodes, each tick."""
         if self.fresh:
-            self.root.fanout.fresh(Freshness(self.root.replica.cursor, self.now // 1000))
+            self.root.fanout.on_freshness(Freshness(self.root.replica.cursor, self.now // 1000))
         for node in self.nodes.values():
             if not node.alive or node.paused:
                 continue
             if node.follower is not None:
-                node.act(node.follower.tick(self.now))
+                node.act(node.follower.on_tick(self.now))
             line = node.fanout.heartbeat(self.now)
             for link in list(node.links):
                 self.pump(link)
                 if line and link.in_flight == 0 and node.fanout.is_current(link.subscriber):
                     self.carry(link, line)
-                elif node.fanout.expired(link.subscriber, link.in_flight, self.now):
+                elif node.fanout.close_reason(link.subscriber, link.in_flight, self.now):
                     self.end(link, tell_child=True)
         self.flush()
         self.at(TICK_US, self.beat)
@@ -218,7 +220,7 @@
     def connect(self, child: Node, parent: Node) -> None:
         if not self.reachable(child, parent) or parent.paused:
             return  # no answer at all: the follower's own time-out ends it
-        subscriber = parent.fanout.connect(self.now) if parent.alive else None
+        subscriber = parent.fanout.on_connected(self.now) if parent.alive else None
         if subscriber is None:
             self.at(self.delay(), lambda: self.lost(child, None))
             return
@@ -228,12 +230,12 @@
 
     def come_up(self, link: Link) -> None:
         if link.open and link.child.up is link and link.child.follower is not None:
-            link.child.act(link.child.follower.connected(self.now))
+            link.child.act(link.child.follower.on_connected(self.now))
 
     def asked(self, link: Link | None, data: bytes) -> None:
         if link is None or not link.open or not self.reachable(link.child, link.parent):
             return
-        if not link.parent.fanout.follow(link.subscriber, decode_follow(data), self.now):
+        if not link.parent.fanout.on_follow(link.subscriber, decode_follow(data), self.now):
             self.end(link, tell_child=True)
         else:
             self.pump(link)
@@ -241,14 +243,14 @@
     def lost(self, child: Node, link: Link | None) -> None:
         if child.follower is not None and child.alive and child.up is link:
             child.up = None
-            child.act(child.follower.lost(self.now, "lost"))
+            child.act(child.follower.on_connection_lost(self.now, "lost"))
 
     def end(self, link: Link | None, tell_child: bool = False) -> None:
         if link is None or not link.open:
             return
         link.open = False
         link.parent.links.remove(link)
-        link.parent.fanout.close(link.subscriber)
+        link.parent.fanout.on_closed(link.subscriber)
         if tell_child and self.reachable(link.child, link.parent):
             self.at(self.delay(), lambda: self.lost(link.child, link))
 
@@ -256,7 +258,7 @@
         parent = link.parent
         while link.open and parent.alive and not parent.paused:
             room = parent.fanout.limits.high_water_bytes - link.in_flight
-            data = parent.fanout.take(link.subscriber, room, self.now)
+            data = parent.fanout.next_bytes(link.subscriber, room, self.now)
             if not data:
                 return
             self.carry(link, data)
@@ -295,7 +297,7 @@
             self.at(TICK_US, lambda: self.arrived(link, line, size))
             return
         if line:
-            child.act(child.follower.line(self.now, line))
+            child.act(child.follower.on_line(self.now, line))
         self.pump(link)
 
     # ---- what is published, and faults of nodes -----------------------------------------------------------
@@ -303,7 +305,7 @@
     def flush(self) -> None:
         if not self.root.alive:
             return
-        for event in self.publisher.due(self.now):
+        for event in self.publisher.take_due_events(self.now):
             self.root.replica.apply(event, self.now // 1000)
         self.root.published()
 
@@ -388,14 +390,14 @@
 def following(cursor: Cursor = Cursor(HISTORY, 5)) -> Follower:  # noqa: B008
     follower = Follower(2, NoWait(), cursor)
     assert follower.start(START) == (ConnectToParent(0),)
-    assert follower.connected(START) == (SendLine(b"follow %d\n" % cursor.packed),)
+    assert follower.on_connected(START) == (SendLine(b"follow %d\n" % cursor.packed),)
     return follower
 
 
 def check_earlier_states_are_refused() -> None:
     for cursor in (Cursor(HISTORY, 4), Cursor(HISTORY - 1, 900)):
         follower = following()
-        (gone,) = follower.line(START, codec.encode_snapshot_begin(cursor, 0))
+        (gone,) = follower.on_line(START, codec.encode_snapshot_begin(cursor, 0))
         assert isinstance(gone, DisconnectFromParent)
         assert "stepback" in gone.reason
         assert follower.cursor == Cursor(HISTORY, 5)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -149,7 +149,7 @@
 
 
 def test_a_follower_without_a_bound_on_its_queue_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
-    taken = FanOut.take
+    taken = FanOut.next_bytes
 
     def without_bound(self: FanOut, subscriber: Subscriber, room: int, now: int) -> bytes:
         return taken(self, subscriber, 1 << 30, now)
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -15,17 +15,15 @@
 from onyxwick.counters import Counters
 from onyxwick.distribution import codec
 from onyxwick.distribution.admission import AdmissionLimits, SubscriberAdmission
-from onyxwick.distribution.documents import Assembler, DocumentError, split
+from onyxwick.distribution.documents import DocumentAssembler, DocumentError, split_document
 from onyxwick.distribution.durable_feed import DurableFeed
 from onyxwick.distribution.fanout import FanOut, FanOutLimits, SubscriberState
-from onyxwick.distribution.follower import (
+from onyxwick.distribution.follower import TRANSITIONS, Follower, FollowerState
+from onyxwick.distribution.follower_actions import (
     PLAIN_COORDINATOR,
-    TRANSITIONS,
     ConnectToParent,
     DeliverEvent,
     DisconnectFromParent,
-    Follower,
-    FollowerState,
     InstallSnapshot,
     SendLine,
 )
@@ -39,15 +37,15 @@
     Freshness,
     IllegalTransitionError,
     MalformedLineError,
-    PublishRefusedError,
+    OlderSnapshotError,
+    PublishRejectedError,
     PurgeEvent,
     PurgeKey,
-    StepBackError,
     UnknownPayload,
 )
 from onyxwick.distribution.publisher import Publisher, PublisherLimits, new_history
 from onyxwick.distribution.replica import FeedSnapshot, Replica
-from onyxwick.distribution.tree import TreeError, TreeLimits, plan
+from onyxwick.distribution.tree import TreeError, TreeLimits, plan_tree
 from onyxwick.lab.scale.small import node_config
 from onyxwick.net.distribution_node import PublisherNode
 from onyxwick.net.subscription import Subscription
@@ -71,44 +69,44 @@
 
 def test_a_follower_takes_the_next_event_alone() -> None:
     follower = following()
-    taken = follower.line(START, purge(6).line.strip())
+    taken = follower.on_line(START, purge(6).line.strip())
     assert taken == (DeliverEvent(purge(6)),), "with its line feed, as a relay sends it on"
-    assert follower.line(START, purge(6).line) == ()
+    assert follower.on_line(START, purge(6).line) == ()
     assert follower.counts["duplicate"] == 1
-    (gone,) = follower.line(START, purge(8).line)
+    (gone,) = follower.on_line(START, purge(8).line)
     assert isinstance(gone, DisconnectFromParent)
     assert "gap" in gone.reason
     assert follower.cursor.number == 6
-    assert follower.tick(START) == (ConnectToParent(1),), "the next parent is asked, from the same cursor"
-    assert follower.connected(START) == (SendLine(b"follow %d\n" % Cursor(HISTORY, 6).packed),)
+    assert follower.on_tick(START) == (ConnectToParent(1),), "the next parent is asked, from the same cursor"
+    assert follower.on_connected(START) == (SendLine(b"follow %d\n" % Cursor(HISTORY, 6).packed),)
 
 
 def test_an_event_announced_that_never_came_ends_the_connection() -> None:
     follower = following()
-    assert follower.line(START, codec.encode_announcement(Cursor(HISTORY, 7))) == ()
-    (gone,) = follower.line(START, codec.encode_announcement(Cursor(HISTORY, 7)))
+    assert follower.on_line(START, codec.encode_announcement(Cursor(HISTORY, 7))) == ()
+    (gone,) = follower.on_line(START, codec.encode_announcement(Cursor(HISTORY, 7)))
     assert isinstance(gone, DisconnectFromParent)
 
 
 def test_a_silent_parent_is_given_up_within_its_time() -> None:
     follower = following()
-    follower.line(START, codec.encode_announcement(Cursor(HISTORY, 5)))
-    assert follower.tick(START + 699_999) == ()
-    (gone,) = follower.tick(START + 700_000)
+    follower.on_line(START, codec.encode_announcement(Cursor(HISTORY, 5)))
+    assert follower.on_tick(START + 699_999) == ()
+    (gone,) = follower.on_tick(START + 700_000)
     assert isinstance(gone, DisconnectFromParent)
     assert follower.state is FollowerState.WAITING
 
 
 def test_a_follower_that_stood_still_itself_does_not_blame_its_parent() -> None:
     follower = following()
-    follower.line(START, codec.encode_announcement(Cursor(HISTORY, 5)))
+    follower.on_line(START, codec.encode_announcement(Cursor(HISTORY, 5)))
     late = START + 5 * S
-    assert follower.tick(late) == (), "its own stall: what has come meanwhile is read first"
-    follower.line(late + 1_000, codec.encode_announcement(Cursor(HISTORY, 5)))
-    assert follower.tick(late + 500_000) == ()
+    assert follower.on_tick(late) == (), "its own stall: what has come meanwhile is read first"
+    follower.on_line(late + 1_000, codec.encode_announcement(Cursor(HISTORY, 5)))
+    assert follower.on_tick(late + 500_000) == ()
     assert follower.state is FollowerState.FOLLOWING
-    follower.tick(late + 5 * S)
-    (gone,) = follower.tick(late + 5 * S + 300_000)
+    follower.on_tick(late + 5 * S)
+    (gone,) = follower.on_tick(late + 5 * S + 300_000)
     assert isinstance(gone, DisconnectFromParent), "a parent that is silent all the same is given up after it"
 
 
@@ -120,22 +118,22 @@
     lines = filled(9).snapshot_lines(NOW_MS)[1]
     for cut in range(1, len(lines)):
         follower = following()
-        actions = [a for line in lines[:cut] for a in follower.line(START, line)]
+        actions = [a for line in lines[:cut] for a in follower.on_line(START, line)]
         assert all(isinstance(a, DeliverEvent) and a.from_snapshot for a in actions)
         assert follower.cursor == Cursor(HISTORY, 5), "no step before the whole snapshot"
     follower = following()
-    actions = [a for line in lines for a in follower.line(START, line)]
+    actions = [a for line in lines for a in follower.on_line(START, line)]
     assert isinstance(actions[-1], InstallSnapshot)
     assert follower.cursor == Cursor(HISTORY, 9)
-    assert follower.line(START, purge(10).line) == (DeliverEvent(purge(10)),)
+    assert follower.on_line(START, purge(10).line) == (DeliverEvent(purge(10)),)
 
 
 def test_a_snapshot_mixed_with_others_or_cut_short_is_dropped() -> None:
     begin, *body, end = filled(9).snapshot_lines(NOW_MS)[1]
     for wrong in ([*body[:-1], end], [*body, body[0], end], [purge(10).line], [begin]):
         follower = following()
-        follower.line(START, begin)
-        actions = [a for line in wrong for a in follower.line(START, line)]
+        follower.on_line(START, begin)
+        actions = [a for line in wrong for a in follower.on_line(START, line)]
         assert any(isinstance(a, DisconnectFromParent) for a in actions)
         assert not any(isinstance(a, InstallSnapshot) for a in actions)
         assert follower.cursor == Cursor(HISTORY, 5)
@@ -144,57 +142,57 @@
 def test_a_parent_cut_off_from_the_publisher_is_left_and_the_age_is_shown() -> None:
     follower, now = following(), START
     beat = codec.encode_announcement(Cursor(HISTORY, 5))
-    follower.line(now, codec.encode_freshness(Cursor(HISTORY, 5), NOW_MS))
+    follower.on_line(now, codec.encode_freshness(Cursor(HISTORY, 5), NOW_MS))
     while follower.state is FollowerState.FOLLOWING or now == START:
         now += 200_000
-        follower.line(now, beat)
+        follower.on_line(now, beat)
         assert now < START + 5 * S
-    assert follower.age_us(now) == now - START
+    assert follower.staleness_us(now) == now - START
     assert follower.parent == 1
     # The other one is as stale: the next look is later, so that a region's cut brings no endless herd.
-    follower.tick(now)
-    follower.connected(now)
+    follower.on_tick(now)
+    follower.on_connected(now)
     since = now
     while follower.state is not FollowerState.WAITING:
         now += 200_000
-        follower.line(now, beat)
+        follower.on_line(now, beat)
     assert now - since > 5 * S
 
 
 def test_a_follower_returns_to_its_first_parent() -> None:
     follower = following()
-    follower.lost(START, "reset")
-    follower.tick(START)
-    follower.connected(START)
+    follower.on_connection_lost(START, "reset")
+    follower.on_tick(START)
+    follower.on_connected(START)
     now, fresh = START, itertools.count(NOW_MS)
     while follower.state is not FollowerState.WAITING:
         now += 200_000
-        follower.line(now, codec.encode_freshness(Cursor(HISTORY, 5), next(fresh)))
-        follower.line(now, codec.encode_announcement(Cursor(HISTORY, 5)))
+        follower.on_line(now, codec.encode_freshness(Cursor(HISTORY, 5), next(fresh)))
+        follower.on_line(now, codec.encode_announcement(Cursor(HISTORY, 5)))
         assert now < START + 70 * S
     assert now > START + 60 * S
     assert follower.parent == 0
 
 
 def test_a_plain_coordinator_that_begins_anew_is_read_from_its_first_event() -> None:
-    follower = Follower(1, NoWait(), Cursor(0, 40), restarts=True)
+    follower = Follower(1, NoWait(), Cursor(0, 40), resets_on_restart=True)
     follower.start(START)
-    follower.connected(START)
-    (gone,) = follower.line(START, b"3\n")
+    follower.on_connected(START)
+    (gone,) = follower.on_line(START, b"3\n")
     assert isinstance(gone, DisconnectFromParent)
-    follower.tick(START)
-    assert follower.connected(START) == (SendLine(b"follow 0\n"),)
+    follower.on_tick(START)
+    assert follower.on_connected(START) == (SendLine(b"follow 0\n"),)
 
 
 def test_the_tables_of_transitions_are_kept() -> None:
     follower = Follower(1, NoWait())
     with pytest.raises(IllegalTransitionError):
-        follower.connected(START)
+        follower.on_connected(START)
     assert all(FollowerState.STOPPED in TRANSITIONS[s] for s in FollowerState if s.value != "stopped")
-    subscriber = FanOut(filled(1)).connect(START)
+    subscriber = FanOut(filled(1)).on_connected(START)
     assert subscriber is not None
     with pytest.raises(IllegalTransitionError):
-        subscriber.enter(SubscriberState.LIVE)
+        subscriber.transition(SubscriberState.LIVE)
 
 
 # ---- bad input ------------------------------------------------------------------------------------------
@@ -202,14 +200,14 @@
 
 def test_a_line_cut_at_each_byte_is_harmless() -> None:
     row = CacheRow("c1", False, {"id": "c1", "addr": "10.0.0.1:5050", "state": "SERVING"})
-    document = split("quotas", 1, "x" * 40)[0]
+    document = split_document("quotas", 1, "x" * 40)[0]
     payloads = (purge(6).payload, CacheListChange((row,), True, 3), document)
     tried = 0
     for payload in payloads:
         line = codec.encode_event(Cursor(HISTORY, 6), payload).line
         for cut in range(len(line) - 1):
             follower = following()
-            actions = follower.line(START, line[:cut])
+            actions = follower.on_line(START, line[:cut])
             assert actions == ()
             assert follower.cursor == Cursor(HISTORY, 5)
             assert follower.counts["bad.line"] == 1 or cut == 0
@@ -229,7 +227,7 @@
 )
 def test_an_event_that_cannot_be_read_is_passed_on_and_counted(line: bytes) -> None:
     follower = following()
-    (passed_on,) = follower.line(START, line % Cursor(HISTORY, 6).packed)
+    (passed_on,) = follower.on_line(START, line % Cursor(HISTORY, 6).packed)
     assert isinstance(passed_on, DeliverEvent)
     assert isinstance(passed_on.event.payload, UnknownPayload)
     assert follower.counts["bad.event"] == 1
@@ -237,7 +235,7 @@
     relay.apply(passed_on.event, NOW_MS)
     sent_on = line % Cursor(HISTORY, 6).packed + b"\n"
     assert relay.log.lines[-1] == sent_on, "a newer reader may know it"
-    assert follower.line(START, purge(7).line) == (DeliverEvent(purge(7)),)
+    assert follower.on_line(START, purge(7).line) == (DeliverEvent(purge(7)),)
 
 
 def test_numbers_out_of_range_and_endless_garbage_are_refused() -> None:
@@ -245,7 +243,7 @@
         with pytest.raises(MalformedLineError):
             codec.decode(line)
     follower = following()
-    actions = [a for _ in range(20) for a in follower.line(START, b"garbage")]
+    actions = [a for _ in range(20) for a in follower.on_line(START, b"garbage")]
     assert [type(a) for a in actions] == [DisconnectFromParent]
     with pytest.raises(MalformedLineError):
         codec.decode_follow(b"follow 99999999999999999999999")
@@ -285,23 +283,23 @@
         return had, follower.counts["bad.event"]
 
     assert asyncio.run(main()) == ([1, 2, 3], 1)
-    assert codec.decode(codec.stub_of(b'{"index":7,"document":{"te')) == FeedEvent(
+    assert codec.decode(codec.oversized_line_stub(b'{"index":7,"document":{"te')) == FeedEvent(
         Cursor(0, 7),
         UnknownPayload("no known payload among ['index', 'oversized']"),
         b'{"index":7,"oversized":true}\n',
     )
     with pytest.raises(MalformedLineError):
-        codec.decode(codec.stub_of(b"x" * 64))
+        codec.decode(codec.oversized_line_stub(b"x" * 64))
 
 
 def test_documents_over_the_bound_or_with_wrong_parts_are_refused() -> None:
     publisher = Publisher(filled(0), START)
-    with pytest.raises(PublishRefusedError, match="at most"):
+    with pytest.raises(PublishRejectedError, match="at most"):
         publisher.submit_document("big", "x" * (MAX_DOCUMENT_BYTES + 1))
-    assert not publisher.bulk
-    parts = split("a", 1, "\u00e9" * 60_000)
+    assert not publisher.document_queue
+    parts = split_document("a", 1, "\u00e9" * 60_000)
     assert len(parts) > 3
-    collector = Assembler()
+    collector = DocumentAssembler()
     with pytest.raises(DocumentError):
         collector.add(parts[1])
     for part in parts[:-1]:
@@ -325,12 +323,12 @@
     publisher.submit(PurgeEvent(PurgeKey("p", None), NOW_MS), NOW_MS)
     sent, now, sizes = list[FeedEvent](), START, list[int]()
     while True:
-        events = publisher.due(now)
+        events = publisher.take_due_events(now)
         for event in events:
             replica.apply(event, NOW_MS)
         sent += events
         sizes.append(sum(len(e.line) for e in events))
-        wait = publisher.next_due_us(now)
+        wait = publisher.next_due_in_us(now)
         if wait is None:
             break
         now += wait
@@ -339,41 +337,41 @@
     assert replica.state.documents["a"].text == "x" * 60_000
     assert now - START >= 3.9 * S, "40 KB past the burst at 10 KB a second"
     assert publisher.submit_document("a", "x" * 60_000) == 1, "the same text is not sent again"
-    assert not publisher.bulk
+    assert not publisher.document_queue
 
 
 def test_a_newer_document_displaces_what_is_queued_of_the_older() -> None:
     replica = filled(0)
     publisher = Publisher(replica, START, PublisherLimits(bulk_burst_bytes=13_000))
     publisher.submit_document("a", "x" * 50_000)
-    for event in publisher.due(START):
+    for event in publisher.take_due_events(START):
         replica.apply(event, NOW_MS)
     publisher.submit_document("a", "short")
-    assert len(publisher.bulk) == 1
-    for event in publisher.due(START + 10 * S):
+    assert len(publisher.document_queue) == 1
+    for event in publisher.take_due_events(START + 10 * S):
         replica.apply(event, NOW_MS)
     assert replica.state.documents["a"].text == "short"
 
 
 def test_the_publisher_refuses_over_its_bounds_and_keeps_what_it_has() -> None:
-    publisher = Publisher(filled(0), START, PublisherLimits(queued=4, purges=3))
+    publisher = Publisher(filled(0), START, PublisherLimits(max_queued=4, max_purges=3))
     for n in range(3):
         publisher.submit(PurgeEvent(PurgeKey(f"p{n}", None), NOW_MS), NOW_MS)
-    with pytest.raises(PublishRefusedError, match="binding"):
+    with pytest.raises(PublishRejectedError, match="binding"):
         publisher.submit(PurgeEvent(PurgeKey("p9", None), NOW_MS), NOW_MS)
-    with pytest.raises(PublishRefusedError, match="future"):
+    with pytest.raises(PublishRejectedError, match="future"):
         publisher.submit(PurgeEvent(PurgeKey("p1", None), NOW_MS + 90_000), NOW_MS)
     publisher.submit(CacheListChange((), False, 1), NOW_MS)
-    with pytest.raises(PublishRefusedError, match="queued"):
+    with pytest.raises(PublishRejectedError, match="queued"):
         publisher.submit(CacheListChange((), False, 1), NOW_MS)
-    assert len(publisher.due(START)) == 4
+    assert len(publisher.take_due_events(START)) == 4
 
 
 def test_a_replica_refuses_gaps_and_earlier_states() -> None:
     replica = filled(3)
     with pytest.raises(FeedGapError):
         replica.apply(purge(5), NOW_MS)
-    with pytest.raises(StepBackError):
+    with pytest.raises(OlderSnapshotError):
         replica.install(FeedSnapshot(Cursor(HISTORY, 2), ()))
     replica.install(FeedSnapshot(Cursor(HISTORY + 1, 0), ()))
     assert replica.cursor == Cursor(HISTORY + 1, 0)
@@ -381,18 +379,18 @@
 
 def test_the_log_is_bounded_and_who_is_behind_it_gets_a_snapshot_with_all_binding_purges() -> None:
     replica = filled(2_000, log_bytes=20_000)
-    assert replica.log.size <= 20_000
+    assert replica.log.size_bytes <= 20_000
     fanout = FanOut(replica)
-    subscriber = fanout.connect(START)
+    subscriber = fanout.on_connected(START)
     assert subscriber is not None
-    assert fanout.follow(subscriber, Cursor(HISTORY, 3), START)
-    data = b"".join(iter(lambda: fanout.take(subscriber, 60_000, START), b""))
+    assert fanout.on_follow(subscriber, Cursor(HISTORY, 3), START)
+    data = b"".join(iter(lambda: fanout.next_bytes(subscriber, 60_000, START), b""))
     messages = [codec.decode(line) for line in data.splitlines()]
     purges = [m for m in messages if isinstance(m, FeedEvent)]
     assert len(purges) == 2_000, "compaction loses none that may still bind"
     assert subscriber.state is SubscriberState.LIVE
     assert subscriber.cursor == replica.cursor
-    assert not subscriber.snapshot
+    assert not subscriber.snapshot_lines
 
 
 def test_purges_leave_snapshots_only_after_their_retention() -> None:
@@ -400,54 +398,54 @@
     late = NOW_MS + replica.retention_ms
     assert len(replica.snapshot_lines(late)[1]) == 2 + 10
     replica.apply(purge(11), late + 6)
-    assert {key.ref for key in replica.state.purges.times} == {f"{n:016x}" for n in range(6, 12)}
+    assert {key.ref for key in replica.state.purges.unix_ms_by_key} == {f"{n:016x}" for n in range(6, 12)}
 
 
 def test_many_subscribers_share_one_snapshot() -> None:
     fanout, rows = FanOut(filled(500, log_bytes=5_000)), []
     for _ in range(20):
-        subscriber = fanout.connect(START)
+        subscriber = fanout.on_connected(START)
         assert subscriber is not None
-        fanout.follow(subscriber, Cursor(HISTORY, 1), START)
-        assert fanout.take(subscriber, 100, START)
-        rows.append(subscriber.snapshot)
+        fanout.on_follow(subscriber, Cursor(HISTORY, 1), START)
+        assert fanout.next_bytes(subscriber, 100, START)
+        rows.append(subscriber.snapshot_lines)
     assert len({id(lines) for lines in rows}) == 1
 
 
 def test_a_stuck_subscriber_delays_nobody_and_is_closed() -> None:
     replica = filled(5)
     fanout = FanOut(replica, FanOutLimits(high_water_bytes=1_000))
-    stuck, well = fanout.connect(START), fanout.connect(START)
+    stuck, well = fanout.on_connected(START), fanout.on_connected(START)
     assert stuck is not None
     assert well is not None
     for subscriber in (stuck, well):
-        assert fanout.follow(subscriber, replica.cursor, START)
+        assert fanout.on_follow(subscriber, replica.cursor, START)
     for number in range(6, 200):
         replica.apply(purge(number), NOW_MS)
-        assert fanout.take(well, 1_000, START)
-        assert fanout.take(stuck, 0, START) == b""
+        assert fanout.next_bytes(well, 1_000, START)
+        assert fanout.next_bytes(stuck, 0, START) == b""
     assert fanout.is_current(well)
-    assert fanout.expired(stuck, 1_000, START + 10 * S) == ""
-    assert fanout.expired(stuck, 1_000, START + 10 * S + 1) == "reads nothing"
-    assert fanout.expired(well, 0, START + 60 * S) == ""
+    assert fanout.close_reason(stuck, 1_000, START + 10 * S) == ""
+    assert fanout.close_reason(stuck, 1_000, START + 10 * S + 1) == "reads nothing"
+    assert fanout.close_reason(well, 0, START + 60 * S) == ""
 
 
 def test_a_publisher_with_an_older_disk_refuses_who_knows_more() -> None:
     root, relay = FanOut(filled(5), authoritative=True), FanOut(filled(5))
     ahead = Cursor(HISTORY, 9)
     for fanout, taken in ((root, False), (relay, True)):
-        subscriber = fanout.connect(START)
+        subscriber = fanout.on_connected(START)
         assert subscriber is not None
-        assert fanout.follow(subscriber, ahead, START) is taken
-        assert fanout.take(subscriber, 9_000, START) == b""
+        assert fanout.on_follow(subscriber, ahead, START) is taken
+        assert fanout.next_bytes(subscriber, 9_000, START) == b""
     assert root.counts["refused.diverged"] == 1
-    subscriber = relay.connect(START)
+    subscriber = relay.on_connected(START)
     assert subscriber is not None
-    assert not relay.follow(subscriber, Cursor(HISTORY + 1, 1), START), "a cursor of a later history"
+    assert not relay.on_follow(subscriber, Cursor(HISTORY + 1, 1), START), "a cursor of a later history"
 
 
 def test_admission_keeps_its_rate_and_its_bound() -> None:
-    admission = SubscriberAdmission(AdmissionLimits(per_s=50, burst=10, most_wait_us=2 * S))
+    admission = SubscriberAdmission(AdmissionLimits(per_s=50, burst=10, max_wait_us=2 * S))
     waits = [admission.wait_us(START) for _ in range(300)]
     let_in = [w for w in waits if w is not None]
     assert waits.count(None) > 0
@@ -466,7 +464,7 @@
     publisher.submit(PurgeEvent(PurgeKey(None, 7), NOW_MS), NOW_MS)
     publisher.submit(CacheListChange((row,), True, 4), NOW_MS)
     publisher.submit_document("quotas", "y" * 30_000)
-    events = publisher.due(START)
+    events = publisher.take_due_events(START)
     feed.save(events, Cursor(0, 2), replica.state, START)
     for event in events:
         replica.apply(event, NOW_MS)
@@ -480,7 +478,7 @@
 
 def test_the_tree_is_bounded_and_a_lost_relay_spreads_over_all_others() -> None:
     relays, leaves = [f"r{n}" for n in range(12)], [f"d{n}" for n in range(1000)]
-    rows = plan("root", relays, leaves)
+    rows = plan_tree("root", relays, leaves)
     assert all(len(set(rows[leaf])) == 2 for leaf in leaves)
     for place, relay in enumerate(relays):
         assert rows[relay][0] == "root"
@@ -490,11 +488,11 @@
     lost = [rows[leaf][1] for leaf in leaves if rows[leaf][0] == "r3"]
     assert len(set(lost)) == 11
     assert max(lost.count(relay) for relay in relays) <= 20
-    fewer = plan("root", [r for r in relays if r != "r3"], leaves)
+    fewer = plan_tree("root", [r for r in relays if r != "r3"], leaves)
     moved = sum(fewer[leaf][0] != rows[leaf][0] for leaf in leaves if rows[leaf][0] != "r3")
     assert moved < 150, "what another relay served stays where it is, but for the bound on load"
     with pytest.raises(TreeError, match="relays would do"):
-        plan("root", relays[:3], leaves, TreeLimits(width=100))
+        plan_tree("root", relays[:3], leaves, TreeLimits(max_children=100))
 
 
 def test_a_lost_rack_leaves_every_director_a_parent() -> None:
@@ -504,8 +502,10 @@
     def cut_off(rows: Mapping[str, tuple[str, ...]]) -> int:
         return sum(all(racks[parent] == "rack-0" for parent in rows[leaf]) for leaf in leaves)
 
-    assert cut_off(plan("root", relays, leaves)) > 50, "without failure domains a rack takes both parents"
-    rows = plan("root", relays, leaves, domains=racks)
+    assert cut_off(plan_tree("root", relays, leaves)) > 50, (
+        "without failure domains a rack takes both parents"
+    )
+    rows = plan_tree("root", relays, leaves, domains=racks)
     assert cut_off(rows) == 0
     for place in (0, 1):
         loads = [sum(rows[leaf][place] == relay for leaf in leaves) for relay in relays]
@@ -518,7 +518,7 @@
         root = PublisherNode(replace(node_config("root", Role.PUBLISHER, listen), store=tmp_path / "store"))
         assert root.durable is not None
         files = FaultyFiles()
-        root.durable.engine.files = files
+        root.durable.engine.log.files = files
         files.fail.add("write")
         running = asyncio.create_task(root.run())
         await asyncio.sleep(0)
--- a/tests/test_distribution_trees.py
+++ b/tests/test_distribution_trees.py
@@ -6,14 +6,11 @@
 
 import pytest
 
-from onyxwick.distribution.follower import (
-    DeliverEvent,
-    Follower,
-    FollowerState,
-    _Load,
-)
+from onyxwick.distribution.follower import Follower, FollowerState
+from onyxwick.distribution.follower_actions import DeliverEvent
 from onyxwick.distribution.model import Cursor, FeedEvent, PurgeKey, SnapshotBegin
 from onyxwick.distribution.replica import EventLog, PurgeTable
+from onyxwick.distribution.snapshot_loading import SnapshotLoad
 from tests.feed_world import Faults, Node, S, World, check_earlier_states_are_refused
 
 # ---- whole trees under faults ---------------------------------------------------------------------------
@@ -119,7 +116,7 @@
     world.cuts |= cuts
     busy(world, 20)
     leaves = [node for node in world.nodes.values() if node.name.startswith("d")]
-    ages = [node.follower.age_us(world.now) for node in leaves if node.follower is not None]
+    ages = [node.follower.staleness_us(world.now) for node in leaves if node.follower is not None]
     assert all(age is not None and age > 18 * S for age in ages), "a cut is seen in the view's age"
     assert all(node.replica.state.rows is not None for node in leaves)
     world.cuts.clear()
@@ -150,7 +147,7 @@
 def _takes_anything(self: Follower, now: int, event: FeedEvent) -> list[object]:
     if event.cursor <= self.cursor:
         return []
-    self._working()
+    self._confirm_parent()
     self.cursor = event.cursor  # a gap is not noticed
     return [DeliverEvent(event)]
 
@@ -158,20 +155,20 @@
 def _takes_twice(self: Follower, now: int, event: FeedEvent) -> list[object]:
     if event.cursor.packed > self.cursor.packed + 1:
         return list(self._give_up(now, "gap"))
-    self._working()
+    self._confirm_parent()
     self.cursor = max(self.cursor, event.cursor)  # an event that came before is delivered again
     return [DeliverEvent(event)]
 
 
 def _forgets_purges(self: PurgeTable, now_ms: int) -> list[PurgeKey]:
-    dropped = list(self.times)[:-1]
+    dropped = list(self.unix_ms_by_key)[:-1]
     for key in dropped:
-        del self.times[key]
+        del self.unix_ms_by_key[key]
     return dropped
 
 
 def _trusts_announcements(self: Follower, now: int, cursor: Cursor) -> list[object]:
-    self._working()
+    self._confirm_parent()
     return []
 
 
@@ -180,18 +177,18 @@
 
 
 def _step_back(self: Follower, now: int, message: SnapshotBegin) -> list[object]:
-    self._enter(FollowerState.LOADING, self.deadline)
-    self._load = _Load(message)
+    self._transition(FollowerState.LOADING, self.deadline_us)
+    self._load = SnapshotLoad(message)
     return []
 
 
 PLANTED = {
-    "a gap is not noticed": (Follower, "_event", _takes_anything),
-    "an event is delivered again": (Follower, "_event", _takes_twice),
+    "a gap is not noticed": (Follower, "_on_event", _takes_anything),
+    "an event is delivered again": (Follower, "_on_event", _takes_twice),
     "compaction forgets binding purges": (PurgeTable, "expire", _forgets_purges),
-    "an event that never came is not missed": (Follower, "_announcement", _trusts_announcements),
+    "an event that never came is not missed": (Follower, "_on_announcement", _trusts_announcements),
     "who is behind the log gets no snapshot": (EventLog, "can_resume", _begins_anywhere),
-    "an earlier state is loaded": (Follower, "_snapshot_begin", _step_back),
+    "an earlier state is loaded": (Follower, "_on_snapshot_begin", _step_back),
 }
 
 
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -12,7 +12,7 @@
 from onyxwick.config.cells import plan_of_json
 from onyxwick.core.clock import SteadyClock
 from onyxwick.distribution import codec
-from onyxwick.distribution.documents import Assembler, digest_of
+from onyxwick.distribution.documents import DocumentAssembler, document_digest
 from onyxwick.distribution.durable_feed import DurableFeed
 from onyxwick.distribution.model import (
     Announcement,
@@ -338,7 +338,7 @@
         "cache-1": {"id": "cache-1", "address": "10.0.0.1:8080", "state": "SERVING", "rack": "r1"},
         "cache-2": {"id": "cache-2", "address": "10.0.0.2:8080", "state": "DRAINING", "rack": "r1"},
     }
-    assert replica.state.purges.times == {
+    assert replica.state.purges.unix_ms_by_key == {
         PurgeKey("job/42", None): START_MS,
         PurgeKey(None, 17): START_MS + 5,
     }
@@ -346,7 +346,7 @@
     assert {name: document.version for name, document in documents.items()} == {"quotas": 2, "long": 1}
     assert documents["quotas"].text == '{"quotas": {"acme": 300}}'
     assert documents["long"].text == LONG_TEXT
-    assert documents["long"].digest == digest_of(LONG_TEXT)
+    assert documents["long"].digest == document_digest(LONG_TEXT)
 
 
 def test_a_publishers_store_is_read(folder: Path) -> None:
@@ -367,7 +367,7 @@
     digest = codec.LinesDigest()
     for line in lines[1:-1]:
         digest.add(line)
-    assert end == SnapshotEnd(Cursor(HISTORY, 9), digest.text())
+    assert end == SnapshotEnd(Cursor(HISTORY, 9), digest.hex_digest())
     payloads = tuple(event.payload for event in body if isinstance(event, FeedEvent))
     assert len(payloads) == 7
     replica = Replica()
@@ -399,7 +399,7 @@
     assert codec.encode_announcement(cursor) == lines[0]
     assert codec.decode(lines[1]) == Freshness(cursor, START_MS + 30_000)
     assert codec.encode_freshness(cursor, START_MS + 30_000) == lines[1]
-    assembler = Assembler()
+    assembler = DocumentAssembler()
     parts = [codec.decode(line) for line in lines[2:4]]
     documents = []
     for event in parts:
