--- a/examples/toy.py
+++ b/examples/toy.py
@@ -22,13 +22,13 @@
 async def cache(name: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
     parser = resp.RespParser()
     while data := await reader.read(65_536):
-        parser.buffer.feed(data)
+        parser.buffer.append(data)
         for words in parser.messages():
             print(name, b" ".join(words[:3]).decode())
             if words[0] == b"REQ":
                 body = f"{name} serves {words[2].decode()}\n".encode()
                 told = f"digest={secrets.token_hex(8)},dated={time.time_ns() // 1_000_000},note=HIT"
-                writer.write(resp.command(words[1], b"data", told.encode(), body))
+                writer.write(resp.encode_command(words[1], b"data", told.encode(), body))
                 await writer.drain()
     writer.close()
 
@@ -64,7 +64,7 @@
         "HTTP_X_NTH": "0",
         "HTTP_X_BATCH": "1",
     }
-    pairs = fastcgi.write_pairs({k.encode(): v.encode() for k, v in params.items()})
+    pairs = fastcgi.encode_pairs({k.encode(): v.encode() for k, v in params.items()})
     reader, writer = await asyncio.open_connection(*read_address(CONFIG["listen"]))
     begin = fastcgi.BEGIN_BODY.pack(fastcgi.RESPONDER, 0)
     for kind, content in (
@@ -73,7 +73,7 @@
         (fastcgi.PARAMS, b""),
         (fastcgi.STDIN, b""),
     ):
-        writer.write(fastcgi.record(fastcgi.RecordType(kind), 1, content))
+        writer.write(fastcgi.encode_record(fastcgi.RecordType(kind), 1, content))
     data = await reader.read()
     while data:
         _, kind, _, size, pad = fastcgi.HEADER.unpack_from(data)
--- a/onyxwick/admin/http.py
+++ b/onyxwick/admin/http.py
@@ -15,7 +15,7 @@
 from onyxwick.config.address import written
 from onyxwick.counters import Counters
 from onyxwick.net import errors
-from onyxwick.net.buffer import Buffer, seconds_since_data
+from onyxwick.net.buffer import ReceiveBuffer, seconds_since_received
 from onyxwick.net.front import ACCEPT_PAUSE_S
 from onyxwick.net.listening import listen
 
@@ -167,7 +167,7 @@
         self.clients.pop(task, None)
 
     async def _client(self, conn: socket.socket) -> None:
-        loop, buffer, collector = asyncio.get_running_loop(), Buffer(), _Collector()
+        loop, buffer, collector = asyncio.get_running_loop(), ReceiveBuffer(), _Collector()
         parser = httptools.HttpRequestParser(collector)
         collector.should_keep_alive = parser.should_keep_alive
         with conn, contextlib.suppress(OSError, TimeoutError):
@@ -187,7 +187,11 @@
                     return
 
     async def _receive_calls(
-        self, conn: socket.socket, buffer: Buffer, parser: httptools.HttpRequestParser, collector: _Collector
+        self,
+        conn: socket.socket,
+        buffer: ReceiveBuffer,
+        parser: httptools.HttpRequestParser,
+        collector: _Collector,
     ) -> HttpError | None:
         """Wait until a call is whole in the collector, or cannot be read, which is returned; ConnectionError
         at the caller's end."""
@@ -195,7 +199,7 @@
         while not collector.done and broken is None:
             if not await buffer.receive(loop, conn):
                 raise ConnectionError("the caller has closed")
-            waited_s = min(seconds_since_data(conn) or 0.0, MOST_WAITED_S)
+            waited_s = min(seconds_since_received(conn) or 0.0, MOST_WAITED_S)
             broken = self._parse(parser, collector, buffer.take(len(buffer)))
             for request in collector.done:
                 request.waited_s = waited_s
--- a/onyxwick/dns/server.py
+++ b/onyxwick/dns/server.py
@@ -27,7 +27,7 @@
 from onyxwick.core import AnswerStatus, FinalAnswer, RequestEngine
 from onyxwick.counters import Counters
 from onyxwick.dns import lookup, naming, update
-from onyxwick.net.buffer import Buffer
+from onyxwick.net.buffer import ReceiveBuffer
 from onyxwick.net.listening import listen
 from onyxwick.store.errors import StoreError
 from onyxwick.tenants import TenantZone, read_zone
@@ -320,7 +320,7 @@
 
     async def _client(self, conn: socket.socket) -> None:
         """One TCP client: messages with two bytes of length before them, answered one by one in order."""
-        loop, buffer = asyncio.get_running_loop(), Buffer()
+        loop, buffer = asyncio.get_running_loop(), ReceiveBuffer()
         with conn, contextlib.suppress(OSError, TimeoutError):
             while True:
                 async with asyncio.timeout(TCP_IDLE_S):  # for a whole message, in however many pieces
--- a/onyxwick/lab/clients.py
+++ b/onyxwick/lab/clients.py
@@ -96,11 +96,11 @@
         self.number = self.number % 60_000 + 1
         self.ended.discard(self.number)
         self.left.discard(self.number)
-        pairs = fastcgi.write_pairs({k.encode(): v.encode() for k, v in params.items()})
+        pairs = fastcgi.encode_pairs({k.encode(): v.encode() for k, v in params.items()})
         begin = fastcgi.BEGIN_BODY.pack(fastcgi.RESPONDER, 1)
         records = ((fastcgi.RecordType.BEGIN, begin), (fastcgi.RecordType.PARAMS, pairs))
         ends = ((fastcgi.RecordType.PARAMS, b""), (fastcgi.RecordType.STDIN, b""))
-        self.transport.write(b"".join(fastcgi.record(k, self.number, c) for k, c in records + ends))
+        self.transport.write(b"".join(fastcgi.encode_record(k, self.number, c) for k, c in records + ends))
         future: asyncio.Future[bytes | None] = asyncio.get_running_loop().create_future()
         self.waiting[self.number] = future
         return self.number, future
@@ -109,7 +109,7 @@
         self.waiting.pop(number, None)
         self.left.add(number)
         if self.transport is not None and not self.closed:
-            self.transport.write(fastcgi.record(fastcgi.RecordType.ABORT, number, b""))
+            self.transport.write(fastcgi.encode_record(fastcgi.RecordType.ABORT, number, b""))
 
 
 async def _connect(address: Address, reads: bool) -> Connection:
--- a/onyxwick/lab/door.py
+++ b/onyxwick/lab/door.py
@@ -28,10 +28,10 @@
 START_S = 10.0
 CALL_S = 3.0  # a call that takes longer counts as unanswered
 PING = b"".join(
-    fastcgi.record(kind, 1, content)
+    fastcgi.encode_record(kind, 1, content)
     for kind, content in (
         (fastcgi.RecordType.BEGIN, fastcgi.BEGIN_BODY.pack(1, 0)),
-        (fastcgi.RecordType.PARAMS, fastcgi.write_pairs({b"SCRIPT_NAME": b"/ping"})),
+        (fastcgi.RecordType.PARAMS, fastcgi.encode_pairs({b"SCRIPT_NAME": b"/ping"})),
         (fastcgi.RecordType.PARAMS, b""),
         (fastcgi.RecordType.STDIN, b""),
     )
--- a/onyxwick/lab/machines.py
+++ b/onyxwick/lab/machines.py
@@ -205,7 +205,7 @@
             while data := await reader.read(65_536):
                 if not len(parser.buffer):
                     self._command_began(writer)
-                parser.buffer.feed(data)
+                parser.buffer.append(data)
                 for words in parser.messages():
                     self._command(words, writer, tasks)
                     self._command_began(writer)  # another one may have begun in the same bytes
@@ -227,16 +227,16 @@
             if task := tasks.pop(words[1], None):
                 task.cancel()
         elif words[0] in (b"HELO", b"STAT"):
-            writer.write(resp.command(words[1], b"well", b"-", b""))
+            writer.write(resp.encode_command(words[1], b"well", b"-", b""))
         else:
             task = asyncio.get_running_loop().create_task(self._guarded(words, writer))
             tasks[words[1]] = task
             task.add_done_callback(partial(_forget, tasks, words[1]))
 
     async def _guarded(self, words: list[bytes], writer: asyncio.StreamWriter) -> None:
-        answer = await self._request(words[1].decode(), resp.fields(words[2]))
+        answer = await self._request(words[1].decode(), resp.parse_fields(words[2]))
         if not writer.is_closing():
-            writer.write(resp.command(words[1], *answer))
+            writer.write(resp.encode_command(words[1], *answer))
 
     async def _request(self, request: str, told: dict[str, str]) -> tuple[bytes, bytes, bytes]:
         world, now = self.world, self.world.clock()
--- a/onyxwick/lab/scale/hollow.py
+++ b/onyxwick/lab/scale/hollow.py
@@ -136,7 +136,7 @@
         self.core.observations, self.core.number = self.observed, self.number
         if self.shape is Shape.SINGLE:
             self.coordinator = CoordinatorFeed(self.core, self.counters, seed, directors=1000)
-            self.coordinator.move(self.parents[0])
+            self.coordinator.set_address(self.parents[0])
             return
         follower = Follower(len(self.parents), ReconnectDelays(seed, steady_us()))
         documents = {f"doc-{n}": self.core.document for n in range(DOCUMENTS)}
@@ -173,7 +173,7 @@
         if self.feed is not None:
             return self.feed.cursor.packed
         assert self.coordinator is not None
-        return self.coordinator.last
+        return self.coordinator.last_index
 
     def age_s(self) -> float | None:
         """Seconds since the publisher was last heard from; None where the feed does not tell."""
--- a/onyxwick/lab/scale/processes.py
+++ b/onyxwick/lab/scale/processes.py
@@ -96,11 +96,11 @@
     def data_received(self, data: bytes) -> None:
         """Answer each whole request."""
         assert self.transport is not None
-        self.parser.buffer.feed(data)
+        self.parser.buffer.append(data)
         for words in self.parser.messages():
             if words[0] == b"REQ":
                 fields = f"digest={'0' * 16},dated={time.time_ns() // 1_000_000},note=HIT"
-                self.transport.write(resp.command(words[1], b"data", fields.encode(), self.body))
+                self.transport.write(resp.encode_command(words[1], b"data", fields.encode(), self.body))
 
 
 def _configuration(caches: int, listen: Address, feed: Address, folder: Path) -> Path:
--- a/onyxwick/lab/scale/sweeps.py
+++ b/onyxwick/lab/scale/sweeps.py
@@ -208,7 +208,7 @@
         change = _list_event(n, [listed[2 + n % 190] | {"started_ms": n}], False)
         updates.append(change if n % 10 == 0 else _purge_event(n, START))
     begin = time.process_time()
-    director.known({"index": events, "updates": updates})
+    director.load_configured({"index": events, "updates": updates})
     return (time.process_time() - begin) * 1e3
 
 
--- a/onyxwick/lab/soak/clients.py
+++ b/onyxwick/lab/soak/clients.py
@@ -256,7 +256,7 @@
 def _bad_call() -> bytes:
     """A call that can be told apart and not used."""
     begin = fastcgi.BEGIN_BODY.pack(fastcgi.RESPONDER, 1)
-    pairs = fastcgi.write_pairs({b"SCRIPT_NAME": b"/call/unheard-of"})
+    pairs = fastcgi.encode_pairs({b"SCRIPT_NAME": b"/call/unheard-of"})
     kind = fastcgi.RecordType
     records = ((kind.BEGIN, begin), (kind.PARAMS, pairs), (kind.PARAMS, b""), (kind.STDIN, b""))
-    return b"".join(fastcgi.record(k, 65_000, content) for k, content in records)
+    return b"".join(fastcgi.encode_record(k, 65_000, content) for k, content in records)
--- a/onyxwick/lab/soak/persistent.py
+++ b/onyxwick/lab/soak/persistent.py
@@ -135,7 +135,7 @@
                     await self._pipeline(sock)
                 case _:
                     while True:
-                        if len(self.waiting) < fastcgi.MAX_OPEN:
+                        if len(self.waiting) < fastcgi.MAX_OPEN_REQUESTS:
                             await self._call(sock)
                         await asyncio.sleep(self.every_s)
 
@@ -232,7 +232,7 @@
 
 def _call_bytes(number: int, params: dict[str, str]) -> bytes:
     begin = fastcgi.BEGIN_BODY.pack(fastcgi.RESPONDER, fastcgi.KEEP_CONN)
-    pairs = fastcgi.write_pairs({name.encode(): value.encode() for name, value in params.items()})
+    pairs = fastcgi.encode_pairs({name.encode(): value.encode() for name, value in params.items()})
     kind = fastcgi.RecordType
     records = ((kind.BEGIN, begin), (kind.PARAMS, pairs), (kind.PARAMS, b""), (kind.STDIN, b""))
-    return b"".join(fastcgi.record(k, number, content) for k, content in records)
+    return b"".join(fastcgi.encode_record(k, number, content) for k, content in records)
--- a/onyxwick/lab/soak/process.py
+++ b/onyxwick/lab/soak/process.py
@@ -20,7 +20,7 @@
 from onyxwick.lab.soak.model import SoakRecords, Termination
 from onyxwick.lab.soak.shim import Control
 from onyxwick.net import fastcgi
-from onyxwick.net.listening import BACKLOG
+from onyxwick.net.listening import ACCEPT_BACKLOG
 
 READY_S, END_S, PING_S = 10.0, 10.0, 1.0
 NOTABLE = ('"event":"invariant violated"', "Traceback", '"level":"critical"', "error in ")
@@ -121,7 +121,7 @@
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.bind(self.listen)
-        sock.listen(BACKLOG)
+        sock.listen(ACCEPT_BACKLOG)
         return sock
 
     @property
@@ -221,7 +221,7 @@
 
 def _ping() -> bytes:
     begin = fastcgi.BEGIN_BODY.pack(fastcgi.RESPONDER, 0)
-    pairs = fastcgi.write_pairs({b"SCRIPT_NAME": b"/ping"})
+    pairs = fastcgi.encode_pairs({b"SCRIPT_NAME": b"/ping"})
     kind = fastcgi.RecordType
     records = ((kind.BEGIN, begin), (kind.PARAMS, pairs), (kind.PARAMS, b""), (kind.STDIN, b""))
-    return b"".join(fastcgi.record(k, 1, content) for k, content in records)
+    return b"".join(fastcgi.encode_record(k, 1, content) for k, content in records)
--- a/onyxwick/lab/soak/servers.py
+++ b/onyxwick/lab/soak/servers.py
@@ -13,7 +13,7 @@
 from onyxwick.lab.model import Tier
 from onyxwick.lab.soak.model import Asked, Sent, SoakRecords
 from onyxwick.net import resp
-from onyxwick.net.buffer import seconds_since_data
+from onyxwick.net.buffer import seconds_since_received
 
 S = 1_000_000
 FORGOTTEN_S = 8.0
@@ -87,7 +87,7 @@
 
     def _command_began(self, writer: asyncio.StreamWriter) -> None:
         # The lab may be some turns late in reading: when the bytes came is what the director is judged by.
-        waited_s = seconds_since_data(writer.get_extra_info("socket")) or 0.0
+        waited_s = seconds_since_received(writer.get_extra_info("socket")) or 0.0
         self.began[writer] = self.world.clock() - int(waited_s * S)
 
     async def _request(self, request: str, told: dict[str, str]) -> tuple[bytes, bytes, bytes]:
@@ -99,7 +99,7 @@
         await self.answering.wait()
         word, fields, body = await super()._request(request, told)
         if word == b"data":
-            given = resp.fields(fields)
+            given = resp.parse_fields(fields)
             row = given["digest"], int(given["dated"]) * 1000, now
             self.soak.given.setdefault(request, []).append(row)
         await self.answering.wait()
--- a/onyxwick/lab/startup.py
+++ b/onyxwick/lab/startup.py
@@ -24,11 +24,11 @@
 
 
 def _call(path: str, **more: str) -> bytes:
-    pairs = fastcgi.write_pairs({k.encode(): v.encode() for k, v in {"SCRIPT_NAME": path, **more}.items()})
+    pairs = fastcgi.encode_pairs({k.encode(): v.encode() for k, v in {"SCRIPT_NAME": path, **more}.items()})
     kind = fastcgi.RecordType
     begin = fastcgi.BEGIN_BODY.pack(fastcgi.RESPONDER, 1)
     records = ((kind.BEGIN, begin), (kind.PARAMS, pairs), (kind.PARAMS, b""), (kind.STDIN, b""))
-    return b"".join(fastcgi.record(each, 1, content) for each, content in records)
+    return b"".join(fastcgi.encode_record(each, 1, content) for each, content in records)
 
 
 def _answered(address: Address, call: bytes, mark: bytes, end: float) -> None:
--- a/onyxwick/lifecycle.py
+++ b/onyxwick/lifecycle.py
@@ -70,7 +70,7 @@
             self.counters,
             config.settings.limits.connect_timeout_us,
             config.settings.report_names,
-            most_links=config.most_links,
+            max_connections=config.most_links,
         )
         service = self.service
         self.core = RequestEngine(
@@ -84,7 +84,7 @@
         )
         routers = config.settings.router_count
         self.coordinator = CoordinatorFeed(self.core, self.counters, config.seed ^ FEED_DRAW, routers)
-        self.coordinator.move(config.coordinator)  # a reload while starting moves it on
+        self.coordinator.set_address(config.coordinator)  # a reload while starting moves it on
         if service is not None:
             service.attach(self.core, self.members, self.counters)
             service.pace(self.coordinator, self.caches)
@@ -143,9 +143,9 @@
         if phase is not self.phase:  # not so where the start, or a turn with two drains in it, entered it
             self._enter(phase)
         if orders.drained:
-            self.front.begin_ending(drain_schedule(orders.drain_called_at or time.monotonic()))
+            self.front.begin_shutdown(drain_schedule(orders.drain_called_at or time.monotonic()))
         else:
-            self.front.resume()
+            self.front.cancel_shutdown()
 
     def _end(self) -> None:
         """SIGTERM. It may have come at any time in a stop of the process or a long turn of the loop."""
@@ -194,7 +194,7 @@
             return
         self.counters.add("reload.read")
         log.info("configuration read again", coordinator=written(told.coordinator))
-        self.coordinator.move(told.coordinator)
+        self.coordinator.set_address(told.coordinator)
 
     def print_counters(self) -> None:
         door = self.door_counters
@@ -219,13 +219,13 @@
             loop, side = asyncio.get_running_loop(), list[asyncio.Task[None]]()
             if self.service is not None:
                 side += self.service.start(self.health)
-            self.coordinator.known(self.config.known)
+            self.coordinator.load_configured(self.config.known)
             service, coordinator = self.service, self.coordinator
             side += [
                 loop.create_task(coordinator.follow() if service is None else service.follow(coordinator)),
                 self._keep("sweep.caches", self.caches.sweep),
                 self._keep("sweep.front", self.front.sweep),
-                self._keep("turns", self.front.watch_turns),
+                self._keep("turns", self.front.record_loop_ticks),
                 self._keep("collect", self._collect),
             ]
             gc.set_threshold(GC_EVERY, 20, 100)  # requests leave few cycles behind
@@ -236,7 +236,7 @@
             drained = self.bridge is not None and self.bridge.orders.drained
             self._enter(DirectorPhase.DRAINED if drained else DirectorPhase.SERVING)
             if self.bridge is not None and drained:
-                self.front.begin_ending(
+                self.front.begin_shutdown(
                     drain_schedule(self.bridge.orders.drain_called_at or time.monotonic())
                 )
             await self.leaving.wait()
@@ -347,14 +347,14 @@
         On a socket that the platform holds the successor takes new connections at once: none are taken here.
         """
         self._enter(DirectorPhase.DRAINING)
-        self.front.begin_ending(schedule)
+        self.front.begin_shutdown(schedule)
         await asyncio.sleep(max(0.0, schedule.accept_until - time.monotonic()))
         accepting.cancel()
         await asyncio.gather(accepting, return_exceptions=True)
         if not self.handed:
-            await self.front.accept_rest(sock, schedule.begins_at(ShutdownStage.GIVES_BACK))
+            await self.front.accept_remaining(sock, schedule.begins_at(ShutdownStage.GIVES_BACK))
             sock.close()
-        await self.front.finish(schedule)
+        await self.front.finish_shutdown(schedule)
 
 
 def _service(config: DirectorConfig, told: ServiceConfig | None) -> HostedService | None:
--- a/onyxwick/net/buffer.py
+++ b/onyxwick/net/buffer.py
@@ -10,20 +10,20 @@
 import sys
 import termios
 
-ROOM = 16_384  # least free space offered to one receive, where nothing else is said
+DEFAULT_FREE_BYTES = 16_384  # least free space offered to one receive, where nothing else is said
 TCP_INFO_BYTES = 60  # of Linux's struct tcp_info, with tcpi_last_data_sent and tcpi_last_data_recv, both ms
 LAST_DATA_SENT, LAST_DATA_RECEIVED = slice(44, 48), slice(52, 56)
-KEPT = 65_536  # an emptied buffer larger than this is given back
+SHRINK_ABOVE_BYTES = 65_536  # an emptied buffer larger than this is given back
 
 
-def unread(sock: socket.socket) -> int:
+def unread_bytes(sock: socket.socket) -> int:
     """Bytes that have come and wait in the socket; none where it is closed already."""
     if sock.fileno() < 0:
         return 0
     return int.from_bytes(fcntl.ioctl(sock, termios.FIONREAD, bytes(4)), sys.byteorder)
 
 
-def in_flight(sock: socket.socket) -> int:
+def in_flight_bytes(sock: socket.socket) -> int:
     """Bytes written to a socket that the other side has not taken yet; none where it is closed, or the system
     does not tell. The end that was written counts for nothing."""
     if sock.fileno() < 0:
@@ -35,7 +35,7 @@
     return int.from_bytes(told, sys.byteorder)
 
 
-def ended(sock: socket.socket) -> bool:
+def is_closed_by_peer(sock: socket.socket) -> bool:
     """Has the other side written its end, or is the connection gone? Told though bytes before it are unread,
     which no read from the socket could tell."""
     if sock.fileno() < 0:
@@ -45,7 +45,7 @@
     return bool(poll.poll(0))
 
 
-def is_up(sock: socket.socket) -> bool:
+def is_connected(sock: socket.socket) -> bool:
     """Has a connect that was begun on it succeeded, and is the connection there?"""
     try:
         sock.getpeername()
@@ -54,7 +54,7 @@
     return True
 
 
-def seconds_since_data(sock: socket.socket) -> float | None:
+def seconds_since_received(sock: socket.socket) -> float | None:
     """How long ago the last bytes came to a socket, as the system counts; None where it does not tell."""
     return _tcp_info_seconds(sock, LAST_DATA_RECEIVED)
 
@@ -74,7 +74,7 @@
     return int.from_bytes(told[place], sys.byteorder) / 1000
 
 
-async def readable(loop: asyncio.AbstractEventLoop, sock: socket.socket) -> None:
+async def wait_readable(loop: asyncio.AbstractEventLoop, sock: socket.socket) -> None:
     """Wait until there is something to take, and take nothing: a cancel can lose nothing."""
     come: asyncio.Future[None] = loop.create_future()
     loop.add_reader(sock.fileno(), _come, come)
@@ -84,7 +84,7 @@
         loop.remove_reader(sock.fileno())
 
 
-async def writable(loop: asyncio.AbstractEventLoop, sock: socket.socket) -> None:
+async def wait_writable(loop: asyncio.AbstractEventLoop, sock: socket.socket) -> None:
     """Wait until the socket takes bytes, and write none."""
     come: asyncio.Future[None] = loop.create_future()
     loop.add_writer(sock.fileno(), _come, come)
@@ -99,17 +99,17 @@
         future.set_result(None)
 
 
-class Buffer:
+class ReceiveBuffer:
     """Bytes received and not yet parsed; grows as needed and is compacted in place.
 
     Parsers read from `data[start:end]` and move `start` on; the room behind `end` is for receiving.
     """
 
-    def __init__(self, room: int = ROOM) -> None:
-        self.room = room
-        self.data = bytearray(room)
+    def __init__(self, free_bytes: int = DEFAULT_FREE_BYTES) -> None:
+        self.free_bytes = free_bytes
+        self.data = bytearray(free_bytes)
         self.start = self.end = 0
-        self.received = 0  # bytes so far
+        self.received_bytes = 0  # bytes so far
 
     def __len__(self) -> int:
         return self.end - self.start
@@ -132,44 +132,44 @@
         self.skip(size)
         return out
 
-    def feed(self, more: bytes) -> None:
+    def append(self, more: bytes) -> None:
         """Append bytes that came some other way than by `receive`."""
-        self._make_room(len(more))
+        self._reserve(len(more))
         self.data[self.end : self.end + len(more)] = more
         self.end += len(more)
-        self.received += len(more)
+        self.received_bytes += len(more)
 
     async def receive(self, loop: asyncio.AbstractEventLoop, sock: socket.socket) -> bool:
         """Wait for bytes; False at the end of the stream."""
-        self._make_room(self.room)
+        self._reserve(self.free_bytes)
         # The views are released before the buffer can be resized: a bytearray with views cannot grow.
         with memoryview(self.data) as whole, whole[self.end :] as room:
             got = await loop.sock_recv_into(sock, room)
         self.end += got
         return got > 0
 
-    async def receive_late(self, loop: asyncio.AbstractEventLoop, sock: socket.socket) -> bool:
+    async def receive_when_readable(self, loop: asyncio.AbstractEventLoop, sock: socket.socket) -> bool:
         """The same, but the bytes stay in the socket until the caller has them: between a read by the loop
         and the reader's turn `unread` would not tell of them, and a connection would seem to owe nothing."""
         while True:
-            await readable(loop, sock)
+            await wait_readable(loop, sock)
             with contextlib.suppress(BlockingIOError):  # somebody else has taken it, or there was nothing
-                return self.receive_now(sock)
+                return self.receive_available(sock)
 
-    def receive_now(self, sock: socket.socket) -> bool:
+    def receive_available(self, sock: socket.socket) -> bool:
         """What stands in the socket; False at the stream's end, BlockingIOError where there is nothing."""
-        self._make_room(self.room)
+        self._reserve(self.free_bytes)
         with memoryview(self.data) as whole, whole[self.end :] as room:
             got = sock.recv_into(room)
         self.end += got
-        self.received += got
+        self.received_bytes += got
         return got > 0
 
-    def _make_room(self, size: int) -> None:
+    def _reserve(self, size: int) -> None:
         if self.start == self.end:
             self.start = self.end = 0
-            if len(self.data) > KEPT:
-                self.data = bytearray(self.room)
+            if len(self.data) > SHRINK_ABOVE_BYTES:
+                self.data = bytearray(self.free_bytes)
         if len(self.data) - self.end >= size:
             return
         if self.start:
--- a/onyxwick/net/cache_wire.py
+++ b/onyxwick/net/cache_wire.py
@@ -8,7 +8,7 @@
 from onyxwick.interface import AnswerDetail, AttemptStatus, FillOption
 from onyxwick.net import resp
 
-DETAILS = {
+DETAIL_OF_NOTE = {
     "HIT": AnswerDetail.HIT,
     "MISS": AnswerDetail.FILLED,
     "MISS_ORIGIN": AnswerDetail.FILLED_FROM_ORIGIN,
@@ -20,7 +20,7 @@
     "NO_FILL": AnswerDetail.NO_FILL_SLOT,
     "ORIGIN_ERR": AnswerDetail.ORIGIN_FAILED,
 }
-ENDS = {
+STATUS_OF_REPLY = {
     b"data": AttemptStatus.OK,
     b"unchanged": AttemptStatus.OK,
     b"absent": AttemptStatus.MISS,
@@ -28,7 +28,7 @@
     b"failed": AttemptStatus.ERROR,
     b"moot": AttemptStatus.NOT_SENT,
 }
-HINTS = (
+WIRE_FILL_OPTIONS = (
     (FillOption.COALESCE, "share"),
     (FillOption.ONLY_IF_CACHED, "peek"),
     (FillOption.PARENT_NO_STORE, "pass"),
@@ -37,52 +37,52 @@
 
 
 @cache
-def _hints(flags: FillOption) -> str:
-    return "+".join(word for flag, word in HINTS if flag in flags)
+def _encode_fill_options(flags: FillOption) -> str:
+    return "+".join(word for flag, word in WIRE_FILL_OPTIONS if flag in flags)
 
 
-def request_bytes(order: AttemptSpec) -> bytes:
+def encode_attempt(spec: AttemptSpec) -> bytes:
     """The command that asks for an attempt, with the time that is left at this moment."""
-    request = order.request
+    request = spec.request
     out = {
         "c": request.class_name,
         "k": request.object_id,
         "p": str(request.part),
-        "w": str(max(1, order.left_us() // 1000)),
+        "w": str(max(1, spec.left_us() // 1000)),
     }
-    if order.fill_source is not None:
-        out["parent"] = order.fill_source
-    if order.retention_rank:
-        out["shelf"] = str(order.retention_rank)
-    if order.max_age_us:
+    if spec.fill_source is not None:
+        out["parent"] = spec.fill_source
+    if spec.retention_rank:
+        out["shelf"] = str(spec.retention_rank)
+    if spec.max_age_us:
         # Never 0 by rounding: that would ask for the class's fresh time, and let a purged copy pass.
-        out["accept"] = str(max(1, order.max_age_us // 1000))
-    if order.fill_options:
-        out["hints"] = _hints(order.fill_options)
+        out["accept"] = str(max(1, spec.max_age_us // 1000))
+    if spec.fill_options:
+        out["hints"] = _encode_fill_options(spec.fill_options)
     if request.client_etag:
         out["got"] = request.client_etag
     if request.idempotency_key:
         out["i"] = request.idempotency_key
     fields = ",".join([f"{name}={value}" for name, value in out.items()])
-    return resp.command(b"REQ", request.request_id.encode(), fields.encode(), request.body)
+    return resp.encode_command(b"REQ", request.request_id.encode(), fields.encode(), request.body)
 
 
-def read_outcome(words: list[bytes], report_names: tuple[str, ...]) -> AttemptOutcome:
+def decode_outcome(words: list[bytes], report_names: tuple[str, ...]) -> AttemptOutcome:
     """The outcome that one answer `ID WORD FIELDS BODY` tells of; RespError where it is none."""
-    if len(words) != 4 or words[1] not in ENDS:
-        raise resp.RespError(f"no answer: {[w[:32] for w in words[:2]]!r}")
+    if len(words) != 4 or words[1] not in STATUS_OF_REPLY:
+        raise resp.RespProtocolError(f"no answer: {[w[:32] for w in words[:2]]!r}")
     _, word, text, body = words
-    told = resp.fields(text)
+    told = resp.parse_fields(text)
     try:
         waited = int(float(told.get("first") or 0) * 1000)
         load = dict(pair.partition(":")[::2] for pair in told.get("load", "").split(";") if pair)
         report = tuple(float(load.get(name) or 0) for name in report_names) if load else ()
         dated = int(told.get("dated") or 0) * 1000
     except (ValueError, OverflowError):
-        raise resp.RespError(f"bad fields {text[:64]!r}") from None
+        raise resp.RespProtocolError(f"bad fields {text[:64]!r}") from None
     return AttemptOutcome(
-        ENDS[word],
-        DETAILS.get(told.get("note", ""), AnswerDetail.NONE),
+        STATUS_OF_REPLY[word],
+        DETAIL_OF_NOTE.get(told.get("note", ""), AnswerDetail.NONE),
         waited,
         report,
         body,
--- a/onyxwick/net/connection_slots.py
+++ b/onyxwick/net/connection_slots.py
@@ -14,31 +14,34 @@
 
 from dataclasses import dataclass
 
-REST_S = 0.25  # a connection just come that has sent nothing keeps its place so long
-HALF_REST_S = 1.0  # one in half a call keeps it so long after its last byte
+SILENT_GRACE_S = 0.25  # a connection just come that has sent nothing keeps its place so long
+PARTIAL_CALL_GRACE_S = 1.0  # one in half a call keeps it so long after its last byte
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionSlot:
     """What the front knows of one connection, in monotonic seconds."""
 
-    calls: int  # calls whole on it so far
-    owed: int  # answers it is owed
-    pending: int  # bytes of answers not yet written
-    half: bool  # part of a call has come
-    born: float
-    used_at: float  # its last byte in, or its last answer out
-    ending: bool  # its end is under way already
+    complete_calls: int  # calls whole on it so far
+    open_calls: int  # answers it is owed
+    unwritten_bytes: int  # bytes of answers not yet written
+    has_partial_call: bool  # part of a call has come
+    opened_at_s: float
+    last_active_at_s: float  # its last byte in, or its last answer out
+    is_closing: bool  # its end is under way already
 
 
-def order(
-    seat: ConnectionSlot, now: float, rest_s: float = REST_S, half_rest_s: float = HALF_REST_S
+def eviction_rank(
+    slot: ConnectionSlot,
+    now_s: float,
+    silent_grace_s: float = SILENT_GRACE_S,
+    partial_call_grace_s: float = PARTIAL_CALL_GRACE_S,
 ) -> tuple[int, float] | None:
     """Where it stands among those that may give up their place (lowest first); None: it keeps its place."""
-    if seat.owed or seat.pending or seat.ending:
+    if slot.open_calls or slot.unwritten_bytes or slot.is_closing:
         return None
-    if seat.half:
-        return (2, seat.used_at) if now - seat.used_at >= half_rest_s else None
-    if seat.calls:
-        return 0, seat.used_at
-    return (1, seat.born) if now - seat.born >= rest_s else None
+    if slot.has_partial_call:
+        return (2, slot.last_active_at_s) if now_s - slot.last_active_at_s >= partial_call_grace_s else None
+    if slot.complete_calls:
+        return 0, slot.last_active_at_s
+    return (1, slot.opened_at_s) if now_s - slot.opened_at_s >= silent_grace_s else None
--- a/onyxwick/net/director_feed.py
+++ b/onyxwick/net/director_feed.py
@@ -53,7 +53,7 @@
             self.counters.add("bad.distribution")
             log.warning("bad event of the feed", index=event.cursor.packed, detail=repr(error))
         if not from_snapshot:
-            self._reached(event.cursor)
+            self._advance_cursor(event.cursor)
 
     def install(self, snapshot: FeedSnapshot) -> None:
         """A whole state. Its purges have been delivered before."""
@@ -66,14 +66,14 @@
             except (KeyError, ValueError, TypeError) as error:
                 self.counters.add("bad.distribution")
                 log.warning("bad part of a snapshot", detail=repr(error))
-        self._reached(snapshot.cursor)
+        self._advance_cursor(snapshot.cursor)
 
     def refresh(self, freshness: Freshness) -> None:
         """The publisher was reached: where nothing is outstanding, what comes next happened after this."""
         if freshness.cursor <= self.cursor:
             self.stamps.caught_up(self.core.now())
 
-    def _reached(self, cursor: Cursor) -> None:
+    def _advance_cursor(self, cursor: Cursor) -> None:
         self.cursor = cursor
         self.core.feed_observed(cursor.packed)
 
@@ -83,13 +83,13 @@
         elif isinstance(payload, CacheListChange):
             rows = [row.fields for row in payload.rows]
             changed = {"servers": rows, "full": payload.full, "version": payload.version}
-            self.core.list_changed(*read_members(changed, self.stamps, self.core.now(), self._bad_row))
+            self.core.list_changed(*read_members(changed, self.stamps, self.core.now(), self._report_bad_row))
         elif isinstance(payload, DocumentPart):
             self._document_part(payload)
         else:
             raise ValueError(payload.detail)
 
-    def _bad_row(self, text: str) -> None:
+    def _report_bad_row(self, text: str) -> None:
         self.counters.add("bad.distribution")
         log.warning("bad row of the feed", detail=text)
 
--- a/onyxwick/net/distribution_node.py
+++ b/onyxwick/net/distribution_node.py
@@ -38,7 +38,7 @@
 from onyxwick.store.files import DiskFiles
 
 log = logs.get()
-FRESHNESS_S = 0.4
+FRESHNESS_INTERVAL_S = 0.4
 """How often the publisher says that it is reached; passed on with the heartbeats."""
 STORE_NAME = b"onyxwick-feed\0\0\0"
 """Identifies the store's files as a feed's: a store of something else is refused."""
@@ -62,12 +62,12 @@
         if from_snapshot:
             return
         self.replica.apply(event, steady_us() // 1000)
-        self.server.published()
+        self.server.on_published()
 
     def install(self, snapshot: FeedSnapshot) -> None:
         """Take in a whole state; subscribers with earlier cursors are given it as a snapshot too."""
         self.replica.install(snapshot)
-        self.server.published()
+        self.server.on_published()
 
     def refresh(self, freshness: Freshness) -> None:
         """Pass on that the publisher was reached."""
@@ -112,8 +112,8 @@
         self._assembler = Assembler()
         # What was read upstream while documents waited to be sent is read again after a restart.
         self._saved_upstream = upstream
-        self._flushing: asyncio.TimerHandle | asyncio.Handle | None = None
-        self._failure: asyncio.Future[None]
+        self._flush_timer: asyncio.TimerHandle | asyncio.Handle | None = None
+        self._store_failure: asyncio.Future[None]
         self.subscription: Subscription | None = None
         if config.parents:
             follower = Follower(
@@ -174,32 +174,32 @@
 
     def _schedule(self, delay_s: float) -> None:
         """Publish what has been queued, all of one turn of the loop in one transaction."""
-        if self._flushing is not None:
+        if self._flush_timer is not None:
             if delay_s > 0:
                 return
-            self._flushing.cancel()
+            self._flush_timer.cancel()
         loop = asyncio.get_running_loop()
-        self._flushing = (
+        self._flush_timer = (
             loop.call_soon(self._flush) if delay_s <= 0 else loop.call_later(delay_s, self._flush)
         )
 
     def _flush(self) -> None:
-        self._flushing = None
+        self._flush_timer = None
         now = steady_us()
         events = self.publisher.due(now)
         if not self.publisher.bulk and self.subscription is not None:
             self._saved_upstream = self.subscription.follower.cursor
         if events:
-            if not self._save(events, now):
+            if not self._persist(events, now):
                 return
             for event in events:
                 self.replica.apply(event, now // 1000)
-            self.server.published()
+            self.server.on_published()
         wait_us = self.publisher.next_due_us(now)
         if wait_us is not None:
             self._schedule(max(0.001, wait_us / 1e6))
 
-    def _save(self, events: list[FeedEvent], now: int) -> bool:
+    def _persist(self, events: list[FeedEvent], now: int) -> bool:
         """Make events durable before they are announced; False: the disk failed, and this process ends.
 
         What was not saved is read anew from the coordinator by the next process: its cursor was not saved.
@@ -209,30 +209,30 @@
         try:
             self.durable.save(events, self._saved_upstream, self.replica.state, now)
         except StoreError as error:
-            if not self._failure.done():
-                self._failure.set_exception(error)
+            if not self._store_failure.done():
+                self._store_failure.set_exception(error)
             return False
         return True
 
-    async def _until_failure(self) -> None:
-        await self._failure
+    async def _wait_for_store_failure(self) -> None:
+        await self._store_failure
 
     async def run(self) -> None:
         """Serve until cancelled; StoreError where the disk fails."""
-        self._failure = asyncio.get_running_loop().create_future()
+        self._store_failure = asyncio.get_running_loop().create_future()
         self.publish_files(self.config.documents)
-        work = [self.server.run(), self._keep_fresh(), self._until_failure()]
+        work = [self.server.run(), self._announce_freshness(), self._wait_for_store_failure()]
         if self.subscription is not None:
             work.append(self.subscription.run())
         await asyncio.gather(*work)
 
-    async def _keep_fresh(self) -> None:
+    async def _announce_freshness(self) -> None:
         while True:
-            if self._reaches_its_source():
+            if self._is_source_reachable():
                 self.fanout.fresh(Freshness(self.replica.cursor, wall_us() // 1000))
-            await asyncio.sleep(FRESHNESS_S)
+            await asyncio.sleep(FRESHNESS_INTERVAL_S)
 
-    def _reaches_its_source(self) -> bool:
+    def _is_source_reachable(self) -> bool:
         return self.subscription is None or self.subscription.follower.state is FollowerState.FOLLOWING
 
     def reload(self) -> None:
--- a/onyxwick/net/fanout_server.py
+++ b/onyxwick/net/fanout_server.py
@@ -15,9 +15,9 @@
 from onyxwick.distribution.model import MalformedLineError
 
 log = logs.get()
-BACKLOG = 1024
+ACCEPT_BACKLOG = 1024
 MAX_REQUEST_BYTES = 64
-WATCH_S = 0.05
+WATCH_INTERVAL_S = 0.05
 """How often heartbeats and stuck subscribers are looked for."""
 
 
@@ -65,13 +65,13 @@
             self.transport.abort()
             return
         wait_s = (self.subscriber.admitted_at - now) / 1e6
-        asyncio.get_running_loop().call_later(wait_s + 0.001 if wait_s > 0 else 0, self.pump)
+        asyncio.get_running_loop().call_later(wait_s + 0.001 if wait_s > 0 else 0, self.flush)
 
     def unsent_bytes(self) -> int:
         """Bytes that the socket has not taken yet."""
         return 0 if self.transport is None else self.transport.get_write_buffer_size()
 
-    def pump(self) -> None:
+    def flush(self) -> None:
         """Write what the subscriber lacks and the socket has room for."""
         server, transport, subscriber = self.server, self.transport, self.subscriber
         if transport is None or subscriber is None or transport.is_closing():
@@ -90,7 +90,7 @@
 
     def resume_writing(self) -> None:
         self._paused = False
-        self.pump()
+        self.flush()
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.server.connections.discard(self)
@@ -107,32 +107,32 @@
         self.fanout, self.address, self.counters, self.clock = fanout, address, counters, clock
         self.connections: set[_SubscriberConnection] = set()
         self.sent_bytes = 0
-        self._pump_due = False
+        self._flush_scheduled = False
 
     async def run(self) -> None:
         """Serve until cancelled; OSError where the address cannot be listened on."""
         loop = asyncio.get_running_loop()
         server = await loop.create_server(
-            lambda: _SubscriberConnection(self), *self.address, backlog=BACKLOG, reuse_address=True
+            lambda: _SubscriberConnection(self), *self.address, backlog=ACCEPT_BACKLOG, reuse_address=True
         )
         async with server:
             while True:
-                await asyncio.sleep(WATCH_S)
+                await asyncio.sleep(WATCH_INTERVAL_S)
                 self._watch()
 
-    def published(self) -> None:
+    def on_published(self) -> None:
         """The replica has changed: in the next turn of the loop all subscribers with room get what is new.
 
         Events that come in one turn go out in one write a subscriber, and not in one each.
         """
-        if not self._pump_due:
-            self._pump_due = True
-            asyncio.get_running_loop().call_soon(self._pump_all)
+        if not self._flush_scheduled:
+            self._flush_scheduled = True
+            asyncio.get_running_loop().call_soon(self._flush_all)
 
-    def _pump_all(self) -> None:
-        self._pump_due = False
+    def _flush_all(self) -> None:
+        self._flush_scheduled = False
         for connection in list(self.connections):
-            connection.pump()
+            connection.flush()
 
     def _watch(self) -> None:
         now = self.clock()
--- a/onyxwick/net/fastcgi.py
+++ b/onyxwick/net/fastcgi.py
@@ -8,17 +8,19 @@
 from enum import IntEnum
 from functools import lru_cache
 
-from onyxwick.net.buffer import Buffer
+from onyxwick.net.buffer import ReceiveBuffer
 
 HEADER = struct.Struct(">BBHHBx")
 BEGIN_BODY = struct.Struct(">HB5x")
 END_BODY = struct.Struct(">IB3x")
 VERSION, RESPONDER, KEEP_CONN = 1, 1, 1
-ROOM = 2048  # of a connection's buffer at first: requests are short, and there may be many connections
-MAX_OPEN = 32  # requests on one connection
-MAX_PARAMS, MAX_BODY = 16_384, 48_000  # over these a request cannot be one of the platform's
-SLICE = 65_528  # most content of one record, a multiple of eight
-MANAGED = {b"FCGI_MAX_CONNS": b"341", b"FCGI_MAX_REQS": b"10912", b"FCGI_MPXS_CONNS": b"1"}
+INITIAL_BUFFER_BYTES = (
+    2048  # of a connection's buffer at first: requests are short, and there may be many connections
+)
+MAX_OPEN_REQUESTS = 32  # requests on one connection
+MAX_PARAMS_BYTES, MAX_BODY_BYTES = 16_384, 48_000  # over these a request cannot be one of the platform's
+MAX_RECORD_CONTENT_BYTES = 65_528  # most content of one record, a multiple of eight
+MANAGEMENT_VALUES = {b"FCGI_MAX_CONNS": b"341", b"FCGI_MAX_REQS": b"10912", b"FCGI_MPXS_CONNS": b"1"}
 
 
 class RecordType(IntEnum):
@@ -38,7 +40,7 @@
     COMPLETE, CANT_MULTIPLEX, OVERLOADED, UNKNOWN_ROLE = range(4)
 
 
-class FramingError(Exception):
+class FastCgiFramingError(Exception):
     """The records can't be told apart any more: only closing the connection helps."""
 
 
@@ -46,8 +48,8 @@
 class FastCgiCall:
     """A whole request: its last byte has come."""
 
-    number: int
-    keep: bool
+    request_number: int
+    keep_connection: bool
     params: dict[bytes, bytes]
     body: bytes
 
@@ -56,7 +58,7 @@
 class FastCgiAbort:
     """The client has stopped waiting for an open request."""
 
-    number: int
+    request_number: int
 
 
 @dataclass(slots=True)
@@ -67,43 +69,45 @@
     """
 
     data: bytes
-    fault: str = ""
-    last: bool = False
+    protocol_error: str = ""
+    stop_reading: bool = False
 
 
 Message = FastCgiCall | FastCgiAbort | FastCgiReply
 
 
 @dataclass(slots=True)
-class _Partial:
-    keep: bool
+class _PartialCall:
+    keep_connection: bool
     params: bytearray = field(default_factory=bytearray)
     body: bytearray = field(default_factory=bytearray)
     pairs: dict[bytes, bytes] | None = None  # once all parameters have come
-    length: int | None = None  # of the body, where the parameters tell it
+    body_length: int | None = None  # of the body, where the parameters tell it
 
 
-def record(kind: RecordType, number: int, content: bytes) -> bytes:
+def encode_record(kind: RecordType, number: int, content: bytes) -> bytes:
     pad = -len(content) % 8
     head = HEADER.pack(VERSION, kind, number, len(content), pad)
     return head + content + bytes(pad)
 
 
-def end_request(number: int, status: ProtocolStatus = ProtocolStatus.COMPLETE, app: int = 0) -> bytes:
-    return record(RecordType.END, number, END_BODY.pack(app, status))
+def encode_end_request(
+    number: int, status: ProtocolStatus = ProtocolStatus.COMPLETE, app_status: int = 0
+) -> bytes:
+    return encode_record(RecordType.END, number, END_BODY.pack(app_status, status))
 
 
-@lru_cache(maxsize=MAX_OPEN * 4)
-def _tail(number: int) -> bytes:
-    return record(RecordType.STDOUT, number, b"") + end_request(number)
+@lru_cache(maxsize=MAX_OPEN_REQUESTS * 4)
+def _response_end(number: int) -> bytes:
+    return encode_record(RecordType.STDOUT, number, b"") + encode_end_request(number)
 
 
-def answer(number: int, status: str, headers: dict[str, str], body: bytes) -> bytes:
+def encode_response(number: int, status: str, headers: dict[str, str], body: bytes) -> bytes:
     """A CGI response in STDOUT records, closed by END_REQUEST."""
     lines = "".join([f"{name}: {value}\r\n" for name, value in headers.items()])
     head = f"Status: {status}\r\n{lines}Content-Length: {len(body)}\r\n\r\n".encode()
     size = len(head) + len(body)
-    if size <= SLICE:  # nearly always: one record, copied once
+    if size <= MAX_RECORD_CONTENT_BYTES:  # nearly always: one record, copied once
         pad = -size % 8
         return b"".join(
             (
@@ -111,21 +115,24 @@
                 head,
                 body,
                 bytes(pad),
-                _tail(number),
+                _response_end(number),
             )
         )
     content = head + body
-    parts = [record(RecordType.STDOUT, number, content[at : at + SLICE]) for at in range(0, size, SLICE)]
-    return b"".join((*parts, _tail(number)))
+    parts = [
+        encode_record(RecordType.STDOUT, number, content[at : at + MAX_RECORD_CONTENT_BYTES])
+        for at in range(0, size, MAX_RECORD_CONTENT_BYTES)
+    ]
+    return b"".join((*parts, _response_end(number)))
 
 
-def _length(data: bytes, at: int) -> tuple[int, int]:
+def _decode_length(data: bytes, at: int) -> tuple[int, int]:
     if data[at] < 128:
         return data[at], at + 1
     return int.from_bytes(data[at : at + 4], "big") & 0x7FFFFFFF, at + 4
 
 
-def read_pairs(data: bytes) -> dict[bytes, bytes]:
+def decode_pairs(data: bytes) -> dict[bytes, bytes]:
     """Name-value pairs; ValueError where the lengths don't fit the data."""
     pairs, at, whole = {}, 0, len(data)
     try:
@@ -134,8 +141,8 @@
             if size < 128 and value_size < 128:  # nearly always
                 at += 2
             else:
-                size, at = _length(data, at)
-                value_size, at = _length(data, at)
+                size, at = _decode_length(data, at)
+                value_size, at = _decode_length(data, at)
             middle = at + size
             at = middle + value_size
             pairs[data[middle - size : middle]] = data[middle:at]
@@ -146,7 +153,7 @@
     return pairs
 
 
-def write_pairs(pairs: dict[bytes, bytes]) -> bytes:
+def encode_pairs(pairs: dict[bytes, bytes]) -> bytes:
     def size(n: int) -> bytes:
         return bytes([n]) if n < 128 else (n | 0x80000000).to_bytes(4, "big")
 
@@ -167,17 +174,19 @@
     """The records of one connection. `open` holds what was begun and is not yet answered."""
 
     def __init__(self) -> None:
-        self.buffer = Buffer(ROOM)
-        self.partial: dict[int, _Partial] = {}
-        self.open: set[int] = set()  # whole requests; whoever answers one discards its number
-        self.passed: set[int] = set()  # answered before they were whole: what still comes of them is no news
+        self.buffer = ReceiveBuffer(INITIAL_BUFFER_BYTES)
+        self.partial: dict[int, _PartialCall] = {}
+        self.open_requests: set[int] = set()  # whole requests; whoever answers one discards its number
+        self.ignored_requests: set[int] = (
+            set()
+        )  # answered before they were whole: what still comes of them is no news
 
     @property
-    def half(self) -> bool:
+    def has_partial_call(self) -> bool:
         """Is there something whose rest has not come?"""
         return bool(self.partial) or len(self.buffer) > 0
 
-    def one_call_waits(self) -> bool:
+    def has_at_most_one_call(self) -> bool:
         """Is one call at most under way, begun before or in what was received and not yet taken?"""
         buffer, begun = self.buffer, len(self.partial)
         at = buffer.start
@@ -193,7 +202,7 @@
             begin = buffer.start + 8
             version, kind, number, size, pad = unpack(buffer.data, buffer.start)
             if version != VERSION:
-                raise FramingError(f"FastCGI version {version}")
+                raise FastCgiFramingError(f"FastCGI version {version}")
             if buffer.end < begin + size + pad:
                 return
             buffer.start = begin + size + pad
@@ -211,7 +220,7 @@
             return self._abort(number)
         partial = self.partial.get(number)
         if partial is None:
-            return self._stray(number)
+            return self._unmatched_record(number)
         if kind == PARAMS:
             return self._params(number, partial, content)
         if kind == STDIN:
@@ -221,80 +230,85 @@
     def _management(self, kind: int, content: bytes) -> FastCgiReply:
         if kind != RecordType.GET_VALUES:
             return FastCgiReply(
-                record(RecordType.UNKNOWN, 0, bytes([kind]) + bytes(7)), "unknown management record"
+                encode_record(RecordType.UNKNOWN, 0, bytes([kind]) + bytes(7)), "unknown management record"
             )
         try:
-            asked = read_pairs(content)
+            asked = decode_pairs(content)
         except ValueError as error:
-            raise FramingError(str(error)) from None
-        known = {k: v for k, v in MANAGED.items() if k in asked}
-        return FastCgiReply(record(RecordType.GET_VALUES_RESULT, 0, write_pairs(known)))
+            raise FastCgiFramingError(str(error)) from None
+        known = {k: v for k, v in MANAGEMENT_VALUES.items() if k in asked}
+        return FastCgiReply(encode_record(RecordType.GET_VALUES_RESULT, 0, encode_pairs(known)))
 
     def _begin(self, number: int, content: bytes) -> FastCgiReply | None:
         if len(content) != BEGIN_BODY.size:
-            raise FramingError("bad BEGIN_REQUEST")
+            raise FastCgiFramingError("bad BEGIN_REQUEST")
         role, flags = BEGIN_BODY.unpack(content)
-        if number in self.partial or number in self.open:
-            raise FramingError(f"request {number} begun twice")
+        if number in self.partial or number in self.open_requests:
+            raise FastCgiFramingError(f"request {number} begun twice")
         if role != RESPONDER:
-            self.passed.add(number)
-            return FastCgiReply(end_request(number, ProtocolStatus.UNKNOWN_ROLE), "unknown role")
-        if len(self.partial) + len(self.open) >= MAX_OPEN:
-            self.passed.add(number)
+            self.ignored_requests.add(number)
+            return FastCgiReply(encode_end_request(number, ProtocolStatus.UNKNOWN_ROLE), "unknown role")
+        if len(self.partial) + len(self.open_requests) >= MAX_OPEN_REQUESTS:
+            self.ignored_requests.add(number)
             return FastCgiReply(
-                end_request(number, ProtocolStatus.OVERLOADED), "too many requests on a connection"
+                encode_end_request(number, ProtocolStatus.OVERLOADED), "too many requests on a connection"
             )
-        self.passed.discard(number)
-        self.partial[number] = _Partial(bool(flags & KEEP_CONN))
+        self.ignored_requests.discard(number)
+        self.partial[number] = _PartialCall(bool(flags & KEEP_CONN))
         return None
 
-    def _stray(self, number: int) -> FastCgiReply | None:
+    def _unmatched_record(self, number: int) -> FastCgiReply | None:
         """A record of a request that is whole, answered or was never begun: the last is told so, once."""
-        if number in self.open or number in self.passed:
+        if number in self.open_requests or number in self.ignored_requests:
             return None
-        self.passed.add(number)
-        return FastCgiReply(answer(number, "400 Bad Request", {}, b""), "record of a request never begun")
+        self.ignored_requests.add(number)
+        return FastCgiReply(
+            encode_response(number, "400 Bad Request", {}, b""), "record of a request never begun"
+        )
 
     def _abort(self, number: int) -> Message | None:
         if self.partial.pop(number, None) is not None:
-            self.passed.add(number)
-            return FastCgiReply(end_request(number))
-        return FastCgiAbort(number) if number in self.open else None
+            self.ignored_requests.add(number)
+            return FastCgiReply(encode_end_request(number))
+        return FastCgiAbort(number) if number in self.open_requests else None
 
-    def _params(self, number: int, partial: _Partial, content: bytes) -> FastCgiReply | None:
+    def _params(self, number: int, partial: _PartialCall, content: bytes) -> FastCgiReply | None:
         if content:
-            if len(partial.params) + len(content) > MAX_PARAMS:
-                return self._reject(number, "413 Content Too Large", "parameters too long", last=True)
+            if len(partial.params) + len(content) > MAX_PARAMS_BYTES:
+                return self._reject(number, "413 Content Too Large", "parameters too long", stop_reading=True)
             partial.params += content
             return None
         try:
-            partial.pairs = read_pairs(bytes(partial.params))
-            partial.length = body_length(partial.pairs)
+            partial.pairs = decode_pairs(bytes(partial.params))
+            partial.body_length = body_length(partial.pairs)
         except ValueError as error:
             return self._reject(number, "400 Bad Request", str(error))
-        if partial.length is not None and partial.length > MAX_BODY:
-            return self._reject(number, "413 Content Too Large", "body too long", last=True)
+        if partial.body_length is not None and partial.body_length > MAX_BODY_BYTES:
+            return self._reject(number, "413 Content Too Large", "body too long", stop_reading=True)
         return None
 
-    def _stdin(self, number: int, partial: _Partial, content: bytes) -> Message | None:
+    def _stdin(self, number: int, partial: _PartialCall, content: bytes) -> Message | None:
         if partial.pairs is None:
             return self._reject(number, "400 Bad Request", "STDIN before the end of PARAMS")
         if content:
             partial.body += content
-            if len(partial.body) > MAX_BODY:
-                return self._reject(number, "413 Content Too Large", "body too long", last=True)
-        if partial.length is not None and (
-            len(partial.body) > partial.length or (not content and len(partial.body) < partial.length)
+            if len(partial.body) > MAX_BODY_BYTES:
+                return self._reject(number, "413 Content Too Large", "body too long", stop_reading=True)
+        if partial.body_length is not None and (
+            len(partial.body) > partial.body_length
+            or (not content and len(partial.body) < partial.body_length)
         ):
             return self._reject(number, "400 Bad Request", "body of another length than told")
         if content:
             return None
         del self.partial[number]
-        self.open.add(number)
-        return FastCgiCall(number, partial.keep, partial.pairs, bytes(partial.body))
+        self.open_requests.add(number)
+        return FastCgiCall(number, partial.keep_connection, partial.pairs, bytes(partial.body))
 
-    def _reject(self, number: int, status: str, fault: str, last: bool = False) -> FastCgiReply:
+    def _reject(
+        self, number: int, status: str, protocol_error: str, stop_reading: bool = False
+    ) -> FastCgiReply:
         """A request that cannot be read is answered `failed`; its later records are passed over."""
         del self.partial[number]
-        self.passed.add(number)
-        return FastCgiReply(answer(number, status, {}, b""), fault, last)
+        self.ignored_requests.add(number)
+        return FastCgiReply(encode_response(number, status, {}, b""), protocol_error, stop_reading)
--- a/onyxwick/net/fastcgi_calls.py
+++ b/onyxwick/net/fastcgi_calls.py
@@ -8,7 +8,7 @@
 from onyxwick.interface import RequestClass
 from onyxwick.net import fastcgi
 
-STATUS = {
+STATUS_LINES = {
     AnswerStatus.SERVED: "200 OK",
     AnswerStatus.REJECTED: "503 Service Unavailable",
     AnswerStatus.FAILED: "502 Bad Gateway",
@@ -16,8 +16,8 @@
 
 _HEX16 = re.compile(rb"[0-9a-fA-F]{16}").fullmatch
 _PLAIN = re.compile(rb"[!-+.-<>-~-]{0,128}").fullmatch  # what may stand in a field of the caches' protocol
-MOST_PARTS = 65_535  # of one object
-MOST_NAMED = 64  # bytes of a tenant's or site's name
+MAX_PART = 65_535  # of one object
+MAX_OWNER_NAME_BYTES = 64  # bytes of a tenant's or site's name
 Params = dict[bytes, bytes]
 
 
@@ -28,15 +28,15 @@
     return text.decode()
 
 
-def _whole(params: Params, name: bytes, least: int, most: int) -> int:
+def _integer(params: Params, name: bytes, lowest: int, highest: int) -> int:
     text = params.get(name, b"0")
-    if not text.isdigit() or not least <= int(text[:12]) <= most:
+    if not text.isdigit() or not lowest <= int(text[:12]) <= highest:
         raise ValueError(f"bad {name.decode()}")
     return int(text)
 
 
 def read_request(
-    params: Params, body: bytes, now: int, classes: dict[str, RequestClass], owner: OwnerFields
+    params: Params, body: bytes, arrived_us: int, classes: dict[str, RequestClass], owner: OwnerFields
 ) -> ClientRequest:
     """The core request that a call asks for; ValueError names the field that cannot be used."""
     class_name = params[b"SCRIPT_NAME"].removeprefix(b"/call/").decode("latin-1")
@@ -53,16 +53,16 @@
         request_id=_hexadecimal(params, b"HTTP_X_REQUEST_ID"),
         class_name=class_name,
         object_id=_hexadecimal(params, b"HTTP_X_OBJECT"),
-        part=_whole(params, b"HTTP_X_NTH", 0, MOST_PARTS),
-        object_group=_whole(params, b"HTTP_X_BATCH", 0, 255) if b"HTTP_X_BATCH" in params else None,
-        arrived_us=now,
-        timeout_us=_whole(params, b"HTTP_X_TIMEOUT_MS", 1, 2 * kind.deadline_us // 1000) * 1000,
+        part=_integer(params, b"HTTP_X_NTH", 0, MAX_PART),
+        object_group=_integer(params, b"HTTP_X_BATCH", 0, 255) if b"HTTP_X_BATCH" in params else None,
+        arrived_us=arrived_us,
+        timeout_us=_integer(params, b"HTTP_X_TIMEOUT_MS", 1, 2 * kind.deadline_us // 1000) * 1000,
         is_retry=again == b"1",
         body=body,
         client_etag=held.decode("latin-1"),
         idempotency_key=key.decode("latin-1"),
-        tenant=_named(params, owner.tenant, "tenant"),
-        client_site=_named(params, owner.site, "site"),
+        tenant=_owner_name(params, owner.tenant, "tenant"),
+        client_site=_owner_name(params, owner.site, "site"),
     )
 
 
@@ -78,15 +78,15 @@
     return f"HTTP_{field.upper().replace('-', '_')}".encode() if field else b""
 
 
-def _named(params: Params, name: bytes, what: str) -> str | None:
+def _owner_name(params: Params, name: bytes, what: str) -> str | None:
     """What a field names; None: the request does not say, or nobody wants to know."""
     text = params.get(name, b"") if name else b""
-    if len(text) > MOST_NAMED or not text.isascii():
+    if len(text) > MAX_OWNER_NAME_BYTES or not text.isascii():
         raise ValueError(f"bad {what}")
     return text.decode() or None
 
 
-def answer_bytes(number: int, answer: FinalAnswer) -> bytes:
+def encode_answer(number: int, answer: FinalAnswer) -> bytes:
     """The FastCGI records of a final answer to the call of this number."""
     headers = {"Content-Type": "application/octet-stream"}
     if answer.etag:
@@ -95,4 +95,4 @@
         headers["X-Ok304"] = "1"
     if answer.status is AnswerStatus.REJECTED and answer.retry_after_us:
         headers["Retry-After-Ms"] = str(max(1, answer.retry_after_us // 1000))
-    return fastcgi.answer(number, STATUS[answer.status], headers, answer.body)
+    return fastcgi.encode_response(number, STATUS_LINES[answer.status], headers, answer.body)
--- a/onyxwick/net/listening.py
+++ b/onyxwick/net/listening.py
@@ -8,33 +8,33 @@
 from onyxwick.config import ConfigError
 from onyxwick.net import errors
 
-BACKLOG = 1024
+ACCEPT_BACKLOG = 1024
 """Connections that wait to be accepted."""
 
 
-PATIENCE_S, RETRY_S = 3.0, 0.05
+BIND_RETRY_LIMIT_S, BIND_RETRY_DELAY_S = 3.0, 0.05
 """How long a start waits for an address that cannot be listened on yet, and between two tries."""
 
 
 def listen(address: tuple[str, int]) -> socket.socket:
     """A listening socket on an address; OSError where it cannot be listened on. Blocks for `PATIENCE_S` at
     most: nothing is served yet, and errors of this machine pass (net/errors.py)."""
-    end = time.monotonic() + PATIENCE_S
+    end = time.monotonic() + BIND_RETRY_LIMIT_S
     while True:
         try:
-            return _listen_now(address)
+            return _bind_and_listen(address)
         except OSError as error:
             if not errors.is_local(error) or time.monotonic() > end:
                 raise
-            time.sleep(RETRY_S)
+            time.sleep(BIND_RETRY_DELAY_S)
 
 
-def _listen_now(address: tuple[str, int]) -> socket.socket:
+def _bind_and_listen(address: tuple[str, int]) -> socket.socket:
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.bind(address)
-        sock.listen(BACKLOG)
+        sock.listen(ACCEPT_BACKLOG)
         sock.setblocking(False)
     except OSError:
         sock.close()
@@ -42,7 +42,7 @@
     return sock
 
 
-def held(fd: int) -> socket.socket:
+def inherited_listener(fd: int) -> socket.socket:
     """The listening socket that the platform holds and hands down; it is served on, never bound or closed.
 
     ConfigError where the descriptor is no listening TCP socket over IPv4.
--- a/onyxwick/net/resp.py
+++ b/onyxwick/net/resp.py
@@ -4,18 +4,18 @@
 
 from collections.abc import Iterator
 
-from onyxwick.net.buffer import Buffer
+from onyxwick.net.buffer import ReceiveBuffer
 
-MAX_WORDS, MAX_BULK = 16, 262_144  # over these it is no answer of the platform's
+MAX_ARRAY_LENGTH, MAX_BULK_BYTES = 16, 262_144  # over these it is no answer of the platform's
 ARRAY, BULK, CR, LF = b"*$\r\n"
-LINE = 32  # longest line with a count or a length
+MAX_LINE_BYTES = 32  # longest line with a count or a length
 
 
-class RespError(Exception):
+class RespProtocolError(Exception):
     """What came is no array of bulk strings: only closing the connection helps."""
 
 
-def command(*words: bytes) -> bytes:
+def encode_command(*words: bytes) -> bytes:
     parts = [b"*%d\r\n" % len(words)]
     parts += [b"$%d\r\n%b\r\n" % (len(word), word) for word in words]
     return b"".join(parts)
@@ -25,52 +25,59 @@
     """The arrays that arrive on one connection."""
 
     def __init__(self) -> None:
-        self.buffer = Buffer()
-        self.need = 1  # bytes without which nothing more can be read: bodies come in many small pieces
+        self.buffer = ReceiveBuffer()
+        self.needed_bytes = (
+            1  # bytes without which nothing more can be read: bodies come in many small pieces
+        )
 
     def messages(self) -> Iterator[list[bytes]]:
-        while len(self.buffer) >= self.need and (words := self._array()) is not None:
-            self.need = 1
+        while len(self.buffer) >= self.needed_bytes and (words := self._next_array()) is not None:
+            self.needed_bytes = 1
             yield words
 
-    def _number(self, at: int, mark: int, most: int) -> tuple[int, int] | None:
+    def _length_line(self, at: int, mark: int, most: int) -> tuple[int, int] | None:
         """The count after `mark` at `at`, and where its line ends; None if it has not all come."""
         buffer = self.buffer
         end = buffer.data.find(b"\r\n", at, buffer.end)
         if end < 0:
-            if buffer.end - at > LINE:
-                raise RespError("line too long")
+            if buffer.end - at > MAX_LINE_BYTES:
+                raise RespProtocolError("line too long")
             return None
         digits = buffer.data[at + 1 : end]
-        if buffer.data[at] != mark or not digits.isdigit() or len(digits) > LINE or int(digits) > most:
-            raise RespError(f"bad line {bytes(buffer.data[at:end][:LINE])!r}")
+        if (
+            buffer.data[at] != mark
+            or not digits.isdigit()
+            or len(digits) > MAX_LINE_BYTES
+            or int(digits) > most
+        ):
+            raise RespProtocolError(f"bad line {bytes(buffer.data[at:end][:MAX_LINE_BYTES])!r}")
         return int(digits), end + 2
 
-    def _array(self) -> list[bytes] | None:
+    def _next_array(self) -> list[bytes] | None:
         buffer = self.buffer
-        head = self._number(buffer.start, ARRAY, MAX_WORDS)
+        head = self._length_line(buffer.start, ARRAY, MAX_ARRAY_LENGTH)
         if head is None:
             return None
         count, at = head
         words = []
         with memoryview(buffer.data) as data:
             for _ in range(count):
-                bulk = self._number(at, BULK, MAX_BULK)
+                bulk = self._length_line(at, BULK, MAX_BULK_BYTES)
                 if bulk is None:
                     return None
                 size, begin = bulk
                 at = begin + size + 2
                 if buffer.end < at:
-                    self.need = at - buffer.start
+                    self.needed_bytes = at - buffer.start
                     return None
                 if data[at - 2] != CR or data[at - 1] != LF:
-                    raise RespError("bulk string without its end")
+                    raise RespProtocolError("bulk string without its end")
                 words.append(bytes(data[begin : begin + size]))
         buffer.start = at
         return words
 
 
-def fields(text: bytes) -> dict[str, str]:
+def parse_fields(text: bytes) -> dict[str, str]:
     """`name=value,name=value`, or `-` for none."""
     if text == b"-":
         return {}
@@ -78,6 +85,6 @@
     for pair in text.decode("latin-1").split(","):
         name, mark, value = pair.partition("=")
         if not mark:
-            raise RespError(f"bad field {pair[:LINE]!r}")
+            raise RespProtocolError(f"bad field {pair[:MAX_LINE_BYTES]!r}")
         out[name] = value
     return out
--- a/onyxwick/net/subscription.py
+++ b/onyxwick/net/subscription.py
@@ -67,34 +67,34 @@
     def __init__(self, owner: Subscription) -> None:
         self.owner = owner
         self.transport: asyncio.Transport | None = None
-        self._rest = bytearray()
+        self._partial_line = bytearray()
         self._oversized = b""  # the beginning of a line that is too long, while the rest of it is passed over
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast("asyncio.Transport", transport)  # uvloop's own does not inherit from it
 
     def data_received(self, data: bytes) -> None:
-        self._rest += data
-        end = self._rest.rfind(b"\n")
+        self._partial_line += data
+        end = self._partial_line.rfind(b"\n")
         if end < 0:
-            self._bound()
+            self._limit_partial_line()
             return
-        lines = bytes(self._rest[:end]).split(b"\n")
-        del self._rest[: end + 1]
+        lines = bytes(self._partial_line[:end]).split(b"\n")
+        del self._partial_line[: end + 1]
         if self._oversized:
             lines[0], self._oversized = stub_of(self._oversized), b""
-        self.owner.received(self, lines)
+        self.owner.on_lines(self, lines)
 
-    def _bound(self) -> None:
+    def _limit_partial_line(self) -> None:
         """Keep of a line that is too long only its beginning."""
         if self._oversized:
-            self._rest.clear()
-        elif len(self._rest) > MAX_LINE_BYTES:
-            self._oversized = bytes(self._rest[:HEAD_BYTES])
-            self._rest.clear()
+            self._partial_line.clear()
+        elif len(self._partial_line) > MAX_LINE_BYTES:
+            self._oversized = bytes(self._partial_line[:HEAD_BYTES])
+            self._partial_line.clear()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.owner.connection_failed(self, repr(exc) if exc is not None else "closed by the parent")
+        self.owner.on_connection_failed(self, repr(exc) if exc is not None else "closed by the parent")
 
 
 class Subscription:
@@ -117,15 +117,15 @@
 
     async def run(self, delay_us: int = 0) -> None:
         """Follow until cancelled, the first connection after a delay."""
-        self._act(self.follower.start(self.clock(), delay_us))
+        self._perform(self.follower.start(self.clock(), delay_us))
         try:
             while True:
-                await self._until_deadline()
-                self._act(self.follower.tick(self.clock()))
+                await self._wait_for_deadline()
+                self._perform(self.follower.tick(self.clock()))
         finally:
-            self._act(self.follower.stop())
+            self._perform(self.follower.stop())
 
-    async def _until_deadline(self) -> None:
+    async def _wait_for_deadline(self) -> None:
         deadline = self.follower.deadline
         wait_s = None if deadline is None else max(0.0, (deadline - self.clock()) / 1e6)
         self._changed.clear()
@@ -137,11 +137,11 @@
 
     # ---- the connection -------------------------------------------------------------------------------
 
-    def _act(self, actions: Sequence[Action]) -> None:
+    def _perform(self, actions: Sequence[Action]) -> None:
         for action in actions:
             match action:
                 case DeliverEvent() | InstallSnapshot() | RefreshFreshness():
-                    self._hand_on(action)
+                    self._deliver_to_sink(action)
                 case ConnectToParent(parent):
                     self._opening = asyncio.get_running_loop().create_task(self._open(self.parents[parent]))
                 case SendLine(data):
@@ -150,7 +150,7 @@
                 case DisconnectFromParent(reason):
                     self._disconnect(reason)
 
-    def _hand_on(self, action: DeliverEvent | InstallSnapshot | RefreshFreshness) -> None:
+    def _deliver_to_sink(self, action: DeliverEvent | InstallSnapshot | RefreshFreshness) -> None:
         try:
             match action:
                 case DeliverEvent(event, from_snapshot):
@@ -171,13 +171,13 @@
         try:
             await loop.create_connection(lambda: connection, *address)
         except OSError as error:
-            self.connection_failed(connection, repr(error))
+            self.on_connection_failed(connection, repr(error))
             return
         if self._connection is connection:
-            self._act(self.follower.connected(self.clock()))
+            self._perform(self.follower.connected(self.clock()))
             self._changed.set()
 
-    def connection_failed(self, connection: _Connection, reason: str) -> None:
+    def on_connection_failed(self, connection: _Connection, reason: str) -> None:
         """A connection has ended or did not come up; nothing happens if it is not the one in use."""
         if connection is not self._connection:
             return
@@ -187,7 +187,7 @@
         self.counters.add("distribution.lost")
         place = self.follower.parent
         log.info("parent of the feed lost", parent=written(self.parents[place]), reason=reason)
-        self._act(self.follower.lost(self.clock(), reason))
+        self._perform(self.follower.lost(self.clock(), reason))
         self._changed.set()
 
     def _disconnect(self, reason: str) -> None:
@@ -199,12 +199,12 @@
         log.info("parent of the feed given up", reason=reason)
         self._changed.set()
 
-    def received(self, connection: _Connection, lines: Sequence[bytes]) -> None:
+    def on_lines(self, connection: _Connection, lines: Sequence[bytes]) -> None:
         """Whole lines have come on a connection."""
         for line in lines:
             if connection is not self._connection:
                 return
             if line:
-                self._act(self.follower.line(self.clock(), line))
+                self._perform(self.follower.line(self.clock(), line))
         if self.on_line is not None:
             self.on_line()
--- a/onyxwick/service.py
+++ b/onyxwick/service.py
@@ -140,7 +140,7 @@
         of the relay stores comes back at the same pace: its counts of what is popular are empty, and all
         that is seldom asked for would go up to them at once."""
         if self.sites is not None:
-            coordinator.beat = self._feed_heard
+            coordinator.on_line = self._feed_heard
         if self.durable is None and self.sites is None:
             return
         from onyxwick.core.pacing import BackoffPolicy, ReconnectBackoff
@@ -152,7 +152,7 @@
             self.sites.share = back.share
         if self.durable is not None:
             coordinator.initial_delay_us = back.wait_us
-            caches.share = lambda: back.share(self.core.now())
+            caches.warm_up_share = lambda: back.share(self.core.now())
 
     def follow(self, coordinator: CoordinatorFeed) -> Coroutine[None, None, None]:
         """What keeps lists and purges coming: the coordinator itself, or a node of the distribution tree."""
@@ -167,7 +167,7 @@
         follower = Follower(len(told.parents), delays, limits=FollowerLimits(stale_us=told.stale_after_us))
         sink = DirectorFeed(self.core, self.counters, {QUOTAS_DOCUMENT: self.told.tenants.apply_quotas})
         self.subscription = Subscription(follower, told.parents, sink, self.counters, self.core.now)
-        self.subscription.on_line = coordinator.beat
+        self.subscription.on_line = coordinator.on_line
         return self.subscription.run(coordinator.initial_delay_us)
 
     def _feed_health(self) -> dict[str, object]:
--- a/onyxwick/start.py
+++ b/onyxwick/start.py
@@ -33,7 +33,7 @@
     logs.set_up()
     try:
         told, service = _load_patiently()
-        handed = None if told.listen_fd is None else listening.held(told.listen_fd)
+        handed = None if told.listen_fd is None else listening.inherited_listener(told.listen_fd)
     except ConfigError as error:
         print(f"onyxwick: {error}", file=sys.stderr)
         return 2
--- a/tests/ground.py
+++ b/tests/ground.py
@@ -121,7 +121,7 @@
     def follow(self, address: tuple[str, int]) -> CoordinatorFeed:
         """The director follows the feed at this address from now on."""
         follower = CoordinatorFeed(self.core, self.counters)
-        follower.move(address)
+        follower.set_address(address)
         self.tasks.append(asyncio.get_running_loop().create_task(follower.follow()))
         return follower
 
@@ -165,16 +165,16 @@
             self.door = listen(("127.0.0.1", 0))
             self.opened.append(self.door)
             self.tasks.append(loop.create_task(self.front.accept(self.door)))
-            self.tasks.append(loop.create_task(self.front.watch_turns()))
+            self.tasks.append(loop.create_task(self.front.record_loop_ticks()))
         sock = socket.create_connection(self.door.getsockname())
         sock.setblocking(False)
         self.opened.append(sock)
         return sock
 
     async def close(self) -> None:
-        for task in (*self.tasks, *self.front.clients.values()):
+        for task in (*self.tasks, *self.front.connections.values()):
             task.cancel()
-        await asyncio.gather(*self.tasks, *self.front.clients.values(), return_exceptions=True)
+        await asyncio.gather(*self.tasks, *self.front.connections.values(), return_exceptions=True)
         await self.caches.close()
         for sock in self.opened:
             sock.close()
@@ -211,10 +211,10 @@
         **(more or {}),
     }
     begin = fastcgi.BEGIN_BODY.pack(fastcgi.RESPONDER, int(keep))
-    params = fastcgi.write_pairs({name.encode(): value.encode() for name, value in pairs.items()})
+    params = fastcgi.encode_pairs({name.encode(): value.encode() for name, value in pairs.items()})
     kind = fastcgi.RecordType
     records = ((kind.BEGIN, begin), (kind.PARAMS, params), (kind.PARAMS, b""), (kind.STDIN, b""))
-    return b"".join(fastcgi.record(k, number, content) for k, content in records)
+    return b"".join(fastcgi.encode_record(k, number, content) for k, content in records)
 
 
 __all__ = ["FOUND", "PATIENCE_S", "Ground", "ask", "call", "member", "played"]
--- a/tests/test_callers_on_time.py
+++ b/tests/test_callers_on_time.py
@@ -102,6 +102,6 @@
         director = Director(relay.read(json.loads((FOLDER / "config.json").read_text())))
         director.phase = DirectorPhase.DRAINED
         director._drained(OperatorCommands(1, True, drain_called_at=time.monotonic()))
-        assert director.phase is DirectorPhase.DRAINED and director.front.ending is not None
+        assert director.phase is DirectorPhase.DRAINED and director.front.shutdown is not None
 
     asyncio.run(play())
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -417,7 +417,7 @@
         loop = asyncio.get_running_loop()
         for n in range(1, 31):
             await loop.sock_sendall(clients[0][2], call(n, "t1"))
-            while clients[0][1].calls < n or clients[0][1].open:
+            while clients[0][1].complete_calls < n or clients[0][1].open_calls:
                 await asyncio.sleep(0)
         assert counters.counts["answer.cell_full"] > 0 and holding.full("a")
         await loop.sock_sendall(clients[1][2], call(1, "t2"))
@@ -442,8 +442,8 @@
         "HTTP_X_OBJECT": f"{number:016x}",
         "HTTP_X_TENANT": tenant,
     }
-    pairs = fastcgi.write_pairs({k.encode(): v.encode() for k, v in params.items()})
+    pairs = fastcgi.encode_pairs({k.encode(): v.encode() for k, v in params.items()})
     begin = fastcgi.BEGIN_BODY.pack(fastcgi.RESPONDER, 1)
     kinds = ((fastcgi.RecordType.BEGIN, begin), (fastcgi.RecordType.PARAMS, pairs))
     ends = ((fastcgi.RecordType.PARAMS, b""), (fastcgi.RecordType.STDIN, b""))
-    return b"".join(fastcgi.record(kind, number, content) for kind, content in kinds + ends)
+    return b"".join(fastcgi.encode_record(kind, number, content) for kind, content in kinds + ends)
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -35,7 +35,7 @@
 
 
 def _tell(feed: CoordinatorFeed, event: dict[str, object]) -> None:
-    feed.line(json.dumps({"index": feed.last + 1, **event}).encode())
+    feed.handle_line(json.dumps({"index": feed.last_index + 1, **event}).encode())
 
 
 def _purge(feed: CoordinatorFeed, stamp_us: int) -> None:
@@ -51,7 +51,7 @@
 def test_a_purge_has_its_age_while_the_wall_clock_is_stepped(wall: WallClock) -> None:
     async def play(ground: Ground) -> None:
         feed = CoordinatorFeed(ground.core, ground.counters)
-        feed.line(b"0")
+        feed.handle_line(b"0")
         for step_us in (HOUR_US, -HOUR_US, 5_000_000, 0):
             wall.step_us = step_us
             _purge(feed, wall.true_us() - 100_000)
@@ -67,7 +67,7 @@
 def test_a_cache_that_starts_while_the_wall_clock_is_stepped_is_cold(wall: WallClock) -> None:
     async def play(ground: Ground) -> None:
         feed = CoordinatorFeed(ground.core, ground.counters)
-        feed.line(b"0")
+        feed.handle_line(b"0")
         for step_us in (HOUR_US, -HOUR_US, 5_000_000, 0):
             wall.step_us = step_us
             _start(feed, wall.true_us() - 1_000_000)
@@ -158,10 +158,10 @@
         servers = [{**row, "weight": 6, "started_ms": (now - 2 * S_US) // 1000}]
         purge = {"shard": 17, "unix_ms": (now - 3 * S_US) // 1000}
         events = [{"index": 1, "endpoints": {"full": True, "servers": servers}}, {"index": 2, "evict": purge}]
-        feed.known({"index": 2, "updates": events})
-        feed.line(b"2")
+        feed.load_configured({"index": 2, "updates": events})
+        feed.handle_line(b"2")
         live = {"index": 3, "evict": {"ref": "00000000000000aa", "unix_ms": (now - 100_000) // 1000}}
-        feed.line(json.dumps(live).encode())
+        feed.handle_line(json.dumps(live).encode())
         again = [e for e in ground.script.events if isinstance(e, ObjectsPurged) and e.object_group == 17][-1]
         assert again.age_us < 5 * S_US
         change = [e for e in ground.script.events if isinstance(e, EndpointsChanged)][-1]
@@ -208,7 +208,7 @@
 
     async def play(ground: Ground, ahead_us: int) -> None:
         feed = CoordinatorFeed(ground.core, ground.counters)
-        feed.known(_known(wall.true_us() - ahead_us))
+        feed.load_configured(_known(wall.true_us() - ahead_us))
         purge = next(e for e in ground.script.events if isinstance(e, ObjectsPurged) and e.object_group == 17)
         assert 2 * S_US < purge.age_us < 4 * S_US, ahead_us
         age_us = ground.core.now() - ground.members.listed["c0"].started_at_us
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -15,7 +15,7 @@
 from onyxwick.config import director as relay
 from onyxwick.config.cells import json_of_plan, plan_of_json, read_plan
 from onyxwick.config.fields import Fields
-from onyxwick.net.cache_pool import LINKS_OVER
+from onyxwick.net.cache_pool import MAX_EXCESS_CONNECTIONS
 from tests.exchange import FOLDER
 
 GOOD = """
@@ -232,5 +232,5 @@
     door = min(relay.DOOR_SOCKETS, sockets // config.shares // 8) if admin else 0
     shut = max(relay.SHUT_LEAST, config.most_clients // relay.SHUT_SHARE)
     fixed = 14  # streams, the event loop, the listening socket, the feed, a file read anew, one just accepted
-    held = config.most_links + LINKS_OVER + config.most_clients + shut + door + fixed
+    held = config.most_links + MAX_EXCESS_CONNECTIONS + config.most_clients + shut + door + fixed
     assert held <= sockets // config.shares
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -46,7 +46,7 @@
 
 
 def _answer(life_id: str, word: bytes = b"data", fields: bytes = FOUND, body: bytes = b"walk") -> bytes:
-    return resp.command(life_id.encode(), word, fields, body)
+    return resp.encode_command(life_id.encode(), word, fields, body)
 
 
 # ---- what is no longer wanted is not sent -----------------------------------------------------------------
@@ -65,7 +65,7 @@
         (let_up,) = ground.held("c0")
         _on_arrival(ground, "c0")
         gone = ground.start()
-        await ground.until(lambda: ground.caches.links.get("c0"))
+        await ground.until(lambda: ground.caches.connections.get("c0"))
         ground.core.leave(gone)
         await let_up()
         await ground.until(lambda: not ground.core.lifecycles)
@@ -83,7 +83,7 @@
             await asyncio.sleep(0)  # the attempt's task is there, and has not taken its first step
         ground.core.leave(lifecycle)
         await ground.until(lambda: ground.script.ends())
-        assert ground.script.ends() == [AttemptStatus.NOT_SENT] and not ground.caches.links
+        assert ground.script.ends() == [AttemptStatus.NOT_SENT] and not ground.caches.connections
         sock.close()
 
     played(play)
@@ -117,7 +117,7 @@
         first = await ground.accepted(sock)
         await ground.read(first, lifecycle.request.request_id.encode())
         first.send(_answer(lifecycle.request.request_id, b"failed", b"-", b""))
-        await ground.until(lambda: ground.caches.links.get("c1"))
+        await ground.until(lambda: ground.caches.connections.get("c1"))
         await asyncio.sleep(0.35)  # the window passes
         second = await let_up()
         await ground.until(lambda: ground.script.ends() == [AttemptStatus.ERROR, AttemptStatus.NOT_SENT])
@@ -146,7 +146,7 @@
 def test_a_drain_told_by_a_feed_that_had_fallen_silent_holds_for_what_waits(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(coordinator, "SILENT_S", 0.2)
+    monkeypatch.setattr(coordinator, "SILENCE_LIMIT_S", 0.2)
 
     async def play(ground: Ground) -> None:
         (let_up,) = ground.held("c0")
@@ -155,12 +155,12 @@
         feed.setblocking(False)
         ground.opened.append(feed)
         follower = CoordinatorFeed(ground.core, ground.counters)
-        follower.move(feed.getsockname())
+        follower.set_address(feed.getsockname())
         ground.tasks.append(asyncio.get_running_loop().create_task(follower.follow()))
         silent = await ground.accepted(feed)
         await ground.read(silent, b"follow 0\n")
         lifecycle = ground.start()
-        await ground.until(lambda: ground.caches.links.get("c0"))
+        await ground.until(lambda: ground.caches.connections.get("c0"))
         again = await ground.accepted(feed)  # after a silence, on a new connection
         await ground.read(again, b"follow 0\n")
         row = (
@@ -194,11 +194,11 @@
         await asyncio.sleep(
             0.02
         )  # the peer has stopped: the first is under way, of the second no byte is out
-        assert box.stalled(asyncio.get_running_loop().time() + 60, 3.0)
+        assert box.is_stalled(asyncio.get_running_loop().time() + 60, 3.0)
         good[0] = False
         got = await ground.read(far, b"END")
         assert got == b"a" * 40_000 + b"END" and dropped == ["late"]
-        assert box.pending == 0 and box.drained.is_set()
+        assert box.pending_bytes == 0 and box.drained.is_set()
         words = [p.progress.value for p in (first, second, third)]
         assert words == ["written", "dropped", "written"]
 
@@ -212,7 +212,7 @@
 
 def _leave(sock: socket.socket, end: str, number: int = 1) -> None:
     if end == "abort":
-        sock.send(fastcgi.record(fastcgi.RecordType.ABORT, number, b""))
+        sock.send(fastcgi.encode_record(fastcgi.RecordType.ABORT, number, b""))
     elif end == "half-close":
         sock.shutdown(socket.SHUT_WR)
     else:
@@ -227,12 +227,12 @@
         (let_up,) = ground.held("c0")
         _on_arrival(ground, "c0")
         sock = await ground.client()
-        await ground.until(lambda: ground.front.clients)
+        await ground.until(lambda: ground.front.connections)
         sock.send(call(1))
         _leave(sock, end)  # both are there before the director looks
         await asyncio.sleep(0.1)
         assert all(lifecycle.client_departed for lifecycle in ground.core.lifecycles.values())
-        if ground.caches.links:
+        if ground.caches.connections:
             await let_up()
         await ground.until(lambda: not ground.core.lifecycles)
         assert set(ground.script.ends()) <= {AttemptStatus.NOT_SENT}
@@ -247,7 +247,7 @@
         _on_arrival(ground, "c0")
         sock = await ground.client()
         sock.send(call(1))
-        await ground.until(lambda: ground.caches.links.get("c0"))
+        await ground.until(lambda: ground.caches.connections.get("c0"))
         _leave(sock, end)
         await asyncio.sleep(0.1)
         await let_up()
@@ -267,7 +267,7 @@
         conn = await ground.accepted(cache)
         await ground.read(conn, f"{1:016x}".encode())
         conn.send(_answer(f"{1:016x}", b"failed", b"-", b""))
-        await ground.until(lambda: ground.caches.links.get("c1"))  # the second waits to be sent
+        await ground.until(lambda: ground.caches.connections.get("c1"))  # the second waits to be sent
         _leave(sock, end)
         await asyncio.sleep(0.1)
         await let_up()
@@ -277,7 +277,7 @@
 
 
 def _queued(ground: Ground) -> int:
-    return sum(len(link.calls) for links in ground.caches.links.values() for link in links)
+    return sum(len(link.attempts) for links in ground.caches.connections.values() for link in links)
 
 
 def test_a_burst_of_clients_that_leave_has_nothing_sent_for_them() -> None:
@@ -286,10 +286,10 @@
     async def play(ground: Ground) -> None:
         (let_up,) = ground.held("c0")
         _on_arrival(ground, "c0")
-        socks = [await ground.client() for _ in range(most // fastcgi.MAX_OPEN)]
+        socks = [await ground.client() for _ in range(most // fastcgi.MAX_OPEN_REQUESTS)]
         for number, sock in enumerate(socks):
-            first = number * fastcgi.MAX_OPEN
-            sock.send(b"".join(call(n + 1, f"{first + n:016x}") for n in range(fastcgi.MAX_OPEN)))
+            first = number * fastcgi.MAX_OPEN_REQUESTS
+            sock.send(b"".join(call(n + 1, f"{first + n:016x}") for n in range(fastcgi.MAX_OPEN_REQUESTS)))
         await ground.until(lambda: _queued(ground) == most)  # all wait for connections that do not come up
         for number, sock in enumerate(socks):
             _leave(sock, ("half-close", "close", "reset")[number % 3])
@@ -310,10 +310,10 @@
         with contextlib.suppress(OSError):
             async with asyncio.timeout(PATIENCE_S):
                 await loop.sock_sendall(sock, flood + b"\x01" * 100_000)
-        (sizes,) = [len(c.parser.buffer.data) for c in ground.front.clients] or [0]
+        (sizes,) = [len(c.parser.buffer.data) for c in ground.front.connections] or [0]
         assert sizes < 500_000
         sock.close()
-        await ground.until(lambda: not ground.front.clients and not ground.core.lifecycles)
+        await ground.until(lambda: not ground.front.connections and not ground.core.lifecycles)
         other = await ground.client()
         other.send(call(1, path="/ping"))
         await ground.read(other, b"200 OK")
@@ -378,10 +378,10 @@
         lifecycle = ground.start()
         conn = await ground.accepted(sock)
         await ground.read(conn, lifecycle.request.request_id.encode())
-        (link,) = ground.caches.links["c0"]
-        (only,) = link.calls.values()
+        (link,) = ground.caches.connections["c0"]
+        (only,) = link.attempts.values()
         words = [lifecycle.request.request_id.encode(), b"data", FOUND, b"walk"]
-        deeds: list[Callable[[], None]] = [lambda: link._answered(words), lambda: link.expire(only)]
+        deeds: list[Callable[[], None]] = [lambda: link._on_answer(words), lambda: link.expire(only)]
         for deed in deeds if first == "answer" else reversed(deeds):
             deed()  # both before the lifecycle hears of either
         await ground.until(lambda: ground.script.ends())
@@ -401,7 +401,7 @@
         conn.send(_answer(lifecycle.request.request_id)[:-3])
         conn.close()
         await ground.until(lambda: ground.script.ends() == [AttemptStatus.RESET])
-        assert not ground.answers and not ground.caches.links
+        assert not ground.answers and not ground.caches.connections
 
     played(play)
 
@@ -414,16 +414,16 @@
 
     async def play(ground: Ground) -> None:
         sock = await ground.client()
-        await ground.until(lambda: ground.front.clients)
-        ((client, _),) = ground.front.clients.items()
+        await ground.until(lambda: ground.front.connections)
+        ((client, _),) = ground.front.connections.items()
         met, close = list[object](), client.writes.close
 
         def crossing() -> None:
-            client.born = client.used_at = 0.0
+            client.opened_at_s = client.last_active_at_s = 0.0
             try:
-                client.overstays(9.0)
-                ground.front._make_room()
-                ground.front.begin_ending(drain_schedule(time.monotonic()))
+                client.exceeds_deadline(9.0)
+                ground.front._evict_one()
+                ground.front.begin_shutdown(drain_schedule(time.monotonic()))
             except ValueError as error:
                 met.append(error)
             met.append("closed" if client.sock.fileno() < 0 else "open")
@@ -431,7 +431,7 @@
 
         client.writes.close = crossing  # type: ignore[method-assign]
         sock.close()
-        await ground.until(lambda: not ground.front.clients)
+        await ground.until(lambda: not ground.front.connections)
         assert met == ["closed"]
         other = await ground.client()
         other.send(call(1, path="/ping"))
@@ -443,14 +443,14 @@
 def test_whoever_has_connected_as_the_door_closes_is_taken_in() -> None:
     async def play(ground: Ground) -> None:
         await ground.client()
-        await ground.until(lambda: ground.front.clients)
+        await ground.until(lambda: ground.front.connections)
         late = socket.create_connection(ground.door.getsockname())
         late.setblocking(False)
         ground.opened.append(late)
         late.send(call(1, path="/ping"))
         ground.tasks[0].cancel()  # before the loop has seen that there is somebody
         await asyncio.gather(ground.tasks[0], return_exceptions=True)
-        await ground.front.accept_rest(ground.door)
+        await ground.front.accept_remaining(ground.door)
         ground.door.close()
         await ground.read(late, b"200 OK")
 
@@ -466,7 +466,7 @@
         near, far = socket.socketpair()
         ground.front._admit(Gone(fileno=near.detach()))
         far.close()
-        assert not ground.front.clients
+        assert not ground.front.connections
         other = await ground.client()
         other.send(call(1, path="/ping"))
         await ground.read(other, b"200 OK")
@@ -491,20 +491,20 @@
 def test_a_client_that_leaves_while_it_is_not_read_from_is_heard(
     end: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(client_module, "PAUSE_BYTES", 100_000)
+    monkeypatch.setattr(client_module, "PAUSE_READING_ABOVE_BYTES", 100_000)
 
     async def play(ground: Ground) -> None:
         ground.core.transport = Slow()
         _on_arrival(ground, "c0")
         sock = await ground.client()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        await ground.until(lambda: ground.front.clients)
-        ((client, _),) = ground.front.clients.items()
+        await ground.until(lambda: ground.front.connections)
+        ((client, _),) = ground.front.connections.items()
         client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         sock.send(call(1) + call(2))
-        await ground.until(lambda: client.writes.pending > 100_000 and client.open)
+        await ground.until(lambda: client.writes.pending_bytes > 100_000 and client.open_calls)
         await asyncio.sleep(0.02)  # from here on it is not read from
-        (lifecycle,) = client.open.values()
+        (lifecycle,) = client.open_calls.values()
         assert lifecycle is not None and not lifecycle.client_departed
         sock.send(b"\x01")  # what comes unread before its end hides it from a read
         if end == "half-close":
@@ -531,9 +531,9 @@
         sock.send(call(1, keep=False))
         await ground.until(lambda: ground.core.lifecycles)
         (lifecycle,) = ground.core.lifecycles.values()
-        sock.send(fastcgi.record(fastcgi.RecordType.ABORT, 1, b""))
+        sock.send(fastcgi.encode_record(fastcgi.RecordType.ABORT, 1, b""))
         await ground.until(lambda: lifecycle.client_departed)
-        await ground.read(sock, fastcgi.end_request(1))
+        await ground.read(sock, fastcgi.encode_end_request(1))
 
     played(play)
 
@@ -545,9 +545,9 @@
         _on_arrival(ground, "c0")
         sock = await ground.client()
         sock.send(call(1, keep=False) + call(2))  # in one read
-        await ground.read(sock, fastcgi.end_request(2, fastcgi.ProtocolStatus.OVERLOADED))
+        await ground.read(sock, fastcgi.encode_end_request(2, fastcgi.ProtocolStatus.OVERLOADED))
         sock.send(call(3))  # and in one of its own, the first still owed
-        await ground.read(sock, fastcgi.end_request(3, fastcgi.ProtocolStatus.OVERLOADED))
+        await ground.read(sock, fastcgi.encode_end_request(3, fastcgi.ProtocolStatus.OVERLOADED))
         assert len(ground.core.lifecycles) == 1
 
     played(play)
@@ -572,7 +572,7 @@
             async with asyncio.timeout(3.0):
                 while await loop.sock_recv(sock, 65_536):
                     pass
-        await ground.until(lambda: not ground.front.clients)
+        await ground.until(lambda: not ground.front.connections)
 
     played(play)
 
@@ -599,13 +599,13 @@
         _on_arrival(ground, "c0")
         sock = await ground.client()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        await ground.until(lambda: ground.front.clients)
-        ((client, _),) = ground.front.clients.items()
+        await ground.until(lambda: ground.front.connections)
+        ((client, _),) = ground.front.connections.items()
         client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         sock.send(call(1, keep=False))
-        await ground.until(lambda: client.writes.pending)
+        await ground.until(lambda: client.writes.pending_bytes)
         await asyncio.sleep(LINGER_S + 0.2)
-        got = await ground.read(sock, fastcgi.end_request(1))
+        got = await ground.read(sock, fastcgi.encode_end_request(1))
         assert got.count(b"x") >= 240_000
 
     played(play)
@@ -615,8 +615,8 @@
     async def play(ground: Ground) -> None:
         sock, whole = await ground.client(), call(1, path="/ping")
         sock.send(whole[:30])
-        await ground.until(lambda: any(c.parser.half for c in ground.front.clients))
-        ground.front.begin_ending(drain_schedule(time.monotonic()))
+        await ground.until(lambda: any(c.parser.has_partial_call for c in ground.front.connections))
+        ground.front.begin_shutdown(drain_schedule(time.monotonic()))
         sock.send(whole[30:])
         await ground.read(sock, b"200 OK")
 
@@ -629,9 +629,9 @@
         sock = await ground.client()
         sock.send(call(1, path="/ping"))
         await ground.read(sock, b"200 OK")
-        ((client, _),) = ground.front.clients.items()
+        ((client, _),) = ground.front.connections.items()
         sock.send(call(2))
-        client.close_softly(
+        client.half_close(
             1.0, ConnectionCloseReason.IDLE
         )  # in the same turn: the call is in the socket and not read
         await ground.until(lambda: ground.counters.counts["client.crossed"])
@@ -650,7 +650,7 @@
         sock.send(call(1, path="/ping"))
         await ground.read(sock, b"200 OK")
         await asyncio.sleep(0.02)
-        loop.add_reader(far.fileno(), lambda: ground.front.begin_ending(drain_schedule(time.monotonic())))
+        loop.add_reader(far.fileno(), lambda: ground.front.begin_shutdown(drain_schedule(time.monotonic())))
         sock.send(call(2, path="/ping"))
         near.send(b"x")  # both are seen in the same look, the call first
         await ground.read(sock, b"200 OK")
@@ -668,15 +668,15 @@
         ground.tasks.append(asyncio.get_running_loop().create_task(ground.front.sweep()))
         now = time.monotonic()
         schedule = termination_schedule(now, now, 0.8, False)
-        finishing = asyncio.get_running_loop().create_task(ground.front.finish(schedule))
-        ((client, _),) = ground.front.clients.items()
-        await ground.until(lambda: client.shut_at)
+        finishing = asyncio.get_running_loop().create_task(ground.front.finish_shutdown(schedule))
+        ((client, _),) = ground.front.connections.items()
+        await ground.until(lambda: client.half_closed_at_s)
         for _ in range(3):
             sock.send(b"x")
             await asyncio.sleep(0.02)
         assert sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0
         await finishing
-        assert not ground.front.clients
+        assert not ground.front.connections
 
     played(play)
 
@@ -688,9 +688,9 @@
     async def play(ground: Ground) -> None:
         follower = CoordinatorFeed(ground.core, ground.counters)
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(10) as follower.limit:
-                follower.limit.reschedule(asyncio.get_running_loop().time())
-                asyncio.get_running_loop().call_soon(follower.move, ("127.0.0.1", 2))
+            async with asyncio.timeout(10) as follower._silence_limit:
+                follower._silence_limit.reschedule(asyncio.get_running_loop().time())
+                asyncio.get_running_loop().call_soon(follower.set_address, ("127.0.0.1", 2))
                 await asyncio.sleep(1)
         assert follower.address == ("127.0.0.1", 2)
 
@@ -712,10 +712,10 @@
         _on_arrival(ground, "c0")
         ground.start()
         await ground.accepted(sock)
-        (link,) = ground.caches.links["c0"]
+        (link,) = ground.caches.connections["c0"]
         await ground.client()
-        await ground.until(lambda: ground.front.clients)
-        ((client, _),) = ground.front.clients.items()
+        await ground.until(lambda: ground.front.connections)
+        ((client, _),) = ground.front.connections.items()
         for each in (link.sock, client.sock):
             assert each is not None and each.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
@@ -731,14 +731,14 @@
         lifecycle = ground.start(arrived_us=steady_us())
         conn = await ground.accepted(sock)
         await ground.read(conn, lifecycle.request.request_id.encode())
-        (link,) = ground.caches.links["c0"]
+        (link,) = ground.caches.connections["c0"]
         from onyxwick.core.request_lifecycle import ClientDeparted
 
         lifecycle.mailbox.put(ClientDeparted(overdue=True))
-        link._answered([lifecycle.request.request_id.encode(), b"data", FOUND, b"walk"])
+        link._on_answer([lifecycle.request.request_id.encode(), b"data", FOUND, b"walk"])
         await ground.until(lambda: not ground.core.lifecycles)
         assert [a.status for a in ground.answers] == [AnswerStatus.FAILED]
-        assert isinstance(ground.answers[0], FinalAnswer) and cache_link.STUCK_S > 0
+        assert isinstance(ground.answers[0], FinalAnswer) and cache_link.PARTIAL_ANSWER_LIMIT_S > 0
 
     played(play)
 
@@ -758,10 +758,10 @@
 
     async def play(ground: Ground) -> None:
         nonlocal most
-        places = ground.front.most_clients
+        places = ground.front.max_clients
         first = [await ground.client() for _ in range(places)]
-        await ground.until(lambda: len(ground.front.clients) == places)
-        await asyncio.sleep(room.REST_S * 1.5)  # all of them may be displaced now
+        await ground.until(lambda: len(ground.front.connections) == places)
+        await asyncio.sleep(room.SILENT_GRACE_S * 1.5)  # all of them may be displaced now
         accepting = ground.tasks[0]
         if at_the_end:
             accepting.cancel()
@@ -769,11 +769,11 @@
             await ground.client()
         if at_the_end:
             await asyncio.gather(accepting, return_exceptions=True)
-            await ground.front.accept_rest(ground.door)
+            await ground.front.accept_remaining(ground.door)
         await ground.until(lambda: len(taken) == 4 * places)
         assert ground.front.counters.counts["client.displaced"] >= places
         lingering = max(relay.SHUT_LEAST, places // relay.SHUT_SHARE)
-        assert most <= places + lingering + front.GIVEN_UP_MOST
+        assert most <= places + lingering + front.MAX_PENDING_CLOSES
         assert first
 
     monkeypatch.setattr(front.FastCgiFront, "_admit", counting)
@@ -790,7 +790,7 @@
         (let_up,) = ground.held("c0")
         _on_arrival(ground, "c0")
         ground.start()
-        await ground.until(lambda: ground.caches.links.get("c0"))
+        await ground.until(lambda: ground.caches.connections.get("c0"))
         ground.list(MemberState.READY, "c0", ("127.0.0.1", 1))
         await let_up()
         await ground.until(lambda: ground.script.ends() == [AttemptStatus.NOT_SENT])
@@ -809,7 +809,7 @@
         fetch = ForwardWithFill(f"{1:016x}", "c0", "p0", 0, 0, 0, FillOption.NONE)
         ground.script.arrived = lambda request: [fetch]
         ground.start()
-        await ground.until(lambda: ground.caches.links.get("c0"))
+        await ground.until(lambda: ground.caches.connections.get("c0"))
         name, at = ("c0", address) if restarted == "member" else ("p0", source)
         row = Member(name, "edge-1", "box", 0, MemberState.READY, 6.0, ground.core.now())
         ground.core.list_changed(EndpointsChanged(EndpointListKind.CHANGE, (row,)), {name: at})
--- a/tests/test_endings_program.py
+++ b/tests/test_endings_program.py
@@ -88,7 +88,7 @@
             exchange.program.send_signal(number)
         exchange._until("draining")
         exchange.program.send_signal(signal.SIGTERM)
-        cache.sendall(resp.command(request.encode(), b"data", FOUND, b"walk"))
+        cache.sendall(resp.encode_command(request.encode(), b"data", FOUND, b"walk"))
         got = b""
         while b"walk" not in got:
             more = client.recv(65_536)
@@ -135,7 +135,7 @@
                 if sock is listener:
                     links.append(listener.accept()[0])
                 elif asked in (read := sock.recv(65_536)):
-                    sock.sendall(resp.command(asked, b"data", FOUND, b"walk"))
+                    sock.sendall(resp.encode_command(asked, b"data", FOUND, b"walk"))
                     break
         got = client.recv(65_536)
         assert b"200 OK" in got and b"walk" in got, got
--- a/tests/test_feed_race.py
+++ b/tests/test_feed_race.py
@@ -20,8 +20,8 @@
 
 @pytest.fixture(autouse=True)
 def _quick(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(feed_race, "SILENT_S", SILENT_S)
-    monkeypatch.setattr(feed_race, "CONNECT_S", SILENT_S / 2)
+    monkeypatch.setattr(feed_race, "SILENCE_LIMIT_S", SILENT_S)
+    monkeypatch.setattr(feed_race, "CONNECT_LIMIT_S", SILENT_S / 2)
 
 
 class Feed:
@@ -71,11 +71,11 @@
     async def play() -> None:
         feed, loop, begun = Feed(), asyncio.get_running_loop(), time.monotonic()
         race = loop.create_task(feed.race.run())
-        silent = [await feed.accepted() for _ in range(feed_race.RACED)]
+        silent = [await feed.accepted() for _ in range(feed_race.MAX_CONCURRENT_CONNECTIONS)]
         last = await feed.accepted()
-        assert time.monotonic() - begun < (feed_race.RACED + 1.5) * SILENT_S
+        assert time.monotonic() - begun < (feed_race.MAX_CONCURRENT_CONNECTIONS + 1.5) * SILENT_S
         assert await _is_ended(silent[0])  # the oldest has given up its place
-        assert len(feed.race.attempts) <= feed_race.RACED
+        assert len(feed.race.attempts) <= feed_race.MAX_CONCURRENT_CONNECTIONS
         await loop.sock_sendall(last, b"7\n")
         (await race).close()
         for conn in silent[1:]:
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -28,16 +28,16 @@
         clients, pairs, left = {}, [socket.socketpair() for _ in names], list[str]()
         for name, pair in zip(names, pairs, strict=True):
             clients[name] = client = FrontConnection(front, pair[0])
-            front.clients[client] = asyncio.get_running_loop().create_task(asyncio.sleep(60))
-            client.calls = int(name not in ("silent", "fresh", "stuck"))
-        clients["busy"].open[1] = None  # something is owed to it
+            front.connections[client] = asyncio.get_running_loop().create_task(asyncio.sleep(60))
+            client.complete_calls = int(name not in ("silent", "fresh", "stuck"))
+        clients["busy"].open_calls[1] = None  # something is owed to it
         pairs[2][1].send(b"x")  # a request is under way on it
-        clients["stuck"].parser.buffer.feed(b"\x01\x01")  # half of a record, and then nothing
+        clients["stuck"].parser.buffer.append(b"\x01\x01")  # half of a record, and then nothing
         for age, name in enumerate(("silent", "idle", "asking", "busy", "stuck"), 1):
-            clients[name].used_at -= age
-            clients[name].born -= age
-        while front._make_room():
-            left += [name for name, c in clients.items() if c.ending and name not in left]
+            clients[name].last_active_at_s -= age
+            clients[name].opened_at_s -= age
+        while front._evict_one():
+            left += [name for name, c in clients.items() if c.is_closing and name not in left]
         for pair in pairs:
             pair[0].close()
             pair[1].close()
@@ -50,16 +50,23 @@
 
 def test_a_body_without_end_is_refused_as_it_grows() -> None:
     parser, kind = fastcgi.FastCgiParser(), fastcgi.RecordType
-    parser.buffer.feed(fastcgi.record(kind.BEGIN, 1, fastcgi.BEGIN_BODY.pack(1, 1)))
-    parser.buffer.feed(fastcgi.record(kind.PARAMS, 1, b"") + fastcgi.record(kind.STDIN, 1, bytes(48_000)))
+    parser.buffer.append(fastcgi.encode_record(kind.BEGIN, 1, fastcgi.BEGIN_BODY.pack(1, 1)))
+    parser.buffer.append(
+        fastcgi.encode_record(kind.PARAMS, 1, b"") + fastcgi.encode_record(kind.STDIN, 1, bytes(48_000))
+    )
     assert not list(parser.messages())
-    parser.buffer.feed(fastcgi.record(kind.STDIN, 1, b"x") * 2)
+    parser.buffer.append(fastcgi.encode_record(kind.STDIN, 1, b"x") * 2)
     (reply,) = parser.messages()
-    assert isinstance(reply, fastcgi.FastCgiReply) and reply.last and b"413" in reply.data
+    assert isinstance(reply, fastcgi.FastCgiReply) and reply.stop_reading and b"413" in reply.data
 
 
 def test_the_order_of_places_given_up() -> None:
-    from onyxwick.net.connection_slots import HALF_REST_S, REST_S, ConnectionSlot, order
+    from onyxwick.net.connection_slots import (
+        PARTIAL_CALL_GRACE_S,
+        SILENT_GRACE_S,
+        ConnectionSlot,
+        eviction_rank,
+    )
 
     def seat(**told: object) -> ConnectionSlot:
         fields = {
@@ -74,25 +81,39 @@
         return ConnectionSlot(**{**fields, **told})  # type: ignore[arg-type]
 
     now = 10.0
-    assert order(seat(), now) == (0, 10.0)  # answered this instant: it gives up its place all the same
-    assert order(seat(owed=1), now) is None and order(seat(pending=5), now) is None
-    assert order(seat(ending=True), now) is None
-    assert order(seat(calls=0, born=now - REST_S / 2, used_at=now - REST_S / 2), now) is None  # just come
-    assert order(seat(calls=0, born=now - REST_S, used_at=now - REST_S), now) == (1, now - REST_S)
-    assert order(seat(calls=0, half=True, used_at=now - HALF_REST_S / 2), now) is None  # a slow writer
-    assert order(seat(calls=0, half=True, used_at=now - HALF_REST_S), now) == (2, now - HALF_REST_S)
+    assert eviction_rank(seat(), now) == (
+        0,
+        10.0,
+    )  # answered this instant: it gives up its place all the same
+    assert eviction_rank(seat(owed=1), now) is None and eviction_rank(seat(pending=5), now) is None
+    assert eviction_rank(seat(ending=True), now) is None
+    assert (
+        eviction_rank(seat(calls=0, born=now - SILENT_GRACE_S / 2, used_at=now - SILENT_GRACE_S / 2), now)
+        is None
+    )  # just come
+    assert eviction_rank(seat(calls=0, born=now - SILENT_GRACE_S, used_at=now - SILENT_GRACE_S), now) == (
+        1,
+        now - SILENT_GRACE_S,
+    )
+    assert (
+        eviction_rank(seat(calls=0, half=True, used_at=now - PARTIAL_CALL_GRACE_S / 2), now) is None
+    )  # a slow writer
+    assert eviction_rank(seat(calls=0, half=True, used_at=now - PARTIAL_CALL_GRACE_S), now) == (
+        2,
+        now - PARTIAL_CALL_GRACE_S,
+    )
 
 
 def test_connections_to_a_member_grow_with_the_share_that_a_director_coming_back_allows_itself() -> None:
-    from onyxwick.net.cache_pool import LINKS_LEAST, CacheConnectionPool
+    from onyxwick.net.cache_pool import MIN_CONNECTIONS_PER_MEMBER, CacheConnectionPool
 
     members, counters, share = EndpointTable(), Counters(), [0.2]
-    caches = CacheConnectionPool(members, counters, 0, most_links=256, share=lambda: share[0])
-    assert caches._most_each() == LINKS_LEAST
+    caches = CacheConnectionPool(members, counters, 0, max_connections=256, warm_up_share=lambda: share[0])
+    assert caches._max_per_member() == MIN_CONNECTIONS_PER_MEMBER
     share[0] = 1.0
     assert (
-        caches._most_each() == 8
-        and CacheConnectionPool(members, counters, 0, most_links=256)._most_each() == 8
+        caches._max_per_member() == 8
+        and CacheConnectionPool(members, counters, 0, max_connections=256)._max_per_member() == 8
     )
 
 
@@ -137,6 +158,6 @@
         sock = await ground.client()
         sock.send(call(1))
         await ground.read(sock, b"503")
-        assert told == [client.number for client in ground.front.clients] != [-1]
+        assert told == [client.number for client in ground.front.connections] != [-1]
 
     played(play)
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -221,7 +221,7 @@
         await loop.sock_sendall(client, call(1))
         conn = await ground.accepted(cache)
         await ground.read(conn, f"{1:016x}".encode())
-        await loop.sock_sendall(conn, resp.command(f"{1:016x}".encode(), b"data", FOUND, b"walk"))
+        await loop.sock_sendall(conn, resp.encode_command(f"{1:016x}".encode(), b"data", FOUND, b"walk"))
         await ground.read(client, b"walk")
         client.close()
         conn.close()
--- a/tests/test_reload_and_lists.py
+++ b/tests/test_reload_and_lists.py
@@ -53,7 +53,7 @@
         feed = CoordinatorFeed(ground.core, ground.counters)
         rows = [{"id": "c0", **ROW}, {"id": "c1", **ROW, "state": "UNHEARD-OF"}, {"id": "c2", **ROW}]
         event = {"index": 1, "endpoints": {"version": 2, "full": True, "servers": rows}}
-        feed.line(json.dumps(event).encode())
+        feed.handle_line(json.dumps(event).encode())
         assert set(ground.members.listed) == {"c0", "c2"} and ground.counters.counts["bad.coordinator"] == 1
 
     played(play)
@@ -66,8 +66,8 @@
             feed.setblocking(False)
             ground.opened.append(feed)
         follower = CoordinatorFeed(ground.core, ground.counters)
-        follower.move(old.getsockname())
-        follower.beat = lambda: follower.move(new.getsockname())  # while a line is taken in
+        follower.set_address(old.getsockname())
+        follower.on_line = lambda: follower.set_address(new.getsockname())  # while a line is taken in
         ground.tasks.append(asyncio.get_running_loop().create_task(follower.follow()))
         conn = await ground.accepted(old)
         await ground.read(conn, b"follow 0\n")
--- a/tests/test_slow_and_failing_calls.py
+++ b/tests/test_slow_and_failing_calls.py
@@ -20,7 +20,7 @@
 from onyxwick.interface import AttemptEnded, AttemptStatus, FailRequest, RejectRequest, SetTimer, TimerFired
 from onyxwick.net import coordinator_feed as coordinator
 from onyxwick.net import fastcgi, resp
-from onyxwick.net.buffer import Buffer
+from onyxwick.net.buffer import ReceiveBuffer
 from onyxwick.net.coordinator_feed import CoordinatorFeed
 from onyxwick.net.front import FastCgiFront
 from onyxwick.net.listening import listen
@@ -67,14 +67,14 @@
 def test_a_list_that_takes_longer_to_arrive_than_the_feed_may_be_silent_is_taken_in(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(coordinator, "SILENT_S", 0.2)
+    monkeypatch.setattr(coordinator, "SILENCE_LIMIT_S", 0.2)
 
     async def play(ground: Ground) -> None:
         feed, line = socket.create_server(("127.0.0.1", 0)), _list_line(1, 200)
         feed.setblocking(False)
         ground.opened.append(feed)
         follower = CoordinatorFeed(ground.core, ground.counters)
-        follower.move(feed.getsockname())
+        follower.set_address(feed.getsockname())
         ground.tasks.append(asyncio.get_running_loop().create_task(follower.follow()))
         conn = await ground.accepted(feed)
         await ground.read(conn, b"follow 0\n")
@@ -105,11 +105,11 @@
         )
         for _ in range(2):
             with pytest.raises(OSError):
-                follower.line(first)
-            assert follower.last == 0
-        follower.line(first)
-        follower.line(second)
-        assert applied == ["a" * 16, "b" * 16] and follower.last == 2
+                follower.handle_line(first)
+            assert follower.last_index == 0
+        follower.handle_line(first)
+        follower.handle_line(second)
+        assert applied == ["a" * 16, "b" * 16] and follower.last_index == 2
 
     played(play)
 
@@ -118,13 +118,13 @@
     async def play(ground: Ground) -> None:
         follower = CoordinatorFeed(ground.core, ground.counters)
         event = json.dumps({"index": 2, "evict": {"ref": "b" * 16, "unix_ms": 1}}).encode()
-        for connection in range(coordinator.GAP_TRIES):
-            follower.line(b'{"index":1,"evi')
-            if connection < coordinator.GAP_TRIES - 1:
+        for connection in range(coordinator.MAX_GAP_CONNECTIONS):
+            follower.handle_line(b'{"index":1,"evi')
+            if connection < coordinator.MAX_GAP_CONNECTIONS - 1:
                 with pytest.raises(OSError):
-                    follower.line(event)
-        follower.line(event)
-        assert follower.last == 2 and ground.counters.counts["error.gap"] == 1
+                    follower.handle_line(event)
+        follower.handle_line(event)
+        assert follower.last_index == 2 and ground.counters.counts["error.gap"] == 1
 
     played(play)
 
@@ -139,8 +139,8 @@
         clients = [socket.create_connection(door.getsockname()) for _ in range(3)]
         ground.opened += clients
         errors = (errno.ENFILE, errno.ECONNABORTED, errno.EMFILE, errno.ENOBUFS, errno.EPROTO, errno.ENOMEM)
-        await ground.front.accept_rest(FailingListener(door, *errors))  # type: ignore[arg-type]
-        assert len(ground.front.clients) == 3
+        await ground.front.accept_remaining(FailingListener(door, *errors))  # type: ignore[arg-type]
+        assert len(ground.front.connections) == 3
 
     played(play)
 
@@ -162,7 +162,7 @@
 
     async def play(ground: Ground) -> None:
         full = FastCgiFront(ground.core, ground.counters, lambda: True, 0, 10_000_000)
-        await full.accept_rest(Crowd())  # type: ignore[arg-type]
+        await full.accept_remaining(Crowd())  # type: ignore[arg-type]
         assert ground.counters.counts["client.refused"] == 1025
 
     played(play)
@@ -175,7 +175,7 @@
         flaky = FailingListener(door, *[errno.ECONNABORTED] * 40)
         ground.tasks.append(asyncio.get_running_loop().create_task(ground.front.accept(flaky)))  # type: ignore[arg-type]
         begun = asyncio.get_running_loop().time()
-        await ground.until(lambda: ground.front.clients)
+        await ground.until(lambda: ground.front.connections)
         assert asyncio.get_running_loop().time() - begun < 0.5
 
     played(play)
@@ -195,7 +195,7 @@
         (let_up,) = ground.held("c0")
         ground.script.arrived = lambda request: ask(request, "c0")
         lifecycle = ground.start(timeout_us=1_500_000)
-        await ground.until(lambda: ground.caches.links.get("c0"))
+        await ground.until(lambda: ground.caches.connections.get("c0"))
         await asyncio.sleep(0.6)
         conn = await let_up()
         told = _told_ms(await ground.read(conn, lifecycle.request.request_id.encode()))
@@ -212,9 +212,9 @@
     async def play(ground: Ground, asks_after_s: float) -> None:
         ground.script.arrived = lambda request: [FailRequest(request)]
         client = await ground.client()
-        await ground.until(lambda: ground.front.clients)
+        await ground.until(lambda: ground.front.connections)
         ground.tasks.append(asyncio.get_running_loop().create_task(ground.front.sweep()))
-        ground.front.begin_ending(drain_schedule(time.monotonic()))
+        ground.front.begin_shutdown(drain_schedule(time.monotonic()))
         await asyncio.sleep(asks_after_s)
         await asyncio.get_running_loop().sock_sendall(client, call(1))
         assert b"502 Bad Gateway" in await ground.read(client, b"Gateway")
@@ -253,7 +253,7 @@
         conn = await ground.accepted(cache)
         await ground.read(conn, lifecycle.request.request_id.encode())
         await asyncio.get_running_loop().sock_sendall(
-            conn, resp.command(lifecycle.request.request_id.encode(), b"data", FOUND, b"walk")
+            conn, resp.encode_command(lifecycle.request.request_id.encode(), b"data", FOUND, b"walk")
         )
         await ground.until(lambda: ground.answers)
         assert ground.script.ends() == [AttemptStatus.OK]
@@ -273,7 +273,7 @@
     conn = await ground.accepted(cache)
     first = f"{1:016x}".encode()
     await ground.read(conn, first)
-    await asyncio.get_running_loop().sock_sendall(conn, resp.command(first, b"data", FOUND, b"walk"))
+    await asyncio.get_running_loop().sock_sendall(conn, resp.encode_command(first, b"data", FOUND, b"walk"))
     await ground.read(client, b"walk")
     ground.script.arrived = lambda request: []
     await asyncio.get_running_loop().sock_sendall(client, call(2))
@@ -291,11 +291,11 @@
         second = f"{2:016x}"
         ground.script.timer = lambda: ask(second, "c0")
         if closing:
-            ground.front.begin_ending(drain_schedule(time.monotonic()))
+            ground.front.begin_shutdown(drain_schedule(time.monotonic()))
         if end == "close":
             client.close()
         else:
-            client.send(fastcgi.record(fastcgi.RecordType.ABORT, 2, b""))
+            client.send(fastcgi.encode_record(fastcgi.RecordType.ABORT, 2, b""))
         time.sleep(0.15)  # a long turn of the loop, in which nothing is read
         ground.core.handle(TimerFired("hedge"))
         await ground.until(lambda: not ground.core.lifecycles)
@@ -339,9 +339,9 @@
     played(play)
 
 
-def _receive_piece(buffer: Buffer, sock: socket.socket, room: int) -> bool:
+def _receive_piece(buffer: ReceiveBuffer, sock: socket.socket, room: int) -> bool:
     data = sock.recv(room)
-    buffer.feed(data)
+    buffer.append(data)
     return bool(data)
 
 
@@ -349,7 +349,7 @@
 def test_a_call_that_waited_to_be_accepted_has_waited(room: int, monkeypatch: pytest.MonkeyPatch) -> None:
     """Also where it is read in pieces of a few bytes."""
 
-    monkeypatch.setattr(Buffer, "receive_now", partialmethod(_receive_piece, room=room))
+    monkeypatch.setattr(ReceiveBuffer, "receive_available", partialmethod(_receive_piece, room=room))
 
     async def play(ground: Ground) -> None:
         cache, loop = ground.cache("c0"), asyncio.get_running_loop()
@@ -361,7 +361,7 @@
         sent = time.monotonic()
         flaky = FailingListener(door, *[errno.ENOMEM] * 8)
         ground.tasks.append(loop.create_task(ground.front.accept(flaky)))  # type: ignore[arg-type]
-        ground.tasks.append(loop.create_task(ground.front.watch_turns()))
+        ground.tasks.append(loop.create_task(ground.front.record_loop_ticks()))
         conn = await ground.accepted(cache)
         told = _told_ms(await ground.read(conn, f"{1:016x}".encode()))
         assert told <= 1000 - 1000 * (time.monotonic() - sent) + 150
@@ -376,7 +376,7 @@
 ) -> None:
     """As on a listening socket that the platform holds while one process has been killed; `followed`: by
     another call on the same connection right before it is accepted; `room`: of each read."""
-    monkeypatch.setattr(Buffer, "receive_now", partialmethod(_receive_piece, room=room))
+    monkeypatch.setattr(ReceiveBuffer, "receive_available", partialmethod(_receive_piece, room=room))
 
     async def play(ground: Ground) -> None:
         cache, loop = ground.cache("c0"), asyncio.get_running_loop()
@@ -388,7 +388,7 @@
         sent = time.monotonic()
         await asyncio.sleep(0.4)
         ground.core.stalls.turn(time.monotonic())  # a front that has just begun
-        ground.tasks.append(loop.create_task(ground.front.watch_turns()))
+        ground.tasks.append(loop.create_task(ground.front.record_loop_ticks()))
         await asyncio.sleep(0.1)
         client.sendall(call(2, path="/ping") if followed else b"")
         ground.tasks.append(loop.create_task(ground.front.accept(door)))
@@ -435,7 +435,7 @@
             ground.script.ended = lambda request, status: (
                 ask(request, "c1") if status is AttemptStatus.ERROR else []
             )
-            await loop.sock_sendall(conn, resp.command(name.encode(), b"failed", b"-", b""))
+            await loop.sock_sendall(conn, resp.encode_command(name.encode(), b"failed", b"-", b""))
         told = _told_ms(await ground.read(await ground.accepted(second), name.encode()))
         assert told <= 600 + 150
 
@@ -477,7 +477,7 @@
     await loop.sock_sendall(client, call(1))
     conn = await ground.accepted(cache)
     await ground.read(conn, f"{1:016x}".encode())
-    await loop.sock_sendall(conn, resp.command(f"{1:016x}".encode(), b"data", FOUND, b"x"))
+    await loop.sock_sendall(conn, resp.encode_command(f"{1:016x}".encode(), b"data", FOUND, b"x"))
     await ground.read(client, b"200 OK")
     client.send(call(2))
     told.send(events)
@@ -496,7 +496,7 @@
         events = _purge_lines(1, 400) + json.dumps(drain).encode() + b"\n"
         follower, _ = await _stopped(ground, stop_s, events)
         await ground.until(lambda: len(ground.script.ends()) == 2)
-        assert ground.script.ends()[1] is AttemptStatus.NOT_SENT and follower.last == 401
+        assert ground.script.ends()[1] is AttemptStatus.NOT_SENT and follower.last_index == 401
 
     played(play)
 
@@ -524,7 +524,7 @@
         lifecycle = ground.start()
         conn, name = await ground.accepted(cache), lifecycle.request.request_id.encode()
         await ground.read(conn, name)
-        await loop.sock_sendall(conn, resp.command(name, b"data", FOUND, b"x"))
+        await loop.sock_sendall(conn, resp.encode_command(name, b"data", FOUND, b"x"))
         time.sleep(0.6)
         await ground.until(lambda: TimerFired("hedge") in ground.script.events)
         fired = ground.script.events.index(TimerFired("hedge"))
@@ -541,7 +541,7 @@
         ground.caches.connect_s = 0.3
         ground.script.arrived = lambda request: ask(request, "c0")
         lifecycle = ground.start()
-        await ground.until(lambda: ground.caches.links.get("c0"))
+        await ground.until(lambda: ground.caches.connections.get("c0"))
         ground.opened[0].accept()[0].close()  # room for the next one, which comes up as its SYN is sent again
         time.sleep(1.3)
         conn = await ground.accepted(ground.opened[0])
@@ -575,12 +575,12 @@
 def test_a_call_that_is_being_written_as_the_end_closes_the_rest_is_answered() -> None:
     async def play(ground: Ground) -> None:
         client, loop = await ground.client(), asyncio.get_running_loop()
-        await ground.until(lambda: ground.front.clients)
+        await ground.until(lambda: ground.front.connections)
         text, pieces = call(1, path="/ping"), 8
         client.send(text[: len(text) // pieces])
         await asyncio.sleep(0.05)
         now = time.monotonic()
-        ending = loop.create_task(ground.front.finish(termination_schedule(now, now, 3.0, False)))
+        ending = loop.create_task(ground.front.finish_shutdown(termination_schedule(now, now, 3.0, False)))
         for n in range(1, pieces):
             await asyncio.sleep(0.1)
             client.send(text[n * len(text) // pieces : (n + 1) * len(text) // pieces])
@@ -596,7 +596,7 @@
         ground.script.arrived = lambda request: ask(request, "c0")
         client, text = await ground.client(), call(1, more={"HTTP_X_TIMEOUT_MS": "1000"})
         client.send(text[:100])
-        await ground.until(lambda: any(each.parser.half for each in ground.front.clients))
+        await ground.until(lambda: any(each.parser.has_partial_call for each in ground.front.connections))
         client.send(text[100:])
         sent = time.monotonic()
         time.sleep(0.4)
@@ -616,13 +616,13 @@
         cache, loop = ground.cache("c0"), asyncio.get_running_loop()
         ground.script.arrived = lambda request: ask(request, "c0")
         client = await ground.client()
-        await ground.until(lambda: ground.front.clients)
-        ((served, _),) = ground.front.clients.items()
+        await ground.until(lambda: ground.front.connections)
+        ((served, _),) = ground.front.connections.items()
         buffer = served.parser.buffer
 
         def read_few(sock: socket.socket) -> bool:
             more = sock.recv(16)
-            buffer.feed(more)
+            buffer.append(more)
             return bool(more)
 
         async def work() -> None:
@@ -630,7 +630,7 @@
                 time.sleep(0.02)
                 await asyncio.sleep(0)
 
-        buffer.receive_now = read_few  # type: ignore[method-assign]
+        buffer.receive_available = read_few  # type: ignore[method-assign]
         ground.tasks.append(loop.create_task(work()))
         sent = time.monotonic()
         text = call(1, more={"HTTP_X_TIMEOUT_MS": "3000"})
@@ -649,16 +649,16 @@
             arrivals.append(ground.core.lifecycles[request].request.arrived_us) or [RejectRequest(request)]  # type: ignore[func-returns-value]
         )
         client = await ground.client()
-        await ground.until(lambda: ground.front.clients)
-        ((served, _),) = ground.front.clients.items()
-        reckoned = served._may_have_waited
+        await ground.until(lambda: ground.front.connections)
+        ((served, _),) = ground.front.connections.items()
+        reckoned = served._waited_s
 
         def stopped_after(now: float) -> float:
             waited_s = reckoned(now)
             time.sleep(0.4)
             return waited_s
 
-        served._may_have_waited = stopped_after  # type: ignore[method-assign]
+        served._waited_s = stopped_after  # type: ignore[method-assign]
         client.send(call(1))
         sent_us = steady_us()
         await ground.read(client, b"503")
