--- a/onyxwick/admin/http.py
+++ b/onyxwick/admin/http.py
@@ -15,9 +15,10 @@
 from onyxwick.config.address import written
 from onyxwick.counters import Counters
 from onyxwick.net import errors
-from onyxwick.net.buffer import ReceiveBuffer, seconds_since_received
-from onyxwick.net.front import ACCEPT_PAUSE_S
+from onyxwick.net.accept_loop import ACCEPT_PAUSE_S
+from onyxwick.net.buffer import ReceiveBuffer
 from onyxwick.net.listening import listen
+from onyxwick.net.socket_state import seconds_since_received
 
 log = logs.get()
 MOST_BODY, MOST_HEAD = 524_288, 16_384
--- a/onyxwick/lab/soak/servers.py
+++ b/onyxwick/lab/soak/servers.py
@@ -13,7 +13,7 @@
 from onyxwick.lab.model import Tier
 from onyxwick.lab.soak.model import Asked, Sent, SoakRecords
 from onyxwick.net import resp
-from onyxwick.net.buffer import seconds_since_received
+from onyxwick.net.socket_state import seconds_since_received
 
 S = 1_000_000
 FORGOTTEN_S = 8.0
--- a/onyxwick/net/buffer.py
+++ b/onyxwick/net/buffer.py
@@ -1,171 +1,93 @@
-"""The receive buffer of one connection."""
+"""The receive buffer of one connection: bytes received and not yet parsed. Sizes are bytes."""
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
-import fcntl
-import select
 import socket
-import sys
-import termios
 
-DEFAULT_FREE_BYTES = 16_384  # least free space offered to one receive, where nothing else is said
-TCP_INFO_BYTES = 60  # of Linux's struct tcp_info, with tcpi_last_data_sent and tcpi_last_data_recv, both ms
-LAST_DATA_SENT, LAST_DATA_RECEIVED = slice(44, 48), slice(52, 56)
-SHRINK_ABOVE_BYTES = 65_536  # an emptied buffer larger than this is given back
+from onyxwick.net.socket_state import wait_readable
 
-
-def unread_bytes(sock: socket.socket) -> int:
-    """Bytes that have come and wait in the socket; none where it is closed already."""
-    if sock.fileno() < 0:
-        return 0
-    return int.from_bytes(fcntl.ioctl(sock, termios.FIONREAD, bytes(4)), sys.byteorder)
-
-
-def in_flight_bytes(sock: socket.socket) -> int:
-    """Bytes written to a socket that the other side has not taken yet; none where it is closed, or the system
-    does not tell. The end that was written counts for nothing."""
-    if sock.fileno() < 0:
-        return 0
-    try:
-        told = fcntl.ioctl(sock, termios.TIOCOUTQ, bytes(4))
-    except OSError:
-        return 0
-    return int.from_bytes(told, sys.byteorder)
-
-
-def is_closed_by_peer(sock: socket.socket) -> bool:
-    """Has the other side written its end, or is the connection gone? Told though bytes before it are unread,
-    which no read from the socket could tell."""
-    if sock.fileno() < 0:
-        return True
-    poll = select.poll()
-    poll.register(sock, select.POLLRDHUP)
-    return bool(poll.poll(0))
-
-
-def is_connected(sock: socket.socket) -> bool:
-    """Has a connect that was begun on it succeeded, and is the connection there?"""
-    try:
-        sock.getpeername()
-    except OSError:
-        return False
-    return True
-
-
-def seconds_since_received(sock: socket.socket) -> float | None:
-    """How long ago the last bytes came to a socket, as the system counts; None where it does not tell."""
-    return _tcp_info_seconds(sock, LAST_DATA_RECEIVED)
-
-
-def seconds_since_sent(sock: socket.socket) -> float | None:
-    """How long ago the last bytes were sent, or where none were, the connection came up; None: not told."""
-    return _tcp_info_seconds(sock, LAST_DATA_SENT)
-
-
-def _tcp_info_seconds(sock: socket.socket, place: slice) -> float | None:
-    try:
-        told = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
-    except OSError:
-        return None
-    if len(told) < TCP_INFO_BYTES:
-        return None
-    return int.from_bytes(told[place], sys.byteorder) / 1000
-
-
-async def wait_readable(loop: asyncio.AbstractEventLoop, sock: socket.socket) -> None:
-    """Wait until there is something to take, and take nothing: a cancel can lose nothing."""
-    come: asyncio.Future[None] = loop.create_future()
-    loop.add_reader(sock.fileno(), _come, come)
-    try:
-        await come
-    finally:
-        loop.remove_reader(sock.fileno())
-
-
-async def wait_writable(loop: asyncio.AbstractEventLoop, sock: socket.socket) -> None:
-    """Wait until the socket takes bytes, and write none."""
-    come: asyncio.Future[None] = loop.create_future()
-    loop.add_writer(sock.fileno(), _come, come)
-    try:
-        await come
-    finally:
-        loop.remove_writer(sock.fileno())
-
-
-def _come(future: asyncio.Future[None]) -> None:
-    if not future.done():
-        future.set_result(None)
+DEFAULT_FREE_BYTES = 16_384
+"""The least free space offered to one receive."""
+SHRINK_ABOVE_BYTES = 65_536
+"""An emptied buffer larger than this is replaced by a small one."""
 
 
 class ReceiveBuffer:
-    """Bytes received and not yet parsed; grows as needed and is compacted in place.
+    """Grows as needed and is compacted in place.
 
-    Parsers read from `data[start:end]` and move `start` on; the room behind `end` is for receiving.
+    Parsers read from `data[start:end]` and advance `start`; the space behind `end` is for receiving.
     """
 
     def __init__(self, free_bytes: int = DEFAULT_FREE_BYTES) -> None:
         self.free_bytes = free_bytes
         self.data = bytearray(free_bytes)
-        self.start = self.end = 0
-        self.received_bytes = 0  # bytes so far
+        self.start = 0
+        self.end = 0
+        self.received_bytes = 0  # in total, by `append` and `receive_available`
 
     def __len__(self) -> int:
         return self.end - self.start
 
     def peek(self, size: int, at: int = 0) -> bytes:
+        """Up to `size` unparsed bytes from the offset `at`, without consuming them."""
         begin = self.start + at
-        with memoryview(self.data) as whole:  # one copy, where a slice of the bytearray would make two
-            return bytes(whole[begin : min(begin + size, self.end)])
+        with memoryview(self.data) as view:  # one copy, where a slice of the bytearray would make two
+            return bytes(view[begin : min(begin + size, self.end)])
 
-    def find(self, mark: bytes, at: int = 0) -> int:
-        """Place of `mark` counted from the first unread byte, or -1."""
-        place = self.data.find(mark, self.start + at, self.end)
+    def find(self, separator: bytes, at: int = 0) -> int:
+        """The offset of a separator from the first unparsed byte, or -1."""
+        place = self.data.find(separator, self.start + at, self.end)
         return place - self.start if place >= 0 else -1
 
     def skip(self, size: int) -> None:
+        """Consume bytes."""
         self.start += size
 
     def take(self, size: int) -> bytes:
+        """Consume and return up to `size` bytes."""
         out = self.peek(size)
         self.skip(size)
         return out
 
     def append(self, more: bytes) -> None:
-        """Append bytes that came some other way than by `receive`."""
+        """Append bytes that were not received by this buffer itself."""
         self._reserve(len(more))
         self.data[self.end : self.end + len(more)] = more
         self.end += len(more)
         self.received_bytes += len(more)
 
     async def receive(self, loop: asyncio.AbstractEventLoop, sock: socket.socket) -> bool:
-        """Wait for bytes; False at the end of the stream."""
+        """Wait for bytes; False at the end of the stream, OSError if the connection breaks."""
         self._reserve(self.free_bytes)
         # The views are released before the buffer can be resized: a bytearray with views cannot grow.
-        with memoryview(self.data) as whole, whole[self.end :] as room:
-            got = await loop.sock_recv_into(sock, room)
-        self.end += got
-        return got > 0
+        with memoryview(self.data) as view, view[self.end :] as free:
+            count = await loop.sock_recv_into(sock, free)
+        self.end += count
+        return count > 0
 
     async def receive_when_readable(self, loop: asyncio.AbstractEventLoop, sock: socket.socket) -> bool:
-        """The same, but the bytes stay in the socket until the caller has them: between a read by the loop
-        and the reader's turn `unread` would not tell of them, and a connection would seem to owe nothing."""
+        """Like `receive`, but the bytes stay in the socket until the caller resumes.
+
+        Until then `unread_bytes` counts them; otherwise a connection with a received call would look idle.
+        """
         while True:
             await wait_readable(loop, sock)
-            with contextlib.suppress(BlockingIOError):  # somebody else has taken it, or there was nothing
+            with contextlib.suppress(BlockingIOError):  # a spurious wake-up, or another reader was first
                 return self.receive_available(sock)
 
     def receive_available(self, sock: socket.socket) -> bool:
-        """What stands in the socket; False at the stream's end, BlockingIOError where there is nothing."""
+        """Receive without waiting; False at the end of the stream, BlockingIOError if there is nothing."""
         self._reserve(self.free_bytes)
-        with memoryview(self.data) as whole, whole[self.end :] as room:
-            got = sock.recv_into(room)
-        self.end += got
-        self.received_bytes += got
-        return got > 0
+        with memoryview(self.data) as view, view[self.end :] as free:
+            count = sock.recv_into(free)
+        self.end += count
+        self.received_bytes += count
+        return count > 0
 
     def _reserve(self, size: int) -> None:
+        """Provide at least `size` free bytes behind `end`."""
         if self.start == self.end:
             self.start = self.end = 0
             if len(self.data) > SHRINK_ABOVE_BYTES:
@@ -173,9 +95,10 @@
         if len(self.data) - self.end >= size:
             return
         if self.start:
-            held = self.end - self.start
-            self.data[:held] = self.data[self.start : self.end]
-            self.start, self.end = 0, held
+            unparsed = self.end - self.start
+            self.data[:unparsed] = self.data[self.start : self.end]
+            self.start = 0
+            self.end = unparsed
         short = size - (len(self.data) - self.end)
         if short > 0:
             self.data.extend(bytes(max(short, len(self.data))))
--- a/onyxwick/net/cache_connection.py
+++ b/onyxwick/net/cache_connection.py
@@ -1,4 +1,8 @@
-"""One connection to a cache, a parent or the origin, and the attempts on it."""
+"""One connection to a cache, a parent cache or the origin, and the attempts on it.
+
+Attempts are multiplexed by request id. An id that was abandoned or answered on a connection is not used on it
+again, so that a late or repeated reply cannot pass for that of a later attempt. Times are monotonic seconds.
+"""
 
 from __future__ import annotations
 
@@ -6,194 +10,233 @@
 import socket
 import time
 from dataclasses import dataclass
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from onyxwick import logs
+from onyxwick.core.endpoints import EndpointTable
 from onyxwick.core.model import AttemptOutcome, AttemptSpec
 from onyxwick.core.reasons import ConnectionCloseReason
+from onyxwick.counters import Counters
 from onyxwick.interface import AttemptStatus
 from onyxwick.net import errors, resp
-from onyxwick.net.buffer import is_connected, unread_bytes
-from onyxwick.net.cache_wire import decode_outcome, encode_attempt
-from onyxwick.net.write_queue import PendingWrite, WriteProgress, WriteQueue
-
-if TYPE_CHECKING:
-    from onyxwick.net.cache_pool import CacheConnectionPool
+from onyxwick.net.cache_wire import decode_outcome, encode_attempt, encode_cancel
+from onyxwick.net.socket_state import is_connected, unread_bytes
+from onyxwick.net.write_queue import ByteBudget, PendingWrite, WriteProgress, WriteQueue
 
 log = logs.get()
-REMEMBERED_ANSWERS = 128  # ids answered on one connection that are remembered
+REMEMBERED_ANSWERS = 128
+"""Answered ids remembered on one connection."""
 PARTIAL_ANSWER_LIMIT_S = 0.6
-"""An answer that has begun and brings nothing for so long stops short: its connection is of no use."""
-LOCAL_RETRY_LIMIT_S = 2.0  # a connect that fails for want of something on this machine is tried again so long
-FIRST_LOCAL_RETRY_S, MAX_LOCAL_RETRY_S = 0.01, 0.1  # waits between these tries, the first and the longest
-MAX_ABANDONED_IDS = 256  # given-up ids on one connection after which it takes no new ones
-EXPECTED_COMMAND_BYTES = 256  # of a request without its body, about
-MAX_LOW_WATER_BYTES = 32_768  # bytes waited for at once, well under what a socket takes in unread
+"""A partial answer that grows by nothing for so long is stuck, and its connection of no use."""
+LOCAL_RETRY_LIMIT_S = 2.0
+"""How long a connect that fails for want of something on this machine is retried."""
+FIRST_LOCAL_RETRY_S = 0.01
+MAX_LOCAL_RETRY_S = 0.1
+MAX_ABANDONED_IDS = 256
+"""A connection with so many abandoned ids takes no new attempts."""
+EXPECTED_COMMAND_BYTES = 256
+"""Of a command without its body, about."""
+MAX_LOW_WATER_BYTES = 32_768
+"""The most bytes waited for in one wake-up, well under a socket's receive buffer."""
+MAX_LOGGED_REQUESTS = 8
+
+
+class CacheConnectionOwner(Protocol):
+    """The pool that a connection belongs to."""
+
+    members: EndpointTable
+    counters: Counters
+    budget: ByteBudget
+    connect_s: float
+    report_names: tuple[str, ...]
+
+    def forget(self, connection: CacheConnection) -> None:
+        """A connection is closed."""
+        ...
 
 
 @dataclass(slots=True, eq=False)
 class CacheAttempt:
-    """One attempt on a link."""
+    """One attempt on a connection."""
 
     request_id: bytes
     write: PendingWrite
     result: asyncio.Future[AttemptOutcome]
     posted_at_s: float
-    client_etag: str  # of the client's copy, where it was named: `unchanged` with that tag may be the answer
-    needs_own_connection: bool  # must not run twice: another's spoilt answer shall not take it along
+    client_etag: str
+    """Of the client's copy, if it named one: only this tag may be confirmed as unchanged."""
+    needs_own_connection: bool
+    """Must not be executed twice: no other attempt's failure may break its connection."""
 
     def settle(self, outcome: AttemptOutcome) -> None:
-        """Set its outcome; the first one holds."""
+        """Set the outcome; the first one holds."""
         if not self.result.done():
             self.result.set_result(outcome)
 
 
 class CacheConnection:
-    """One connection to one member, from the first SYN to its close."""
-
-    def __init__(self, pool: CacheConnectionPool, member: str, address: tuple[str, int]) -> None:
-        self.pool, self.member, self.address = pool, member, address
-        self.attempts: dict[bytes, CacheAttempt] = {}
-        self.abandoned_ids: set[bytes] = (
-            set()
-        )  # given up here: a late answer must not pass for a later attempt's
-        self.answered_ids: dict[
-            bytes, None
-        ] = {}  # answered here: a second copy must not pass for a later attempt's
+    """One connection to one member, from its connect to its close."""
+
+    def __init__(self, pool: CacheConnectionOwner, member: str, address: tuple[str, int]) -> None:
+        self.pool = pool
+        self.member = member
+        self.address = address
+        self.attempts: dict[bytes, CacheAttempt] = {}  # by request id
+        self.abandoned_ids: set[bytes] = set()
+        self.answered_ids: dict[bytes, None] = {}  # oldest first
         self.parser = resp.RespParser()
-        self._unread_bytes, self._progress_at_s = (
-            0,
-            0.0,
-        )  # of an answer that has begun: what waits in the socket, and since when
-        self.partial_answer_since_s = 0.0  # when the answer that has come in part began, or 0
-        self.is_up = self.is_retired = self.is_closed = False
-        self.failed_locally = False  # by this machine: its last connect failed for want of something here
-        self.last_received_at_s = self.last_used_at_s = time.monotonic()
+        self.partial_answer_since_s = 0.0  # when the partial answer began, or 0
+        self.is_up = False
+        self.is_retired = False  # takes no new attempts
+        self.is_closed = False
+        self.failed_locally = False  # its last connect failed for want of something on this machine
+        self.last_received_at_s = time.monotonic()
+        self.last_used_at_s = self.last_received_at_s
+        self.close_reason: ConnectionCloseReason | None = None  # None: closed by the member
         self.sock: socket.socket | None = None
         self.writes = WriteQueue(None, pool.budget)
-        self.close_reason: ConnectionCloseReason | None = (
-            None  # why it was ended here; None: the other side's close
-        )
+        self._unread_bytes = 0
+        self._progress_at_s = 0.0  # when a partial answer last grew
         self.task = asyncio.get_running_loop().create_task(self._run())
 
     def close(self, reason: ConnectionCloseReason) -> None:
-        """Close it; from now on it takes nothing new."""
-        self.is_retired, self.close_reason = True, self.close_reason or reason
+        """Close it; it takes nothing new from now on. The first reason holds."""
+        self.is_retired = True
+        self.close_reason = self.close_reason or reason
         self.task.cancel()
 
+    # ---- attempts ----------------------------------------------------------------------------------------
+
     def can_accept(self, request_id: bytes) -> bool:
-        """May a new attempt under this id go out here?"""
-        if (
-            self.is_retired
-            or len(self.abandoned_ids) >= MAX_ABANDONED_IDS
-            or any(call.needs_own_connection for call in self.attempts.values())
-        ):
+        """Whether a new attempt under this id may be sent here."""
+        if self.is_retired or len(self.abandoned_ids) >= MAX_ABANDONED_IDS:
             return False
-        return not (
-            request_id in self.attempts or request_id in self.abandoned_ids or request_id in self.answered_ids
-        )
+        if any(attempt.needs_own_connection for attempt in self.attempts.values()):
+            return False
+        is_used = request_id in self.attempts or request_id in self.abandoned_ids
+        return not (is_used or request_id in self.answered_ids)
 
     def start_attempt(self, spec: AttemptSpec) -> CacheAttempt:
-        """Queue an attempt; its result is set when it ends."""
-        request_id, now = spec.request.request_id.encode(), time.monotonic()
-        future: asyncio.Future[AttemptOutcome] = asyncio.get_running_loop().create_future()
-        call = CacheAttempt(
-            request_id, PendingWrite(b""), future, now, spec.request.client_etag, spec.needs_own_connection
+        """Queue an attempt; its `result` is set when it ends."""
+        request = spec.request
+        now_s = time.monotonic()
+        attempt = CacheAttempt(
+            request_id=request.request_id.encode(),
+            write=PendingWrite(b""),
+            result=asyncio.get_running_loop().create_future(),
+            posted_at_s=now_s,
+            client_etag=request.client_etag,
+            needs_own_connection=spec.needs_own_connection,
         )
-        call.write = PendingWrite(
+        attempt.write = PendingWrite(
             b"",
-            lambda: spec.left_us() > 0 and spec.is_still_valid() and self._is_member_address(),
-            lambda: self._on_dropped(call),
+            is_still_wanted=lambda: (
+                spec.left_us() > 0 and spec.is_still_valid() and self._is_member_address()
+            ),
+            on_dropped=lambda: self._on_dropped(attempt),
             render=lambda: encode_attempt(spec),
-            expected_bytes=EXPECTED_COMMAND_BYTES + len(spec.request.body),
+            expected_bytes=EXPECTED_COMMAND_BYTES + len(request.body),
             on_begun=lambda: spec.on_first_byte_sent(spec),
         )
-        self.attempts[request_id] = call
-        self.last_used_at_s = now
-        self.writes.post(call.write)
-        return call
+        self.attempts[attempt.request_id] = attempt
+        self.last_used_at_s = now_s
+        self.writes.post(attempt.write)
+        return attempt
 
     def _is_member_address(self) -> bool:
-        """Is its address still its member's? Another one may have it by now."""
+        """Whether its address is still its member's: another member may have it by now."""
         return self.pool.members.addresses.get(self.member) == self.address
 
-    def _on_dropped(self, call: CacheAttempt) -> None:
-        self.attempts.pop(call.request_id, None)
-        call.settle(AttemptOutcome(AttemptStatus.NOT_SENT))
-
-    def expire(self, call: CacheAttempt) -> None:
-        """The time of an attempt is over."""
-        if not call.result.done():
-            if (
-                self.partial_answer_since_s
-                and time.monotonic() - self.partial_answer_since_s > PARTIAL_ANSWER_LIMIT_S
-            ):
-                self.is_retired = True  # an answer that comes without end holds up all behind it
-            call.settle(AttemptOutcome(self.abandon(call)))
-
-    def abandon(self, call: CacheAttempt) -> AttemptStatus:
-        """Stop an attempt whose time is over or that was called off; tells how it ended."""
-        if self.attempts.get(call.request_id) is not call:
+    def _on_dropped(self, attempt: CacheAttempt) -> None:
+        self.attempts.pop(attempt.request_id, None)
+        attempt.settle(AttemptOutcome(AttemptStatus.NOT_SENT))
+
+    def expire(self, attempt: CacheAttempt) -> None:
+        """The time limit of an attempt is reached."""
+        if attempt.result.done():
+            return
+        partial_since_s = self.partial_answer_since_s
+        if partial_since_s and time.monotonic() - partial_since_s > PARTIAL_ANSWER_LIMIT_S:
+            self.is_retired = True  # an answer without end delays all behind it
+        attempt.settle(AttemptOutcome(self.abandon(attempt)))
+
+    def abandon(self, attempt: CacheAttempt) -> AttemptStatus:
+        """Stop waiting for an attempt that expired or was cancelled; the status with which it ended."""
+        if self.attempts.get(attempt.request_id) is not attempt:
             return AttemptStatus.RESET
-        del self.attempts[call.request_id]
-        if self.writes.withdraw(call.write):
+        del self.attempts[attempt.request_id]
+        if self.writes.withdraw(attempt.write):
             return self._unsent_status()
-        self.abandoned_ids.add(call.request_id)
-        self.writes.post(PendingWrite(resp.encode_command(b"STOP", call.request_id)))
-        if self.last_received_at_s < call.posted_at_s:
-            self.is_retired = True  # a machine that vanished says nothing: new attempts try a new connection
+        self.abandoned_ids.add(attempt.request_id)
+        self.writes.post(PendingWrite(encode_cancel(attempt.request_id)))
+        if self.last_received_at_s < attempt.posted_at_s:
+            self.is_retired = True  # a machine that is gone sends nothing: new attempts need a new connection
         return AttemptStatus.TIMEOUT
 
     def _unsent_status(self) -> AttemptStatus:
-        """How an attempt ended of which nothing went out: only a connect that failed for want of nothing here
-        says something of the member."""
-        return AttemptStatus.NOT_SENT if self.is_up or self.failed_locally else AttemptStatus.CONNECT_FAILED
+        """The status of an attempt of which nothing was sent.
+
+        Only a connect that did not fail for want of something on this machine says something of the member.
+        """
+        if self.is_up or self.failed_locally:
+            return AttemptStatus.NOT_SENT
+        return AttemptStatus.CONNECT_FAILED
+
+    # ---- the connection ----------------------------------------------------------------------------------
 
     async def _run(self) -> None:
-        failed = AttemptStatus.CONNECT_FAILED
+        status = AttemptStatus.CONNECT_FAILED
         try:
             sock = await self._connect()
-            self.is_up, failed = True, AttemptStatus.RESET
+            self.is_up = True
+            status = AttemptStatus.RESET
             await self._exchange(sock)
-        except (OSError, TimeoutError):  # told to the attempts below
-            here = (
-                ConnectionCloseReason.CONNECT_FAILED_HERE
-                if self.failed_locally
-                else ConnectionCloseReason.CONNECT_FAILED
-            )
-            self.close_reason = self.close_reason or (ConnectionCloseReason.BROKEN if self.is_up else here)
-        except resp.RespProtocolError as error:
+        except (OSError, TimeoutError):  # reported as the outcome of the attempts
+            self.close_reason = self.close_reason or self._failure_reason()
+        except errors.RespProtocolError as error:
             self.close_reason = ConnectionCloseReason.BAD_ANSWER
             self.pool.counters.add("bad.resp")
-            log.warning("connection closed", member=self.member, error=str(error))
+            log.warning("invalid cache reply, connection closed", member=self.member, error=str(error))
         finally:
-            self._on_closed(failed)
+            self._on_closed(status)
+
+    def _failure_reason(self) -> ConnectionCloseReason:
+        if self.is_up:
+            return ConnectionCloseReason.BROKEN
+        if self.failed_locally:
+            return ConnectionCloseReason.CONNECT_FAILED_HERE
+        return ConnectionCloseReason.CONNECT_FAILED
 
     async def _connect(self) -> socket.socket:
-        """A connection that is up. What fails for want of something on this machine is tried again for a
-        while, within the attempts' own times; OSError or TimeoutError where the member is not reached."""
-        end, pause = time.monotonic() + LOCAL_RETRY_LIMIT_S, FIRST_LOCAL_RETRY_S
+        """A connected socket; OSError or TimeoutError where the member cannot be reached.
+
+        Local failures are retried with backoff for `LOCAL_RETRY_LIMIT_S`, within the attempts' own limits.
+        """
+        deadline_s = time.monotonic() + LOCAL_RETRY_LIMIT_S
+        delay_s = FIRST_LOCAL_RETRY_S
         while True:
             try:
-                sock = self.sock = self.writes.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+                sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+                self.sock = sock
+                self.writes.sock = sock
                 sock.setblocking(False)
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
                 await self._connect_within_limit(sock)
                 return sock
             except OSError as error:
                 self.failed_locally = errors.is_local(error)
-                if not self.failed_locally or time.monotonic() > end:
+                if not self.failed_locally or time.monotonic() > deadline_s:
                     raise
                 self.pool.counters.add("error.connect")
-                log.warning("connect failed on this machine", member=self.member, error=str(error))
+                log.warning("connect failed locally, retrying", member=self.member, error=str(error))
             if self.sock is not None:
                 self.sock.close()
-            await asyncio.sleep(pause)
-            pause = min(2 * pause, MAX_LOCAL_RETRY_S)
+            await asyncio.sleep(delay_s)
+            delay_s = min(2 * delay_s, MAX_LOCAL_RETRY_S)
 
     async def _connect_within_limit(self, sock: socket.socket) -> None:
-        """Connect within the limit. After a stop of the process the limit is over at once, though the
-        connection may have come up meanwhile."""
+        """Connect; TimeoutError after `connect_s`, unless a stall of the process hid that it has
+        succeeded."""
         try:
             async with asyncio.timeout(self.pool.connect_s):
                 await asyncio.get_running_loop().sock_connect(sock, self.address)
@@ -202,6 +245,7 @@
                 raise
 
     async def _exchange(self, sock: socket.socket) -> None:
+        """Write and read until either fails or ends."""
         writer = asyncio.get_running_loop().create_task(self.writes.run())
         reader = asyncio.get_running_loop().create_task(self._read(sock))
         try:
@@ -214,63 +258,76 @@
             await asyncio.gather(writer, reader, return_exceptions=True)
 
     async def _read(self, sock: socket.socket) -> None:
-        loop, parser, mark = asyncio.get_running_loop(), self.parser, 1
+        loop = asyncio.get_running_loop()
+        parser = self.parser
+        low_water_bytes = 1
         while await parser.buffer.receive(loop, sock):
-            self.last_received_at_s = self._progress_at_s = time.monotonic()
+            now_s = time.monotonic()
+            self.last_received_at_s = now_s
+            self._progress_at_s = now_s
             self._unread_bytes = 0
             for words in parser.messages():
                 self.partial_answer_since_s = 0.0
                 self._on_answer(words)
             if len(parser.buffer):
-                self.partial_answer_since_s = self.partial_answer_since_s or self.last_received_at_s
-            # A body comes slowly, in many pieces: one wake-up for what is missing, not one a piece.
-            missing = max(1, min(parser.needed_bytes - len(parser.buffer), MAX_LOW_WATER_BYTES))
-            if missing != mark:
-                mark = missing
-                sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVLOWAT, mark)
-
-    def is_answer_stuck(self, now: float) -> bool:
-        """Has an answer begun and then stopped? What the socket holds counts, as reads wait."""
+                self.partial_answer_since_s = self.partial_answer_since_s or now_s
+            # A body arrives slowly and in many pieces: one wake-up for what is missing, not one a piece.
+            missing_bytes = max(1, min(parser.needed_bytes - len(parser.buffer), MAX_LOW_WATER_BYTES))
+            if missing_bytes != low_water_bytes:
+                low_water_bytes = missing_bytes
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVLOWAT, low_water_bytes)
+
+    def is_answer_stuck(self, now_s: float) -> bool:
+        """Whether a partial answer has stopped growing; bytes in the socket count, as reads wait for more."""
         if self.sock is None or not self.is_up or not len(self.parser.buffer):
             return False
-        waiting = unread_bytes(self.sock)
-        if waiting != self._unread_bytes:
-            self._unread_bytes, self._progress_at_s = waiting, now
-        return now - self._progress_at_s > PARTIAL_ANSWER_LIMIT_S
+        unread = unread_bytes(self.sock)
+        if unread != self._unread_bytes:
+            self._unread_bytes = unread
+            self._progress_at_s = now_s
+        return now_s - self._progress_at_s > PARTIAL_ANSWER_LIMIT_S
 
     def _on_answer(self, words: list[bytes]) -> None:
+        """Settle the attempt that a reply belongs to; RespProtocolError for an invalid reply."""
         outcome = decode_outcome(words, self.pool.report_names)
-        call = self.attempts.pop(words[0], None)
-        if (
-            call is None
-        ):  # after its attempt was given up, a second copy, or under an id that nobody asked for
+        request_id = words[0]
+        attempt = self.attempts.pop(request_id, None)
+        if attempt is None:  # unmatched: of an abandoned attempt, a repeated reply, or of an unknown id
             self.pool.counters.add("answer.late")
-            self.abandoned_ids.discard(words[0])
+            self.abandoned_ids.discard(request_id)
             return
-        self.answered_ids[words[0]] = None
+        self.answered_ids[request_id] = None
         if len(self.answered_ids) > REMEMBERED_ANSWERS:
             del self.answered_ids[next(iter(self.answered_ids))]
-        if outcome.not_modified and not call.client_etag:
-            raise resp.RespProtocolError("'unchanged' to a request that held no copy")
-        if outcome.not_modified and outcome.etag != call.client_etag:
-            # Of some other copy: it says nothing of the one that the client holds.
+        if outcome.not_modified and not attempt.client_etag:
+            raise errors.RespProtocolError("'unchanged' to a request that held no copy")
+        if outcome.not_modified and outcome.etag != attempt.client_etag:
+            # It confirms some other copy than the one that the client has.
             self.pool.counters.add("bad.tag")
-            log.warning("'unchanged' under another tag", member=self.member)
+            log.warning("cache confirmed another etag", member=self.member)
             outcome = AttemptOutcome(AttemptStatus.ERROR)
-        call.settle(outcome)
+        attempt.settle(outcome)
 
-    def _on_closed(self, failed: AttemptStatus) -> None:
-        self.is_closed = self.is_retired = True
+    def _on_closed(self, status: AttemptStatus) -> None:
+        """Close the socket; attempts that may have been sent end with `status`."""
+        self.is_closed = True
+        self.is_retired = True
         if self.sock is not None:
             self.sock.close()
         self.pool.forget(self)
         reason = (self.close_reason or ConnectionCloseReason.CLOSED_BY_PEER).value
         self.pool.counters.add(f"ended.cache.{reason}")
-        if self.attempts:
-            requests = [call.request_id.decode() for call in list(self.attempts.values())[:8]]
-            log.info("connection with calls ended", member=self.member, reason=reason, requests=requests)
-        calls, self.attempts = self.attempts, {}
-        for call in calls.values():
-            unsent = call.write.progress in (WriteProgress.WAITING, WriteProgress.DROPPED)
-            call.settle(AttemptOutcome(self._unsent_status() if unsent else failed))
+        attempts = list(self.attempts.values())
+        self.attempts = {}
+        if attempts:
+            requests = [attempt.request_id.decode() for attempt in attempts[:MAX_LOGGED_REQUESTS]]
+            log.info(
+                "cache connection closed with attempts",
+                member=self.member,
+                reason=reason,
+                requests=requests,
+            )
+        for attempt in attempts:
+            is_unsent = attempt.write.progress in (WriteProgress.WAITING, WriteProgress.DROPPED)
+            attempt.settle(AttemptOutcome(self._unsent_status() if is_unsent else status))
         self.writes.close()
--- a/onyxwick/net/cache_pool.py
+++ b/onyxwick/net/cache_pool.py
@@ -1,4 +1,8 @@
-"""The core's transport: a bounded pool of connections to each cache, parent and the origin."""
+"""The core's transport: a bounded pool of connections to each cache, parent cache and the origin.
+
+Input is an `AttemptSpec`, output its `AttemptOutcome`. Times are monotonic seconds unless a name ends in
+`_us`.
+"""
 
 from __future__ import annotations
 
@@ -15,21 +19,29 @@
 from onyxwick.counters import Counters
 from onyxwick.interface import AttemptStatus
 from onyxwick.net.cache_connection import CacheConnection
+from onyxwick.net.errors import ConnectionLimitError
 from onyxwick.net.write_queue import ByteBudget
 
 log = logs.get()
-MIN_CONNECTIONS_PER_MEMBER, MAX_CONNECTIONS_PER_MEMBER = (
-    2,
-    8,
-)  # connections to one member: one spoilt answer takes all others on its own
-MAX_EXCESS_CONNECTIONS = 8  # links over their bound at most, where those in the way are about to close
+MIN_CONNECTIONS_PER_MEMBER = 2
+MAX_CONNECTIONS_PER_MEMBER = 8
+"""More than one, as an invalid reply breaks its connection for all attempts on it."""
+MAX_EXCESS_CONNECTIONS = 8
+"""Connections over the bound at most, while evicted ones are about to close."""
 SWEEP_INTERVAL_S = 0.2
-IDLE_LIMIT_S = 10.0  # under the time after which the other side closes: no send crosses its close
-WRITE_STALL_LIMIT_S = 3.0  # a write that moves nothing for so long means that the machine is gone
+IDLE_LIMIT_S = 10.0
+"""Shorter than the members' own limit, so that no send crosses their close."""
+WRITE_STALL_LIMIT_S = 3.0
+"""A write that moves nothing for so long means that the machine is gone."""
+DEFAULT_CONNECT_US = 400_000
+US_PER_S = 1e6
 
 
 class CacheConnectionPool:
-    """The core's transport: a bounded pool of connections to each member."""
+    """The connections to all members.
+
+    `warm_up_share`: the present share of the usual connections to each member while a director recovers.
+    """
 
     def __init__(
         self,
@@ -40,117 +52,124 @@
         max_connections: int = 256,
         warm_up_share: Callable[[], float] | None = None,
     ) -> None:
-        self.members, self.counters, self.report_names = members, counters, report_names
-        self.warm_up_share = (
-            warm_up_share  # of the usual connections to each member, while a director comes back
-        )
-        self.connect_s = (connect_us or 400_000) / 1e6
+        self.members = members
+        self.counters = counters
+        self.report_names = report_names
+        self.warm_up_share = warm_up_share
+        self.connect_s = (connect_us or DEFAULT_CONNECT_US) / US_PER_S
         self.max_connections = max_connections
-        self.connections: dict[str, list[CacheConnection]] = {}
+        self.connections: dict[str, list[CacheConnection]] = {}  # by member
         self.count = 0
         self.budget = ByteBudget()
         members.watchers.append(self.on_member_changed)
 
     async def run(self, order: AttemptSpec) -> AttemptOutcome:
-        """Carry out one attempt; a cancel gives it up."""
+        """Carry out one attempt; a cancel abandons it."""
         address = self.members.addresses.get(order.member)
         if address is None or order.left_us() <= 0 or not order.is_still_valid():
             return AttemptOutcome(AttemptStatus.NOT_SENT)
         try:
-            link = self._connection_for(order, address)
-        except OSError as error:  # all places are taken: nothing was sent
+            connection = self._connection_for(order, address)
+        except ConnectionLimitError as error:
             self.counters.add("error.places")
-            log.warning("no place for a connection", member=order.member, error=str(error))
+            log.warning("no connection slot for attempt", member=order.member, error=str(error))
             return AttemptOutcome(AttemptStatus.NOT_SENT)
-        call = link.start_attempt(order)
-        limit = asyncio.get_running_loop().call_later(order.left_us() / 1e6, link.expire, call)
+        attempt = connection.start_attempt(order)
+        loop = asyncio.get_running_loop()
+        timer = loop.call_later(order.left_us() / US_PER_S, connection.expire, attempt)
         try:
-            return await call.result
+            return await attempt.result
         except asyncio.CancelledError:
-            link.abandon(call)
+            connection.abandon(attempt)
             raise
         finally:
-            limit.cancel()
-            if call.write.begun_at_s:
-                order.sent_us = steady_us() - int((time.monotonic() - call.write.begun_at_s) * 1e6)
+            timer.cancel()
+            if attempt.write.begun_at_s:
+                since_s = time.monotonic() - attempt.write.begun_at_s
+                order.sent_us = steady_us() - int(since_s * US_PER_S)
 
     def _connection_for(self, order: AttemptSpec, address: tuple[str, int]) -> CacheConnection:
-        """An unused connection, a new one, or the least used."""
-        member, request_id = order.member, order.request.request_id.encode()
-        links = self.connections.get(member, [])
-        fit = [link for link in links if link.can_accept(request_id)]
-        least = min(fit, key=lambda link: len(link.attempts), default=None)
-        if least is not None and not least.attempts:
-            return least
-        if least is None or (
-            (order.needs_own_connection or len(fit) < self._max_per_member())
-            and self.count < self.max_connections
-        ):
-            if self.count >= self.max_connections:
-                self._close_one_idle()
-            if self.count >= self.max_connections + MAX_EXCESS_CONNECTIONS:
-                raise OSError("all places for connections to caches are taken")
-            least = CacheConnection(self, member, address)
-            self.connections.setdefault(member, []).append(least)
-            self.count += 1
-        return least
+        """An unused connection, a new one, or the least used; ConnectionLimitError where none is possible."""
+        request_id = order.request.request_id.encode()
+        usable = [each for each in self.connections.get(order.member, []) if each.can_accept(request_id)]
+        least_used = min(usable, key=lambda each: len(each.attempts), default=None)
+        if least_used is None:
+            return self._open(order.member, address)
+        if not least_used.attempts or self.count >= self.max_connections:
+            return least_used
+        if order.needs_own_connection or len(usable) < self._max_per_member():
+            return self._open(order.member, address)
+        return least_used
+
+    def _open(self, member: str, address: tuple[str, int]) -> CacheConnection:
+        if self.count >= self.max_connections:
+            self._close_one_idle()
+        if self.count >= self.max_connections + MAX_EXCESS_CONNECTIONS:
+            raise ConnectionLimitError(self.count)
+        connection = CacheConnection(self, member, address)
+        self.connections.setdefault(member, []).append(connection)
+        self.count += 1
+        return connection
 
     def _max_per_member(self) -> int:
-        """Connections to one member, so that all members have theirs; fewer while a director comes back."""
-        most = min(MAX_CONNECTIONS_PER_MEMBER, self.max_connections // (len(self.members.listed) + 1))
-        return max(
-            MIN_CONNECTIONS_PER_MEMBER,
-            int(most * self.warm_up_share()) if self.warm_up_share is not None else most,
-        )
+        """Connections to one member, so that all members have theirs; fewer while a director recovers."""
+        share = self.max_connections // (len(self.members.listed) + 1)
+        limit = min(MAX_CONNECTIONS_PER_MEMBER, share)
+        if self.warm_up_share is not None:
+            limit = int(limit * self.warm_up_share())
+        return max(MIN_CONNECTIONS_PER_MEMBER, limit)
 
     def _close_one_idle(self) -> None:
-        idle = [link for links in self.connections.values() for link in links if not link.attempts]
+        """Close the connection that is idle longest, if any is idle."""
+        idle = [each for each in self._all() if not each.attempts]
         if idle:
-            min(idle, key=lambda link: link.last_used_at_s).close(ConnectionCloseReason.PLACE_NEEDED)
+            min(idle, key=lambda each: each.last_used_at_s).close(ConnectionCloseReason.PLACE_NEEDED)
 
-    def forget(self, link: CacheConnection) -> None:
-        """A connection has ended."""
-        links = self.connections.get(link.member, [])
-        if link in links:
-            links.remove(link)
+    def _all(self) -> list[CacheConnection]:
+        return [each for connections in self.connections.values() for each in connections]
+
+    def forget(self, connection: CacheConnection) -> None:
+        """A connection is closed."""
+        connections = self.connections.get(connection.member, [])
+        if connection in connections:
+            connections.remove(connection)
             self.count -= 1
-        if not links:
-            self.connections.pop(link.member, None)
+        if not connections:
+            self.connections.pop(connection.member, None)
 
     def on_member_changed(self, member: str) -> None:
-        """It left or started anew: what is open to it speaks to a process that is gone."""
-        for link in self.connections.get(member, []):
-            link.is_retired = True
-            if not link.attempts:
-                link.close(ConnectionCloseReason.RETIRED)
+        """A member left or restarted: its open connections lead to a process that is gone."""
+        for connection in self.connections.get(member, []):
+            connection.is_retired = True
+            if not connection.attempts:
+                connection.close(ConnectionCloseReason.RETIRED)
 
     async def sweep(self) -> None:
-        """Close what is idle, or retired and empty."""
+        """Until cancelled: close connections that are stuck, stalled, idle, or retired and unused."""
         while True:
             await asyncio.sleep(SWEEP_INTERVAL_S)
-            now = time.monotonic()
-            before = now - IDLE_LIMIT_S
-            for links in list(self.connections.values()):
-                for link in links:
-                    if link.is_answer_stuck(now):
-                        self.counters.add("bad.stuck")
-                        link.close(ConnectionCloseReason.ANSWER_STUCK)
-                    if link.writes.is_stalled(now, WRITE_STALL_LIMIT_S):
-                        link.close(ConnectionCloseReason.STALLED)
-                    if (
-                        not link.attempts
-                        and not link.writes.pending_bytes
-                        and (link.is_retired or link.last_used_at_s < before)
-                    ):
-                        link.close(
-                            ConnectionCloseReason.RETIRED if link.is_retired else ConnectionCloseReason.IDLE
-                        )
+            now_s = time.monotonic()
+            for connection in self._all():
+                self._close_if_useless(connection, now_s)
+
+    def _close_if_useless(self, connection: CacheConnection, now_s: float) -> None:
+        if connection.is_answer_stuck(now_s):
+            self.counters.add("bad.stuck")
+            connection.close(ConnectionCloseReason.ANSWER_STUCK)
+        if connection.writes.is_stalled(now_s, WRITE_STALL_LIMIT_S):
+            connection.close(ConnectionCloseReason.STALLED)
+        if connection.attempts or connection.writes.pending_bytes:
+            return
+        if connection.is_retired:
+            connection.close(ConnectionCloseReason.RETIRED)
+        elif connection.last_used_at_s < now_s - IDLE_LIMIT_S:
+            connection.close(ConnectionCloseReason.IDLE)
 
     async def close(self) -> None:
-        """End all connections."""
-        links = [link for links in self.connections.values() for link in links]
-        for link in links:
-            link.close(ConnectionCloseReason.CLOSING)
-        tasks = [link.task for link in links]
+        """Close all connections and wait until they are."""
+        connections = self._all()
+        for connection in connections:
+            connection.close(ConnectionCloseReason.CLOSING)
+        tasks = [connection.task for connection in connections]
         with contextlib.suppress(asyncio.CancelledError):
             await asyncio.gather(*tasks, return_exceptions=True)
--- a/onyxwick/net/cache_wire.py
+++ b/onyxwick/net/cache_wire.py
@@ -1,4 +1,8 @@
-"""Attempts and outcomes as the caches' protocol writes them. No sockets."""
+"""Attempts and their outcomes as the caches' protocol writes them. Free of I/O.
+
+This is the one place where the field names and words of that wire become terms of the code. Times in the code
+are microseconds; the wire has milliseconds.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +11,46 @@
 from onyxwick.core.model import AttemptOutcome, AttemptSpec
 from onyxwick.interface import AnswerDetail, AttemptStatus, FillOption
 from onyxwick.net import resp
+from onyxwick.net.errors import RespProtocolError
+
+REQUEST_COMMAND = b"REQ"
+CANCEL_COMMAND = b"STOP"
+
+# Fields of a request
+CLASS = "c"
+OBJECT_ID = "k"
+PART = "p"
+TIMEOUT_MS = "w"
+FILL_SOURCE = "parent"
+RETENTION_RANK = "shelf"
+MAX_AGE_MS = "accept"
+FILL_OPTIONS = "hints"
+CLIENT_ETAG = "got"
+IDEMPOTENCY_KEY = "i"
+WIRE_FILL_OPTIONS = (
+    (FillOption.COALESCE, "share"),
+    (FillOption.ONLY_IF_CACHED, "peek"),
+    (FillOption.PARENT_NO_STORE, "pass"),
+    (FillOption.STALE_WHILE_REVALIDATE, "swr"),
+)
 
+# Fields of a reply
+FIRST_BYTE_MS = "first"
+LOAD_REPORT = "load"
+DATED_MS = "dated"
+DETAIL = "note"
+ETAG = "digest"
+UNCHANGED = b"unchanged"
+REPLY_WORDS = 4
+"""A reply is `ID WORD FIELDS BODY`."""
+STATUS_OF_REPLY = {
+    b"data": AttemptStatus.OK,
+    UNCHANGED: AttemptStatus.OK,
+    b"absent": AttemptStatus.MISS,
+    b"full": AttemptStatus.OVERLOADED,
+    b"failed": AttemptStatus.ERROR,
+    b"moot": AttemptStatus.NOT_SENT,
+}
 DETAIL_OF_NOTE = {
     "HIT": AnswerDetail.HIT,
     "MISS": AnswerDetail.FILLED,
@@ -20,73 +63,79 @@
     "NO_FILL": AnswerDetail.NO_FILL_SLOT,
     "ORIGIN_ERR": AnswerDetail.ORIGIN_FAILED,
 }
-STATUS_OF_REPLY = {
-    b"data": AttemptStatus.OK,
-    b"unchanged": AttemptStatus.OK,
-    b"absent": AttemptStatus.MISS,
-    b"full": AttemptStatus.OVERLOADED,
-    b"failed": AttemptStatus.ERROR,
-    b"moot": AttemptStatus.NOT_SENT,
-}
-WIRE_FILL_OPTIONS = (
-    (FillOption.COALESCE, "share"),
-    (FillOption.ONLY_IF_CACHED, "peek"),
-    (FillOption.PARENT_NO_STORE, "pass"),
-    (FillOption.STALE_WHILE_REVALIDATE, "swr"),
-)
+US_PER_MS = 1000
+QUOTED_WORD_BYTES = 32
+QUOTED_FIELDS_BYTES = 64
 
 
 @cache
-def _encode_fill_options(flags: FillOption) -> str:
-    return "+".join(word for flag, word in WIRE_FILL_OPTIONS if flag in flags)
+def _encode_fill_options(options: FillOption) -> str:
+    return "+".join(word for option, word in WIRE_FILL_OPTIONS if option in options)
 
 
 def encode_attempt(spec: AttemptSpec) -> bytes:
-    """The command that asks for an attempt, with the time that is left at this moment."""
+    """The command that starts an attempt, with the time that is left at this moment."""
     request = spec.request
-    out = {
-        "c": request.class_name,
-        "k": request.object_id,
-        "p": str(request.part),
-        "w": str(max(1, spec.left_us() // 1000)),
+    fields = {
+        CLASS: request.class_name,
+        OBJECT_ID: request.object_id,
+        PART: str(request.part),
+        TIMEOUT_MS: str(max(1, spec.left_us() // US_PER_MS)),
     }
     if spec.fill_source is not None:
-        out["parent"] = spec.fill_source
+        fields[FILL_SOURCE] = spec.fill_source
     if spec.retention_rank:
-        out["shelf"] = str(spec.retention_rank)
+        fields[RETENTION_RANK] = str(spec.retention_rank)
     if spec.max_age_us:
-        # Never 0 by rounding: that would ask for the class's fresh time, and let a purged copy pass.
-        out["accept"] = str(max(1, spec.max_age_us // 1000))
+        # Never 0 by rounding: that would ask for the class's own freshness, and admit a purged copy.
+        fields[MAX_AGE_MS] = str(max(1, spec.max_age_us // US_PER_MS))
     if spec.fill_options:
-        out["hints"] = _encode_fill_options(spec.fill_options)
+        fields[FILL_OPTIONS] = _encode_fill_options(spec.fill_options)
     if request.client_etag:
-        out["got"] = request.client_etag
+        fields[CLIENT_ETAG] = request.client_etag
     if request.idempotency_key:
-        out["i"] = request.idempotency_key
-    fields = ",".join([f"{name}={value}" for name, value in out.items()])
-    return resp.encode_command(b"REQ", request.request_id.encode(), fields.encode(), request.body)
+        fields[IDEMPOTENCY_KEY] = request.idempotency_key
+    text = ",".join([f"{name}={value}" for name, value in fields.items()])
+    return resp.encode_command(REQUEST_COMMAND, request.request_id.encode(), text.encode(), request.body)
+
+
+def encode_cancel(request_id: bytes) -> bytes:
+    """The command that cancels an attempt."""
+    return resp.encode_command(CANCEL_COMMAND, request_id)
 
 
 def decode_outcome(words: list[bytes], report_names: tuple[str, ...]) -> AttemptOutcome:
-    """The outcome that one answer `ID WORD FIELDS BODY` tells of; RespError where it is none."""
-    if len(words) != 4 or words[1] not in STATUS_OF_REPLY:
-        raise resp.RespProtocolError(f"no answer: {[w[:32] for w in words[:2]]!r}")
+    """The outcome in one reply; RespProtocolError where it is none.
+
+    `report_names`: the values of the load report that the outcome takes, in this order.
+    """
+    if len(words) != REPLY_WORDS or words[1] not in STATUS_OF_REPLY:
+        start = [word[:QUOTED_WORD_BYTES] for word in words[:2]]
+        raise RespProtocolError(f"no reply: {start!r}, expected ID WORD FIELDS BODY")
     _, word, text, body = words
-    told = resp.parse_fields(text)
+    fields = resp.parse_fields(text)
     try:
-        waited = int(float(told.get("first") or 0) * 1000)
-        load = dict(pair.partition(":")[::2] for pair in told.get("load", "").split(";") if pair)
-        report = tuple(float(load.get(name) or 0) for name in report_names) if load else ()
-        dated = int(told.get("dated") or 0) * 1000
+        first_byte_us = int(float(fields.get(FIRST_BYTE_MS) or 0) * US_PER_MS)
+        report = _load_report(fields.get(LOAD_REPORT, ""), report_names)
+        dated_us = int(fields.get(DATED_MS) or 0) * US_PER_MS
     except (ValueError, OverflowError):
-        raise resp.RespProtocolError(f"bad fields {text[:64]!r}") from None
+        raise RespProtocolError(f"bad fields {text[:QUOTED_FIELDS_BYTES]!r}") from None
     return AttemptOutcome(
         STATUS_OF_REPLY[word],
-        DETAIL_OF_NOTE.get(told.get("note", ""), AnswerDetail.NONE),
-        waited,
+        DETAIL_OF_NOTE.get(fields.get(DETAIL, ""), AnswerDetail.NONE),
+        first_byte_us,
         report,
         body,
-        told.get("digest", ""),
-        word == b"unchanged",
-        dated,
+        fields.get(ETAG, ""),
+        word == UNCHANGED,
+        dated_us,
     )
+
+
+def _load_report(text: str, names: tuple[str, ...]) -> tuple[float, ...]:
+    """The named values of `name:value;name:value`, 0 where one is absent; empty without a report."""
+    pairs = [pair.partition(":") for pair in text.split(";") if pair]
+    if not pairs:
+        return ()
+    values = {name: value for name, _, value in pairs}
+    return tuple(float(values.get(name) or 0) for name in names)
--- a/onyxwick/net/call_intake.py
+++ b/onyxwick/net/call_intake.py
@@ -1,110 +1,190 @@
-"""Calls of one connection as they come whole: answered at once, refused, or started as requests."""
+"""Decides what becomes of each complete call of a connection: answered at once, rejected, or started.
+
+Input is a parsed FastCGI call; the connection writes the answer or starts the request. Nothing waits here.
+"""
 
 from __future__ import annotations
 
 import time
+from collections.abc import Callable
 from functools import partial
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Protocol
 
-from onyxwick.core import AnswerStatus, ClientRequest, FinalAnswer
+from onyxwick.core import AnswerStatus, ClientRequest, FinalAnswer, RequestEngine
 from onyxwick.core.reasons import ConnectionCloseReason, RejectionReason
 from onyxwick.core.shutdown import ShutdownStage
+from onyxwick.counters import Counters
+from onyxwick.interface import RequestClass
 from onyxwick.net import fastcgi
-from onyxwick.net.fastcgi_calls import encode_answer, read_request
+from onyxwick.net.errors import BadCallError
+from onyxwick.net.fastcgi_calls import (
+    CALL_PATH,
+    PATH,
+    REQUEST_ID,
+    OwnerFields,
+    encode_answer,
+    read_request,
+)
+from onyxwick.net.write_queue import ByteBudget
 
 if TYPE_CHECKING:
     from onyxwick.cells.reservation import ConnectionReservation
-    from onyxwick.net.front_connection import FrontConnection
+
+PING_PATH = b"/ping"
+CALL_PATH_PREFIX = CALL_PATH.encode()
+READY_STATUS = "200 OK"
+NOT_READY_STATUS = "503 Not Ready"
+LOGGED_PATH_BYTES = 64
+LOGGED_ID_BYTES = 16
+
+
+class IntakePolicy(Protocol):
+    """What the front knows that decides on a call."""
+
+    core: RequestEngine
+    counters: Counters
+    is_ready: Callable[[], bool]
+    classes: dict[str, RequestClass]
+    owner_fields: OwnerFields
+    budget: ByteBudget
+    max_held_bytes: int
+    reservation: ConnectionReservation | None
+    closing_retry_us: int
+    overload_retry_us: int
+
+    def stage_at(self, now: float) -> ShutdownStage:
+        """The shutdown stage at a monotonic time in seconds."""
+        ...
+
+
+class CallConnection(Protocol):
+    """The connection on which a call arrived."""
+
+    number: int
+    cell: str | None
+    is_closing: bool
+    ignores_new_calls: bool
+    half_closed_at_s: float
+    arrived_us: int
+
+    def begin_closing(self, reason: ConnectionCloseReason) -> None:
+        """Close once all open calls are answered."""
+        ...
+
+    def send(self, number: int, data: bytes) -> None:
+        """Post the answer to a call."""
+        ...
+
+    def start(self, number: int, request: ClientRequest) -> None:
+        """Start a request, which is open until its answer."""
+        ...
+
+    def protocol_error(self, text: str) -> None:
+        """Count invalid input of the client."""
+        ...
+
+    def is_awaited(self, number: int) -> bool:
+        """Whether the client still waits for the answer to a call."""
+        ...
 
 
 class CallIntake:
-    """Decides, call by call, what becomes of it; the connection carries it out."""
+    """The admission of one connection's calls."""
 
-    def __init__(self, client: FrontConnection) -> None:
-        self.connection, self.front = client, client.front
+    def __init__(self, connection: CallConnection, policy: IntakePolicy) -> None:
+        self.connection = connection
+        self.policy = policy
 
     def handle(self, call: fastcgi.FastCgiCall) -> None:
-        """One whole call."""
-        client, counters = self.connection, self.front.counters
-        if client.half_closed_at_s or client.ignores_new_calls:
-            counters.add("client.crossed")  # sent as the close came: the client sends it again
+        """Answer, reject or start one complete call."""
+        connection = self.connection
+        if connection.half_closed_at_s or connection.ignores_new_calls:
+            self.policy.counters.add("client.crossed")  # it crossed the close: the client sends it again
+            return
+        if connection.is_closing:  # received before the close is written: it is owed a final answer
+            self._reject_overloaded(call, RejectionReason.CONNECTION_ENDING, "answer.ending")
             return
-        if client.is_closing:  # it has come before the end was written: it is owed an answer, and no more
-            counters.add("answer.ending")
-            self._report_rejection(call, RejectionReason.CONNECTION_ENDING)
-            return client.send(
-                call.request_number,
-                fastcgi.encode_end_request(call.request_number, fastcgi.ProtocolStatus.OVERLOADED),
-            )
         if not call.keep_connection:
-            client.begin_closing(ConnectionCloseReason.NOT_KEPT)
-        name = call.params.get(b"SCRIPT_NAME", b"")
-        if name == b"/ping":
-            status = "200 OK" if self.front.is_ready() else "503 Not Ready"
-            return client.send(
-                call.request_number, fastcgi.encode_response(call.request_number, status, {}, b"")
-            )
-        if not name.startswith(b"/call/"):
-            return self._bad_call(call, f"path {name[:64]!r}", "404 Not Found")
+            connection.begin_closing(ConnectionCloseReason.NOT_KEPT)
+        path = call.params.get(PATH, b"")
+        if path == PING_PATH:
+            self._answer_ping(call)
+        elif path.startswith(CALL_PATH_PREFIX):
+            self._start_call(call)
+        else:
+            self._reject_bad(call, f"path {path[:LOGGED_PATH_BYTES]!r}", "404 Not Found")
+
+    def _answer_ping(self, call: fastcgi.FastCgiCall) -> None:
+        status = READY_STATUS if self.policy.is_ready() else NOT_READY_STATUS
+        response = fastcgi.encode_response(call.request_number, status, {}, b"")
+        self.connection.send(call.request_number, response)
+
+    def _start_call(self, call: fastcgi.FastCgiCall) -> None:
+        policy = self.policy
+        arrived_us = self.connection.arrived_us
         try:
-            request = self._read(call)
-        except ValueError as error:
-            return self._bad_call(call, str(error), "400 Bad Request")
-        return self._admit(call, request)
-
-    def _read(self, call: fastcgi.FastCgiCall) -> ClientRequest:
-        front, client = self.front, self.connection
-        params, arrived_us = call.params, client.arrived_us
-        request = read_request(params, call.body, arrived_us, front.classes, front.owner_fields)
-        request.is_wanted = partial(client.is_awaited, call.request_number)
-        request.connection_id = client.number
-        return request
+            request = read_request(call.params, call.body, arrived_us, policy.classes, policy.owner_fields)
+        except BadCallError as error:
+            self._reject_bad(call, str(error), "400 Bad Request")
+            return
+        request.is_wanted = partial(self.connection.is_awaited, call.request_number)
+        request.connection_id = self.connection.number
+        self._admit(call, request)
 
     def _admit(self, call: fastcgi.FastCgiCall, request: ClientRequest) -> None:
-        """Start a request, or refuse it where it can't be let in."""
-        front = self.front
-        if front.stage_at(time.monotonic()) >= ShutdownStage.REFUSES:
-            # The connection is to end and would never come free: the client tries again, on a new one.
-            return self._reject(call, RejectionReason.PASSED_ON, "answer.passed_on", front.closing_retry_us)
-        if front.budget.held_bytes > front.max_held_bytes:
-            front.counters.add("answer.overloaded")
-            self._report_rejection(call, RejectionReason.UNREAD_ANSWERS)
-            end = fastcgi.encode_end_request(call.request_number, fastcgi.ProtocolStatus.OVERLOADED)
-            return self.connection.send(call.request_number, end)
-        if front.reservation is not None and not self._reserve_in_cell(front.reservation, request.tenant):
-            return self._reject(call, RejectionReason.CELL_FULL, "answer.cell_full", front.overload_retry_us)
-        return self.connection.start(call.request_number, request)
+        """Start a request, or reject it where a limit is reached."""
+        policy = self.policy
+        if policy.stage_at(time.monotonic()) >= ShutdownStage.REFUSES:
+            # The connection is about to close and would never become idle: the client retries on a new one.
+            self._reject(call, RejectionReason.PASSED_ON, "answer.passed_on", policy.closing_retry_us)
+        elif policy.budget.held_bytes > policy.max_held_bytes:
+            self._reject_overloaded(call, RejectionReason.UNREAD_ANSWERS, "answer.overloaded")
+        elif policy.reservation is not None and not self._reserve_in_cell(policy.reservation, request.tenant):
+            self._reject(call, RejectionReason.CELL_FULL, "answer.cell_full", policy.overload_retry_us)
+        else:
+            self.connection.start(call.request_number, request)
+
+    def _reserve_in_cell(self, reservation: ConnectionReservation, tenant: str | None) -> bool:
+        """Whether the cell's quota admits this connection and one more unread answer.
+
+        A connection counts for the tenant of its first call.
+        """
+        connection = self.connection
+        cell = reservation.cell_of(tenant)
+        if cell is None:
+            return True
+        if connection.cell is None:
+            if not reservation.connect(cell):
+                connection.begin_closing(ConnectionCloseReason.PLACE_NEEDED)
+                return False
+            connection.cell = cell
+        return not reservation.full(connection.cell)
+
+    # ---- rejections --------------------------------------------------------------------------------------
 
     def _reject(
-        self, call: fastcgi.FastCgiCall, reason: RejectionReason, counted: str, retry_after_us: int
+        self, call: fastcgi.FastCgiCall, reason: RejectionReason, counter: str, retry_after_us: int
     ) -> None:
-        self.front.counters.add(counted)
+        """Answer with a rejection and a Retry-After."""
+        self.policy.counters.add(counter)
         self._report_rejection(call, reason)
         answer = FinalAnswer(AnswerStatus.REJECTED, retry_after_us=retry_after_us)
         self.connection.send(call.request_number, encode_answer(call.request_number, answer))
 
-    def _report_rejection(self, call: fastcgi.FastCgiCall, reason: RejectionReason) -> None:
-        name = call.params.get(b"HTTP_X_REQUEST_ID", b"")[:16].decode("latin-1")
-        self.front.core.refused(reason, name, self.connection.number)
+    def _reject_overloaded(self, call: fastcgi.FastCgiCall, reason: RejectionReason, counter: str) -> None:
+        """Answer with FastCGI's own protocol status, which holds no memory for a response."""
+        self.policy.counters.add(counter)
+        self._report_rejection(call, reason)
+        end = fastcgi.encode_end_request(call.request_number, fastcgi.ProtocolStatus.OVERLOADED)
+        self.connection.send(call.request_number, end)
 
-    def _bad_call(self, call: fastcgi.FastCgiCall, text: str, status: str) -> None:
+    def _reject_bad(self, call: fastcgi.FastCgiCall, text: str, status: str) -> None:
+        """Answer a call that cannot be read."""
         self._report_rejection(call, RejectionReason.BAD_INPUT)
         self.connection.protocol_error(text)
-        self.connection.send(
-            call.request_number, fastcgi.encode_response(call.request_number, status, {}, b"")
-        )
+        response = fastcgi.encode_response(call.request_number, status, {}, b"")
+        self.connection.send(call.request_number, response)
 
-    def _reserve_in_cell(self, holding: ConnectionReservation, tenant: str | None) -> bool:
-        """Is there room in its cell's part for this connection and for one more unread answer?
-
-        A connection counts for the tenant that asked on it first.
-        """
-        client, cell = self.connection, holding.cell_of(tenant)
-        if cell is None:
-            return True
-        if client.cell is None:
-            if not holding.connect(cell):
-                client.begin_closing(ConnectionCloseReason.PLACE_NEEDED)
-                return False
-            client.cell = cell
-        return not holding.full(client.cell)
+    def _report_rejection(self, call: fastcgi.FastCgiCall, reason: RejectionReason) -> None:
+        request_id = call.params.get(REQUEST_ID, b"")[:LOGGED_ID_BYTES].decode("latin-1")
+        self.policy.core.refused(reason, request_id, self.connection.number)
--- a/onyxwick/net/connection_slots.py
+++ b/onyxwick/net/connection_slots.py
@@ -1,34 +1,49 @@
-"""Who gives up a place to a newcomer when all client places are taken; free of I/O.
-
-Design. A connection that has been answered and owes nothing loses nothing by its end: its end is written
-after its last answer, so no reset takes that answer along, and a call that crosses the end is sent again by
-the client. It goes first, the one idle longest first. Then one that has sent nothing at all for `rest_s`
-since it came, as a true client writes its call at once; the oldest first. Last, one stuck in half a call
-for `half_rest_s`: a slow writer may still be on its way. What owes an answer, waits to be written or has
-bytes unread keeps its place. Rejected: the newest silent one first, which met true clients before their
-first call could be read; and a rest after each answer, which under a crowd that asks once and stays kept
-nearly every place taken.
+"""Decides which client connection is evicted for a new one when all connection slots are taken. Free of I/O.
+
+Input is a `ConnectionSlot` for each open connection, times in monotonic seconds; output is an eviction rank.
+
+Evicted first is a connection that has been answered and has nothing open, the longest idle one first: its end
+is written behind its last answer, so a call that crosses the close is sent again by the client. Next, the
+oldest connection that has sent nothing for `SILENT_GRACE_S`; last, one that is stuck in a partial call for
+`PARTIAL_CALL_GRACE_S`. A connection with open calls or unwritten answers is never evicted.
+
+Alternatives weighed: evicting the newest silent connection hits clients whose first call is not read yet; a
+grace period after each answer leaves no connection to evict when many clients ask once and stay.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-SILENT_GRACE_S = 0.25  # a connection just come that has sent nothing keeps its place so long
-PARTIAL_CALL_GRACE_S = 1.0  # one in half a call keeps it so long after its last byte
+SILENT_GRACE_S = 0.25
+"""How long a new connection that has sent nothing keeps its slot."""
+PARTIAL_CALL_GRACE_S = 1.0
+"""How long a connection with a partial call keeps its slot after its last byte."""
+SILENT_LIMIT_S = 2.0
+"""After so long a connection that has sent nothing, or nothing more of a partial call, is closed."""
+PARTIAL_CALL_LIMIT_S = 10.0
+"""After so long a partial call closes its connection although bytes keep coming."""
+IDLE_LIMIT_S = 4.8
+"""After so long an idle connection is closed; the platform's clients close theirs after 4 s."""
+
+_ANSWERED, _SILENT, _PARTIAL = 0, 1, 2  # order of eviction
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionSlot:
-    """What the front knows of one connection, in monotonic seconds."""
+    """What decides on the slot of one connection; times in monotonic seconds."""
 
-    complete_calls: int  # calls whole on it so far
-    open_calls: int  # answers it is owed
-    unwritten_bytes: int  # bytes of answers not yet written
-    has_partial_call: bool  # part of a call has come
+    complete_calls: int
+    """Calls received so far."""
+    open_calls: int
+    """Calls that are not answered yet."""
+    unwritten_bytes: int
+    """Bytes of answers that are not written yet."""
+    has_partial_call: bool
     opened_at_s: float
-    last_active_at_s: float  # its last byte in, or its last answer out
-    is_closing: bool  # its end is under way already
+    last_active_at_s: float
+    """When its last byte was received or its last answer posted."""
+    is_closing: bool
 
 
 def eviction_rank(
@@ -37,11 +52,29 @@
     silent_grace_s: float = SILENT_GRACE_S,
     partial_call_grace_s: float = PARTIAL_CALL_GRACE_S,
 ) -> tuple[int, float] | None:
-    """Where it stands among those that may give up their place (lowest first); None: it keeps its place."""
+    """The connection's rank among those that may be evicted, lowest first; None if it must be kept."""
     if slot.open_calls or slot.unwritten_bytes or slot.is_closing:
         return None
     if slot.has_partial_call:
-        return (2, slot.last_active_at_s) if now_s - slot.last_active_at_s >= partial_call_grace_s else None
+        if now_s - slot.last_active_at_s < partial_call_grace_s:
+            return None
+        return _PARTIAL, slot.last_active_at_s
     if slot.complete_calls:
-        return 0, slot.last_active_at_s
-    return (1, slot.opened_at_s) if now_s - slot.opened_at_s >= silent_grace_s else None
+        return _ANSWERED, slot.last_active_at_s
+    if now_s - slot.opened_at_s < silent_grace_s:
+        return None
+    return _SILENT, slot.opened_at_s
+
+
+def exceeds_deadline(slot: ConnectionSlot, now_s: float, partial_call_since_s: float) -> bool:
+    """Whether a connection without open calls has been silent, stuck in a partial call or idle for too long.
+
+    `partial_call_since_s`: when its partial call began. The platform's clients may be idle between requests,
+    but not before the first.
+    """
+    idle_s = now_s - slot.last_active_at_s
+    if slot.has_partial_call:
+        return idle_s > SILENT_LIMIT_S or now_s - partial_call_since_s > PARTIAL_CALL_LIMIT_S
+    if not slot.complete_calls:
+        return now_s - slot.opened_at_s > SILENT_LIMIT_S
+    return idle_s > IDLE_LIMIT_S
--- a/onyxwick/net/coordinator_feed.py
+++ b/onyxwick/net/coordinator_feed.py
@@ -19,8 +19,9 @@
 from onyxwick.core.pacing import BackoffPolicy, DoublingTimeout, ReconnectBackoff
 from onyxwick.counters import Counters
 from onyxwick.interface import EndpointListKind, EndpointsChanged, Member, MemberState
-from onyxwick.net.buffer import ReceiveBuffer, unread_bytes, wait_readable
+from onyxwick.net.buffer import ReceiveBuffer
 from onyxwick.net.feed_race import SILENCE_LIMIT_S, FeedRace
+from onyxwick.net.socket_state import unread_bytes, wait_readable
 
 log = logs.get()
 LINE_LIMIT_S = 10.0  # for a line whose bytes come without a pause: a whole list on a slow connection
--- a/onyxwick/net/errors.py
+++ b/onyxwick/net/errors.py
@@ -1,11 +1,58 @@
-"""Which errors of system calls pass, and whose they are: of this machine, or of the other side."""
+"""Errors of the network layer, and the classification of failed system calls.
+
+A system call fails either for want of something on this machine (descriptors, memory, local ports) or because
+of the other side. Only the latter says something about a cache or a client.
+"""
 
 from __future__ import annotations
 
 import errno
 
+from onyxwick.errors import OnyxwickError
+
+
+class NetError(OnyxwickError):
+    """Base of all errors that this package raises itself."""
+
+
+class FastCgiFramingError(NetError):
+    """A client's FastCGI records cannot be delimited any more: the connection has to be closed."""
+
+
+class FastCgiPairError(NetError, ValueError):
+    """FastCGI name-value pairs whose lengths do not fit the data, or whose CONTENT_LENGTH is no number."""
+
+
+class BadCallError(NetError, ValueError):
+    """A complete call that cannot be read as a request; the message names the field."""
+
+
+class RespProtocolError(NetError):
+    """A cache's reply violates RESP or the caches' protocol: the connection has to be closed."""
+
+
+class ConnectionLimitError(NetError, OSError):
+    """The bound on connections to caches is reached and none can be closed; nothing was sent."""
+
+    def __init__(self, limit: int) -> None:
+        super().__init__(f"all {limit} connections to caches are in use")
+        self.limit = limit
+
+
+class FeedConnectionError(NetError, OSError):
+    """The connection to the coordinator's feed is of no further use; the caller reconnects."""
+
+
+class EventApplyError(FeedConnectionError):
+    """An event of the feed was read but could not be applied; it is requested again on a new connection."""
+
+    def __init__(self, index: int) -> None:
+        super().__init__(f"event {index} could not be applied; it is requested again")
+        self.index = index
+
+
 OUT_OF_RESOURCES = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
-"""This machine has too little of something for a moment: trying again at once would fail again."""
+"""This machine lacks descriptors or memory for the moment: an immediate retry would fail again."""
 
 _LOCAL = OUT_OF_RESOURCES | {
     errno.EADDRINUSE,
@@ -19,11 +66,14 @@
 
 
 def is_local(error: OSError) -> bool:
-    """Did a connect fail for want of something on this machine? It says nothing of the other side then."""
+    """Whether a connect or bind failed for want of something on this machine."""
     return error.errno in _LOCAL
 
 
 def is_exhausted(error: OSError) -> bool:
-    """Did a call fail for want of descriptors or memory? Else an accept has told of one connection that had
-    ended before it was taken, and the next one waits (accept(2), "Error handling")."""
+    """Whether a call failed for want of descriptors or memory.
+
+    Any other error of accept(2) concerns one connection that ended before it was accepted; the next one can
+    be accepted at once (accept(2), "Error handling").
+    """
     return error.errno in OUT_OF_RESOURCES
--- a/onyxwick/net/fastcgi_calls.py
+++ b/onyxwick/net/fastcgi_calls.py
@@ -1,4 +1,8 @@
-"""FastCGI calls read as core requests, and answers written as FastCGI records. No sockets."""
+"""Maps FastCGI calls to the core's requests and the core's answers to FastCGI responses. Free of I/O.
+
+This is the one place where the parameter names of the clients' wire become terms of the code. Times in
+`ClientRequest` are microseconds; the wire has milliseconds.
+"""
 
 from __future__ import annotations
 
@@ -7,6 +11,19 @@
 from onyxwick.core import AnswerStatus, ClientRequest, FinalAnswer
 from onyxwick.interface import RequestClass
 from onyxwick.net import fastcgi
+from onyxwick.net.errors import BadCallError
+
+PATH = b"SCRIPT_NAME"
+REQUEST_ID = b"HTTP_X_REQUEST_ID"
+OBJECT_ID = b"HTTP_X_OBJECT"
+PART = b"HTTP_X_NTH"
+OBJECT_GROUP = b"HTTP_X_BATCH"
+TIMEOUT_MS = b"HTTP_X_TIMEOUT_MS"
+CLIENT_ETAG = b"HTTP_X_GOT"
+IS_RETRY = b"HTTP_X_RETRY"
+IDEMPOTENCY_KEY = b"HTTP_IDEMPOTENCY_KEY"
+"""The names of a call's parameters, as the platform's wire has them."""
+CALL_PATH = "/call/"
 
 STATUS_LINES = {
     AnswerStatus.SERVED: "200 OK",
@@ -14,85 +31,93 @@
     AnswerStatus.FAILED: "502 Bad Gateway",
 }
 
-_HEX16 = re.compile(rb"[0-9a-fA-F]{16}").fullmatch
-_PLAIN = re.compile(rb"[!-+.-<>-~-]{0,128}").fullmatch  # what may stand in a field of the caches' protocol
-MAX_PART = 65_535  # of one object
-MAX_OWNER_NAME_BYTES = 64  # bytes of a tenant's or site's name
+MAX_PART = 65_535
+MAX_OBJECT_GROUP = 255
+MAX_OWNER_NAME_BYTES = 64
+"""The longest name of a tenant or a site."""
+MAX_INTEGER_DIGITS = 12
+US_PER_MS = 1000
 Params = dict[bytes, bytes]
 
+_HEX16 = re.compile(rb"[0-9a-fA-F]{16}").fullmatch
+_FIELD_TEXT = re.compile(rb"[!-+.-<>-~-]{0,128}").fullmatch  # what a field of the caches' protocol may hold
+
+
+class OwnerFields:
+    """The call parameters that name the tenant and the client's site; empty where an installation has
+    none."""
+
+    def __init__(self, tenant_field: str = "", site_field: str = "") -> None:
+        self.tenant = _parameter_name(tenant_field)
+        self.site = _parameter_name(site_field)
+
+
+def _parameter_name(field: str) -> bytes:
+    return f"HTTP_{field.upper().replace('-', '_')}".encode() if field else b""
+
 
 def _hexadecimal(params: Params, name: bytes) -> str:
     text = params.get(name, b"")
     if not _HEX16(text):
-        raise ValueError(f"bad {name.decode()}")
+        raise BadCallError(f"bad {name.decode()}: {text[:32]!r}, expected 16 hexadecimal digits")
     return text.decode()
 
 
 def _integer(params: Params, name: bytes, lowest: int, highest: int) -> int:
     text = params.get(name, b"0")
-    if not text.isdigit() or not lowest <= int(text[:12]) <= highest:
-        raise ValueError(f"bad {name.decode()}")
+    if not text.isdigit() or not lowest <= int(text[:MAX_INTEGER_DIGITS]) <= highest:
+        raise BadCallError(f"bad {name.decode()}: {text[:32]!r}, expected {lowest} to {highest}")
     return int(text)
 
 
+def _owner_name(params: Params, name: bytes, what: str) -> str | None:
+    """The tenant or site named in a parameter; None if it is absent or the installation has no such field."""
+    text = params.get(name, b"") if name else b""
+    if len(text) > MAX_OWNER_NAME_BYTES or not text.isascii():
+        raise BadCallError(f"bad {what}: {text[:32]!r}, expected {MAX_OWNER_NAME_BYTES} ASCII bytes at most")
+    return text.decode() or None
+
+
 def read_request(
     params: Params, body: bytes, arrived_us: int, classes: dict[str, RequestClass], owner: OwnerFields
 ) -> ClientRequest:
-    """The core request that a call asks for; ValueError names the field that cannot be used."""
-    class_name = params[b"SCRIPT_NAME"].removeprefix(b"/call/").decode("latin-1")
-    kind = classes.get(class_name)
-    if kind is None:
-        raise ValueError("unknown class")  # no cache could use it
-    held, again = params.get(b"HTTP_X_GOT", b"").strip(b'"'), params.get(b"HTTP_X_RETRY", b"0")
-    key = params.get(b"HTTP_IDEMPOTENCY_KEY", b"")
-    if not _PLAIN(held) or not _PLAIN(key) or again not in (b"0", b"1"):
-        raise ValueError("bad X_GOT, IDEMPOTENCY_KEY or X_RETRY")
-    if body and not kind.is_write:
-        raise ValueError("body of a request that writes nothing")
+    """The core's request for a call; BadCallError names the parameter that cannot be used."""
+    class_name = params[PATH].removeprefix(CALL_PATH.encode()).decode("latin-1")
+    request_class = classes.get(class_name)
+    if request_class is None:
+        raise BadCallError("unknown class")  # no cache could serve it
+    client_etag = params.get(CLIENT_ETAG, b"").strip(b'"')
+    is_retry = params.get(IS_RETRY, b"0")
+    key = params.get(IDEMPOTENCY_KEY, b"")
+    if not _FIELD_TEXT(client_etag) or not _FIELD_TEXT(key) or is_retry not in (b"0", b"1"):
+        raise BadCallError("bad X_GOT, IDEMPOTENCY_KEY or X_RETRY")
+    if body and not request_class.is_write:
+        raise BadCallError(f"body of {len(body)} bytes in a request of a class that writes nothing")
+    max_timeout_ms = 2 * request_class.deadline_us // US_PER_MS
     return ClientRequest(
-        request_id=_hexadecimal(params, b"HTTP_X_REQUEST_ID"),
+        request_id=_hexadecimal(params, REQUEST_ID),
         class_name=class_name,
-        object_id=_hexadecimal(params, b"HTTP_X_OBJECT"),
-        part=_integer(params, b"HTTP_X_NTH", 0, MAX_PART),
-        object_group=_integer(params, b"HTTP_X_BATCH", 0, 255) if b"HTTP_X_BATCH" in params else None,
+        object_id=_hexadecimal(params, OBJECT_ID),
+        part=_integer(params, PART, 0, MAX_PART),
+        object_group=_integer(params, OBJECT_GROUP, 0, MAX_OBJECT_GROUP) if OBJECT_GROUP in params else None,
         arrived_us=arrived_us,
-        timeout_us=_integer(params, b"HTTP_X_TIMEOUT_MS", 1, 2 * kind.deadline_us // 1000) * 1000,
-        is_retry=again == b"1",
+        timeout_us=_integer(params, TIMEOUT_MS, 1, max_timeout_ms) * US_PER_MS,
+        is_retry=is_retry == b"1",
         body=body,
-        client_etag=held.decode("latin-1"),
+        client_etag=client_etag.decode("latin-1"),
         idempotency_key=key.decode("latin-1"),
         tenant=_owner_name(params, owner.tenant, "tenant"),
         client_site=_owner_name(params, owner.site, "site"),
     )
 
 
-class OwnerFields:
-    """The request fields that name the tenant and the client's site, where the installation tells them
-    apart."""
-
-    def __init__(self, tenant_field: str = "", site_field: str = "") -> None:
-        self.tenant, self.site = _parameter(tenant_field), _parameter(site_field)
-
-
-def _parameter(field: str) -> bytes:
-    return f"HTTP_{field.upper().replace('-', '_')}".encode() if field else b""
-
-
-def _owner_name(params: Params, name: bytes, what: str) -> str | None:
-    """What a field names; None: the request does not say, or nobody wants to know."""
-    text = params.get(name, b"") if name else b""
-    if len(text) > MAX_OWNER_NAME_BYTES or not text.isascii():
-        raise ValueError(f"bad {what}")
-    return text.decode() or None
-
-
 def encode_answer(number: int, answer: FinalAnswer) -> bytes:
-    """The FastCGI records of a final answer to the call of this number."""
+    """The FastCGI records of a final answer to the call of this request number."""
     headers = {"Content-Type": "application/octet-stream"}
     if answer.etag:
         headers["ETag"] = f'"{answer.etag}"'
     if answer.status is AnswerStatus.SERVED and answer.not_modified:
         headers["X-Ok304"] = "1"
     if answer.status is AnswerStatus.REJECTED and answer.retry_after_us:
-        headers["Retry-After-Ms"] = str(max(1, answer.retry_after_us // 1000))
+        headers["Retry-After-Ms"] = str(max(1, answer.retry_after_us // US_PER_MS))
     return fastcgi.encode_response(number, STATUS_LINES[answer.status], headers, answer.body)
--- a/onyxwick/net/feed_race.py
+++ b/onyxwick/net/feed_race.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 
 from onyxwick.config.address import Address
-from onyxwick.net.buffer import unread_bytes, wait_readable
+from onyxwick.net.socket_state import unread_bytes, wait_readable
 
 MAX_CONCURRENT_CONNECTIONS = 4  # connections at once; then the oldest is given up
 CONNECT_LIMIT_S = 0.8  # before the next one is tried beside one that has not come up
--- a/onyxwick/net/front.py
+++ b/onyxwick/net/front.py
@@ -1,4 +1,8 @@
-"""The platform's front: accepts the web servers' connections and keeps track of what is owed to them."""
+"""The FastCGI front: admits the web servers' connections, evicts and expires them, and shuts them down.
+
+One `FrontConnection` reads and answers on each; the front owns what they share. Times are monotonic seconds
+unless a name ends in `_us`.
+"""
 
 from __future__ import annotations
 
@@ -18,39 +22,42 @@
 from onyxwick.core.shutdown import HELD_AFTER_S, LAST_WORDS_S, ShutdownKind, ShutdownSchedule, ShutdownStage
 from onyxwick.core.stall import STALL_S
 from onyxwick.counters import Counters
-from onyxwick.net import connection_slots as room
-from onyxwick.net import errors
-from onyxwick.net.buffer import seconds_since_sent, unread_bytes, wait_readable
+from onyxwick.net import connection_shutdown
+from onyxwick.net.accept_loop import AcceptLoop
+from onyxwick.net.connection_slots import eviction_rank
 from onyxwick.net.delivery import CLIENT_STALLED_S
 from onyxwick.net.fastcgi_calls import OwnerFields
-from onyxwick.net.front_connection import LINGER_READ_INTERVAL_S, FrontConnection
-from onyxwick.net.listening import ACCEPT_BACKLOG
+from onyxwick.net.front_connection import FrontConnection
+from onyxwick.net.lingering import LINGER_READ_INTERVAL_S
+from onyxwick.net.socket_state import seconds_since_sent
 from onyxwick.net.write_queue import ByteBudget
 
 if TYPE_CHECKING:
     from onyxwick.cells.reservation import ConnectionReservation
 
 log = logs.get()
-MAX_OVERLOAD_RETRY_US = 500_000  # what is not read is cut off in seconds: no use in coming back before
-CLOSING_RETRY_US = (
-    100_000  # a new call while the connection is to end: the client is told to come back so soon
-)
+MAX_OVERLOAD_RETRY_US = 500_000
+"""The longest Retry-After of an overload: unread answers are cut off within seconds."""
+CLOSING_RETRY_US = 100_000
+"""The Retry-After of a new call on a connection that is about to close."""
 SWEEP_INTERVAL_S = 0.25
-SHUTDOWN_TICK_S = 0.02  # between two looks at all connections, while they are being ended
-DRAINED_TICK_S = 0.1  # the same once a drain has had its time: newcomers end as they come in
-STAGE_SETTLE_S = 0.3  # for what a stage asks for to be done with each connection
-MAX_HELD_LOG_LINES = 10  # connections held at a stage that are logged one by one
-ACCEPTS_PER_TURN = 32  # accepted in one turn of the loop
+SHUTDOWN_TICK_S = 0.02
+"""Between two checks of all connections during a shutdown."""
+DRAINED_TICK_S = 0.1
+"""The same once a drain is complete: new connections are closed as they arrive."""
+STAGE_SETTLE_S = 0.3
+"""How long a stage may take to be carried through on each connection."""
+MAX_HELD_LOG_LINES = 10
+"""Held connections that are logged one by one at a stage."""
 MAX_PENDING_CLOSES = 8
-"""Connections given up and not closed yet before more are accepted: a close takes some turns of the loop."""
-ACCEPT_LATENCY_S = 0.02  # between a connection's coming up and its accept, from which on it counts
-ACCEPT_PAUSE_S = 0.05  # after an accept that failed for want of descriptors or memory
-FINAL_ACCEPT_LIMIT_S = 1.0  # for who waits to be accepted at the end, where accept fails meanwhile
-MAX_FINAL_ACCEPTS = 4 * ACCEPT_BACKLOG  # accepted then at most: clients may go on coming
+"""Evicted connections not closed yet before more are accepted: a close takes some turns of the loop."""
+ACCEPT_LATENCY_S = 0.02
+"""A connection established longer ago than this when accepted has waited to be accepted."""
+TICK_INTERVAL_S = 0.6 * STALL_S
 
 
 class FastCgiFront:
-    """Accepts clients and keeps track of what is owed to them."""
+    """Admits clients and tracks their connections."""
 
     def __init__(
         self,
@@ -63,278 +70,266 @@
         tenant_field: str = "",
         site_field: str = "",
     ) -> None:
-        self.reservation, self.owner_fields = reservation, OwnerFields(tenant_field, site_field)
         limits = core.settings.limits
-        self.overload_retry_us = (
-            min(limits.max_retry_after_us, MAX_OVERLOAD_RETRY_US) if limits.retry_after else 0
-        )
-        self.closing_retry_us = min(limits.max_retry_after_us, CLOSING_RETRY_US) if limits.retry_after else 0
-        self.core, self.counters, self.is_ready = core, counters, is_ready
-        self.max_clients, self.max_held_bytes = max_clients, max_held_bytes
-        self.classes = {c.name: c for c in core.settings.classes}
+        self.core = core
+        self.counters = counters
+        self.is_ready = is_ready
+        self.max_clients = max_clients
+        self.max_held_bytes = max_held_bytes
+        self.reservation = reservation
+        self.owner_fields = OwnerFields(tenant_field, site_field)
+        self.overload_retry_us = min(limits.max_retry_after_us, MAX_OVERLOAD_RETRY_US)
+        self.closing_retry_us = min(limits.max_retry_after_us, CLOSING_RETRY_US)
+        if not limits.retry_after:
+            self.overload_retry_us = 0
+            self.closing_retry_us = 0
+        self.classes = {each.name: each for each in core.settings.classes}
         self.connections: dict[FrontConnection, asyncio.Task[None]] = {}  # oldest first
-        self.next_connection_number = partial(
-            next, itertools.count(1)
-        )  # numbers of connections, for the logs
+        self.half_closed: set[FrontConnection] = set()  # their end is written, the client's is awaited
+        self.evicted: set[FrontConnection] = set()  # no longer clients, sockets not closed yet
+        self.next_connection_number: Callable[[], int] = partial(next, itertools.count(1))
         self.budget = ByteBudget()
-        self.accept_failures = 0
-        self.accept_failing_since_s = (
-            0.0  # monotonic: connections that wait have not been accepted since; else 0
-        )
-        self.half_closed: set[FrontConnection] = (
-            set()
-        )  # their end is written; they go as soon as the client closes its own
-        self.evicted: set[FrontConnection] = (
-            set()
-        )  # no clients any more, but their sockets are not closed yet
-        self.shutdown: ShutdownSchedule | None = None  # drained, or told to end: when each connection ends
-        self.stage = ShutdownStage.SERVING  # as last looked at
-        self._stage_since_s = 0.0  # monotonic seconds at which the stage was first looked at
+        self.shutdown: ShutdownSchedule | None = None  # of a drain or a termination under way
+        self.stage = ShutdownStage.SERVING  # as last carried out
+        self._stage_since_s = 0.0
         self._held_checked = False
+        self._accept_loop = AcceptLoop(self._admit, self._wait_for_evictions, counters)
 
-    # ---- endings -----------------------------------------------------------------------------------------
+    # ---- shutdown ----------------------------------------------------------------------------------------
 
     def begin_shutdown(self, schedule: ShutdownSchedule) -> None:
-        """From now on connections end as the schedule says. A drain's own replaces that of an earlier drain;
-        a termination keeps what a drain has promised."""
+        """Close connections as the schedule says from now on.
+
+        The schedule of a new drain replaces that of an earlier one; a termination keeps a drain's deadlines.
+        """
         if self.shutdown is not None and schedule.kind is not ShutdownKind.DRAIN:
             schedule = schedule.with_earlier(self.shutdown)
-        self.shutdown, self.stage, self._held_checked = schedule, ShutdownStage.SERVING, False
+        self.shutdown = schedule
+        self.stage = ShutdownStage.SERVING
+        self._held_checked = False
         self.advance(time.monotonic())
 
     def cancel_shutdown(self) -> None:
-        """Clients are welcome again: what has not ended yet stays open."""
-        self.shutdown, self.stage = None, ShutdownStage.SERVING
-        log.info("ending taken back", clients=len(self.connections), owed=len(self.core.lifecycles))
+        """Serve again; connections that are not closed yet stay open."""
+        self.shutdown = None
+        self.stage = ShutdownStage.SERVING
+        log.info("shutdown cancelled", clients=len(self.connections), owed=len(self.core.lifecycles))
 
     def stage_at(self, now: float) -> ShutdownStage:
-        """How far the ending is, by the time alone."""
+        """The stage at a time, by the schedule alone."""
         return ShutdownStage.SERVING if self.shutdown is None else self.shutdown.stage(now)
 
-    def advance(self, now: float) -> None:
-        """Do what the stage asks for, with each connection. What is owed is given back a look later: after a
-        stop of the process, answers that stand in the caches' sockets are read in between."""
+    def advance(self, now_s: float) -> None:
+        """Carry out the stage on each connection.
+
+        Open calls get final answers one call later than the stage begins: after a stall of the process the
+        caches' answers that are already received are read in between.
+        """
         schedule = self.shutdown
         if schedule is None:
             return
-        stage = schedule.stage(now)
-        if fresh := stage is not self.stage:
-            self._enter_stage(stage, schedule, now)
-        must_end = now >= schedule.fails_at
-        for client in list(self.connections):
-            client.advance(stage, now, may_answer_open_calls=not fresh, must_answer_all=must_end)
-        if schedule.kind is ShutdownKind.DRAIN and now - schedule.begun_at >= HELD_AFTER_S:
-            self._check_held_connections(now)
-
-    def _enter_stage(self, stage: ShutdownStage, schedule: ShutdownSchedule, now: float) -> None:
-        self.stage, self._stage_since_s = stage, now
-        name, clients = stage.name.lower(), list(self.connections)
-        half = sum(client.parser.has_partial_call for client in clients)
-        unwritten = sum(client.writes.pending_bytes > 0 for client in clients)
+        stage = schedule.stage(now_s)
+        is_new_stage = stage is not self.stage
+        if is_new_stage:
+            self._enter_stage(stage, schedule, now_s)
+        must_answer_all = now_s >= schedule.fails_at
+        for connection in list(self.connections):
+            connection_shutdown.advance(connection, stage, now_s, not is_new_stage, must_answer_all)
+        if schedule.kind is ShutdownKind.DRAIN and now_s - schedule.begun_at >= HELD_AFTER_S:
+            self._check_held_connections(now_s)
+
+    def _enter_stage(self, stage: ShutdownStage, schedule: ShutdownSchedule, now_s: float) -> None:
+        self.stage = stage
+        self._stage_since_s = now_s
+        name = stage.name.lower()
+        connections = list(self.connections)
         self.counters.add(f"ending.{schedule.kind.value}.{name}")
         log.info(
-            "ending",
+            "shutdown stage",
             kind=schedule.kind.value,
             stage=name,
-            after_s=round(now - schedule.begun_at, 3),
-            clients=len(clients),
+            after_s=round(now_s - schedule.begun_at, 3),
+            clients=len(connections),
             owed=len(self.core.lifecycles),
-            half=half,
-            unwritten=unwritten,
+            half=sum(each.parser.has_partial_call for each in connections),
+            unwritten=sum(each.writes.pending_bytes > 0 for each in connections),
         )
         if stage >= ShutdownStage.ENDS_HALF_CALLS:
-            held = [client for client in clients if not client.half_closed_at_s]
-            for client in held[:MAX_HELD_LOG_LINES]:
-                client.log_held(now, name)
-
-    def _check_held_connections(self, now: float) -> None:
-        """Once in each drain: may each connection that is still open be? A process that stood still until now
-        has a moment to end them, as newcomers have."""
-        if self._held_checked or now - self._stage_since_s < STAGE_SETTLE_S:
+            held = [each for each in connections if not each.half_closed_at_s]
+            for connection in held[:MAX_HELD_LOG_LINES]:
+                connection_shutdown.log_held(connection, now_s, name)
+
+    def _check_held_connections(self, now_s: float) -> None:
+        """Once in each drain: check the invariant on connections that are still open.
+
+        After a stall of the process, as for new connections, there is a moment to close them first.
+        """
+        if self._held_checked or now_s - self._stage_since_s < STAGE_SETTLE_S:
             return
         self._held_checked = True
-        invariants, now_us = self.core.invariants, self.core.now()
-        for client in self.connections:
-            if not client.half_closed_at_s and now - client.opened_at_s > STAGE_SETTLE_S:
-                arrived = [live.request.arrived_us for live in client.open_calls.values() if live is not None]
-                youngest_us = now_us - max(arrived) if arrived else None
-                invariants.held_in_drain(client.number, youngest_us)
+        now_us = self.core.now()
+        for connection in self.connections:
+            if connection.half_closed_at_s or now_s - connection.opened_at_s <= STAGE_SETTLE_S:
+                continue
+            open_calls = connection.open_calls.values()
+            arrived_us = [each.request.arrived_us for each in open_calls if each is not None]
+            youngest_us = now_us - max(arrived_us) if arrived_us else None
+            self.core.invariants.held_in_drain(connection.number, youngest_us)
+
+    async def finish_shutdown(self, schedule: ShutdownSchedule) -> None:
+        """Carry a termination through.
+
+        Returns once all connections are closed and nothing is open, `LAST_WORDS_S` after its last stage at
+        the latest.
+        """
+        if self.shutdown is None:
+            self.begin_shutdown(schedule)
+        closed_at_s = 0.0  # when the last stage was first observed: after a stall that may be late
+        while self.connections or not self.core.idle.is_set():
+            now_s = time.monotonic()
+            self.advance(now_s)
+            if self.stage is ShutdownStage.CLOSED:
+                closed_at_s = closed_at_s or now_s
+                if now_s >= closed_at_s + LAST_WORDS_S:
+                    break
+            await asyncio.sleep(LINGER_READ_INTERVAL_S)
+        await self._close_all()
+
+    async def _close_all(self) -> None:
+        tasks = list(self.connections.values())
+        owed = len(self.core.lifecycles)
+        for connection, task in list(self.connections.items()):
+            connection.close_reason = connection.close_reason or ConnectionCloseReason.CLOSING
+            task.cancel()
+        await asyncio.gather(*tasks, return_exceptions=True)
+        log.info("front closed", cut=len(tasks), owed=owed, crossed=self.counters.counts["client.crossed"])
+
+    # ---- what connections report -------------------------------------------------------------------------
 
     def report_bad_input(self, text: str) -> None:
-        """Count and log bad input of a client."""
+        """Count and log invalid input of a client."""
         self.counters.add("bad.client")
-        log.warning("bad input of a client", detail=text)
+        log.warning("invalid client input", detail=text)
+
+    def on_half_closed(self, connection: FrontConnection) -> None:
+        """The end of a connection is written; it closes once the client closes its side."""
+        self.half_closed.add(connection)
+
+    def on_last_answer_written(self, connection: FrontConnection) -> None:
+        """No call is open on a connection any more, during a shutdown: it closes if the stage allows it."""
+        now_s = time.monotonic()
+        connection_shutdown.advance(connection, self.stage_at(now_s), now_s, False, False)
+
+    # ---- expiry ------------------------------------------------------------------------------------------
 
     async def sweep(self) -> None:
-        """End connections as the schedule says, and cut off clients that take nothing of what is written to
-        them, and those that overstay."""
-        swept_at = 0.0
+        """Until cancelled: carry the shutdown on, and close connections that stall or exceed a deadline."""
+        swept_at_s = 0.0
         while True:
             await asyncio.sleep(self._tick_s())
-            now = time.monotonic()
-            self.advance(now)
-            if now - swept_at >= SWEEP_INTERVAL_S:
-                swept_at = now
-                self._close_expired(now)
+            now_s = time.monotonic()
+            self.advance(now_s)
+            if now_s - swept_at_s >= SWEEP_INTERVAL_S:
+                swept_at_s = now_s
+                self._close_expired(now_s)
 
     def _tick_s(self) -> float:
         if self.shutdown is None:
             return SWEEP_INTERVAL_S
         return DRAINED_TICK_S if self._held_checked else SHUTDOWN_TICK_S
 
-    def _close_expired(self, now: float) -> None:
-        for client, task in list(self.connections.items()):
-            if client.half_closed_at_s:
-                if not client.is_lingering(now):
-                    task.cancel()  # its end was written, and the client does not close its own
-            elif client.writes.is_stalled(now, CLIENT_STALLED_S):
+    def _close_expired(self, now_s: float) -> None:
+        for connection, task in list(self.connections.items()):
+            if connection.half_closed_at_s:
+                if not connection.is_lingering(now_s):
+                    task.cancel()  # its end is written, and the client does not close its side
+            elif connection.writes.is_stalled(now_s, CLIENT_STALLED_S):
                 self.counters.add("client.stalled")
-                client.close_reason = client.close_reason or ConnectionCloseReason.STALLED
+                connection.close_reason = connection.close_reason or ConnectionCloseReason.STALLED
                 task.cancel()
-            elif client.ignores_new_calls:
-                client.close_when_written(now, ConnectionCloseReason.CLOSING)
-            elif client.exceeds_deadline(now):
+            elif connection.ignores_new_calls:
+                connection_shutdown.close_when_written(connection, now_s, ConnectionCloseReason.CLOSING)
+            elif connection.exceeds_deadline(now_s):
                 self.counters.add("client.overstayed")
-                self._evict(client, now, ConnectionCloseReason.IDLE)
+                self._evict(connection, now_s, ConnectionCloseReason.IDLE)
 
     async def record_loop_ticks(self) -> None:
-        """Tell the watch that the loop turns, also while nobody asks."""
+        """Until cancelled: report turns of the event loop to the stall detector, also while idle."""
         while True:
             self.core.stalls.tick(time.monotonic())
-            await asyncio.sleep(0.6 * STALL_S)
-
-    def _evict_one(self) -> bool:
-        """End the connection that is least missed (`room.order`) to make room for a newcomer."""
-        now = time.monotonic()
-        ranked = [
-            (rank, c) for c in self.connections if (rank := room.eviction_rank(c.slot(), now)) is not None
-        ]
-        ranked.sort(key=lambda pair: pair[0])
-        least = next(
-            (c for _, c in ranked if not unread_bytes(c.sock) and not c.delivery.in_flight_bytes(now)), None
-        )
-        if least is None:
-            return False
-        self.counters.add("client.displaced")
-        self._evict(least, now, ConnectionCloseReason.DISPLACED)
-        return True
-
-    def _evict(self, client: FrontConnection, now: float, reason: ConnectionCloseReason) -> None:
-        """End a connection that owes nothing and has nothing unread: softly, as far as there are places for
-        such as linger, else at once, behind its written end."""
-        full = len(self.half_closed) >= max(SHUT_LEAST, self.max_clients // SHUT_SHARE)
-        client.half_close(now, reason)
-        if full:
-            self.half_closed.discard(client)
-            self.evicted.add(client)
-            self.connections.pop(client).cancel()
+            await asyncio.sleep(TICK_INTERVAL_S)
 
-    async def _wait_for_evictions(self) -> None:
-        """Wait until few of the connections given up are still open: their descriptors count too, and each
-        newcomer of a crowd would leave another one open beside all places."""
-        while len(self.evicted) >= MAX_PENDING_CLOSES:
-            await asyncio.sleep(0)
+    # ---- admission ---------------------------------------------------------------------------------------
 
     async def accept(self, sock: socket.socket) -> None:
-        """Take in clients until cancelled; being out of descriptors passes.
+        """Accept clients on a listening socket until cancelled."""
+        await self._accept_loop.run(sock)
 
-        The wait takes nothing, and what is taken is kept in the same breath: a cancel loses no client.
-        """
-        loop, taken, pause = asyncio.get_running_loop(), 0, 0.0
-        while True:
-            try:
-                self._admit(sock.accept()[0])
-            except BlockingIOError:
-                self.accept_failing_since_s = 0.0
-                await wait_readable(loop, sock)
-                continue
-            except OSError as error:
-                pause = self._accept_failed(error)
-            await self._wait_for_evictions()
-            taken += 1
-            if pause or taken % ACCEPTS_PER_TURN == 0:  # a crowd at the door leaves the others their turn
-                await asyncio.sleep(pause)
-                pause = 0.0
-
-    async def accept_remaining(self, sock: socket.socket, until: float = math.inf) -> None:
-        """Take in whoever has connected already, before the listening socket closes: a close would reset them
-        with what they have written. Between the last look for one and the return nothing else runs.
-
-        Errors pass, and only an empty backlog is the end; bounded by `until` (monotonic seconds), by
-        `ACCEPT_REST_S` and `ACCEPT_REST_MOST`.
-        """
-        end = min(until, time.monotonic() + FINAL_ACCEPT_LIMIT_S)
-        for _ in range(MAX_FINAL_ACCEPTS):
-            pause = 0.0
-            try:
-                self._admit(sock.accept()[0])
-            except BlockingIOError:
-                return
-            except OSError as error:
-                pause = self._accept_failed(error)
-            await self._wait_for_evictions()
-            if time.monotonic() > end:
-                break
-            if pause:
-                await asyncio.sleep(pause)
-        log.error("the listening socket closes before all who wait are taken in")
-
-    def _accept_failed(self, error: OSError) -> float:
-        """Count and log it; how many seconds to wait before the next accept."""
-        exhausted = errors.is_exhausted(error)
-        self.counters.add("error.accept" if exhausted else "client.aborted")
-        log.warning("accept failed", error=str(error))
-        self.accept_failing_since_s = self.accept_failing_since_s or time.monotonic()
-        self.accept_failures += 1
-        return ACCEPT_PAUSE_S if exhausted or self.accept_failures % ACCEPTS_PER_TURN == 0 else 0.0
-
-    def _admit(self, conn: socket.socket) -> None:
+    async def accept_remaining(self, sock: socket.socket, until_s: float = math.inf) -> None:
+        """Accept who has connected before the listening socket closes; see `AcceptLoop.accept_remaining`."""
+        await self._accept_loop.accept_remaining(sock, until_s)
+
+    def _admit(self, sock: socket.socket) -> None:
+        """Serve an accepted socket, or close it where no slot is free and none can be freed."""
         if len(self.connections) - len(self.half_closed) >= self.max_clients and not self._evict_one():
             self.counters.add("client.refused")
-            conn.close()
+            sock.close()
             return
         try:
-            conn.setblocking(False)
-            conn.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        except OSError:  # gone again already
-            conn.close()
+            sock.setblocking(False)
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        except OSError:  # closed by the client already
+            sock.close()
             return
         self.counters.add("client.accepted")
-        client = FrontConnection(self, conn)
-        client.unread_since_s = self._unread_since(conn)
-        task = asyncio.get_running_loop().create_task(client.run())
-        self.connections[client] = task
-        task.add_done_callback(partial(self._forget, client))
-
-    def _unread_since(self, conn: socket.socket) -> float:
-        """Since when a connection that was just accepted may have waited with a call in it; 0: it did not."""
-        told, now = seconds_since_sent(conn), time.monotonic()
-        if not told:
-            return self.accept_failing_since_s
-        return now - told if told > ACCEPT_LATENCY_S else 0.0
-
-    def _forget(self, client: FrontConnection, _: asyncio.Task[None]) -> None:
-        self.connections.pop(client, None)
-        self.half_closed.discard(client)
-        self.evicted.discard(client)
+        connection = FrontConnection(self, sock)
+        connection.arrivals.unread_since_s = self._unread_since_s(sock)
+        task = asyncio.get_running_loop().create_task(connection.run())
+        self.connections[connection] = task
+        task.add_done_callback(partial(self._forget, connection))
+
+    def _unread_since_s(self, sock: socket.socket) -> float:
+        """Since when a call on a newly accepted connection may have waited; 0 if it has not."""
+        established_s = seconds_since_sent(sock)
+        now_s = time.monotonic()
+        if not established_s:
+            return self._accept_loop.failing_since_s
+        return now_s - established_s if established_s > ACCEPT_LATENCY_S else 0.0
+
+    def _forget(self, connection: FrontConnection, _: asyncio.Task[None]) -> None:
+        self.connections.pop(connection, None)
+        self.half_closed.discard(connection)
+        self.evicted.discard(connection)
+
+    # ---- eviction ----------------------------------------------------------------------------------------
 
-    async def finish_shutdown(self, schedule: ShutdownSchedule) -> None:
-        """Carry a termination's schedule through: return once all connections have ended and nothing is owed,
-        a moment after its last stage at the latest."""
-        if self.shutdown is None:
-            self.begin_shutdown(schedule)
-        closed_at = 0.0  # when its last stage was seen: after a stop of the process that may be late
-        while self.connections or not self.core.idle.is_set():
-            now = time.monotonic()
-            self.advance(now)
-            if self.stage is ShutdownStage.CLOSED:
-                closed_at = closed_at or now
-                if now >= closed_at + LAST_WORDS_S:
-                    break
-            await asyncio.sleep(LINGER_READ_INTERVAL_S)
-        tasks, owed = list(self.connections.values()), len(self.core.lifecycles)
-        for client, task in list(self.connections.items()):
-            client.close_reason = client.close_reason or ConnectionCloseReason.CLOSING
-            task.cancel()
-        await asyncio.gather(*tasks, return_exceptions=True)
-        log.info("ended", cut=len(tasks), owed=owed, crossed=self.counters.counts["client.crossed"])
+    def _evict_one(self) -> bool:
+        """Evict the connection of the lowest rank; False if all must be kept."""
+        now_s = time.monotonic()
+        ranked = [(eviction_rank(each.slot(), now_s), each) for each in self.connections]
+        candidates = [(rank, each) for rank, each in ranked if rank is not None]
+        candidates.sort(key=lambda candidate: candidate[0])
+        evicted = next((each for _, each in candidates if each.is_drained(now_s)), None)
+        if evicted is None:
+            return False
+        self.counters.add("client.displaced")
+        self._evict(evicted, now_s, ConnectionCloseReason.DISPLACED)
+        return True
+
+    def _evict(self, connection: FrontConnection, now_s: float, reason: ConnectionCloseReason) -> None:
+        """Close a connection that has nothing open and nothing unread.
+
+        It lingers while the bound on lingering connections allows; else it closes right behind its end.
+        """
+        max_half_closed = max(SHUT_LEAST, self.max_clients // SHUT_SHARE)
+        is_full = len(self.half_closed) >= max_half_closed
+        connection.half_close(now_s, reason)
+        if is_full:
+            self.half_closed.discard(connection)
+            self.evicted.add(connection)
+            self.connections.pop(connection).cancel()
+
+    async def _wait_for_evictions(self) -> None:
+        """Wait until few evicted connections are still open: their descriptors count beside all slots."""
+        while len(self.evicted) >= MAX_PENDING_CLOSES:
+            await asyncio.sleep(0)
--- a/onyxwick/net/listening.py
+++ b/onyxwick/net/listening.py
@@ -1,4 +1,4 @@
-"""The listening socket: bound by the program, or handed down by the platform."""
+"""The listening socket of the clients: bound by this process, or inherited from the platform."""
 
 from __future__ import annotations
 
@@ -10,21 +10,22 @@
 
 ACCEPT_BACKLOG = 1024
 """Connections that wait to be accepted."""
-
-
-BIND_RETRY_LIMIT_S, BIND_RETRY_DELAY_S = 3.0, 0.05
-"""How long a start waits for an address that cannot be listened on yet, and between two tries."""
+BIND_RETRY_LIMIT_S = 3.0
+"""How long a start retries an address that cannot be bound for a reason of this machine."""
+BIND_RETRY_DELAY_S = 0.05
 
 
 def listen(address: tuple[str, int]) -> socket.socket:
-    """A listening socket on an address; OSError where it cannot be listened on. Blocks for `PATIENCE_S` at
-    most: nothing is served yet, and errors of this machine pass (net/errors.py)."""
-    end = time.monotonic() + BIND_RETRY_LIMIT_S
+    """A non-blocking listening socket on an address; OSError if it cannot be bound.
+
+    Blocks for `BIND_RETRY_LIMIT_S` at most: nothing is served yet, and local errors pass (net/errors.py).
+    """
+    deadline_s = time.monotonic() + BIND_RETRY_LIMIT_S
     while True:
         try:
             return _bind_and_listen(address)
         except OSError as error:
-            if not errors.is_local(error) or time.monotonic() > end:
+            if not errors.is_local(error) or time.monotonic() > deadline_s:
                 raise
             time.sleep(BIND_RETRY_DELAY_S)
 
@@ -43,19 +44,19 @@
 
 
 def inherited_listener(fd: int) -> socket.socket:
-    """The listening socket that the platform holds and hands down; it is served on, never bound or closed.
+    """The listening socket that the platform owns and passes as a descriptor; never bound or closed here.
 
-    ConfigError where the descriptor is no listening TCP socket over IPv4.
+    ConfigError if the descriptor is no listening TCP socket over IPv4.
     """
     intent = "likely intent: the descriptor of the clients' listening socket that the platform holds, as 7"
     try:
         sock = socket.socket(fileno=fd)
     except OSError as error:
-        told = f"variable 'RELAY_LISTEN_FD': descriptor {fd}: {error.strerror}"
-        raise ConfigError(f"{told}; {intent}") from None
-    kind = sock.family is socket.AF_INET and sock.type is socket.SOCK_STREAM
-    if not kind or not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
-        sock.detach()  # not ours to close
+        found = f"variable 'RELAY_LISTEN_FD': descriptor {fd}: {error.strerror}"
+        raise ConfigError(f"{found}; {intent}") from None
+    is_tcp = sock.family is socket.AF_INET and sock.type is socket.SOCK_STREAM
+    if not is_tcp or not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
+        sock.detach()  # the platform's: it must not be closed here
         raise ConfigError(f"variable 'RELAY_LISTEN_FD': descriptor {fd} is no listening TCP socket; {intent}")
     sock.setblocking(False)
     return sock
--- a/onyxwick/net/write_queue.py
+++ b/onyxwick/net/write_queue.py
@@ -1,4 +1,7 @@
-"""The one writer of a connection."""
+"""The one writer of a connection: writes in order, in batches, each either complete or not begun at all.
+
+Cancelling whoever posted a write never truncates another one. Sizes are bytes, times monotonic seconds.
+"""
 
 from __future__ import annotations
 
@@ -9,23 +12,28 @@
 from collections.abc import Callable
 from enum import Enum
 
-from onyxwick.net.buffer import wait_writable
+from onyxwick.net.socket_state import wait_writable
 
 
 class WriteProgress(Enum):
-    """How far a write has come."""
+    """How far a write has got."""
 
     WAITING = "waiting"
-    BEGUN = "begun"  # some of it may have been written
+    BEGUN = "begun"
+    """Some of it may have been written."""
     WRITTEN = "written"
-    DROPPED = "dropped"  # not one byte of it was written
+    DROPPED = "dropped"
+    """Not one byte of it was written."""
 
 
 class PendingWrite:
-    """Bytes to be written as one. `check` is asked right before the first of them.
+    """Bytes that are written as one.
 
-    `render` makes the bytes at that moment, each time they are about to be written: what they tell of the
-    time left holds then. `size` is a guess before.
+    `is_still_wanted` is asked right before the first byte; if it says no, the write is dropped and
+    `on_dropped` called. `render` makes the bytes at that moment, again each time they are about to be
+    written, so that a remaining time in them is current; `expected_bytes` is their estimated size until then.
+    `on_begun` is called once when the first bytes are written, `on_released` once when its bytes are no
+    longer held.
     """
 
     __slots__ = (
@@ -50,33 +58,33 @@
         expected_bytes: int = 0,
         on_begun: Callable[[], None] | None = None,
     ) -> None:
-        self.data, self.is_still_wanted, self.on_dropped, self.render = (
-            data,
-            is_still_wanted,
-            on_dropped,
-            render,
-        )
-        self.counted_bytes = expected_bytes or len(data)  # that it counts as waiting
-        self.begun_at_s = 0.0  # monotonic seconds at which its first byte was written
-        self.on_begun = on_begun  # called once, when its first bytes have gone out
-        self.on_released = on_released  # called once, when its bytes are held no more
+        self.data = data
+        self.is_still_wanted = is_still_wanted
+        self.on_dropped = on_dropped
+        self.on_released = on_released
+        self.render = render
+        self.on_begun = on_begun
+        self.counted_bytes = expected_bytes or len(data)  # its part of the queue's pending bytes
+        self.begun_at_s = 0.0  # when its first byte was written, or 0
         self.progress = WriteProgress.WAITING
 
 
 def _release(pending_write: PendingWrite) -> None:
-    if pending_write.on_released is not None:
-        release, pending_write.on_released = pending_write.on_released, None
-        release()
+    on_released = pending_write.on_released
+    if on_released is not None:
+        pending_write.on_released = None
+        on_released()
 
 
 def _begin(pending_write: PendingWrite) -> None:
-    if pending_write.on_begun is not None:
-        begun, pending_write.on_begun = pending_write.on_begun, None
-        begun()
+    on_begun = pending_write.on_begun
+    if on_begun is not None:
+        pending_write.on_begun = None
+        on_begun()
 
 
 class ByteBudget:
-    """Bytes waiting to be written, over all connections that share it."""
+    """Bytes waiting to be written, over all connections that share the budget."""
 
     __slots__ = ("held_bytes",)
 
@@ -85,23 +93,24 @@
 
 
 class WriteQueue:
-    """Writes writes in order, so that cancelling whoever posted one never cuts another in two.
+    """The pending writes of one connection.
 
-    What waits goes out in one write. `stalled` tells of a peer that takes nothing: its connection is cut off
-    by whoever sweeps, as a timer for each write would cost more than the write.
+    A peer that accepts nothing is found by `is_stalled`, which a periodic sweep asks: a timer for each write
+    would cost more than the write.
     """
 
     BATCH_BYTES = 65_536
 
     def __init__(self, sock: socket.socket | None, budget: ByteBudget) -> None:
-        self.sock, self.budget = sock, budget
+        self.sock = sock
+        self.budget = budget
         self.queue: deque[PendingWrite] = deque()
-        self.pending_bytes = 0  # bytes posted and not yet written
-        self.blocked_since_s = 0.0  # when the write under way began, or 0
-        self._posted: asyncio.Future[None] | None = None
-        self._batch: list[PendingWrite] = []  # under way
+        self.pending_bytes = 0  # posted and not yet written
+        self.blocked_since_s = 0.0  # since when the socket accepts nothing, or 0
         self.drained = asyncio.Event()
         self.drained.set()
+        self._batch: list[PendingWrite] = []  # being written
+        self._posted: asyncio.Future[None] | None = None
 
     def post(self, pending_write: PendingWrite) -> PendingWrite:
         """Queue a write behind all others."""
@@ -115,45 +124,49 @@
         return pending_write
 
     def withdraw(self, pending_write: PendingWrite) -> bool:
-        """Take back what has not begun; True if not one byte of it was written."""
+        """Remove a write that has not begun; True if not one byte of it was written."""
         if pending_write.progress is WriteProgress.WAITING:
             self.queue.remove(pending_write)
             self._finish(pending_write, WriteProgress.DROPPED)
         return pending_write.progress is WriteProgress.DROPPED
 
     def is_stalled(self, now_s: float, limit_s: float) -> bool:
-        """Has the peer taken nothing for so long?"""
+        """Whether the peer has accepted nothing for longer than the limit."""
         return bool(self.blocked_since_s) and now_s - self.blocked_since_s > limit_s
 
     async def run(self) -> None:
-        """Write until the connection breaks (OSError) or this is cancelled."""
-        loop, sock = asyncio.get_running_loop(), self.sock
-        assert sock is not None, "it is up before anything is written"
+        """Write until cancelled; OSError if the connection breaks."""
+        loop = asyncio.get_running_loop()
+        sock = self.sock
+        assert sock is not None, "the connection is up before anything is written"
         while True:
             if not self.queue:
                 self.blocked_since_s = 0.0
                 self._posted = loop.create_future()
                 await self._posted
             self._next_batch()
-            if not self._batch:
-                continue
-            data = self._batch[0].data if len(self._batch) == 1 else b"".join([p.data for p in self._batch])
-            try:
-                written = sock.send(data)
-            except (BlockingIOError, InterruptedError):
-                written = 0
-            if written:
-                self.blocked_since_s = 0.0
-            if written == len(data):
-                self._finish_batch()
-            elif rest := self._split_batch(written):
-                await self._write_rest(loop, sock, rest)
-            else:  # a socket that takes nothing: what waits is asked for anew once it does
-                self.blocked_since_s = self.blocked_since_s or time.monotonic()
-                await wait_writable(loop, sock)
+            if self._batch:
+                await self._write_batch(loop, sock)
+
+    async def _write_batch(self, loop: asyncio.AbstractEventLoop, sock: socket.socket) -> None:
+        batch = self._batch
+        data = batch[0].data if len(batch) == 1 else b"".join([each.data for each in batch])
+        try:
+            written = sock.send(data)
+        except (BlockingIOError, InterruptedError):
+            written = 0
+        if written:
+            self.blocked_since_s = 0.0
+        if written == len(data):
+            self._finish_batch()
+        elif rest := self._split_batch(written):
+            await self._write_rest(loop, sock, rest)
+        else:  # nothing was accepted: what waits is checked again once the socket is writable
+            self.blocked_since_s = self.blocked_since_s or time.monotonic()
+            await wait_writable(loop, sock)
 
     async def _write_rest(self, loop: asyncio.AbstractEventLoop, sock: socket.socket, rest: bytes) -> None:
-        """The end of what has begun: it goes out whole, or the connection ends."""
+        """Write the end of a write that has begun: it is completed, or the connection ends."""
         for at in range(0, len(rest), self.BATCH_BYTES):
             self.blocked_since_s = time.monotonic()
             await loop.sock_sendall(sock, rest[at : at + self.BATCH_BYTES])
@@ -161,8 +174,10 @@
         self._finish_batch()
 
     def _next_batch(self) -> None:
-        """The writes that go out now, each one checked at this moment."""
-        self._batch, size, now = [], 0, time.monotonic()
+        """Take the writes that are sent now, each one checked at this moment."""
+        self._batch = []
+        size = 0
+        now_s = time.monotonic()
         while self.queue and size < self.BATCH_BYTES:
             pending_write = self.queue.popleft()
             if pending_write.is_still_wanted is not None and not pending_write.is_still_wanted():
@@ -170,7 +185,8 @@
                 if pending_write.on_dropped:
                     pending_write.on_dropped()
                 continue
-            pending_write.progress, pending_write.begun_at_s = WriteProgress.BEGUN, now
+            pending_write.progress = WriteProgress.BEGUN
+            pending_write.begun_at_s = now_s
             if pending_write.render is not None:
                 self._render(pending_write, pending_write.render)
             size += len(pending_write.data)
@@ -178,16 +194,21 @@
 
     def _render(self, pending_write: PendingWrite, render: Callable[[], bytes]) -> None:
         pending_write.data = render()
-        more = len(pending_write.data) - pending_write.counted_bytes
-        pending_write.counted_bytes += more
-        self.pending_bytes += more
-        self.budget.held_bytes += more
+        difference = len(pending_write.data) - pending_write.counted_bytes
+        pending_write.counted_bytes += difference
+        self.pending_bytes += difference
+        self.budget.held_bytes += difference
 
     def _split_batch(self, written: int) -> bytes:
-        """Of a batch that went out only so far: what of a write is still to come. One of which none went out
-        waits again and is checked again, as a drain may be received before the socket takes more."""
-        batch, self._batch, rest = self._batch, [], b""
-        back = list[PendingWrite]()
+        """Account for a batch of which only `written` bytes were sent; the rest of the write that was cut.
+
+        Writes of which nothing was sent return to the queue and are checked again, as a drain may be received
+        before the socket is writable.
+        """
+        batch = self._batch
+        self._batch = []
+        rest = b""
+        not_begun = list[PendingWrite]()
         for pending_write in batch:
             size = len(pending_write.data)
             if written > 0:
@@ -198,14 +219,16 @@
                 rest = pending_write.data[written:]
                 self._batch.append(pending_write)
             else:
-                pending_write.progress, pending_write.begun_at_s = WriteProgress.WAITING, 0.0
-                back.append(pending_write)
+                pending_write.progress = WriteProgress.WAITING
+                pending_write.begun_at_s = 0.0
+                not_begun.append(pending_write)
             written = max(0, written - size)
-        self.queue.extendleft(reversed(back))
+        self.queue.extendleft(reversed(not_begun))
         return rest
 
     def _finish_batch(self) -> None:
-        batch, self._batch = self._batch, []
+        batch = self._batch
+        self._batch = []
         for pending_write in batch:
             _begin(pending_write)
             self._finish(pending_write, WriteProgress.WRITTEN)
@@ -214,13 +237,14 @@
         pending_write.progress = progress
         self.pending_bytes -= pending_write.counted_bytes
         self.budget.held_bytes -= pending_write.counted_bytes
-        pending_write.data, pending_write.counted_bytes = b"", 0
+        pending_write.data = b""
+        pending_write.counted_bytes = 0
         _release(pending_write)
         if not self.queue and not self.pending_bytes:
             self.drained.set()
 
     def close(self) -> None:
-        """Nothing more will be written; what waited holds no memory of the budget."""
+        """Nothing more will be written; what waited no longer counts in the budget."""
         self.budget.held_bytes -= self.pending_bytes
         self.pending_bytes = 0
         for pending_write in (*self._batch, *self.queue):
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -13,6 +13,7 @@
 from onyxwick.interface import RejectRequest
 from onyxwick.net import fastcgi
 from onyxwick.net.cache_pool import CacheConnectionPool
+from onyxwick.net.fastcgi_parser import FastCgiParser
 from onyxwick.net.front import FastCgiFront
 from onyxwick.net.front_connection import FrontConnection
 from tests.ground import Ground, ask, call, played
@@ -49,7 +50,7 @@
 
 
 def test_a_body_without_end_is_refused_as_it_grows() -> None:
-    parser, kind = fastcgi.FastCgiParser(), fastcgi.RecordType
+    parser, kind = FastCgiParser(), fastcgi.RecordType
     parser.buffer.append(fastcgi.encode_record(kind.BEGIN, 1, fastcgi.BEGIN_BODY.pack(1, 1)))
     parser.buffer.append(
         fastcgi.encode_record(kind.PARAMS, 1, b"") + fastcgi.encode_record(kind.STDIN, 1, bytes(48_000))
@@ -60,7 +61,7 @@
     assert isinstance(reply, fastcgi.FastCgiReply) and reply.stop_reading and b"413" in reply.data
 
 
-def test_the_order_of_places_given_up() -> None:
+def test_the_order_of_eviction() -> None:
     from onyxwick.net.connection_slots import (
         PARTIAL_CALL_GRACE_S,
         SILENT_GRACE_S,
@@ -68,40 +69,33 @@
         eviction_rank,
     )
 
-    def seat(**told: object) -> ConnectionSlot:
+    def slot(**changed: object) -> ConnectionSlot:
         fields = {
-            "calls": 1,
-            "owed": 0,
-            "pending": 0,
-            "half": False,
-            "born": 0.0,
-            "used_at": 10.0,
-            "ending": False,
+            "complete_calls": 1,
+            "open_calls": 0,
+            "unwritten_bytes": 0,
+            "has_partial_call": False,
+            "opened_at_s": 0.0,
+            "last_active_at_s": 10.0,
+            "is_closing": False,
         }
-        return ConnectionSlot(**{**fields, **told})  # type: ignore[arg-type]
-
-    now = 10.0
-    assert eviction_rank(seat(), now) == (
-        0,
-        10.0,
-    )  # answered this instant: it gives up its place all the same
-    assert eviction_rank(seat(owed=1), now) is None and eviction_rank(seat(pending=5), now) is None
-    assert eviction_rank(seat(ending=True), now) is None
-    assert (
-        eviction_rank(seat(calls=0, born=now - SILENT_GRACE_S / 2, used_at=now - SILENT_GRACE_S / 2), now)
-        is None
-    )  # just come
-    assert eviction_rank(seat(calls=0, born=now - SILENT_GRACE_S, used_at=now - SILENT_GRACE_S), now) == (
-        1,
-        now - SILENT_GRACE_S,
-    )
-    assert (
-        eviction_rank(seat(calls=0, half=True, used_at=now - PARTIAL_CALL_GRACE_S / 2), now) is None
-    )  # a slow writer
-    assert eviction_rank(seat(calls=0, half=True, used_at=now - PARTIAL_CALL_GRACE_S), now) == (
-        2,
-        now - PARTIAL_CALL_GRACE_S,
-    )
+        return ConnectionSlot(**{**fields, **changed})  # type: ignore[arg-type]
+
+    def silent(since_s: float) -> ConnectionSlot:
+        return slot(complete_calls=0, opened_at_s=now_s - since_s, last_active_at_s=now_s - since_s)
+
+    def partial(since_s: float) -> ConnectionSlot:
+        return slot(complete_calls=0, has_partial_call=True, last_active_at_s=now_s - since_s)
+
+    now_s = 10.0
+    assert eviction_rank(slot(), now_s) == (0, 10.0)  # evicted although it was answered this instant
+    assert eviction_rank(slot(open_calls=1), now_s) is None
+    assert eviction_rank(slot(unwritten_bytes=5), now_s) is None
+    assert eviction_rank(slot(is_closing=True), now_s) is None
+    assert eviction_rank(silent(SILENT_GRACE_S / 2), now_s) is None
+    assert eviction_rank(silent(SILENT_GRACE_S), now_s) == (1, now_s - SILENT_GRACE_S)
+    assert eviction_rank(partial(PARTIAL_CALL_GRACE_S / 2), now_s) is None  # a slow writer
+    assert eviction_rank(partial(PARTIAL_CALL_GRACE_S), now_s) == (2, now_s - PARTIAL_CALL_GRACE_S)
 
 
 def test_connections_to_a_member_grow_with_the_share_that_a_director_coming_back_allows_itself() -> None:
--- a/tests/test_slow_and_failing_calls.py
+++ b/tests/test_slow_and_failing_calls.py
@@ -651,14 +651,14 @@
         client = await ground.client()
         await ground.until(lambda: ground.front.connections)
         ((served, _),) = ground.front.connections.items()
-        reckoned = served._waited_s
+        estimate = served.arrivals.waited_s
 
-        def stopped_after(now: float) -> float:
-            waited_s = reckoned(now)
+        def stall_after_estimate(now_s: float, stalled_since_s: float) -> float:
+            waited_s = estimate(now_s, stalled_since_s)
             time.sleep(0.4)
             return waited_s
 
-        served._waited_s = stopped_after  # type: ignore[method-assign]
+        served.arrivals.waited_s = stall_after_estimate  # type: ignore[method-assign]
         client.send(call(1))
         sent_us = steady_us()
         await ground.read(client, b"503")
