--- a/onyxwick/cells/offline.py
+++ b/onyxwick/cells/offline.py
@@ -29,7 +29,7 @@
         return [], (None,), ""
     from onyxwick.config import director as relay
     from onyxwick.core.clock import FeedStamps, steady_us
-    from onyxwick.net.coordinator_feed import read_members
+    from onyxwick.net.feed_wire import read_members
 
     told = relay.load({"RELAY_CONFIG": str(config)})
     listed: dict[str, Member] = {}
--- a/onyxwick/net/director_feed.py
+++ b/onyxwick/net/director_feed.py
@@ -1,4 +1,8 @@
-"""What a director does with the distribution feed: lists and purges to its core, documents to who asked."""
+"""Applies the distribution feed in a director: endpoint lists and purges to its core, documents to consumers.
+
+The sink of a director's `Subscription`. A purge that arrives both by itself and in a snapshot is applied
+once.
+"""
 
 from __future__ import annotations
 
@@ -20,56 +24,56 @@
     PurgeEvent,
 )
 from onyxwick.distribution.replica import FeedSnapshot, PurgeTable
-from onyxwick.net.coordinator_feed import read_members
+from onyxwick.net.errors import UnknownEventError
+from onyxwick.net.feed_wire import ALL_GROUPS, IS_SNAPSHOT, LIST_VERSION, ROWS, US_PER_MS, read_members
 
 log = logs.get()
 ApplyDocument = Callable[[str], None]
-"""Takes a document's text; ValueError where it cannot be used: the last good one then stays in force."""
+"""Takes a document's text; ValueError where it cannot be used: the previous version then stays in force."""
+UNREADABLE = (KeyError, ValueError, TypeError)
 
 
 class DirectorFeed:
-    """The sink of a director's subscription.
-
-    `documents` names who takes which document. A purge that came by itself and again in a snapshot is
-    applied once.
-    """
+    """The state that a director takes from the feed. `documents`: the consumer of each document, by name."""
 
     def __init__(
         self, core: RequestEngine, counters: Counters, documents: Mapping[str, ApplyDocument] | None = None
     ) -> None:
-        self.core, self.counters = core, counters
+        self.core = core
+        self.counters = counters
         self.documents = dict(documents or {})
-        self.purges, self.stamps = PurgeTable(), FeedStamps()
-        self.versions: dict[str, tuple[int, str]] = {}  # of each document seen whole: version and digest
+        self.purges = PurgeTable()
+        self.stamps = FeedStamps()
+        self.versions: dict[str, tuple[int, str]] = {}  # of each complete document: version and digest
         self.cursor = Cursor(0, 0)
         self._assembler = Assembler()
 
     def deliver(self, event: FeedEvent, from_snapshot: bool) -> None:
-        """One event; one that cannot be used is counted and logged, and the feed goes on."""
-        self.purges.expire(self.core.now() // 1000)
+        """Apply one event; one that cannot be used is counted and logged, and the feed goes on."""
+        self.purges.expire(self.core.now() // US_PER_MS)
         try:
             self._apply(event.payload)
-        except (KeyError, ValueError, TypeError) as error:
+        except UNREADABLE as error:
             self.counters.add("bad.distribution")
-            log.warning("bad event of the feed", index=event.cursor.packed, detail=repr(error))
+            log.warning("invalid feed event", index=event.cursor.packed, detail=repr(error))
         if not from_snapshot:
             self._advance_cursor(event.cursor)
 
     def install(self, snapshot: FeedSnapshot) -> None:
-        """A whole state. Its purges have been delivered before."""
+        """Apply a complete state; its purges have been delivered before."""
         self._assembler = Assembler()
         for payload in snapshot.payloads:
             if isinstance(payload, PurgeEvent):
                 continue
             try:
                 self._apply(payload)
-            except (KeyError, ValueError, TypeError) as error:
+            except UNREADABLE as error:
                 self.counters.add("bad.distribution")
-                log.warning("bad part of a snapshot", detail=repr(error))
+                log.warning("invalid snapshot part", detail=repr(error))
         self._advance_cursor(snapshot.cursor)
 
     def refresh(self, freshness: Freshness) -> None:
-        """The publisher was reached: where nothing is outstanding, what comes next happened after this."""
+        """The publisher was reached: if nothing is outstanding, later events happened after this."""
         if freshness.cursor <= self.cursor:
             self.stamps.caught_up(self.core.now())
 
@@ -79,38 +83,42 @@
 
     def _apply(self, payload: Payload) -> None:
         if isinstance(payload, PurgeEvent):
-            self._purge(payload)
+            self._apply_purge(payload)
         elif isinstance(payload, CacheListChange):
-            rows = [row.fields for row in payload.rows]
-            changed = {"servers": rows, "full": payload.full, "version": payload.version}
-            self.core.list_changed(*read_members(changed, self.stamps, self.core.now(), self._report_bad_row))
+            self._apply_list(payload)
         elif isinstance(payload, DocumentPart):
-            self._document_part(payload)
+            self._add_document_part(payload)
         else:
-            raise ValueError(payload.detail)
+            raise UnknownEventError(payload.detail)
+
+    def _apply_list(self, change: CacheListChange) -> None:
+        rows = [row.fields for row in change.rows]
+        document = {ROWS: rows, IS_SNAPSHOT: change.full, LIST_VERSION: change.version}
+        update = read_members(document, self.stamps, self.core.now(), self._report_bad_row)
+        self.core.list_changed(update.change, update.addresses)
 
     def _report_bad_row(self, text: str) -> None:
         self.counters.add("bad.distribution")
-        log.warning("bad row of the feed", detail=text)
+        log.warning("invalid feed row", detail=text)
 
-    def _purge(self, purge: PurgeEvent) -> None:
+    def _apply_purge(self, purge: PurgeEvent) -> None:
         if self.purges.add(purge):
-            group = -1 if purge.key.shard is None else purge.key.shard
-            made = self.stamps.purge(purge.unix_ms * 1000, self.core.now())
-            self.core.purged(group, purge.key.ref, made)
+            group = ALL_GROUPS if purge.key.shard is None else purge.key.shard
+            made_at_us = self.stamps.purge(purge.unix_ms * US_PER_MS, self.core.now())
+            self.core.purged(group, purge.key.ref, made_at_us)
 
-    def _document_part(self, part: DocumentPart) -> None:
+    def _add_document_part(self, part: DocumentPart) -> None:
         try:
             document = self._assembler.add(part)
         except DocumentError as error:
             self.counters.add("bad.document")
-            log.warning("bad part of a document", name=part.name, detail=str(error))
+            log.warning("invalid document part", name=part.name, detail=str(error))
             return
         if document is not None and self.versions.get(document.name) != (document.version, document.digest):
-            self._document(document)
+            self._apply_document(document)
 
-    def _document(self, document: Document) -> None:
-        self.versions[document.name] = document.version, document.digest
+    def _apply_document(self, document: Document) -> None:
+        self.versions[document.name] = (document.version, document.digest)
         apply = self.documents.get(document.name)
         if apply is None:
             return
@@ -126,4 +134,4 @@
             )
         else:
             self.counters.add("document.applied")
-            log.info("document in force", name=document.name, version=document.version)
+            log.info("document applied", name=document.name, version=document.version)
--- a/onyxwick/net/errors.py
+++ b/onyxwick/net/errors.py
@@ -51,6 +51,10 @@
         self.index = index
 
 
+class UnknownEventError(NetError, ValueError):
+    """An event of the distribution feed of a type that this version does not know."""
+
+
 OUT_OF_RESOURCES = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
 """This machine lacks descriptors or memory for the moment: an immediate retry would fail again."""
 
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -11,7 +11,8 @@
 
 from onyxwick.core.clock import FeedStamps
 from onyxwick.interface import AttemptStatus, EndpointsChanged, ObjectsPurged, SetTimer, TimerFired
-from onyxwick.net.coordinator_feed import CoordinatorFeed, newest_stamp_us
+from onyxwick.net.coordinator_feed import CoordinatorFeed
+from onyxwick.net.feed_wire import newest_stamp_us
 from tests.ground import Ground, ask, played
 
 HOUR_US = 3_600_000_000
--- a/tests/test_off.py
+++ b/tests/test_off.py
@@ -58,6 +58,7 @@
     "onyxwick.net.errors",
     "onyxwick.net.fastcgi",
     "onyxwick.net.feed_race",
+    "onyxwick.net.feed_wire",
     "onyxwick.net.front",
     "onyxwick.net.listening",
     "onyxwick.net.resp",
