--- a/onyxwick/lab/scale/small.py
+++ b/onyxwick/lab/scale/small.py
@@ -16,7 +16,8 @@
 from onyxwick.lab.machines import CoordinatorEmulator
 from onyxwick.lab.scale.hollow import HollowDirector, Observations, Shape
 from onyxwick.lab.scale.sweeps import rows
-from onyxwick.net.distribution_node import PublisherNode, RelayNode
+from onyxwick.net.publisher_node import PublisherNode
+from onyxwick.net.relay_node import RelayNode
 
 PATIENCE_S = 20.0
 LOOK_S = 0.01
--- a/onyxwick/net/fanout_server.py
+++ b/onyxwick/net/fanout_server.py
@@ -1,4 +1,8 @@
-"""The sending side of a node over TCP: one protocol object for each subscriber."""
+"""Serves the subscribers of a distribution node over TCP: one protocol object for each.
+
+What is sent and when is decided by `FanOut`; this module reads requests and writes while sockets accept
+bytes.
+"""
 
 from __future__ import annotations
 
@@ -17,12 +21,15 @@
 log = logs.get()
 ACCEPT_BACKLOG = 1024
 MAX_REQUEST_BYTES = 64
+ADMISSION_SLACK_S = 0.001
+"""Added to the wait until a subscriber is admitted, so that the timer is not early."""
+US_PER_S = 1e6
 WATCH_INTERVAL_S = 0.05
-"""How often heartbeats and stuck subscribers are looked for."""
+"""Between two checks for due heartbeats and stalled subscribers."""
 
 
 class _SubscriberConnection(asyncio.Protocol):
-    """One subscriber's connection: reads `follow N`, then writes whenever the socket has room."""
+    """One subscriber's connection: reads `follow N`, then writes whenever the socket accepts bytes."""
 
     def __init__(self, server: FanOutServer) -> None:
         self.server = server
@@ -42,44 +49,49 @@
 
     def data_received(self, data: bytes) -> None:
         if self._request is None:
-            return  # a follower has nothing to say after its request; what it sends is passed over
+            return  # a follower sends nothing after its request; what it sends is ignored
         self._request += data
         end = self._request.find(b"\n")
         if end < 0 and len(self._request) <= MAX_REQUEST_BYTES:
             return
-        line, self._request = bytes(self._request[: max(0, end)]), None
+        line = bytes(self._request[: max(0, end)])
+        self._request = None
         self._follow(line)
 
     def _follow(self, line: bytes) -> None:
         assert self.subscriber is not None
         assert self.transport is not None
-        server, now = self.server, self.server.clock()
+        server = self.server
+        now_us = server.clock()
         try:
             cursor = decode_follow(line)
         except MalformedLineError as error:
             server.counters.add("bad.subscriber")
-            log.warning("bad request of a subscriber", detail=str(error))
+            log.warning("invalid subscriber request", detail=str(error))
             self.transport.abort()
             return
-        if not server.fanout.follow(self.subscriber, cursor, now):
+        if not server.fanout.follow(self.subscriber, cursor, now_us):
             self.transport.abort()
             return
-        wait_s = (self.subscriber.admitted_at - now) / 1e6
-        asyncio.get_running_loop().call_later(wait_s + 0.001 if wait_s > 0 else 0, self.flush)
+        wait_s = (self.subscriber.admitted_at - now_us) / US_PER_S
+        delay_s = wait_s + ADMISSION_SLACK_S if wait_s > 0 else 0
+        asyncio.get_running_loop().call_later(delay_s, self.flush)
 
     def unsent_bytes(self) -> int:
-        """Bytes that the socket has not taken yet."""
+        """Bytes that the socket has not accepted yet."""
         return 0 if self.transport is None else self.transport.get_write_buffer_size()
 
     def flush(self) -> None:
-        """Write what the subscriber lacks and the socket has room for."""
-        server, transport, subscriber = self.server, self.transport, self.subscriber
+        """Write what the subscriber lacks, as far as the write buffer's bound allows."""
+        server = self.server
+        transport = self.transport
+        subscriber = self.subscriber
         if transport is None or subscriber is None or transport.is_closing():
             return
-        now = server.clock()
+        now_us = server.clock()
         while not self._paused:
-            room = server.fanout.limits.high_water_bytes - transport.get_write_buffer_size()
-            data = server.fanout.take(subscriber, room, now)
+            free_bytes = server.fanout.limits.high_water_bytes - transport.get_write_buffer_size()
+            data = server.fanout.take(subscriber, free_bytes, now_us)
             if not data:
                 return
             server.sent_bytes += len(data)
@@ -99,12 +111,15 @@
 
 
 class FanOutServer:
-    """Listens for subscribers and keeps them supplied from the node's replica."""
+    """Listens for subscribers and sends them the events of the node's replica."""
 
     def __init__(
         self, fanout: FanOut, address: Address, counters: Counters, clock: Callable[[], int] = steady_us
     ) -> None:
-        self.fanout, self.address, self.counters, self.clock = fanout, address, counters, clock
+        self.fanout = fanout
+        self.address = address
+        self.counters = counters
+        self.clock = clock  # steady microseconds
         self.connections: set[_SubscriberConnection] = set()
         self.sent_bytes = 0
         self._flush_scheduled = False
@@ -121,9 +136,9 @@
                 self._watch()
 
     def on_published(self) -> None:
-        """The replica has changed: in the next turn of the loop all subscribers with room get what is new.
+        """The replica has changed: in the next turn of the event loop all subscribers get what is new.
 
-        Events that come in one turn go out in one write a subscriber, and not in one each.
+        Events that arrive in one turn are sent in one write for each subscriber.
         """
         if not self._flush_scheduled:
             self._flush_scheduled = True
@@ -135,17 +150,19 @@
             connection.flush()
 
     def _watch(self) -> None:
-        now = self.clock()
-        line = self.fanout.heartbeat(now)
+        """Send due heartbeats, and disconnect subscribers that have expired."""
+        now_us = self.clock()
+        line = self.fanout.heartbeat(now_us)
         for connection in list(self.connections):
-            subscriber, transport = connection.subscriber, connection.transport
+            subscriber = connection.subscriber
+            transport = connection.transport
             if subscriber is None or transport is None:
                 continue
             unsent = connection.unsent_bytes()
             if line and unsent == 0 and self.fanout.is_current(subscriber):
                 self.sent_bytes += len(line)
                 transport.write(line)
-            elif reason := self.fanout.expired(subscriber, unsent, now):
+            elif reason := self.fanout.expired(subscriber, unsent, now_us):
                 self.counters.add("subscriber.expired")
                 log.info("subscriber closed", reason=reason)
                 transport.abort()
--- a/onyxwick/net/subscription.py
+++ b/onyxwick/net/subscription.py
@@ -1,4 +1,7 @@
-"""A follower of the distribution feed over TCP: between sockets and the state machine."""
+"""Connects a follower of the distribution feed over TCP: sockets on one side, its state machine on the other.
+
+The follower decides; this module carries out its actions and reports lines and lost connections to it.
+"""
 
 from __future__ import annotations
 
@@ -28,26 +31,27 @@
 log = logs.get()
 FIRST_RETRY_US = 100_000
 MAX_RETRY_US = 1_000_000
+US_PER_S = 1e6
 
 
 class FeedSink(Protocol):
-    """Takes what a follower delivers, in order."""
+    """The consumer of what a follower delivers, in order."""
 
     def deliver(self, event: FeedEvent, from_snapshot: bool) -> None:
-        """One event, or a purge of a snapshot that is still being loaded."""
+        """Take one event, or a purge of a snapshot that is still being loaded."""
         ...
 
     def install(self, snapshot: FeedSnapshot) -> None:
-        """A whole state, in place of all that was delivered before."""
+        """Take a complete state, in place of all that was delivered before."""
         ...
 
     def refresh(self, freshness: Freshness) -> None:
-        """The publisher was reached."""
+        """Note that the publisher was reached."""
         ...
 
 
 class ReconnectDelays:
-    """The follower's waits: exponential backoff with full jitter, from the director's own pacing."""
+    """The waits between a follower's connections: exponential backoff with full jitter."""
 
     def __init__(self, seed: int, now: int) -> None:
         self._backoff = ReconnectBackoff(seed, now, BackoffPolicy(max_delay_us=MAX_RETRY_US), directors=1)
@@ -57,18 +61,18 @@
         return self._backoff.next_delay_us(FIRST_RETRY_US)
 
     def reset(self) -> None:
-        """A connection has worked."""
+        """A connection has worked: the next wait is the first one again."""
         self._backoff.reset()
 
 
 class _Connection(asyncio.Protocol):
-    """One connection to a parent; hands whole lines on."""
+    """One connection to a parent; splits what is received into complete lines."""
 
     def __init__(self, owner: Subscription) -> None:
         self.owner = owner
         self.transport: asyncio.Transport | None = None
         self._partial_line = bytearray()
-        self._oversized = b""  # the beginning of a line that is too long, while the rest of it is passed over
+        self._oversized = b""  # the beginning of a line that is too long, while its rest is skipped
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast("asyncio.Transport", transport)  # uvloop's own does not inherit from it
@@ -82,11 +86,12 @@
         lines = bytes(self._partial_line[:end]).split(b"\n")
         del self._partial_line[: end + 1]
         if self._oversized:
-            lines[0], self._oversized = stub_of(self._oversized), b""
+            lines[0] = stub_of(self._oversized)
+            self._oversized = b""
         self.owner.on_lines(self, lines)
 
     def _limit_partial_line(self) -> None:
-        """Keep of a line that is too long only its beginning."""
+        """Of a line that is too long, keep only the beginning."""
         if self._oversized:
             self._partial_line.clear()
         elif len(self._partial_line) > MAX_LINE_BYTES:
@@ -98,7 +103,7 @@
 
 
 class Subscription:
-    """Keeps one follower connected until cancelled. `on_line` is called with each line that comes."""
+    """Keeps one follower connected until cancelled. `on_line` is called for received lines."""
 
     def __init__(
         self,
@@ -108,15 +113,18 @@
         counters: Counters,
         clock: Callable[[], int] = steady_us,
     ) -> None:
-        self.follower, self.parents, self.sink, self.counters = follower, list(parents), sink, counters
-        self.clock = clock
+        self.follower = follower
+        self.parents = list(parents)
+        self.sink = sink
+        self.counters = counters
+        self.clock = clock  # steady microseconds
         self.on_line: Callable[[], None] | None = None
         self._connection: _Connection | None = None
         self._opening: asyncio.Task[None] | None = None
         self._changed = asyncio.Event()
 
     async def run(self, delay_us: int = 0) -> None:
-        """Follow until cancelled, the first connection after a delay."""
+        """Follow until cancelled; the first connection is opened after a delay in microseconds."""
         self._perform(self.follower.start(self.clock(), delay_us))
         try:
             while True:
@@ -127,7 +135,7 @@
 
     async def _wait_for_deadline(self) -> None:
         deadline = self.follower.deadline
-        wait_s = None if deadline is None else max(0.0, (deadline - self.clock()) / 1e6)
+        wait_s = None if deadline is None else max(0.0, (deadline - self.clock()) / US_PER_S)
         self._changed.clear()
         try:
             async with asyncio.timeout(wait_s):
@@ -159,10 +167,9 @@
                     self.sink.install(snapshot)
                 case RefreshFreshness(freshness):
                     self.sink.refresh(freshness)
-        except Exception:
-            # An event that the sink cannot take would not be taken a second time either.
+        except Exception:  # the sink's fault must not end the feed; a second delivery would fail as well
             self.counters.add("error.distribution")
-            log.exception("error in an event of the distribution feed", kind=type(action).__name__)
+            log.exception("distribution event failed", kind=type(action).__name__)
 
     async def _open(self, address: Address) -> None:
         loop = asyncio.get_running_loop()
@@ -178,29 +185,30 @@
             self._changed.set()
 
     def on_connection_failed(self, connection: _Connection, reason: str) -> None:
-        """A connection has ended or did not come up; nothing happens if it is not the one in use."""
+        """A connection has ended or could not be opened; ignored unless it is the one in use."""
         if connection is not self._connection:
             return
         self._connection = None
         if connection.transport is not None:
             connection.transport.abort()
         self.counters.add("distribution.lost")
-        place = self.follower.parent
-        log.info("parent of the feed lost", parent=written(self.parents[place]), reason=reason)
+        address = self.parents[self.follower.parent]
+        log.info("feed parent lost", parent=written(address), reason=reason)
         self._perform(self.follower.lost(self.clock(), reason))
         self._changed.set()
 
     def _disconnect(self, reason: str) -> None:
-        connection, self._connection = self._connection, None
+        connection = self._connection
+        self._connection = None
         if self._opening is not None:
             self._opening.cancel()
         if connection is not None and connection.transport is not None:
             connection.transport.abort()
-        log.info("parent of the feed given up", reason=reason)
+        log.info("feed parent disconnected", reason=reason)
         self._changed.set()
 
     def on_lines(self, connection: _Connection, lines: Sequence[bytes]) -> None:
-        """Whole lines have come on a connection."""
+        """Complete lines were received on a connection."""
         for line in lines:
             if connection is not self._connection:
                 return
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -49,7 +49,7 @@
 from onyxwick.distribution.replica import FeedSnapshot, Replica
 from onyxwick.distribution.tree import TreeError, TreeLimits, plan
 from onyxwick.lab.scale.small import node_config
-from onyxwick.net.distribution_node import PublisherNode
+from onyxwick.net.publisher_node import PublisherNode
 from onyxwick.net.subscription import Subscription
 from onyxwick.store.engine import StoreEngine
 from onyxwick.store.errors import StoreError
