--- a/onyxwick/lab/soak/acts.py
+++ b/onyxwick/lab/soak/acts.py
@@ -5,18 +5,18 @@
 import asyncio
 import random
 import signal
-from collections import defaultdict, deque
-from typing import TYPE_CHECKING
+from collections import deque
 
 from onyxwick.lab.faults.relay import LinkDirection
 from onyxwick.lab.feed import row_of
 from onyxwick.lab.soak.clients import OBJECTS
+from onyxwick.lab.soak.ground import FaultState, SoakGround
 from onyxwick.lab.soak.model import Down
 from onyxwick.lab.soak.operator_acts import OperatorActs
 from onyxwick.lab.soak.persistent import Habit
 from onyxwick.lab.soak.plan import STEPS_S, SoakFault, SoakFaultKind, drawn
 from onyxwick.lab.soak.process import SoakDirector
-from onyxwick.lab.soak.servers import ConnectionLoss
+from onyxwick.lab.soak.servers import ConnectionLoss, SoakServer
 from onyxwick.lab.soak.shim import (
     ACCEPT_ERRORS,
     BROKEN_ERRORS,
@@ -26,11 +26,7 @@
     SOCKET_ERRORS,
     Field,
 )
-from onyxwick.lab.soak.told import Played, Span
-
-if TYPE_CHECKING:
-    from onyxwick.lab.soak.run import Soak
-    from onyxwick.lab.soak.servers import SoakServer
+from onyxwick.lab.soak.told import Span
 
 S = 1_000_000
 TERM_CONNECTS_S = 0.3  # after SIGTERM new connections come for so long
@@ -45,12 +41,10 @@
 class SoakActions:
     """The faults of one soak."""
 
-    def __init__(self, soak: Soak) -> None:
+    def __init__(self, soak: SoakGround) -> None:
         self.soak = soak
-        self.played = Played()
-        self.disk_since: dict[int, list[int]] = defaultdict(list)  # faults of folders that are under way
-        self.taken: set[str] = set()  # servers that a fault holds just now
-        self.operators = OperatorActs(self)
+        self.state = FaultState(soak.servers)
+        self.operators = OperatorActs(soak, self.state)
         self.doing = {
             SoakFaultKind.CLOCK: self._clock,
             SoakFaultKind.ACCEPT: self._accept,
@@ -85,7 +79,7 @@
         try:
             await self.doing[fault.kind](fault, director)
         finally:
-            self.played.spans.append(Span(fault.kind, fault.director, begun, self.soak.clock()))
+            self.state.played.spans.append(Span(fault.kind, fault.director, begun, self.soak.clock()))
 
     # ---- system calls ------------------------------------------------------------------------------------
 
@@ -119,9 +113,9 @@
 
     async def _disk(self, fault: SoakFault, director: SoakDirector) -> None:
         begun = self.soak.clock()
-        self.disk_since[director.number].append(begun)
+        self.state.disk_since[director.number].append(begun)
         await self._calls(fault, director, {Field.DISK_ERRNO: drawn(fault, DISK_ERRORS)})
-        self.disk_since[director.number].remove(begun)
+        self.state.disk_since[director.number].remove(begun)
 
     async def _calls(self, fault: SoakFault, director: SoakDirector, fields: dict[Field, int]) -> None:
         for name, value in fields.items():
@@ -186,7 +180,7 @@
     async def _torn_write(self, fault: SoakFault, director: SoakDirector) -> None:
         """Killed in the middle of writing the operators' file: the call gets no yes, so nothing is owed."""
         async with director.busy:
-            server = self.free(fault, ("box",))
+            server = self.state.reserve_server(fault, ("box",))
             if server is None:
                 return
             begun = self.soak.clock()
@@ -195,7 +189,7 @@
             await self._killed(director)
             self.soak.records.down.append(Down(director.number, begun, self.soak.clock()))
             await self.operators.called(director, f"/caches/enable/{server.name}")
-            self.taken.discard(server.name)
+            self.state.taken.discard(server.name)
 
     async def _reload(self, fault: SoakFault, director: SoakDirector) -> None:
         async with director.busy:
@@ -251,15 +245,6 @@
 
     # ---- caches ------------------------------------------------------------------------------------------
 
-    def free(self, fault: SoakFault, kinds: tuple[str, ...]) -> SoakServer | None:
-        """A server that no other fault holds, drawn; the caller gives it back."""
-        fit = [s for s in self.soak.servers.values() if s.kind in kinds and s.name not in self.taken]
-        if len(self.taken) >= 4 or not fit:
-            return None
-        server = fit[fault.draw % len(fit)]
-        self.taken.add(server.name)
-        return server
-
     def _list(self, server: SoakServer, state: str) -> int:
         """Tell all lists; when."""
         for director in self.soak.directors:
@@ -267,46 +252,46 @@
         return self.soak.clock()
 
     async def _cache_drain(self, fault: SoakFault, director: SoakDirector) -> None:
-        if (server := self.free(fault, ("box", "parent"))) is None:
+        if (server := self.state.reserve_server(fault, ("box", "parent"))) is None:
             return
         told = self._list(server, "DRAINING")
         await asyncio.sleep(fault.for_s)
-        self.played.drained.append((server.name, told, self.soak.clock()))
+        self.state.played.drained.append((server.name, told, self.soak.clock()))
         self._list(server, "SERVING")
-        self.taken.discard(server.name)
+        self.state.taken.discard(server.name)
 
     async def _cache_restart(self, fault: SoakFault, director: SoakDirector) -> None:
-        if (server := self.free(fault, ("box", "parent"))) is None:
+        if (server := self.state.reserve_server(fault, ("box", "parent"))) is None:
             return
         await server.die()
         await asyncio.sleep(fault.for_s)
         server.cold_start()
         await server.listen()
         began = self.soak.clock()
-        self.played.starts.append((server.name, began, self._list(server, "SERVING")))
-        self.taken.discard(server.name)
+        self.state.played.starts.append((server.name, began, self._list(server, "SERVING")))
+        self.state.taken.discard(server.name)
 
     async def _cache_hang(self, fault: SoakFault, director: SoakDirector) -> None:
-        if (server := self.free(fault, ("box", "parent"))) is None:
+        if (server := self.state.reserve_server(fault, ("box", "parent"))) is None:
             return
         server.hang(True)
         await asyncio.sleep(fault.for_s)
         server.hang(False)
-        self.taken.discard(server.name)
+        self.state.taken.discard(server.name)
 
     async def _cache_forget(self, fault: SoakFault, director: SoakDirector) -> None:
-        if (server := self.free(fault, ("box", "parent"))) is None:
+        if (server := self.state.reserve_server(fault, ("box", "parent"))) is None:
             return
         server.end_connections(drawn(fault, tuple(ConnectionLoss)))
         await asyncio.sleep(fault.for_s)
-        self.taken.discard(server.name)
+        self.state.taken.discard(server.name)
 
     async def _purge(self, fault: SoakFault, director: SoakDirector) -> None:
         world, now = self.soak.world, self.soak.clock()
         names = [f"{n:016x}" for n in range(OBJECTS)]
         group = world.group(names[fault.draw % OBJECTS])
         world.truth.purge(group, now)
-        self.played.purges.append((group, now))
+        self.state.played.purges.append((group, now))
         for each in self.soak.directors:
             each.feed.purge(group, now)
         purged = {name for name in names if world.group(name) == group}
--- a/onyxwick/lab/soak/operator_acts.py
+++ b/onyxwick/lab/soak/operator_acts.py
@@ -4,15 +4,12 @@
 
 import asyncio
 from enum import Enum
-from typing import TYPE_CHECKING
 
+from onyxwick.lab.soak.ground import FaultState, SoakGround
 from onyxwick.lab.soak.model import DirectorDrained, Unready
 from onyxwick.lab.soak.plan import SoakFault, SoakFaultKind, drawn
 from onyxwick.lab.soak.process import SoakDirector
 
-if TYPE_CHECKING:
-    from onyxwick.lab.soak.acts import SoakActions
-
 S = 1_000_000
 HELD_RULE_US = 550_000  # the drain's grace and slack, which a command of the operators does not have
 DRAIN_CONNECTS_S = 0.2
@@ -33,8 +30,9 @@
 class OperatorActs:
     """The operators' side of one soak's faults."""
 
-    def __init__(self, acts: SoakActions) -> None:
-        self.acts, self.soak = acts, acts.soak
+    def __init__(self, soak: SoakGround, state: FaultState) -> None:
+        self.soak = soak
+        self.state = state
 
     async def called(self, director: SoakDirector, path: str) -> int | None:
         """A call, again until it is answered with yes: when that one was made; None: it never was."""
@@ -82,7 +80,7 @@
 
     async def hold(self, fault: SoakFault, director: SoakDirector) -> None:
         """Have a cache left out by one director for a while."""
-        server = self.acts.free(fault, ("box",))
+        server = self.state.reserve_server(fault, ("box",))
         if server is None:
             return
         try:
@@ -98,7 +96,7 @@
             self.soak.records.unready.append(row)
             await self.called(director, f"/caches/enable/{server.name}")
         finally:
-            self.acts.taken.discard(server.name)
+            self.state.taken.discard(server.name)
 
     def _forgotten(self, director: SoakDirector, since: int) -> list[int]:
         """Kills while the folder took no write: what could not be written is not known after them."""
@@ -110,9 +108,9 @@
         """When its folder took no write; a fault that is under way has no end yet."""
         ended = [
             s
-            for s in self.acts.played.spans
+            for s in self.state.played.spans
             if s.kind is SoakFaultKind.DISK and s.director == director.number
         ]
         return [(s.from_us, s.until_us) for s in ended] + [
-            (at, 1 << 62) for at in self.acts.disk_since[director.number]
+            (at, 1 << 62) for at in self.state.disk_since[director.number]
         ]
--- a/onyxwick/lab/soak/run.py
+++ b/onyxwick/lab/soak/run.py
@@ -261,7 +261,7 @@
 
     def _report(self, faults: list[SoakFault]) -> SoakReport:
         records = self.records
-        self.acts.played.settle(self.records, len(self.directors))
+        self.acts.state.played.settle(self.records, len(self.directors))
         if self.clients.twice:
             records.ended.append(f"{self.clients.twice} answers came a second time")
         tiers = {name: server.tier for name, server in self.servers.items()}
