--- a/onyxwick/admin/api.py
+++ b/onyxwick/admin/api.py
@@ -9,7 +9,7 @@
 import dns.rdatatype
 
 from onyxwick.admin.http import HttpError, HttpRequest
-from onyxwick.config.service import TOKEN_LEAST
+from onyxwick.config.service import MIN_TOKEN_CHARACTERS
 from onyxwick.counters import Counters
 from onyxwick.tenants import (
     AlreadyExistsError,
@@ -139,8 +139,8 @@
             raise HttpError(400, f"unknown field '{min(unknown)}'")
         quota = read_quota(data.get("quota_per_s", tenant.quota.per_s))
         token = data.get("token", tenant.token)
-        if not isinstance(token, str) or (token and len(token) < TOKEN_LEAST):
-            raise HttpError(400, f"field 'token' has under {TOKEN_LEAST} characters")
+        if not isinstance(token, str) or (token and len(token) < MIN_TOKEN_CHARACTERS):
+            raise HttpError(400, f"field 'token' has under {MIN_TOKEN_CHARACTERS} characters")
         holder = self.tenants.by_token(token) if token else None
         if (holder is not None and holder is not tenant) or token == self.token:
             raise HttpError(400, "field 'token' cannot be used")
--- a/onyxwick/admin/http.py
+++ b/onyxwick/admin/http.py
@@ -12,7 +12,7 @@
 import ujson
 
 from onyxwick import logs
-from onyxwick.config.address import written
+from onyxwick.config.address import format_address
 from onyxwick.counters import Counters
 from onyxwick.net import errors
 from onyxwick.net.accept_loop import ACCEPT_PAUSE_S
@@ -144,7 +144,7 @@
         """Serve until cancelled, on `bound` where the caller has bound it already."""
         loop = asyncio.get_running_loop()
         with bound or listen(self.address) as sock:
-            log.info(f"{self.name} on", address=written(self.address))
+            log.info(f"{self.name} on", address=format_address(self.address))
             try:
                 while True:
                     try:
--- a/onyxwick/cells/offline.py
+++ b/onyxwick/cells/offline.py
@@ -14,7 +14,7 @@
     from onyxwick.config import ConfigError
     from onyxwick.config.service import load
 
-    plan = load(path).plan
+    plan = load(path).cell_plan
     if plan is None:
         raise ConfigError(f"{path.name}: names no cell")
     return plan
@@ -33,7 +33,7 @@
 
     told = relay.load({"RELAY_CONFIG": str(config)})
     listed: dict[str, Member] = {}
-    for event in told.known.get("updates") or ():
+    for event in told.known_events.get("updates") or ():
         if "endpoints" in event:
             change, _ = read_members(event["endpoints"], FeedStamps(), steady_us(), _passed_over)
             listed |= {m.address: m for m in change.members}
--- a/onyxwick/config/cells.py
+++ b/onyxwick/config/cells.py
@@ -1,4 +1,8 @@
-"""The one reader of plans of cells, for the HCL file and for the administration API's JSON."""
+"""Reads plans of cells, from the service file's blocks and from the administration API's JSON.
+
+Both forms have one reader: JSON is turned into blocks first. Output is a checked `CellPlan`; durations are
+microseconds.
+"""
 
 from __future__ import annotations
 
@@ -23,213 +27,240 @@
     check,
 )
 from onyxwick.config.errors import ConfigError
-from onyxwick.config.fields import NAME, Fields, spoken
+from onyxwick.config.fields import Fields, format_duration
 from onyxwick.config.hcl import Block, Value
 
-HOUR_US = 3_600_000_000
-_RANGE = re.compile(r"([0-9a-f]{2})(?:-([0-9a-f]{2}))?").fullmatch
-_FIELD = re.compile(r"[A-Za-z][A-Za-z0-9-]{0,63}").fullmatch
+S_US = 1_000_000
+HOUR_US = 3_600 * S_US
+MIN_PHASE_US = 100_000
+MAX_CELL_WEIGHT = 1000
+MAX_TENANT_WEIGHT = 1e6
+MAX_RATE_PER_S = 1e6
+MAX_OPEN_REQUESTS = 1_000_000
+MAX_UNIX_S = 2**40
+ALL_KEYS = f"00-{KEYS - 1:02x}"
 TENANT_FIELDS = ("weight", "span", "cells", "rate_per_s", "most_open", "ranges")
+API_ROWS = {"cells": "cell", "tenants": "tenant", "moves": "move"}
+"""The API's tables, by the type of block that each row is."""
+API_POLICY = "policy"
+
+_match_key_range = re.compile(r"([0-9a-f]{2})(?:-([0-9a-f]{2}))?").fullmatch
+is_field_name = re.compile(r"[A-Za-z][A-Za-z0-9-]{0,63}").fullmatch
+"""Whether a text is a name of a request field."""
 
 
-def _named(row: Fields) -> str:
-    if not NAME(row.label):
-        raise ConfigError(
-            f"{row.file}:{row.block.line}: {row.where}: '{row.label}' is no name of small letters, digits and"
-            " hyphens"
-        )
-    return row.label
+# ---- rows ------------------------------------------------------------------------------------------------
 
 
-def _cell(row: Fields) -> Cell:
-    out = Cell(
-        _named(row),
-        tuple(row.texts("members", ())),
-        row.number("weight", 0.001, 1000, 1.0),
-        row.text("fallback", "") or None,
+def _read_cell(row: Fields) -> Cell:
+    cell = Cell(
+        name=row.own_name(),
+        members=tuple(row.strings("members", ())),
+        weight=row.number("weight", 0.001, MAX_CELL_WEIGHT, 1.0),
+        fallback=row.string("fallback", "") or None,
     )
-    row.done()
-    return out
+    row.reject_unknown()
+    return cell
 
 
-def _keys(row: Fields, name: str, text: str, line: int | None = None) -> tuple[int, int]:
-    found = _RANGE(text)
-    if found is None:
-        raise row.error(name, f"{text!r} is no range of first bytes, as 00-7f", line)
-    first, last = int(found[1], 16), int(found[2] or found[1], 16)
+def _read_keys(row: Fields, field: str, text: str, line: int | None = None) -> tuple[int, int]:
+    """The first and last first byte of a key range as `00-7f`; ConfigError where it is none."""
+    match = _match_key_range(text)
+    if match is None:
+        raise row.error(field, f"{text!r} is no range of first bytes, as 00-7f", line)
+    first = int(match[1], 16)
+    last = int(match[2] or match[1], 16)
     if first > last:
-        raise row.error(name, f"{text!r} ends before it begins; did you mean {found[2]}-{found[1]}?", line)
+        hint = f"did you mean {match[2]}-{match[1]}?"
+        raise row.error(field, f"{text!r} ends before it begins; {hint}", line)
     return first, last
 
 
-def _ranges(row: Fields) -> tuple[KeyRange, ...]:
-    out = []
+def _read_ranges(row: Fields) -> tuple[KeyRange, ...]:
+    ranges = []
     for text, value in row.items("ranges").items():
         cells = value.plain()
         if isinstance(cells, str):
             cells = [cells]
         if not isinstance(cells, list) or not cells or not all(isinstance(cell, str) for cell in cells):
             raise row.error("ranges", f"range {text!r} names no cell", value.line)
-        out.append(KeyRange(*_keys(row, "ranges", text, value.line), tuple(cells)))
-    return tuple(out)
+        first, last = _read_keys(row, "ranges", text, value.line)
+        ranges.append(KeyRange(first, last, tuple(cells)))
+    return tuple(ranges)
 
 
-def tenant(row: Fields) -> TenantSpec:
-    """What a tenant's row says of cells; the caller calls `done`, as others read the row too."""
+def read_tenant(row: Fields) -> TenantSpec:
+    """What a tenant's row states of cells; other readers take the row's other fields."""
     return TenantSpec(
-        _named(row),
-        row.number("weight", 0.0001, 1e6, 1.0),
-        row.whole("span", 1, MOST_SPAN, 1),
-        tuple(row.texts("cells", ())),
-        _ranges(row),
-        row.number("rate_per_s", 0, 1e6, 0),
-        row.whole("most_open", 0, 1_000_000, 0),
+        name=row.own_name(),
+        weight=row.number("weight", 0.0001, MAX_TENANT_WEIGHT, 1.0),
+        span=row.integer("span", 1, MOST_SPAN, 1),
+        cells=tuple(row.strings("cells", ())),
+        ranges=_read_ranges(row),
+        rate_per_s=row.number("rate_per_s", 0, MAX_RATE_PER_S, 0),
+        most_open=row.integer("most_open", 0, MAX_OPEN_REQUESTS, 0),
     )
 
 
-def _move(row: Fields) -> MigrationSpec:
-    first, last = _keys(row, "keys", row.text("keys", f"00-{KEYS - 1:02x}"))
-    out = MigrationSpec(
-        _named(row),
-        row.text("tenant"),
-        tuple(row.texts("to")),
-        first,
-        last,
-        row.whole("begins_unix", 0, 2**40, 0) * 1_000_000,
-        row.duration("warm", 100_000, HOUR_US, WARM_US),
-        row.duration("bake", 100_000, HOUR_US, BAKE_US),
+def _read_migration(row: Fields) -> MigrationSpec:
+    first, last = _read_keys(row, "keys", row.string("keys", ALL_KEYS))
+    migration = MigrationSpec(
+        name=row.own_name(),
+        tenant=row.string("tenant"),
+        to=tuple(row.strings("to")),
+        first=first,
+        last=last,
+        begins_us=row.integer("begins_unix", 0, MAX_UNIX_S, 0) * S_US,
+        warm_us=row.duration("warm", MIN_PHASE_US, HOUR_US, WARM_US),
+        bake_us=row.duration("bake", MIN_PHASE_US, HOUR_US, BAKE_US),
     )
-    row.done()
-    return out
+    row.reject_unknown()
+    return migration
 
 
-def _policy(row: Fields | None) -> CellPolicy:
+def _read_policy(row: Fields | None) -> CellPolicy:
     if row is None:
         return CellPolicy()
-    field = row.text("tenant_field", TENANT_FIELD)
-    if not _FIELD(field):
-        raise row.error("tenant_field", f"{field!r} is no name of a request field, as X-Tenant")
-    out = CellPolicy(
-        field,
-        row.text("default_tenant", "") or None,
-        row.duration("seat", 0, HOUR_US, SEAT_US),
-        row.share("reserved", RESERVED),
+    tenant_field = row.string("tenant_field", TENANT_FIELD)
+    if not is_field_name(tenant_field):
+        raise row.error("tenant_field", f"{tenant_field!r} is no name of a request field, as X-Tenant")
+    policy = CellPolicy(
+        tenant_field=tenant_field,
+        default_tenant=row.string("default_tenant", "") or None,
+        seat_us=row.duration("seat", 0, HOUR_US, SEAT_US),
+        reserved=row.fraction("reserved", RESERVED),
     )
-    row.done()
-    return out
+    row.reject_unknown()
+    return policy
 
 
-def _where(top: Fields, error: PlanError) -> ConfigError:
-    """A plan's error with the file and line of the row that it names."""
-    labels = 0 if error.kind == "cells" else 1
-    for row in top.blocks(error.kind, labels):
-        if not labels or row.label == error.name:
-            return row.error(error.field, error.text)
-    return ConfigError(f"{top.file}:1: {error}")
+# ---- the plan --------------------------------------------------------------------------------------------
 
 
 def read_plan(top: Fields, version: int = 1) -> CellPlan | None:
     """The plan in a file's blocks `cells`, `cell`, `tenant` and `move`; None where no cell is named.
 
-    ConfigError names file, line and field. Tenants' rows are left for others to end.
+    ConfigError names file, line and field. Unknown fields of tenants' rows are left for other readers.
     """
-    cells = {cell.name: cell for cell in map(_cell, top.blocks("cell", 1))}
-    policy, moves = _policy(top.block_of("cells")), [_move(row) for row in top.blocks("move", 1)]
+    cells = {cell.name: cell for cell in map(_read_cell, top.blocks("cell", 1))}
+    policy = _read_policy(top.single_block("cells"))
+    migrations = {each.name: each for each in map(_read_migration, top.blocks("move", 1))}
     if not cells:
-        for kind in ("cells", "move"):
-            for block in top.block.of(kind):
-                raise ConfigError(f"{top.file}:{block.line}: block '{kind}' without any block 'cell'")
+        _reject_rows_without_cells(top)
         return None
-    tenants = {one.name: one for one in map(tenant, top.blocks("tenant", 1))}
-    plan = CellPlan(cells, tenants, {move.name: move for move in moves}, policy, version)
+    tenants = {tenant.name: tenant for tenant in map(read_tenant, top.blocks("tenant", 1))}
+    plan = CellPlan(cells, tenants, migrations, policy, version)
     try:
         return check(plan)
     except PlanError as error:
-        raise _where(top, error) from None
+        raise _located(top, error) from None
 
 
-# ---- the same as JSON -----------------------------------------------------------------------------------
+def _reject_rows_without_cells(top: Fields) -> None:
+    for kind in ("cells", "move"):
+        for block in top.block.blocks_of(kind):
+            raise ConfigError.at(top.file, block.line, f"block '{kind}' without any block 'cell'")
 
 
-def _value(data: Any) -> Value:
-    if isinstance(data, list):
-        return Value([_value(inner) for inner in data], 1)
-    if isinstance(data, dict):
-        return Value({str(key): _value(inner) for key, inner in data.items()}, 1)
-    return Value(data, 1)
+def _located(top: Fields, error: PlanError) -> ConfigError:
+    """A plan's error with the file and line of the row that it names."""
+    labels = 0 if error.kind == "cells" else 1
+    for row in top.blocks(error.kind, labels):
+        if not labels or row.label == error.name:
+            return row.error(error.field, error.text)
+    return ConfigError.at(top.file, 1, str(error))
 
 
-def _rows(kind: str, data: Any) -> list[Block]:
-    if not isinstance(data, dict) or not all(isinstance(row, dict) for row in data.values()):
-        raise ConfigError(f"plan: '{kind}' is no object of objects")
-    rows = data.items()
-    return [Block(kind, [str(n)], 1, {k: _value(v) for k, v in row.items()}) for n, row in rows]
+# ---- the API's JSON --------------------------------------------------------------------------------------
 
 
 def plan_of_json(data: dict[str, Any], version: int) -> CellPlan:
     """A plan from the API's form; ConfigError names row and field."""
-    if unknown := set(data) - {"cells", "tenants", "moves", "policy"}:
-        raise ConfigError(f"plan: unknown field '{min(unknown)}'")
+    if unknown := set(data) - {*API_ROWS, API_POLICY}:
+        raise ConfigError(f"plan: unknown field '{min(unknown)}'", field=min(unknown))
     top = Block("", [], 1)
-    top.blocks += _rows("cell", data.get("cells", {})) + _rows("tenant", data.get("tenants", {}))
-    top.blocks += _rows("move", data.get("moves", {}))
-    if policy := data.get("policy"):
+    for table, kind in API_ROWS.items():
+        top.blocks += _blocks_of_json(kind, data.get(table, {}))
+    if policy := data.get(API_POLICY):
         if not isinstance(policy, dict):
-            raise ConfigError("plan: 'policy' is no object")
-        top.blocks.append(Block("cells", [], 1, {k: _value(v) for k, v in policy.items()}))
+            raise ConfigError(f"plan: '{API_POLICY}' is no object", field=API_POLICY)
+        top.blocks.append(Block("cells", [], 1, _values_of_json(policy)))
     fields = Fields(top, "plan")
     plan = read_plan(fields, version)
     if plan is None:
-        raise ConfigError("plan: 'cells' names no cell")
+        raise ConfigError("plan: 'cells' names no cell", field="cells")
     for row in fields.blocks("tenant", 1):
-        for name in TENANT_FIELDS:
-            row.asked[name] = None
-        row.done()
+        row.accept(TENANT_FIELDS)
+        row.reject_unknown()
     return plan
 
 
-def _less(row: dict[str, Any]) -> dict[str, Any]:
-    return {name: value for name, value in row.items() if value not in ((), [], {}, None, 0)}
+def _blocks_of_json(kind: str, data: Any) -> list[Block]:
+    if not isinstance(data, dict) or not all(isinstance(row, dict) for row in data.values()):
+        raise ConfigError(f"plan: '{kind}' is no object of objects", field=kind)
+    return [Block(kind, [str(name)], 1, _values_of_json(row)) for name, row in data.items()]
+
+
+def _values_of_json(row: dict[str, Any]) -> dict[str, Value]:
+    return {name: _value_of_json(value) for name, value in row.items()}
+
+
+def _value_of_json(data: Any) -> Value:
+    if isinstance(data, list):
+        return Value([_value_of_json(inner) for inner in data], 1)
+    if isinstance(data, dict):
+        return Value({str(key): _value_of_json(inner) for key, inner in data.items()}, 1)
+    return Value(data, 1)
 
 
 def json_of_plan(plan: CellPlan) -> dict[str, Any]:
-    """The API's form; what `plan_of_json` reads back as the same plan."""
-    cells = {
-        c.name: _less({"members": list(c.members), "weight": c.weight, "fallback": c.fallback})
-        for c in plan.cells.values()
-    }
-    tenants = {
-        t.name: _less(
-            {
-                "weight": t.weight,
-                "span": t.span,
-                "cells": list(t.cells),
-                "ranges": {f"{r.first:02x}-{r.last:02x}": list(r.cells) for r in t.ranges},
-                "rate_per_s": t.rate_per_s,
-                "most_open": t.most_open,
-            }
-        )
-        for t in plan.tenants.values()
-    }
-    moves = {
-        m.name: _less(
-            {
-                "tenant": m.tenant,
-                "to": list(m.to),
-                "keys": f"{m.first:02x}-{m.last:02x}",
-                "begins_unix": m.begins_us // 1_000_000,
-                "warm": spoken(m.warm_us),
-                "bake": spoken(m.bake_us),
-            }
-        )
-        for m in plan.moves.values()
-    }
-    policy = plan.policy
-    shown = {"tenant_field": policy.tenant_field, "default_tenant": policy.default_tenant}
-    shown |= {"seat": spoken(policy.seat_us), "reserved": policy.reserved}  # type: ignore[dict-item]
+    """The API's form, which `plan_of_json` reads back as the same plan."""
     return {
-        "cells": cells,
-        "tenants": tenants,
-        "moves": moves,
-        "policy": _less(shown) | {"reserved": policy.reserved},
+        "cells": {cell.name: _json_of_cell(cell) for cell in plan.cells.values()},
+        "tenants": {tenant.name: _json_of_tenant(tenant) for tenant in plan.tenants.values()},
+        "moves": {migration.name: _json_of_migration(migration) for migration in plan.moves.values()},
+        API_POLICY: _json_of_policy(plan.policy),
     }
+
+
+def _json_of_cell(cell: Cell) -> dict[str, Any]:
+    return _without_empty({"members": list(cell.members), "weight": cell.weight, "fallback": cell.fallback})
+
+
+def _json_of_tenant(tenant: TenantSpec) -> dict[str, Any]:
+    return _without_empty(
+        {
+            "weight": tenant.weight,
+            "span": tenant.span,
+            "cells": list(tenant.cells),
+            "ranges": {f"{each.first:02x}-{each.last:02x}": list(each.cells) for each in tenant.ranges},
+            "rate_per_s": tenant.rate_per_s,
+            "most_open": tenant.most_open,
+        }
+    )
+
+
+def _json_of_migration(migration: MigrationSpec) -> dict[str, Any]:
+    return _without_empty(
+        {
+            "tenant": migration.tenant,
+            "to": list(migration.to),
+            "keys": f"{migration.first:02x}-{migration.last:02x}",
+            "begins_unix": migration.begins_us // S_US,
+            "warm": format_duration(migration.warm_us),
+            "bake": format_duration(migration.bake_us),
+        }
+    )
+
+
+def _json_of_policy(policy: CellPolicy) -> dict[str, Any]:
+    row = {
+        "tenant_field": policy.tenant_field,
+        "default_tenant": policy.default_tenant,
+        "seat": format_duration(policy.seat_us),
+    }
+    return _without_empty(row) | {"reserved": policy.reserved}
+
+
+def _without_empty(row: dict[str, Any]) -> dict[str, Any]:
+    return {name: value for name, value in row.items() if value not in ((), [], {}, None, 0)}
--- a/onyxwick/config/distribution.py
+++ b/onyxwick/config/distribution.py
@@ -1,4 +1,4 @@
-"""The configuration of a distribution node, and of a director that follows one: blocks `distribution`."""
+"""Reads the blocks `distribution`: a node of the distribution tree, or the nodes that a director follows."""
 
 from __future__ import annotations
 
@@ -8,14 +8,21 @@
 from zlib import crc32
 
 from onyxwick.config import hcl
-from onyxwick.config.address import Address, read_address
+from onyxwick.config.address import Address, AddressError, read_address
 from onyxwick.config.errors import ConfigError
 from onyxwick.config.fields import Fields
 from onyxwick.distribution.admission import AdmissionLimits
 
 S_US = 1_000_000
-LEAST_RETENTION_US, DEFAULT_RETENTION_US, MOST_RETENTION_US = 5 * S_US, 60 * S_US, 3_600 * S_US
-MOST_PARENTS = 8
+US_PER_MS = 1_000
+MIN_RETENTION_US = 5 * S_US
+DEFAULT_RETENTION_US = 60 * S_US
+MAX_RETENTION_US = 3_600 * S_US
+DEFAULT_STALE_AFTER_US = 3 * S_US
+MAX_STALE_AFTER_US = 60 * S_US
+MAX_WIDTH = 4096
+DEFAULT_WIDTH = 256
+MAX_PARENTS = 8
 
 
 class Role(Enum):
@@ -35,13 +42,15 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeConfig:
-    """One node. `parents`: of a relay the nodes it follows, of the publisher the coordinator, if any."""
+    """One node of the tree."""
 
     name: str
     role: Role
     listen: Address
     parents: tuple[Address, ...]
+    """Of a relay the nodes that it follows, of the publisher the coordinator, if it has one."""
     width: int
+    """Subscribers at once."""
     admission: AdmissionLimits
     retention_ms: int
     bulk_bytes_per_s: float
@@ -50,13 +59,13 @@
 
     @property
     def seed(self) -> int:
-        """For the waits between reconnects: of each node its own."""
+        """For the waits between reconnects, different for each node."""
         return crc32(self.name.encode())
 
 
 @dataclass(frozen=True, slots=True)
 class FeedConfig:
-    """What a director follows in place of the coordinator."""
+    """The nodes that a director follows in place of the coordinator."""
 
     parents: tuple[Address, ...]
     stale_after_us: int
@@ -64,67 +73,74 @@
 
 def read_parents(row: Fields) -> tuple[Address, ...]:
     """The field `parents`: addresses, the preferred one first."""
-    texts = row.texts("parents")
-    if not 1 <= len(texts) <= MOST_PARENTS:
-        raise row.error("parents", f"has {len(texts)} addresses, expected 1 to {MOST_PARENTS}")
-    out = []
+    texts = row.strings("parents")
+    if not 1 <= len(texts) <= MAX_PARENTS:
+        raise row.error("parents", f"has {len(texts)} addresses, expected 1 to {MAX_PARENTS}")
+    addresses = []
     for text in texts:
         try:
-            out.append(read_address(text))
-        except ValueError as error:
+            addresses.append(read_address(text))
+        except AddressError as error:
             raise row.error("parents", f"{error}; did you mean HOST:PORT?") from None
-    return tuple(out)
+    return tuple(addresses)
 
 
 def read_feed(row: Fields) -> FeedConfig:
     """The block `distribution` of a director's service file."""
-    out = FeedConfig(read_parents(row), row.duration("stale_after", S_US, 60 * S_US, 3 * S_US))
-    row.done()
-    return out
+    feed = FeedConfig(
+        parents=read_parents(row),
+        stale_after_us=row.duration("stale_after", S_US, MAX_STALE_AFTER_US, DEFAULT_STALE_AFTER_US),
+    )
+    row.reject_unknown()
+    return feed
 
 
-def _documents(row: Fields, folder: Path) -> tuple[DocumentFile, ...]:
-    out = []
+def _read_documents(row: Fields, folder: Path) -> tuple[DocumentFile, ...]:
+    documents = []
     for block in row.blocks("document", labels=1):
-        out.append(DocumentFile(block.label, folder / block.text("file")))
-        block.done()
-    return tuple(out)
+        documents.append(DocumentFile(block.label, folder / block.string("file")))
+        block.reject_unknown()
+    return tuple(documents)
+
+
+def _read_sources(row: Fields, role: Role) -> tuple[Address, ...]:
+    """The nodes that a relay follows, or the publisher's coordinator."""
+    if role is Role.RELAY:
+        return read_parents(row)
+    return (row.address("coordinator"),) if row.string("coordinator", "") else ()
+
+
+def _read_retention_us(row: Fields) -> int:
+    return row.duration("purge_retention", MIN_RETENTION_US, MAX_RETENTION_US, DEFAULT_RETENTION_US)
 
 
 def _read_node(row: Fields, folder: Path) -> NodeConfig:
     role = Role(row.choice("role", [each.value for each in Role]))
-    publisher = role is Role.PUBLISHER
-    parents: tuple[Address, ...] = ()
-    if not publisher:
-        parents = read_parents(row)
-    elif row.text("coordinator", ""):
-        parents = (row.address("coordinator"),)
-    store = row.text("store", "") if publisher else ""
-    out = NodeConfig(
+    is_publisher = role is Role.PUBLISHER
+    parents = _read_sources(row, role)
+    store = row.string("store", "") if is_publisher else ""
+    node = NodeConfig(
         name=row.name("name"),
         role=role,
         listen=row.address("listen"),
         parents=parents,
-        width=row.whole("width", 1, 4096, 256),
+        width=row.integer("width", 1, MAX_WIDTH, DEFAULT_WIDTH),
         admission=AdmissionLimits(per_s=row.number("admitted_per_s", 1, 10_000, 100)),
-        retention_ms=row.duration(
-            "purge_retention", LEAST_RETENTION_US, MOST_RETENTION_US, DEFAULT_RETENTION_US
-        )
-        // 1000,
-        bulk_bytes_per_s=row.number("bulk_bytes_per_s", 100, 1e9, 8_000) if publisher else 0.0,
+        retention_ms=_read_retention_us(row) // US_PER_MS,
+        bulk_bytes_per_s=row.number("bulk_bytes_per_s", 100, 1e9, 8_000) if is_publisher else 0.0,
         store=folder / store if store else None,
-        documents=_documents(row, folder) if publisher else (),
+        documents=_read_documents(row, folder) if is_publisher else (),
     )
-    row.done()
-    return out
+    row.reject_unknown()
+    return node
 
 
 def load_node(path: Path) -> NodeConfig:
     """The node that a file asks for; ConfigError names file, line and field."""
     top = Fields(hcl.read(path), path.name)
-    row = top.block_of("distribution")
+    row = top.single_block("distribution")
     if row is None:
-        raise ConfigError(f"{path.name}: block 'distribution' is missing")
+        raise ConfigError(f"{path.name}: block 'distribution' is missing", file=path.name)
     node = _read_node(row, path.parent)
-    top.done()
+    top.reject_unknown()
     return node
--- a/onyxwick/config/errors.py
+++ b/onyxwick/config/errors.py
@@ -1,20 +1,43 @@
-"""The one error of all configuration readers."""
+"""The errors of all configuration readers: what was found, where, what was expected, what was likely
+meant."""
 
 from __future__ import annotations
 
 import errno
 from collections.abc import Iterable
+from typing import Self
 
+from onyxwick.errors import OnyxwickError
 
-class ConfigError(Exception):
-    """The configuration cannot be used; the text names file, line, field and the likely intent."""
+MIN_SIMILARITY = 0.6
+"""How similar a known word must be to be suggested, between 0 and 1."""
+
+
+class ConfigError(OnyxwickError):
+    """The configuration cannot be used.
+
+    The message names file, line, field and the likely intent, as far as they are known; `file`, `line` and
+    `field` hold the same for programs, empty or 0 where unknown.
+    """
+
+    def __init__(self, message: str, *, file: str = "", line: int = 0, field: str = "") -> None:
+        super().__init__(message)
+        self.file = file
+        self.line = line
+        self.field = field
+
+    @classmethod
+    def at(cls, file: str, line: int, text: str, field: str = "") -> Self:
+        """The error at a line of a file, and in a field if one is named."""
+        what = f"field '{field}': {text}" if field else text
+        return cls(f"{file}:{line}: {what}", file=file, line=line, field=field)
 
 
 class ConfigUnreadableError(ConfigError):
-    """A file of the configuration could not be read for a reason that passes: it is to be tried again."""
+    """A file could not be read for a reason that passes: the read is to be retried."""
 
 
-_PASSING = frozenset(
+_TRANSIENT = frozenset(
     {
         errno.EAGAIN,
         errno.EBUSY,
@@ -29,15 +52,15 @@
 )
 
 
-def unreadable(error: OSError, where: str) -> ConfigError:
+def unreadable_error(error: OSError, where: str) -> ConfigError:
     """The error to raise where a file of the configuration cannot be read."""
-    kind = ConfigUnreadableError if error.errno in _PASSING else ConfigError
+    kind = ConfigUnreadableError if error.errno in _TRANSIENT else ConfigError
     return kind(f"{where}: {error}")
 
 
-def guess(word: str, known: Iterable[str]) -> str:
-    """What the writer of `word` probably meant, as the end of a sentence; empty where nothing is close."""
-    import difflib  # here: a director that starts well never needs it
+def suggestion(word: str, known: Iterable[str]) -> str:
+    """The known word that was likely meant, as the end of a sentence; empty where none is similar."""
+    import difflib  # here: a director with a valid configuration never needs it
 
-    close = difflib.get_close_matches(word, list(known), 1, 0.6)
-    return f"; did you mean '{close[0]}'?" if close else ""
+    similar = difflib.get_close_matches(word, list(known), 1, MIN_SIMILARITY)
+    return f"; did you mean '{similar[0]}'?" if similar else ""
--- a/onyxwick/config/fields.py
+++ b/onyxwick/config/fields.py
@@ -1,4 +1,7 @@
-"""Typed reading of one HCL block: what was found, where, what was expected, what was probably meant."""
+"""Typed reading of one HCL block: each error says what was found, where, what was expected and likely meant.
+
+A reader asks for each field by name and kind; `reject_unknown` then reports fields that nobody asked for.
+"""
 
 from __future__ import annotations
 
@@ -6,128 +9,182 @@
 from collections.abc import Iterable
 from typing import Any
 
-from onyxwick.config.address import Address, read_address
-from onyxwick.config.errors import ConfigError, guess
+from onyxwick.config.address import Address, AddressError, read_address
+from onyxwick.config.errors import ConfigError, suggestion
 from onyxwick.config.hcl import Block, Value
 
-UNITS = {"us": 1, "ms": 1_000, "s": 1_000_000, "min": 60_000_000, "h": 3_600_000_000}
-_DURATION = re.compile(r"([0-9]+(?:\.[0-9]+)?) ?([a-z]+)").fullmatch
-NAME = re.compile(r"[a-z0-9][a-z0-9-]{0,62}").fullmatch
-MISSING = object()
+US_PER_UNIT = {"us": 1, "ms": 1_000, "s": 1_000_000, "min": 60_000_000, "h": 3_600_000_000}
+"""The units of durations, in microseconds."""
+LOOPBACK_PREFIX = "127."
+REQUIRED = object()
+"""The default of a field that must be set."""
+_UNSET = object()
+
+_match_duration = re.compile(r"([0-9]+(?:\.[0-9]+)?) ?([a-z]+)").fullmatch
+is_name = re.compile(r"[a-z0-9][a-z0-9-]{0,62}").fullmatch
+"""Whether a text is a name of small letters, digits and hyphens."""
 
 
 class Fields:
-    """The attributes and blocks of one block. `done` refuses what nobody has asked for."""
+    """The attributes and blocks of one block.
+
+    Each reading method takes a field's name and its default, and raises ConfigError where the field is
+    missing without a default or has another form. `path` is the block's place in the file, for messages.
+    """
 
-    def __init__(self, block: Block, file: str, where: str = "") -> None:
-        self.block, self.file = block, file
-        self.where = where or block.type
-        self.asked: dict[str, None] = {}
-        self.asked_blocks: dict[str, None] = {}
+    def __init__(self, block: Block, file: str, path: str = "") -> None:
+        self.block = block
+        self.file = file
+        self.path = path or block.type
+        self.requested_fields: dict[str, None] = {}
+        self.requested_blocks: dict[str, None] = {}
+
+    @property
+    def label(self) -> str:
+        """The block's first label."""
+        return self.block.labels[0]
+
+    @property
+    def line(self) -> int:
+        """The line on which the block begins."""
+        return self.block.line
 
     def error(self, field: str, text: str, line: int | None = None) -> ConfigError:
+        """The error of a field; by default at the field's own line, or the block's where it is not set."""
         value = self.block.attributes.get(field)
-        at = line or (value.line if value else self.block.line)
-        path = f"{self.where}.{field}" if self.where else field
-        return ConfigError(f"{self.file}:{at}: field '{path}': {text}")
+        at_line = line or (value.line if value else self.line)
+        path = f"{self.path}.{field}" if self.path else field
+        return ConfigError.at(self.file, at_line, text, path)
+
+    def block_error(self, text: str) -> ConfigError:
+        """The error of the block itself."""
+        return ConfigError.at(self.file, self.line, f"{self.path}: {text}")
+
+    # ---- single values -----------------------------------------------------------------------------------
 
     def _get(self, name: str, default: Any) -> Any:
-        self.asked[name] = None
+        """The plain value, or `_UNSET` where the default holds."""
+        self.requested_fields[name] = None
         value = self.block.attributes.get(name)
         if value is not None and value.data is not None:
             return value.plain()
-        if default is MISSING:
+        if default is REQUIRED:
             raise self.error(name, "is missing")
-        return MISSING
+        return _UNSET
 
-    def text(self, name: str, default: Any = MISSING) -> str:
+    def string(self, name: str, default: Any = REQUIRED) -> str:
+        """A text."""
         value = self._get(name, default)
-        if value is MISSING:
+        if value is _UNSET:
             return str(default)
         if not isinstance(value, str):
             raise self.error(name, f'expected a text, found {value!r}; did you mean "{value}"?')
         return value
 
-    def name(self, name: str, default: Any = MISSING) -> str:
+    def name(self, name: str, default: Any = REQUIRED) -> str:
         """A name of small letters, digits and hyphens."""
-        value = self.text(name, default)
-        if value and not NAME(value):
+        value = self.string(name, default)
+        if value and not is_name(value):
             raise self.error(name, f"{value!r} is no name of small letters, digits and hyphens")
         return value
 
-    def number(self, name: str, least: float, most: float, default: Any = MISSING) -> float:
+    def own_name(self) -> str:
+        """The block's label, which must be a name."""
+        if not is_name(self.label):
+            raise self.block_error(f"'{self.label}' is no name of small letters, digits and hyphens")
+        return self.label
+
+    def number(self, name: str, lowest: float, highest: float, default: Any = REQUIRED) -> float:
+        """A number between two bounds, both included."""
         value = self._get(name, default)
-        if value is MISSING:
+        if value is _UNSET:
             return float(default)
         if isinstance(value, bool) or not isinstance(value, int | float):
             raise self.error(name, f"expected a number, found {value!r}")
-        if not least <= value <= most:
-            raise self.error(name, f"{value:g} is not between {least:g} and {most:g}")
+        if not lowest <= value <= highest:
+            raise self.error(name, f"{value:g} is not between {lowest:g} and {highest:g}")
         return float(value)
 
-    def whole(self, name: str, least: int, most: int, default: Any = MISSING) -> int:
-        value = self.number(name, least, most, default)
+    def integer(self, name: str, lowest: int, highest: int, default: Any = REQUIRED) -> int:
+        """A whole number between two bounds, both included."""
+        value = self.number(name, lowest, highest, default)
         if value != int(value):
             raise self.error(name, f"{value:g} is no whole number")
         return int(value)
 
-    def share(self, name: str, default: Any = MISSING) -> float:
-        """A part of one: 0 to 1."""
+    def fraction(self, name: str, default: Any = REQUIRED) -> float:
+        """A number from 0 to 1; a percentage is recognised in the message."""
         value = self._get(name, default)
         if isinstance(value, int | float) and 1 < value <= 100:
             raise self.error(name, f"a share lies between 0 and 1; did you mean {value / 100:g}?")
         return self.number(name, 0, 1, default)
 
-    def duration(self, name: str, least_us: int, most_us: int, default: Any = MISSING) -> int:
-        """A text with a unit, as "500ms", in microseconds."""
+    def duration(self, name: str, lowest_us: int, highest_us: int, default: Any = REQUIRED) -> int:
+        """A text with a unit, as "500ms", in microseconds; the default is in microseconds too."""
         value = self._get(name, default)
-        if value is MISSING:
+        if value is _UNSET:
             return int(default)
         if isinstance(value, int | float) and not isinstance(value, bool):
             raise self.error(name, f'{value:g} has no unit; did you mean "{value:g}ms" (or "{value:g}s")?')
-        found = _DURATION(value) if isinstance(value, str) else None
-        if found is None or found[2] not in UNITS:
-            units = ", ".join(UNITS)
+        match = _match_duration(value) if isinstance(value, str) else None
+        if match is None or match[2] not in US_PER_UNIT:
+            units = ", ".join(US_PER_UNIT)
             raise self.error(name, f"expected a number with one of the units {units}, found {value!r}")
-        out = int(float(found[1]) * UNITS[found[2]])
-        if not least_us <= out <= most_us:
-            near = next(
-                (u for u in UNITS if least_us <= float(found[1]) * UNITS[u] <= most_us and u != found[2]), ""
-            )
-            hint = f'; did you mean "{found[1]}{near}"?' if near else ""
-            raise self.error(name, f"{value} is not between {spoken(least_us)} and {spoken(most_us)}{hint}")
-        return out
-
-    def flag(self, name: str, default: Any = MISSING) -> bool:
+        number = match[1]
+        duration_us = int(float(number) * US_PER_UNIT[match[2]])
+        if not lowest_us <= duration_us <= highest_us:
+            bounds = f"{format_duration(lowest_us)} and {format_duration(highest_us)}"
+            hint = _unit_suggestion(number, match[2], lowest_us, highest_us)
+            raise self.error(name, f"{value} is not between {bounds}{hint}")
+        return duration_us
+
+    def flag(self, name: str, default: Any = REQUIRED) -> bool:
+        """`true` or `false`."""
         value = self._get(name, default)
-        if value is MISSING:
+        if value is _UNSET:
             return bool(default)
         if not isinstance(value, bool):
             raise self.error(name, f"expected true or false, found {value!r}")
         return value
 
-    def choice(self, name: str, known: Iterable[str], default: Any = MISSING) -> str:
-        value, words = self.text(name, default), list(known)
+    def choice(self, name: str, known: Iterable[str], default: Any = REQUIRED) -> str:
+        """One of the known words."""
+        value = self.string(name, default)
+        words = list(known)
         if value not in words:
-            raise self.error(name, f"{value!r} is none of {', '.join(words)}{guess(value, words)}")
+            raise self.error(name, f"{value!r} is none of {', '.join(words)}{suggestion(value, words)}")
         return value
 
-    def texts(self, name: str, default: Any = MISSING) -> list[str]:
+    def address(self, name: str, loopback: bool = False) -> Address:
+        """`HOST:PORT`, on the loopback network if so demanded."""
+        text = self.string(name)
+        try:
+            address = read_address(text)
+        except AddressError as error:
+            raise self.error(name, str(error)) from None
+        if loopback and not address[0].startswith(LOOPBACK_PREFIX):
+            raise self.error(name, f"{text} is no loopback address")
+        return address
+
+    # ---- lists, objects and blocks -----------------------------------------------------------------------
+
+    def strings(self, name: str, default: Any = REQUIRED) -> list[str]:
+        """A list of different texts."""
         value = self._get(name, default)
-        if value is MISSING:
+        if value is _UNSET:
             return list(default)
         if isinstance(value, str):
             raise self.error(name, f'expected a list; did you mean ["{value}"]?')
-        if not isinstance(value, list) or not all(isinstance(inner, str) for inner in value):
+        if not isinstance(value, list) or not all(isinstance(each, str) for each in value):
             raise self.error(name, f"expected a list of texts, found {value!r}")
-        twice = next((inner for n, inner in enumerate(value) if inner in value[:n]), None)
-        if twice is not None:
-            raise self.error(name, f"{twice!r} stands twice in the list")
+        repeated = next((each for n, each in enumerate(value) if each in value[:n]), None)
+        if repeated is not None:
+            raise self.error(name, f"{repeated!r} stands twice in the list")
         return value
 
     def items(self, name: str) -> dict[str, Value]:
         """An object's pairs with their lines; empty where it is not set."""
-        self.asked[name] = None
+        self.requested_fields[name] = None
         value = self.block.attributes.get(name)
         if value is None:
             return {}
@@ -135,61 +192,68 @@
             raise self.error(name, f"expected an object, found {value.plain()!r}")
         return value.data
 
-    def address(self, name: str, loopback: bool = False) -> Address:
-        text = self.text(name)
-        try:
-            address = read_address(text)
-        except ValueError as error:
-            raise self.error(name, str(error)) from None
-        if loopback and not address[0].startswith("127."):
-            raise self.error(name, f"{text} is no loopback address")
-        return address
-
     def blocks(self, type_name: str, labels: int = 0) -> list[Fields]:
-        """The blocks of a type, each with so many labels, which none of them shares with another."""
-        self.asked_blocks[type_name] = None
-        out, seen = [], dict[tuple[str, ...], int]()
-        for block in self.block.of(type_name):
-            if len(block.labels) != labels:
-                shown = " ".join((type_name, *['"NAME"'] * labels))
-                wanted = f"{labels} label{'s' * (labels != 1)}, as {shown}"
-                found = len(block.labels)
-                raise ConfigError(
-                    f"{self.file}:{block.line}: a block '{type_name}' has {wanted}, found {found}"
-                )
+        """The blocks of a type with so many labels each; no two may have the same labels."""
+        self.requested_blocks[type_name] = None
+        rows = []
+        first_lines = dict[tuple[str, ...], int]()
+        for block in self.block.blocks_of(type_name):
+            self._check_labels(block, labels)
             key = tuple(block.labels)
-            if labels and key in seen:
-                twice = f"block '{type_name}' \"{key[0]}\" stands twice, first on line {seen[key]}"
-                raise ConfigError(f"{self.file}:{block.line}: {twice}")
-            seen[key] = block.line
-            above = f"{self.where}." if self.where else ""
-            out.append(Fields(block, self.file, above + " ".join((type_name, *block.labels))))
-        return out
-
-    def block_of(self, type_name: str) -> Fields | None:
-        """The one block of a type without labels, or None."""
-        found = self.blocks(type_name)
-        if len(found) > 1:
-            again = found[1].block.line
-            raise ConfigError(f"{self.file}:{again}: block '{type_name}' stands twice; one is allowed")
-        return found[0] if found else None
+            if labels and key in first_lines:
+                text = f"block '{type_name}' \"{key[0]}\" stands twice, first on line {first_lines[key]}"
+                raise ConfigError.at(self.file, block.line, text)
+            first_lines[key] = block.line
+            prefix = f"{self.path}." if self.path else ""
+            rows.append(Fields(block, self.file, prefix + " ".join((type_name, *block.labels))))
+        return rows
 
-    @property
-    def label(self) -> str:
-        return self.block.labels[0]
+    def _check_labels(self, block: Block, labels: int) -> None:
+        found = len(block.labels)
+        if found != labels:
+            example = " ".join((block.type, *['"NAME"'] * labels))
+            expected = f"{labels} label{'s' * (labels != 1)}, as {example}"
+            text = f"a block '{block.type}' has {expected}, found {found}"
+            raise ConfigError.at(self.file, block.line, text)
+
+    def single_block(self, type_name: str) -> Fields | None:
+        """The one block of a type without labels; None where there is none."""
+        rows = self.blocks(type_name)
+        if len(rows) > 1:
+            text = f"block '{type_name}' stands twice; one is allowed"
+            raise ConfigError.at(self.file, rows[1].line, text)
+        return rows[0] if rows else None
 
-    def done(self) -> None:
-        """All that is known has been asked for: what is left is a slip, and would be lost in silence."""
+    # ---- completeness ------------------------------------------------------------------------------------
+
+    def accept(self, names: Iterable[str]) -> None:
+        """Count fields as known that another reader takes."""
+        self.requested_fields.update(dict.fromkeys(names))
+
+    def reject_unknown(self) -> None:
+        """ConfigError for a field or block that nobody asked for: a misspelt one would have no effect."""
         for name, value in self.block.attributes.items():
-            if name not in self.asked:
-                raise self.error(name, f"is not known here{guess(name, self.asked)}", value.line)
+            if name not in self.requested_fields:
+                hint = suggestion(name, self.requested_fields)
+                raise self.error(name, f"is not known here{hint}", value.line)
         for block in self.block.blocks:
-            if block.type not in self.asked_blocks:
-                hint = guess(block.type, self.asked_blocks)
-                raise ConfigError(f"{self.file}:{block.line}: block '{block.type}' is not known here{hint}")
+            if block.type not in self.requested_blocks:
+                hint = suggestion(block.type, self.requested_blocks)
+                raise ConfigError.at(self.file, block.line, f"block '{block.type}' is not known here{hint}")
+
+
+def _unit_suggestion(number: str, unit: str, lowest_us: int, highest_us: int) -> str:
+    """The unit with which a duration would lie between its bounds, as the end of a sentence."""
+    for other, us_per_unit in US_PER_UNIT.items():
+        if other != unit and lowest_us <= float(number) * us_per_unit <= highest_us:
+            return f'; did you mean "{number}{other}"?'
+    return ""
 
 
-def spoken(us: int) -> str:
-    """A duration in its largest whole unit."""
-    unit = max((u for u in UNITS if us % UNITS[u] == 0), key=lambda u: UNITS[u]) if us else "ms"
-    return f"{us // UNITS[unit]}{unit}"
+def format_duration(duration_us: int) -> str:
+    """A duration in its largest unit without a remainder."""
+    if not duration_us:
+        return "0ms"
+    exact = [unit for unit, us_per_unit in US_PER_UNIT.items() if duration_us % us_per_unit == 0]
+    unit = max(exact, key=US_PER_UNIT.__getitem__)
+    return f"{duration_us // US_PER_UNIT[unit]}{unit}"
--- a/onyxwick/config/hcl.py
+++ b/onyxwick/config/hcl.py
@@ -1,8 +1,8 @@
-"""HCL as our configuration files use it: attributes, blocks with labels, literals, lists and objects.
+"""Reads HCL as the configuration files use it: attributes, blocks with labels, literals, lists and objects.
 
 The syntax is the HashiCorp Configuration Language's native one, without variables, functions, operators and
-templates: a configuration says what holds and computes nothing. Every attribute, value and block keeps its
-line, which the registry's HCL reader loses for attributes; hence a grammar of ours under lark.
+templates: a configuration states values and computes nothing. Every attribute, value and block keeps its
+line, which the registry's HCL reader loses for attributes; hence a grammar of its own under lark.
 """
 
 from __future__ import annotations
@@ -18,9 +18,18 @@
 
 from onyxwick.config.errors import ConfigError
 
-MOST_BYTES = 16_777_216  # of one file: a bound on memory, far over what 10,000 tenants take
-MOST_DEPTH = 32  # of blocks, lists and objects in one another
+MAX_FILE_BYTES = 16_777_216
+"""A bound on memory, far over what 10,000 tenants take."""
+MAX_DEPTH = 32
+"""Of blocks, lists and objects in one another."""
 ESCAPES = {"n": "\n", "r": "\r", "t": "\t", '"': '"', "\\": "\\"}
+UNICODE_DIGITS = {"u": 4, "U": 8}
+"""The hexadecimal digits behind each escape of a code point."""
+MAX_CODE_POINT = 0x10FFFF
+HEXADECIMAL = frozenset("0123456789abcdefABCDEF")
+LITERALS = {"true": True, "false": False, "null": None}
+QUOTED_LINE_CHARACTERS = 64
+QUOTED_TOKEN_CHARACTERS = 24
 GRAMMAR = r"""
 start: item*
 ?item: attribute | block
@@ -42,7 +51,7 @@
 
 @dataclass(slots=True)
 class Value:
-    """A literal (text, number, truth, None), a list of values or an object of them, with its line."""
+    """A literal (text, number, boolean, None), a list of values or an object of them, with its line."""
 
     data: Any
     line: int
@@ -66,7 +75,8 @@
     attributes: dict[str, Value] = field(default_factory=dict)
     blocks: list[Block] = field(default_factory=list)
 
-    def of(self, type_name: str) -> Iterator[Block]:
+    def blocks_of(self, type_name: str) -> Iterator[Block]:
+        """The blocks of a type, in the file's order."""
         return (block for block in self.blocks if block.type == type_name)
 
 
@@ -75,105 +85,116 @@
     return Lark(GRAMMAR, parser="lalr", maybe_placeholders=False, propagate_positions=True)
 
 
-class _Reader:
-    """From lark's tree to blocks; errors name file and line."""
+class _TreeReader:
+    """Turns lark's tree into blocks; errors name file and line."""
 
     def __init__(self, file: str) -> None:
         self.file = file
 
-    def fail(self, line: int, text: str) -> ConfigError:
-        return ConfigError(f"{self.file}:{line}: {text}")
+    def error(self, line: int, text: str) -> ConfigError:
+        return ConfigError.at(self.file, line, text)
 
-    def body(self, out: Block, items: list[Any], depth: int = 0) -> Block:
-        if depth > MOST_DEPTH:
-            raise self.fail(out.line, f"blocks lie over {MOST_DEPTH} deep")
+    def read_body(self, out: Block, items: list[Any], depth: int = 0) -> Block:
+        """Add attributes and blocks to a block."""
+        if depth > MAX_DEPTH:
+            raise self.error(out.line, f"blocks lie over {MAX_DEPTH} deep")
         line = 0
         for item in items:
             if item.meta.line == line:
-                raise self.fail(line, "two settings on one line: each wants a line of its own")
+                raise self.error(line, "two settings on one line: each wants a line of its own")
             line = item.meta.end_line
             if item.data == "attribute":
-                self.attribute(out, item)
+                self.read_attribute(out, item)
             else:
-                out.blocks.append(self.block(item, depth))
+                out.blocks.append(self.read_block(item, depth))
         return out
 
-    def attribute(self, out: Block, item: Tree[Any]) -> None:
+    def read_attribute(self, out: Block, item: Tree[Any]) -> None:
         name, value = item.children
         assert isinstance(name, Token)
         if name in out.attributes:
             first = out.attributes[name].line
-            raise self.fail(name.line or 0, f"field '{name}' is set twice, first on line {first}")
-        out.attributes[str(name)] = self.value(value)
+            raise self.error(name.line or 0, f"field '{name}' is set twice, first on line {first}")
+        out.attributes[str(name)] = self.read_value(value)
 
-    def block(self, item: Tree[Any], depth: int) -> Block:
+    def read_block(self, item: Tree[Any], depth: int) -> Block:
         words = [child for child in item.children if isinstance(child, Token)]
         inner = [child for child in item.children if isinstance(child, Tree)]
-        labels = [self.text(word) if word.type == "STRING" else str(word) for word in words[1:]]
-        return self.body(Block(str(words[0]), labels, item.meta.line), inner, depth + 1)
-
-    def value(self, node: Any, depth: int = 0) -> Value:
-        if depth > MOST_DEPTH:
-            raise self.fail(node.meta.line, f"values lie over {MOST_DEPTH} deep")
-        if isinstance(node, Tree):
-            line = node.meta.line
-            if node.data == "list":
-                return Value([self.value(child, depth + 1) for child in node.children], line)
-            return Value(self.object(node, depth), line)
-        line = node.line or 0
-        match node.type:
+        labels = [self.read_name(word) for word in words[1:]]
+        return self.read_body(Block(str(words[0]), labels, item.meta.line), inner, depth + 1)
+
+    def read_value(self, node: Any, depth: int = 0) -> Value:
+        if depth > MAX_DEPTH:
+            line = node.meta.line if isinstance(node, Tree) else node.line or 0
+            raise self.error(line, f"values lie over {MAX_DEPTH} deep")
+        if not isinstance(node, Tree):
+            return Value(self.read_literal(node), node.line or 0)
+        if node.data == "list":
+            return Value([self.read_value(child, depth + 1) for child in node.children], node.meta.line)
+        return Value(self.read_object(node, depth), node.meta.line)
+
+    def read_literal(self, token: Token) -> Any:
+        text = str(token)
+        match token.type:
             case "STRING":
-                return Value(self.text(node), line)
+                return self.read_string(token)
             case "HEREDOC":
-                return Value(_heredoc(str(node)), line)
+                return _read_heredoc(text)
             case "NUMBER":
-                return Value(float(node) if any(mark in node for mark in ".eE") else int(node), line)
-        words = {"true": True, "false": False, "null": None}
-        if str(node) not in words:
-            meant = f'the text "{node}"'
-            raise self.fail(
-                line, f"'{node}' is no value: names are not looked up here; did you mean {meant}?"
-            )
-        return Value(words[str(node)], line)
-
-    def object(self, node: Tree[Any], depth: int) -> dict[str, Value]:
-        out: dict[str, Value] = {}
+                return float(text) if any(mark in text for mark in ".eE") else int(text)
+        if text not in LITERALS:
+            meant = f'the text "{text}"'
+            problem = f"'{text}' is no value: names are not looked up here; did you mean {meant}?"
+            raise self.error(token.line or 0, problem)
+        return LITERALS[text]
+
+    def read_object(self, node: Tree[Any], depth: int) -> dict[str, Value]:
+        pairs: dict[str, Value] = {}
         for pair in node.children:
             assert isinstance(pair, Tree)
             key, value = pair.children
             assert isinstance(key, Token)
-            name = self.text(key) if key.type == "STRING" else str(key)
-            if name in out:
-                raise self.fail(key.line or 0, f"key '{name}' stands twice in one object")
-            out[name] = self.value(value, depth + 1)
-        return out
-
-    def text(self, token: Token) -> str:
-        raw, out, at = str(token)[1:-1], list[str](), 0
+            name = self.read_name(key)
+            if name in pairs:
+                raise self.error(key.line or 0, f"key '{name}' stands twice in one object")
+            pairs[name] = self.read_value(value, depth + 1)
+        return pairs
+
+    def read_name(self, token: Token) -> str:
+        """A label or a key: quoted or bare."""
+        return self.read_string(token) if token.type == "STRING" else str(token)
+
+    def read_string(self, token: Token) -> str:
+        """A quoted text with its escapes resolved."""
+        raw = str(token)[1:-1]
         if "${" in raw.replace("$${", "") or "%{" in raw.replace("%%{", ""):
-            raise self.fail(
-                token.line or 0, "templates are not filled in here; write '$${' for the two marks"
-            )
+            problem = "templates are not filled in here; write '$${' for the two marks"
+            raise self.error(token.line or 0, problem)
+        parts = list[str]()
+        at = 0
         while at < len(raw):
-            if raw[at] != "\\":
-                out.append(raw[at])
+            if raw[at] == "\\":
+                character, size = self.read_escape(raw, at + 1, token.line or 0)
+                parts.append(character)
+                at += 1 + size
+            else:
+                parts.append(raw[at])
                 at += 1
-                continue
-            mark = raw[at + 1]
-            if mark in ESCAPES:
-                out.append(ESCAPES[mark])
-                at += 2
-                continue
-            size = {"u": 4, "U": 8}.get(mark, 0)
-            digits = raw[at + 2 : at + 2 + size]
-            if not size or len(digits) != size or any(d not in "0123456789abcdefABCDEF" for d in digits):
-                raise self.fail(token.line or 0, f"unknown escape '\\{mark}' in a text")
-            out.append(chr(min(int(digits, 16), 0x10FFFF)))
-            at += 2 + size
-        return "".join(out).replace("$${", "${").replace("%%{", "%{")
-
-
-def _heredoc(raw: str) -> str:
+        return "".join(parts).replace("$${", "${").replace("%%{", "%{")
+
+    def read_escape(self, raw: str, at: int, line: int) -> tuple[str, int]:
+        """The character of the escape behind a backslash, and how many characters it takes."""
+        kind = raw[at]
+        if kind in ESCAPES:
+            return ESCAPES[kind], 1
+        size = UNICODE_DIGITS.get(kind, 0)
+        digits = raw[at + 1 : at + 1 + size]
+        if not size or len(digits) != size or not HEXADECIMAL.issuperset(digits):
+            raise self.error(line, f"unknown escape '\\{kind}' in a text")
+        return chr(min(int(digits, 16), MAX_CODE_POINT)), 1 + size
+
+
+def _read_heredoc(raw: str) -> str:
     head, _, rest = raw.partition("\n")
     lines = rest.split("\n")[:-1]
     if head.startswith("<<-"):
@@ -182,11 +203,12 @@
     return "\n".join(lines) + "\n"
 
 
-def _intent(error: UnexpectedInput, text: str) -> str:
-    """What is wrong at the place of a syntax error, in words."""
+def _describe(error: UnexpectedInput, text: str) -> str:
+    """What is wrong at the place of a syntax error, and what was likely meant."""
     if isinstance(error, UnexpectedEOF) or getattr(getattr(error, "token", None), "type", "") == "$END":
         return "the file ends inside a block, a list or a text; is a closing '}' or ']' missing?"
-    line = text.split("\n")[error.line - 1].strip()[:64] if 0 < error.line <= text.count("\n") + 1 else ""
+    lines = text.split("\n")
+    line = lines[error.line - 1].strip()[:QUOTED_LINE_CHARACTERS] if 0 < error.line <= len(lines) else ""
     found = getattr(error, "token", None) or getattr(error, "char", "")
     if isinstance(error, UnexpectedCharacters) and error.char == '"':
         return f"a text has no end: {line!r}; is a closing '\"' missing?"
@@ -194,28 +216,29 @@
         return f"unexpected ':' in {line!r}; did you mean '='?"
     if found == "(":
         return f"unexpected '(' in {line!r}: there are no functions here; write the value itself"
-    return f"unexpected {str(found)[:24]!r} in {line!r}"
+    return f"unexpected {str(found)[:QUOTED_TOKEN_CHARACTERS]!r} in {line!r}"
 
 
 def parse(text: str, file: str) -> Block:
-    """The blocks of an HCL text; ConfigError names file, line and what was probably meant."""
-    if len(text) > MOST_BYTES:
-        raise ConfigError(f"{file}:1: over {MOST_BYTES} bytes")
+    """The blocks of an HCL text; ConfigError names file, line and what was likely meant."""
+    if len(text) > MAX_FILE_BYTES:
+        raise ConfigError.at(file, 1, f"over {MAX_FILE_BYTES} bytes")
     try:
         tree = _parser().parse(text)
     except UnexpectedInput as error:
         line = error.line if error.line > 0 else text.count("\n") + 1
-        raise ConfigError(f"{file}:{line}: {_intent(error, text)}") from None
+        raise ConfigError.at(file, line, _describe(error, text)) from None
     except RecursionError:
-        raise ConfigError(f"{file}:1: values lie over {MOST_DEPTH} deep") from None
-    return _Reader(file).body(Block("", [], 1), tree.children)
+        raise ConfigError.at(file, 1, f"values lie over {MAX_DEPTH} deep") from None
+    return _TreeReader(file).read_body(Block("", [], 1), tree.children)
 
 
 def read(path: Path) -> Block:
-    """The blocks of an HCL file."""
+    """The blocks of an HCL file; ConfigError where it cannot be read or parsed."""
     try:
         return parse(path.read_text(encoding="utf-8"), path.name)
     except OSError as error:
-        raise ConfigError(f"{path.name}: {error.strerror}") from None
+        raise ConfigError(f"{path.name}: {error.strerror}", file=path.name) from None
     except UnicodeDecodeError as error:
-        raise ConfigError(f"{path.name}: byte {error.start} is no UTF-8 text") from None
+        problem = f"{path.name}: byte {error.start} is no UTF-8 text"
+        raise ConfigError(problem, file=path.name) from None
--- a/onyxwick/config/service.py
+++ b/onyxwick/config/service.py
@@ -1,4 +1,7 @@
-"""The hosted service's configuration: an HCL file of its own. Without it both its fronts are off."""
+"""The hosted service's configuration: an HCL file of its own. Without it DNS front and API are off.
+
+Sizes are bytes, durations microseconds; the file has megabytes and units.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,6 @@
 
 from onyxwick.config import hcl
 from onyxwick.config.address import Address
-from onyxwick.config.errors import ConfigError
 from onyxwick.config.fields import Fields
 from onyxwick.tenants import QUOTA_PER_S, Tenant, TenantError, Tenants, read_key, read_quota, read_zone_file
 
@@ -19,26 +21,39 @@
     from onyxwick.config.distribution import FeedConfig
     from onyxwick.sites.model import Topology
 
-DEADLINE_US = 1_000_000
+S_US = 1_000_000
+DAY_US = 86_400 * S_US
+DEFAULT_DNS_DEADLINE_US = S_US
+MIN_DNS_DEADLINE_US = 10_000
+MAX_DNS_DEADLINE_US = 60 * S_US
+DEFAULT_SIGNAL_DURATION_US = 60 * S_US
+DEFAULT_FILE_AGE_US = 3_600 * S_US
+MAX_QUOTA_PER_S = 1e6
+MIN_TOKEN_CHARACTERS = 16
+MB_SHIFT = 20
+"""Megabytes to bytes, by a shift."""
 CELL_BLOCKS = ("cells", "cell", "move")
 SITE_BLOCKS = ("sites", "site", "hub", "archive", "path", "load")
-TOKEN_LEAST = 16
 
 
 @dataclass(slots=True)
 class ServiceConfig:
-    """Where the DNS front and the administration API listen (None: off), and for whom."""
+    """Where the DNS front and the administration API listen (None: off), and the parts that are
+    configured."""
 
     tenants: Tenants
-    dns: Address | None = None
-    deadline_us: int = DEADLINE_US
-    admin: Address | None = None
-    token: str = ""
-    plan: CellPlan | None = None  # of cells; None: one router for all
+    dns_address: Address | None = None
+    dns_deadline_us: int = DEFAULT_DNS_DEADLINE_US
+    admin_address: Address | None = None
+    admin_token: str = ""
+    cell_plan: CellPlan | None = None
+    """None: one router for all tenants."""
     trace: TraceConfig | None = None
     store: StoreConfig | None = None
-    sites: SitesConfig | None = None  # None: nothing is known of other sites
-    feed: FeedConfig | None = None  # None: the coordinator is followed directly
+    sites: SitesConfig | None = None
+    """None: other sites are unknown."""
+    feed: FeedConfig | None = None
+    """None: the coordinator is followed directly."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,136 +62,158 @@
 
     topology: Topology
     plan_file: Path | None
-    file: str  # where the topology stands, for messages
+    source_file: str
+    """The name of the file with the topology, for messages."""
 
 
 @dataclass(frozen=True, slots=True)
 class StoreConfig:
-    """Where what must last is kept. `installation`: a store of another one is refused."""
+    """Where durable data is kept. `installation`: a store of another installation is rejected."""
 
     folder: Path
     key_file: Path
     installation: str
-    bookings: bool  # the intent of each booking is durable before it is sent
-    log_bytes: int
-    total_bytes: int
+    persists_bookings: bool
+    """The intent of each booking is durable before it is sent."""
+    max_log_bytes: int
+    max_total_bytes: int
 
 
 @dataclass(frozen=True, slots=True)
 class TraceConfig:
-    """Where a trace is written, and how much of it is kept. `on`: from the start; else by SIGUSR2."""
+    """Where traces are written, and how much of them is kept."""
 
     folder: Path
-    on: bool
-    for_us: int  # how long SIGUSR2 switches it on
-    file_bytes: int
-    file_us: int
-    total_bytes: int
-
-
-def _tenant(row: Fields, folder: Path, tenants: Tenants) -> None:
-    quota = read_quota(row.number("quota_per_s", 0, 1e6, QUOTA_PER_S))
-    tenant = Tenant(row.label, quota, row.text("token", ""))
+    starts_enabled: bool
+    """Traces from the start; otherwise from SIGUSR2 on."""
+    signal_duration_us: int
+    """How long SIGUSR2 enables it."""
+    max_file_bytes: int
+    max_file_age_us: int
+    max_total_bytes: int
+
+
+def _read_tenant(row: Fields, folder: Path, tenants: Tenants) -> None:
+    """Add one tenant with its keys and zones; ConfigError or TenantError where it cannot be used."""
+    quota = read_quota(row.number("quota_per_s", 0, MAX_QUOTA_PER_S, QUOTA_PER_S))
+    tenant = Tenant(row.label, quota, row.string("token", ""))
     tenants.add(tenant)
     for key in row.blocks("key", labels=1):
-        tenant.add_key(*read_key(key.label, key.text("secret")))
-        key.done()
+        tenant.add_key(*read_key(key.label, key.string("secret")))
+        key.reject_unknown()
     for zone in row.blocks("zone", labels=1):
-        path, routed = folder / zone.text("file"), zone.text("routed", "")
+        path = folder / zone.string("file")
+        routed = zone.string("routed", "") or None
         try:
-            tenants.add_zone(read_zone_file(tenant.name, zone.label, path, routed or None))
+            tenants.add_zone(read_zone_file(tenant.name, zone.label, path, routed))
         except TenantError as error:
             raise zone.error("file", str(error)) from None
-        zone.done()
+        zone.reject_unknown()
 
 
-def _token(row: Fields, folder: Path) -> str:
-    path = folder / row.text("token_file")
+def _read_token(row: Fields, folder: Path) -> str:
+    path = folder / row.string("token_file")
     try:
         token = path.read_text().strip()
     except OSError as error:
         raise row.error("token_file", f"{path.name}: {error.strerror}") from None
-    if len(token) < TOKEN_LEAST:
-        raise row.error("token_file", f"{path.name} holds no token of {TOKEN_LEAST} characters or more")
+    if len(token) < MIN_TOKEN_CHARACTERS:
+        problem = f"{path.name} holds no token of {MIN_TOKEN_CHARACTERS} characters or more"
+        raise row.error("token_file", problem)
     return token
 
 
-def _store(row: Fields, folder: Path) -> StoreConfig:
-    out = StoreConfig(
-        folder / row.text("folder"),
-        folder / row.text("key_file"),
-        row.name("installation"),
-        row.flag("bookings", False),
-        row.whole("log_mb", 1, 65_536, 64) << 20,
-        row.whole("total_mb", 2, 1_000_000, 512) << 20,
+def _read_store(row: Fields, folder: Path) -> StoreConfig:
+    store = StoreConfig(
+        folder=folder / row.string("folder"),
+        key_file=folder / row.string("key_file"),
+        installation=row.name("installation"),
+        persists_bookings=row.flag("bookings", False),
+        max_log_bytes=row.integer("log_mb", 1, 65_536, 64) << MB_SHIFT,
+        max_total_bytes=row.integer("total_mb", 2, 1_000_000, 512) << MB_SHIFT,
     )
-    if not out.key_file.exists():
-        raise row.error(
-            "key_file", f"{out.key_file.name} is not there; `onyxwick store new-key` prints a key"
-        )
-    if out.total_bytes < 2 * out.log_bytes:
-        raise row.error(
-            "total_mb", f"is under twice log_mb ({out.log_bytes >> 20}): no room for a compaction"
-        )
-    row.done()
-    return out
-
-
-def _trace(row: Fields, folder: Path) -> TraceConfig:
-    out = TraceConfig(
-        folder / row.text("folder"),
-        row.flag("on", False),
-        row.duration("signal_for", 1_000_000, 86_400_000_000, 60_000_000),
-        row.whole("file_mb", 1, 4096, 64) << 20,
-        row.duration("file_for", 1_000_000, 86_400_000_000, 3_600_000_000),
-        row.whole("total_mb", 2, 1_000_000, 1024) << 20,
+    if not store.key_file.exists():
+        problem = f"{store.key_file.name} is not there; `onyxwick store new-key` prints a key"
+        raise row.error("key_file", problem)
+    if store.max_total_bytes < 2 * store.max_log_bytes:
+        log_mb = store.max_log_bytes >> MB_SHIFT
+        raise row.error("total_mb", f"is under twice log_mb ({log_mb}): no room for a compaction")
+    row.reject_unknown()
+    return store
+
+
+def _read_trace(row: Fields, folder: Path) -> TraceConfig:
+    trace = TraceConfig(
+        folder=folder / row.string("folder"),
+        starts_enabled=row.flag("on", False),
+        signal_duration_us=row.duration("signal_for", S_US, DAY_US, DEFAULT_SIGNAL_DURATION_US),
+        max_file_bytes=row.integer("file_mb", 1, 4096, 64) << MB_SHIFT,
+        max_file_age_us=row.duration("file_for", S_US, DAY_US, DEFAULT_FILE_AGE_US),
+        max_total_bytes=row.integer("total_mb", 2, 1_000_000, 1024) << MB_SHIFT,
     )
-    if out.total_bytes < 2 * out.file_bytes:
-        raise row.error(
-            "total_mb", f"holds no two files of {out.file_bytes >> 20} MB; did you mean 'file_mb'?"
+    if trace.max_total_bytes < 2 * trace.max_file_bytes:
+        file_mb = trace.max_file_bytes >> MB_SHIFT
+        raise row.error("total_mb", f"holds no two files of {file_mb} MB; did you mean 'file_mb'?")
+    row.reject_unknown()
+    return trace
+
+
+def _read_fronts(top: Fields, folder: Path, config: ServiceConfig) -> None:
+    if dns := top.single_block("dns"):
+        config.dns_address = dns.address("listen")
+        config.dns_deadline_us = dns.duration(
+            "deadline", MIN_DNS_DEADLINE_US, MAX_DNS_DEADLINE_US, DEFAULT_DNS_DEADLINE_US
         )
-    row.done()
-    return out
+        dns.reject_unknown()
+    if admin := top.single_block("admin"):
+        config.admin_address = admin.address("listen", loopback=True)
+        config.admin_token = _read_token(admin, folder)
+        admin.reject_unknown()
 
 
-def read(top: Fields, folder: Path) -> ServiceConfig:
-    out = ServiceConfig(Tenants())
-    tenant_of_plan: Callable[[Fields], CellTenant] | None = None
-    if dns := top.block_of("dns"):
-        out.dns = dns.address("listen")
-        out.deadline_us = dns.duration("deadline", 10_000, 60_000_000, DEADLINE_US)
-        dns.done()
-    if admin := top.block_of("admin"):
-        out.admin = admin.address("listen", loopback=True)
-        out.token = _token(admin, folder)
-        admin.done()
-    if row := top.block_of("store"):
-        out.store = _store(row, folder)
-    if row := top.block_of("trace"):
-        out.trace = _trace(row, folder)
-    if row := top.block_of("distribution"):
-        from onyxwick.config.distribution import read_feed
+def _read_cells(top: Fields, config: ServiceConfig) -> Callable[[Fields], CellTenant] | None:
+    """Read the plan of cells, if there is one; the reader of a tenant's fields that concern it."""
+    if not any(block.type in CELL_BLOCKS for block in top.block.blocks):
+        return None
+    from onyxwick.config.cells import read_plan, read_tenant
 
-        out.feed = read_feed(row)
-    if any(block.type in CELL_BLOCKS for block in top.block.blocks):
-        from onyxwick.config.cells import read_plan, tenant
+    config.cell_plan = read_plan(top)
+    return read_tenant
 
-        out.plan, tenant_of_plan = read_plan(top), tenant
-    if any(block.type in SITE_BLOCKS for block in top.block.blocks):
-        from onyxwick.config.sites import read_sites
 
-        if (found := read_sites(top, folder)) is not None:
-            out.sites = SitesConfig(*found, top.file)
+def _read_sites(top: Fields, folder: Path, config: ServiceConfig) -> None:
+    if not any(block.type in SITE_BLOCKS for block in top.block.blocks):
+        return
+    from onyxwick.config.sites import read_sites
+
+    if (found := read_sites(top, folder)) is not None:
+        config.sites = SitesConfig(found.topology, found.plan_file, top.file)
+
+
+def read(top: Fields, folder: Path) -> ServiceConfig:
+    """The service in a file's blocks; relative paths start at `folder`."""
+    config = ServiceConfig(Tenants())
+    _read_fronts(top, folder, config)
+    if row := top.single_block("store"):
+        config.store = _read_store(row, folder)
+    if row := top.single_block("trace"):
+        config.trace = _read_trace(row, folder)
+    if row := top.single_block("distribution"):
+        from onyxwick.config.distribution import read_feed
+
+        config.feed = read_feed(row)
+    read_cell_tenant = _read_cells(top, config)
+    _read_sites(top, folder, config)
     for row in top.blocks("tenant", labels=1):
-        if tenant_of_plan is not None:
-            tenant_of_plan(row)  # read above; asked again so that its fields count as known
+        if read_cell_tenant is not None:
+            read_cell_tenant(row)  # read with the plan already; again so that its fields count as known
         try:
-            _tenant(row, folder, out.tenants)
+            _read_tenant(row, folder, config.tenants)
         except TenantError as error:
-            raise ConfigError(f"{row.file}:{row.block.line}: {row.where}: {error}") from None
-        row.done()
-    top.done()
-    return out
+            raise row.block_error(str(error)) from None
+        row.reject_unknown()
+    top.reject_unknown()
+    return config
 
 
 def load(path: Path) -> ServiceConfig:
--- a/onyxwick/config/sites.py
+++ b/onyxwick/config/sites.py
@@ -1,18 +1,25 @@
-"""The one reader of a topology of sites, from the service file's blocks."""
+"""Reads the topology of sites from the service file's blocks, and the plan file that belongs to it.
+
+Output is a checked `Topology`; durations are microseconds, capacities transfers at once, rates a second.
+"""
 
 from __future__ import annotations
 
 import json
-import re
+from dataclasses import dataclass
 from pathlib import Path
+from typing import NamedTuple
 
-from onyxwick.config.errors import ConfigError, guess
-from onyxwick.config.fields import NAME, Fields
+from onyxwick.config.cells import is_field_name
+from onyxwick.config.errors import ConfigError, suggestion
+from onyxwick.config.fields import Fields
+from onyxwick.config.hcl import Block, Value
 from onyxwick.interface import RouterSettings
 from onyxwick.sites.model import (
     ARCHIVE,
     SITE_FIELD,
     Hub,
+    NetworkLink,
     OfferedLoad,
     PlannedClass,
     Site,
@@ -21,197 +28,269 @@
     TopologyError,
     check,
 )
-from onyxwick.sites.model import NetworkLink as Way
 from onyxwick.sites.plan import SitePlan, of_json
 
-MINUTE_US = 60_000_000
+S_US = 1_000_000
+MINUTE_US = 60 * S_US
+MIN_CONFIRM_US = 200_000
+MIN_STEP_US = 100_000
+MIN_HOLD_US = 500_000
+MAX_HOLD_US = 10 * MINUTE_US
+MIN_CAPACITY = 0.001
+MAX_TRANSFERS = 1e7
+MAX_RATE_PER_S = 1e7
+MAX_WEIGHT = 1000
+MAX_DIRECTORS = 10_000
+MAX_CACHES = 100_000
+MAX_STEPS = 100
+MAX_SITES_PLANNED_AT_START = 24
+"""Up to so many sites a director makes the plan itself; for more the file names one."""
 BLOCKS = ("sites", "site", "hub", "archive", "path", "load")
-_FIELD = re.compile(r"[A-Za-z][A-Za-z0-9-]{0,63}").fullmatch
-MOST_TRANSFERS = 1e7
-MOST_RATE = 1e7
-MADE_AT_START = 24  # sites up to which a director makes the plan itself; over it the file names one
+REQUIRED_BLOCKS = {
+    "sites": "{ ... }",
+    "site": '"NAME"',
+    "archive": "{ ... }",
+    "load": '"CLASS"',
+}
+"""The blocks without which a topology is incomplete, with an example of what follows the type."""
 
 
-def _named(row: Fields) -> str:
-    if not NAME(row.label):
-        raise ConfigError(
-            f"{row.file}:{row.block.line}: {row.where}: '{row.label}' is no name of small letters, digits and"
-            " hyphens"
-        )
-    return row.label
-
-
-def _shares(row: Fields, name: str) -> dict[str, float]:
-    out = {}
-    for key, value in row.items(name).items():
-        share = value.plain()
-        if isinstance(share, bool) or not isinstance(share, int | float) or not 0 <= share <= 1:
-            raise row.error(name, f"'{key}' has no share between 0 and 1", value.line)
-        out[key] = float(share)
-    return out
-
-
-def _site(row: Fields) -> Site:
-    name = _named(row)
-    out = Site(
-        name,
-        row.text("zone", name),
-        row.number("capacity", 0.001, MOST_TRANSFERS),
-        row.whole("directors", 0, 10_000, 1),
-        row.whole("boxes", 1, 100_000, 1),
-        _shares(row, "failover"),
+class ConfiguredSites(NamedTuple):
+    """The topology in a file, and the file with its plan, if it names one."""
+
+    topology: Topology
+    plan_file: Path | None
+
+
+@dataclass(frozen=True, slots=True)
+class _SitesBlock:
+    """The block `sites`."""
+
+    policy: SitePolicy
+    reserves: dict[str, float]
+    """By tenant: the share of its load that is kept."""
+    plan: str
+    """The plan file's path, or empty."""
+
+
+# ---- rows ------------------------------------------------------------------------------------------------
+
+
+def _number_between(value: Value, lowest: float, highest: float) -> float | None:
+    """The number in a value; None where it is none or out of bounds."""
+    number = value.plain()
+    if isinstance(number, bool) or not isinstance(number, int | float):
+        return None
+    return float(number) if lowest <= number <= highest else None
+
+
+def _read_shares(row: Fields, field: str) -> dict[str, float]:
+    shares = {}
+    for key, value in row.items(field).items():
+        share = _number_between(value, 0, 1)
+        if share is None:
+            raise row.error(field, f"'{key}' has no share between 0 and 1", value.line)
+        shares[key] = share
+    return shares
+
+
+def _read_site(row: Fields) -> Site:
+    name = row.own_name()
+    site = Site(
+        name=name,
+        zone=row.string("zone", name),
+        capacity=row.number("capacity", MIN_CAPACITY, MAX_TRANSFERS),
+        directors=row.integer("directors", 0, MAX_DIRECTORS, 1),
+        boxes=row.integer("boxes", 1, MAX_CACHES, 1),
+        failover=_read_shares(row, "failover"),
     )
-    row.done()
-    return out
+    row.reject_unknown()
+    return site
 
 
-def _hub(row: Fields, name: str) -> Hub:
-    out = Hub(name, row.text("zone", name), row.number("capacity", 0.001, MOST_TRANSFERS))
-    row.done()
-    return out
+def _read_hub(row: Fields, name: str) -> Hub:
+    hub = Hub(
+        name=name,
+        zone=row.string("zone", name),
+        capacity=row.number("capacity", MIN_CAPACITY, MAX_TRANSFERS),
+    )
+    row.reject_unknown()
+    return hub
 
 
-def _paths(top: Fields) -> dict[frozenset[str], Way]:
-    out: dict[frozenset[str], Way] = {}
+def _read_paths(top: Fields) -> dict[frozenset[str], NetworkLink]:
+    links: dict[frozenset[str], NetworkLink] = {}
     for row in top.blocks("path", 2):
         one, other = row.block.labels
         ends = frozenset((one, other))
-        if len(ends) < 2 or ends in out:
-            text = "leads from a place to itself" if len(ends) < 2 else "stands twice, once in each order"
-            raise ConfigError(f'{row.file}:{row.block.line}: path "{one}" "{other}" {text}')
-        capacity = row.number("capacity", 0, MOST_TRANSFERS, 0)
-        out[ends] = Way((one, other), capacity, row.duration("delay", 0, MINUTE_US, 0))
-        row.done()
-    return out
-
-
-def _load(row: Fields) -> tuple[PlannedClass, list[OfferedLoad]]:
-    name = row.label
-    sending = row.duration("sending", 1, MINUTE_US)
-    kind = PlannedClass(
-        name,
-        sending,
-        row.duration("fill", 1, MINUTE_US, sending),
-        row.share("fill_share", 1.0),
-        row.share("relay_share", 1.0),
-        row.number("worth", 0.001, 1000, 1),
-        row.flag("write", False),
-        row.share("shared", 0.0),
+        if len(ends) < 2 or ends in links:
+            problem = "leads from a place to itself" if len(ends) < 2 else "stands twice, once in each order"
+            raise ConfigError.at(row.file, row.line, f'path "{one}" "{other}" {problem}')
+        links[ends] = NetworkLink(
+            ends=(one, other),
+            capacity=row.number("capacity", 0, MAX_TRANSFERS, 0),
+            delay_us=row.duration("delay", 0, MINUTE_US, 0),
+        )
+        row.reject_unknown()
+    return links
+
+
+def _read_class(row: Fields) -> PlannedClass:
+    sending_us = row.duration("sending", 1, MINUTE_US)
+    return PlannedClass(
+        name=row.label,
+        sending_us=sending_us,
+        fill_us=row.duration("fill", 1, MINUTE_US, sending_us),
+        fill_share=row.fraction("fill_share", 1.0),
+        relay_share=row.fraction("relay_share", 1.0),
+        worth=row.number("worth", 0.001, MAX_WEIGHT, 1),
+        write=row.flag("write", False),
+        shared=row.fraction("shared", 0.0),
     )
+
+
+def _read_loads(row: Fields) -> list[OfferedLoad]:
+    """The rates of one class, by site or by site and tenant."""
     loads = []
     for key, value in row.items("rate_per_s").items():
-        rate = value.plain()
-        if isinstance(rate, bool) or not isinstance(rate, int | float) or not 0 <= rate <= MOST_RATE:
-            raise row.error("rate_per_s", f"'{key}' has no rate of 0 to {MOST_RATE:g} a second", value.line)
+        rate = _number_between(value, 0, MAX_RATE_PER_S)
+        if rate is None:
+            problem = f"'{key}' has no rate of 0 to {MAX_RATE_PER_S:g} a second"
+            raise row.error("rate_per_s", problem, value.line)
         site, _, tenant = key.partition("/")
-        loads.append(OfferedLoad(name, site, float(rate), tenant))
+        loads.append(OfferedLoad(row.label, site, rate, tenant))
     if not loads:
         raise row.error("rate_per_s", 'names no site, as { "north" = 40, "west/yards" = 20 }')
-    row.done()
-    return kind, loads
+    row.reject_unknown()
+    return loads
 
 
-def _policy(row: Fields | None) -> tuple[SitePolicy, dict[str, float], str]:
+def _read_sites_block(row: Fields | None) -> _SitesBlock:
     if row is None:
-        return SitePolicy(), {}, ""
-    field = row.text("field", SITE_FIELD)
-    if not _FIELD(field):
-        raise row.error("field", f"{field!r} is no name of a request field, as {SITE_FIELD}")
+        return _SitesBlock(SitePolicy(), {}, "")
+    block = _SitesBlock(_read_policy(row), _read_shares(row, "reserves"), row.string("plan", ""))
+    if not 0 < block.policy.guests < 1:
+        problem = "lies between 0 and 1, and is neither: both kinds of directors need a part"
+        raise row.error("guests", problem)
+    row.reject_unknown()
+    return block
+
+
+def _read_policy(row: Fields) -> SitePolicy:
+    site_field = row.string("field", SITE_FIELD)
+    if not is_field_name(site_field):
+        raise row.error("field", f"{site_field!r} is no name of a request field, as {SITE_FIELD}")
     usual = SitePolicy()
-    policy = SitePolicy(
-        field,
-        row.choice("evacuate", ("auto", "ordered"), "auto") == "auto",
-        row.share("headroom", usual.headroom),
-        row.duration("confirm", 200_000, MINUTE_US, usual.confirm_us),
-        row.duration("step", 100_000, MINUTE_US, usual.step_us),
-        row.whole("steps", 1, 100, usual.steps),
-        row.whole("back_steps", 1, 100, usual.back_steps),
-        row.duration("hold", 500_000, 10 * MINUTE_US, usual.hold_us),
-        row.share("guests", usual.guests),
-        row.whole("trials", 1, 100, usual.trials),
+    return SitePolicy(
+        field=site_field,
+        auto=row.choice("evacuate", ("auto", "ordered"), "auto") == "auto",
+        headroom=row.fraction("headroom", usual.headroom),
+        confirm_us=row.duration("confirm", MIN_CONFIRM_US, MINUTE_US, usual.confirm_us),
+        step_us=row.duration("step", MIN_STEP_US, MINUTE_US, usual.step_us),
+        steps=row.integer("steps", 1, MAX_STEPS, usual.steps),
+        back_steps=row.integer("back_steps", 1, MAX_STEPS, usual.back_steps),
+        hold_us=row.duration("hold", MIN_HOLD_US, MAX_HOLD_US, usual.hold_us),
+        guests=row.fraction("guests", usual.guests),
+        trials=row.integer("trials", 1, MAX_STEPS, usual.trials),
     )
-    reserves, plan = _shares(row, "reserves"), row.text("plan", "")
-    if not 0 < policy.guests < 1:
-        raise row.error("guests", "lies between 0 and 1, and is neither: both kinds of directors need a part")
-    row.done()
-    return policy, reserves, plan
 
 
-def _where(top: Fields, error: TopologyError) -> ConfigError:
-    """A topology's error with the file and line of the row that it names."""
-    for block in top.block.of(error.kind):
-        if error.name in (*block.labels, "") or " - ".join(block.labels) == error.name:
-            label = " ".join((error.kind, *block.labels))
-            return ConfigError(f"{top.file}:{block.line}: {label}: {error.field}: {error.text}")
-    return ConfigError(f"{top.file}:1: {error}")
+# ---- the topology ----------------------------------------------------------------------------------------
 
 
-def read_sites(top: Fields, folder: Path) -> tuple[Topology, Path | None] | None:
-    """The topology in a file's blocks and the file with its plan, if it names one; None where there is none.
+def read_sites(top: Fields, folder: Path) -> ConfiguredSites | None:
+    """The topology in a file's blocks; None where the file has no such block.
 
-    ConfigError names file, line and field; a topology that is half written is an error too.
+    ConfigError names file, line and field; an incomplete topology is an error too. The path of the plan file
+    starts at `folder`.
     """
-    rows = {kind: [b for b in top.block.blocks if b.type == kind] for kind in BLOCKS}
-    if not any(rows.values()):
+    blocks = [block for block in top.block.blocks if block.type in BLOCKS]
+    if not blocks:
         return None
-    for kind, what in (("sites", "{ ... }"), ("site", '"NAME"'), ("archive", "{ ... }"), ("load", '"CLASS"')):
-        if not rows[kind]:
-            found = next(b for blocks in rows.values() for b in blocks)
-            text = f"block '{found.type}' without any block '{kind}': sites are told whole, as {kind} {what}"
-            raise ConfigError(f"{top.file}:{found.line}: {text}")
-    policy, reserves, plan = _policy(top.block_of("sites"))
-    archive = top.block_of("archive")
-    assert archive is not None
-    kinds: dict[str, PlannedClass] = {}
+    _check_complete(top, blocks)
+    sites = _read_sites_block(top.single_block("sites"))
+    topology = _read_topology(top, sites)
+    if not sites.plan and len(topology.sites) > MAX_SITES_PLANNED_AT_START:
+        line = next(block.line for block in blocks if block.type == "sites")
+        problem = (
+            f"is missing; for over {MAX_SITES_PLANNED_AT_START} sites the plan is made beforehand, by"
+            " `onyxwick sites plan FILE --out PLAN.json`"
+        )
+        raise ConfigError.at(top.file, line, problem, "sites.plan")
+    return ConfiguredSites(topology, folder / sites.plan if sites.plan else None)
+
+
+def _check_complete(top: Fields, blocks: list[Block]) -> None:
+    """ConfigError where one of the blocks that belong together is missing."""
+    for kind, example in REQUIRED_BLOCKS.items():
+        if any(block.type == kind for block in blocks):
+            continue
+        first = min(blocks, key=lambda block: BLOCKS.index(block.type))
+        problem = (
+            f"block '{first.type}' without any block '{kind}': sites are told whole, as {kind} {example}"
+        )
+        raise ConfigError.at(top.file, first.line, problem)
+
+
+def _read_topology(top: Fields, sites: _SitesBlock) -> Topology:
+    archive = top.single_block("archive")
+    assert archive is not None, "checked before"
+    classes: dict[str, PlannedClass] = {}
     loads: list[OfferedLoad] = []
     for row in top.blocks("load", 1):
-        one, told = _load(row)
-        kinds[one.name] = one
-        loads += told
+        classes[row.label] = _read_class(row)
+        loads += _read_loads(row)
     topology = Topology(
-        {site.name: site for site in map(_site, top.blocks("site", 1))},
-        {row.label: _hub(row, _named(row)) for row in top.blocks("hub", 1)},
-        _hub(archive, ARCHIVE),
-        kinds,
-        tuple(loads),
-        _paths(top),
-        reserves,
-        policy,
+        sites={site.name: site for site in map(_read_site, top.blocks("site", 1))},
+        hubs={row.label: _read_hub(row, row.own_name()) for row in top.blocks("hub", 1)},
+        archive=_read_hub(archive, ARCHIVE),
+        kinds=classes,
+        loads=tuple(loads),
+        paths=_read_paths(top),
+        reserves=sites.reserves,
+        policy=sites.policy,
     )
     try:
         check(topology)
     except TopologyError as error:
-        raise _where(top, error) from None
-    if not plan and len(topology.sites) > MADE_AT_START:
-        line = next(b.line for b in rows["sites"])
-        raise ConfigError(
-            f"{top.file}:{line}: field 'sites.plan': is missing; for over {MADE_AT_START} sites the plan is"
-            " made beforehand, by `onyxwick sites plan FILE --out PLAN.json`"
-        )
-    return topology, folder / plan if plan else None
+        raise _located(top, error) from None
+    return topology
+
+
+def _located(top: Fields, error: TopologyError) -> ConfigError:
+    """A topology's error with the file and line of the row that it names."""
+    for block in top.block.blocks_of(error.kind):
+        if error.name in (*block.labels, "") or " - ".join(block.labels) == error.name:
+            label = " ".join((error.kind, *block.labels))
+            return ConfigError.at(top.file, block.line, f"{label}: {error.field}: {error.text}")
+    return ConfigError.at(top.file, 1, str(error))
+
+
+# ---- the plan, and the settings --------------------------------------------------------------------------
 
 
 def read_plan(top: Topology, path: Path) -> SitePlan:
-    """A plan that `onyxwick sites plan` has written; ConfigError where it cannot be used for this
-    topology."""
+    """A plan that `onyxwick sites plan` has written; ConfigError where it does not fit the topology."""
     try:
         return of_json(top, json.loads(path.read_text()))
     except OSError as error:
-        raise ConfigError(f"{path.name}: {error.strerror}; `onyxwick sites plan` writes it") from None
+        problem = f"{path.name}: {error.strerror}; `onyxwick sites plan` writes it"
+        raise ConfigError(problem, file=path.name) from None
     except (ValueError, UnicodeDecodeError) as error:
-        raise ConfigError(f"{path.name}: {error}") from None
+        raise ConfigError(f"{path.name}: {error}", file=path.name) from None
 
 
 def check_against(top: Topology, settings: RouterSettings, file: str) -> None:
-    """ConfigError where a topology does not fit what the director is told of itself and its classes."""
+    """ConfigError where a topology does not fit the director's own zone and classes."""
     if top.of_zone(settings.zone) is None:
-        hint = guess(settings.zone, [site.zone for site in top.sites.values()])
-        text = f"no block 'site' has this director's zone '{settings.zone}'{hint}"
-        raise ConfigError(f"{file}:1: {text}")
-    classes = {c.name: c for c in settings.classes}
-    for name, kind in top.kinds.items():
+        hint = suggestion(settings.zone, [site.zone for site in top.sites.values()])
+        raise ConfigError.at(file, 1, f"no block 'site' has this director's zone '{settings.zone}'{hint}")
+    classes = {each.name: each for each in settings.classes}
+    for name, planned in top.kinds.items():
         if name not in classes:
-            raise ConfigError(f"{file}:1: load '{name}' is no class of the settings{guess(name, classes)}")
-        if classes[name].is_write is not kind.write:
-            told = "is a write" if classes[name].is_write else "is no write"
-            raise ConfigError(f"{file}:1: load '{name}': field 'write': the class {told} by the settings")
+            hint = suggestion(name, classes)
+            raise ConfigError.at(file, 1, f"load '{name}' is no class of the settings{hint}")
+        if classes[name].is_write is not planned.write:
+            expected = "is a write" if classes[name].is_write else "is no write"
+            problem = f"load '{name}': field 'write': the class {expected} by the settings"
+            raise ConfigError.at(file, 1, problem)
--- a/onyxwick/dns/server.py
+++ b/onyxwick/dns/server.py
@@ -22,7 +22,7 @@
 import dns.update
 
 from onyxwick import logs
-from onyxwick.config.address import written
+from onyxwick.config.address import format_address
 from onyxwick.config.service import ServiceConfig
 from onyxwick.core import AnswerStatus, FinalAnswer, RequestEngine
 from onyxwick.counters import Counters
@@ -65,7 +65,7 @@
     ) -> None:
         self.durable = durable
         self.core, self.counters, self.tenants = core, counters, config.tenants
-        self.deadline_us, self.address = config.deadline_us, config.dns
+        self.deadline_us, self.address = config.dns_deadline_us, config.dns_address
         self.transport = naming.Naming()
         self.classes = {c.name: c for c in core.settings.classes}
         self.tasks: set[asyncio.Task[None]] = set()
@@ -292,7 +292,7 @@
         assert self.address is not None
         transport, _ = await loop.create_datagram_endpoint(lambda: _Udp(self), local_addr=self.address)
         with listen(self.address) as sock:
-            log.info("DNS front on", address=written(self.address))
+            log.info("DNS front on", address=format_address(self.address))
             try:
                 await self._accept(sock)
             finally:
--- a/onyxwick/lab/compare.py
+++ b/onyxwick/lab/compare.py
@@ -60,7 +60,7 @@
         return good, set()
     from onyxwick.config.service import load as read
 
-    plan = read(scenario.service).plan
+    plan = read(scenario.service).cell_plan
     assert plan is not None
     homes = {name: set(tenant.cells) for name, tenant in plan.tenants.items()}
     spoilt = {cell for name in bad for cell in homes.get(name, ())}
--- a/onyxwick/lab/faults/fleet.py
+++ b/onyxwick/lab/faults/fleet.py
@@ -11,8 +11,8 @@
 from pathlib import Path
 from typing import Any, Protocol
 
-from onyxwick.config.address import Address, written
-from onyxwick.config.fields import spoken
+from onyxwick.config.address import Address, format_address
+from onyxwick.config.fields import format_duration
 from onyxwick.lab.arrivals import object_name
 from onyxwick.lab.clients import Clients, ClientTarget
 from onyxwick.lab.copies import Copy
@@ -215,7 +215,9 @@
         """The service file of one director: nothing of sites in the variant without them."""
         (self.folder / "operator.token").write_text(TOKEN)
         (self.folder / "store.keys").write_text(new_key())
-        text = f'admin {{\n  listen = "{written(director.admin)}"\n  token_file = "operator.token"\n}}\n'
+        text = (
+            f'admin {{\n  listen = "{format_address(director.admin)}"\n  token_file = "operator.token"\n}}\n'
+        )
         text += f'store {{\n  folder = "store-{director.name}"\n  key_file = "store.keys"\n'
         text += '  installation = "lab"\n}\n'
         return text + (topology_text(self.fleet) if self.variant == "sites" else "")
@@ -285,7 +287,7 @@
     for link in fleet.links.values():
         one, other = link.ends
         out.append(f'path "{one}" "{other}" {{')
-        out.append(f'  capacity = {link.capacity}\n  delay = "{spoken(link.delay_us)}"\n}}')
+        out.append(f'  capacity = {link.capacity}\n  delay = "{format_duration(link.delay_us)}"\n}}')
     out += [_load_text(fleet, name) for name in scenario.classes]
     return "\n".join(out) + "\n"
 
@@ -303,8 +305,8 @@
     fills = fleet.fills.get(name, (0.3, 0.3))
     write = "  write = true\n" if job.kind.is_write else f"  shared = {1 - fleet.local}\n"
     return (
-        f'load "{name}" {{\n  sending = "{spoken(job.sending_us)}"\n'
-        f'  fill = "{spoken(int(FILL_PACE * job.sending_us))}"\n'
+        f'load "{name}" {{\n  sending = "{format_duration(job.sending_us)}"\n'
+        f'  fill = "{format_duration(int(FILL_PACE * job.sending_us))}"\n'
         f"  fill_share = {0.0 if job.kind.is_write else fills[0]}\n  relay_share = {fills[1]}\n"
         f"  worth = {job.kind.priority_weight}\n{write}  rate_per_s = {{ {', '.join(rates)} }}\n}}"
     )
--- a/onyxwick/lab/faults/script.py
+++ b/onyxwick/lab/faults/script.py
@@ -42,12 +42,12 @@
         shares[name] = float(data)
     out = Depot(
         row.label,
-        row.whole("directors", 0, 60, 2),
-        row.whole("boxes", 1, 60, 6),
-        row.share("share", 0.0),
+        row.integer("directors", 0, 60, 2),
+        row.integer("boxes", 1, 60, 6),
+        row.fraction("share", 0.0),
         shares,
     )
-    row.done()
+    row.reject_unknown()
     return out
 
 
@@ -57,37 +57,37 @@
         one, other = row.block.labels
         link = FaultLink((one, other), row.number("capacity", 0, 1e6, 0), row.duration("delay", 0, MINUTE, 0))
         out[frozenset(link.ends)] = link
-        row.done()
+        row.reject_unknown()
     return out
 
 
 def _fault(row: Fields) -> InjectedFault:
     when = When(
         row.duration("at", 0, 10 * MINUTE, 0),
-        row.text("says", ""),
-        row.text("director", ""),
-        row.whole("count", 1, 1000, 1),
+        row.string("says", ""),
+        row.string("director", ""),
+        row.integer("count", 1, 1000, 1),
     )
     out = InjectedFault(
         row.label,
         when,
         row.choice("what", WHAT),
-        row.text("name"),
+        row.string("name"),
         row.duration("for", 0, 10 * MINUTE, 0),
         row.choice("how", HOW, ""),
         row.number("amount", 0, 1e6, 0),
     )
     if out.what in NEEDS_PAIR and out.name.count("|") != 1:
         raise row.error("name", f"'{out.what}' is between two places, as north|hub-a")
-    row.done()
+    row.reject_unknown()
     return out
 
 
 def _seen(top: Fields) -> dict[str, tuple[float, float]]:
     out = {}
     for row in top.blocks("seen", 1):
-        out[row.label] = (row.share("fill_share"), row.share("relay_share"))
-        row.done()
+        out[row.label] = (row.fraction("fill_share"), row.fraction("relay_share"))
+        row.reject_unknown()
     return out
 
 
@@ -100,23 +100,23 @@
     block.blocks = [b for b in block.blocks if b.type not in kinds]
     scenario = plain.read_blocks(block, path)
     top = Fields(own, path.name)
-    head, policy = top.block_of("fleet"), top.block_of("policy")
+    head, policy = top.single_block("fleet"), top.single_block("policy")
     sites = {row.label: _depot(row) for row in top.blocks("site", 1)}
     hubs = {}
     for row in top.blocks("hub", 1):
-        hubs[row.label] = Stores(row.label, row.whole("stores", 1, 60, 1))
-        row.done()
+        hubs[row.label] = Stores(row.label, row.integer("stores", 1, 60, 1))
+        row.reject_unknown()
     if head is None or len(sites) < 2 or not hubs:
         raise ConfigError(f"{path.name}:1: a block 'fleet', two blocks 'site' and a block 'hub' are wanted")
     archive_at = head.choice("archive", hubs, next(iter(hubs)))
     failover = head.duration("failover", 0, MINUTE, 3_000_000)
     reserves = {n: float(v.plain()) for n, v in head.items("reserves").items()}
-    local = head.share("local", 0.0)
-    head.done()
+    local = head.fraction("local", 0.0)
+    head.reject_unknown()
     told = {n: _written(v.plain()) for n, v in policy.block.attributes.items()} if policy else {}
     faults, links = tuple(_fault(row) for row in top.blocks("fault", 1)), _links(top)
     seen = _seen(top)
-    top.done()
+    top.reject_unknown()
     whole = sum(site.share for site in sites.values())
     if not whole:
         sites = {n: replace(s, share=1 / len(sites)) for n, s in sites.items()}
--- a/onyxwick/lab/feed.py
+++ b/onyxwick/lab/feed.py
@@ -5,7 +5,7 @@
 import json
 from typing import Any
 
-from onyxwick.config.address import Address, written
+from onyxwick.config.address import Address, format_address
 from onyxwick.lab.machines import CoordinatorEmulator, Machine
 
 
@@ -13,7 +13,7 @@
     """A machine's line of the list; `address`: where it is reached by who is told."""
     return {
         "id": machine.name,
-        "addr": written(address or machine.address),
+        "addr": format_address(address or machine.address),
         "zone": machine.zone,
         "kind": machine.kind,
         "cell": 0,
--- a/onyxwick/lab/platform.py
+++ b/onyxwick/lab/platform.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from onyxwick.config.address import Address, written
+from onyxwick.config.address import Address, format_address
 from onyxwick.interface import Idempotency
 from onyxwick.lab.model import Scenario
 
@@ -95,10 +95,10 @@
     """A director's file, as the platform writes it."""
     return {
         "name": name,
-        "listen": written(listen),
+        "listen": format_address(listen),
         "seed": f"{seed:x}",
         "limits": {"cores": 1, "memory_mb": 192, "sockets": sockets},
-        "coordinator": written(coordinator),
+        "coordinator": format_address(coordinator),
         "known": known,
         "settings": told,
     }
--- a/onyxwick/lab/report.py
+++ b/onyxwick/lab/report.py
@@ -34,7 +34,7 @@
 def _placed(run: FinishedRun, service: Path) -> tuple[CellPlan, Placement]:
     from onyxwick.config.service import load
 
-    plan = load(service).plan
+    plan = load(service).cell_plan
     assert plan is not None
     members = [
         Member(m.name, m.zone, m.kind, 0, MemberState.READY, m.tier.capacity, 0)
--- a/onyxwick/lab/scale/fleet.py
+++ b/onyxwick/lab/scale/fleet.py
@@ -25,7 +25,7 @@
 import numpy as np
 import ujson
 
-from onyxwick.config.address import Address, written
+from onyxwick.config.address import Address, format_address
 from onyxwick.distribution.codec import encode_event
 from onyxwick.distribution.documents import split
 from onyxwick.distribution.model import Cursor
@@ -87,7 +87,7 @@
 
     def _node(self, name: str, number: int, fields: str) -> NodeProcess:
         listen = (f"{self.base}.1.{number + 1}", 7400)
-        head = f'  name = "{name}"\n  listen = "{written(listen)}"\n  width = 2048\n'
+        head = f'  name = "{name}"\n  listen = "{format_address(listen)}"\n  width = 2048\n'
         text = f"distribution {{\n{head}{fields}\n}}\n"
         file = self.folder / f"{name}.hcl"
         file.write_text(text)
@@ -106,7 +106,7 @@
         root = self._node(
             "root",
             0,
-            f'  role = "publisher"\n  coordinator = "{written(self.feed)}"\n  store = "store"\n'
+            f'  role = "publisher"\n  coordinator = "{format_address(self.feed)}"\n  store = "store"\n'
             "  bulk_bytes_per_s = 8000",
         )
         root.start()
@@ -119,7 +119,7 @@
                 if number > 1:
                     other = self.nodes[f"relay-{self.rng.randrange(1, number)}"]
                     parents.append(await self._uplink(region, number, other.listen))
-                listed = ", ".join(f'"{written(parent)}"' for parent in parents)
+                listed = ", ".join(f'"{format_address(parent)}"' for parent in parents)
                 node = self._node(f"relay-{number}", number, f'  role = "relay"\n  parents = [{listed}]')
                 node.start()
                 await reachable(node.listen)
@@ -154,14 +154,14 @@
         """One whole director under the same events."""
         listen = (f"{self.base}.3.1", 5050)
         configuration = ujson.loads(CONFIG.read_text()) | {
-            "listen": written(listen),
-            "coordinator": written(self.feed),
+            "listen": format_address(listen),
+            "coordinator": format_address(self.feed),
             "known": {"index": 0, "updates": []},
         }
         (self.folder / "director.json").write_text(json.dumps(configuration))
         service = self.folder / "service.hcl"
         if self.plan.shape is Shape.TREE:
-            parents = ", ".join(f'"{written(self.nodes[f"relay-{n}"].listen)}"' for n in (1, 2))
+            parents = ", ".join(f'"{format_address(self.nodes[f"relay-{n}"].listen)}"' for n in (1, 2))
             service.write_text(f"distribution {{\n  parents = [{parents}]\n}}\n")
         names = {"RELAY_CONFIG": str(self.folder / "director.json"), "ONYXWICK_SERVICE": str(service)}
         self.full = subprocess.Popen(
--- a/onyxwick/lab/scale/processes.py
+++ b/onyxwick/lab/scale/processes.py
@@ -17,7 +17,7 @@
 
 import ujson
 
-from onyxwick.config.address import Address, written
+from onyxwick.config.address import Address, format_address
 from onyxwick.lab.clients import Connection
 from onyxwick.lab.machines import CoordinatorEmulator
 from onyxwick.lab.scale.sweeps import CONFIG, Sweep, rows
@@ -108,8 +108,8 @@
     listed = [row | {"addr": f"{CACHE_HOST}:5050"} for row in rows(caches)]
     event = {"index": 1, "endpoints": {"version": 1, "full": True, "servers": listed}}
     configuration |= {
-        "listen": written(listen),
-        "coordinator": written(feed),
+        "listen": format_address(listen),
+        "coordinator": format_address(feed),
         "known": {"index": 1, "updates": [event]},
         "limits": {"cores": 1, "memory_mb": 512, "sockets": 4096},
     }
@@ -220,8 +220,9 @@
         coordinator = CoordinatorEmulator(feed, lambda: time.time_ns() // 1000)
         await coordinator.listen()
         text = (
-            f'distribution {{\n name = "n"\n role = "publisher"\n listen = "{written(node)}"\n width = 4096\n'
-            f' admitted_per_s = 10000\n coordinator = "{written(feed)}"\n}}\n'
+            f'distribution {{\n name = "n"\n role = "publisher"\n listen = "{format_address(node)}"\n'
+            f" width = 4096\n"
+            f' admitted_per_s = 10000\n coordinator = "{format_address(feed)}"\n}}\n'
         )
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "node.hcl"
--- a/onyxwick/lab/scale/size.py
+++ b/onyxwick/lab/scale/size.py
@@ -141,7 +141,7 @@
 def read(path: Path) -> Size:
     """A size from an HCL file: a block `size` with any of the drivers; ConfigError names file and line."""
     top = Fields(hcl.read(path), path.name)
-    row = top.block_of("size")
+    row = top.single_block("size")
     if row is None:
         raise ConfigError(f"{path.name}: block 'size' is missing")
     size = Size()
@@ -149,9 +149,9 @@
     for each in fields(Size):
         default = getattr(size, each.name)
         if isinstance(default, int):
-            drivers[each.name] = row.whole(each.name, 1, 10**9, default)
+            drivers[each.name] = row.integer(each.name, 1, 10**9, default)
         else:
             drivers[each.name] = row.number(each.name, 0, 1e18, default)
-    row.done()
-    top.done()
+    row.reject_unknown()
+    top.reject_unknown()
     return replace(size, **drivers)
--- a/onyxwick/lab/scenario.py
+++ b/onyxwick/lab/scenario.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 from onyxwick.config import ConfigError, hcl
-from onyxwick.config.fields import MISSING, Fields
+from onyxwick.config.fields import REQUIRED, Fields
 from onyxwick.interface import Idempotency, RequestClass
 from onyxwick.lab.model import Happening, Scenario, ScenarioClass, ScenarioFault, ScenarioLoad, Tier
 
@@ -17,14 +17,14 @@
 
 def _tier(row: Fields, start: float, rise_us: int, multiple: float) -> Tier:
     out = Tier(
-        row.whole("count", 1, 200, 1),
+        row.integer("count", 1, 200, 1),
         row.number("capacity", 0.1, 10_000),
-        row.share("cold_share", start),
+        row.fraction("cold_share", start),
         row.duration("cold", 0, MINUTE, rise_us),
         row.number("fall_multiple", 1, 100, multiple),
         row.duration("wait", 0, MINUTE, 0),
     )
-    row.done()
+    row.reject_unknown()
     return out
 
 
@@ -44,10 +44,10 @@
     out = ScenarioClass(
         kind,
         row.duration("sending", 1000, MINUTE),
-        row.whole("bytes", 1, 200_000, 2000),
-        row.whole("parts", 1, 100, 1),
+        row.integer("bytes", 1, 200_000, 2000),
+        row.integer("parts", 1, 100, 1),
     )
-    row.done()
+    row.reject_unknown()
     return out
 
 
@@ -58,12 +58,12 @@
         row.duration("end", 0, 10 * MINUTE),
         row.number("factor", 0, 1000, 1),
         row.flag("unique", False),
-        row.text("only", "") or None,
+        row.string("only", "") or None,
         row.flag("never_reads", False),
     )
     if out.only and out.only not in classes:
         raise row.error("only", f"'{out.only}' is no class")
-    row.done()
+    row.reject_unknown()
     return out
 
 
@@ -76,21 +76,21 @@
     out = ScenarioLoad(
         row.label,
         row.number("rate_per_s", 0, 10_000),
-        row.whole("objects", 1, 1_000_000, 100),
+        row.integer("objects", 1, 1_000_000, 100),
         row.number("zipf", 0, 4, 0.9),
         tuple(mix),
         tuple(_fault(fault, classes) for fault in row.blocks("misbehaves", 1)),
     )
     if not mix:
         raise row.error("mix", "names no class")
-    row.done()
+    row.reject_unknown()
     return out
 
 
 def _happening(row: Fields) -> Happening:
     at, what = row.duration("at", 0, 10 * MINUTE), row.choice("what", WHAT)
-    out = Happening(at, what, row.text("name", "" if what in ("mute", "unmute") else MISSING))
-    row.done()
+    out = Happening(at, what, row.string("name", "" if what in ("mute", "unmute") else REQUIRED))
+    row.reject_unknown()
     return out
 
 
@@ -98,14 +98,14 @@
     """The file's blocks over those of the file that its `scenario` extends: a block of the same type and
     labels is replaced, of `scenario` each attribute by itself; what happens is added."""
     own = hcl.read(path)
-    head = next(own.of("scenario"), None)
+    head = next(own.blocks_of("scenario"), None)
     base_name = head.attributes.pop("extends", None) if head else None
     if head is None or base_name is None:
         return own
     if depth >= MOST_EXTENDED:
         raise ConfigError(f"{path.name}:{base_name.line}: files extend each other in a circle")
     base = extended(path.parent / str(base_name.data), depth + 1)
-    above = next(base.of("scenario"))
+    above = next(base.blocks_of("scenario"))
     above.attributes |= head.attributes
     mine = {(block.type, *block.labels) for block in own.blocks if block.type != "happens"}
     kept = [b for b in base.blocks if b is above or (b.type, *b.labels) not in mine]
@@ -114,7 +114,7 @@
 
 
 def _needed(top: Fields, name: str) -> Fields:
-    found = top.block_of(name)
+    found = top.single_block(name)
     if found is None:
         raise ConfigError(f"{top.file}:1: block '{name}' is missing")
     return found
@@ -131,13 +131,13 @@
     head = _needed(top, "scenario")
     jobs = tuple(_job(row) for row in top.blocks("class", 1))
     names = {job.kind.name for job in jobs}
-    service = head.text("service", "")
+    service = head.string("service", "")
     bounds = head.items("least")
     out = Scenario(
         name=path.stem,
         duration_us=head.duration("duration", 1_000_000, 10 * MINUTE),
         counted_from_us=head.duration("counted_from", 0, 10 * MINUTE, 0),
-        directors=head.whole("directors", 1, 64, 1),
+        directors=head.integer("directors", 1, 64, 1),
         boxes=_tier(_needed(top, "boxes"), 0.18, 17_000_000, 4.0),
         parents=_tier(_needed(top, "parents"), 0.07, 20_000_000, 2.0),
         origin=_tier(_needed(top, "origin"), 1.0, 0, 100.0),
@@ -148,9 +148,9 @@
         store=head.flag("store", False),
         told_after_us=head.duration("told_after", 0, MINUTE, 200_000),
         purge_done_us=head.duration("purge_done", 0, MINUTE, 6_000_000),
-        warm_objects=head.whole("warm_objects", 0, 100_000, 0),
+        warm_objects=head.integer("warm_objects", 0, 100_000, 0),
         bounds=tuple((name, float(value.data)) for name, value in bounds.items()),
     )
-    head.done()
-    top.done()
+    head.reject_unknown()
+    top.reject_unknown()
     return out
--- a/onyxwick/lab/soak/process.py
+++ b/onyxwick/lab/soak/process.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-from onyxwick.config.address import Address, written
+from onyxwick.config.address import Address, format_address
 from onyxwick.lab.faults.relay import LinkRelay
 from onyxwick.lab.feed import Feed
 from onyxwick.lab.machines import CoordinatorEmulator
@@ -144,7 +144,10 @@
         """A process more, once it is ready; a late start is noted."""
         self.starts += 1
         environment = {**os.environ, **shim, "RELAY_CONFIG": str(self.config), "TMPDIR": str(self.folder)}
-        environment |= {"ONYXWICK_SERVICE": str(self.folder / "none"), "RELAY_ADMIN": written(self.admin)}
+        environment |= {
+            "ONYXWICK_SERVICE": str(self.folder / "none"),
+            "RELAY_ADMIN": format_address(self.admin),
+        }
         fd = None if self.held is None else self.held.fileno()
         if fd is not None:
             environment["RELAY_LISTEN_FD"] = str(fd)
--- a/onyxwick/lab/soak/run.py
+++ b/onyxwick/lab/soak/run.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import Any
 
-from onyxwick.config.address import written
+from onyxwick.config.address import format_address
 from onyxwick.lab.faults.relay import LinkDirection, LinkRelay
 from onyxwick.lab.feed import Feed, row_of
 from onyxwick.lab.machines import CoordinatorEmulator, World
@@ -154,7 +154,7 @@
             director.feed.known(),
             {**settings(self.scenario, place), "self_index": director.number},
         )
-        return {**made, "coordinator": written(director.feeds[director.feed_at])}
+        return {**made, "coordinator": format_address(director.feeds[director.feed_at])}
 
     async def start(self, director: SoakDirector) -> None:
         """For the first time, or again under its name."""
--- a/onyxwick/lifecycle.py
+++ b/onyxwick/lifecycle.py
@@ -16,7 +16,7 @@
 from onyxwick import logs
 from onyxwick.config import ConfigError
 from onyxwick.config import director as relay
-from onyxwick.config.address import written
+from onyxwick.config.address import format_address
 from onyxwick.config.director import DirectorConfig
 from onyxwick.config.errors import ConfigUnreadableError
 from onyxwick.core import RequestEngine
@@ -70,7 +70,7 @@
             self.counters,
             config.settings.limits.connect_timeout_us,
             config.settings.report_names,
-            max_connections=config.most_links,
+            max_connections=config.max_cache_connections,
         )
         service = self.service
         self.core = RequestEngine(
@@ -79,7 +79,7 @@
             self.caches,
             self.members,
             self.counters,
-            most_open=config.most_open,
+            most_open=config.max_open_requests,
             decide=Router if service is None else service.decide,
         )
         routers = config.settings.router_count
@@ -92,15 +92,15 @@
             self.core,
             self.counters,
             self.is_ready,
-            config.most_clients,
-            config.most_held,
+            config.max_clients,
+            config.max_held_bytes,
             *(() if service is None else service.places()),
         )
         self.bridge = self._bridge()
 
     def _bridge(self) -> CommandExecutor | None:
         """The director's side of the operators' door, where the configuration gives one."""
-        if self.config.admin is None:
+        if self.config.operations_address is None:
             return None
         from onyxwick.operations.command_executor import CommandExecutor, persisted_commands
 
@@ -180,7 +180,7 @@
         try:
             told, service = relay.load(), read_service() if self.service else None
             if self.service is not None:
-                self.service.reload(service.plan if service else None)
+                self.service.reload(service.cell_plan if service else None)
         except ConfigUnreadableError as error:
             self.counters.add("reload.unreadable")
             log.warning("configuration not read yet", error=str(error), tries_left=tries)
@@ -193,7 +193,7 @@
             log.error("configuration kept as it was", error=str(error))
             return
         self.counters.add("reload.read")
-        log.info("configuration read again", coordinator=written(told.coordinator))
+        log.info("configuration read again", coordinator=format_address(told.coordinator))
         self.coordinator.set_address(told.coordinator)
 
     def print_counters(self) -> None:
@@ -219,7 +219,7 @@
             loop, side = asyncio.get_running_loop(), list[asyncio.Task[None]]()
             if self.service is not None:
                 side += self.service.start(self.health)
-            self.coordinator.load_configured(self.config.known)
+            self.coordinator.load_configured(self.config.known_events)
             service, coordinator = self.service, self.coordinator
             side += [
                 loop.create_task(coordinator.follow() if service is None else service.follow(coordinator)),
@@ -282,7 +282,7 @@
         self, loop: asyncio.AbstractEventLoop, side: list[asyncio.Task[None]]
     ) -> OperationsServer | None:
         """The operators' door in its own thread; Unusable where its address cannot be listened on."""
-        bridge, address = self.bridge, self.config.admin
+        bridge, address = self.bridge, self.config.operations_address
         if bridge is None or address is None:
             return None
         from onyxwick.operations.server import OperationsServer
@@ -291,7 +291,7 @@
             bound = listening.listen(address)
         except OSError as error:
             raise StartupError(
-                f"the operators' door cannot listen on {written(address)}: {error.strerror}"
+                f"the operators' door cannot listen on {format_address(address)}: {error.strerror}"
             ) from None
         bridge.loop = loop
         door = OperationsServer(
--- a/onyxwick/net/front.py
+++ b/onyxwick/net/front.py
@@ -16,7 +16,7 @@
 from typing import TYPE_CHECKING
 
 from onyxwick import logs
-from onyxwick.config.director import SHUT_LEAST, SHUT_SHARE
+from onyxwick.config.director import CLIENTS_PER_HALF_CLOSED, MIN_HALF_CLOSED
 from onyxwick.core import RequestEngine
 from onyxwick.core.reasons import ConnectionCloseReason
 from onyxwick.core.shutdown import HELD_AFTER_S, LAST_WORDS_S, ShutdownKind, ShutdownSchedule, ShutdownStage
@@ -321,7 +321,7 @@
 
         It lingers while the bound on lingering connections allows; else it closes right behind its end.
         """
-        max_half_closed = max(SHUT_LEAST, self.max_clients // SHUT_SHARE)
+        max_half_closed = max(MIN_HALF_CLOSED, self.max_clients // CLIENTS_PER_HALF_CLOSED)
         is_full = len(self.half_closed) >= max_half_closed
         connection.half_close(now_s, reason)
         if is_full:
--- a/onyxwick/net/subscription.py
+++ b/onyxwick/net/subscription.py
@@ -10,7 +10,7 @@
 from typing import Protocol, cast
 
 from onyxwick import logs
-from onyxwick.config.address import Address, written
+from onyxwick.config.address import Address, format_address
 from onyxwick.core.clock import steady_us
 from onyxwick.core.pacing import BackoffPolicy, ReconnectBackoff
 from onyxwick.counters import Counters
@@ -193,7 +193,7 @@
             connection.transport.abort()
         self.counters.add("distribution.lost")
         address = self.parents[self.follower.parent]
-        log.info("feed parent lost", parent=written(address), reason=reason)
+        log.info("feed parent lost", parent=format_address(address), reason=reason)
         self._perform(self.follower.lost(self.clock(), reason))
         self._changed.set()
 
--- a/onyxwick/service.py
+++ b/onyxwick/service.py
@@ -55,7 +55,7 @@
         self.durable: DurableState | None = None
         self.guests: list[CellRouter] = []  # the cells of other sites' boxes
         self.subscription: Subscription | None = None  # to the distribution tree, where one is followed
-        self.trace_until = float("inf") if told.trace is not None and told.trace.on else 0.0
+        self.trace_until = float("inf") if told.trace is not None and told.trace.starts_enabled else 0.0
 
     # ---- what decides -----------------------------------------------------------------------------------
 
@@ -64,18 +64,18 @@
             return self._within(settings, seed, now)
         from onyxwick.sites import SitePlan, SiteRouter
 
-        top, most = self.told.sites.topology, self.config.most_open
+        top, most = self.told.sites.topology, self.config.max_open_requests
         self.sites = SiteRouter(settings, seed, now, top, SitePlan(top), self._within, most)
         return self.sites
 
     def _within(self, settings: RouterSettings, seed: int, now: int) -> RequestRouter:
         """What decides for one site's boxes; the first one made is the own site's."""
-        if self.told.plan is None:
+        if self.told.cell_plan is None:
             return Router(settings, seed, now)
         from onyxwick.cells import CellRouter
 
-        plan = self.told.plan if self.cells is None else self.cells.plan
-        cells = CellRouter(settings, seed, now, plan, self.config.most_open)
+        plan = self.told.cell_plan if self.cells is None else self.cells.plan
+        cells = CellRouter(settings, seed, now, plan, self.config.max_open_requests)
         if self.cells is None:
             self.cells = cells
         else:
@@ -89,7 +89,7 @@
             return None, "X-Tenant" if self.sites is not None else "", site
         from onyxwick.cells.reservation import ConnectionReservation
 
-        most = (self.config.most_held, self.config.most_clients)
+        most = (self.config.max_held_bytes, self.config.max_clients)
         return ConnectionReservation(self.cells, *most), self.cells.plan.policy.tenant_field, site
 
     # ---- what lasts -------------------------------------------------------------------------------------
@@ -113,8 +113,8 @@
             blake2b(told.installation.encode(), digest_size=16).digest(),
             core.now(),
             self.config.settings.rules.purge_retention_us,
-            told.bookings,
-            StoreLimits(log=told.log_bytes, total=told.total_bytes),
+            told.persists_bookings,
+            StoreLimits(log=told.max_log_bytes, total=told.max_total_bytes),
         )
         self.durable.load_tenants(self.told.tenants)
         self._recorded_plan(self.durable)
@@ -246,7 +246,7 @@
     def want_trace(self) -> None:
         """A trace from now on for as long as the file says (SIGUSR2)."""
         assert self.told.trace is not None
-        until = asyncio.get_running_loop().time() + self.told.trace.for_us / 1e6
+        until = asyncio.get_running_loop().time() + self.told.trace.signal_duration_us / 1e6
         self.trace_until = max(self.trace_until, until)
 
     async def _trace(self, told: TraceConfig) -> None:
@@ -256,7 +256,7 @@
 
         loop, bounds = (
             asyncio.get_running_loop(),
-            SinkLimits(told.file_bytes, told.file_us / 1e6, told.total_bytes),
+            SinkLimits(told.max_file_bytes, told.max_file_age_us / 1e6, told.max_total_bytes),
         )
         core = self.core
         try:
@@ -282,11 +282,11 @@
     def _fronts(self, health: Callable[[], dict[str, object]]) -> list[DnsFront | HttpServer]:
         """The hosted service's fronts. Loaded only where they are wanted: their libraries take memory."""
         out: list[DnsFront | HttpServer] = []
-        if self.told.dns:
+        if self.told.dns_address:
             from onyxwick.dns.server import DnsFront
 
             out.append(DnsFront(self.core, self.counters, self.told, self.durable))
-        if self.told.admin:
+        if self.told.admin_address:
             from onyxwick.admin.api import Api
             from onyxwick.admin.http import HttpServer
 
@@ -295,8 +295,8 @@
             def whole_health() -> dict[str, object]:
                 return health() | self._feed_health()
 
-            api = Api(self.told.tenants, self.counters, self.told.token, whole_health, parts)
-            out.append(HttpServer(self.told.admin, self._lasting(api), self.counters))
+            api = Api(self.told.tenants, self.counters, self.told.admin_token, whole_health, parts)
+            out.append(HttpServer(self.told.admin_address, self._lasting(api), self.counters))
         return out
 
     def _lasting(self, api: Api) -> Handler:
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -59,6 +59,7 @@
         ("a = 1 b = 2", "x.hcl:1: two settings on one line"),
         ('a = "\\q"', "x.hcl:1: unknown escape"),
         ("a = " + "[" * 40 + "]" * 40, "x.hcl:1: values lie over 32 deep"),
+        ("a = " + "[" * 33 + "1" + "]" * 33, "x.hcl:1: values lie over 32 deep"),
         ("a = { b = 1, b = 2 }", "x.hcl:1: key 'b' stands twice"),
     ],
 )
@@ -99,18 +100,18 @@
     fields = Fields(hcl.parse(text, "x.hcl"), "x.hcl")
     with pytest.raises(ConfigError) as error:
         fields.duration("wait", 1_000, 60_000_000)
-        fields.share("part", 0.5)
-        fields.texts("list", [])
+        fields.fraction("part", 0.5)
+        fields.strings("list", [])
         fields.choice("kind", ["slow", "fast"], "slow")
-        fields.whole("count", 0, 9, 1)
+        fields.integer("count", 0, 9, 1)
         fields.blocks("box", labels=1)
-        fields.done()
+        fields.reject_unknown()
     assert str(error.value).startswith(wanted)
 
 
 def test_the_service_file_is_read_whole_or_refused(tmp_path: Path) -> None:
     told = service.load(FOLDER / "service.hcl")
-    assert told.dns == ("127.77.0.1", 15353) and list(told.tenants.tenants) == ["depot"]
+    assert told.dns_address == ("127.77.0.1", 15353) and list(told.tenants.tenants) == ["depot"]
     text = (FOLDER / "service.hcl").read_text()
     for wrong, wanted in (
         (
@@ -228,9 +229,11 @@
 ) -> None:
     """Every place taken at once: links, also about to close, clients, written ends, the door, fixed parts."""
     data = json.loads((FOLDER / "config.json").read_text())
-    config = replace(relay.read({**data, "limits": {"sockets": sockets}}), admin=admin, listen_fd=handed)
-    door = min(relay.DOOR_SOCKETS, sockets // config.shares // 8) if admin else 0
-    shut = max(relay.SHUT_LEAST, config.most_clients // relay.SHUT_SHARE)
+    config = replace(
+        relay.read({**data, "limits": {"sockets": sockets}}), operations_address=admin, listen_fd=handed
+    )
+    door = min(relay.OPERATIONS_SOCKETS, sockets // config.process_count // 8) if admin else 0
+    shut = max(relay.MIN_HALF_CLOSED, config.max_clients // relay.CLIENTS_PER_HALF_CLOSED)
     fixed = 14  # streams, the event loop, the listening socket, the feed, a file read anew, one just accepted
-    held = config.most_links + MAX_EXCESS_CONNECTIONS + config.most_clients + shut + door + fixed
-    assert held <= sockets // config.shares
+    held = config.max_cache_connections + MAX_EXCESS_CONNECTIONS + config.max_clients + shut + door + fixed
+    assert held <= sockets // config.process_count
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -17,7 +17,7 @@
 
 import uvloop
 
-from onyxwick.config.address import Address, written
+from onyxwick.config.address import Address, format_address
 from onyxwick.core.clock import wall_us
 from onyxwick.counters import Counters
 from onyxwick.distribution.follower import Follower
@@ -94,7 +94,9 @@
 
     def start(self, name: str, listen: Address, fields: str) -> None:
         path = self.folder / f"{name}.hcl"
-        path.write_text(f'distribution {{\n  name = "{name}"\n  listen = "{written(listen)}"\n{fields}\n}}\n')
+        path.write_text(
+            f'distribution {{\n  name = "{name}"\n  listen = "{format_address(listen)}"\n{fields}\n}}\n'
+        )
         self.again(name)
 
     def again(self, name: str) -> None:
@@ -112,14 +114,17 @@
 
     async def director(self, number: int, *parents: Address) -> None:
         listen, admin = (f"{BASE}.2.{number}", 5050), (f"127.79.3.{number}", 8053)
-        answers = json.loads(CONFIG.read_text()) | {"listen": written(listen), "coordinator": written(FEED)}
+        answers = json.loads(CONFIG.read_text()) | {
+            "listen": format_address(listen),
+            "coordinator": format_address(FEED),
+        }
         (self.folder / f"d{number}.json").write_text(json.dumps(answers))
         (self.folder / "token").write_text(TOKEN)
-        listed = ", ".join(f'"{written(parent)}"' for parent in parents)
+        listed = ", ".join(f'"{format_address(parent)}"' for parent in parents)
         service = self.folder / f"d{number}.hcl"
         service.write_text(
             f"distribution {{\n  parents = [{listed}]\n}}\n"
-            f'admin {{\n  listen = "{written(admin)}"\n  token_file = "token"\n}}\n'
+            f'admin {{\n  listen = "{format_address(admin)}"\n  token_file = "token"\n}}\n'
             'tenant "acme" {\n  quota_per_s = 10\n}\n'
         )
         names = {"RELAY_CONFIG": str(self.folder / f"d{number}.json"), "ONYXWICK_SERVICE": str(service)}
@@ -178,7 +183,7 @@
         self.start(
             "root",
             ROOT,
-            f'  role = "publisher"\n  coordinator = "{written(FEED)}"\n  store = "store"\n'
+            f'  role = "publisher"\n  coordinator = "{format_address(FEED)}"\n  store = "store"\n'
             "  bulk_bytes_per_s = 4000000\n"
             '  document "quotas" {\n    file = "quotas.json"\n  }\n'
             '  document "bulk" {\n    file = "bulk"\n  }',
@@ -187,7 +192,7 @@
         for number, (listen, parents) in enumerate(
             zip(RELAYS, ((UPLINK,), (ROOT, RELAYS[0]), (ROOT, RELAYS[1])), strict=True)
         ):
-            listed = ", ".join(f'"{written(parent)}"' for parent in parents)
+            listed = ", ".join(f'"{format_address(parent)}"' for parent in parents)
             self.start(f"relay-{number}", listen, f'  role = "relay"\n  parents = [{listed}]')
         await self.director(1, RELAYS[0], RELAYS[1])
         await self.director(2, RELAYS[1], RELAYS[2])
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -772,7 +772,7 @@
             await ground.front.accept_remaining(ground.door)
         await ground.until(lambda: len(taken) == 4 * places)
         assert ground.front.counters.counts["client.displaced"] >= places
-        lingering = max(relay.SHUT_LEAST, places // relay.SHUT_SHARE)
+        lingering = max(relay.MIN_HALF_CLOSED, places // relay.CLIENTS_PER_HALF_CLOSED)
         assert most <= places + lingering + front.MAX_PENDING_CLOSES
         assert first
 
--- a/tests/test_sites_plan.py
+++ b/tests/test_sites_plan.py
@@ -198,7 +198,7 @@
     block = hcl.parse(text, "service.hcl")
     fields = Fields(block, "service.hcl")
     found = read_sites(fields, Path("."))
-    fields.done()
+    fields.reject_unknown()
     return found[0] if found else None
 
 
