--- a/tests/ground.py
+++ b/tests/ground.py
@@ -133,9 +133,16 @@
 
     def request(self, kind: str = "chunk", **more: object) -> ClientRequest:
         self.asked += 1
-        fields = {"id": f"{self.asked:016x}", "class_name": kind, "object": "7f3a9c21e0b4d655", "part": 0}
-        told = {"group": 17, "arrived_us": steady_us(), "timeout_us": 9_000_000}
-        return ClientRequest(**{**fields, **told, **more})  # type: ignore[arg-type]
+        fields: dict[str, object] = {
+            "request_id": f"{self.asked:016x}",
+            "class_name": kind,
+            "object_id": "7f3a9c21e0b4d655",
+            "part": 0,
+            "object_group": 17,
+            "arrived_us": steady_us(),
+            "timeout_us": 9_000_000,
+        }
+        return ClientRequest(**{**fields, **more})  # type: ignore[arg-type]
 
     def start(self, kind: str = "chunk", **more: object) -> RequestLifecycle:
         lifecycle = self.core.start(self.request(kind, **more), self.answers.append)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -330,7 +330,7 @@
 
         _on_arrival(ground, "c0")
         _on_error(ground, lambda request: [FailRequest(request)])
-        lifecycle = ground.start(held_tag="4be0c1927d55a6f3")
+        lifecycle = ground.start(client_etag="4be0c1927d55a6f3")
         conn = await ground.accepted(sock)
         await ground.read(conn, lifecycle.request.request_id.encode())
         conn.send(
@@ -338,7 +338,7 @@
         )
         await ground.until(lambda: ground.answers)
         assert ground.answers[0].status is AnswerStatus.FAILED and ground.counters.counts["bad.tag"] == 1
-        lifecycle = ground.start(held_tag="4be0c1927d55a6f3")  # and that connection goes on
+        lifecycle = ground.start(client_etag="4be0c1927d55a6f3")  # and that connection goes on
         await ground.read(conn, lifecycle.request.request_id.encode())
         conn.send(_answer(lifecycle.request.request_id, b"unchanged", FOUND, b""))
         await ground.until(lambda: len(ground.answers) == 2)
