--- a/onyxwick/dns/server.py
+++ b/onyxwick/dns/server.py
@@ -22,12 +22,12 @@
 import dns.update
 
 from onyxwick import logs
-from onyxwick.config.address import written
+from onyxwick.config.address import format_address
 from onyxwick.config.service import ServiceConfig
 from onyxwick.core import AnswerStatus, FinalAnswer, RequestEngine
 from onyxwick.counters import Counters
 from onyxwick.dns import lookup, naming, update
-from onyxwick.net.buffer import Buffer
+from onyxwick.net.buffer import ReceiveBuffer
 from onyxwick.net.listening import listen
 from onyxwick.store.errors import StoreError
 from onyxwick.tenants import TenantZone, read_zone
@@ -65,7 +65,7 @@
     ) -> None:
         self.durable = durable
         self.core, self.counters, self.tenants = core, counters, config.tenants
-        self.deadline_us, self.address = config.deadline_us, config.dns
+        self.deadline_us, self.address = config.dns_deadline_us, config.dns_address
         self.transport = naming.Naming()
         self.classes = {c.name: c for c in core.settings.classes}
         self.tasks: set[asyncio.Task[None]] = set()
@@ -292,7 +292,7 @@
         assert self.address is not None
         transport, _ = await loop.create_datagram_endpoint(lambda: _Udp(self), local_addr=self.address)
         with listen(self.address) as sock:
-            log.info("DNS front on", address=written(self.address))
+            log.info("DNS front on", address=format_address(self.address))
             try:
                 await self._accept(sock)
             finally:
@@ -320,7 +320,7 @@
 
     async def _client(self, conn: socket.socket) -> None:
         """One TCP client: messages with two bytes of length before them, answered one by one in order."""
-        loop, buffer = asyncio.get_running_loop(), Buffer()
+        loop, buffer = asyncio.get_running_loop(), ReceiveBuffer()
         with conn, contextlib.suppress(OSError, TimeoutError):
             while True:
                 async with asyncio.timeout(TCP_IDLE_S):  # for a whole message, in however many pieces
