--- a/onyxwick/distribution/codec.py
+++ b/onyxwick/distribution/codec.py
@@ -1,8 +1,8 @@
 """Lines of the feed to messages and back. The form is the coordinator's: one JSON value a line.
 
-A whole number alone is an announcement; an object with `index` and one payload field is an event. Lines
-with `published_ms` or `snapshot` repeat a number that the reader already has or take it beyond a gap; a
-reader that does not know them passes over the first and reconnects at the second.
+An integer alone is an announcement; an object with `index` and one payload field is an event. Lines with
+`published_ms` or `snapshot` repeat a number that the reader already has or take it beyond a gap; a reader
+that does not know them ignores the first and reconnects at the second.
 """
 
 from __future__ import annotations
@@ -36,84 +36,84 @@
 DELETED_STATE = "DELETED"
 OVERSIZED_HEAD_BYTES = 64
 """Of a line that is too long, what is kept to read its number from."""
-_INDEX = re.compile(rb'\s*\{\s*"index"\s*:\s*(\d{1,19})\b').match
+_INDEX_OF_HEAD = re.compile(rb'\s*\{\s*"index"\s*:\s*(\d{1,19})\b').match
 _CACHE_STATES = ("SERVING", "DRAINING", DELETED_STATE)
 
 
 def decode(line: bytes) -> Message:
     """The message of one line, an unreadable payload as UnknownPayload; MalformedLineError if it is none."""
     if len(line) > MAX_LINE_BYTES:
-        raise MalformedLineError(f"a line of {len(line)} bytes")
+        raise MalformedLineError(f"a line of {len(line)} bytes, {MAX_LINE_BYTES} at most")
     try:
         value = ujson.loads(line)
     except ValueError as error:
         raise MalformedLineError(f"no JSON: {error}") from None
-    if _is_whole(value):
+    if _is_integer(value):
         return Announcement(Cursor.unpack(value))
-    if not isinstance(value, dict) or not _is_whole(value.get("index")):
+    if not isinstance(value, dict) or not _is_integer(value.get("index")):
         raise MalformedLineError("neither a number nor an object with 'index'")
     cursor = Cursor.unpack(value["index"])
     if "published_ms" in value:
-        return _freshness(cursor, value["published_ms"])
+        return _read_freshness(cursor, value["published_ms"])
     if "snapshot" in value:
-        return _snapshot(cursor, value["snapshot"])
-    whole_line = line.rstrip(b"\n") + b"\n"  # relays pass it on as it came
+        return _read_snapshot(cursor, value["snapshot"])
+    complete_line = line.rstrip(b"\n") + b"\n"  # relays pass it on unchanged
     try:
-        return FeedEvent(cursor, _payload(value), whole_line)
+        return FeedEvent(cursor, _read_payload(value), complete_line)
     except PayloadError as error:
-        return FeedEvent(cursor, UnknownPayload(str(error)), whole_line)
+        return FeedEvent(cursor, UnknownPayload(str(error)), complete_line)
 
 
-def _is_whole(value: Any) -> bool:
+def _is_integer(value: Any) -> bool:
     return isinstance(value, int) and not isinstance(value, bool)
 
 
-def _freshness(cursor: Cursor, value: Any) -> Freshness:
-    if not _is_whole(value) or value < 0:
-        raise MalformedLineError("field 'published_ms' is no whole number from 0")
+def _read_freshness(cursor: Cursor, value: Any) -> Freshness:
+    if not _is_integer(value) or value < 0:
+        raise MalformedLineError("field 'published_ms' must be an integer from 0 on")
     return Freshness(cursor, value)
 
 
-def _snapshot(cursor: Cursor, value: Any) -> SnapshotBegin | SnapshotEnd:
+def _read_snapshot(cursor: Cursor, value: Any) -> SnapshotBegin | SnapshotEnd:
     if isinstance(value, dict) and isinstance(value.get("digest"), str):
         return SnapshotEnd(cursor, value["digest"])
-    if isinstance(value, dict) and _is_whole(value.get("lines")) and value["lines"] >= 0:
+    if isinstance(value, dict) and _is_integer(value.get("lines")) and value["lines"] >= 0:
         return SnapshotBegin(cursor, value["lines"])
     raise MalformedLineError("field 'snapshot' is no object with 'lines' or 'digest'")
 
 
-def _payload(value: dict[str, Any]) -> Payload:
+def _read_payload(value: dict[str, Any]) -> Payload:
     if "endpoints" in value:
-        return _cache_list(_object(value, "endpoints"))
+        return _read_cache_list(_object_field(value, "endpoints"))
     if "evict" in value:
-        return _purge(_object(value, "evict"))
+        return _read_purge(_object_field(value, "evict"))
     if "document" in value:
-        return _document_part(_object(value, "document"))
+        return _read_document_part(_object_field(value, "document"))
     raise PayloadError(f"no known payload among {sorted(value)[:8]}")
 
 
-def _object(value: dict[str, Any], name: str) -> dict[str, Any]:
+def _object_field(value: dict[str, Any], name: str) -> dict[str, Any]:
     inner = value[name]
     if not isinstance(inner, dict):
         raise PayloadError(f"field '{name}' is no object")
     return inner
 
 
-def _whole(value: dict[str, Any], name: str) -> int:
+def _unsigned_field(value: dict[str, Any], name: str) -> int:
     inner = value.get(name)
     if not isinstance(inner, int) or isinstance(inner, bool) or inner < 0:
-        raise PayloadError(f"field '{name}' is no whole number from 0")
+        raise PayloadError(f"field '{name}' must be an integer from 0 on")
     return inner
 
 
-def _text(value: dict[str, Any], name: str) -> str:
+def _text_field(value: dict[str, Any], name: str) -> str:
     inner = value.get(name)
     if not isinstance(inner, str):
         raise PayloadError(f"field '{name}' is no text")
     return inner
 
 
-def _cache_list(value: dict[str, Any]) -> CacheListChange:
+def _read_cache_list(value: dict[str, Any]) -> CacheListChange:
     servers = value.get("servers")
     if not isinstance(servers, list) or not all(isinstance(row, dict) for row in servers):
         raise PayloadError("field 'servers' is no list of objects")
@@ -124,24 +124,24 @@
             raise PayloadError(f"a cache without an id, or in state {state!r}")
         rows.append(CacheRow(str(row["id"]), state == DELETED_STATE, row))
     version = value.get("version") or 0
-    return CacheListChange(tuple(rows), bool(value.get("full")), version if _is_whole(version) else 0)
+    return CacheListChange(tuple(rows), bool(value.get("full")), version if _is_integer(version) else 0)
 
 
-def _purge(value: dict[str, Any]) -> PurgeEvent:
-    unix_ms = _whole(value, "unix_ms")
+def _read_purge(value: dict[str, Any]) -> PurgeEvent:
+    unix_ms = _unsigned_field(value, "unix_ms")
     if value.get("ref") is not None:
         return PurgeEvent(PurgeKey(str(value["ref"]), None), unix_ms)
-    return PurgeEvent(PurgeKey(None, _whole(value, "shard")), unix_ms)
+    return PurgeEvent(PurgeKey(None, _unsigned_field(value, "shard")), unix_ms)
 
 
-def _document_part(value: dict[str, Any]) -> DocumentPart:
+def _read_document_part(value: dict[str, Any]) -> DocumentPart:
     part = DocumentPart(
-        name=_text(value, "name"),
-        version=_whole(value, "version"),
-        part=_whole(value, "part"),
-        parts=_whole(value, "parts"),
-        digest=_text(value, "digest"),
-        text=_text(value, "text"),
+        name=_text_field(value, "name"),
+        version=_unsigned_field(value, "version"),
+        part=_unsigned_field(value, "part"),
+        parts=_unsigned_field(value, "parts"),
+        digest=_text_field(value, "digest"),
+        text=_text_field(value, "text"),
     )
     if part.part >= part.parts:
         raise PayloadError(f"part {part.part} of {part.parts}")
@@ -150,7 +150,7 @@
 
 def encode_event(cursor: Cursor, payload: Payload) -> FeedEvent:
     """An event with its line."""
-    return FeedEvent(cursor, payload, _line({"index": cursor.packed, **_fields(payload)}))
+    return FeedEvent(cursor, payload, _encode_line({"index": cursor.packed, **_payload_fields(payload)}))
 
 
 def encode_announcement(cursor: Cursor) -> bytes:
@@ -160,17 +160,17 @@
 
 def encode_freshness(cursor: Cursor, published_ms: int) -> bytes:
     """A freshness line, which a plain reader takes for an event that it already has."""
-    return _line({"index": cursor.packed, "published_ms": published_ms})
+    return _encode_line({"index": cursor.packed, "published_ms": published_ms})
 
 
 def encode_snapshot_begin(cursor: Cursor, lines: int) -> bytes:
     """The first line of a snapshot."""
-    return _line({"index": cursor.packed, "snapshot": {"lines": lines}})
+    return _encode_line({"index": cursor.packed, "snapshot": {"lines": lines}})
 
 
 def encode_snapshot_end(cursor: Cursor, digest: str) -> bytes:
     """The last line of a snapshot, with the digest of the lines between."""
-    return _line({"index": cursor.packed, "snapshot": {"digest": digest}})
+    return _encode_line({"index": cursor.packed, "snapshot": {"digest": digest}})
 
 
 class LinesDigest:
@@ -190,17 +190,17 @@
 
 
 def encode_follow(cursor: Cursor) -> bytes:
-    """What a follower sends once connected."""
+    """The request that a follower sends once connected."""
     return b"follow %d\n" % cursor.packed
 
 
 def oversized_line_stub(head: bytes) -> bytes:
     """A short line in place of one that is too long, of which only the beginning was kept.
 
-    It has the event's number, if that could be read: the event is passed over like any other that cannot be
-    read, and not asked for again and again.
+    It has the event's number, if that could be read: the event then counts as one with an unknown payload,
+    and is not requested again and again.
     """
-    found = _INDEX(head)
+    found = _INDEX_OF_HEAD(head)
     return b'{"index":%s,"oversized":true}' % found[1] if found is not None else b"oversized"
 
 
@@ -212,20 +212,20 @@
     return Cursor.unpack(int(words[1]))
 
 
-def _line(value: dict[str, Any]) -> bytes:
+def _encode_line(value: dict[str, Any]) -> bytes:
     return ujson.dumps(value, escape_forward_slashes=False).encode() + b"\n"
 
 
-def _fields(payload: Payload) -> dict[str, Any]:
+def _payload_fields(payload: Payload) -> dict[str, Any]:
     if isinstance(payload, CacheListChange):
         servers = [row.fields for row in payload.rows]
         return {"endpoints": {"version": payload.version, "full": payload.full, "servers": servers}}
     if isinstance(payload, PurgeEvent):
         key = payload.key
-        named = {"ref": key.ref} if key.ref is not None else {"shard": key.shard}
-        return {"evict": {**named, "unix_ms": payload.unix_ms}}
+        key_fields = {"ref": key.ref} if key.ref is not None else {"shard": key.shard}
+        return {"evict": {**key_fields, "unix_ms": payload.unix_ms}}
     if isinstance(payload, UnknownPayload):
-        raise TypeError("an event that was not read is passed on as its line, never encoded")
+        raise PayloadError("an event with an unknown payload is passed on as its line, never encoded")
     return {
         "document": {
             "name": payload.name,
--- a/onyxwick/distribution/documents.py
+++ b/onyxwick/distribution/documents.py
@@ -1,4 +1,4 @@
-"""Configuration documents: split into parts that fit into events, and assembled again with their digest."""
+"""Configuration documents: split into parts that fit into events, and assembled with a digest check."""
 
 from __future__ import annotations
 
@@ -16,6 +16,9 @@
 )
 
 DIGEST_BYTES = 16
+MAX_CHARACTER_BYTES = 4
+"""Longest character in UTF-8."""
+MAX_PARTS = MAX_DOCUMENT_BYTES // (MAX_PART_BYTES // MAX_CHARACTER_BYTES) + 1
 
 
 class DocumentError(DistributionError):
@@ -28,43 +31,53 @@
 
 
 def split_document(name: str, version: int, text: str) -> list[DocumentPart]:
-    """The parts of a document; PublishRefusedError where it is too large."""
-    size = len(text.encode())
-    if size > MAX_DOCUMENT_BYTES:
-        raise PublishRejectedError(f"document '{name}' has {size} bytes, {MAX_DOCUMENT_BYTES} at most")
-    # A character has four bytes at most: parts are cut by characters, so that each is valid by itself.
-    step = MAX_PART_BYTES // 4 if size > len(text) else MAX_PART_BYTES
-    texts = [text[at : at + step] for at in range(0, len(text), step)] or [""]
+    """The parts of a document, one at least; PublishRejectedError where it is too large."""
+    size_bytes = len(text.encode())
+    if size_bytes > MAX_DOCUMENT_BYTES:
+        raise PublishRejectedError(f"document '{name}' has {size_bytes} bytes, {MAX_DOCUMENT_BYTES} at most")
+    # Parts are cut between characters, so that each is valid text by itself.
+    is_ascii = size_bytes == len(text)
+    characters = MAX_PART_BYTES if is_ascii else MAX_PART_BYTES // MAX_CHARACTER_BYTES
+    texts = [text[start : start + characters] for start in range(0, len(text), characters)] or [""]
     digest = document_digest(text)
-    return [DocumentPart(name, version, n, len(texts), digest, part) for n, part in enumerate(texts)]
+    return [
+        DocumentPart(name, version, number, len(texts), digest, part) for number, part in enumerate(texts)
+    ]
 
 
 @dataclass(slots=True)
-class _Partial:
+class _PartialDocument:
     version: int
     digest: str
     parts: int
     texts: list[str] = field(default_factory=list)
-    size: int = 0
+    size_bytes: int = 0
+
+    def is_continued_by(self, part: DocumentPart) -> bool:
+        is_same_version = (self.version, self.digest, self.parts) == (part.version, part.digest, part.parts)
+        return is_same_version and part.part == len(self.texts)
 
 
 class DocumentAssembler:
-    """Collects parts in order. A newer version of a document displaces an unfinished older one."""
+    """Collects parts in order. A newer version of a document preempts an unfinished older one."""
 
     def __init__(self) -> None:
-        self._partial: dict[str, _Partial] = {}
+        self._partial: dict[str, _PartialDocument] = {}
 
     def add(self, part: DocumentPart) -> Document | None:
-        """The whole document with its last part; DocumentError (and nothing kept) if a part does not fit."""
+        """The complete document with its last part.
+
+        DocumentError if a part does not fit; the unfinished document is then dropped.
+        """
         partial = self._partial.get(part.name)
         if part.part == 0:
             partial = self._begin(part)
-        if partial is None or not self._fits(partial, part):
+        if partial is None or not partial.is_continued_by(part):
             self._partial.pop(part.name, None)
             raise DocumentError(f"part {part.part} of document '{part.name}' fits nothing before it")
         partial.texts.append(part.text)
-        partial.size += len(part.text.encode())
-        if partial.size > MAX_DOCUMENT_BYTES:
+        partial.size_bytes += len(part.text.encode())
+        if partial.size_bytes > MAX_DOCUMENT_BYTES:
             del self._partial[part.name]
             raise DocumentError(f"document '{part.name}' is over {MAX_DOCUMENT_BYTES} bytes")
         if len(partial.texts) < partial.parts:
@@ -72,26 +85,22 @@
         return self._finish(part.name)
 
     def unfinished_parts(self) -> list[DocumentPart]:
-        """The parts held of documents not yet whole, for a snapshot."""
+        """The parts of documents that are not complete yet, for a snapshot."""
         return [
-            DocumentPart(name, held.version, n, held.parts, held.digest, text)
-            for name, held in self._partial.items()
-            for n, text in enumerate(held.texts)
+            DocumentPart(name, partial.version, number, partial.parts, partial.digest, text)
+            for name, partial in self._partial.items()
+            for number, text in enumerate(partial.texts)
         ]
 
-    def _begin(self, part: DocumentPart) -> _Partial:
+    def _begin(self, part: DocumentPart) -> _PartialDocument:
         if part.name not in self._partial and len(self._partial) >= MAX_DOCUMENTS:
             raise DocumentError(f"over {MAX_DOCUMENTS} documents are unfinished")
-        if part.parts > MAX_DOCUMENT_BYTES // (MAX_PART_BYTES // 4) + 1:
-            raise DocumentError(f"document '{part.name}' has {part.parts} parts")
-        partial = self._partial[part.name] = _Partial(part.version, part.digest, part.parts)
+        if part.parts > MAX_PARTS:
+            raise DocumentError(f"document '{part.name}' has {part.parts} parts, {MAX_PARTS} at most")
+        partial = _PartialDocument(part.version, part.digest, part.parts)
+        self._partial[part.name] = partial
         return partial
 
-    @staticmethod
-    def _fits(partial: _Partial, part: DocumentPart) -> bool:
-        known = (partial.version, partial.digest, partial.parts, len(partial.texts))
-        return known == (part.version, part.digest, part.parts, part.part)
-
     def _finish(self, name: str) -> Document:
         partial = self._partial.pop(name)
         text = "".join(partial.texts)
--- a/onyxwick/distribution/model.py
+++ b/onyxwick/distribution/model.py
@@ -6,14 +6,17 @@
 from dataclasses import dataclass
 from typing import Any
 
+from onyxwick.errors import OnyxwickError
+
 HISTORY_BITS = 32
 """A packed cursor is the history's identifier above this many bits of the event's number in it."""
 MAX_NUMBER = (1 << HISTORY_BITS) - 1
 MAX_HISTORY = (1 << 31) - 1
-"""Packed cursors stay below 2^63, which every JSON reader in use here takes as a whole number."""
+"""Packed cursors stay below 2^63, which every JSON reader in use here reads as an integer."""
 MAX_LINE_BYTES = 4_194_304
 """Longest line of a feed, the same bound as the coordinator's feed has."""
 SECOND_US = 1_000_000
+"""Microseconds."""
 MAX_DOCUMENT_BYTES = 1_048_576
 """Longest configuration document, in bytes of UTF-8."""
 MAX_DOCUMENTS = 256
@@ -22,7 +25,7 @@
 """Bytes of a document in one event: a purge waits behind no more than one of them at each hop."""
 
 
-class DistributionError(ValueError):
+class DistributionError(OnyxwickError, ValueError):
     """Base of all errors of this package."""
 
 
@@ -35,11 +38,21 @@
 
 
 class FeedGapError(DistributionError):
-    """An event's number is not the one after the cursor."""
+    """An event's number does not follow the last one of a log."""
+
+    def __init__(self, found: Cursor, last: Cursor) -> None:
+        super().__init__(f"event {found} after {last}")
+        self.found = found
+        self.last = last
 
 
 class OlderSnapshotError(DistributionError):
-    """A snapshot is older than what the follower has, or belongs to an earlier history."""
+    """A snapshot is older than the replica, or belongs to an earlier history."""
+
+    def __init__(self, found: Cursor, current: Cursor) -> None:
+        super().__init__(f"snapshot of {found} under {current}")
+        self.found = found
+        self.current = current
 
 
 class IllegalTransitionError(DistributionError):
@@ -47,7 +60,7 @@
 
 
 class PublishRejectedError(DistributionError):
-    """The publisher does not take an event; the text names the bound or the field."""
+    """The publisher rejects an event; the message names the bound or the field."""
 
 
 @dataclass(frozen=True, slots=True, order=True)
@@ -63,14 +76,14 @@
 
     @property
     def packed(self) -> int:
-        """The cursor as the one whole number that the feed carries as `index`."""
+        """The cursor as the one integer that the feed carries as `index`."""
         return (self.history << HISTORY_BITS) | self.number
 
     @classmethod
     def unpack(cls, packed: int) -> Cursor:
         """The cursor of an `index`; MalformedLineError outside 0 to 2^63 - 1."""
         if not 0 <= packed <= (MAX_HISTORY << HISTORY_BITS) | MAX_NUMBER:
-            raise MalformedLineError(f"number {packed} is out of range")
+            raise MalformedLineError(f"number {packed} is out of range, 0 to 2^63 - 1")
         return cls(packed >> HISTORY_BITS, packed & MAX_NUMBER)
 
     def following(self) -> Cursor:
@@ -81,12 +94,12 @@
 
 
 ORIGIN = Cursor(0, 0)
-"""The cursor of a follower that has nothing."""
+"""The cursor of a follower that has no events."""
 
 
 @dataclass(frozen=True, slots=True)
 class CacheRow:
-    """One cache of a list: its id, whether it has gone, and all its fields, passed on unchanged."""
+    """One cache of a list: its id, whether it was deleted, and all its fields, passed on unchanged."""
 
     id: str
     deleted: bool
@@ -95,7 +108,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CacheListChange:
-    """Changed rows of the list of caches; with `full` the whole list."""
+    """Changed rows of the list of caches; with `full` the complete list."""
 
     rows: tuple[CacheRow, ...]
     full: bool
@@ -132,7 +145,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UnknownPayload:
-    """A payload that this version cannot read. Relays pass its event on; nobody applies it."""
+    """A payload that this version cannot read. Relays pass its event on; no replica applies it."""
 
     detail: str
 
@@ -142,7 +155,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Document:
-    """A whole configuration document, its digest verified."""
+    """A complete configuration document, its digest verified."""
 
     name: str
     version: int
@@ -168,7 +181,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Freshness:
-    """The publisher was reached at `published_ms` (Unix milliseconds) and had no event past `cursor`."""
+    """The publisher was reached at `published_ms` (Unix milliseconds) and had no event behind `cursor`."""
 
     cursor: Cursor
     published_ms: int
--- a/onyxwick/distribution/replica.py
+++ b/onyxwick/distribution/replica.py
@@ -155,7 +155,7 @@
     def append(self, event: FeedEvent) -> None:
         """The next event; FeedGapError if it is not the next one."""
         if event.cursor != self.last.following():
-            raise FeedGapError(f"event {event.cursor} after {self.last}")
+            raise FeedGapError(event.cursor, self.last)
         self.lines.append(event.line)
         self.size_bytes += len(event.line)
         self.last = event.cursor
@@ -228,7 +228,7 @@
     def install(self, snapshot: FeedSnapshot) -> None:
         """Replace the state by a snapshot's; OlderSnapshotError if it is older than the replica."""
         if snapshot.cursor < self.cursor:
-            raise OlderSnapshotError(f"snapshot of {snapshot.cursor} under {self.cursor}")
+            raise OlderSnapshotError(snapshot.cursor, self.cursor)
         self.state = _state_of(snapshot.payloads, self.retention_ms)
         self.log.restart(snapshot.cursor)
         self._snapshot = None
