--- a/onyxwick/admin/api.py
+++ b/onyxwick/admin/api.py
@@ -1,4 +1,8 @@
-"""What the administration API answers. The operator's token opens all; a tenant's, what is its own."""
+"""The calls of the administration API. The operator's token opens all; a tenant's, its own tenant's part.
+
+A call that changes something changes it in memory; `admin/durable_api.py` makes it durable. Answers are a
+status and JSON data, errors HttpError.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +12,7 @@
 
 import dns.rdatatype
 
-from onyxwick.admin.http import HttpError, HttpRequest
+from onyxwick.admin.http_messages import Answer, HttpError, HttpRequest
 from onyxwick.config.service import MIN_TOKEN_CHARACTERS
 from onyxwick.counters import Counters
 from onyxwick.tenants import (
@@ -23,33 +27,42 @@
     read_zone,
 )
 
-Answer = tuple[int, object]
+__all__ = ["AdminApi", "Answer", "ApiSection"]
+
+TENANT_FIELDS = {"name", "quota_per_s", "token"}
+
 
+class ApiSection(Protocol):
+    """Answers the calls below one first part of the path, for the operator alone."""
 
-class Part(Protocol):
-    """What answers the calls under one word, for the operator alone."""
+    def __call__(self, request: HttpRequest, path: list[str]) -> Answer:
+        """`path`: the parts after the first; HttpError where the call is rejected."""
+        ...
 
-    def __call__(self, request: HttpRequest, path: list[str]) -> Answer: ...
 
+class AdminApi:
+    """Answers calls: `sections` by the first part of their paths, tenants and counters itself."""
 
-class Api:
     def __init__(
         self,
         tenants: Tenants,
         counters: Counters,
         token: str,
         health: Callable[[], dict[str, object]],
-        parts: Mapping[str, Part | None] | None = None,
+        sections: Mapping[str, ApiSection | None] | None = None,
     ) -> None:
-        self.tenants, self.counters, self.token, self.health = tenants, counters, token, health
-        self.parts = {word: part for word, part in (parts or {}).items() if part is not None}
+        self.tenants = tenants
+        self.counters = counters
+        self.token = token
+        self.health = health
+        self.sections = {name: section for name, section in (sections or {}).items() if section is not None}
 
     def __call__(self, request: HttpRequest) -> Answer:
+        """Answer one call; HttpError where it is rejected."""
         path = [part for part in request.path.split("/") if part]
         if path == ["health"]:
-            self._only(request, "GET")
-            state = self.health()
-            return 200, state
+            _allow(request, "GET")
+            return 200, self.health()
         caller = self._caller(request)
         try:
             return self._route(request, path, caller)
@@ -58,152 +71,177 @@
         except TenantError as error:
             raise HttpError(400, str(error)) from None
 
-    # ---- who asks ---------------------------------------------------------------------------------------
+    # ---- authorization ----------------------------------------------------------------------------------
 
     def _caller(self, request: HttpRequest) -> Tenant | None:
-        """The tenant that asks, or None for the operator."""
+        """The tenant that calls, or None for the operator; HttpError 401 without a valid token, 429 over the
+        tenant's rate."""
         scheme, _, token = request.headers.get("authorization", "").partition(" ")
         if scheme.lower() == "bearer" and token:
             if hmac.compare_digest(token.encode(), self.token.encode()):
                 return None
-            if tenant := self.tenants.by_token(token):
+            if tenant := self.tenants.tenant_of_token(token):
                 if not tenant.admin_quota.take():
                     raise HttpError(429, "too many requests", {"Retry-After": "1"})
                 return tenant
         raise HttpError(401, "no valid token", {"WWW-Authenticate": "Bearer"})
 
-    def _only(self, request: HttpRequest, *methods: str) -> None:
-        if request.method not in methods:
-            raise HttpError(405, "method not allowed", {"Allow": ", ".join(methods)})
-
-    def operator_of(self, request: HttpRequest) -> None:
-        """Only the operator goes on."""
-        self._operator(self._caller(request))
-
-    def _operator(self, caller: Tenant | None) -> None:
-        if caller is not None:
-            raise HttpError(403, "for the operator alone")
+    def require_operator(self, request: HttpRequest) -> None:
+        """HttpError 403 for anyone but the operator, 401 without a valid token."""
+        _require_operator(self._caller(request))
 
-    # ---- what is asked ----------------------------------------------------------------------------------
+    # ---- routing ----------------------------------------------------------------------------------------
 
     def _route(self, request: HttpRequest, path: list[str], caller: Tenant | None) -> Answer:
-        if path == ["counters"]:
-            self._operator(caller)
-            self._only(request, "GET")
-            return 200, dict(self.counters.counts)
-        if path == ["tenants"]:
-            self._operator(caller)
-            return self._tenants(request)
-        if path and (part := self.parts.get(path[0])) is not None:
-            self._operator(caller)
-            return part(request, path[1:])
-        if len(path) < 2 or path[0] != "tenants":
-            raise HttpError(404, "nothing here")
-        tenant = self.tenants.tenants.get(path[1])
-        if tenant is None or (caller is not None and caller is not tenant):
-            raise HttpError(404, "no such tenant")  # another's looks like none
-        match path[2:]:
+        match path:
+            case ["counters"]:
+                _require_operator(caller)
+                _allow(request, "GET")
+                return 200, dict(self.counters.counts)
+            case ["tenants"]:
+                _require_operator(caller)
+                return self._tenants(request)
+            case [name, *rest] if name in self.sections:
+                _require_operator(caller)
+                return self.sections[name](request, rest)
+            case ["tenants", name, *rest]:
+                tenant = self.tenants.tenants.get(name)
+                if tenant is None or (caller is not None and caller is not tenant):
+                    raise HttpError(404, "no such tenant")  # another tenant looks like none
+                return self._route_tenant(request, rest, tenant, caller)
+        raise HttpError(404, "nothing here")
+
+    def _route_tenant(
+        self, request: HttpRequest, path: list[str], tenant: Tenant, caller: Tenant | None
+    ) -> Answer:
+        match path:
             case []:
                 return self._tenant(request, tenant, caller)
             case ["counters"]:
-                self._only(request, "GET")
-                end = f".{tenant.name}"
-                return 200, {
-                    n.removesuffix(end): c for n, c in self.counters.counts.items() if n.endswith(end)
-                }
+                _allow(request, "GET")
+                return 200, self._tenant_counters(tenant)
             case ["zones"]:
-                self._only(request, "GET")
+                _allow(request, "GET")
                 return 200, {"zones": [str(name) for name in tenant.zones]}
             case ["zones", name]:
                 return self._zone(request, tenant, name)
             case ["keys"]:
-                self._only(request, "GET")
+                _allow(request, "GET")
                 return 200, {"keys": [str(name) for name in tenant.keys]}
             case ["keys", name]:
                 return self._key(request, tenant, name)
         raise HttpError(404, "nothing here")
 
+    # ---- tenants ----------------------------------------------------------------------------------------
+
     def _tenants(self, request: HttpRequest) -> Answer:
-        self._only(request, "GET", "POST")
+        _allow(request, "GET", "POST")
         if request.method == "GET":
             return 200, {"tenants": list(self.tenants.tenants)}
         data = request.json()
         tenant = Tenant(str(data.get("name", "")))
-        self._change(tenant, data)
+        self._change_tenant(tenant, data)
         self.tenants.add(tenant)
-        return 201, self._shown(tenant)
-
-    def _change(self, tenant: Tenant, data: dict[str, object]) -> None:
-        """All of a change or none of it."""
-        if unknown := set(data) - {"name", "quota_per_s", "token"}:
-            raise HttpError(400, f"unknown field '{min(unknown)}'")
-        quota = read_quota(data.get("quota_per_s", tenant.quota.per_s))
-        token = data.get("token", tenant.token)
-        if not isinstance(token, str) or (token and len(token) < MIN_TOKEN_CHARACTERS):
-            raise HttpError(400, f"field 'token' has under {MIN_TOKEN_CHARACTERS} characters")
-        holder = self.tenants.by_token(token) if token else None
-        if (holder is not None and holder is not tenant) or token == self.token:
-            raise HttpError(400, "field 'token' cannot be used")
-        tenant.quota.per_s, tenant.token = quota, token
+        return 201, _tenant_data(tenant)
 
     def _tenant(self, request: HttpRequest, tenant: Tenant, caller: Tenant | None) -> Answer:
-        self._only(request, "GET", "PATCH", "DELETE")
+        _allow(request, "GET", "PATCH", "DELETE")
         if request.method == "GET":
-            return 200, self._shown(tenant)
-        self._operator(caller)
+            return 200, _tenant_data(tenant)
+        _require_operator(caller)
         if request.method == "DELETE":
             self.tenants.remove(tenant.name)
             return 204, None
         data = request.json()
         if data.get("name", tenant.name) != tenant.name:
             raise HttpError(400, "field 'name' cannot be changed")
-        self._change(tenant, data)
-        return 200, self._shown(tenant)
+        self._change_tenant(tenant, data)
+        return 200, _tenant_data(tenant)
 
-    def _shown(self, tenant: Tenant) -> dict[str, object]:
+    def _change_tenant(self, tenant: Tenant, data: dict[str, object]) -> None:
+        """All of a change or none of it."""
+        if unknown := set(data) - TENANT_FIELDS:
+            raise HttpError(400, f"unknown field '{min(unknown)}'")
+        quota_per_s = read_quota(data.get("quota_per_s", tenant.quota.per_s))
+        token = data.get("token", tenant.token)
+        if not isinstance(token, str) or (token and len(token) < MIN_TOKEN_CHARACTERS):
+            raise HttpError(400, f"field 'token' has under {MIN_TOKEN_CHARACTERS} characters")
+        holder = self.tenants.tenant_of_token(token) if token else None
+        if (holder is not None and holder is not tenant) or token == self.token:
+            raise HttpError(400, "field 'token' cannot be used")
+        tenant.quota.per_s = quota_per_s
+        tenant.token = token
+
+    def _tenant_counters(self, tenant: Tenant) -> dict[str, int]:
+        suffix = f".{tenant.name}"
         return {
-            "name": tenant.name,
-            "quota_per_s": tenant.quota.per_s,
-            "zones": [str(name) for name in tenant.zones],
-            "keys": [str(name) for name in tenant.keys],
+            name.removesuffix(suffix): count
+            for name, count in self.counters.counts.items()
+            if name.endswith(suffix)
         }
 
+    # ---- zones and keys ---------------------------------------------------------------------------------
+
     def _zone(self, request: HttpRequest, tenant: Tenant, name: str) -> Answer:
-        self._only(request, "GET", "PUT", "DELETE")
-        held = tenant.zones.get(read_name(name))
+        _allow(request, "GET", "PUT", "DELETE")
+        existing = tenant.zones.get(read_name(name))
         if request.method == "PUT":
-            data = request.json()
-            text, routed = data.get("text"), data.get("routed")
-            if not isinstance(text, str) or not isinstance(routed, str | None):
-                raise HttpError(400, "fields 'text' and 'routed' are no texts")
-            zone = read_zone(tenant.name, name, text, routed)
-            self.tenants.add_zone(zone)
-            return (200 if held else 201), self._zone_shown(zone)
-        if held is None:
+            return self._put_zone(request, tenant, name, existing is not None)
+        if existing is None:
             raise HttpError(404, "no such zone")
         if request.method == "DELETE":
-            self.tenants.remove_zone(held)
+            self.tenants.remove_zone(existing)
             return 204, None
-        return 200, {**self._zone_shown(held), "text": held.data.to_text(relativize=False)}
+        return 200, {**_zone_data(existing), "text": existing.data.to_text(relativize=False)}
 
-    def _zone_shown(self, zone: TenantZone) -> dict[str, object]:
-        soa = zone.data.find_rdataset(zone.name, dns.rdatatype.SOA)
-        return {
-            "name": str(zone.name),
-            "serial": soa[0].serial,
-            "routed": str(zone.routed) if zone.routed is not None else None,
-        }
+    def _put_zone(self, request: HttpRequest, tenant: Tenant, name: str, exists: bool) -> Answer:
+        data = request.json()
+        text = data.get("text")
+        routed = data.get("routed")
+        if not isinstance(text, str) or not isinstance(routed, str | None):
+            raise HttpError(400, "fields 'text' and 'routed' are no texts")
+        zone = read_zone(tenant.name, name, text, routed)
+        self.tenants.add_zone(zone)
+        return (200 if exists else 201), _zone_data(zone)
 
     def _key(self, request: HttpRequest, tenant: Tenant, name: str) -> Answer:
-        """Secrets go in and never out."""
-        self._only(request, "PUT", "DELETE")
+        """Secrets are accepted and never returned."""
+        _allow(request, "PUT", "DELETE")
         if request.method == "PUT":
             key, secret = read_key(name, request.json().get("secret"))
-            known = key in tenant.keys
-            if not known and key in self.tenants.keyring():
+            exists = key in tenant.keys
+            if not exists and key in self.tenants.keyring():
                 raise HttpError(409, "key exists")
             tenant.add_key(key, secret)
-            return (200 if known else 201), {"name": str(key)}
+            return (200 if exists else 201), {"name": str(key)}
         if tenant.keys.pop(read_name(name), None) is None:
             raise HttpError(404, "no such key")
         return 204, None
+
+
+def _allow(request: HttpRequest, *methods: str) -> None:
+    if request.method not in methods:
+        raise HttpError(405, "method not allowed", {"Allow": ", ".join(methods)})
+
+
+def _require_operator(caller: Tenant | None) -> None:
+    if caller is not None:
+        raise HttpError(403, "for the operator alone")
+
+
+def _tenant_data(tenant: Tenant) -> dict[str, object]:
+    return {
+        "name": tenant.name,
+        "quota_per_s": tenant.quota.per_s,
+        "zones": [str(name) for name in tenant.zones],
+        "keys": [str(name) for name in tenant.keys],
+    }
+
+
+def _zone_data(zone: TenantZone) -> dict[str, object]:
+    soa = zone.data.find_rdataset(zone.name, dns.rdatatype.SOA)
+    return {
+        "name": str(zone.name),
+        "serial": soa[0].serial,
+        "routed": str(zone.routed) if zone.routed is not None else None,
+    }
--- a/onyxwick/admin/cells.py
+++ b/onyxwick/admin/cells.py
@@ -1,27 +1,28 @@
-"""The administration API's part for cells: the plan as one document or row by row, moves, explanations."""
+"""The administration API's section for cells: the plan as a document or row by row, explanations."""
 
 from __future__ import annotations
 
 from typing import Any
 
-from onyxwick.admin.http import HttpError, HttpRequest
+from onyxwick.admin.http_messages import Answer, HttpError, HttpRequest
 from onyxwick.cells import CellPlanControl, PlanError, PlanVersionConflictError
 from onyxwick.cells.status import explain, show
 from onyxwick.config import ConfigError
 from onyxwick.config.cells import json_of_plan, plan_of_json
 
-Answer = tuple[int, object]
-ROWS = ("cells", "tenants", "moves")
+PLAN_SECTIONS = ("cells", "tenants", "moves")
+"""Parts of the plan whose rows can be changed one by one."""
 
 
 class CellsApi:
-    """Calls under /cells. A change names the version that it was made for in `If-Match`, or in the field
-    `version` beside the plan; without either it is made for whatever runs."""
+    """Calls below /cells. A change names the version that it was made for in `If-Match`, or in the field
+    `version` beside the plan; without either it applies to any version."""
 
     def __init__(self, control: CellPlanControl) -> None:
         self.control = control
 
     def __call__(self, request: HttpRequest, path: list[str]) -> Answer:
+        """Answer one call; HttpError where it is rejected, 409 where another version of the plan runs."""
         try:
             return self._route(request, path)
         except PlanVersionConflictError as error:
@@ -36,44 +37,39 @@
             case "GET", ["plan"]:
                 return 200, {"version": self.control.plan.version, "plan": json_of_plan(self.control.plan)}
             case "PUT", ["plan"]:
-                data = request.json()
-                plan = data.get("plan")
-                if not isinstance(plan, dict):
-                    raise HttpError(400, "field 'plan' is no object")
-                return self._change(plan, self._made_for(request, data.get("version")))
-            case (("PUT" | "DELETE"), ["plan", kind, name]) if kind in ROWS:
-                return self._row(request, kind, name)
+                return self._put_plan(request)
+            case (("PUT" | "DELETE"), ["plan", section, name]) if section in PLAN_SECTIONS:
+                return self._change_row(request, section, name)
             case "POST", ["moves", name, "abort"]:
                 return self._abort(name)
             case "GET", ["explain", tenant, name]:
                 return self._explain(tenant, name)
         raise HttpError(404, "nothing here")
 
-    def _made_for(self, request: HttpRequest, told: object = None) -> int | None:
-        text = request.headers.get("if-match", "").strip('" ') or told
-        if text is None or text == "*":
-            return None
-        if isinstance(text, bool) or not str(text).isdigit():
-            raise HttpError(400, "If-Match (or 'version') is no version")
-        return int(str(text))
+    def _put_plan(self, request: HttpRequest) -> Answer:
+        data = request.json()
+        plan = data.get("plan")
+        if not isinstance(plan, dict):
+            raise HttpError(400, "field 'plan' is no object")
+        return self._change(plan, _expected_version(request, data.get("version")))
 
-    def _change(self, data: dict[str, Any], made_for: int | None) -> Answer:
+    def _change(self, data: dict[str, Any], expected_version: int | None) -> Answer:
         plan = plan_of_json(data, self.control.plan.version)
-        changed = self.control.change(plan, made_for)
+        changed = self.control.change(plan, expected_version)
         return 200, {"version": self.control.plan.version, "changed": changed}
 
-    def _row(self, request: HttpRequest, kind: str, name: str) -> Answer:
+    def _change_row(self, request: HttpRequest, section: str, name: str) -> Answer:
         data = json_of_plan(self.control.plan)
-        rows = data[kind]
+        rows = data[section]
         if request.method == "DELETE":
-            if name not in rows:  # it was deleted before, maybe by this very call
+            if name not in rows:  # deleted before, perhaps by a first attempt of this call
                 return 200, {"version": self.control.plan.version, "changed": False}
             del rows[name]
-            if kind == "tenants":  # its moves have nothing left to move
-                data["moves"] = {n: row for n, row in data["moves"].items() if row["tenant"] != name}
+            if section == "tenants":  # its migrations have nothing left to move
+                data["moves"] = {move: row for move, row in data["moves"].items() if row["tenant"] != name}
         else:
             rows[name] = request.json()
-        return self._change(data, self._made_for(request))
+        return self._change(data, _expected_version(request))
 
     def _abort(self, name: str) -> Answer:
         try:
@@ -91,3 +87,12 @@
             }
         except KeyError:
             raise HttpError(404, f"no tenant '{tenant}'") from None
+
+
+def _expected_version(request: HttpRequest, version: object = None) -> int | None:
+    text = request.headers.get("if-match", "").strip('" ') or version
+    if text is None or text == "*":
+        return None
+    if isinstance(text, bool) or not str(text).isdigit():
+        raise HttpError(400, "If-Match (or 'version') is no version")
+    return int(str(text))
--- a/onyxwick/admin/durable_api.py
+++ b/onyxwick/admin/durable_api.py
@@ -12,9 +12,9 @@
 import time
 from dataclasses import dataclass, field
 
-from onyxwick.admin.api import Answer, Api
+from onyxwick.admin.api import AdminApi, Answer
 from onyxwick.admin.cells import CellsApi
-from onyxwick.admin.http import HttpError, HttpRequest
+from onyxwick.admin.http_messages import HttpError, HttpRequest
 from onyxwick.admin.sites import SitesApi
 from onyxwick.cells.plan_control import CellPlanControl
 from onyxwick.config.cells import json_of_plan
@@ -61,7 +61,7 @@
 class DurableApi:
     """Wraps the API's calls, one change at a time."""
 
-    def __init__(self, api: Api, durable: DurableState, core: RequestEngine) -> None:
+    def __init__(self, api: AdminApi, durable: DurableState, core: RequestEngine) -> None:
         self.api = api
         self.durable = durable
         self.core = core
@@ -72,7 +72,7 @@
         durable."""
         path = [part for part in request.path.split("/") if part]
         if path[:1] == ["drains"]:
-            self.api.operator_of(request)
+            self.api.require_operator(request)
         elif request.method == "GET":
             return self.api(request)
         async with self.lock:
@@ -88,7 +88,7 @@
                 return done.status, done.data
         if path[:1] == ["drains"]:
             return await self._drains(request, path[1:], identity)
-        sites = self.api.parts.get("sites")
+        sites = self.api.sections.get("sites")
         if path[:2] == ["sites", "orders"] and len(path) == 3 and isinstance(sites, SitesApi):
             return await self._site_command(request, sites, path[2], identity)
         return await self._change(request, path, identity)
@@ -129,7 +129,7 @@
         return answer
 
     def _plan_control(self) -> CellPlanControl | None:
-        cells = self.api.parts.get("cells")
+        cells = self.api.sections.get("cells")
         return cells.control if isinstance(cells, CellsApi) else None
 
     # ---- site commands ----------------------------------------------------------------------------------
@@ -138,13 +138,13 @@
         self, request: HttpRequest, sites: SitesApi, site: str, identity: CallIdentity
     ) -> Answer:
         """An operator's command for a site: durable before it takes effect."""
-        self.api.operator_of(request)
+        self.api.require_operator(request)
         if request.method != "PUT":
             raise HttpError(405, "method not allowed", {"Allow": "PUT"})
-        command = sites.order(request, site)
+        command = sites.read_command(request, site)
         answer = 200, {"site": site, "word": command.word.value, "drill": command.drill}
         await self._commit([self.durable.site_command_operation(site, kept(command))], identity, answer)
-        sites.take(command)
+        sites.apply_command(command)
         return answer
 
     # ---- drains -----------------------------------------------------------------------------------------
--- /dev/null
+++ b/onyxwick/admin/http_server.py
@@ -0,0 +1,160 @@
+"""A small HTTP server for the administration API and the operations endpoint: bounded connections, one answer
+a request.
+
+Each connection is a task. Where all are taken a new one displaces the connection that has been open longest,
+which is the likeliest to be one that never finishes a call. Times in seconds.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import socket
+from collections.abc import Awaitable, Callable
+
+from onyxwick import logs
+from onyxwick.admin.http_messages import (
+    Answer,
+    HttpError,
+    HttpRequest,
+    MalformedRequestError,
+    RequestParser,
+    encode_response,
+)
+from onyxwick.config.address import format_address
+from onyxwick.counters import Counters
+from onyxwick.net import errors
+from onyxwick.net.accept_loop import ACCEPT_PAUSE_S
+from onyxwick.net.buffer import ReceiveBuffer
+from onyxwick.net.listening import listen
+from onyxwick.net.socket_state import seconds_since_received
+
+log = logs.get()
+MAX_CONNECTIONS = 16
+CALL_TIMEOUT_S = 10.0
+MAX_QUEUED_S = 1.0
+"""Longest wait in the socket that is reported: no caller waits longer for its answer."""
+MAX_LOGGED_PATH = 64  # characters
+Handler = Callable[[HttpRequest], Answer | Awaitable[Answer]]
+"""Answers a request; HttpError for an error status."""
+
+
+class HttpServer:
+    """Connections of callers, bounded in count and in the time that a call may take.
+
+    `one_call_per_connection`: a connection is closed after its first answer. `call_timeout_s`: the longest
+    wait for a complete call, and for an answer to be taken. `counter_prefix` begins its counters' names.
+    """
+
+    def __init__(
+        self,
+        address: tuple[str, int],
+        handler: Handler,
+        counters: Counters,
+        max_connections: int = MAX_CONNECTIONS,
+        call_timeout_s: float = CALL_TIMEOUT_S,
+        one_call_per_connection: bool = False,
+        name: str = "administration API",
+        counter_prefix: str = "admin",
+    ) -> None:
+        self.address = address
+        self.handler = handler
+        self.counters = counters
+        self.max_connections = max_connections
+        self.call_timeout_s = call_timeout_s
+        self.one_call_per_connection = one_call_per_connection
+        self.name = name
+        self.counter_prefix = counter_prefix
+        self.connections: dict[asyncio.Task[None], None] = {}  # oldest first
+
+    async def run(self, bound: socket.socket | None = None) -> None:
+        """Serve until cancelled, on `bound` where the caller has bound it already; OSError where the address
+        cannot be listened on."""
+        with bound or listen(self.address) as sock:
+            log.info(f"{self.name} on", address=format_address(self.address))
+            try:
+                while True:
+                    await self._accept(sock)
+            finally:
+                for task in self.connections:
+                    task.cancel()
+
+    async def _accept(self, sock: socket.socket) -> None:
+        loop = asyncio.get_running_loop()
+        try:
+            connection, _ = await loop.sock_accept(sock)
+        except OSError as error:
+            log.warning("accept failed", error=str(error))
+            await asyncio.sleep(ACCEPT_PAUSE_S if errors.is_exhausted(error) else 0)
+            return
+        connection.setblocking(False)
+        if len(self.connections) >= self.max_connections:
+            self.counters.add(f"{self.counter_prefix}.displaced")
+            next(iter(self.connections)).cancel()
+        task = loop.create_task(self._serve(connection))
+        self.connections[task] = None
+        task.add_done_callback(self._on_ended)
+
+    def _on_ended(self, task: asyncio.Task[None]) -> None:
+        self.connections.pop(task, None)
+
+    async def _serve(self, connection: socket.socket) -> None:
+        """One connection until its end."""
+        loop = asyncio.get_running_loop()
+        buffer = ReceiveBuffer()
+        parser = RequestParser()
+        with connection, contextlib.suppress(OSError, TimeoutError):
+            while True:
+                async with asyncio.timeout(self.call_timeout_s):  # for a complete call
+                    rejection = await self._receive(connection, buffer, parser)
+                requests = parser.take()
+                if self.one_call_per_connection:
+                    requests = requests[:1]
+                responses = [await self._respond(request) for request in requests]
+                is_last = self.one_call_per_connection and bool(responses)  # what follows is not read
+                if rejection is not None and not is_last:
+                    error = {"error": rejection.text}
+                    responses.append(encode_response(rejection.status, error, close=True))
+                async with asyncio.timeout(self.call_timeout_s):
+                    await loop.sock_sendall(connection, b"".join(responses))
+                keep_alive = all(request.keep_alive for request in requests)
+                if is_last or rejection is not None or not keep_alive:
+                    return
+
+    async def _receive(
+        self, connection: socket.socket, buffer: ReceiveBuffer, parser: RequestParser
+    ) -> HttpError | None:
+        """Wait until a call is complete, or is rejected, which is returned; ConnectionError at the caller's
+        end."""
+        loop = asyncio.get_running_loop()
+        rejection: HttpError | None = None
+        while not parser.complete and rejection is None:
+            if not await buffer.receive(loop, connection):
+                raise ConnectionError("the caller has closed")
+            queued_s = min(seconds_since_received(connection) or 0.0, MAX_QUEUED_S)
+            try:
+                parser.feed(buffer.take(len(buffer)))
+            except HttpError as error:
+                rejection = error
+                if isinstance(error, MalformedRequestError):
+                    self.counters.add(f"bad.{self.counter_prefix}")
+                    log.warning(f"bad input to the {self.name}", error=str(error.__cause__))
+            for request in parser.complete:
+                request.queued_s = queued_s
+        return rejection
+
+    async def _respond(self, request: HttpRequest) -> bytes:
+        close = self.one_call_per_connection
+        try:
+            answer = self.handler(request)
+            status, data = answer if isinstance(answer, tuple) else await answer
+            self.counters.add(f"{self.counter_prefix}.{status}")
+            return encode_response(status, data, close=close)
+        except HttpError as error:
+            self.counters.add(f"{self.counter_prefix}.{error.status}")
+            return encode_response(error.status, {"error": error.text}, error.headers, close=close)
+        except Exception:
+            # A fault in one call's handler must not end the server.
+            self.counters.add(f"error.{self.counter_prefix}")
+            log.exception("error in a call", method=request.method, path=request.path[:MAX_LOGGED_PATH])
+            return encode_response(500, {"error": "internal error"}, close=close)
--- a/onyxwick/admin/sites.py
+++ b/onyxwick/admin/sites.py
@@ -1,42 +1,49 @@
-"""The administration API's part for sites: states, explanations, orders."""
+"""The administration API's section for sites: states, explanations, the operators' commands."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-from onyxwick.admin.http import HttpError, HttpRequest
+from onyxwick.admin.http_messages import Answer, HttpError, HttpRequest
 from onyxwick.sites import SiteCommand, SiteCommandError, SiteRouter, read_order
 from onyxwick.sites.status import explain, show
 
-Answer = tuple[int, object]
-
 
 class SitesApi:
-    """Calls under /sites. Orders are taken where they can be kept: see `admin/durable_api.py`."""
+    """Calls below /sites. Commands are taken where they can be made durable: see `admin/durable_api.py`.
+
+    `clock`: Unix microseconds; `flush` sends what a command has changed.
+    """
 
     def __init__(self, sites: SiteRouter, clock: Callable[[], int], flush: Callable[[], None]) -> None:
-        self.sites, self.clock, self.flush = sites, clock, flush
+        self.sites = sites
+        self.clock = clock
+        self.flush = flush
 
     def __call__(self, request: HttpRequest, path: list[str]) -> Answer:
+        """Answer one call; HttpError where it is rejected."""
         match request.method, path:
             case "GET", []:
                 return 200, show(self.sites, self.clock())
             case "GET", ["orders"]:
                 return 200, {"orders": self.sites.watch.orders.shown()}
-            case "GET", ["explain", site, kind, name]:
-                try:
-                    told = explain(self.sites, site, kind, name)
-                except KeyError as error:
-                    raise HttpError(404, f"nothing called {error}") from None
-                return 200, {"site": site, "class": kind, "object": name, "because": told}
+            case "GET", ["explain", site, class_name, object_id]:
+                return self._explain(site, class_name, object_id)
             case "PUT", ["orders", _]:
                 raise HttpError(
                     409, "an order must outlive a restart, and the service file has no block 'store'"
                 )
         raise HttpError(404, "nothing here")
 
-    def order(self, request: HttpRequest, site: str) -> SiteCommand:
-        """The order that a call asks for; HttpError where it cannot be taken."""
+    def _explain(self, site: str, class_name: str, object_id: str) -> Answer:
+        try:
+            explanation = explain(self.sites, site, class_name, object_id)
+        except KeyError as error:
+            raise HttpError(404, f"nothing called {error}") from None
+        return 200, {"site": site, "class": class_name, "object": object_id, "because": explanation}
+
+    def read_command(self, request: HttpRequest, site: str) -> SiteCommand:
+        """The command that a call asks for; HttpError where it cannot be taken."""
         if site not in self.sites.watch.lives:
             raise HttpError(404, f"no site '{site}'")
         try:
@@ -44,7 +51,7 @@
         except SiteCommandError as error:
             raise HttpError(400, str(error)) from None
 
-    def take(self, order: SiteCommand) -> None:
-        """An order that is durable binds from now on."""
-        self.sites.order(self.clock(), order)
+    def apply_command(self, command: SiteCommand) -> None:
+        """A command that is durable takes effect."""
+        self.sites.order(self.clock(), command)
         self.flush()
--- a/onyxwick/config/service.py
+++ b/onyxwick/config/service.py
@@ -13,7 +13,15 @@
 from onyxwick.config import hcl
 from onyxwick.config.address import Address
 from onyxwick.config.fields import Fields
-from onyxwick.tenants import QUOTA_PER_S, Tenant, TenantError, Tenants, read_key, read_quota, read_zone_file
+from onyxwick.tenants import (
+    DEFAULT_QUOTA_PER_S,
+    Tenant,
+    TenantError,
+    Tenants,
+    read_key,
+    read_quota,
+    read_zone_file,
+)
 
 if TYPE_CHECKING:
     from onyxwick.cells import CellPlan
@@ -95,7 +103,7 @@
 
 def _read_tenant(row: Fields, folder: Path, tenants: Tenants) -> None:
     """Add one tenant with its keys and zones; ConfigError or TenantError where it cannot be used."""
-    quota = read_quota(row.number("quota_per_s", 0, MAX_QUOTA_PER_S, QUOTA_PER_S))
+    quota = read_quota(row.number("quota_per_s", 0, MAX_QUOTA_PER_S, DEFAULT_QUOTA_PER_S))
     tenant = Tenant(row.label, quota, row.string("token", ""))
     tenants.add(tenant)
     for key in row.blocks("key", labels=1):
--- a/onyxwick/dns/lookup.py
+++ b/onyxwick/dns/lookup.py
@@ -13,7 +13,8 @@
 
 from onyxwick.tenants import TenantZone
 
-ALIASES = 8  # CNAMEs followed within a zone
+MAX_ALIASES = 8
+"""CNAME records followed within a zone."""
 IN = dns.rdataclass.IN
 
 
@@ -22,18 +23,18 @@
     return dns.rrset.from_rdata_list(name, rdataset.ttl, list(rdataset)) if rdataset else None
 
 
-def soa(zone: TenantZone) -> dns.rrset.RRset:
-    """The SOA for the authority section: its TTL is what bounds a negative answer's life."""
+def negative_answer_soa(zone: TenantZone) -> dns.rrset.RRset:
+    """The SOA for the authority section, whose TTL bounds how long a negative answer is cached."""
     node = zone.data.get_node(zone.name)
     assert node is not None
-    found = _rrset(zone.name, node, dns.rdatatype.SOA)
-    assert found is not None
-    found.ttl = min(found.ttl, found[0].minimum)
-    return found
+    soa = _rrset(zone.name, node, dns.rdatatype.SOA)
+    assert soa is not None
+    soa.ttl = min(soa.ttl, soa[0].minimum)
+    return soa
 
 
 def _exists(zone: TenantZone, name: dns.name.Name) -> bool:
-    """Is there such a name, if only because something stands below it?"""
+    """Does a name exist, if only because there are names below it?"""
     return any(other.is_subdomain(name) for other in zone.data.nodes)
 
 
@@ -49,8 +50,8 @@
     return zone.data.get_node(dns.name.Name((b"*", *parent.labels)))
 
 
-def _cut(zone: TenantZone, name: dns.name.Name) -> dns.rrset.RRset | None:
-    """The NS records of a delegation at or above a name, if it lies beyond one."""
+def _delegation(zone: TenantZone, name: dns.name.Name) -> dns.rrset.RRset | None:
+    """The NS records of the highest delegation at or above a name, if there is one."""
     found = None
     while name != zone.name:
         node = zone.data.get_node(name)
@@ -60,7 +61,8 @@
     return found
 
 
-def _glue(zone: TenantZone, ns: dns.rrset.RRset, response: dns.message.Message) -> None:
+def _add_glue(zone: TenantZone, ns: dns.rrset.RRset, response: dns.message.Message) -> None:
+    """Add the addresses of name servers that are in the zone."""
     for record in ns:
         if record.target.is_subdomain(zone.name) and (node := zone.data.get_node(record.target)):
             for kind in (dns.rdatatype.A, dns.rdatatype.AAAA):
@@ -68,29 +70,48 @@
                     response.additional.append(glue)
 
 
-def answer(
-    zone: TenantZone, name: dns.name.Name, kind: dns.rdatatype.RdataType, out: dns.message.Message
+def answer_static_name(
+    zone: TenantZone,
+    name: dns.name.Name,
+    record_type: dns.rdatatype.RdataType,
+    response: dns.message.Message,
 ) -> None:
-    """Fill in the answer to a static name of this zone."""
-    for _ in range(ALIASES):
-        if cut := _cut(zone, name):
-            out.flags &= ~dns.flags.AA
-            out.authority.append(cut)
-            return _glue(zone, cut, out)
+    """Fill in the answer to a static name of this zone, following its aliases within the zone."""
+    for _ in range(MAX_ALIASES):
+        if delegation := _delegation(zone, name):
+            response.flags &= ~dns.flags.AA
+            response.authority.append(delegation)
+            _add_glue(zone, delegation, response)
+            return
         node = _node(zone, name)
         if node is None:
-            out.set_rcode(dns.rcode.NXDOMAIN)
-            out.authority.append(soa(zone))
+            response.set_rcode(dns.rcode.NXDOMAIN)
+            response.authority.append(negative_answer_soa(zone))
             return
-        kinds = [r.rdtype for r in node] if kind == dns.rdatatype.ANY else [kind]
-        found = [rrset for k in kinds if (rrset := _rrset(name, node, k))]
-        out.answer.extend(found)
-        alias = None if found else _rrset(name, node, dns.rdatatype.CNAME)
+        alias = _answer_from_node(zone, name, node, record_type, response)
         if alias is None:
-            if not found:
-                out.authority.append(soa(zone))
             return
-        out.answer.append(alias)
+        response.answer.append(alias)
         name = alias[0].target
         if not name.is_subdomain(zone.name):
             return
+
+
+def _answer_from_node(
+    zone: TenantZone,
+    name: dns.name.Name,
+    node: dns.node.Node,
+    record_type: dns.rdatatype.RdataType,
+    response: dns.message.Message,
+) -> dns.rrset.RRset | None:
+    """Add the records of one type, or the SOA where there are none; an alias to follow is returned."""
+    is_any = record_type == dns.rdatatype.ANY
+    types = [rdataset.rdtype for rdataset in node] if is_any else [record_type]
+    found = [rrset for kind in types if (rrset := _rrset(name, node, kind))]
+    response.answer.extend(found)
+    if found:
+        return None
+    alias = _rrset(name, node, dns.rdatatype.CNAME)
+    if alias is None:
+        response.authority.append(negative_answer_soa(zone))
+    return alias
--- a/onyxwick/dns/naming.py
+++ b/onyxwick/dns/naming.py
@@ -1,9 +1,10 @@
-"""From a routed name to a core request, and the attempt that consists of naming a cache."""
+"""From a routed name to a request of the core, and the transport whose attempt is naming a cache."""
 
 from __future__ import annotations
 
 import re
 import secrets
+from typing import NamedTuple
 
 import dns.name
 
@@ -12,49 +13,73 @@
 
 _OBJECT = re.compile(r"[0-9a-f]{16}").fullmatch
 _PART = re.compile(r"0|[1-9][0-9]{0,8}").fullmatch
-BOXES = "box"  # label under which the targets of SRV records stand
+CACHES_LABEL = "box"
+"""The label below which the targets of SRV records stand."""
+REQUEST_ID_BYTES = 8
+ROUTED_LABELS = 3
 
 
-class Naming:
-    """The transport of the DNS front: the attempt is the naming itself.
+class RoutedName(NamedTuple):
+    """The labels PART.OBJECT.CLASS of a routed name."""
 
-    Whoever asked may well go where it was told, so the module is charged with an attempt that may have run.
-    Nobody here sees how that went: the outcome carries no latency, hit or load that it could learn from.
+    class_name: str
+    object_id: str
+    part: int
+
+
+class CacheNaming:
+    """The transport of the DNS front: the attempt consists of naming the cache.
+
+    A client that has the answer may well connect to the cache, so the router is charged with an attempt that
+    was possibly executed. Its end is not observed: the outcome carries no latency, hit or load to learn from.
     """
 
     async def run(self, order: AttemptSpec) -> AttemptOutcome:
+        """The attempt's outcome, at once."""
         if not order.is_still_valid():
             return AttemptOutcome(AttemptStatus.NOT_SENT)
         return AttemptOutcome(AttemptStatus.OK, unobserved=True)
 
 
-def read_name(labels: tuple[str, ...], classes: dict[str, RequestClass]) -> tuple[str, str, int] | None:
+def read_routed_name(labels: tuple[str, ...], classes: dict[str, RequestClass]) -> RoutedName | None:
     """Class, object and part of PART.OBJECT.CLASS, or None where there is no such name.
 
-    A class whose requests must never run twice has no names: a resolver asks again as it likes, and whoever
-    holds the answer may use it any number of times.
+    A class of non-idempotent requests has no names: a resolver repeats queries as it likes, and a client may
+    use an answer any number of times.
     """
-    if len(labels) != 3:
+    if len(labels) != ROUTED_LABELS:
+        return None
+    part, object_id, class_name = labels
+    request_class = classes.get(class_name)
+    if request_class is None or request_class.is_write:
         return None
-    part, name, class_name = labels
-    kind = classes.get(class_name)
-    if kind is None or kind.is_write or kind.idempotency is Idempotency.NON_IDEMPOTENT:
+    if request_class.idempotency is Idempotency.NON_IDEMPOTENT:
         return None
-    return (class_name, name, int(part)) if _OBJECT(name) and _PART(part) else None
+    if not _OBJECT(object_id) or not _PART(part):
+        return None
+    return RoutedName(class_name, object_id, int(part))
+
+
+def has_names_below(labels: tuple[str, ...], classes: dict[str, RequestClass]) -> bool:
+    """Does a name that is no routed name have some below it?"""
+    if len(labels) >= ROUTED_LABELS:
+        return False
+    return not labels or read_routed_name(("0", "0" * 16, labels[-1]), classes) is not None
 
 
 def labels_below(name: dns.name.Name, routed: dns.name.Name) -> tuple[str, ...]:
+    """The labels of a name that stand before a zone's routed name, in lower case."""
     below = name.relativize(routed).labels
     return tuple(label.decode("latin-1").lower() for label in below)
 
 
-def request(asked: tuple[str, str, int], now: int, deadline_us: int, tenant: str) -> ClientRequest:
-    class_name, name, part = asked
+def client_request(name: RoutedName, now: int, deadline_us: int, tenant: str) -> ClientRequest:
+    """The request that a query for a routed name makes; `deadline_us` from `now` on, both in microseconds."""
     return ClientRequest(
-        request_id=secrets.token_hex(8),
-        class_name=class_name,
-        object_id=name,
-        part=part,
+        request_id=secrets.token_hex(REQUEST_ID_BYTES),
+        class_name=name.class_name,
+        object_id=name.object_id,
+        part=name.part,
         object_group=None,
         arrived_us=now,
         timeout_us=deadline_us,
--- a/onyxwick/dns/update.py
+++ b/onyxwick/dns/update.py
@@ -12,13 +12,16 @@
 import dns.transaction
 import dns.update
 
+from onyxwick.errors import OnyxwickError
 from onyxwick.tenants import TenantZone
 
-NONE, ANY = dns.rdataclass.NONE, dns.rdataclass.ANY
-APEX_KEPT = (dns.rdatatype.SOA, dns.rdatatype.NS)
+NONE = dns.rdataclass.NONE
+ANY = dns.rdataclass.ANY
+APEX_TYPES = (dns.rdatatype.SOA, dns.rdatatype.NS)
+"""Types that a zone's own name never loses."""
 
 
-class UpdateError(Exception):
+class UpdateError(OnyxwickError):
     """The update is not carried out; `rcode` says why."""
 
     def __init__(self, rcode: dns.rcode.Rcode) -> None:
@@ -31,82 +34,100 @@
         raise UpdateError(rcode)
 
 
-def _check(txn: dns.transaction.Transaction, asked: dns.rrset.RRset) -> None:
-    """One prerequisite, section 3.2 of the RFC."""
-    _require(asked.ttl == 0, dns.rcode.FORMERR)
-    name, kind = asked.name, asked.rdtype
-    if kind == dns.rdatatype.ANY:
-        if asked.deleting == ANY:
+def _check_prerequisite(txn: dns.transaction.Transaction, prerequisite: dns.rrset.RRset) -> None:
+    """One prerequisite, section 3.2 of the RFC; UpdateError where it does not hold."""
+    _require(prerequisite.ttl == 0, dns.rcode.FORMERR)
+    name = prerequisite.name
+    record_type = prerequisite.rdtype
+    if record_type == dns.rdatatype.ANY:
+        if prerequisite.deleting == ANY:
             _require(txn.name_exists(name), dns.rcode.NXDOMAIN)
         else:
             _require(not txn.name_exists(name), dns.rcode.YXDOMAIN)
         return
-    held = txn.get(name, kind)
-    if asked.deleting == ANY:
-        _require(held is not None, dns.rcode.NXRRSET)
-    elif asked.deleting == NONE:
-        _require(held is None, dns.rcode.YXRRSET)
+    existing = txn.get(name, record_type)
+    if prerequisite.deleting == ANY:
+        _require(existing is not None, dns.rcode.NXRRSET)
+    elif prerequisite.deleting == NONE:
+        _require(existing is None, dns.rcode.YXRRSET)
     else:
-        _require(held is not None and set(held) == set(asked), dns.rcode.NXRRSET)
+        is_equal = existing is not None and set(existing) == set(prerequisite)
+        _require(is_equal, dns.rcode.NXRRSET)
 
 
 def _delete(txn: dns.transaction.Transaction, zone: TenantZone, change: dns.rrset.RRset) -> None:
-    name, kind, apex = change.name, change.rdtype, change.name == zone.name
+    """One deletion, section 3.4.2 of the RFC."""
+    name = change.name
+    record_type = change.rdtype
+    is_apex = name == zone.name
     if change.deleting == NONE:
-        if apex and kind == dns.rdatatype.SOA:
-            return
-        held = txn.get(name, kind)
-        if apex and kind == dns.rdatatype.NS and held is not None and set(held) <= set(change):
-            return  # the last NS of a zone stays
-        txn.delete(name, change)
-    elif kind != dns.rdatatype.ANY:
-        if not (apex and kind in APEX_KEPT):
-            txn.delete(name, kind)
-    elif not apex:
+        _delete_records(txn, change, is_apex)
+    elif record_type != dns.rdatatype.ANY:
+        if not (is_apex and record_type in APEX_TYPES):
+            txn.delete(name, record_type)
+    elif not is_apex:
         txn.delete(name)
     else:
         for rdataset in list(txn.get_node(name) or ()):
-            if rdataset.rdtype not in APEX_KEPT:
+            if rdataset.rdtype not in APEX_TYPES:
                 txn.delete(name, rdataset.rdtype)
 
 
+def _delete_records(txn: dns.transaction.Transaction, change: dns.rrset.RRset, is_apex: bool) -> None:
+    """Delete single records; the SOA and the last NS of a zone stay."""
+    if is_apex and change.rdtype == dns.rdatatype.SOA:
+        return
+    existing = txn.get(change.name, change.rdtype)
+    is_last_ns = change.rdtype == dns.rdatatype.NS and existing is not None and set(existing) <= set(change)
+    if is_apex and is_last_ns:
+        return
+    txn.delete(change.name, change)
+
+
 def _add(txn: dns.transaction.Transaction, zone: TenantZone, change: dns.rrset.RRset) -> None:
-    name, kind = change.name, change.rdtype
-    if kind == dns.rdatatype.SOA:
-        held = txn.get(name, kind)
-        newer = held is not None and dns.serial.Serial(held[0].serial) < dns.serial.Serial(change[0].serial)
-        if name == zone.name and newer:
+    """One addition, section 3.4.2 of the RFC."""
+    name = change.name
+    if change.rdtype == dns.rdatatype.SOA:
+        if name == zone.name and _has_newer_serial(change, txn.get(name, change.rdtype)):
             txn.replace(name, change)
         return
-    alias = kind == dns.rdatatype.CNAME
-    held_kinds = {rdataset.rdtype for rdataset in (txn.get_node(name) or ())}
-    if (alias and held_kinds - {dns.rdatatype.CNAME}) or (not alias and dns.rdatatype.CNAME in held_kinds):
-        return  # an alias stands alone: such a change is passed over, as the RFC says
-    if alias:
+    is_alias = change.rdtype == dns.rdatatype.CNAME
+    existing_types = {rdataset.rdtype for rdataset in (txn.get_node(name) or ())}
+    has_alias = dns.rdatatype.CNAME in existing_types
+    has_others = bool(existing_types - {dns.rdatatype.CNAME})
+    if (is_alias and has_others) or (not is_alias and has_alias):
+        return  # an alias stands alone: such a change is ignored, as the RFC says
+    if is_alias:
         txn.replace(name, change)
     else:
         txn.add(name, change)
 
 
-def _inside(zone: TenantZone, name: dns.name.Name) -> None:
+def _has_newer_serial(change: dns.rrset.RRset, existing: dns.rdataset.Rdataset | None) -> bool:
+    if existing is None:
+        return False
+    return bool(dns.serial.Serial(existing[0].serial) < dns.serial.Serial(change[0].serial))
+
+
+def _check_in_zone(zone: TenantZone, name: dns.name.Name) -> None:
     _require(name.is_subdomain(zone.name), dns.rcode.NOTZONE)
     if zone.routed is not None and name.is_subdomain(zone.routed):
-        raise UpdateError(dns.rcode.REFUSED)  # what is there is the module's to say
+        raise UpdateError(dns.rcode.REFUSED)  # routed names are answered by the core
 
 
-def apply(zone: TenantZone, message: dns.update.UpdateMessage) -> None:
+def apply_update(zone: TenantZone, message: dns.update.UpdateMessage) -> None:
     """Carry out an update, or raise UpdateError with the zone as it was."""
     for rrset in (*message.prerequisite, *message.update):
-        _inside(zone, rrset.name)
+        _check_in_zone(zone, rrset.name)
     with zone.data.writer() as txn:
-        for asked in message.prerequisite:
-            _check(txn, asked)
-        before = txn.get(zone.name, dns.rdatatype.SOA)
+        for prerequisite in message.prerequisite:
+            _check_prerequisite(txn, prerequisite)
+        soa_before = txn.get(zone.name, dns.rdatatype.SOA)
         for change in message.update:
             if change.deleting is not None:
                 _require(change.ttl == 0, dns.rcode.FORMERR)
                 _delete(txn, zone, change)
             else:
                 _add(txn, zone, change)
-        if txn.changed() and txn.get(zone.name, dns.rdatatype.SOA) == before:
+        if txn.changed() and txn.get(zone.name, dns.rdatatype.SOA) == soa_before:
             txn.update_serial(name=zone.name)  # names are absolute here
--- a/onyxwick/operations/server.py
+++ b/onyxwick/operations/server.py
@@ -20,7 +20,8 @@
 import uvloop
 
 from onyxwick import logs
-from onyxwick.admin.http import HttpError, HttpRequest, HttpServer
+from onyxwick.admin.http_messages import HttpError, HttpRequest
+from onyxwick.admin.http_server import HttpServer
 from onyxwick.counters import Counters
 from onyxwick.operations import operator_commands as o
 from onyxwick.operations.persisted_commands import PersistedCommands
@@ -69,7 +70,14 @@
         self.unwritten: dict[str, o.Change] = {}  # ordered here, not in the file yet; by cache, "" the drain
         self.counters = Counters()  # of this thread alone: the director's are written by its own
         self.server = HttpServer(
-            address, self, self.counters, PLACES, PATIENCE_S, one_call=True, name="door", counted="door"
+            address,
+            self,
+            self.counters,
+            PLACES,
+            PATIENCE_S,
+            one_call_per_connection=True,
+            name="door",
+            counter_prefix="door",
         )
         self.thread = threading.Thread(target=self._run, name="door", daemon=True)
         self.loop: asyncio.AbstractEventLoop | None = None
@@ -112,7 +120,7 @@
             log.warning("a call that the door does not take", path=request.path[:64], reason=refused.text)
             headers = {"Allow": refused.allow} if refused.allow else None
             raise HttpError(refused.status, refused.text, headers) from None
-        answer = self._carry_out(call, time.monotonic() - request.waited_s)
+        answer = self._carry_out(call, time.monotonic() - request.queued_s)
         if call.kind not in LOOKS:
             log.info(
                 "operators' call answered",
@@ -121,7 +129,7 @@
                 status=answer[0],
                 version=self.orders.version,
                 drained=self.orders.drained,
-                waited_s=round(request.waited_s, 3),
+                waited_s=round(request.queued_s, 3),
             )
         return answer
 
--- a/onyxwick/service.py
+++ b/onyxwick/service.py
@@ -23,9 +23,9 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Coroutine
 
-    from onyxwick.admin.api import Api
+    from onyxwick.admin.api import AdminApi
     from onyxwick.admin.cells import CellsApi
-    from onyxwick.admin.http import Handler, HttpServer
+    from onyxwick.admin.http_server import Handler, HttpServer
     from onyxwick.admin.sites import SitesApi
     from onyxwick.cells import CellPlan, CellRouter
     from onyxwick.cells.reservation import ConnectionReservation
@@ -290,19 +290,19 @@
 
             out.append(DnsFront(self.core, self.counters, self.told, self.durable))
         if self.told.admin_address:
-            from onyxwick.admin.api import Api
-            from onyxwick.admin.http import HttpServer
+            from onyxwick.admin.api import AdminApi
+            from onyxwick.admin.http_server import HttpServer
 
             parts = {"cells": self._cells_api(), "sites": self._sites_api()}
 
             def whole_health() -> dict[str, object]:
                 return health() | self._feed_health()
 
-            api = Api(self.told.tenants, self.counters, self.told.admin_token, whole_health, parts)
+            api = AdminApi(self.told.tenants, self.counters, self.told.admin_token, whole_health, parts)
             out.append(HttpServer(self.told.admin_address, self._lasting(api), self.counters))
         return out
 
-    def _lasting(self, api: Api) -> Handler:
+    def _lasting(self, api: AdminApi) -> Handler:
         if self.durable is None:
             return api
         from onyxwick.admin.durable_api import DurableApi
--- a/onyxwick/tenants.py
+++ b/onyxwick/tenants.py
@@ -1,4 +1,4 @@
-"""Tenants of the hosted service: their zones, keys and quotas. Nothing here knows a wire."""
+"""Tenants of the hosted service: their zones, keys and quotas, free of I/O but for `read_zone_file`."""
 
 from __future__ import annotations
 
@@ -15,29 +15,35 @@
 import dns.zone
 import ujson
 
+from onyxwick.errors import OnyxwickError
 from onyxwick.quota import Quota
 
-QUOTA_PER_S = 500.0  # queries, where a tenant is given no quota
-ADMIN_PER_S = 20.0  # administration requests of one tenant
-MOST_TENANTS, MOST_ZONES, MOST_KEYS, MOST_TEXT = (
-    16_384,
-    32,
-    16,
-    262_144,
-)  # bounds on memory, the last in bytes
+DEFAULT_QUOTA_PER_S = 500.0
+"""Queries a second of a tenant without a quota of its own."""
+MAX_QUOTA_PER_S = 1e6
+ADMIN_REQUESTS_PER_S = 20.0
+"""Administration requests a second of one tenant."""
+MAX_TENANTS = 16_384
+MAX_ZONES = 32
+"""Zones of one tenant."""
+MAX_KEYS = 16
+"""Keys of one tenant."""
+MAX_ZONE_CHARACTERS = 262_144
+"""Characters of a zone's text."""
+MIN_SECRET_BYTES = 16
 
 
-class TenantError(ValueError):
-    """What was asked of the tenants cannot be; the text names the field."""
+class TenantError(OnyxwickError, ValueError):
+    """A tenant, zone, key or quota cannot be used; the message names the field."""
 
 
 class AlreadyExistsError(TenantError):
-    """What was to be made is there already."""
+    """What was to be created exists already."""
 
 
 @dataclass(slots=True, eq=False)
 class TenantZone:
-    """One zone with its static names; what lies under `routed` is answered by the core."""
+    """One zone with its static names; names below `routed` are answered by the request core."""
 
     name: dns.name.Name
     tenant: str
@@ -49,30 +55,37 @@
 
 
 class Tenant:
-    """One tenant and all that is its own. Its token opens its own part of the administration API."""
+    """One tenant with its zones and keys. Its token authorizes it at its part of the administration API.
 
-    def __init__(self, name: str, per_s: float = QUOTA_PER_S, token: str = "") -> None:
+    `per_s`: its quota of queries a second. TenantError for a name that is none.
+    """
+
+    def __init__(self, name: str, per_s: float = DEFAULT_QUOTA_PER_S, token: str = "") -> None:
         if not _NAME(name):
             raise TenantError("field 'name' is no name of small letters, digits and hyphens")
-        self.name, self.token = name, token
-        self.quota, self.admin_quota = Quota(per_s), Quota(ADMIN_PER_S)
+        self.name = name
+        self.token = token
+        self.quota = Quota(per_s)
+        self.admin_quota = Quota(ADMIN_REQUESTS_PER_S)
         self.keys: dict[dns.name.Name, bytes] = {}
         self.zones: dict[dns.name.Name, TenantZone] = {}
 
     def add_key(self, name: dns.name.Name, secret: bytes) -> None:
-        if name not in self.keys and len(self.keys) >= MOST_KEYS:
-            raise TenantError(f"a tenant holds {MOST_KEYS} keys at most")
+        """Add or replace a TSIG key; TenantError over the bound."""
+        if name not in self.keys and len(self.keys) >= MAX_KEYS:
+            raise TenantError(f"a tenant holds {MAX_KEYS} keys at most")
         self.keys[name] = secret
 
 
 def read_quota(value: object) -> float:
-    if isinstance(value, bool) or not isinstance(value, int | float) or not 0 < value <= 1e6:
+    """A quota in queries a second; TenantError where the value is none."""
+    if isinstance(value, bool) or not isinstance(value, int | float) or not 0 < value <= MAX_QUOTA_PER_S:
         raise TenantError("field 'quota_per_s' is no number over 0")
     return float(value)
 
 
 def read_quotas(text: str) -> dict[str, float]:
-    """The quotas of a document; TenantError names what cannot be used."""
+    """Quotas by tenant from a document; TenantError names the entry that cannot be used."""
     try:
         value = ujson.loads(text)
     except ValueError as error:
@@ -80,16 +93,17 @@
     rows = value.get("quotas") if isinstance(value, dict) else None
     if not isinstance(rows, dict) or len(value) != 1:
         raise TenantError("expected an object with the one field 'quotas'")
-    out = {}
+    quotas = {}
     for name, per_s in rows.items():
         try:
-            out[name] = read_quota(per_s)
+            quotas[name] = read_quota(per_s)
         except TenantError as error:
             raise TenantError(f"quota of '{name}': {error}") from None
-    return out
+    return quotas
 
 
 def read_name(text: object) -> dns.name.Name:
+    """A domain name in canonical form; TenantError where the text is none."""
     try:
         return dns.name.from_text(str(text)).canonicalize()
     except (dns.exception.DNSException, UnicodeError):
@@ -97,34 +111,39 @@
 
 
 def read_key(name: object, secret: object) -> tuple[dns.name.Name, bytes]:
+    """A TSIG key's name, and its secret from base64; TenantError where one cannot be used."""
     try:
         raw = base64.b64decode(str(secret), validate=True)
     except binascii.Error:
         raise TenantError("field 'secret' is no base64") from None
-    if len(raw) < 16:
-        raise TenantError("field 'secret' has under 16 bytes")
+    if len(raw) < MIN_SECRET_BYTES:
+        raise TenantError(f"field 'secret' has under {MIN_SECRET_BYTES} bytes")
     return read_name(name), raw
 
 
 def read_zone(tenant: str, name: str, text: str, routed: str | None = None) -> TenantZone:
-    """A zone from the text of a zone file. Includes are off: the text may be a tenant's."""
-    if len(text) > MOST_TEXT:
-        raise TenantError(f"zone '{name}': over {MOST_TEXT} bytes")
+    """A zone from the text of a zone file, `routed` relative to it; TenantError where it cannot be used.
+
+    `$INCLUDE` is off: the text may come from a tenant.
+    """
+    if len(text) > MAX_ZONE_CHARACTERS:
+        raise TenantError(f"zone '{name}': over {MAX_ZONE_CHARACTERS} bytes")
     origin = read_name(name)
     try:
         data = dns.zone.from_text(
             text, origin, relativize=False, zone_factory=dns.versioned.Zone, allow_include=False
         )
-        below = dns.name.from_text(routed, origin) if routed else None
+        routed_name = dns.name.from_text(routed, origin) if routed else None
     except (dns.exception.DNSException, ValueError) as error:
         raise TenantError(f"zone '{name}': {error}") from None
     assert isinstance(data, dns.versioned.Zone)
-    if below is not None and (below == origin or not below.is_subdomain(origin)):
+    if routed_name is not None and (routed_name == origin or not routed_name.is_subdomain(origin)):
         raise TenantError(f"zone '{name}': 'routed' is no name below it")
-    return TenantZone(origin, tenant, data, below)
+    return TenantZone(origin, tenant, data, routed_name)
 
 
 def read_zone_file(tenant: str, name: str, path: Path, routed: str | None = None) -> TenantZone:
+    """A zone from a zone file; TenantError where it cannot be read or used."""
     try:
         return read_zone(tenant, name, path.read_text(), routed)
     except OSError as error:
@@ -138,34 +157,42 @@
         self.tenants: dict[str, Tenant] = {}
         self.zones: dict[
             dns.name.Name, TenantZone
-        ] = {}  # of all tenants: a name is looked up in one step a label
+        ] = {}  # of all tenants: a lookup takes one step for each label
 
     def add(self, tenant: Tenant) -> None:
+        """Add a tenant; AlreadyExistsError for a known name, TenantError over the bound."""
         if tenant.name in self.tenants:
             raise AlreadyExistsError(f"tenant '{tenant.name}' exists")
-        if len(self.tenants) >= MOST_TENANTS:
-            raise TenantError(f"{MOST_TENANTS} tenants at most")
+        if len(self.tenants) >= MAX_TENANTS:
+            raise TenantError(f"{MAX_TENANTS} tenants at most")
         self.tenants[tenant.name] = tenant
 
     def remove(self, name: str) -> None:
+        """Remove a tenant with its zones; KeyError where there is none."""
         for zone in self.tenants.pop(name).zones:
             del self.zones[zone]
 
     def add_zone(self, zone: TenantZone) -> None:
-        """Take in a zone, or the new text of one that this tenant has. A name has one tenant for good."""
-        held, tenant = self.zones.get(zone.name), self.tenants[zone.tenant]
-        if held is not None and held.tenant != zone.tenant:
+        """Add a zone, or replace one of the same tenant. AlreadyExistsError where the name belongs to another
+        tenant or lies in another's zone, TenantError over the bound."""
+        tenant = self.tenants[zone.tenant]
+        existing = self.zones.get(zone.name)
+        if existing is not None and existing.tenant != zone.tenant:
             raise AlreadyExistsError(f"zone '{zone.name}' exists")
-        if (above := self.zone_of(zone.name)) is not None and above.tenant != zone.tenant:
+        enclosing = self.nearest_zone(zone.name)
+        if enclosing is not None and enclosing.tenant != zone.tenant:
             raise AlreadyExistsError(f"zone '{zone.name}' lies in another tenant's")
-        if held is None and len(tenant.zones) >= MOST_ZONES:
-            raise TenantError(f"a tenant holds {MOST_ZONES} zones at most")
-        self.zones[zone.name] = tenant.zones[zone.name] = zone
+        if existing is None and len(tenant.zones) >= MAX_ZONES:
+            raise TenantError(f"a tenant holds {MAX_ZONES} zones at most")
+        self.zones[zone.name] = zone
+        tenant.zones[zone.name] = zone
 
     def remove_zone(self, zone: TenantZone) -> None:
-        del self.zones[zone.name], self.tenants[zone.tenant].zones[zone.name]
+        """Remove a zone; KeyError where there is none."""
+        del self.zones[zone.name]
+        del self.tenants[zone.tenant].zones[zone.name]
 
-    def zone_of(self, name: dns.name.Name) -> TenantZone | None:
+    def nearest_zone(self, name: dns.name.Name) -> TenantZone | None:
         """The nearest zone at or above a name."""
         while True:
             if zone := self.zones.get(name):
@@ -177,7 +204,7 @@
     def apply_quotas(self, text: str) -> None:
         """Set tenants' quotas from a document `{"quotas": {NAME: QUERIES_A_SECOND}}`, all or none.
 
-        TenantError where any entry cannot be used. Tenants that this director does not have are passed over.
+        TenantError where any entry cannot be used. Tenants that this director does not have are ignored.
         """
         quotas = read_quotas(text)
         for name, per_s in quotas.items():
@@ -186,9 +213,10 @@
                 tenant.quota.per_s = per_s
 
     def keyring(self) -> dict[dns.name.Name, bytes]:
+        """The TSIG keys of all tenants."""
         return {name: key for tenant in self.tenants.values() for name, key in tenant.keys.items()}
 
-    def by_token(self, token: str) -> Tenant | None:
+    def tenant_of_token(self, token: str) -> Tenant | None:
         """The tenant that a token belongs to; each is compared in constant time."""
         found = None
         for tenant in self.tenants.values():
--- a/tests/test_callers_on_time.py
+++ b/tests/test_callers_on_time.py
@@ -12,7 +12,8 @@
 
 import pytest
 
-from onyxwick.admin.http import HttpRequest, HttpServer
+from onyxwick.admin.http_messages import HttpRequest
+from onyxwick.admin.http_server import HttpServer
 from onyxwick.config import director as relay
 from onyxwick.core.phase import DirectorPhase
 from onyxwick.counters import Counters
@@ -45,7 +46,7 @@
 
 def test_a_caller_that_writes_a_call_without_end_is_ended_when_its_patience_is_over() -> None:
     async def play() -> float:
-        server = HttpServer(ADDRESS, _answer, Counters(), patience_s=PATIENCE_S)
+        server = HttpServer(ADDRESS, _answer, Counters(), call_timeout_s=PATIENCE_S)
         task = asyncio.get_running_loop().create_task(server.run())
         await asyncio.sleep(0)
         with socket.create_connection(ADDRESS) as sock:
@@ -59,7 +60,9 @@
 
 def test_a_call_that_comes_in_pieces_is_answered() -> None:
     async def play() -> bytes:
-        server = HttpServer(ADDRESS, _answer, Counters(), patience_s=10 * PATIENCE_S, one_call=True)
+        server = HttpServer(
+            ADDRESS, _answer, Counters(), call_timeout_s=10 * PATIENCE_S, one_call_per_connection=True
+        )
         loop = asyncio.get_running_loop()
         task = loop.create_task(server.run())
         await asyncio.sleep(0)
@@ -79,12 +82,12 @@
 
 
 def test_a_message_by_tcp_that_never_comes_whole_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(dns_server, "TCP_IDLE_S", PATIENCE_S)
+    monkeypatch.setattr(dns_server, "TCP_TIMEOUT_S", PATIENCE_S)
 
     async def play() -> float:
         near, far = socket.socketpair()
         near.setblocking(False)
-        serve: Callable[[Any, socket.socket], Awaitable[None]] = dns_server.DnsFront._client
+        serve: Callable[[Any, socket.socket], Awaitable[None]] = dns_server.DnsFront._serve_tcp
         task = asyncio.ensure_future(serve(None, near))
         with far:
             took = await _seconds_until_ended(far, b"\xff\xff" + b"x" * 60)
--- a/tests/test_dns_routing.py
+++ b/tests/test_dns_routing.py
@@ -19,7 +19,7 @@
 from onyxwick.core import RequestEngine
 from onyxwick.core.endpoints import EndpointTable
 from onyxwick.counters import Counters
-from onyxwick.dns.naming import Naming
+from onyxwick.dns.naming import CacheNaming
 from onyxwick.dns.server import DnsFront
 from onyxwick.interface import (
     EndpointListKind,
@@ -42,7 +42,7 @@
 
     def __init__(self, decide: Callable[[RouterSettings, int, int], RequestRouter] = Router) -> None:
         self.members, self.counters = EndpointTable(), Counters()
-        self.core = RequestEngine(SETTINGS, 7, Naming(), self.members, self.counters, decide=decide)
+        self.core = RequestEngine(SETTINGS, 7, CacheNaming(), self.members, self.counters, decide=decide)
         config = load(FOLDER / "service.hcl")
         self.front = DnsFront(self.core, self.counters, config)
         self.asked: dict[str, list[float]] = {box: [] for box in BOXES}
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -7,7 +7,8 @@
 import socket
 import time
 
-from onyxwick.admin.http import HttpRequest, HttpServer
+from onyxwick.admin.http_messages import HttpRequest
+from onyxwick.admin.http_server import HttpServer
 from onyxwick.counters import Counters
 
 ADDRESS = ("127.77.9.1", 18090)
@@ -31,11 +32,19 @@
 def test_a_newcomer_displaces_the_oldest_silent_caller_and_one_call_ends_its_connection() -> None:
     async def play() -> tuple[bytes, bytes, bytes]:
         counters = Counters()
-        server = HttpServer(ADDRESS, _answer, counters, most=3, patience_s=5.0, one_call=True, name="door")
+        server = HttpServer(
+            ADDRESS,
+            _answer,
+            counters,
+            max_connections=3,
+            call_timeout_s=5.0,
+            one_call_per_connection=True,
+            name="door",
+        )
         task = asyncio.get_running_loop().create_task(server.run())
         await asyncio.sleep(0)
         silent = [socket.create_connection(ADDRESS) for _ in range(3)]
-        while len(server.clients) < 3:
+        while len(server.connections) < 3:
             await asyncio.sleep(0.01)
         # Two calls on one connection: the first is answered, the connection ends, the second is not read.
         answer = await _call(b"GET /ready HTTP/1.1\r\nHost: d\r\n\r\nGET /other HTTP/1.1\r\nHost: d\r\n\r\n")
@@ -74,7 +83,15 @@
         bound.bind(ADDRESS)
         bound.listen()
         bound.setblocking(False)
-        server = HttpServer(ADDRESS, _answer, counters, most=3, patience_s=5.0, one_call=True, name="door")
+        server = HttpServer(
+            ADDRESS,
+            _answer,
+            counters,
+            max_connections=3,
+            call_timeout_s=5.0,
+            one_call_per_connection=True,
+            name="door",
+        )
         task = asyncio.get_running_loop().create_task(server.run(bound))
         begun = time.monotonic()
         assert b"200 OK" in await _call(b"GET /ready HTTP/1.1\r\nHost: d\r\n\r\n")
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -11,9 +11,9 @@
 
 import pytest
 
-from onyxwick.admin.api import Api
+from onyxwick.admin.api import AdminApi
 from onyxwick.admin.durable_api import DurableApi
-from onyxwick.admin.http import HttpError, HttpRequest
+from onyxwick.admin.http_messages import HttpError, HttpRequest
 from onyxwick.core import AttemptOutcome, AttemptSpec, ClientRequest, RequestEngine
 from onyxwick.core.endpoints import EndpointTable
 from onyxwick.core.model import AnswerStatus, FinalAnswer
@@ -196,7 +196,7 @@
         self.durable.load_tenants(self.tenants)
         self.core.list_changed(EndpointsChanged(EndpointListKind.SNAPSHOT, ROWS), ADDRESSES)
         self.api = DurableApi(
-            Api(self.tenants, Counters(), "operator-token-1", dict), self.durable, self.core
+            AdminApi(self.tenants, Counters(), "operator-token-1", dict), self.durable, self.core
         )
 
     async def call(self, method: str, path: str, data: object = None, key: str = "") -> tuple[int, object]:
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -11,9 +11,9 @@
 
 import pytest
 
-from onyxwick.admin.api import Api
+from onyxwick.admin.api import AdminApi
 from onyxwick.admin.durable_api import DurableApi
-from onyxwick.admin.http import HttpError, HttpRequest
+from onyxwick.admin.http_messages import HttpError, HttpRequest
 from onyxwick.admin.sites import SitesApi
 from onyxwick.core import RequestEngine
 from onyxwick.core.endpoints import EndpointTable
@@ -359,7 +359,7 @@
             orders.append([of_row(row) for row in durable.site_command_rows()])
             core = RequestEngine(SETTINGS, 7, Nothing(), EndpointTable(), Counters())
             sites = SitesApi(decider, lambda: 1_002 * S, lambda: None)
-            api = Api(Tenants(), Counters(), "operator-token-1", dict, {"sites": sites})
+            api = AdminApi(Tenants(), Counters(), "operator-token-1", dict, {"sites": sites})
             body = json.dumps({"word": "evacuate", "reason": "flood"}).encode()
             head = {"authorization": "Bearer operator-token-1"}
             request = HttpRequest("PUT", "/sites/orders/north", head, body)
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -103,7 +103,7 @@
     assert acme.zones[read_name("static.example.")].routed is None
     globex = tenants.tenants["globex"]
     assert (globex.quota.per_s, globex.token, globex.keys, globex.zones) == (20.0, "", {}, {})
-    assert tenants.by_token("acme-token-0123456789") is acme
+    assert tenants.tenant_of_token("acme-token-0123456789") is acme
     assert state.tenant_operations("acme", acme) == [], "what was read is what is stored"
 
 
