--- /dev/null
+++ b/tests/test_accept_loop.py
@@ -0,0 +1,62 @@
+"""Accepting clients while accept fails, the backlog is full or connections are aborted."""
+
+from __future__ import annotations
+
+import asyncio
+import errno
+import socket
+from typing import Any
+
+from onyxwick.net.front import FastCgiFront
+from onyxwick.net.listening import listen
+from tests.failing_sockets import FailingListener
+from tests.ground import Ground, played
+
+
+def test_connected_clients_are_accepted_at_the_end_although_accept_fails_briefly() -> None:
+    async def play(ground: Ground) -> None:
+        listener = listen(("127.0.0.1", 0))
+        ground.opened.append(listener)
+        clients = [socket.create_connection(listener.getsockname()) for _ in range(3)]
+        ground.opened += clients
+        errors = (errno.ENFILE, errno.ECONNABORTED, errno.EMFILE, errno.ENOBUFS, errno.EPROTO, errno.ENOMEM)
+        await ground.front.accept_remaining(FailingListener(listener, *errors))  # type: ignore[arg-type]
+        assert len(ground.front.connections) == 3
+
+    played(play)
+
+
+def test_the_full_backlog_is_accepted_at_the_end() -> None:
+    """Linux lets one more wait than the backlog says."""
+
+    class Crowd:
+        left = 1025
+
+        def accept(self) -> tuple[Any, Any]:
+            if not self.left:
+                raise BlockingIOError
+            self.left -= 1
+            return self, None
+
+        def close(self) -> None:
+            pass
+
+    async def play(ground: Ground) -> None:
+        full = FastCgiFront(ground.core, ground.counters, lambda: True, 0, 10_000_000)
+        await full.accept_remaining(Crowd())  # type: ignore[arg-type]
+        assert ground.counters.counts["client.refused"] == 1025
+
+    played(play)
+
+
+def test_a_connection_aborted_before_its_accept_delays_no_other() -> None:
+    async def play(ground: Ground) -> None:
+        listener = listen(("127.0.0.1", 0))
+        ground.opened += [listener, socket.create_connection(listener.getsockname())]
+        failing = FailingListener(listener, *[errno.ECONNABORTED] * 40)
+        ground.tasks.append(asyncio.get_running_loop().create_task(ground.front.accept(failing)))  # type: ignore[arg-type]
+        begun = asyncio.get_running_loop().time()
+        await ground.until(lambda: ground.front.connections)
+        assert asyncio.get_running_loop().time() - begun < 0.5
+
+    played(play)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -63,7 +63,7 @@
         ("a = { b = 1, b = 2 }", "x.hcl:1: key 'b' stands twice"),
     ],
 )
-def test_broken_files_are_told_of(text: str, wanted: str) -> None:
+def test_syntax_errors_name_line_and_intent(text: str, wanted: str) -> None:
     with pytest.raises(ConfigError) as error:
         hcl.parse(text, "x.hcl")
     assert str(error.value).startswith(wanted)
@@ -71,7 +71,7 @@
 
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(st.text('ab1 ="{}[]\n#/*<-\\:,$.', max_size=40))
-def test_any_text_is_read_or_refused_with_its_line(text: str) -> None:
+def test_any_text_is_parsed_or_rejected_with_its_line(text: str) -> None:
     try:
         hcl.parse(text, "x.hcl")
     except ConfigError as error:
@@ -96,7 +96,7 @@
         ('wait = "1s"\ncount = 1.5', "x.hcl:2: field 'count': 1.5 is no whole number"),
     ],
 )
-def test_typed_fields_tell_what_was_meant(text: str, wanted: str) -> None:
+def test_field_errors_name_the_likely_intent(text: str, wanted: str) -> None:
     fields = Fields(hcl.parse(text, "x.hcl"), "x.hcl")
     with pytest.raises(ConfigError) as error:
         fields.duration("wait", 1_000, 60_000_000)
@@ -109,7 +109,7 @@
     assert str(error.value).startswith(wanted)
 
 
-def test_the_service_file_is_read_whole_or_refused(tmp_path: Path) -> None:
+def test_the_service_file_is_read_or_rejected(tmp_path: Path) -> None:
     told = service.load(FOLDER / "service.hcl")
     assert told.dns_address == ("127.77.0.1", 15353) and list(told.tenants.tenants) == ["depot"]
     text = (FOLDER / "service.hcl").read_text()
@@ -157,7 +157,7 @@
 
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(CELLS, st.data())
-def test_a_plan_survives_its_json(cells: dict[str, float], data: st.DataObject) -> None:
+def test_a_plan_is_the_same_after_its_json(cells: dict[str, float], data: st.DataObject) -> None:
     """What the API shows is what it reads back: an operator edits one row and sends the whole."""
     some = st.lists(st.sampled_from(sorted(cells)), min_size=1, max_size=3, unique=True).map(tuple)
     tenants = {
@@ -215,7 +215,7 @@
         ('cell "a" {}\ncells { default_tenant = "x" }', "x.hcl:2: field 'cells.default_tenant': there is no"),
     ],
 )
-def test_a_slip_in_a_plan_is_told_with_its_line(text: str, wanted: str) -> None:
+def test_an_error_in_a_plan_names_its_line(text: str, wanted: str) -> None:
     with pytest.raises(ConfigError) as error:
         read_plan(Fields(hcl.parse(text, "x.hcl"), "x.hcl"))
     assert str(error.value).startswith(wanted)
@@ -224,7 +224,7 @@
 @pytest.mark.parametrize("sockets", [96, 256, 512, 672, 1024, 4096])
 @pytest.mark.parametrize("admin", [None, ("127.0.0.1", 9600)])
 @pytest.mark.parametrize("handed", [None, 7])
-def test_all_that_may_hold_a_descriptor_fits_under_the_limit(
+def test_all_descriptors_fit_under_the_limit(
     sockets: int, admin: tuple[str, int] | None, handed: int | None
 ) -> None:
     """Every place taken at once: links, also about to close, clients, written ends, the door, fixed parts."""
--- /dev/null
+++ b/tests/test_coordinator_feed.py
@@ -0,0 +1,217 @@
+"""The coordinator's feed: slow and broken lines, events that fail, stalls of the process, reconnects."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import json
+import socket
+import time
+
+import pytest
+
+from onyxwick.core import RequestEngine
+from onyxwick.core.endpoints import EndpointTable
+from onyxwick.counters import Counters
+from onyxwick.interface import AttemptStatus
+from onyxwick.net import coordinator_feed, resp
+from onyxwick.net.cache_pool import CacheConnectionPool
+from onyxwick.net.coordinator_feed import FIRST_RETRY_US, MAX_RETRY_US, CoordinatorFeed
+from onyxwick.net.listening import listen
+from tests.ground import FOUND, PATIENCE_S, Ground, ask, call, played
+from tests.world import SETTINGS
+
+ROW = {"addr": "127.0.0.1:1", "zone": "edge-1", "kind": "box", "state": "SERVING", "weight": 6}
+
+
+def _list_line(index: int, rows: int) -> bytes:
+    servers = [
+        {
+            "id": f"c{n}",
+            "addr": "127.0.0.1:1",
+            "zone": "edge-1",
+            "kind": "box",
+            "state": "SERVING",
+            "weight": 6,
+        }
+        for n in range(rows)
+    ]
+    return json.dumps({"index": index, "endpoints": {"version": 2, "servers": servers}}).encode() + b"\n"
+
+
+def test_a_list_that_arrives_slower_than_the_silence_limit_is_applied(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    monkeypatch.setattr(coordinator_feed, "SILENCE_LIMIT_S", 0.2)
+
+    async def play(ground: Ground) -> None:
+        feed, line = socket.create_server(("127.0.0.1", 0)), _list_line(1, 200)
+        feed.setblocking(False)
+        ground.opened.append(feed)
+        subscription = CoordinatorFeed(ground.core, ground.counters)
+        subscription.set_address(feed.getsockname())
+        ground.tasks.append(asyncio.get_running_loop().create_task(subscription.follow()))
+        conn = await ground.accepted(feed)
+        await ground.read(conn, b"follow 0\n")
+        for at in range(0, len(line), 2000):  # well over the silence allowed, never silent for so long
+            await asyncio.get_running_loop().sock_sendall(conn, line[at : at + 2000])
+            await asyncio.sleep(0.05)
+        await ground.until(lambda: "c199" in ground.members.listed)
+
+    played(play)
+
+
+def test_an_event_that_cannot_be_applied_is_requested_again_and_the_feed_goes_on(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    async def play(ground: Ground) -> None:
+        subscription = CoordinatorFeed(ground.core, ground.counters)
+        failures_left = 2
+        applied = list[str | None]()
+
+        def purged(group: int, name: str | None, made: int) -> None:
+            nonlocal failures_left
+            if name == "a" * 16 and failures_left:
+                failures_left -= 1
+                raise KeyError("an error of our own")
+            applied.append(name)
+
+        monkeypatch.setattr(ground.core, "purged", purged)
+        first, second = (
+            json.dumps({"index": n, "evict": {"ref": ref * 16, "unix_ms": 1}}).encode()
+            for n, ref in ((1, "a"), (2, "b"))
+        )
+        for _ in range(2):
+            with pytest.raises(OSError):
+                subscription.handle_line(first)
+            assert subscription.last_index == 0
+        subscription.handle_line(first)
+        subscription.handle_line(second)
+        assert applied == ["a" * 16, "b" * 16] and subscription.last_index == 2
+
+    played(play)
+
+
+def test_a_line_that_is_never_complete_does_not_stop_the_feed() -> None:
+    async def play(ground: Ground) -> None:
+        subscription = CoordinatorFeed(ground.core, ground.counters)
+        event = json.dumps({"index": 2, "evict": {"ref": "b" * 16, "unix_ms": 1}}).encode()
+        for connection in range(coordinator_feed.MAX_GAP_CONNECTIONS):
+            subscription.handle_line(b'{"index":1,"evi')
+            if connection < coordinator_feed.MAX_GAP_CONNECTIONS - 1:
+                with pytest.raises(OSError):
+                    subscription.handle_line(event)
+        subscription.handle_line(event)
+        assert subscription.last_index == 2 and ground.counters.counts["error.gap"] == 1
+
+    played(play)
+
+
+def _purge_lines(first: int, count: int) -> bytes:
+    events = ({"index": first + n, "evict": {"shard": 1, "unix_ms": 1}} for n in range(count))
+    return b"".join(json.dumps(event).encode() + b"\n" for event in events)
+
+
+async def _stall_process(
+    ground: Ground, stop_s: float, events: bytes
+) -> tuple[CoordinatorFeed, socket.socket]:
+    """Stall the process while a call and events arrive; its feed and its idle connection to the cache."""
+    cache, loop = ground.cache("c0"), asyncio.get_running_loop()
+    ground.script.arrived = lambda request: ask(request, "c0")
+    feed = listen(("127.0.0.1", 0))
+    ground.opened.append(feed)
+    subscription = ground.follow(feed.getsockname())
+    feed_connection = await ground.accepted(feed)
+    await ground.read(feed_connection, b"follow 0\n")
+    client = await ground.client()
+    await loop.sock_sendall(client, call(1))
+    conn = await ground.accepted(cache)
+    await ground.read(conn, f"{1:016x}".encode())
+    await loop.sock_sendall(conn, resp.encode_command(f"{1:016x}".encode(), b"data", FOUND, b"x"))
+    await ground.read(client, b"200 OK")
+    client.send(call(2))
+    feed_connection.send(events)
+    time.sleep(stop_s)
+    return subscription, conn
+
+
+@pytest.mark.parametrize("stop_s", [0.7, 2.6])
+def test_after_a_stall_nothing_is_sent_to_a_cache_that_was_drained_meanwhile(stop_s: float) -> None:
+    """The drain is in the feed's socket behind many events; the stall exceeds a drain's grace period and the
+    feed's silence limit."""
+
+    async def play(ground: Ground) -> None:
+        row = {"id": "c0", "addr": "127.0.0.1:1", "zone": "edge-1", "kind": "box", "state": "DRAINING"}
+        drain = {"index": 401, "endpoints": {"version": 2, "servers": [row]}}
+        events = _purge_lines(1, 400) + json.dumps(drain).encode() + b"\n"
+        subscription, _ = await _stall_process(ground, stop_s, events)
+        await ground.until(lambda: len(ground.script.ends()) == 2)
+        assert ground.script.ends()[1] is AttemptStatus.NOT_SENT and subscription.last_index == 401
+
+    played(play)
+
+
+def test_a_feed_error_after_a_stall_delays_no_send(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def play(ground: Ground) -> None:
+        def fails(index: int) -> None:
+            raise RuntimeError("planted")
+
+        monkeypatch.setattr(ground.core, "feed_observed", fails)
+        _, conn = await _stall_process(ground, 0.3, _purge_lines(1, 1))
+        await ground.read(conn, f"{2:016x}".encode())
+        assert ground.counters.counts["error.coordinator"] == 1
+
+    played(play)
+
+
+def test_an_unreadable_row_leaves_the_others_of_its_list() -> None:
+    async def play(ground: Ground) -> None:
+        feed = CoordinatorFeed(ground.core, ground.counters)
+        rows = [{"id": "c0", **ROW}, {"id": "c1", **ROW, "state": "UNHEARD-OF"}, {"id": "c2", **ROW}]
+        event = {"index": 1, "endpoints": {"version": 2, "full": True, "servers": rows}}
+        feed.handle_line(json.dumps(event).encode())
+        assert set(ground.members.listed) == {"c0", "c2"} and ground.counters.counts["bad.coordinator"] == 1
+
+    played(play)
+
+
+def test_a_feed_whose_address_changes_while_bytes_arrive_is_followed_there() -> None:
+    async def play(ground: Ground) -> None:
+        old, new = socket.create_server(("127.0.0.1", 0)), socket.create_server(("127.0.0.1", 0))
+        for feed in (old, new):
+            feed.setblocking(False)
+            ground.opened.append(feed)
+        subscription = CoordinatorFeed(ground.core, ground.counters)
+        subscription.set_address(old.getsockname())
+        subscription.on_line = lambda: subscription.set_address(new.getsockname())  # while a line is taken in
+        ground.tasks.append(asyncio.get_running_loop().create_task(subscription.follow()))
+        conn = await ground.accepted(old)
+        await ground.read(conn, b"follow 0\n")
+        while True:  # lines go on coming, faster than the silence allowed
+            with contextlib.suppress(OSError):  # it has been left already
+                await asyncio.get_running_loop().sock_sendall(conn, b"0\n")
+            try:
+                moved, _ = new.accept()
+                break
+            except BlockingIOError:
+                await asyncio.sleep(0.05)
+        ground.opened.append(moved)
+        assert not ground.counters.counts["error.coordinator"]
+
+    async def bounded(ground: Ground) -> None:
+        async with asyncio.timeout(PATIENCE_S / 4):
+            await play(ground)
+
+    played(bounded)
+
+
+def test_the_feed_reconnects_after_waits_drawn_below_a_bound_that_doubles() -> None:
+    async def play() -> list[list[int]]:
+        members, counters = EndpointTable(), Counters()
+        core = RequestEngine(SETTINGS, 7, CacheConnectionPool(members, counters, 0), members, counters)
+        feeds = [CoordinatorFeed(core, counters, seed, 40) for seed in (1, 2)]
+        return [[feed.backoff.next_delay_us(FIRST_RETRY_US) for _ in range(8)] for feed in feeds]
+
+    one, two = asyncio.run(play())
+    assert one != two  # two directors that lost the feed together do not call again together
+    assert all(row[0] <= FIRST_RETRY_US and max(row) <= MAX_RETRY_US for row in (one, two))
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -38,7 +38,9 @@
         ({"known": []}, "known"),
     ],
 )
-def test_a_bad_configuration_names_its_field(change: dict[str, object], field: str, tmp_path: Path) -> None:
+def test_an_invalid_configuration_names_its_field(
+    change: dict[str, object], field: str, tmp_path: Path
+) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps({**json.loads((FOLDER / "config.json").read_text()), **change}))
     done = subprocess.run(
@@ -54,7 +56,7 @@
 
 
 @pytest.mark.parametrize("handed", ["seven", "unbound", "file"])
-def test_a_handed_descriptor_that_is_no_listening_socket_is_refused(handed: str, tmp_path: Path) -> None:
+def test_an_inherited_descriptor_that_is_no_listening_socket_is_rejected(handed: str, tmp_path: Path) -> None:
     """What the platform hands down must be its listening socket: anything else ends the start with 2."""
     config = tmp_path / "config.json"
     config.write_text((FOLDER / "config.json").read_text())
--- a/tests/test_feed_race.py
+++ b/tests/test_feed_race.py
@@ -51,7 +51,7 @@
     return True
 
 
-def test_one_that_is_slow_is_kept_though_others_were_tried_beside_it() -> None:
+def test_a_slow_connection_wins_although_others_were_tried() -> None:
     async def play() -> None:
         feed, loop = Feed(), asyncio.get_running_loop()
         race = loop.create_task(feed.race.run())
@@ -67,7 +67,7 @@
     uvloop.run(asyncio.wait_for(play(), 20 * SILENT_S))
 
 
-def test_silent_ones_cost_no_more_than_the_wait_for_the_next_and_are_bounded() -> None:
+def test_silent_connections_cost_one_wait_each_and_are_bounded() -> None:
     async def play() -> None:
         feed, loop, begun = Feed(), asyncio.get_running_loop(), time.monotonic()
         race = loop.create_task(feed.race.run())
@@ -85,7 +85,9 @@
     uvloop.run(asyncio.wait_for(play(), 40 * SILENT_S))
 
 
-def test_refusals_beside_a_silent_one_are_not_tried_again_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_refused_connects_beside_a_silent_one_are_not_retried_at_once(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     begun = 0
 
     async def play() -> None:
@@ -109,7 +111,7 @@
     assert 2 <= begun <= 7
 
 
-def test_the_error_of_the_last_one_is_told_where_none_is_under_way() -> None:
+def test_the_error_of_the_last_connection_is_raised_where_none_is_left() -> None:
     async def play() -> None:
         feed = Feed()
         feed.sock.close()
@@ -119,7 +121,7 @@
     uvloop.run(asyncio.wait_for(play(), 20 * SILENT_S))
 
 
-def test_what_is_read_before_the_race_has_ended_stays_the_one() -> None:
+def test_a_winner_read_before_the_end_of_the_race_stays_the_winner() -> None:
     async def play() -> None:
         feed, loop = Feed(), asyncio.get_running_loop()
         race = loop.create_task(feed.race.run())
@@ -137,7 +139,7 @@
     uvloop.run(asyncio.wait_for(play(), 20 * SILENT_S))
 
 
-def test_a_connection_that_was_chosen_is_closed_where_the_race_is_ended_from_outside() -> None:
+def test_the_winner_is_closed_when_the_race_is_cancelled() -> None:
     async def play() -> None:
         feed, loop = Feed(), asyncio.get_running_loop()
         race = loop.create_task(feed.race.run())
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -1,117 +1,111 @@
-"""The bound on clients: who makes room for a newcomer."""
+"""The front: clients that leave, call slowly or connect during a shutdown, and what it passes on or logs."""
 
 from __future__ import annotations
 
 import asyncio
 import socket
+import time
+from functools import partial
 
 import pytest
 
-from onyxwick.core import RequestEngine
-from onyxwick.core.endpoints import EndpointTable
-from onyxwick.counters import Counters
-from onyxwick.interface import RejectRequest
-from onyxwick.net import fastcgi
-from onyxwick.net.cache_pool import CacheConnectionPool
-from onyxwick.net.fastcgi_parser import FastCgiParser
-from onyxwick.net.front import FastCgiFront
-from onyxwick.net.front_connection import FrontConnection
-from tests.ground import Ground, ask, call, played
-from tests.world import SETTINGS
-
-
-def test_room_is_made_by_the_answered_then_the_silent_then_the_stuck_and_never_by_who_is_owed() -> None:
-    async def play() -> list[str]:
-        members, counters = EndpointTable(), Counters()
-        core = RequestEngine(SETTINGS, 7, CacheConnectionPool(members, counters, 0), members, counters)
-        front = FastCgiFront(core, counters, lambda: True, 3, 1_000_000)
-        names = ("busy", "idle", "asking", "silent", "fresh", "stuck", "answered")
-        clients, pairs, left = {}, [socket.socketpair() for _ in names], list[str]()
-        for name, pair in zip(names, pairs, strict=True):
-            clients[name] = client = FrontConnection(front, pair[0])
-            front.connections[client] = asyncio.get_running_loop().create_task(asyncio.sleep(60))
-            client.complete_calls = int(name not in ("silent", "fresh", "stuck"))
-        clients["busy"].open_calls[1] = None  # something is owed to it
-        pairs[2][1].send(b"x")  # a request is under way on it
-        clients["stuck"].parser.buffer.append(b"\x01\x01")  # half of a record, and then nothing
-        for age, name in enumerate(("silent", "idle", "asking", "busy", "stuck"), 1):
-            clients[name].last_active_at_s -= age
-            clients[name].opened_at_s -= age
-        while front._evict_one():
-            left += [name for name, c in clients.items() if c.is_closing and name not in left]
-        for pair in pairs:
-            pair[0].close()
-            pair[1].close()
-        return left
-
-    # Answered ones first, idle longest first, even one answered a moment ago; then who came and sent nothing,
-    # not the one just come; then one stuck in half a call. Never who is owed or has sent what is unread.
-    assert asyncio.run(play()) == ["idle", "answered", "silent", "stuck"]
-
-
-def test_a_body_without_end_is_refused_as_it_grows() -> None:
-    parser, kind = FastCgiParser(), fastcgi.RecordType
-    parser.buffer.append(fastcgi.encode_record(kind.BEGIN, 1, fastcgi.BEGIN_BODY.pack(1, 1)))
-    parser.buffer.append(
-        fastcgi.encode_record(kind.PARAMS, 1, b"") + fastcgi.encode_record(kind.STDIN, 1, bytes(48_000))
-    )
-    assert not list(parser.messages())
-    parser.buffer.append(fastcgi.encode_record(kind.STDIN, 1, b"x") * 2)
-    (reply,) = parser.messages()
-    assert isinstance(reply, fastcgi.FastCgiReply) and reply.stop_reading and b"413" in reply.data
-
-
-def test_the_order_of_eviction() -> None:
-    from onyxwick.net.connection_slots import (
-        PARTIAL_CALL_GRACE_S,
-        SILENT_GRACE_S,
-        ConnectionSlot,
-        eviction_rank,
-    )
-
-    def slot(**changed: object) -> ConnectionSlot:
-        fields = {
-            "complete_calls": 1,
-            "open_calls": 0,
-            "unwritten_bytes": 0,
-            "has_partial_call": False,
-            "opened_at_s": 0.0,
-            "last_active_at_s": 10.0,
-            "is_closing": False,
-        }
-        return ConnectionSlot(**{**fields, **changed})  # type: ignore[arg-type]
-
-    def silent(since_s: float) -> ConnectionSlot:
-        return slot(complete_calls=0, opened_at_s=now_s - since_s, last_active_at_s=now_s - since_s)
-
-    def partial(since_s: float) -> ConnectionSlot:
-        return slot(complete_calls=0, has_partial_call=True, last_active_at_s=now_s - since_s)
-
-    now_s = 10.0
-    assert eviction_rank(slot(), now_s) == (0, 10.0)  # evicted although it was answered this instant
-    assert eviction_rank(slot(open_calls=1), now_s) is None
-    assert eviction_rank(slot(unwritten_bytes=5), now_s) is None
-    assert eviction_rank(slot(is_closing=True), now_s) is None
-    assert eviction_rank(silent(SILENT_GRACE_S / 2), now_s) is None
-    assert eviction_rank(silent(SILENT_GRACE_S), now_s) == (1, now_s - SILENT_GRACE_S)
-    assert eviction_rank(partial(PARTIAL_CALL_GRACE_S / 2), now_s) is None  # a slow writer
-    assert eviction_rank(partial(PARTIAL_CALL_GRACE_S), now_s) == (2, now_s - PARTIAL_CALL_GRACE_S)
-
-
-def test_connections_to_a_member_grow_with_the_share_that_a_director_coming_back_allows_itself() -> None:
-    from onyxwick.net.cache_pool import MIN_CONNECTIONS_PER_MEMBER, CacheConnectionPool
-
-    members, counters, share = EndpointTable(), Counters(), [0.2]
-    caches = CacheConnectionPool(members, counters, 0, max_connections=256, warm_up_share=lambda: share[0])
-    assert caches._max_per_member() == MIN_CONNECTIONS_PER_MEMBER
-    share[0] = 1.0
-    assert (
-        caches._max_per_member() == 8
-        and CacheConnectionPool(members, counters, 0, max_connections=256)._max_per_member() == 8
-    )
-
-
-def test_the_key_of_a_call_goes_on_to_the_cache_and_a_bad_one_is_refused() -> None:
+from onyxwick.core.shutdown import drain_schedule, termination_schedule
+from onyxwick.interface import FailRequest, RejectRequest, TimerFired
+from onyxwick.net import fastcgi, resp
+from tests.ground import FOUND, Ground, ask, call, played
+
+
+def test_a_client_that_connects_during_shutdown_is_answered() -> None:
+    async def play(ground: Ground, asks_after_s: float) -> None:
+        ground.script.arrived = lambda request: [FailRequest(request)]
+        client = await ground.client()
+        await ground.until(lambda: ground.front.connections)
+        ground.tasks.append(asyncio.get_running_loop().create_task(ground.front.sweep()))
+        ground.front.begin_shutdown(drain_schedule(time.monotonic()))
+        await asyncio.sleep(asks_after_s)
+        await asyncio.get_running_loop().sock_sendall(client, call(1))
+        assert b"502 Bad Gateway" in await ground.read(client, b"Gateway")
+
+    for asks_after_s in (0.02, 0.1, 0.6):
+        played(partial(play, asks_after_s=asks_after_s))
+
+
+async def _asked(ground: Ground, cache: socket.socket) -> tuple[socket.socket, socket.socket]:
+    """A client that has asked, and an idle connection to the cache that is up already."""
+    ground.script.arrived = lambda request: ask(request, "c0")
+    client = await ground.client()
+    await asyncio.get_running_loop().sock_sendall(client, call(1))
+    conn = await ground.accepted(cache)
+    first = f"{1:016x}".encode()
+    await ground.read(conn, first)
+    await asyncio.get_running_loop().sock_sendall(conn, resp.encode_command(first, b"data", FOUND, b"walk"))
+    await ground.read(client, b"walk")
+    ground.script.arrived = lambda request: []
+    await asyncio.get_running_loop().sock_sendall(client, call(2))
+    await ground.until(lambda: len(ground.core.lifecycles) == 1)
+    return client, conn
+
+
+@pytest.mark.parametrize("closing", [False, True])
+def test_no_attempt_starts_after_a_stall_for_a_client_that_left_during_it(closing: bool) -> None:
+    """Also while the front closes, for a drain or at the end."""
+
+    async def play(ground: Ground, end: str) -> None:
+        cache = ground.cache("c0")
+        client, conn = await _asked(ground, cache)
+        second = f"{2:016x}"
+        ground.script.timer = lambda: ask(second, "c0")
+        if closing:
+            ground.front.begin_shutdown(drain_schedule(time.monotonic()))
+        if end == "close":
+            client.close()
+        else:
+            client.send(fastcgi.encode_record(fastcgi.RecordType.ABORT, 2, b""))
+        time.sleep(0.15)  # a long turn of the loop, in which nothing is read
+        ground.core.handle(TimerFired("hedge"))
+        await ground.until(lambda: not ground.core.lifecycles)
+        await asyncio.sleep(0.05)
+        with pytest.raises(BlockingIOError):
+            conn.recv(65_536)
+
+    for end in ("close", "abort"):
+        played(partial(play, end=end))
+
+
+def test_a_slowly_written_call_is_read_to_its_end() -> None:
+    """It takes 3 s from its connection's first byte to its last one, and never rests for long."""
+
+    async def play(ground: Ground) -> None:
+        client, loop = await ground.client(), asyncio.get_running_loop()
+        ground.tasks.append(loop.create_task(ground.front.sweep()))
+        text, pieces = call(1, path="/ping"), 17
+        for n in range(pieces):
+            await asyncio.sleep(0.18)  # out of step with the sweep, which passes over what is unread
+            client.send(text[n * len(text) // pieces : (n + 1) * len(text) // pieces])
+        await ground.read(client, b"200 OK")
+
+    played(play)
+
+
+def test_a_call_being_written_during_shutdown_is_answered() -> None:
+    async def play(ground: Ground) -> None:
+        client, loop = await ground.client(), asyncio.get_running_loop()
+        await ground.until(lambda: ground.front.connections)
+        text, pieces = call(1, path="/ping"), 8
+        client.send(text[: len(text) // pieces])
+        await asyncio.sleep(0.05)
+        now = time.monotonic()
+        ending = loop.create_task(ground.front.finish_shutdown(termination_schedule(now, now, 3.0, False)))
+        for n in range(1, pieces):
+            await asyncio.sleep(0.1)
+            client.send(text[n * len(text) // pieces : (n + 1) * len(text) // pieces])
+        await ground.read(client, b"200 OK")
+        await ending
+
+    played(play)
+
+
+def test_an_idempotency_key_reaches_the_cache_and_an_invalid_one_is_rejected() -> None:
     """A cache knows by it a repeat of what it has done; without it a request is not the client's any more."""
 
     async def play(ground: Ground) -> None:
@@ -129,21 +123,7 @@
     played(play)
 
 
-def test_the_feed_is_called_again_after_waits_drawn_below_a_bound_that_doubles() -> None:
-    from onyxwick.net.coordinator_feed import FIRST_RETRY_US, MAX_RETRY_US, CoordinatorFeed
-
-    async def play() -> list[list[int]]:
-        members, counters = EndpointTable(), Counters()
-        core = RequestEngine(SETTINGS, 7, CacheConnectionPool(members, counters, 0), members, counters)
-        feeds = [CoordinatorFeed(core, counters, seed, 40) for seed in (1, 2)]
-        return [[feed.backoff.next_delay_us(FIRST_RETRY_US) for _ in range(8)] for feed in feeds]
-
-    one, two = asyncio.run(play())
-    assert one != two  # two directors that lost the feed together do not call again together
-    assert all(row[0] <= FIRST_RETRY_US and max(row) <= MAX_RETRY_US for row in (one, two))
-
-
-def test_a_refusal_is_logged_with_its_connection(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_rejection_is_logged_with_its_connection(monkeypatch: pytest.MonkeyPatch) -> None:
     told = list[int]()
 
     async def play(ground: Ground) -> None:
