--- a/tests/test_cache_connection.py
+++ b/tests/test_cache_connection.py
@@ -14,7 +14,7 @@
 from onyxwick.counters import Counters
 from onyxwick.interface import AttemptEnded, AttemptStatus, SetTimer, TimerFired
 from onyxwick.net import resp
-from onyxwick.net.cache_pool import CacheConnectionPool
+from onyxwick.net.cache_pool import MIN_CONNECTIONS_PER_MEMBER, CacheConnectionPool
 from tests.failing_sockets import FailingSocket, sent_timeout_ms
 from tests.ground import FOUND, Ground, ask, played
 
@@ -84,7 +84,7 @@
 
 
 def test_after_a_stall_an_answer_received_in_time_precedes_timers() -> None:
-    """Else each cache that was asked seems silent."""
+    """Otherwise each cache with an attempt would look unresponsive."""
 
     async def play(ground: Ground) -> None:
         cache, loop = ground.cache("c0"), asyncio.get_running_loop()
@@ -103,7 +103,7 @@
 
 
 def test_a_connection_established_during_a_stall_is_used() -> None:
-    """The limit on connects is over at the wake, and says nothing of the cache."""
+    """The connect limit has expired after the stall, which says nothing of the cache."""
 
     async def play(ground: Ground) -> None:
         list(ground.held("c0"))
@@ -120,8 +120,6 @@
 
 
 def test_connections_per_member_grow_with_the_warm_up_share() -> None:
-    from onyxwick.net.cache_pool import MIN_CONNECTIONS_PER_MEMBER
-
     members, counters, share = EndpointTable(), Counters(), [0.2]
     caches = CacheConnectionPool(members, counters, 0, max_connections=256, warm_up_share=lambda: share[0])
     assert caches._max_per_member() == MIN_CONNECTIONS_PER_MEMBER
