--- a/onyxwick/cli/__init__.py
+++ b/onyxwick/cli/__init__.py
@@ -1,47 +1,70 @@
-"""The command line. Each command is a thin file that is loaded only when it is called."""
+"""The command line: a lazy group of commands, each in a file that is loaded when it is called.
+
+Exit codes: 0 success, 1 a finding, 2 input that cannot be used.
+"""
 
 from __future__ import annotations
 
 import importlib
+from typing import NamedTuple
 
 import click
 
 from onyxwick.config.errors import ConfigError
 
-COMMANDS = {  # name: (module with a click command of that name, what it is for)
-    "run": ("onyxwick.cli.run", "Run one director in the foreground."),
-    "cells": ("onyxwick.cli.cells", "What the cells do, what a plan would do, and moves."),
-    "sites": ("onyxwick.cli.sites", "The loss of a whole site: plans, states, drills."),
-    "lab": ("onyxwick.cli.lab", "Scenarios against the real program, judged from the sockets."),
-    "store": ("onyxwick.cli.store", "What a store holds, and what to do when it refuses."),
-    "trace": ("onyxwick.cli.trace", "What a trace tells: cut, merge, summarise, explain, audit and more."),
-    "distribution": ("onyxwick.cli.distribution", "The tree that carries lists, purges and documents."),
-    "config": ("onyxwick.cli.config", "Check configuration files."),
+FINDING_EXIT_CODE = 1
+UNUSABLE_EXIT_CODE = 2
+
+
+class CommandEntry(NamedTuple):
+    """A command as the help lists it: the module with a click command of its name, and its purpose."""
+
+    module: str
+    purpose: str
+
+
+COMMANDS = {
+    "run": CommandEntry("onyxwick.cli.run", "Run one director in the foreground."),
+    "cells": CommandEntry("onyxwick.cli.cells", "What the cells do, what a plan would do, and moves."),
+    "sites": CommandEntry("onyxwick.cli.sites", "The loss of a whole site: plans, states, drills."),
+    "lab": CommandEntry("onyxwick.cli.lab", "Scenarios against the real program, judged from the sockets."),
+    "store": CommandEntry("onyxwick.cli.store", "What a store holds, and what to do when it refuses."),
+    "trace": CommandEntry(
+        "onyxwick.cli.trace", "What a trace tells: cut, merge, summarise, explain, audit and more."
+    ),
+    "distribution": CommandEntry(
+        "onyxwick.cli.distribution", "The tree that carries lists, purges and documents."
+    ),
+    "config": CommandEntry("onyxwick.cli.config", "Check configuration files."),
 }
 
 
 class UnusableInputError(click.ClickException):
-    """Input that cannot be used: exit code 2."""
+    """Input that cannot be used; the message says which and why."""
 
-    exit_code = 2
+    exit_code = UNUSABLE_EXIT_CODE
 
 
 class LazyGroup(click.Group):
-    """A group that knows its commands by name and loads one when it is asked for."""
+    """A group that knows its commands by name and imports one only when it is called."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
+        """The commands in the order of the help."""
         return list(COMMANDS)
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        if cmd_name not in COMMANDS:
+        """Import a command; None for an unknown name."""
+        entry = COMMANDS.get(cmd_name)
+        if entry is None:
             return None
-        command = getattr(importlib.import_module(COMMANDS[cmd_name][0]), cmd_name)
+        command = getattr(importlib.import_module(entry.module), cmd_name)
         assert isinstance(command, click.Command)
         return command
 
     def format_commands(self, ctx: click.Context, formatter: click.HelpFormatter) -> None:
-        with formatter.section("Commands"):  # from the table: help is no reason to load them all
-            formatter.write_dl([(name, text) for name, (_, text) in COMMANDS.items()])
+        """Write the help's list from the table, without importing the commands."""
+        with formatter.section("Commands"):
+            formatter.write_dl([(name, entry.purpose) for name, entry in COMMANDS.items()])
 
 
 @click.command(cls=LazyGroup, context_settings={"help_option_names": ["-h", "--help"]})
@@ -51,14 +74,15 @@
 
 
 def main() -> int:
+    """Run the command line of this process; the exit code."""
     try:
         code = onyxwick(prog_name="onyxwick", standalone_mode=False)
     except click.ClickException as error:
         error.show()
         return error.exit_code
     except click.Abort:
-        return 1
+        return FINDING_EXIT_CODE
     except ConfigError as error:
         click.echo(f"onyxwick: {error}", err=True)
-        return 2
+        return UNUSABLE_EXIT_CODE
     return code if isinstance(code, int) else 0
--- a/onyxwick/cli/cells.py
+++ b/onyxwick/cli/cells.py
@@ -9,6 +9,7 @@
 
 import click
 
+from onyxwick.cli import FINDING_EXIT_CODE
 from onyxwick.cli.remote import RemoteDirector, admin_option, json_option, remote_of, token_option
 
 
@@ -25,19 +26,19 @@
     return remote_of(ctx, "cells")
 
 
-def _print_state(told: dict[str, Any]) -> None:
-    click.echo(f"version {told['version']}, {told['tenants']} tenants")
-    for name, row in told["cells"].items():
+def _print_state(state: dict[str, Any]) -> None:
+    click.echo(f"version {state['version']}, {state['tenants']} tenants")
+    for name, row in state["cells"].items():
         full = f"{row['open']} of {row['limit']:g} (at most {row['most']:g})"
         click.echo(
             f"cell {name}: {row['ready']} of {len(row['members'])} boxes ready, {row['tenants']} tenants,"
             f" open {full}, pressure {row['pressure']:.0%}, {row['parents_part']:.0%} of the parents"
             + (", leaving" if row["leaving"] else "")
         )
-    for name, row in told["moves"].items():
+    for name, row in state["moves"].items():
         where = f"{row['tenant']} to {', '.join(row['to'])}"
         click.echo(f"move {name}: {where}: {row['phase']}, {row['share']:.0%} over: {row['why']}")
-    for name, count in told["counts"].items():
+    for name, count in state["counts"].items():
         click.echo(f"{name} {count}")
 
 
@@ -46,8 +47,8 @@
 @click.pass_context
 def show(ctx: click.Context, as_json: bool) -> None:
     """The cells of a running director."""
-    told = _remote(ctx).call("GET", "/cells")
-    click.echo(json.dumps(told)) if as_json else _print_state(told)
+    answer = _remote(ctx).call("GET", "/cells")
+    click.echo(json.dumps(answer)) if as_json else _print_state(answer)
 
 
 @cells.command()
@@ -57,8 +58,8 @@
 @click.pass_context
 def explain(ctx: click.Context, tenant: str, object_name: str, as_json: bool) -> None:
     """Why an object of a tenant goes where it goes."""
-    told = _remote(ctx).call("GET", f"/cells/explain/{quote(tenant, '')}/{quote(object_name, '')}")
-    click.echo(json.dumps(told) if as_json else "\n".join(told["because"]))
+    answer = _remote(ctx).call("GET", f"/cells/explain/{quote(tenant, '')}/{quote(object_name, '')}")
+    click.echo(json.dumps(answer) if as_json else "\n".join(answer["because"]))
 
 
 @cells.command()
@@ -84,9 +85,9 @@
 ) -> None:
     """Move TENANT to the cells TO. The same call again changes nothing."""
     row = {"tenant": tenant, "to": list(to), "keys": keys, "warm": warm, "bake": bake}
-    told = _remote(ctx).call("PUT", f"/cells/plan/moves/{quote(name, '')}", row, for_version)
-    done = "ordered" if told["changed"] else "was ordered already"
-    click.echo(json.dumps(told) if as_json else f"move {name} {done}; version {told['version']} runs")
+    answer = _remote(ctx).call("PUT", f"/cells/plan/moves/{quote(name, '')}", row, for_version)
+    done = "ordered" if answer["changed"] else "was ordered already"
+    click.echo(json.dumps(answer) if as_json else f"move {name} {done}; version {answer['version']} runs")
 
 
 @cells.command()
@@ -95,11 +96,11 @@
 @click.pass_context
 def abort(ctx: click.Context, name: str, as_json: bool) -> None:
     """Turn the move NAME back; exit 1 where it has ended."""
-    told = _remote(ctx).call("POST", f"/cells/moves/{quote(name, '')}/abort")
-    row = told["move"]
-    click.echo(json.dumps(told) if as_json else f"move {name}: {row['phase']}: {row['why']}")
-    if not told["changed"]:
-        raise click.exceptions.Exit(1)
+    answer = _remote(ctx).call("POST", f"/cells/moves/{quote(name, '')}/abort")
+    row = answer["move"]
+    click.echo(json.dumps(answer) if as_json else f"move {name}: {row['phase']}: {row['why']}")
+    if not answer["changed"]:
+        raise click.exceptions.Exit(FINDING_EXIT_CODE)
 
 
 @cells.command()
@@ -111,15 +112,15 @@
     """What the plan in FILE would do, without a running director; exit 1 where a cell has no box."""
     from onyxwick.cells.offline import planned
 
-    told = planned(file, config, against)
+    outcome = planned(file, config, against)
     if as_json:
-        click.echo(json.dumps(told))
+        click.echo(json.dumps(outcome))
     else:
-        for name, row in told["cells"].items():
+        for name, row in outcome["cells"].items():
             click.echo(f"cell {name}: {len(row['members'])} boxes, {row['tenants']} tenants")
-        for name, row in told["moved"].items():
+        for name, row in outcome["moved"].items():
             click.echo(f"tenant {name}: {', '.join(row['from'])} to {', '.join(row['to'])}")
-        for text in told["findings"]:
+        for text in outcome["findings"]:
             click.echo(f"finding: {text}")
-    if told["findings"]:
-        raise click.exceptions.Exit(1)
+    if outcome["findings"]:
+        raise click.exceptions.Exit(FINDING_EXIT_CODE)
--- a/onyxwick/cli/config.py
+++ b/onyxwick/cli/config.py
@@ -7,15 +7,16 @@
 
 import click
 
+from onyxwick.cli import UNUSABLE_EXIT_CODE
 from onyxwick.config import ConfigError
 
 
 def check_file(path: Path) -> str:
-    """What kind of file it is; ConfigError where it cannot be used."""
+    """The kind of a file, `director` or `service`; ConfigError where it cannot be used."""
     if path.suffix == ".json":
-        from onyxwick.config import director as relay
+        from onyxwick.config import director
 
-        relay.load({"RELAY_CONFIG": str(path)})
+        director.load({"RELAY_CONFIG": str(path)})
         return "director"
     from onyxwick.config import service
 
@@ -41,7 +42,8 @@
             rows.append({"file": path.name, "kind": None, "error": str(error)})
     if as_json:
         click.echo(json.dumps({"files": rows}))
-    for row in rows if not as_json else ():
-        click.echo(str(row["error"]) if row["error"] else f"{row['file']}: good ({row['kind']})")
+    else:
+        for row in rows:
+            click.echo(str(row["error"]) if row["error"] else f"{row['file']}: good ({row['kind']})")
     if any(row["error"] for row in rows):
-        raise click.exceptions.Exit(2)
+        raise click.exceptions.Exit(UNUSABLE_EXIT_CODE)
--- a/onyxwick/cli/distribution.py
+++ b/onyxwick/cli/distribution.py
@@ -56,12 +56,14 @@
 
     names = [f"relay-{number}" for number in range(1, relays + 1)]
     leaves = [f"director-{number}" for number in range(1, directors + 1)]
+    domains = {name: f"rack-{place % racks}" for place, name in enumerate(names)} if racks > 1 else {}
     try:
-        domains = {name: f"rack-{place % racks}" for place, name in enumerate(names)} if racks > 1 else {}
         rows = plan("root", names, leaves, TreeLimits(width, parents), domains)
     except TreeError as error:
         raise UnusableInputError(str(error)) from None
-    loads = Counter(rows[leaf][0] for leaf in leaves)
-    seconds = Counter(rows[leaf][1] for leaf in leaves)
-    summary = {"root": relays, "first": dict(loads), "second": dict(seconds)}
-    click.echo(json.dumps({**summary, "parents": {leaf: rows[leaf] for leaf in leaves}} if each else summary))
+    first_loads = Counter(rows[leaf][0] for leaf in leaves)
+    second_loads = Counter(rows[leaf][1] for leaf in leaves)
+    summary: dict[str, object] = {"root": relays, "first": dict(first_loads), "second": dict(second_loads)}
+    if each:
+        summary["parents"] = {leaf: rows[leaf] for leaf in leaves}
+    click.echo(json.dumps(summary))
--- a/onyxwick/cli/faults.py
+++ b/onyxwick/cli/faults.py
@@ -8,13 +8,16 @@
 
 import click
 
-from onyxwick.cli import UnusableInputError
+from onyxwick.cli import FINDING_EXIT_CODE, UnusableInputError
 from onyxwick.cli.remote import json_option
 
 if TYPE_CHECKING:
     from onyxwick.lab.faults.history import History
     from onyxwick.lab.faults.model import FleetScenario
+    from onyxwick.lab.soak.report import SoakReport
 
+NOT_JUDGED_EXIT_CODE = 3
+"""Of a soak whose own clients or servers were too late to judge."""
 path_argument = click.argument("file", type=click.Path(path_type=Path))
 
 
@@ -79,23 +82,27 @@
         run, history = None, played(str(file), fleet, seed, variant)
     else:
         run, history = uvloop.run(once())
-    told = report(history)
-    failed = bool(told["broken"])
+    verdict = report(history)
+    failed = bool(verdict["broken"])
     kept = keep or (Path("found") / f"{file.stem}-{variant}-{seed}" if failed else None)
     if kept is not None:
         kept.mkdir(parents=True, exist_ok=True)
         write(history, kept / "history.jsonl")
-        told["kept"] = str(kept)
+        verdict["kept"] = str(kept)
     if run is not None:
         run.clear(kept)
-    click.echo(json.dumps(told) if as_json else _faults_text(told))
+    click.echo(json.dumps(verdict) if as_json else _verdict_text(verdict))
     if failed:
         click.echo(f"play it again: {history.line()}", err=True)
-        raise click.exceptions.Exit(1)
+        raise click.exceptions.Exit(FINDING_EXIT_CODE)
 
 
-def _faults_text(told: dict[str, Any]) -> str:
-    return "\n".join(f"{name}: {value}" for name, value in told.items() if value not in ("", [], {}))
+def _report_progress(text: str) -> None:
+    click.echo(text, err=True)
+
+
+def _verdict_text(verdict: dict[str, Any]) -> str:
+    return "\n".join(f"{name}: {value}" for name, value in verdict.items() if value not in ("", [], {}))
 
 
 @faults.command()
@@ -128,8 +135,7 @@
     numbers = list(range(first, first + seeds))
     with tree_of(against) as tree:
         plays = [Plays(file, keep, tree, simulated, directors) for file in files]
-        told = lambda text: click.echo(text, err=True)  # noqa: E731
-        rows = played(plays, numbers, names, at_once or at_once_here(simulated), told)
+        rows = played(plays, numbers, names, at_once or at_once_here(simulated), _report_progress)
     for row in rows:
         click.echo(json.dumps(row))
     for file in files:
@@ -138,7 +144,16 @@
             pair = {"scenario": file.stem, "paired": [names[0], other]}
             click.echo(json.dumps(pair | paired(here, names[0], other)))
     if any(row["broken"] for row in rows):
-        raise click.exceptions.Exit(1)
+        raise click.exceptions.Exit(FINDING_EXIT_CODE)
+
+
+def _read_history(path: Path) -> History:
+    from onyxwick.lab.faults.history import read
+
+    try:
+        return read(path)
+    except (OSError, ValueError) as error:
+        raise UnusableInputError(str(error)) from None
 
 
 @faults.command()
@@ -147,17 +162,13 @@
 def judge(history: Path, as_json: bool) -> None:
     """Judge a HISTORY that was kept, and print the line that plays it again; exit 1 where a rule broke."""
     from onyxwick.lab.faults.checkers import report
-    from onyxwick.lab.faults.history import read
 
-    try:
-        found = read(history)
-    except (OSError, ValueError) as error:
-        raise UnusableInputError(str(error)) from None
-    told = report(found)
-    click.echo(json.dumps(told) if as_json else _faults_text(told))
+    found = _read_history(history)
+    verdict = report(found)
+    click.echo(json.dumps(verdict) if as_json else _verdict_text(verdict))
     click.echo(f"play it again: {found.line()}", err=True)
-    if told["broken"]:
-        raise click.exceptions.Exit(1)
+    if verdict["broken"]:
+        raise click.exceptions.Exit(FINDING_EXIT_CODE)
 
 
 @faults.command()
@@ -165,12 +176,7 @@
 @click.pass_context
 def replay(ctx: click.Context, history: Path) -> None:
     """Play the run of a HISTORY again: the same scenario, seed and variant."""
-    from onyxwick.lab.faults.history import read
-
-    try:
-        found = read(history)
-    except (OSError, ValueError) as error:
-        raise UnusableInputError(str(error)) from None
+    found = _read_history(history)
     ctx.invoke(
         faults_run,
         file=Path(found.scenario),
@@ -219,8 +225,14 @@
         codes = set()
         for report in reports:
             click.echo(json.dumps(report.data()))
-            codes.add(1 if report.findings else 0 if report.judged else 3)
+            codes.add(_soak_exit_code(report))
     except ShimError as error:
         raise UnusableInputError(str(error)) from None
     if codes - {0}:
         raise click.exceptions.Exit(min(codes - {0}))
+
+
+def _soak_exit_code(report: SoakReport) -> int:
+    if report.findings:
+        return FINDING_EXIT_CODE
+    return 0 if report.judged else NOT_JUDGED_EXIT_CODE
--- a/onyxwick/cli/lab.py
+++ b/onyxwick/cli/lab.py
@@ -8,7 +8,7 @@
 
 import click
 
-from onyxwick.cli import UnusableInputError
+from onyxwick.cli import FINDING_EXIT_CODE, UnusableInputError
 from onyxwick.cli.faults import faults, path_argument
 from onyxwick.cli.remote import json_option
 from onyxwick.cli.scale import scale
@@ -31,16 +31,16 @@
 
     scenario = read(file)
     runs = play_all(file, scenario, list(seeds), at_once)
-    told = summary(scenario, runs)
+    result = summary(scenario, runs)
     if as_json:
-        click.echo(json.dumps({**told, "runs": runs}))
+        click.echo(json.dumps({**result, "runs": runs}))
     else:
-        _print(told, runs)
-    if told["unmet"]:
-        raise click.exceptions.Exit(1)
+        _print(result, runs)
+    if result["unmet"]:
+        raise click.exceptions.Exit(FINDING_EXIT_CODE)
 
 
-def _print(told: dict[str, Any], runs: list[dict[str, Any]]) -> None:
+def _print(result: dict[str, Any], runs: list[dict[str, Any]]) -> None:
     for run in runs:
         click.echo(f"{run['variant']} seed {run['seed']}: {run['audited']} requests, broken {run['broken']}")
         for name, row in run["tenants"].items():
@@ -48,9 +48,9 @@
                 f"  {name}: service {row['service']:.4f}, p50 {row['p50_ms']} ms, p99 {row['p99_ms']} ms,"
                 f" refused {row['refused']}, failed {row['failed']}"
             )
-    for row in told["seeds"]:
+    for row in result["seeds"]:
         click.echo(json.dumps(row))
-    for text in told["unmet"]:
+    for text in result["unmet"]:
         click.echo(f"not met: {text}")
 
 
@@ -83,19 +83,21 @@
 
     scenario = read(file)
     if fault is not None and fault not in scenario.faults:
-        raise UnusableInputError(
-            f"no fault '{fault}' in {file.name}; it has: {', '.join(scenario.faults) or 'none'}"
-        )
+        known = ", ".join(scenario.faults) or "none"
+        raise UnusableInputError(f"no fault '{fault}' in {file.name}; it has: {known}")
 
     async def once() -> dict[str, Any]:
         run = ScenarioRun(scenario, seed, cells, fault, slot)
-        run.program, run.trace, run.store, run.idle = program, trace, store, idle
+        run.program = program
+        run.trace = trace
+        run.store = store
+        run.idle = idle
         return await run.play()
 
     report = uvloop.run(once())
     click.echo(json.dumps(report))
     if report["broken"]:
-        raise click.exceptions.Exit(1)
+        raise click.exceptions.Exit(FINDING_EXIT_CODE)
 
 
 @lab.command()
@@ -228,7 +230,7 @@
     for row in rows:
         click.echo(json.dumps(row))
     if any(row["wrong"] for row in rows):
-        raise click.exceptions.Exit(1)
+        raise click.exceptions.Exit(FINDING_EXIT_CODE)
 
 
 @lab.command()
@@ -241,8 +243,8 @@
     """Write stand-in traces of directors whose clocks disagree to FOLDER."""
     from onyxwick.lab.traces import make
 
-    stand = make(folder, directors, rate, seconds, seed)
-    click.echo(json.dumps({"requests": stand.requests, "files": [path.name for path in stand.paths]}))
+    made = make(folder, directors, rate, seconds, seed)
+    click.echo(json.dumps({"requests": made.requests, "files": [path.name for path in made.paths]}))
 
 
 @lab.command()
@@ -276,10 +278,6 @@
         click.echo(json.dumps(row))
 
 
-lab.add_command(faults)
-lab.add_command(scale)
-
-
 @lab.command()
 @click.option("--requests", type=click.IntRange(1000, 10_000_000), default=100_000, show_default=True)
 @click.option("--rounds", type=click.IntRange(1, 100), default=5, show_default=True)
@@ -288,3 +286,7 @@
     from onyxwick.lab.checks import report
 
     click.echo(json.dumps(report(requests, rounds)))
+
+
+lab.add_command(faults)
+lab.add_command(scale)
--- a/onyxwick/cli/remote.py
+++ b/onyxwick/cli/remote.py
@@ -10,9 +10,10 @@
 import click
 
 from onyxwick.cli import UnusableInputError
-from onyxwick.config.address import read_address
+from onyxwick.config.address import AddressError, format_address, read_address
 
 TIMEOUT_S = 10.0
+FIRST_ERROR_STATUS = 400
 json_option = click.option("--json", "as_json", is_flag=True, help="JSON on standard output.")
 admin_option = click.option(
     "--admin", default="127.0.0.1:8053", show_default=True, help="The administration API."
@@ -27,35 +28,39 @@
 
     def __init__(self, address: str, token_file: Path) -> None:
         try:
-            self.address, self.token = read_address(address), token_file.read_text().strip()
-        except (ValueError, OSError) as error:
+            self.address = read_address(address)
+            self.token = token_file.read_text().strip()
+        except (AddressError, ValueError, OSError) as error:
             raise UnusableInputError(str(error)) from None
 
     def call(
-        self, method: str, path: str, data: object = None, made_for: int | None = None
+        self, method: str, path: str, body: object = None, expected_version: int | None = None
     ) -> dict[str, Any]:
-        head = {"Authorization": f"Bearer {self.token}"}
-        if made_for is not None:
-            head["If-Match"] = str(made_for)
+        """The API's JSON answer; UnusableInputError where it cannot be reached or answers with an error.
+
+        `expected_version`: the call changes something only if this version of the plan is active.
+        """
+        headers = {"Authorization": f"Bearer {self.token}"}
+        if expected_version is not None:
+            headers["If-Match"] = str(expected_version)
         connection = http.client.HTTPConnection(*self.address, timeout=TIMEOUT_S)
         try:
-            connection.request(method, path, json.dumps(data) if data is not None else None, head)
-            answer = connection.getresponse()
-            told = json.loads(answer.read() or b"{}")
+            connection.request(method, path, json.dumps(body) if body is not None else None, headers)
+            response = connection.getresponse()
+            answer = json.loads(response.read() or b"{}")
         except (OSError, http.client.HTTPException, ValueError) as error:
-            raise UnusableInputError(
-                f"administration API at {self.address[0]}:{self.address[1]}: {error}"
-            ) from None
+            where = f"administration API at {format_address(self.address)}"
+            raise UnusableInputError(f"{where}: {error}") from None
         finally:
             connection.close()
-        if answer.status >= 400:
-            raise UnusableInputError(f"{answer.status}: {told.get('error', '')}")
-        assert isinstance(told, dict)
-        return told
+        if response.status >= FIRST_ERROR_STATUS:
+            raise UnusableInputError(f"{response.status}: {answer.get('error', '')}")
+        assert isinstance(answer, dict)
+        return answer
 
 
 def remote_of(ctx: click.Context, command: str) -> RemoteDirector:
-    """What a group's options name; the group has put them into the context."""
+    """The director that a group's options name; the group has put them into the context."""
     admin, token_file = ctx.obj
     if token_file is None:
         raise UnusableInputError(
--- a/onyxwick/cli/scale.py
+++ b/onyxwick/cli/scale.py
@@ -7,12 +7,16 @@
 
 import click
 
-from onyxwick.cli import UnusableInputError
+from onyxwick.cli import FINDING_EXIT_CODE, UnusableInputError
 
 FAULTS = ("none", "kill", "pause", "publisher", "restart", "cut")
 path_option = click.Path(path_type=Path)
 
 
+def _report_progress(text: str) -> None:
+    click.echo(text, err=True)
+
+
 @click.group()
 def scale() -> None:
     """Capacity at size: measured slopes, a hollow fleet, and the model over them."""
@@ -34,7 +38,7 @@
         chosen = measured.by_name(names)
     except KeyError as error:
         raise UnusableInputError(str(error.args[0])) from None
-    result = measured.run(chosen, repeats, lambda text: click.echo(text, err=True))
+    result = measured.run(chosen, repeats, _report_progress)
     if out is not None:
         out.write_text(json.dumps(result, indent=1) + "\n")
     if plot is not None:
@@ -104,15 +108,15 @@
         slot=slot,
     )
     try:
-        fleet_of = HollowFleet(plan, lambda text: click.echo(text, err=True))
+        hollow_fleet = HollowFleet(plan, _report_progress)
     except ValueError as error:
         raise UnusableInputError(str(error)) from None
-    report = uvloop.run(fleet_of.run())
+    report = uvloop.run(hollow_fleet.run())
     click.echo(json.dumps(report))
     if report["starved"]:
         click.echo("the machine was short of cores: no verdict on times", err=True)
     if report["lost"] or report["disordered"] or report["settled_s"] is None:
-        raise click.exceptions.Exit(1)
+        raise click.exceptions.Exit(FINDING_EXIT_CODE)
 
 
 @scale.command()
--- a/onyxwick/cli/sites.py
+++ b/onyxwick/cli/sites.py
@@ -1,4 +1,4 @@
-"""`onyxwick sites`: the loss of a whole site, before it happens, while it lasts, and as a drill."""
+"""`onyxwick sites`: the loss of a site, planned ahead, observed, ordered, or as a failover exercise."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 import click
 
-from onyxwick.cli import UnusableInputError
+from onyxwick.cli import FINDING_EXIT_CODE, UnusableInputError
 from onyxwick.cli.remote import admin_option, json_option, remote_of, token_option
 
 if TYPE_CHECKING:
@@ -18,7 +18,10 @@
     from onyxwick.sites.loss_study import LossStudy
     from onyxwick.sites.model import Topology
 
-LOOK_S = 0.5  # between two looks at a drill
+POLL_INTERVAL_S = 0.5
+"""Between two polls of a failover exercise."""
+EXERCISE_COMPLETED = "it has stayed away for its time"
+"""How a director ends the order of an exercise that no gate stopped."""
 file_argument = click.argument("file", type=click.Path(path_type=Path))
 pairs_option = click.option("--pairs/--no-pairs", default=True, help="The losses of two sites at once, too.")
 
@@ -32,10 +35,10 @@
     ctx.obj = (admin, token_file)
 
 
-def _studied(file: Path, pairs: bool) -> LossStudy:
-    from onyxwick.sites.loss_study import study
+def _study(file: Path, pairs: bool) -> LossStudy:
+    from onyxwick.sites import loss_study
 
-    return study(_topology(file), pairs)
+    return loss_study.study(_topology(file), pairs)
 
 
 def _topology(file: Path) -> Topology:
@@ -46,10 +49,10 @@
     found = read_sites(Fields(hcl.read(file), file.name), file.parent)
     if found is None:
         raise UnusableInputError(f"{file.name}: has no block 'site'")
-    return found[0]
+    return found.topology
 
 
-def _row(outcome: LossOutcome) -> dict[str, Any]:
+def _loss_row(outcome: LossOutcome) -> dict[str, Any]:
     from onyxwick.sites.linear_program import spelled
 
     first = outcome.first
@@ -75,43 +78,44 @@
     """What each loss would do to the sites in FILE; exit 1 where one site's cannot be borne."""
     from onyxwick.sites.plan import to_json
 
-    done = _studied(file, pairs)
-    rows = [_row(outcome) for outcome in done.outcomes.values()]
+    study = _study(file, pairs)
+    rows = [_loss_row(outcome) for outcome in study.outcomes.values()]
     if out is not None:
-        out.write_text(json.dumps(to_json(done.plan()), indent=1) + "\n")
+        out.write_text(json.dumps(to_json(study.plan()), indent=1) + "\n")
     if plots is not None:
         from onyxwick.sites.views import draw
 
         plots.mkdir(parents=True, exist_ok=True)
-        draw(done, plots / "losses.png")
+        draw(study, plots / "losses.png")
     if as_json:
-        told = {"losses": rows, "findings": done.findings(), "pairs_left_out": done.left_out}
-        click.echo(json.dumps(told))
+        document = {"losses": rows, "findings": study.findings(), "pairs_left_out": study.left_out}
+        click.echo(json.dumps(document))
     else:
-        _print_plan(done, rows)
-    _exit(done)
+        _print_plan(study, rows)
+    _exit(study)
 
 
-def _print_plan(done: LossStudy, rows: list[dict[str, Any]]) -> None:
+def _print_plan(study: LossStudy, rows: list[dict[str, Any]]) -> None:
     click.echo(f"{'lost':<32} {'refused':>8}  {'used':>6}  breaks first")
     for row in rows:
         click.echo(f"{row['lost']:<32} {row['refused']:>8.1%}  {row['used']:>6.0%}  {row['breaks_first']}")
-    for outcome in done.outcomes.values():
+    for outcome in study.outcomes.values():
         for (site, kind), shares in sorted(outcome.homes.items()):
             where = ", ".join(f"{share:.0%} to {home}" for home, share in sorted(shares.items()))
             if len(outcome.loss.sites) == 1:
                 click.echo(f"  {outcome.loss}: {kind} of {site}: {where or 'nowhere'}")
-    if done.left_out:
-        click.echo(f"{done.left_out} pairs of sites were left out, those with the most room")
-    for text in done.findings():
+    if study.left_out:
+        click.echo(f"{study.left_out} pairs of sites were left out, those with the most room")
+    for text in study.findings():
         click.echo(f"finding: {text}")
 
 
-def _exit(done: LossStudy) -> None:
-    if any(
-        not o.borne and len(o.loss.sites | o.loss.hubs | o.loss.boxes) < 2 for o in done.outcomes.values()
-    ):
-        raise click.exceptions.Exit(1)
+def _exit(study: LossStudy) -> None:
+    """Exit 1 where the loss of one place cannot be borne."""
+    for outcome in study.outcomes.values():
+        lost = outcome.loss.sites | outcome.loss.hubs | outcome.loss.boxes
+        if not outcome.borne and len(lost) < 2:
+            raise click.exceptions.Exit(FINDING_EXIT_CODE)
 
 
 @sites.command()
@@ -119,13 +123,13 @@
 @json_option
 def check(file: Path, as_json: bool) -> None:
     """Whether the sites in FILE bear the loss of each one and of each hub; exit 1 where they do not."""
-    done = _studied(file, pairs=False)
-    findings = done.findings()
+    study = _study(file, pairs=False)
+    findings = study.findings()
     if as_json:
         click.echo(json.dumps({"findings": findings}))
     else:
-        click.echo("\n".join(findings) or f"{len(done.outcomes) - 1} single losses can be borne")
-    _exit(done)
+        click.echo("\n".join(findings) or f"{len(study.outcomes) - 1} single losses can be borne")
+    _exit(study)
 
 
 @sites.command()
@@ -133,31 +137,31 @@
 @click.pass_context
 def show(ctx: click.Context, as_json: bool) -> None:
     """The sites as a running director sees them."""
-    told = remote_of(ctx, "sites").call("GET", "/sites")
+    answer = remote_of(ctx, "sites").call("GET", "/sites")
     if as_json:
-        click.echo(json.dumps(told))
+        click.echo(json.dumps(answer))
         return
-    cut = ", CUT OFF from everything outside" if told["cut_off"] else ""
-    click.echo(
-        f"site {told['home']}, topology {told['topology']}, {told['planned_losses']} losses planned{cut}"
-    )
+    isolated = ", CUT OFF from everything outside" if answer["cut_off"] else ""
+    planned = f"{answer['planned_losses']} losses planned{isolated}"
+    click.echo(f"site {answer['home']}, topology {answer['topology']}, {planned}")
     for kind in ("sites", "hubs"):
-        for name, row in told[kind].items():
+        for name, row in answer[kind].items():
             _print_place(kind[:-1], name, row)
-    for site, row in told["orders"].items():
+    for site, row in answer["orders"].items():
         drill = " (a drill)" if row["drill"] else ""
         click.echo(
             f"order {site}: {row['word']}{drill}: {row['reason'] or 'no reason given'} {row['turned']}"
         )
-    for name, count in told["counts"].items():
+    for name, count in answer["counts"].items():
         click.echo(f"{name} {count}")
 
 
 def _print_place(kind: str, name: str, row: dict[str, Any]) -> None:
-    boxes, capacity = row["boxes"], row["capacity"]
+    caches = row["boxes"]
+    capacity = row["capacity"]
     click.echo(
         f"{kind} {name}: {row['state']} for {row['since_s']:.0f} s, {row['away']:.0%} away: {row['why']};"
-        f" {boxes['dark']} of {boxes['tried']} tried dark, {boxes['listed']:.0%} listed,"
+        f" {caches['dark']} of {caches['tried']} tried dark, {caches['listed']:.0%} listed,"
         f" room {capacity['room']:.0%}, warm {capacity['warmth']:.0%}"
         + (
             f", step {row['step']}, pressure {row['pressure']:.0%}, open {row['open']}"
@@ -176,8 +180,8 @@
 def explain(ctx: click.Context, site: str, class_name: str, object_name: str, as_json: bool) -> None:
     """Why an OBJECT of a CLASS, asked for by clients of SITE, goes where it goes."""
     path = "/".join(quote(part, "") for part in (site, class_name, object_name))
-    told = remote_of(ctx, "sites").call("GET", f"/sites/explain/{path}")
-    click.echo(json.dumps(told) if as_json else "\n".join(told["because"]))
+    answer = remote_of(ctx, "sites").call("GET", f"/sites/explain/{path}")
+    click.echo(json.dumps(answer) if as_json else "\n".join(answer["because"]))
 
 
 @sites.command()
@@ -189,8 +193,8 @@
 def order(ctx: click.Context, site: str, word: str, reason: str, as_json: bool) -> None:
     """Order a SITE left, returned to or held, before all evidence; `auto` takes an order back."""
     row = {"word": word, "reason": reason}
-    told = remote_of(ctx, "sites").call("PUT", f"/sites/orders/{quote(site, '')}", row)
-    click.echo(json.dumps(told) if as_json else f"site {site}: {told['word']}")
+    answer = remote_of(ctx, "sites").call("PUT", f"/sites/orders/{quote(site, '')}", row)
+    click.echo(json.dumps(answer) if as_json else f"site {site}: {answer['word']}")
 
 
 @sites.command()
@@ -205,18 +209,20 @@
     remote = remote_of(ctx, "sites")
     row = {"word": "evacuate", "reason": reason, "stay_s": stay_s}
     remote.call("PUT", f"/sites/orders/{quote(site, '')}", row)
-    turned, last = "", ""
+    turned = ""
+    last_text = ""
     while follow:
-        told = remote.call("GET", "/sites")
-        place, held = told["sites"][site], told["orders"].get(site)
+        answer = remote.call("GET", "/sites")
+        place = answer["sites"][site]
+        order_row = answer["orders"].get(site)
         text = f"{place['state']}, {place['away']:.0%} away: {place['why']}"
-        if text != last:
+        if text != last_text:
             click.echo(json.dumps({"site": site, **place}) if as_json else f"site {site}: {text}")
-            last = text
-        if held is None:
+            last_text = text
+        if order_row is None:
             break
-        turned = held["turned"] or turned
-        time.sleep(LOOK_S)
-    if turned and turned != "it has stayed away for its time":
+        turned = order_row["turned"] or turned
+        time.sleep(POLL_INTERVAL_S)
+    if turned and turned != EXERCISE_COMPLETED:
         click.echo(f"turned back: {turned}")
-        raise click.exceptions.Exit(1)
+        raise click.exceptions.Exit(FINDING_EXIT_CODE)
--- a/onyxwick/cli/trace.py
+++ b/onyxwick/cli/trace.py
@@ -1,4 +1,4 @@
-"""`onyxwick trace`: what a trace tells."""
+"""`onyxwick trace`: what a trace tells: cut, merge, summarise, explain, audit, compare and export."""
 
 from __future__ import annotations
 
@@ -13,28 +13,30 @@
 
 import click
 
-from onyxwick.cli import UnusableInputError
+from onyxwick.cli import FINDING_EXIT_CODE, UnusableInputError
 from onyxwick.trace.model import RecordedVerdict, TraceError
 
 if TYPE_CHECKING:
     from onyxwick.trace.filter import TraceFilter
     from onyxwick.trace.reader import Trace
-    from onyxwick.trace.table import Strings, Table
+    from onyxwick.trace.table import Table
 
-S = 1_000_000
+US_PER_S = 1_000_000
+MAX_PRINTED_ROWS = 20
+SUMMARY_KINDS = ("class", "tenant", "cell", "member")
 json_option = click.option("--json", "as_json", is_flag=True, help="JSON on standard output.")
 file_argument = click.argument("file", type=click.Path(path_type=Path))
 files_argument = click.argument("files", nargs=-1, required=True, type=click.Path(path_type=Path))
 Command = Callable[..., None]
 
 
-def _usable(command: Command) -> Command:
-    """A file that cannot be used ends with exit code 2 and a word about it."""
+def _report_unusable(command: Command) -> Command:
+    """Turn errors about a trace file into UnusableInputError."""
 
     @wraps(command)
-    def wrapped(*words: Any, **named: Any) -> None:
+    def wrapped(*arguments: Any, **named: Any) -> None:
         try:
-            command(*words, **named)
+            command(*arguments, **named)
         except TraceError as error:
             raise UnusableInputError(str(error)) from None
         except OSError as error:
@@ -44,22 +46,22 @@
 
 
 def read_time(text: str | None) -> int | None:
-    """Unix seconds, or an ISO time (UTC where it names no zone), as Unix us."""
+    """Unix seconds, or an ISO time (UTC where it names no zone), as Unix microseconds."""
     if text is None:
         return None
     try:
-        return int(float(text) * S)
+        return int(float(text) * US_PER_S)
     except ValueError:
         pass
     try:
         when = datetime.fromisoformat(text)
     except ValueError:
         raise UnusableInputError(f"{text!r} is no time; as 1767262800.5 or 2026-03-02T07:00:00") from None
-    return int((when if when.tzinfo else when.replace(tzinfo=UTC)).timestamp() * S)
+    return int((when if when.tzinfo else when.replace(tzinfo=UTC)).timestamp() * US_PER_S)
 
 
-def _wanting(command: Command) -> Command:
-    """The options that choose requests, given to the command as one `wanted`."""
+def _with_filter(command: Command) -> Command:
+    """Add the options that select requests; the command receives them as one `wanted`."""
     verdicts = click.Choice([v.name.lower() for v in RecordedVerdict])
     options = [
         click.option("--from", "begin", help="Arrived at this time or later."),
@@ -78,7 +80,8 @@
 
         chosen = {n: named.pop(n) for n in ("class_name", "tenant", "cell", "object", "member")}
         verdict = named.pop("verdict")
-        begin, end = read_time(named.pop("begin")), read_time(named.pop("end"))
+        begin = read_time(named.pop("begin"))
+        end = read_time(named.pop("end"))
         named["wanted"] = TraceFilter(
             begin, end, **chosen, verdict=RecordedVerdict[verdict.upper()] if verdict else None
         )
@@ -89,11 +92,12 @@
     return wrapped
 
 
-def _losses(traces: list[Trace]) -> list[str]:
-    out = [f"{t.path.name}: {x.size} bytes at {x.offset} lost: {x.text}" for t in traces for x in t.losses]
-    for text in out:
+def _report_losses(traces: list[Trace]) -> list[str]:
+    """Print what is lost in the files on standard error; the same as texts."""
+    texts = [f"{t.path.name}: {x.size} bytes at {x.offset} lost: {x.text}" for t in traces for x in t.losses]
+    for text in texts:
         click.echo(text, err=True)
-    return out
+    return texts
 
 
 @click.group()
@@ -104,50 +108,51 @@
 @trace.command()
 @files_argument
 @json_option
-@_usable
+@_report_unusable
 def info(files: tuple[Path, ...], as_json: bool) -> None:
     """Who wrote each file, when, how much is in it; exit 1 where some of it is lost."""
+    rows = [_describe(path) for path in files]
+    if as_json:
+        click.echo(json.dumps({"files": rows}))
+    else:
+        for row in rows:
+            click.echo("\n".join(f"{name}: {value}" for name, value in row.items()))
+    if any(row["losses"] for row in rows):
+        raise click.exceptions.Exit(FINDING_EXIT_CODE)
+
+
+def _describe(path: Path) -> dict[str, Any]:
+    """What `info` prints of one file; all its blocks are read."""
     from onyxwick.trace.reader import open_trace
     from onyxwick.trace.table import Strings
 
-    rows, lost = [], False
-    for path in files:
-        with open_trace(path) as opened:
-            strings = Strings()
-            for _ in opened.tables(strings):
-                pass
-            heads = [e.head for e in opened.entries]
-            row: dict[str, Any] = {
-                "file": path.name,
-                "director": opened.header.director,
-                "version": ".".join(map(str, opened.header.version)),
-                "index": "whole" if opened.indexed else "made anew",
-                "blocks": len(heads),
-                "requests": sum(h.lives for h in heads),
-                "dropped": sum(h.dropped for h in heads),
-                "open_at_end": heads[-1].open if heads else 0,
-                "begin_unix": min((h.first for h in heads if h.first), default=0) / S,
-                "end_unix": max((h.last for h in heads), default=0) / S,
-                "bytes": opened.size,
-                "clocks": opened.header.clocks,
-                "losses": [f"{x.size} bytes at {x.offset}: {x.text}" for x in opened.losses],
-            }
-            lost |= bool(opened.losses)
-            rows.append(row)
-    if as_json:
-        click.echo(json.dumps({"files": rows}))
-    for row in rows if not as_json else ():
-        click.echo("\n".join(f"{name}: {value}" for name, value in row.items()))
-    if lost:
-        raise click.exceptions.Exit(1)
+    with open_trace(path) as opened:
+        for _ in opened.tables(Strings()):
+            pass
+        heads = [entry.head for entry in opened.entries]
+        return {
+            "file": path.name,
+            "director": opened.header.director,
+            "version": ".".join(map(str, opened.header.version)),
+            "index": "whole" if opened.indexed else "made anew",
+            "blocks": len(heads),
+            "requests": sum(head.lives for head in heads),
+            "dropped": sum(head.dropped for head in heads),
+            "open_at_end": heads[-1].open if heads else 0,
+            "begin_unix": min((head.first for head in heads if head.first), default=0) / US_PER_S,
+            "end_unix": max((head.last for head in heads), default=0) / US_PER_S,
+            "bytes": opened.size,
+            "clocks": opened.header.clocks,
+            "losses": [f"{loss.size} bytes at {loss.offset}: {loss.text}" for loss in opened.losses],
+        }
 
 
 @trace.command()
 @file_argument
 @click.argument("out", type=click.Path(path_type=Path))
-@_wanting
+@_with_filter
 @json_option
-@_usable
+@_report_unusable
 def cut(file: Path, out: Path, wanted: TraceFilter, as_json: bool) -> None:
     """Write to OUT the requests that are wanted, and what was told in that time."""
     from onyxwick.trace.filter import cut as chosen
@@ -160,37 +165,36 @@
         for table in chosen(opened, wanted, Strings()):
             writer.add(table)
         writer.close()
-        told: dict[str, Any] = {
+        result: dict[str, Any] = {
             "requests": writer.lives,
             "read_bytes": opened.read_bytes,
             "file_bytes": opened.size,
+            "losses": _report_losses([opened]),
         }
-        told |= {"losses": _losses([opened])}
-    click.echo(
-        json.dumps(told) if as_json else f"{told['requests']} requests; {told['read_bytes']} bytes read"
-    )
+    text = f"{result['requests']} requests; {result['read_bytes']} bytes read"
+    click.echo(json.dumps(result) if as_json else text)
 
 
 @trace.command()
 @click.argument("out", type=click.Path(path_type=Path))
 @files_argument
 @json_option
-@_usable
+@_report_unusable
 def merge(out: Path, files: tuple[Path, ...], as_json: bool) -> None:
     """Write to OUT the FILES of several directors, in the order of what happened."""
     from onyxwick.trace.merge import merge as merged
 
-    told = merged(list(files), out)
+    result = merged(list(files), out)
     if as_json:
-        click.echo(json.dumps(told))
+        click.echo(json.dumps(result))
         return
-    click.echo(f"{told['requests']} requests")
-    for name, row in told["clocks"].items():
+    click.echo(f"{result['requests']} requests")
+    for name, row in result["clocks"].items():
         click.echo(
             f"{name}: {row['offset_us'] / 1000:.1f} ms ahead, drift {row['drift_ppm']:.1f} ppm, doubt"
             f" {row['doubt_us'] / 1000:.1f} ms, from {row['events']:.0f} events, {row['retries']:.0f} retries"
         )
-    for text in told["losses"]:
+    for text in result["losses"]:
         click.echo(text, err=True)
 
 
@@ -198,7 +202,7 @@
 @file_argument
 @click.argument("out", type=click.Path(path_type=Path))
 @click.option("--key", required=True, type=click.Path(path_type=Path), help="A file of 32 bytes or more.")
-@_usable
+@_report_unusable
 def anonymise(file: Path, out: Path, key: Path) -> None:
     """Write to OUT the same trace with every id and name hidden by the key."""
     from onyxwick.trace.anonymise import Anonymiser, read_key
@@ -208,27 +212,21 @@
 
     hide = Anonymiser(read_key(key))
     with open_trace(file) as opened:
-        writer, old, new = TraceWriter(out, hide.header(opened.header)), Strings(), Strings()
-        for head, table in opened.tables(old):
-            writer.add(hide.table(table, new), head.dropped)
+        writer = TraceWriter(out, hide.header(opened.header))
+        hidden = Strings()
+        for head, table in opened.tables(Strings()):
+            writer.add(hide.table(table, hidden), head.dropped)
         writer.close()
-        _losses([opened])
+        _report_losses([opened])
     click.echo(f"{writer.lives} requests")
 
 
-def _tables(stack: ExitStack, files: tuple[Path, ...], strings: Strings) -> tuple[list[Trace], Any]:
-    from onyxwick.trace.reader import open_trace
-
-    traces = [stack.enter_context(open_trace(path)) for path in files]
-    return traces, (pair for opened in traces for pair in opened.tables(strings))
-
-
 @trace.command()
 @files_argument
-@_wanting
+@_with_filter
 @click.option("--plots", type=click.Path(path_type=Path), help="A folder for PNG files and an HTML page.")
 @json_option
-@_usable
+@_report_unusable
 def summarise(files: tuple[Path, ...], wanted: TraceFilter, plots: Path | None, as_json: bool) -> None:
     """Worth, verdicts, latencies, retries and sources by class, tenant, cell and member."""
     from onyxwick.trace.reader import open_trace
@@ -242,56 +240,57 @@
             for head, table in opened.tables(Strings(), wanted.in_block):
                 rows = wanted.rows(table)
                 summary.add(table if rows.all() else table.take(rows.nonzero()[0]), head.dropped)
-            _losses([opened])
+            _report_losses([opened])
     assert summary is not None
     if plots:
         from onyxwick.trace.plots import write
 
         write(summary, plots, ", ".join(path.name for path in files))
-    told = summary.shown()
-    click.echo(json.dumps(told)) if as_json else _print_summary(told)
+    shown = summary.shown()
+    click.echo(json.dumps(shown)) if as_json else _print_summary(shown)
 
 
-def _print_summary(told: dict[str, Any]) -> None:
-    click.echo(f"{told['requests']} requests, {told['dropped']} dropped, worst ten seconds {told['worst']}")
-    for kind in ("class", "tenant", "cell", "member"):
-        for name, row in told[kind].items():
+def _print_summary(shown: dict[str, Any]) -> None:
+    worst = f"worst ten seconds {shown['worst']}"
+    click.echo(f"{shown['requests']} requests, {shown['dropped']} dropped, {worst}")
+    for kind in SUMMARY_KINDS:
+        for name, row in shown[kind].items():
             click.echo(
                 f"{kind} {name or '(none)'}: {row['requests']} requests, service {row['service']:.4f}, served"
                 f" {row['served']}, refused {row['refused']}, failed {row['failed']}, left {row['left']},"
                 f" p50 {row['p50_ms']} ms, p99 {row['p99_ms']} ms"
             )
-    click.echo(f"answers {told['answers']}, bytes filled {told['fill_bytes']}")
+    click.echo(f"answers {shown['answers']}, bytes filled {shown['fill_bytes']}")
 
 
 @trace.command()
 @files_argument
 @click.option("--request", required=True, help="The request's id.")
-@_usable
+@_report_unusable
 def explain(files: tuple[Path, ...], request: str) -> None:
     """Tell one request's story; exit 1 where no file has it."""
     from onyxwick.trace.explain import explain as story
     from onyxwick.trace.filter import TraceFilter
     from onyxwick.trace.filter import cut as chosen
+    from onyxwick.trace.reader import open_trace
     from onyxwick.trace.table import Strings
 
     found = 0
     with ExitStack() as stack:
-        traces, _ = _tables(stack, files, Strings())
-        for opened in traces:
+        for opened in [stack.enter_context(open_trace(path)) for path in files]:
             for table in chosen(opened, TraceFilter(request=request), Strings(), told=False):
                 for row in range(len(table)):
                     click.echo("\n".join(story(table, row)))
                     found += 1
     if not found:
         click.echo(f"no request {request} here", err=True)
-        raise click.exceptions.Exit(1)
+        raise click.exceptions.Exit(FINDING_EXIT_CODE)
 
 
 @trace.command()
 @file_argument
 @json_option
-@_usable
+@_report_unusable
 def audit(file: Path, as_json: bool) -> None:
     """Judge the rules from one file (of several directors: a merged one); exit 1 where one is broken."""
     from onyxwick.trace.audit import Audit
@@ -300,22 +299,22 @@
 
     with open_trace(file) as opened:
         strings = Strings()
-        told = [t for _, table in opened.tables(strings, lambda h: h.told > 0) for t in table.told]
-        judge = Audit(opened.header, told)
+        tables = opened.tables(strings, lambda head: head.told > 0)
+        judge = Audit(opened.header, [notice for _, table in tables for notice in table.told])
         for _, table in opened.tables(strings):
             judge.add(table)
         report = judge.report()
-        _losses([opened])
+        _report_losses([opened])
     shown = report.shown()
     if as_json:
         click.echo(json.dumps(shown))
     else:
         for rule, verdict in shown["verdicts"].items():
             click.echo(f"{rule}: {verdict} ({shown['looked_at'].get(rule, 0)} cases)")
-        for row in (*shown["broken"][:20], *shown["doubtful"][:20]):
+        for row in (*shown["broken"][:MAX_PRINTED_ROWS], *shown["doubtful"][:MAX_PRINTED_ROWS]):
             click.echo(json.dumps(row))
     if report.broken:
-        raise click.exceptions.Exit(1)
+        raise click.exceptions.Exit(FINDING_EXIT_CODE)
 
 
 @trace.command()
@@ -327,7 +326,7 @@
 @click.option("--b-to")
 @click.option("--most", default=20, show_default=True)
 @json_option
-@_usable
+@_report_unusable
 def compare(
     a: Path,
     b: Path | None,
@@ -352,13 +351,13 @@
             tables: Iterator[Table] = chosen(opened, wanted, Strings(), told=False)
             return losses(opened.header, tables)
 
-    told = compared(window(a, a_from, a_to), window(b or a, b_from, b_to))
-    told["rows"] = told["rows"][:most]
+    result = compared(window(a, a_from, a_to), window(b or a, b_from, b_to))
+    result["rows"] = result["rows"][:most]
     if as_json:
-        click.echo(json.dumps(told))
+        click.echo(json.dumps(result))
         return
-    click.echo(f"service {told['service_a']:.4f} against {told['service_b']:.4f}")
-    for row in told["rows"]:
+    click.echo(f"service {result['service_a']:.4f} against {result['service_b']:.4f}")
+    for row in result["rows"]:
         rates = f"({row['loss_a']:.1%} to {row['loss_b']:.1%} lost)"
         worse = f"{row['by_worse_service']:+.4f} by worse service {rates}"
         name = f"{row['kind']} {row['name'] or '(none)'}"
@@ -369,7 +368,7 @@
 @file_argument
 @click.argument("out", type=click.Path(path_type=Path))
 @click.option("--format", "kind", type=click.Choice(["json", "parquet"]), default="json", show_default=True)
-@_usable
+@_report_unusable
 def export(file: Path, out: Path, kind: str) -> None:
     """Write FILE to OUT as JSON lines or Parquet."""
     from onyxwick.trace import export as exports
@@ -380,5 +379,5 @@
         tables = (table for _, table in opened.tables(Strings()) if len(table))
         write = exports.json_lines if kind == "json" else exports.parquet
         count = write(tables, out)
-        _losses([opened])
+        _report_losses([opened])
     click.echo(f"{count} requests", file=sys.stdout)
