--- a/onyxwick/cli/faults.py
+++ b/onyxwick/cli/faults.py
@@ -14,6 +14,7 @@
 if TYPE_CHECKING:
     from onyxwick.lab.faults.history import History
     from onyxwick.lab.faults.model import FleetScenario
+    from onyxwick.lab.faults.run import FaultRun
     from onyxwick.lab.soak.report import SoakReport
 
 NOT_JUDGED_EXIT_CODE = 3
@@ -41,6 +42,23 @@
     return fleet if directors is None else spread(fleet, directors)
 
 
+async def _play(
+    file: Path,
+    fleet: FleetScenario,
+    seed: int,
+    variant: str,
+    slot: int,
+    program: Path | None,
+    shows_progress: bool,
+) -> tuple[FaultRun, History]:
+    """Play a scenario with real processes; the run is kept for what it leaves."""
+    from onyxwick.lab.faults.run import FaultRun
+
+    run = FaultRun(str(file), fleet, seed, variant, slot, program)
+    run.progress = shows_progress
+    return run, await run.play()
+
+
 @faults.command("run")
 @path_argument
 @click.option("--seed", type=int, default=1, show_default=True)
@@ -67,21 +85,16 @@
 
     from onyxwick.lab.faults.checkers import report
     from onyxwick.lab.faults.history import write
-    from onyxwick.lab.faults.run import FaultRun
 
     fleet = _fleet(file, seed, directors)
 
-    async def once() -> tuple[FaultRun, History]:
-        run = FaultRun(str(file), fleet, seed, variant, slot, program)
-        run.progress = not as_json
-        return run, await run.play()
-
+    run = None
     if simulated:
-        from onyxwick.lab.faults.simulate import simulated as played
+        from onyxwick.lab.faults.simulate import simulated as play_simulated
 
-        run, history = None, played(str(file), fleet, seed, variant)
+        history = play_simulated(str(file), fleet, seed, variant)
     else:
-        run, history = uvloop.run(once())
+        run, history = uvloop.run(_play(file, fleet, seed, variant, slot, program, not as_json))
     verdict = report(history)
     failed = bool(verdict["broken"])
     kept = keep or (Path("found") / f"{file.stem}-{variant}-{seed}" if failed else None)
--- a/onyxwick/cli/scale.py
+++ b/onyxwick/cli/scale.py
@@ -4,11 +4,15 @@
 
 import json
 from pathlib import Path
+from typing import TYPE_CHECKING
 
 import click
 
 from onyxwick.cli import FINDING_EXIT_CODE, UnusableInputError
 
+if TYPE_CHECKING:
+    from onyxwick.lab.scale.fleet_plan import FleetPlan
+
 FAULTS = ("none", "kill", "pause", "publisher", "restart", "cut")
 path_option = click.Path(path_type=Path)
 
@@ -87,9 +91,6 @@
     slot: int,
 ) -> None:
     """Hollow directors under a publisher's events; exit 1 where an event was lost, repeated or disordered."""
-    import uvloop
-
-    from onyxwick.lab.scale.fleet import HollowFleet
     from onyxwick.lab.scale.fleet_plan import FleetPlan
     from onyxwick.lab.scale.hollow import Shape
 
@@ -107,6 +108,14 @@
         seed=seed,
         slot=slot,
     )
+    _run_fleet(plan)
+
+
+def _run_fleet(plan: FleetPlan) -> None:
+    import uvloop
+
+    from onyxwick.lab.scale.fleet import HollowFleet
+
     try:
         hollow_fleet = HollowFleet(plan, _report_progress)
     except ValueError as error:
--- a/onyxwick/config/director.py
+++ b/onyxwick/config/director.py
@@ -236,7 +236,7 @@
     try:
         return read_address(value)
     except AddressError as error:
-        intent = "likely intent: HOST:PORT of the operators' door, as 127.0.0.1:9600"
+        intent = "likely intent: HOST:PORT of the operations endpoint, as 127.0.0.1:9600"
         raise ConfigError(f"{where}: {error}; {intent}") from None
 
 
--- a/onyxwick/config/sites.py
+++ b/onyxwick/config/sites.py
@@ -227,7 +227,7 @@
             continue
         first = min(blocks, key=lambda block: BLOCKS.index(block.type))
         problem = (
-            f"block '{first.type}' without any block '{kind}': sites are told whole, as {kind} {example}"
+            f"block '{first.type}' without any block '{kind}': a topology needs one, as {kind} {example}"
         )
         raise ConfigError.at(top.file, first.line, problem)
 
--- a/onyxwick/net/connection_slots.py
+++ b/onyxwick/net/connection_slots.py
@@ -14,6 +14,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from enum import IntEnum
 
 SILENT_GRACE_S = 0.25
 """How long a new connection that has sent nothing keeps its slot."""
@@ -26,7 +27,13 @@
 IDLE_LIMIT_S = 4.8
 """After so long an idle connection is closed; the platform's clients close theirs after 4 s."""
 
-_ANSWERED, _SILENT, _PARTIAL = 0, 1, 2  # order of eviction
+
+class EvictionGroup(IntEnum):
+    """Connections that may be evicted, in the order of their eviction."""
+
+    ANSWERED = 0
+    SILENT = 1
+    PARTIAL_CALL = 2
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,19 +58,20 @@
     now_s: float,
     silent_grace_s: float = SILENT_GRACE_S,
     partial_call_grace_s: float = PARTIAL_CALL_GRACE_S,
-) -> tuple[int, float] | None:
-    """The connection's rank among those that may be evicted, lowest first; None if it must be kept."""
+) -> tuple[EvictionGroup, float] | None:
+    """The connection's rank, evicted lowest first: its group, and since when it is in it; None: it is
+    kept."""
     if slot.open_calls or slot.unwritten_bytes or slot.is_closing:
         return None
     if slot.has_partial_call:
         if now_s - slot.last_active_at_s < partial_call_grace_s:
             return None
-        return _PARTIAL, slot.last_active_at_s
+        return EvictionGroup.PARTIAL_CALL, slot.last_active_at_s
     if slot.complete_calls:
-        return _ANSWERED, slot.last_active_at_s
+        return EvictionGroup.ANSWERED, slot.last_active_at_s
     if now_s - slot.opened_at_s < silent_grace_s:
         return None
-    return _SILENT, slot.opened_at_s
+    return EvictionGroup.SILENT, slot.opened_at_s
 
 
 def exceeds_deadline(slot: ConnectionSlot, now_s: float, partial_call_since_s: float) -> bool:
--- a/onyxwick/net/fanout_server.py
+++ b/onyxwick/net/fanout_server.py
@@ -39,6 +39,7 @@
         self._paused = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Admit the subscriber, or close where the width is exhausted."""
         self.transport = cast("asyncio.Transport", transport)  # uvloop's own does not inherit from it
         self.transport.set_write_buffer_limits(high=self.server.fanout.limits.high_water_bytes)
         self.subscriber = self.server.fanout.connect(self.server.clock())
@@ -48,6 +49,7 @@
             self.server.connections.add(self)
 
     def data_received(self, data: bytes) -> None:
+        """Collect the request line; what follows it is ignored."""
         if self._request is None:
             return  # a follower sends nothing after its request; what it sends is ignored
         self._request += data
@@ -98,13 +100,16 @@
             transport.write(data)
 
     def pause_writing(self) -> None:
+        """The write buffer is full."""
         self._paused = True
 
     def resume_writing(self) -> None:
+        """The write buffer has drained."""
         self._paused = False
         self.flush()
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Forget the subscriber."""
         self.server.connections.discard(self)
         if self.subscriber is not None:
             self.server.fanout.close(self.subscriber)
--- a/onyxwick/net/subscription.py
+++ b/onyxwick/net/subscription.py
@@ -75,9 +75,11 @@
         self._oversized = b""  # the beginning of a line that is too long, while its rest is skipped
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport; the follower writes its request."""
         self.transport = cast("asyncio.Transport", transport)  # uvloop's own does not inherit from it
 
     def data_received(self, data: bytes) -> None:
+        """Pass complete lines on and keep the rest."""
         self._partial_line += data
         end = self._partial_line.rfind(b"\n")
         if end < 0:
@@ -99,6 +101,7 @@
             self._partial_line.clear()
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Report the end of the connection."""
         self.owner.on_connection_failed(self, repr(exc) if exc is not None else "closed by the parent")
 
 
