--- a/onyxwick/admin/durable.py
+++ b/onyxwick/admin/durable.py
@@ -132,10 +132,10 @@
                 rows = {d.member: {"by": d.by, "reason": d.reason, "at_us": d.at_us} for d in drains.values()}
                 return 200, {"recovery": self.durable.recovery.shown(), "drains": rows}, []
             case "PUT", [member]:
-                if member not in self.core.members.listed:
+                if member not in self.core.endpoints.listed:
                     raise HttpError(404, f"no member '{member}' on the list")
                 reason = str(request.json().get("reason", ""))[:256]
-                since = self.core.members.listed[member].started_at_us
+                since = self.core.endpoints.listed[member].started_at_us
                 drain = MemberDrain(member, "operator", since, reason, self.core.now())
                 self.pending = drain
                 return 200, {"member": member, "draining": True}, [self.durable.drain_op(drain)]
@@ -155,7 +155,7 @@
         elif method == "DELETE":
             self.durable.recovery.lifted(path[0])
         if method != "GET":
-            self.core.resend_rows(path[0])
+            self.core.feed.reapply_members(path[0])
 
 
 __all__ = ["DurableApi"]
--- a/onyxwick/cells/limits.py
+++ b/onyxwick/cells/limits.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from onyxwick.quota import Quota
+from onyxwick.quota import TokenBucket
 
 TOLERATED = 0.2  # share of late answers that a limit bears
 WEIGHT = 0.06  # of one answer in that share
@@ -139,12 +139,14 @@
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self.clock = clock
-        self.quotas: dict[str, Quota] = {}
+        self.quotas: dict[str, TokenBucket] = {}
 
     def set(self, wanted: dict[str, float]) -> None:
         """The rates that hold from now on. Who keeps its rate keeps what it has saved."""
         kept = {name: q for name, q in self.quotas.items() if wanted.get(name) == q.per_s}
-        new = {name: Quota(rate, self.clock) for name, rate in wanted.items() if rate and name not in kept}
+        new = {
+            name: TokenBucket(rate, self.clock) for name, rate in wanted.items() if rate and name not in kept
+        }
         self.quotas = kept | new
 
     def wait_us(self, tenant: str) -> int:
--- a/onyxwick/cells/offline.py
+++ b/onyxwick/cells/offline.py
@@ -28,14 +28,14 @@
     if config is None:
         return [], (None,), ""
     from onyxwick.config import director as relay
-    from onyxwick.core.clock import FeedStamps, steady_us
+    from onyxwick.core.clock import FeedTimestamps, steady_us
     from onyxwick.net.coordinator_feed import read_members
 
     told = relay.load({"RELAY_CONFIG": str(config)})
     listed: dict[str, Member] = {}
     for event in told.known.get("updates") or ():
         if "endpoints" in event:
-            change, _ = read_members(event["endpoints"], FeedStamps(), steady_us(), _passed_over)
+            change, _ = read_members(event["endpoints"], FeedTimestamps(), steady_us(), _passed_over)
             listed |= {m.address: m for m in change.members}
     kinds = (told.settings.parent_kind, told.settings.origin_kind)
     return [m for m in listed.values() if m.state is not MemberState.REMOVED], kinds, told.settings.zone
--- a/onyxwick/core/__init__.py
+++ b/onyxwick/core/__init__.py
@@ -1,4 +1,4 @@
-"""Requests, attempts and outcomes. Nothing here knows a wire: fronts and caches come from outside."""
+"""Lifecycles of requests and attempts. No knowledge of a wire: fronts and transports are passed in."""
 
 from onyxwick.core.engine import RequestEngine
 from onyxwick.core.model import (
--- /dev/null
+++ b/onyxwick/core/attempt_runner.py
@@ -0,0 +1,176 @@
+"""Starts attempts on the transport, cancels them, and reports their ends to the router.
+
+Each attempt is one task. Its end goes through the request's mailbox, so that it is handled in order with the
+other events of its request. Times in steady microseconds.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from functools import partial
+
+from onyxwick import logs
+from onyxwick.core.context import EngineContext
+from onyxwick.core.invariant_model import AttemptStarted
+from onyxwick.core.model import AttemptOutcome, AttemptSpec
+from onyxwick.core.request_lifecycle import AttemptDecided, AttemptFinished, RequestLifecycle
+from onyxwick.interface import AttemptEnded, AttemptStatus, ForwardRequest, ForwardWithFill, Idempotency
+
+log = logs.get()
+
+
+def fill_source(action: ForwardRequest | ForwardWithFill) -> str | None:
+    """Where the member is to fill a miss from; None: it is not filled."""
+    if isinstance(action, ForwardRequest) or action.fill_source == action.member:
+        return None
+    return action.fill_source
+
+
+class AttemptRunner:
+    """Runs the attempts of all requests of one director."""
+
+    def __init__(self, context: EngineContext) -> None:
+        self.context = context
+        self.non_idempotent = {
+            request_class.name
+            for request_class in context.settings.classes
+            if request_class.idempotency is Idempotency.NON_IDEMPOTENT
+        }
+
+    def start(self, lifecycle: RequestLifecycle, decided: AttemptDecided) -> None:
+        """Start an attempt that the router has decided."""
+        attempt_index = len(lifecycle.attempts)
+        started_at_us = self.context.now()
+        spec = self._spec(lifecycle, decided, attempt_index)
+        if attempt_index:
+            self._record_retry(lifecycle, attempt_index)
+        transport = lifecycle.transport or self.context.transport
+        task = asyncio.get_running_loop().create_task(transport.run(spec))
+        lifecycle.started_at_us.append(started_at_us)
+        lifecycle.attempts.append(task)
+        lifecycle.statuses.append(None)
+        self.context.counters.add("attempt.sent")
+        # Not an await around `run`: a task cancelled before its first step would leave no outcome.
+        task.add_done_callback(partial(self._on_ended, lifecycle, spec, attempt_index, started_at_us))
+
+    def withdraw(self, lifecycle: RequestLifecycle, decided: AttemptDecided) -> None:
+        """Report an attempt as not sent that was decided after the final answer."""
+        attempt_index = len(lifecycle.attempts)
+        lifecycle.attempts.append(None)
+        lifecycle.statuses.append(AttemptStatus.NOT_SENT)
+        lifecycle.started_at_us.append(0)
+        outcome = AttemptOutcome(AttemptStatus.NOT_SENT)
+        self.report(lifecycle, AttemptFinished(decided.action.member, attempt_index, outcome, 0))
+
+    def cancel(self, lifecycle: RequestLifecycle, attempt_index: int) -> None:
+        """Cancel an attempt that is in flight; nothing where it has ended or never was."""
+        if not 0 <= attempt_index < len(lifecycle.attempts):
+            return
+        task = lifecycle.attempts[attempt_index]
+        if task is not None:
+            task.cancel()
+
+    def report(self, lifecycle: RequestLifecycle, finished: AttemptFinished) -> None:
+        """Tell the router, the counters and the trace how an attempt ended."""
+        context = self.context
+        outcome = finished.outcome
+        # An end that was not observed is reported as cancelled: possibly executed, and nothing to learn from.
+        status = AttemptStatus.CANCELLED if outcome.unobserved else outcome.status
+        context.counters.add(f"outcome.{status.value}")
+        event = AttemptEnded(
+            request_id=lifecycle.request.request_id,
+            attempt_index=finished.attempt_index,
+            member=finished.member,
+            status=status,
+            latency_us=finished.latency_us,
+            is_final=outcome.status is AttemptStatus.OK,
+            detail=outcome.detail,
+            upstream_wait_us=outcome.upstream_wait_us,
+            load_report=outcome.load_report,
+        )
+        if context.tracer is not None:
+            context.tracer.ended(context.now(), event, finished.sent_us, outcome)
+        context.handle(event)
+
+    def _spec(self, lifecycle: RequestLifecycle, decided: AttemptDecided, attempt_index: int) -> AttemptSpec:
+        request = lifecycle.request
+        action = decided.action
+        source = fill_source(action)
+        timeout_us = request.arrived_us + request.timeout_us - self.context.now()
+        if action.timeout_us:
+            timeout_us = min(timeout_us, action.timeout_us)
+        spec = AttemptSpec(
+            request,
+            action.member,
+            timeout_us,
+            source,
+            needs_own_connection=request.class_name in self.non_idempotent,
+            is_still_valid=partial(
+                self.context.guard.may_send,
+                lifecycle,
+                attempt_index,
+                action.member,
+                source,
+                decided.snapshot,
+            ),
+            on_first_byte_sent=partial(self._on_first_byte_sent, attempt_index),
+        )
+        if isinstance(action, ForwardWithFill):
+            spec.retention_rank = action.retention_rank
+            spec.max_age_us = action.max_age_us
+            spec.fill_options = action.fill_options
+        return spec
+
+    def _on_first_byte_sent(self, attempt_index: int, spec: AttemptSpec) -> None:
+        started = AttemptStarted(
+            spec.request.request_id,
+            attempt_index,
+            spec.member,
+            spec.fill_source,
+            spec.max_age_us,
+            spec.remaining_us(),
+        )
+        self.context.invariants.attempt_started(started, self.context.now())
+
+    def _record_retry(self, lifecycle: RequestLifecycle, attempt_index: int) -> None:
+        """Count and log why there is one more attempt: how the last one ended, or that it is overdue."""
+        previous = lifecycle.statuses[attempt_index - 1]
+        reason = "overdue" if previous is None else previous.value
+        self.context.counters.add(f"again.{reason}")
+        request = lifecycle.request
+        log.info(
+            "attempt retried",
+            request=request.request_id,
+            connection=request.connection_id,
+            attempt=attempt_index,
+            after=reason,
+        )
+
+    def _on_ended(
+        self,
+        lifecycle: RequestLifecycle,
+        spec: AttemptSpec,
+        attempt_index: int,
+        started_at_us: int,
+        task: asyncio.Task[AttemptOutcome],
+    ) -> None:
+        context = self.context
+        lifecycle.attempts[attempt_index] = None
+        outcome = self._outcome_of(lifecycle, task)
+        lifecycle.statuses[attempt_index] = outcome.status
+        not_executed = outcome.status.proves_not_executed
+        context.invariants.attempt_ended(lifecycle.request.request_id, attempt_index, not_executed)
+        if not_executed:
+            lifecycle.started_at_us[attempt_index] = 0
+        latency_us = context.now() - started_at_us
+        lifecycle.mailbox.put(AttemptFinished(spec.member, attempt_index, outcome, latency_us, spec.sent_us))
+
+    def _outcome_of(self, lifecycle: RequestLifecycle, task: asyncio.Task[AttemptOutcome]) -> AttemptOutcome:
+        if task.cancelled():
+            return AttemptOutcome(AttemptStatus.CANCELLED)
+        error = task.exception()
+        if error is None:
+            return task.result()
+        self.context.counters.add("error.attempt")
+        log.error("error in an attempt", request=lifecycle.request.request_id, exc_info=error)
+        return AttemptOutcome(AttemptStatus.ERROR)
--- a/onyxwick/core/clock.py
+++ b/onyxwick/core/clock.py
@@ -1,8 +1,8 @@
-"""The time that decides, and how stamps of the wall clock that come from outside are turned into it.
+"""The clock that decisions read, and how wall-clock timestamps from outside are converted to it.
 
-Everything that decides (deadlines, windows, waits, ages) reads `steady_us`: microseconds on the Unix scale as
-the wall clock stood when the process started, advanced by the monotonic clock alone. A step of the wall clock
-changes nothing of it. Stamps that leave the process (files, logs, the distribution feed) read `wall_us`.
+Deadlines, windows, delays and ages read `steady_us`: microseconds on the Unix scale as the wall clock stood
+when the process started, advanced by the monotonic clock alone, so that a step of the wall clock changes
+nothing. Timestamps that leave the process (files, logs, the distribution feed) read `wall_us`.
 
 See docs/design/clocks.md.
 """
@@ -13,11 +13,11 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-S_US = 1_000_000
-MOST_DELAY_US = 7 * S_US
-"""Whatever the feed has to tell is told this long after it happened, at the latest."""
-DELAYS_KEPT = 8
-"""Purges whose delays are remembered."""
+US_PER_S = 1_000_000
+MAX_FEED_DELAY_US = 7 * US_PER_S
+"""The feed announces every event within this time."""
+REMEMBERED_DELAYS = 8
+"""Number of purges whose delays are remembered."""
 
 
 def wall_us() -> int:
@@ -30,7 +30,7 @@
 
     def __init__(self) -> None:
         self.offset_us = wall_us() - time.monotonic_ns() // 1000
-        """Steady less monotonic time, for files that another process of the same machine reads."""
+        """Steady minus monotonic time, for files that another process of the same machine reads."""
 
     def __call__(self) -> int:
         """The time now."""
@@ -42,70 +42,83 @@
 
 
 @dataclass(slots=True)
-class FeedStamps:
-    """Turns the stamps of one feed into steady time. No I/O; all times in microseconds.
+class _KnownStart:
+    timestamp_us: int
+    """As the feed gave it."""
+    started_at_us: int
+    """The steady time it was converted to."""
 
-    The feed's clock and this process's anchor may differ, by a step before the start or one at the feed. What
-    a purge or a start is taken for may then be too late, which costs freshness or warmth, never too early,
-    which would let an outdated copy or too many requests pass:
 
-    - the newest stamp known at the start is taken for that moment: the clocks can't be further apart;
-    - the least delay between a stamp and its receipt, over the last few, is added to stamps, for that reason;
-    - what comes over a live feed is no older than the last heartbeat that told of nothing outstanding;
+@dataclass(slots=True)
+class FeedTimestamps:
+    """Converts the timestamps of one feed to steady time. No I/O; all times in microseconds.
+
+    The feed's clock and this process's may differ, by a step before the start or by one at the feed. A
+    converted time may be too late, which costs freshness or a slower ramp, but never too early, which would
+    let an outdated copy or too many requests pass:
+
+    - the newest timestamp known at the start counts as that moment: the clocks cannot differ by more;
+    - the least delay between a timestamp and its receipt, over the last few, is added to timestamps;
+    - an event of a live feed is no older than the last heartbeat that left nothing outstanding;
     - nothing lies in the future.
     """
 
-    floor_us: int | None = None  # when the feed was last heard with nothing outstanding
-    _known_offset_us: int = 0  # from the feed's clock to this one at most, as the known stamps show
-    _delays: deque[int] = field(default_factory=lambda: deque(maxlen=DELAYS_KEPT))
-    _starts: dict[str, tuple[int, int]] = field(
-        default_factory=dict
-    )  # cache: its stamp, what it was taken for
+    caught_up_at_us: int | None = None
+    """When the feed last reported nothing outstanding; None before it is live."""
+    _initial_offset_us: int = 0  # upper bound of the offset from the feed's clock to this one
+    _delays_us: deque[int] = field(default_factory=lambda: deque(maxlen=REMEMBERED_DELAYS))
+    _starts: dict[str, _KnownStart] = field(default_factory=dict)  # by cache
 
-    def begin(self, newest_us: int, now: int) -> None:
-        """The newest stamp of all that is known at the start; before any of them is turned into a time."""
-        self._known_offset_us = now - newest_us
-        self._delays.append(now - newest_us)
+    def anchor(self, newest_us: int, now_us: int) -> None:
+        """Take the newest timestamp of all known at the start; before any of them is converted."""
+        self._initial_offset_us = now_us - newest_us
+        self._delays_us.append(now_us - newest_us)
 
-    def caught_up(self, now: int) -> None:
-        """The feed has said that nothing is outstanding: what it tells next happened after this."""
-        self.floor_us = now
+    def mark_caught_up(self, now_us: int) -> None:
+        """The feed has nothing outstanding: what it announces next happens after this."""
+        self.caught_up_at_us = now_us
 
-    def purge(self, stamp_us: int, now: int) -> int:
+    def purge_time_us(self, timestamp_us: int, now_us: int) -> int:
         """When a purge that was just received was made."""
-        if self.floor_us is None:
-            return min(now, stamp_us + self._offset())
-        self._delays.append(now - stamp_us)
-        made = min(now, stamp_us + self._offset())
-        return max(made, min(now, self.floor_us))
-
-    def start(self, cache: str, stamp_us: int, now: int) -> int:
-        """When a cache started that a list names; 0: long ago. The same stamp gives the same time again."""
-        if stamp_us <= 0:
+        if self.caught_up_at_us is None:
+            return min(now_us, timestamp_us + self._offset_us())
+        self._delays_us.append(now_us - timestamp_us)
+        purged_at_us = min(now_us, timestamp_us + self._offset_us())
+        return max(purged_at_us, min(now_us, self.caught_up_at_us))
+
+    def start_time_us(self, cache: str, timestamp_us: int, now_us: int) -> int:
+        """When a listed cache started; 0: long ago. The same timestamp always gives the same time."""
+        if timestamp_us <= 0:
             return 0
-        held = self._starts.get(cache)
-        if held is not None and held[0] == stamp_us:
-            return held[1]
-        started = min(now, stamp_us + self._offset())
-        if self.floor_us is not None and started < self.floor_us - MOST_DELAY_US:
-            started = now  # the list would have told of it long ago: the clocks are apart
-        elif self.floor_us is not None and not self._delays:
-            started = max(started, min(now, self.floor_us))  # nothing tells how far the clocks are apart
-        self._starts[cache] = stamp_us, started
-        return started
+        known = self._starts.get(cache)
+        if known is not None and known.timestamp_us == timestamp_us:
+            return known.started_at_us
+        started_at_us = min(now_us, timestamp_us + self._offset_us())
+        if self.caught_up_at_us is not None:
+            if started_at_us < self.caught_up_at_us - MAX_FEED_DELAY_US:
+                # The list would have announced it long ago: the clocks differ.
+                started_at_us = now_us
+            elif not self._delays_us:
+                # Nothing shows by how much the clocks differ.
+                started_at_us = max(started_at_us, min(now_us, self.caught_up_at_us))
+        self._starts[cache] = _KnownStart(timestamp_us, started_at_us)
+        return started_at_us
 
     def forget(self, cache: str) -> None:
-        """A cache has left the list."""
+        """A cache was removed from the list."""
         self._starts.pop(cache, None)
 
     def keep_only(self, caches: set[str]) -> None:
-        """A whole list was received: what it does not name is forgotten."""
+        """A complete list was received: forget the caches that it does not name."""
         for cache in [name for name in self._starts if name not in caches]:
             del self._starts[cache]
 
-    def _offset(self) -> int:
-        """What is added to a stamp: before the feed is live the stamps are all of one moment's configuration,
-        later the feed's clock may be stepped, and nothing is taken for earlier than its stamp."""
-        if self.floor_us is None:
-            return self._known_offset_us
-        return max(0, min(self._delays, default=0))
+    def _offset_us(self) -> int:
+        """What is added to a timestamp.
+
+        Before the feed is live, all timestamps come from the configuration of one moment. Later the feed's
+        clock may be stepped, and no event counts as earlier than its timestamp.
+        """
+        if self.caught_up_at_us is None:
+            return self._initial_offset_us
+        return max(0, min(self._delays_us, default=0))
--- a/onyxwick/core/endpoints.py
+++ b/onyxwick/core/endpoints.py
@@ -1,96 +1,140 @@
-"""The list as last received: where each member is, and what a send must check again right before it."""
+"""The endpoint list as last received: member states and addresses, and recent purges. No I/O.
+
+Input: changes of the list, purges, the operators' exclusions. Output: whether an attempt that was decided
+earlier may still be sent. Times in steady microseconds.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from onyxwick.core.model import ClientRequest
 from onyxwick.interface import EndpointListKind, EndpointsChanged, Member, MemberState
 
-PURGES_KEPT_US = 10_000_000  # no send waits that long, so older purges bind none
+PURGE_RETENTION_US = 10_000_000
+"""No send waits that long, so an older purge invalidates none."""
+
+Address = tuple[str, int]
+"""Host and port."""
 
 
 @dataclass(frozen=True, slots=True)
 class DecisionSnapshot:
-    """What an attempt was decided on: the purges received by then, and the starts of the processes meant."""
+    """What an attempt was decided on: the purges received by then, and when the processes had started."""
 
     purges_received: int
-    member_since_us: int
-    source_since_us: int
+    member_started_at_us: int
+    source_started_at_us: int
+
+
+class PurgeScope(NamedTuple):
+    """What a purge covers: all objects of a group, or one object. The other field is None."""
+
+    object_group: int | None
+    object_id: str | None
+
+
+class ReceivedPurge(NamedTuple):
+    """When a purge was received, and in which order."""
+
+    received_at_us: int
+    sequence: int
+    """Times alone do not order two events within a microsecond."""
 
 
 class EndpointTable:
-    """Members by id. The address is looked up at each send: another member may have had it before."""
+    """Members by id. The address is looked up for each send: another member may have had it before."""
 
     def __init__(self) -> None:
         self.listed: dict[str, Member] = {}
-        self.addresses: dict[str, tuple[str, int]] = {}
+        self.addresses: dict[str, Address] = {}
         self.loaded = False
-        self.watchers: list[Callable[[str], None]] = []  # called for each member that left or restarted
-        # When each was received, and as which: times alone don't tell the order within a microsecond.
-        self.purge_times: dict[tuple[int | None, str | None], tuple[int, int]] = {}
+        self.replacement_listeners: list[Callable[[str], None]] = []
+        """Called with the id of each member that was removed, restarted or moved."""
+        self.purge_times: dict[PurgeScope, ReceivedPurge] = {}  # oldest first
         self.purges_received = 0
-        # Excluded by the operators: nothing is sent to them from the moment this is set, from any thread.
         self.excluded: frozenset[str] = frozenset()
+        """Disabled by the operators: nothing is sent to them once this is set, from any thread."""
+
+    def apply(self, event: EndpointsChanged, addresses: dict[str, Address]) -> None:
+        """Apply a change of the list, or a complete list.
 
-    def apply(self, event: EndpointsChanged, addresses: dict[str, tuple[str, int]]) -> None:
-        """Take in a change of the list, or all of it; `addresses` has those of all rows that are not gone."""
+        `addresses`: of all members of `event` that are not removed.
+        """
         if event.kind is not EndpointListKind.CHANGE:
-            named = {m.address for m in event.members}
-            for member in [m for m in self.listed if m not in named]:
-                self._drop(member)
+            named = {member.address for member in event.members}
+            for name in [name for name in self.listed if name not in named]:
+                self._remove(name)
             self.loaded = True
-        for m in event.members:
-            old = self.listed.get(m.address)
-            if m.state is MemberState.REMOVED:
-                self._drop(m.address)
-                continue
-            moved = self.addresses.get(m.address) != addresses[m.address]
-            self.listed[m.address], self.addresses[m.address] = m, addresses[m.address]
-            if old and (moved or old.started_at_us != m.started_at_us):
-                self._tell_watchers(m.address)
-
-    def _drop(self, member: str) -> None:
+        for member in event.members:
+            if member.state is MemberState.REMOVED:
+                self._remove(member.address)
+            else:
+                self._update(member, addresses[member.address])
+
+    def _update(self, member: Member, address: Address) -> None:
+        name = member.address
+        previous = self.listed.get(name)
+        moved = self.addresses.get(name) != address
+        self.listed[name] = member
+        self.addresses[name] = address
+        if previous and (moved or previous.started_at_us != member.started_at_us):
+            self._notify_listeners(name)
+
+    def _remove(self, member: str) -> None:
         if self.listed.pop(member, None):
             del self.addresses[member]
-            self._tell_watchers(member)
+            self._notify_listeners(member)
 
-    def _tell_watchers(self, member: str) -> None:
-        for watcher in self.watchers:
-            watcher(member)
+    def _notify_listeners(self, member: str) -> None:
+        for listener in self.replacement_listeners:
+            listener(member)
 
-    def purged(self, group: int, name: str | None, now: int) -> None:
-        """A purge of one object or of a group was received: what was decided before it may not be sent."""
-        key = (group, None) if name is None else (None, name)
+    def record_purge(self, object_group: int, object_id: str | None, now_us: int) -> None:
+        """A purge of an object, or of a group (`object_id` None), was received: earlier snapshots end."""
+        scope = PurgeScope(object_group, None) if object_id is None else PurgeScope(None, object_id)
         self.purges_received += 1
-        self.purge_times.pop(key, None)  # to the end: the oldest stand first
-        self.purge_times[key] = now, self.purges_received
-        while self.purge_times[oldest := next(iter(self.purge_times))][0] <= now - PURGES_KEPT_US:
+        self.purge_times.pop(scope, None)  # so that it moves to the end
+        self.purge_times[scope] = ReceivedPurge(now_us, self.purges_received)
+        oldest = next(iter(self.purge_times))
+        while self.purge_times[oldest].received_at_us <= now_us - PURGE_RETENTION_US:
             del self.purge_times[oldest]
+            oldest = next(iter(self.purge_times))
 
-    def ready(self, member: str) -> bool:
-        """May new work be sent to a member?"""
+    def is_ready(self, member: str) -> bool:
+        """Whether new requests may be sent to a member."""
         listed = self.listed.get(member)
         return listed is not None and listed.state is MemberState.READY and member not in self.excluded
 
-    def standing(self, member: str, source: str | None) -> DecisionSnapshot:
+    def snapshot(self, member: str, fill_source: str | None) -> DecisionSnapshot:
         """What an attempt that is decided now is decided on."""
-        return DecisionSnapshot(self.purges_received, self._since(member), self._since(source))
+        return DecisionSnapshot(
+            self.purges_received, self._started_at_us(member), self._started_at_us(fill_source)
+        )
 
-    def _since(self, member: str | None) -> int:
+    def _started_at_us(self, member: str | None) -> int:
         listed = self.listed.get(member) if member is not None else None
         return listed.started_at_us if listed is not None else 0
 
     def is_still_valid(
-        self, member: str, source: str | None, request: ClientRequest, decided: DecisionSnapshot
+        self, member: str, fill_source: str | None, request: ClientRequest, snapshot: DecisionSnapshot
     ) -> bool:
-        """May what was decided then be sent now? A drain, a start or a purge may have been received in
-        between."""
-        if not self.ready(member) or (source is not None and not self.ready(source)):
+        """Whether an attempt decided on `snapshot` may be sent now.
+
+        A drain, a restart or a purge may have been received since.
+        """
+        if not self.is_ready(member) or (fill_source is not None and not self.is_ready(fill_source)):
+            return False
+        if self._started_at_us(member) != snapshot.member_started_at_us:
+            return False  # what a warm cache can take may overload one that has just started
+        if self._started_at_us(fill_source) != snapshot.source_started_at_us:
             return False
-        if self._since(member) != decided.member_since_us or self._since(source) != decided.source_since_us:
-            return False  # what a warm one bears may be too much for one that has just started
-        of_group = self.purge_times.get((request.object_group, None))
-        of_object = self.purge_times.get((None, request.object_id))
-        return all(purge is None or purge[1] <= decided.purges_received for purge in (of_group, of_object))
+        if not self.purge_times:
+            return True
+        of_group = self.purge_times.get(PurgeScope(request.object_group, None))
+        of_object = self.purge_times.get(PurgeScope(None, request.object_id))
+        return all(
+            purge is None or purge.sequence <= snapshot.purges_received for purge in (of_group, of_object)
+        )
--- /dev/null
+++ b/onyxwick/core/feed_intake.py
@@ -0,0 +1,91 @@
+"""Applies endpoint lists and purges, in this order: store, checks, send guard's table, router.
+
+Inputs come from the coordinator's feed or the distribution tree, and from the store after a restart. Times in
+steady microseconds.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import TYPE_CHECKING, NamedTuple
+
+from onyxwick.core.context import EngineContext
+from onyxwick.core.endpoints import Address
+from onyxwick.interface import EndpointListKind, EndpointsChanged, Member, ObjectsPurged
+
+if TYPE_CHECKING:
+    from onyxwick.store.durable import DurableState
+
+
+class _ReceivedMember(NamedTuple):
+    member: Member
+    address: Address
+
+
+class FeedIntake:
+    """Passes what the feed announces to everything that must know it."""
+
+    def __init__(self, context: EngineContext) -> None:
+        self.context = context
+        self.adjust_endpoints: Callable[[EndpointsChanged, int], EndpointsChanged] | None = None
+        """Applies the operators' commands to the list (event, now) before the router gets it."""
+        self._received: dict[str, _ReceivedMember] = {}  # as received, before any adjustment
+
+    def apply_endpoints(self, event: EndpointsChanged, addresses: dict[str, Address]) -> None:
+        """The list or a change of it was received; `addresses`: of all members that are not removed."""
+        context = self.context
+        self._remember(event, addresses)
+        if context.durable is not None:
+            context.durable.list_told(event, context.now())
+            event = context.durable.recovery.seen(event)
+        if self.adjust_endpoints is not None:
+            event = self.adjust_endpoints(event, context.now())
+        context.invariants.endpoints_changed(event, context.now())
+        context.endpoints.apply(event, addresses)
+        context.handle(event)
+
+    def _remember(self, event: EndpointsChanged, addresses: dict[str, Address]) -> None:
+        if event.kind is not EndpointListKind.CHANGE:
+            self._received.clear()
+        for member in event.members:
+            if member.address in addresses:
+                self._received[member.address] = _ReceivedMember(member, addresses[member.address])
+            else:
+                self._received.pop(member.address, None)
+
+    def reapply_members(self, *names: str) -> None:
+        """Apply some members of the list again, as the way it is adjusted has changed for them."""
+        listed = self.context.endpoints.listed
+        rows = [self._received[name] for name in names if name in self._received and name in listed]
+        if rows:
+            addresses = {row.member.address: row.address for row in rows}
+            members = tuple(row.member for row in rows)
+            self.apply_endpoints(EndpointsChanged(EndpointListKind.CHANGE, members), addresses)
+
+    def apply_purge(self, object_group: int, object_id: str | None, purged_at_us: int) -> None:
+        """A purge of an object, or of a group (`object_id` None), was received."""
+        context = self.context
+        if context.durable is not None:
+            context.durable.purge_told(object_group, object_id, purged_at_us, context.now())
+        context.invariants.object_purged(object_group, object_id, purged_at_us, context.now())
+        context.endpoints.record_purge(object_group, object_id, context.now())
+        age_us = max(0, context.now() - purged_at_us)
+        context.handle(ObjectsPurged(object_group, object_id, age_us))
+
+    def record_feed_index(self, index: int) -> None:
+        """The coordinator's feed was received up to an event number."""
+        context = self.context
+        if context.durable is not None:
+            held_back = list(context.durable.recovery.drains)
+            if context.durable.index_told(index, context.now()):
+                self.reapply_members(*held_back)
+
+    def restore(self, durable: DurableState) -> None:
+        """Take over the stored state: purges that a cache may not have applied bind the first request."""
+        context = self.context
+        context.durable = durable
+        for purge in durable.recovery.purges_to_tell(context.now()):
+            purged_at_us = context.now() - purge.age_us
+            context.invariants.object_purged(purge.object_group, purge.object_id, purged_at_us, context.now())
+            context.endpoints.record_purge(purge.object_group, purge.object_id, context.now())
+            context.handle(purge)
--- a/onyxwick/core/model.py
+++ b/onyxwick/core/model.py
@@ -1,4 +1,4 @@
-"""What passes between the core, the fronts before it and the transport behind it."""
+"""The types that pass between the core, the fronts before it and the transport behind it. No I/O."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class AnswerStatus(Enum):
-    """The final answer to a request, in the client's eyes."""
+    """The final answer to a request, as the client sees it. The values are parts of metric names."""
 
     SERVED = "served"
     REJECTED = "refused"
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class ClientRequest:
-    """One client request. Its time runs from `arrived_us`, when its last byte came."""
+    """One client request. Its timeout runs from `arrived_us` (steady), when its last byte arrived."""
 
     request_id: str
     class_name: str
@@ -32,15 +32,16 @@
     timeout_us: int
     is_retry: bool = False
     body: bytes = b""
-    client_etag: str = ""  # tag of the copy that the client holds
-    idempotency_key: str = (
-        ""  # by which a cache knows a repeat of what it has already done; passed on unchanged
-    )
+    client_etag: str = ""
+    """Tag of the copy that the client holds."""
+    idempotency_key: str = ""
+    """By which a cache recognises a retry of what it has executed; forwarded unchanged."""
     tenant: str | None = None
-    client_site: str | None = None  # of the client
-    connection_id: int = -1  # its number at the front, for the logs; -1: none of the front's
+    client_site: str | None = None
+    connection_id: int = -1
+    """Its number at the front, for the logs; -1: no connection of the front."""
     is_wanted: Callable[[], bool] = field(default=lambda: True, compare=False, repr=False)
-    """Asked right before an attempt's first byte: does the client still wait, by what its socket holds?"""
+    """Asked right before an attempt's first byte: does the client still wait, as far as its socket shows?"""
 
 
 @dataclass(slots=True)
@@ -50,39 +51,43 @@
     status: AnswerStatus
     body: bytes = b""
     etag: str = ""
-    not_modified: bool = False  # the client's own copy is the answer
+    not_modified: bool = False
+    """The client's own copy is the answer."""
     retry_after_us: int = 0
     member: str = ""
 
 
 @dataclass(slots=True)
 class AttemptSpec:
-    """One attempt as the module ordered it. A `source` of None: nothing is filled.
-    `timeout_us` runs from `ordered_at`."""
+    """One attempt as the router decided it, for the transport to carry out."""
 
     request: ClientRequest
     member: str
     timeout_us: int
+    """From `created_at_s` on."""
     fill_source: str | None = None
+    """Where a miss is filled from; None: it is not filled."""
     retention_rank: int = 0
     max_age_us: int = 0
     fill_options: FillOption = FillOption.NONE
-    needs_own_connection: bool = False  # must not run twice: it is to share its fate with no other attempt
+    needs_own_connection: bool = False
+    """It must not be executed twice, so that no other attempt may share its connection."""
     is_still_valid: Callable[[], bool] = field(default=lambda: True, compare=False)
-    """Asked right before the first byte: drains and purges told of meanwhile hold for this send too."""
-    on_first_byte_sent: Callable[[AttemptSpec], None] = field(default=lambda order: None, compare=False)
-    """Called as its first byte has gone out, whenever that is."""
-    created_at: float = field(default_factory=time.monotonic, compare=False)
-    sent_us: int = 0  # steady us at which its first byte went out, once the transport knows; 0: not sent
+    """Asked right before the first byte: drains and purges received since apply to this send too."""
+    on_first_byte_sent: Callable[[AttemptSpec], None] = field(default=lambda spec: None, compare=False)
+    """Called once its first byte has been sent."""
+    created_at_s: float = field(default_factory=time.monotonic, compare=False)
+    sent_us: int = 0
+    """Steady time at which its first byte was sent, as soon as the transport knows; 0: not sent."""
 
-    def left_us(self) -> int:
-        """Of its time-out, at this moment."""
-        return self.timeout_us - int((time.monotonic() - self.created_at) * 1e6)
+    def remaining_us(self) -> int:
+        """What is left of its timeout now."""
+        return self.timeout_us - int((time.monotonic() - self.created_at_s) * 1e6)
 
 
 @dataclass(slots=True)
 class AttemptOutcome:
-    """How an attempt ended, with the answer's body and tag where it brought one."""
+    """How an attempt ended, with the answer's body and tag where there is one."""
 
     status: AttemptStatus
     detail: AnswerDetail = AnswerDetail.NONE
@@ -91,13 +96,15 @@
     body: bytes = b""
     etag: str = ""
     not_modified: bool = False
-    origin_date_us: int = 0  # Unix us at which the origin gave the copy out; 0: not told
-    unobserved: bool = False  # nobody saw how it ended: the module must learn nothing from it
+    origin_date_us: int = 0
+    """Unix time at which the origin served the copy; 0: unknown."""
+    unobserved: bool = False
+    """Its end was not observed: the router must learn nothing from it."""
 
 
 class CacheTransport(Protocol):
-    """Carries out attempts. Cancelling `run` gives the attempt up."""
+    """Carries out attempts. Cancelling `run` cancels the attempt."""
 
-    async def run(self, order: AttemptSpec) -> AttemptOutcome:
-        """Carry out one attempt until its end or its time-out."""
+    async def run(self, spec: AttemptSpec) -> AttemptOutcome:
+        """Carry out one attempt until its end or its timeout."""
         ...
--- a/onyxwick/core/phase.py
+++ b/onyxwick/core/phase.py
@@ -1,22 +1,25 @@
-"""The phases of a director's process, and which may follow which. No I/O."""
+"""The phases of a director's process, and the table of legal transitions. No I/O."""
 
 from __future__ import annotations
 
 from enum import Enum
 
+from onyxwick.errors import OnyxwickError
+
 
 class DirectorPhase(Enum):
-    """DRAINED: by the operators' call, said no to and left by clients, without an end of the process.
-    DRAINING: the end after SIGTERM."""
+    """What a director's process is doing. The values appear in log lines and in the health document."""
 
     STARTING = "starting"
     SERVING = "serving"
     DRAINED = "drained"
+    """Drained by the operators: not ready, its clients disconnect, the process goes on."""
     DRAINING = "draining"
+    """Graceful shutdown after SIGTERM."""
     STOPPED = "stopped"
 
 
-PHASE_CHANGES: dict[DirectorPhase, set[DirectorPhase]] = {
+PHASE_TRANSITIONS: dict[DirectorPhase, set[DirectorPhase]] = {
     DirectorPhase.STARTING: {DirectorPhase.SERVING, DirectorPhase.DRAINED, DirectorPhase.DRAINING},
     DirectorPhase.SERVING: {DirectorPhase.DRAINED, DirectorPhase.DRAINING},
     DirectorPhase.DRAINED: {DirectorPhase.SERVING, DirectorPhase.DRAINING},
@@ -25,5 +28,11 @@
 }
 
 
-class IllegalPhaseChangeError(Exception):
-    """A change of phase that the table does not allow."""
+class IllegalPhaseChangeError(OnyxwickError):
+    """A transition between phases that `PHASE_TRANSITIONS` does not have."""
+
+    def __init__(self, found: DirectorPhase, wanted: DirectorPhase) -> None:
+        legal = ", ".join(sorted(phase.value for phase in PHASE_TRANSITIONS[found])) or "none"
+        super().__init__(f"from phase {found.value} to {wanted.value}; legal: {legal}")
+        self.found = found
+        self.wanted = wanted
--- a/onyxwick/core/reasons.py
+++ b/onyxwick/core/reasons.py
@@ -1,4 +1,7 @@
-"""Why a request was refused or failed, and why a connection ended: one reason each, counted and logged."""
+"""Why a request was rejected or failed, and why a connection was closed. Each is counted and logged.
+
+The values are parts of metric names and log fields, and stay as they are.
+"""
 
 from __future__ import annotations
 
@@ -6,40 +9,48 @@
 
 
 class RejectionReason(Enum):
-    """Why a request got no answer of a cache's. Counted as `refused.REASON`."""
+    """Why a request got no answer of a cache. Counted as `refused.VALUE`."""
 
     BAD_INPUT = "bad_input"
     CELL_FULL = "cell_full"
-    CONNECTION_ENDING = "connection_ending"
-    DIRECTOR_ENDING = "director_ending"  # it was taken, and is given back as the director ends
+    CONNECTION_CLOSING = "connection_ending"
+    RELEASED_IN_SHUTDOWN = "director_ending"
+    """It was admitted, and released as the director is shutting down."""
     DUPLICATE_ID = "duplicate_id"
-    ERROR = "error"
-    MAY_HAVE_RUN = "may_have_run"
-    NO_SERVER = "no_server"  # the module refused it: nothing can take it, or it may be tried elsewhere
-    FAILED = "failed"  # the module failed it: it may have run
-    OVERDUE = "overdue"
-    PASSED_ON = "passed_on"
-    TOO_MANY_OPEN = "too_many_open"
-    UNREAD_ANSWERS = "unread_answers"
+    INTERNAL_ERROR = "error"
+    POSSIBLY_EXECUTED = "may_have_run"
+    NO_CACHE_AVAILABLE = "no_server"
+    """The router rejected it: no cache can take it, or it may be retried elsewhere."""
+    FAILED = "failed"
+    """The router failed it: it may have been executed."""
+    DEADLINE_EXCEEDED = "overdue"
+    REJECTED_IN_SHUTDOWN = "passed_on"
+    """A new request while its connection is to be closed: the client may retry on another one."""
+    TOO_MANY_REQUESTS = "too_many_open"
+    UNREAD_ANSWER_LIMIT = "unread_answers"
+    """Too many bytes of answers are held for clients that do not read them."""
 
 
 class ConnectionCloseReason(Enum):
-    """Why a connection ended. Counted as `ended.client.REASON` and `ended.cache.REASON`."""
+    """Why a connection was closed. Counted as `ended.client.VALUE` and `ended.cache.VALUE`.
+
+    The side that closes a connection names the reason; where none is named, the other side closed it.
+    """
 
-    ANSWER_STUCK = "answer_stuck"
+    ANSWER_STALLED = "answer_stuck"
     BAD_ANSWER = "bad_answer"
     BAD_INPUT = "bad_input"
-    BROKEN = "broken"
+    CONNECTION_ERROR = "broken"
     CLOSED_BY_PEER = "closed_by_peer"
-    CLOSING = "closing"  # the director is drained or ends
+    CLOSING = "closing"
+    """The director is drained or shutting down."""
     CONNECT_FAILED = "connect_failed"
-    CONNECT_FAILED_HERE = "connect_failed_here"
-    DISPLACED = "displaced"
+    CONNECT_FAILED_LOCALLY = "connect_failed_here"
+    EVICTED = "displaced"
+    """Closed in favour of a new connection."""
     IDLE = "idle"
-    NOT_KEPT = "not_kept"  # the client asked for one answer alone
-    PLACE_NEEDED = "place_needed"
+    NO_KEEP_ALIVE = "not_kept"
+    """The client asked for a single answer."""
+    SLOT_NEEDED = "place_needed"
     RETIRED = "retired"
-    STALLED = "stalled"
-
-
-"""Each is told by who ends the connection; what nobody told of is the other side's close."""
+    WRITE_STALLED = "stalled"
--- a/onyxwick/core/request_lifecycle.py
+++ b/onyxwick/core/request_lifecycle.py
@@ -1,4 +1,8 @@
-"""One request on its way: its mailbox, its attempts, and what is told to it. No wire."""
+"""The state of one open request: its mailbox, its attempts, and the messages that reach it. No I/O.
+
+All decisions on a request, ends of its attempts and events of its client pass through one mailbox with one
+reader, so that of two events in the same turn of the loop one comes first.
+"""
 
 from __future__ import annotations
 
@@ -13,10 +17,10 @@
 
 @dataclass(slots=True)
 class AttemptFinished:
-    """An attempt has ended: at which member, the attempt's number, how, and after how long (us)."""
+    """An attempt has ended at `member`. `sent_us`: steady time of its first byte; 0: not sent."""
 
     member: str
-    number: int
+    attempt_index: int
     outcome: AttemptOutcome
     latency_us: int
     sent_us: int = 0
@@ -24,63 +28,68 @@
 
 @dataclass(slots=True)
 class ClientDeparted:
-    """The client has left, or (`overdue`) its time is over and nothing has answered it."""
+    """The client has disconnected, or (`deadline_exceeded`) the request has outlived its time unanswered."""
 
-    overdue: bool = False
+    deadline_exceeded: bool = False
 
 
 @dataclass(slots=True)
 class AttemptDecided:
-    """An attempt that the module has ordered, and what it was decided on."""
+    """An attempt that the router has decided, and what it was decided on."""
 
     action: ForwardRequest | ForwardWithFill
-    standing: DecisionSnapshot
+    snapshot: DecisionSnapshot
 
 
 @dataclass(slots=True)
 class RequestReleased:
-    """Its director ends: it gets its final answer now. `refusable`: trying it again is harmless."""
+    """The director is shutting down: the request gets its final answer now."""
 
-    refusable: bool
+    is_retry_safe: bool
+    """The client may send it again, so it is rejected; else it is failed."""
 
 
-Mail = Action | AttemptDecided | AttemptFinished | ClientDeparted | RequestReleased
+LifecycleMessage = Action | AttemptDecided | AttemptFinished | ClientDeparted | RequestReleased
 
 
 class Mailbox:
-    """Mail for the one coroutine that lives a request; lighter than a queue made for many readers."""
+    """Messages for the one coroutine that runs a request; lighter than a queue made for many readers."""
 
-    __slots__ = ("mail", "waiting")
+    __slots__ = ("_reader", "messages")
 
     def __init__(self) -> None:
-        self.mail: deque[Mail] = deque()
-        self.waiting: asyncio.Future[None] | None = None
+        self.messages: deque[LifecycleMessage] = deque()
+        self._reader: asyncio.Future[None] | None = None
 
-    def put(self, mail: Mail) -> None:
-        """Add one piece, and wake the reader."""
-        self.mail.append(mail)
-        if self.waiting is not None and not self.waiting.done():
-            self.waiting.set_result(None)
+    def put(self, message: LifecycleMessage) -> None:
+        """Add a message, and wake the reader."""
+        self.messages.append(message)
+        if self._reader is not None and not self._reader.done():
+            self._reader.set_result(None)
 
-    async def get(self) -> Mail:
-        """The next piece; waits until there is one."""
-        while not self.mail:
-            self.waiting = asyncio.get_running_loop().create_future()
-            await self.waiting
-        return self.mail.popleft()
+    async def get(self) -> LifecycleMessage:
+        """Return the next message; wait until there is one."""
+        while not self.messages:
+            self._reader = asyncio.get_running_loop().create_future()
+            await self._reader
+        return self.messages.popleft()
 
 
 @dataclass(slots=True, eq=False)
 class RequestLifecycle:
-    """One request with its mailbox: the module's actions on it, its attempts' ends, its client's leaving."""
+    """One open request. The lists are indexed by attempt."""
 
     request: ClientRequest
     mailbox: Mailbox = field(default_factory=Mailbox)
-    attempts: list[asyncio.Task[AttemptOutcome] | None] = field(default_factory=list)  # None: has ended
-    # When each attempt was ordered, in steady us; 0: it is proved that it never ran.
-    ordered_at: list[int] = field(default_factory=list)
-    ends: list[AttemptStatus | None] = field(default_factory=list)  # how each attempt ended; None: it is out
-    client_departed: bool = False  # its client has left
-    answered: bool = False  # it has its final answer
-    intended: bool = False  # that it will be sent is durable
-    transport: CacheTransport | None = None  # a front's own way of carrying out attempts
+    attempts: list[asyncio.Task[AttemptOutcome] | None] = field(default_factory=list)
+    """None: it has ended."""
+    started_at_us: list[int] = field(default_factory=list)
+    """When each attempt was started (steady); 0: it is certain that it was not executed."""
+    statuses: list[AttemptStatus | None] = field(default_factory=list)
+    """How each attempt ended; None: it is in flight."""
+    client_departed: bool = False
+    answered: bool = False
+    intent_recorded: bool = False
+    """The store has durably recorded that it will be sent."""
+    transport: CacheTransport | None = None
+    """A front's own transport for this request; None: the engine's."""
--- /dev/null
+++ b/onyxwick/core/request_runner.py
@@ -0,0 +1,204 @@
+"""Runs one request from its arrival to its final answer, and its attempts to their end.
+
+One coroutine for each open request reads the request's mailbox: the router's decisions, ends of attempts, and
+events of the client. The first message that ends the request decides its one final answer. Times in steady
+microseconds.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+
+from onyxwick import logs
+from onyxwick.core.attempt_runner import AttemptRunner
+from onyxwick.core.context import EngineContext
+from onyxwick.core.model import AnswerStatus, ClientRequest, FinalAnswer
+from onyxwick.core.reasons import RejectionReason
+from onyxwick.core.request_lifecycle import (
+    AttemptDecided,
+    AttemptFinished,
+    ClientDeparted,
+    RequestLifecycle,
+    RequestReleased,
+)
+from onyxwick.core.request_table import RequestTable
+from onyxwick.interface import (
+    AttemptStatus,
+    CancelAttempt,
+    ClientDisconnected,
+    FailRequest,
+    RejectRequest,
+    RequestArrived,
+)
+
+log = logs.get()
+DEADLINE_GRACE_US = 20_000
+"""Past its deadline by this much, a request is failed even if the router never ends it."""
+
+
+class RequestRunner:
+    """Runs the requests of one director."""
+
+    def __init__(self, context: EngineContext, table: RequestTable, attempts: AttemptRunner) -> None:
+        self.context = context
+        self.table = table
+        self.attempts = attempts
+        self.write_classes = {
+            request_class.name for request_class in context.settings.classes if request_class.is_write
+        }
+
+    async def run(self, lifecycle: RequestLifecycle, reply: Callable[[FinalAnswer], None]) -> None:
+        """Run an admitted request. `reply` is called once, or never if the client has disconnected."""
+        try:
+            answer = await self._final_answer(lifecycle)
+            lifecycle.answered = True
+            self._answer(lifecycle, answer, reply)
+            await self._finish_attempts(lifecycle)
+            if lifecycle.intent_recorded and self.context.durable is not None:
+                await self.context.durable.ended(lifecycle.request.request_id)
+        finally:
+            self.table.remove(lifecycle)
+
+    def _answer(
+        self,
+        lifecycle: RequestLifecycle,
+        answer: FinalAnswer | None,
+        reply: Callable[[FinalAnswer], None],
+    ) -> None:
+        context = self.context
+        request = lifecycle.request
+        if lifecycle.client_departed:
+            answer = None
+        if answer is not None:
+            context.counters.add(f"answer.{answer.status.value}.{request.class_name}")
+            context.invariants.answered(request.request_id, context.now())
+            reply(answer)
+        if context.tracer is not None:
+            context.tracer.answered(context.now(), request.request_id, answer)
+
+    async def _final_answer(self, lifecycle: RequestLifecycle) -> FinalAnswer | None:
+        """The answer to a request; None if its client has disconnected."""
+        if lifecycle.client_departed:
+            # The router is not told of a request that was cancelled at once: it would count as popular.
+            return None
+        try:
+            return await self._decide(lifecycle)
+        except Exception:  # an error fails this one request, never the process
+            request = lifecycle.request
+            self.context.counters.add("error.request")
+            log.exception("error in a request", request=request.request_id)
+            self._reject(request, RejectionReason.INTERNAL_ERROR)
+            self._forget(request.request_id)
+            return FinalAnswer(AnswerStatus.FAILED)
+
+    async def _decide(self, lifecycle: RequestLifecycle) -> FinalAnswer | None:
+        """From arrival to the one final answer; None if the client disconnected before it."""
+        context = self.context
+        request = lifecycle.request
+        deadline_us = request.arrived_us + request.timeout_us
+        context.counters.add(f"request.{request.class_name}")
+        deadline_timer = asyncio.get_running_loop().call_later(
+            (deadline_us + DEADLINE_GRACE_US - context.now()) / 1e6,
+            lifecycle.mailbox.put,
+            ClientDeparted(deadline_exceeded=True),
+        )
+        try:
+            context.handle(self._arrival(request, deadline_us))
+            while True:
+                match message := await lifecycle.mailbox.get():
+                    case AttemptDecided():
+                        if self.table.needs_intent(lifecycle):
+                            await self._record_intent(lifecycle)
+                        self.attempts.start(lifecycle, message)
+                    case CancelAttempt(_, attempt_index):
+                        self.attempts.cancel(lifecycle, attempt_index)
+                    case AttemptFinished(outcome=outcome):
+                        self.attempts.report(lifecycle, message)
+                        if outcome.status is AttemptStatus.OK:
+                            return _served(message)
+                    case RejectRequest() | FailRequest() | ClientDeparted() | RequestReleased():
+                        return self._unserved(request, message)
+        finally:
+            deadline_timer.cancel()
+
+    def _arrival(self, request: ClientRequest, deadline_us: int) -> RequestArrived:
+        return RequestArrived(
+            request_id=request.request_id,
+            class_name=request.class_name,
+            object_id=request.object_id,
+            expires_in_us=max(0, deadline_us - self.context.now()),
+            object_group=request.object_group,
+            part=request.part,
+            is_retry=request.is_retry,
+            is_write=request.class_name in self.write_classes,
+            tenant=request.tenant,
+            client_site=request.client_site,
+        )
+
+    def _unserved(
+        self, request: ClientRequest, end: RejectRequest | FailRequest | ClientDeparted | RequestReleased
+    ) -> FinalAnswer | None:
+        """The final answer of a request that no cache answered; None if its client has disconnected."""
+        context = self.context
+        match end:
+            case RejectRequest(_, retry_after_us):
+                self._reject(request, RejectionReason.NO_CACHE_AVAILABLE)
+                return FinalAnswer(AnswerStatus.REJECTED, retry_after_us=retry_after_us)
+            case FailRequest():
+                self._reject(request, RejectionReason.FAILED)
+                return FinalAnswer(AnswerStatus.FAILED)
+            case ClientDeparted(deadline_exceeded=False):
+                context.counters.add("request.left")
+                context.handle(ClientDisconnected(request.request_id))
+                return None
+            case RequestReleased(is_retry_safe):
+                context.handle(ClientDisconnected(request.request_id))
+                self._reject(request, RejectionReason.RELEASED_IN_SHUTDOWN)
+                return FinalAnswer(AnswerStatus.REJECTED if is_retry_safe else AnswerStatus.FAILED)
+        context.counters.add("request.overdue")
+        context.handle(ClientDisconnected(request.request_id))
+        self._reject(request, RejectionReason.DEADLINE_EXCEEDED)
+        return FinalAnswer(AnswerStatus.FAILED)
+
+    def _reject(self, request: ClientRequest, reason: RejectionReason) -> None:
+        self.context.record_rejection(reason, request.request_id, request.connection_id)
+
+    def _forget(self, request_id: str) -> None:
+        """After an error: the router has got the request's arrival and would wait for its end."""
+        try:
+            self.context.handle(ClientDisconnected(request_id))
+        except Exception:  # the request is failed already
+            self.context.counters.add("error.request")
+            log.exception("error in forgetting a request", request=request_id)
+
+    async def _record_intent(self, lifecycle: RequestLifecycle) -> None:
+        """Store durably that a non-idempotent request will be sent, before its first byte.
+
+        An error of the store fails the request: it was not sent.
+        """
+        durable = self.context.durable
+        if lifecycle.intent_recorded or durable is None:
+            return
+        await durable.intend(lifecycle.request.request_id, self.context.now())
+        lifecycle.intent_recorded = True
+
+    async def _finish_attempts(self, lifecycle: RequestLifecycle) -> None:
+        """After the final answer: wait for the attempts in flight, and report how each ended."""
+        while any(lifecycle.attempts) or lifecycle.mailbox.messages:
+            match message := await lifecycle.mailbox.get():
+                case AttemptDecided():
+                    self.attempts.withdraw(lifecycle, message)
+                case CancelAttempt(_, attempt_index):
+                    self.attempts.cancel(lifecycle, attempt_index)
+                case AttemptFinished():
+                    self.attempts.report(lifecycle, message)
+                case _:
+                    pass  # the client's disconnect, or another final action: the answer has gone out
+
+
+def _served(finished: AttemptFinished) -> FinalAnswer:
+    outcome = finished.outcome
+    return FinalAnswer(
+        AnswerStatus.SERVED, outcome.body, outcome.etag, outcome.not_modified, member=finished.member
+    )
--- /dev/null
+++ b/onyxwick/core/request_table.py
@@ -0,0 +1,86 @@
+"""The table of open requests, and which new requests are admitted to it.
+
+A request is admitted unless its id is open already, too many are open, or it may have been executed before a
+restart. Times in steady microseconds.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+
+from onyxwick.core.context import EngineContext
+from onyxwick.core.model import AnswerStatus, CacheTransport, ClientRequest, FinalAnswer
+from onyxwick.core.reasons import RejectionReason
+from onyxwick.core.request_lifecycle import RequestLifecycle
+from onyxwick.interface import Idempotency
+
+
+class RequestTable:
+    """Open requests by id. `idle` is set while there are none."""
+
+    def __init__(self, context: EngineContext) -> None:
+        self.context = context
+        self.lifecycles: dict[str, RequestLifecycle] = {}
+        self.idle = asyncio.Event()
+        self.idle.set()
+        self.non_idempotent = {
+            request_class.name
+            for request_class in context.settings.classes
+            if request_class.idempotency is Idempotency.NON_IDEMPOTENT
+        }
+
+    def admit(
+        self, request: ClientRequest, reply: Callable[[FinalAnswer], None], transport: CacheTransport | None
+    ) -> RequestLifecycle | None:
+        """Open a request; None if it was not admitted and `reply` has got its final answer."""
+        if request.request_id in self.lifecycles:
+            self._reject(request, RejectionReason.DUPLICATE_ID, "answer.duplicate")
+            reply(FinalAnswer(AnswerStatus.FAILED))
+            return None
+        if len(self.lifecycles) >= self.context.max_open_requests:
+            self._reject(request, RejectionReason.TOO_MANY_REQUESTS, "answer.overloaded")
+            reply(FinalAnswer(AnswerStatus.REJECTED))
+            return None
+        if self._possibly_executed(request):
+            self._reject(request, RejectionReason.POSSIBLY_EXECUTED, "answer.may_have_run")
+            reply(FinalAnswer(AnswerStatus.FAILED))
+            return None
+        lifecycle = RequestLifecycle(request, transport=transport)
+        self.lifecycles[request.request_id] = lifecycle
+        self.context.invariants.request_started(
+            request.request_id,
+            request.class_name,
+            request.object_group,
+            request.object_id,
+            request.arrived_us + request.timeout_us,
+            self.context.now(),
+        )
+        self.idle.clear()
+        return lifecycle
+
+    def remove(self, lifecycle: RequestLifecycle) -> None:
+        """A request is closed: it has its answer, and all its attempts have ended."""
+        request_id = lifecycle.request.request_id
+        self.context.invariants.request_ended(request_id)
+        del self.lifecycles[request_id]
+        if not self.lifecycles:
+            self.idle.set()
+
+    def needs_intent(self, lifecycle: RequestLifecycle) -> bool:
+        """Whether the store must record a request's intent before its first attempt is sent."""
+        durable = self.context.durable
+        if durable is None or not durable.bookings:
+            return False
+        return lifecycle.request.class_name in self.non_idempotent
+
+    def _possibly_executed(self, request: ClientRequest) -> bool:
+        """Whether an attempt of a non-idempotent request was in flight when this director was restarted."""
+        durable = self.context.durable
+        if durable is None or request.class_name not in self.non_idempotent:
+            return False
+        return not durable.recovery.may_send(request.request_id)
+
+    def _reject(self, request: ClientRequest, reason: RejectionReason, counter: str) -> None:
+        self.context.counters.add(counter)
+        self.context.record_rejection(reason, request.request_id, request.connection_id)
--- a/onyxwick/core/send_guard.py
+++ b/onyxwick/core/send_guard.py
@@ -1,4 +1,8 @@
-"""The one guard at the moment of an attempt's send, however long it waited before. No I/O of its own."""
+"""The last check before an attempt's first byte, however long the attempt has waited. No I/O of its own.
+
+Input: the request, its earlier attempts, and what the attempt was decided on. Output: whether it may be sent.
+Times in steady microseconds.
+"""
 
 from __future__ import annotations
 
@@ -7,74 +11,78 @@
 
 from onyxwick.core.endpoints import DecisionSnapshot, EndpointTable
 from onyxwick.core.request_lifecycle import RequestLifecycle
-from onyxwick.core.stall import StallWatch
+from onyxwick.core.stall_detector import StallDetector
 from onyxwick.interface import Idempotency, RouterSettings
 
+KEY_WINDOW_MARGIN_TICKS = 2
+"""A retry with an idempotency key is sent so many ticks before its window ends, to arrive within it."""
+
 
 class SendGuard:
     """Asked by the transport right before an attempt's first byte.
 
-    `now`: steady microseconds; `leave`: called for a request whose client turns out to have left;
-    `catch_up`: takes in what the feed has brought and nobody has read yet.
+    `now`: steady microseconds. `on_client_departed`: called for a request whose client has disconnected
+    unnoticed. `read_pending_feed`: applies what the feed has sent and nobody has read yet; set by the feed.
     """
 
     def __init__(
         self,
         settings: RouterSettings,
-        members: EndpointTable,
-        stalls: StallWatch,
+        endpoints: EndpointTable,
+        stalls: StallDetector,
         now: Callable[[], int],
-        leave: Callable[[RequestLifecycle], None],
+        on_client_departed: Callable[[RequestLifecycle], None],
     ) -> None:
-        self.members, self.stalls, self.now, self.leave = members, stalls, now, leave
-        self.kinds = {c.name: c for c in settings.classes}
-        self.margin_us = 2 * settings.tick_us
-        self.catch_up: Callable[[], None] | None = None
-        self._stalls_seen = 0
+        self.endpoints = endpoints
+        self.stalls = stalls
+        self.now = now
+        self.on_client_departed = on_client_departed
+        self.classes = {request_class.name: request_class for request_class in settings.classes}
+        self.key_window_margin_us = KEY_WINDOW_MARGIN_TICKS * settings.tick_us
+        self.read_pending_feed: Callable[[], None] | None = None
+        self._handled_stalls = 0
 
     def may_send(
         self,
         lifecycle: RequestLifecycle,
-        number: int,
+        attempt_index: int,
         member: str,
-        source: str | None,
-        decided: DecisionSnapshot,
+        fill_source: str | None,
+        snapshot: DecisionSnapshot,
     ) -> bool:
-        """Is it still wanted, may it be a repeat, is its way still open?"""
-        self._catch_up_after_stall()
-        if lifecycle.client_departed or lifecycle.answered or not self.may_repeat(lifecycle, number):
+        """Whether the client still waits, a retry is safe, and the member and its source still take it."""
+        self._read_feed_after_stall()
+        if lifecycle.client_departed or lifecycle.answered or not self.may_retry(lifecycle, attempt_index):
             return False
         if not lifecycle.request.is_wanted():
-            self.leave(lifecycle)
+            self.on_client_departed(lifecycle)
             return False
-        return self.members.is_still_valid(member, source, lifecycle.request, decided)
+        return self.endpoints.is_still_valid(member, fill_source, lifecycle.request, snapshot)
 
-    def _catch_up_after_stall(self) -> None:
-        """After a stop of the process or a long turn of its loop, what was told meanwhile stands in the
-        feed's socket: it is taken in before anything is sent."""
-        self.stalls.turn(time.monotonic())
-        if self._stalls_seen != self.stalls.stalls:
-            self._stalls_seen = self.stalls.stalls
-            if self.catch_up is not None:
-                self.catch_up()
+    def _read_feed_after_stall(self) -> None:
+        """After a stall, drains and purges may be waiting in the feed's socket: apply them before sending."""
+        self.stalls.observe(time.monotonic())
+        if self._handled_stalls != self.stalls.stall_count:
+            self._handled_stalls = self.stalls.stall_count
+            if self.read_pending_feed is not None:
+                self.read_pending_feed()
 
-    def is_harmless_again(self, lifecycle: RequestLifecycle) -> bool:
-        """May its client be told to try it again: is its class safe to repeat, or has nothing of it run?"""
-        kind = self.kinds.get(lifecycle.request.class_name)
-        return (kind is not None and kind.idempotency is Idempotency.IDEMPOTENT) or not any(
-            lifecycle.ordered_at
-        )
+    def is_retry_safe(self, lifecycle: RequestLifecycle) -> bool:
+        """Whether the client may retry: its class is idempotent, or no attempt can have been executed."""
+        request_class = self.classes.get(lifecycle.request.class_name)
+        if request_class is not None and request_class.idempotency is Idempotency.IDEMPOTENT:
+            return True
+        return not any(lifecycle.started_at_us)
 
-    def may_repeat(self, lifecycle: RequestLifecycle, number: int) -> bool:
-        """May an attempt go out beside or after the earlier ones of its request that may have run?"""
-        kind = self.kinds.get(lifecycle.request.class_name)
-        if kind is None or kind.idempotency is Idempotency.IDEMPOTENT:
+    def may_retry(self, lifecycle: RequestLifecycle, attempt_index: int) -> bool:
+        """Whether an attempt may be sent beside or after earlier ones that may have been executed."""
+        request_class = self.classes.get(lifecycle.request.class_name)
+        if request_class is None or request_class.idempotency is Idempotency.IDEMPOTENT:
             return True
-        ran = [at for at in lifecycle.ordered_at[:number] if at]
-        if not ran:
+        possibly_executed = [at_us for at_us in lifecycle.started_at_us[:attempt_index] if at_us]
+        if not possibly_executed:
             return True
-        # A repeat by key is safe for a while after the first send; it must have arrived whole by then.
-        return (
-            kind.idempotency is Idempotency.WITH_KEY
-            and self.now() - min(ran) < kind.key_window_us - self.margin_us
-        )
+        if request_class.idempotency is not Idempotency.WITH_KEY:
+            return False
+        elapsed_us = self.now() - min(possibly_executed)
+        return elapsed_us < request_class.key_window_us - self.key_window_margin_us
--- a/onyxwick/counters.py
+++ b/onyxwick/counters.py
@@ -4,7 +4,7 @@
 
 from collections import Counter
 
-MOST = 512  # names at once: some carry a class name that a client wrote
+MAX_NAMES = 512  # names at once: some carry a class name that a client wrote
 
 
 class Counters:
@@ -12,7 +12,7 @@
         self.counts: Counter[str] = Counter()
 
     def add(self, name: str, by: int = 1) -> None:
-        if name not in self.counts and len(self.counts) >= MOST:
+        if name not in self.counts and len(self.counts) >= MAX_NAMES:
             name = "other"
         self.counts[name] += by
 
--- a/onyxwick/dns/server.py
+++ b/onyxwick/dns/server.py
@@ -236,11 +236,11 @@
         response: dns.message.Message,
     ) -> None:
         """The chosen cache as an answer. The list is asked again: a drain may have come since the choice."""
-        address = self.core.members.addresses.get(answer.member)
+        address = self.core.endpoints.addresses.get(answer.member)
         if (
             answer.status is not AnswerStatus.SERVED
             or address is None
-            or not self.core.members.ready(answer.member)
+            or not self.core.endpoints.is_ready(answer.member)
         ):
             self.counters.add("dns.servfail")
             return response.set_rcode(dns.rcode.SERVFAIL)
@@ -263,10 +263,10 @@
         response: dns.message.Message,
     ) -> None:
         """The target of an SRV answer, whose naming was charged there; gone once the box drains."""
-        if not self.core.members.ready(member):
+        if not self.core.endpoints.is_ready(member):
             response.set_rcode(dns.rcode.NXDOMAIN)
         elif kind == dns.rdatatype.A:
-            address = self.core.members.addresses[member][0]
+            address = self.core.endpoints.addresses[member][0]
             response.answer.append(dns.rrset.from_text(name, 0, "IN", "A", address))
             return
         response.authority.append(lookup.soa(zone))
--- a/onyxwick/lab/checks.py
+++ b/onyxwick/lab/checks.py
@@ -5,7 +5,8 @@
 import time
 from typing import Any
 
-from onyxwick.core.invariants import AttemptStarted, Invariants, Violation
+from onyxwick.core.invariant_model import AttemptStarted, Violation
+from onyxwick.core.invariants import Invariants
 from onyxwick.interface import EndpointListKind, EndpointsChanged, Member, MemberState
 from onyxwick.lab.platform import settings
 from onyxwick.lab.soak.surroundings import DEADLINES_US, soak_jobs, soak_scenario
@@ -21,13 +22,13 @@
     rules = read_settings(Pairs.of_json(settings(soak_scenario(soak_jobs(DEADLINES_US)))))
     checks = Invariants(rules, found.append)
     rows = tuple(Member(f"c{n}", "depot-1", "box", 0, MemberState.READY, 6.0, 0) for n in range(CACHES))
-    checks.list_changed(EndpointsChanged(EndpointListKind.SNAPSHOT, rows), S)
-    checks.purged(3, None, S, S)
+    checks.endpoints_changed(EndpointsChanged(EndpointListKind.SNAPSHOT, rows), S)
+    checks.object_purged(3, None, S, S)
     begun = time.perf_counter()
     for n in range(requests):
         name, cache = f"{n:016x}", f"c{n % CACHES}"
         checks.request_started(name, "site-video", 17, "o1", 9 * S, 2 * S)
-        checks.attempt_begun(AttemptStarted(name, 0, cache, None, 0, 5 * S), 2 * S)
+        checks.attempt_started(AttemptStarted(name, 0, cache, None, 0, 5 * S), 2 * S)
         checks.attempt_ended(name, 0, False)
         checks.answered(name, 3 * S)
         checks.request_ended(name)
--- a/onyxwick/lab/scale/hollow.py
+++ b/onyxwick/lab/scale/hollow.py
@@ -27,6 +27,7 @@
 from onyxwick.core import AttemptOutcome, AttemptSpec, ClientRequest, RequestEngine
 from onyxwick.core.clock import steady_us
 from onyxwick.core.endpoints import EndpointTable
+from onyxwick.core.feed_intake import FeedIntake
 from onyxwick.counters import Counters
 from onyxwick.distribution.follower import Follower
 from onyxwick.interface import AnswerDetail, AttemptStatus, EndpointListKind, EndpointsChanged
@@ -79,26 +80,26 @@
         }
 
 
-class ObservedCore(RequestEngine):
-    """A director's core that records what it receives; purges carry their publication as object's name."""
+class ObservedFeed(FeedIntake):
+    """A director's feed intake that records what it receives; a purge's object is its publication time."""
 
     observations: Observations
     number = 0
     last_purge = 0
     disordered = 0
 
-    def purged(self, group: int, name: str | None, at_us: int) -> None:
+    def apply_purge(self, object_group: int, object_id: str | None, purged_at_us: int) -> None:
         """A purge, applied as ever; one not later than the last is counted as disorder."""
-        super().purged(group, name, at_us)
-        if name is not None:
-            published = int(name, 16)
+        super().apply_purge(object_group, object_id, purged_at_us)
+        if object_id is not None:
+            published = int(object_id, 16)
             self.disordered += published <= self.last_purge
             self.last_purge = max(self.last_purge, published)
             self.observations.add(ObservationKind.PURGE, self.number, published)
 
-    def list_changed(self, event: EndpointsChanged, addresses: dict[str, Address]) -> None:
+    def apply_endpoints(self, event: EndpointsChanged, addresses: dict[str, Address]) -> None:
         """A change of the list; its version is its publication in microseconds, if it has any."""
-        super().list_changed(event, addresses)
+        super().apply_endpoints(event, addresses)
         if event.kind is EndpointListKind.CHANGE and event.version:
             self.observations.add(ObservationKind.LIST, self.number, event.version * 1000)
 
@@ -132,14 +133,16 @@
     def _begin(self) -> None:
         own = replace(settings(), router_count=1000, zone_router_count=12, router_index=self.number)
         seed = random.Random(self.number).getrandbits(60)
-        self.core = ObservedCore(own, seed, Instant(), EndpointTable(), self.counters)
-        self.core.observations, self.core.number = self.observed, self.number
+        self.core = RequestEngine(own, seed, Instant(), EndpointTable(), self.counters)
+        self.intake = ObservedFeed(self.core.context)
+        self.intake.observations, self.intake.number = self.observed, self.number
+        self.core.feed = self.intake
         if self.shape is Shape.SINGLE:
             self.coordinator = CoordinatorFeed(self.core, self.counters, seed, directors=1000)
             self.coordinator.move(self.parents[0])
             return
         follower = Follower(len(self.parents), ReconnectDelays(seed, steady_us()))
-        documents = {f"doc-{n}": self.core.document for n in range(DOCUMENTS)}
+        documents = {f"doc-{n}": self.intake.document for n in range(DOCUMENTS)}
         self.feed = DirectorFeed(self.core, self.counters, documents)
         self.subscription = Subscription(follower, self.parents, self.feed, self.counters)
 
@@ -158,7 +161,7 @@
         if self.task is not None:
             self.task.cancel()
             await asyncio.gather(self.task, return_exceptions=True)
-        self.disordered += self.core.disordered
+        self.disordered += self.intake.disordered
 
     async def restart(self) -> None:
         """Begin anew with nothing, as a new process would."""
@@ -186,9 +189,9 @@
         """Sizes of what a director keeps: each has to have a bound that does not depend on its product with
         another."""
         out = {
-            "purge_times": len(self.core.members.purge_times),
+            "purge_times": len(self.core.endpoints.purge_times),
             "router_purges": len(self.core.router.marks) if hasattr(self.core.router, "marks") else 0,
-            "caches": len(self.core.members.listed),
+            "caches": len(self.core.endpoints.listed),
             "requests": len(self.core.lifecycles),
         }
         if self.feed is not None:
@@ -286,7 +289,7 @@
         return {
             "observations": self.observations.columns(),
             "since_ns": {director.number: director.since_ns for director in self.directors},
-            "disordered": sum(d.disordered + d.core.disordered for d in self.directors),
+            "disordered": sum(d.disordered + d.intake.disordered for d in self.directors),
             "counts": dict(counts),
             "follower": dict(follower),
             "largest_tables": dict(tables),
--- a/onyxwick/lab/scale/sweeps.py
+++ b/onyxwick/lab/scale/sweeps.py
@@ -162,12 +162,12 @@
     step = S // rate
     for n in range(12 * rate):
         clock.now += step
-        director.purged(-1, f"{n:016x}", clock.now)
+        director.feed.apply_purge(-1, f"{n:016x}", clock.now)
     measured = max(200, rate)
     begin = time.process_time()
     for n in range(measured):
         clock.now += step
-        director.purged(-1, f"w{n:015x}", clock.now)
+        director.feed.apply_purge(-1, f"w{n:015x}", clock.now)
     return (time.process_time() - begin) / measured * rate * 1e3
 
 
--- a/onyxwick/lab/soak/oracle.py
+++ b/onyxwick/lab/soak/oracle.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass
 
-from onyxwick.core.invariants import budget
+from onyxwick.core.attempt_invariants import slow_start_limit
 from onyxwick.lab.model import Tier
 from onyxwick.lab.soak.model import ClientConnection, Down, SoakCall, SoakRecords, Termination
 
@@ -279,7 +279,7 @@
             return None
         share = tier.cold_share + (1 - tier.cold_share) * age / tier.cold_us
         allowed = tier.fall_multiple * share * tier.capacity * WINDOW_US / mean
-        if got > budget(allowed) and not math.isclose(got, budget(allowed)):
+        if got > slow_start_limit(allowed) and not math.isclose(got, slow_start_limit(allowed)):
             return got, allowed
     return None
 
--- a/onyxwick/lifecycle.py
+++ b/onyxwick/lifecycle.py
@@ -22,9 +22,9 @@
 from onyxwick.core import RequestEngine
 from onyxwick.core.clock import steady_us
 from onyxwick.core.endpoints import EndpointTable
-from onyxwick.core.phase import PHASE_CHANGES, DirectorPhase, IllegalPhaseChangeError
+from onyxwick.core.phase import PHASE_TRANSITIONS, DirectorPhase, IllegalPhaseChangeError
 from onyxwick.core.shutdown import (
-    LAST_WORDS_S,
+    FINAL_FLUSH_S,
     ShutdownSchedule,
     ShutdownStage,
     drain_schedule,
@@ -63,40 +63,40 @@
     def __init__(self, config: DirectorConfig, told: ServiceConfig | None = None) -> None:
         self.config, self.service = config, _service(config, told)
         self.phase = DirectorPhase.STARTING
-        self.counters, self.members = Counters(), EndpointTable()
-        self.leaving = asyncio.Event()
-        self.caches = CacheConnectionPool(
-            self.members,
+        self.counters, self.endpoints = Counters(), EndpointTable()
+        self.stop_requested = asyncio.Event()
+        self.cache_pool = CacheConnectionPool(
+            self.endpoints,
             self.counters,
             config.settings.limits.connect_timeout_us,
             config.settings.report_names,
             most_links=config.most_links,
         )
         service = self.service
-        self.core = RequestEngine(
+        self.engine = RequestEngine(
             config.settings,
             config.seed,
-            self.caches,
-            self.members,
+            self.cache_pool,
+            self.endpoints,
             self.counters,
-            most_open=config.most_open,
-            decide=Router if service is None else service.decide,
+            max_open_requests=config.most_open,
+            make_router=Router if service is None else service.decide,
         )
         routers = config.settings.router_count
-        self.coordinator = CoordinatorFeed(self.core, self.counters, config.seed ^ FEED_DRAW, routers)
+        self.coordinator = CoordinatorFeed(self.engine, self.counters, config.seed ^ FEED_DRAW, routers)
         self.coordinator.move(config.coordinator)  # a reload while starting moves it on
         if service is not None:
-            service.attach(self.core, self.members, self.counters)
-            service.pace(self.coordinator, self.caches)
+            service.attach(self.engine, self.endpoints, self.counters)
+            service.pace(self.coordinator, self.cache_pool)
         self.front = FastCgiFront(
-            self.core,
+            self.engine,
             self.counters,
             self.is_ready,
             config.most_clients,
             config.most_held,
             *(() if service is None else service.places()),
         )
-        self.bridge = self._bridge()
+        self.command_executor = self._bridge()
 
     def _bridge(self) -> CommandExecutor | None:
         """The director's side of the operators' door, where the configuration gives one."""
@@ -105,64 +105,64 @@
         from onyxwick.operations.command_executor import CommandExecutor, persisted_commands
 
         bridge = CommandExecutor(
-            self.core,
-            self.members,
+            self.engine,
+            self.endpoints,
             self.counters,
-            self.ready_word,
-            self._drained,
+            self.readiness,
+            self._on_drain_changed,
             persisted_commands(os.environ.get("TMPDIR"), self.config.name),
         )
-        bridge.recall()
-        self.core.adjust_list = bridge.shown
+        bridge.restore()
+        self.engine.feed.adjust_endpoints = bridge.adjust_endpoints
         return bridge
 
     def is_ready(self) -> bool:
         """Whether new clients are welcome; may be asked from the door's thread."""
-        drained = self.bridge is not None and self.bridge.orders.drained
+        drained = self.command_executor is not None and self.command_executor.commands.is_drained
         # The orders bind from the door's answer on; the phase follows them a turn of the loop later.
         serving = self.phase in (DirectorPhase.SERVING, DirectorPhase.DRAINED)
-        return serving and self.members.loaded and not drained
+        return serving and self.endpoints.loaded and not drained
 
-    def ready_word(self) -> str:
+    def readiness(self) -> str:
         if self.phase in (DirectorPhase.DRAINING, DirectorPhase.STOPPED):
             return "END"
         return "YES" if self.is_ready() else "NO"
 
     def _enter(self, phase: DirectorPhase) -> None:
-        if phase not in PHASE_CHANGES[self.phase]:
-            raise IllegalPhaseChangeError(f"from {self.phase.value} to {phase.value}")
+        if phase not in PHASE_TRANSITIONS[self.phase]:
+            raise IllegalPhaseChangeError(self.phase, phase)
         self.phase = phase
         log.info(phase.value, name=self.config.name)
 
-    def _drained(self, orders: OperatorCommands) -> None:
+    def _on_drain_changed(self, orders: OperatorCommands) -> None:
         """The operators' drain, or its end: connections end by its schedule, or stay. The drain's time runs
         from its call, however late the loop comes round to it."""
         if self.phase not in (DirectorPhase.SERVING, DirectorPhase.DRAINED):
             return  # starting, the first phase entered takes it; ending, connections close anyway
-        phase = DirectorPhase.DRAINED if orders.drained else DirectorPhase.SERVING
+        phase = DirectorPhase.DRAINED if orders.is_drained else DirectorPhase.SERVING
         if phase is not self.phase:  # not so where the start, or a turn with two drains in it, entered it
             self._enter(phase)
-        if orders.drained:
-            self.front.begin_ending(drain_schedule(orders.drain_called_at or time.monotonic()))
+        if orders.is_drained:
+            self.front.begin_ending(drain_schedule(orders.drain_requested_at_s or time.monotonic()))
         else:
             self.front.resume()
 
-    def _end(self) -> None:
+    def _request_stop(self) -> None:
         """SIGTERM. It may have come at any time in a stop of the process or a long turn of the loop."""
-        if self.ending is None:
+        if self.shutdown is None:
             now, longest_s = time.monotonic(), self._longest_s()
-            self.kill_at = now + kill_after_s(longest_s)
-            sent_at = self.core.stalls.turn(now)
-            self.ending = termination_schedule(sent_at, now, longest_s, self.handed)
-            self.leaving.set()
+            self.kill_at_s = now + kill_after_s(longest_s)
+            sent_at = self.engine.stalls.observe(now)
+            self.shutdown = termination_schedule(sent_at, now, longest_s, self.has_inherited_socket)
+            self.stop_requested.set()
 
     def _longest_s(self) -> float:
         return max((kind.deadline_us for kind in self.config.settings.classes), default=0) / 1e6
 
     def _signals(self) -> None:
         loop = asyncio.get_running_loop()
-        loop.add_signal_handler(signal.SIGTERM, self._end)
-        loop.add_signal_handler(signal.SIGINT, self._end)
+        loop.add_signal_handler(signal.SIGTERM, self._request_stop)
+        loop.add_signal_handler(signal.SIGINT, self._request_stop)
         loop.add_signal_handler(signal.SIGUSR1, self.print_counters)
         loop.add_signal_handler(signal.SIGHUP, self.reload)
         if self.service is not None and self.service.told.trace is not None:
@@ -205,11 +205,11 @@
 
         `handed`: the listening socket that the platform holds; else the program binds `listen` itself.
         """
-        self.handed = handed is not None
+        self.has_inherited_socket = handed is not None
         self._signals()
-        if self.early:
+        if self.early_signals:
             self.reload()
-        if self.leaving.is_set() and self.service is None:  # told to end before a client could come
+        if self.stop_requested.is_set() and self.service is None:  # told to end before a client could come
             self._enter(DirectorPhase.DRAINING)
             return self._enter(DirectorPhase.STOPPED)
         opened: contextlib.AbstractContextManager[socket.socket] = (
@@ -223,7 +223,7 @@
             service, coordinator = self.service, self.coordinator
             side += [
                 loop.create_task(coordinator.follow() if service is None else service.follow(coordinator)),
-                self._keep("sweep.caches", self.caches.sweep),
+                self._keep("sweep.caches", self.cache_pool.sweep),
                 self._keep("sweep.front", self.front.sweep),
                 self._keep("turns", self.front.watch_turns),
                 self._keep("collect", self._collect),
@@ -233,22 +233,22 @@
             gc.freeze()  # what lives from the start need not be looked through again
             door = self._open_door(loop, side)
             accepting = self._keep("accept", lambda: self.front.accept(sock))
-            drained = self.bridge is not None and self.bridge.orders.drained
+            drained = self.command_executor is not None and self.command_executor.commands.is_drained
             self._enter(DirectorPhase.DRAINED if drained else DirectorPhase.SERVING)
-            if self.bridge is not None and drained:
+            if self.command_executor is not None and drained:
                 self.front.begin_ending(
-                    drain_schedule(self.bridge.orders.drain_called_at or time.monotonic())
+                    drain_schedule(self.command_executor.commands.drain_requested_at_s or time.monotonic())
                 )
-            await self.leaving.wait()
-            assert self.ending is not None
-            await self._drain(accepting, sock, self.ending)
+            await self.stop_requested.wait()
+            assert self.shutdown is not None
+            await self._drain(accepting, sock, self.shutdown)
         if door is not None:
             await self._until_written(door)
             door.stop()
         for task in side:
             task.cancel()
         await asyncio.gather(*side, return_exceptions=True)
-        await self.caches.close()
+        await self.cache_pool.close()
         if self.service is not None:
             await self._close_service(self.service)
         self._enter(DirectorPhase.STOPPED)
@@ -256,15 +256,15 @@
         self.print_counters()
 
     def _check_end(self) -> None:
-        if self.ending is not None:
+        if self.shutdown is not None:
             allowed_s = kill_after_s(self._longest_s())
-            after_s = time.monotonic() - self.kill_at + allowed_s
-            self.core.invariants.process_ended(int(after_s * 1e6), int(allowed_s * 1e6))
+            after_s = time.monotonic() - self.kill_at_s + allowed_s
+            self.engine.invariants.process_ended(int(after_s * 1e6), int(allowed_s * 1e6))
 
     async def _close_service(self, service: HostedService) -> None:
         """Let the store end what it is at, for no longer than the platform lets the process run."""
         try:
-            async with asyncio.timeout(max(LAST_WORDS_S, self.kill_at - time.monotonic())):
+            async with asyncio.timeout(max(FINAL_FLUSH_S, self.kill_at_s - time.monotonic())):
                 await service.close()
         except TimeoutError:
             log.error("the store was not closed in time")
@@ -272,17 +272,19 @@
     async def _until_written(self, door: OperationsServer) -> None:
         """Give a folder that takes no write all the time that is left before SIGKILL: a successor is to know
         what was ordered."""
-        end = self.kill_at - LAST_WORDS_S
-        while door.unwritten and time.monotonic() < end:
+        end = self.kill_at_s - FINAL_FLUSH_S
+        while door.unwritten_changes and time.monotonic() < end:
             await asyncio.sleep(UNWRITTEN_LOOK_S)
-        if door.unwritten:
-            log.error("the operators' commands were never written", commands=sorted(door.unwritten)[:16])
+        if door.unwritten_changes:
+            log.error(
+                "the operators' commands were never written", commands=sorted(door.unwritten_changes)[:16]
+            )
 
     def _open_door(
         self, loop: asyncio.AbstractEventLoop, side: list[asyncio.Task[None]]
     ) -> OperationsServer | None:
         """The operators' door in its own thread; Unusable where its address cannot be listened on."""
-        bridge, address = self.bridge, self.config.admin
+        bridge, address = self.command_executor, self.config.admin
         if bridge is None or address is None:
             return None
         from onyxwick.operations.server import OperationsServer
@@ -295,7 +297,7 @@
             ) from None
         bridge.loop = loop
         door = OperationsServer(
-            bound, address, bridge, bridge.orders, bridge.known, bridge.persisted, steady_us
+            bound, address, bridge, bridge.commands, bridge.known_caches, bridge.persisted, steady_us
         )
         door.start()
         side.append(self._keep("publish", lambda: self._publish(bridge)))
@@ -329,15 +331,15 @@
             gc.collect()
 
     def health(self) -> dict[str, object]:
-        listed = self.members.listed
-        ready = sum(self.members.ready(member) for member in listed)
+        listed = self.endpoints.listed
+        ready = sum(self.endpoints.is_ready(member) for member in listed)
         return {"state": self.phase.value, "ready": self.is_ready(), "members": len(listed), "up": ready}
 
     reloading: asyncio.TimerHandle | None = None  # the next try of a reload that could not read its file
-    early: Sequence[int] = ()  # signals to reload that came while the program started
-    ending: ShutdownSchedule | None = None  # since SIGTERM
-    kill_at = 0.0  # monotonic seconds at which SIGKILL may come, from when SIGTERM was heard
-    handed = False  # the listening socket is the platform's: a successor accepts on it already
+    early_signals: Sequence[int] = ()  # signals to reload that came while the program started
+    shutdown: ShutdownSchedule | None = None  # since SIGTERM
+    kill_at_s = 0.0  # monotonic seconds at which SIGKILL may come, from when SIGTERM was heard
+    has_inherited_socket = False  # the listening socket is the platform's: a successor accepts on it already
 
     async def _drain(
         self, accepting: asyncio.Task[None], sock: socket.socket, schedule: ShutdownSchedule
@@ -348,11 +350,11 @@
         """
         self._enter(DirectorPhase.DRAINING)
         self.front.begin_ending(schedule)
-        await asyncio.sleep(max(0.0, schedule.accept_until - time.monotonic()))
+        await asyncio.sleep(max(0.0, schedule.accept_until_s - time.monotonic()))
         accepting.cancel()
         await asyncio.gather(accepting, return_exceptions=True)
-        if not self.handed:
-            await self.front.accept_rest(sock, schedule.begins_at(ShutdownStage.GIVES_BACK))
+        if not self.has_inherited_socket:
+            await self.front.accept_rest(sock, schedule.stage_start_s(ShutdownStage.RELEASE_REQUESTS))
             sock.close()
         await self.front.finish(schedule)
 
--- a/onyxwick/logs.py
+++ b/onyxwick/logs.py
@@ -14,12 +14,12 @@
 import structlog
 import ujson
 
-MOST_PER_S = 10  # lines of one kind
-MOST_TRACE = 2500  # characters of an error's trace
-MOST_KINDS = 1024  # of lines counted at once
+MAX_LINES_PER_S = 10  # lines of one kind
+MAX_TRACEBACK_CHARS = 2500  # characters of an error's trace
+MAX_LINE_KINDS = 1024  # of lines counted at once
 
 
-class Throttle:
+class LineRateLimit:
     """Passes so many lines a second of each kind (level and event); the next one tells how many were not."""
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
@@ -28,13 +28,13 @@
 
     def __call__(self, logger: Any, method: str, event: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
         second, key = int(self.clock()), (method, str(event.get("event")))
-        if key not in self.kinds and len(self.kinds) >= MOST_KINDS:
+        if key not in self.kinds and len(self.kinds) >= MAX_LINE_KINDS:
             self.kinds.clear()
         kind = self.kinds.setdefault(key, [second, 0, 0])
         if kind[0] != second:
             kind[:2] = second, 0
         kind[1] += 1
-        if kind[1] > MOST_PER_S:
+        if kind[1] > MAX_LINES_PER_S:
             kind[2] += 1
             raise structlog.DropEvent
         if kind[2]:
@@ -45,8 +45,8 @@
 def _shorten(logger: Any, method: str, event: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
     """The end of a long trace tells the cause; a line has to fit into one write."""
     trace = event.get("exception")
-    if isinstance(trace, str) and len(trace) > MOST_TRACE:
-        event["exception"] = f"... {trace[-MOST_TRACE:]}"
+    if isinstance(trace, str) and len(trace) > MAX_TRACEBACK_CHARS:
+        event["exception"] = f"... {trace[-MAX_TRACEBACK_CHARS:]}"
     return event
 
 
@@ -69,7 +69,7 @@
     """
 
     def __init__(self, stream: TextIO) -> None:
-        self.stream, self.dropped = stream, 0
+        self.stream, self.dropped_lines = stream, 0
         self._line = _Line()  # of each thread its own: parts of two never come into one line
         self._lock = threading.Lock()  # between a look for room and the write into it
         self._poll: select.poll | None = None
@@ -98,7 +98,7 @@
             else:
                 self._write_now(text.encode(errors="replace"), self._poll)
         except (OSError, ValueError):
-            self.dropped += 1
+            self.dropped_lines += 1
 
     def _write_now(self, line: bytes, poll: select.poll) -> None:
         # What is writable takes so many bytes without blocking (pipe(7), PIPE_BUF).
@@ -132,7 +132,7 @@
     traces = [] if terminal else [structlog.processors.format_exc_info]
     structlog.configure(
         processors=[
-            Throttle(),
+            LineRateLimit(),
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso", utc=True),
             *traces,
--- a/onyxwick/net/cache_connection.py
+++ b/onyxwick/net/cache_connection.py
@@ -92,7 +92,7 @@
         )
         call.write = PendingWrite(
             b"",
-            lambda: order.left_us() > 0 and order.is_still_valid() and self._leads_to_member(),
+            lambda: order.remaining_us() > 0 and order.is_still_valid() and self._leads_to_member(),
             lambda: self._dropped(call),
             render=lambda: request_bytes(order),
             size=COMMAND_BYTES + len(order.request.body),
@@ -144,11 +144,11 @@
             await self._talk(sock)
         except (OSError, TimeoutError):  # told to the attempts below
             here = (
-                ConnectionCloseReason.CONNECT_FAILED_HERE
+                ConnectionCloseReason.CONNECT_FAILED_LOCALLY
                 if self.kept_back
                 else ConnectionCloseReason.CONNECT_FAILED
             )
-            self.end = self.end or (ConnectionCloseReason.BROKEN if self.up else here)
+            self.end = self.end or (ConnectionCloseReason.CONNECTION_ERROR if self.up else here)
         except resp.RespError as error:
             self.end = ConnectionCloseReason.BAD_ANSWER
             self.caches.counters.add("bad.resp")
--- a/onyxwick/net/cache_pool.py
+++ b/onyxwick/net/cache_pool.py
@@ -44,12 +44,12 @@
         self.links: dict[str, list[CacheConnection]] = {}
         self.count = 0
         self.budget = ByteBudget()
-        members.watchers.append(self.member_changed)
+        members.replacement_listeners.append(self.member_changed)
 
     async def run(self, order: AttemptSpec) -> AttemptOutcome:
         """Carry out one attempt; a cancel gives it up."""
         address = self.members.addresses.get(order.member)
-        if address is None or order.left_us() <= 0 or not order.is_still_valid():
+        if address is None or order.remaining_us() <= 0 or not order.is_still_valid():
             return AttemptOutcome(AttemptStatus.NOT_SENT)
         try:
             link = self._link(order, address)
@@ -58,7 +58,7 @@
             log.warning("no place for a connection", member=order.member, error=str(error))
             return AttemptOutcome(AttemptStatus.NOT_SENT)
         call = link.call(order)
-        limit = asyncio.get_running_loop().call_later(order.left_us() / 1e6, link.expire, call)
+        limit = asyncio.get_running_loop().call_later(order.remaining_us() / 1e6, link.expire, call)
         try:
             return await call.result
         except asyncio.CancelledError:
@@ -97,7 +97,7 @@
     def _close_idle(self) -> None:
         idle = [link for links in self.links.values() for link in links if not link.calls]
         if idle:
-            min(idle, key=lambda link: link.used_at).drop(ConnectionCloseReason.PLACE_NEEDED)
+            min(idle, key=lambda link: link.used_at).drop(ConnectionCloseReason.SLOT_NEEDED)
 
     def forget(self, link: CacheConnection) -> None:
         """A connection has ended."""
@@ -125,9 +125,9 @@
                 for link in links:
                     if link.stuck(now):
                         self.counters.add("bad.stuck")
-                        link.drop(ConnectionCloseReason.ANSWER_STUCK)
+                        link.drop(ConnectionCloseReason.ANSWER_STALLED)
                     if link.writes.stalled(now, STALLED_S):
-                        link.drop(ConnectionCloseReason.STALLED)
+                        link.drop(ConnectionCloseReason.WRITE_STALLED)
                     if not link.calls and not link.writes.pending and (link.retired or link.used_at < before):
                         link.drop(
                             ConnectionCloseReason.RETIRED if link.retired else ConnectionCloseReason.IDLE
--- a/onyxwick/net/cache_wire.py
+++ b/onyxwick/net/cache_wire.py
@@ -48,7 +48,7 @@
         "c": request.class_name,
         "k": request.object_id,
         "p": str(request.part),
-        "w": str(max(1, order.left_us() // 1000)),
+        "w": str(max(1, order.remaining_us() // 1000)),
     }
     if order.fill_source is not None:
         out["parent"] = order.fill_source
--- a/onyxwick/net/call_intake.py
+++ b/onyxwick/net/call_intake.py
@@ -31,12 +31,12 @@
             return
         if client.ending:  # it has come before the end was written: it is owed an answer, and no more
             counters.add("answer.ending")
-            self._refused(call, RejectionReason.CONNECTION_ENDING)
+            self._refused(call, RejectionReason.CONNECTION_CLOSING)
             return client.send(
                 call.number, fastcgi.end_request(call.number, fastcgi.ProtocolStatus.OVERLOADED)
             )
         if not call.keep:
-            client.end_with(ConnectionCloseReason.NOT_KEPT)
+            client.end_with(ConnectionCloseReason.NO_KEEP_ALIVE)
         name = call.params.get(b"SCRIPT_NAME", b"")
         if name == b"/ping":
             status = "200 OK" if self.front.ready() else "503 Not Ready"
@@ -60,12 +60,14 @@
     def _let_in(self, call: fastcgi.FastCgiCall, request: ClientRequest) -> None:
         """Start a request, or refuse it where it can't be let in."""
         front = self.front
-        if front.stage_at(time.monotonic()) >= ShutdownStage.REFUSES:
+        if front.stage_at(time.monotonic()) >= ShutdownStage.REJECT_NEW:
             # The connection is to end and would never come free: the client tries again, on a new one.
-            return self._refuse(call, RejectionReason.PASSED_ON, "answer.passed_on", front.refused_us)
+            return self._refuse(
+                call, RejectionReason.REJECTED_IN_SHUTDOWN, "answer.passed_on", front.refused_us
+            )
         if front.budget.held > front.most_held:
             front.counters.add("answer.overloaded")
-            self._refused(call, RejectionReason.UNREAD_ANSWERS)
+            self._refused(call, RejectionReason.UNREAD_ANSWER_LIMIT)
             end = fastcgi.end_request(call.number, fastcgi.ProtocolStatus.OVERLOADED)
             return self.client.send(call.number, end)
         if front.holding is not None and not self._placed(front.holding, request.tenant):
@@ -82,7 +84,7 @@
 
     def _refused(self, call: fastcgi.FastCgiCall, reason: RejectionReason) -> None:
         name = call.params.get(b"HTTP_X_REQUEST_ID", b"")[:16].decode("latin-1")
-        self.front.core.refused(reason, name, self.client.number)
+        self.front.core.record_rejection(reason, name, self.client.number)
 
     def _bad_call(self, call: fastcgi.FastCgiCall, text: str, status: str) -> None:
         self._refused(call, RejectionReason.BAD_INPUT)
@@ -99,7 +101,7 @@
             return True
         if client.cell is None:
             if not holding.connect(cell):
-                client.end_with(ConnectionCloseReason.PLACE_NEEDED)
+                client.end_with(ConnectionCloseReason.SLOT_NEEDED)
                 return False
             client.cell = cell
         return not holding.full(client.cell)
--- a/onyxwick/net/coordinator_feed.py
+++ b/onyxwick/net/coordinator_feed.py
@@ -15,8 +15,8 @@
 from onyxwick import logs
 from onyxwick.config.address import read_address
 from onyxwick.core import RequestEngine
-from onyxwick.core.clock import FeedStamps
-from onyxwick.core.pacing import BackoffPolicy, DoublingTimeout, ReconnectBackoff
+from onyxwick.core.backoff import BackoffPolicy, DoublingTimeout, ReconnectBackoff
+from onyxwick.core.clock import FeedTimestamps
 from onyxwick.counters import Counters
 from onyxwick.interface import EndpointListKind, EndpointsChanged, Member, MemberState
 from onyxwick.net.buffer import Buffer, readable, unread
@@ -37,7 +37,7 @@
 STATES = {"SERVING": MemberState.READY, "DRAINING": MemberState.DRAINING, "DELETED": MemberState.REMOVED}
 
 
-def _read_member(row: dict[str, Any], stamps: FeedStamps, now: int) -> Member:
+def _read_member(row: dict[str, Any], stamps: FeedTimestamps, now: int) -> Member:
     name = str(row["id"])
     return Member(
         address=name,
@@ -46,12 +46,12 @@
         cell=int(row.get("cell") or 0),
         state=STATES[row["state"]],
         weight=float(row.get("weight") or 0),
-        started_at_us=stamps.start(name, int(row.get("started_ms") or 0) * 1000, now),
+        started_at_us=stamps.start_time_us(name, int(row.get("started_ms") or 0) * 1000, now),
     )
 
 
 def read_members(
-    told: dict[str, Any], stamps: FeedStamps, now: int, bad: Callable[[str], None]
+    told: dict[str, Any], stamps: FeedTimestamps, now: int, bad: Callable[[str], None]
 ) -> tuple[EndpointsChanged, dict[str, tuple[str, int]]]:
     """A change of the list, or all of it, with the addresses of all rows that are not gone. `now`: steady us.
 
@@ -101,7 +101,7 @@
 class CoordinatorFeed:
     """Follows the coordinator's feed and hands its events to the core.
 
-    `backoff` draws the waits between attempts (core/pacing.py), so that directors that lost the feed together
+    `backoff` draws the waits between attempts (core/backoff.py), so that directors that lost the feed at once
     do not all reconnect together; `initial_delay_us` is waited before the first connection, where a director
     has what it needs to serve meanwhile and many may come back at once.
     """
@@ -116,8 +116,8 @@
         self.limit: asyncio.Timeout | None = None  # how long the connection under way may be silent
         self.sock: socket.socket | None = None  # of the connection that brings lines
         self.buffer, self.line_began = Buffer(), 0.0  # the latter in monotonic seconds
-        core.guard.catch_up = self.catch_up
-        self.stamps = FeedStamps()
+        core.guard.read_pending_feed = self.catch_up
+        self.stamps = FeedTimestamps()
         self.race: FeedRace | None = None  # by which a connection is found
         self.line_patience = DoublingTimeout(LINE_S, 4)
         self.failed_tries = 0  # of the next event
@@ -129,7 +129,7 @@
         events = known.get("updates") or ()
         now = self.core.now()
         if newest_us := newest_stamp_us(events, now + MOST_STEP_US):
-            self.stamps.begin(newest_us, now)
+            self.stamps.anchor(newest_us, now)
         for event in events:
             for _ in range(APPLY_TRIES):
                 with contextlib.suppress(EventFailedError):
@@ -160,20 +160,20 @@
             if self.failed_tries < APPLY_TRIES:
                 raise EventFailedError(f"event {index} is to be told again") from error
         self.last, self.failed_tries = index, 0
-        self.core.feed_observed(index)
+        self.core.feed.record_feed_index(index)
 
     def _changes(self, event: dict[str, Any]) -> list[Callable[[], None]]:
         """What an event asks for; KeyError, ValueError, TypeError or AttributeError: it cannot be read."""
         changes: list[Callable[[], None]] = []
         if "endpoints" in event:
             read = read_members(event["endpoints"], self.stamps, self.core.now(), self.bad)
-            changes.append(partial(self.core.list_changed, *read))
+            changes.append(partial(self.core.feed.apply_endpoints, *read))
         if "evict" in event:
             evict = event["evict"]
             name = None if evict.get("ref") is None else str(evict["ref"])
             group = -1 if evict.get("shard") is None else int(evict["shard"])
-            made = self.stamps.purge(int(evict["unix_ms"]) * 1000, self.core.now())
-            changes.append(partial(self.core.purged, group, name, made))
+            made = self.stamps.purge_time_us(int(evict["unix_ms"]) * 1000, self.core.now())
+            changes.append(partial(self.core.feed.apply_purge, group, name, made))
         return changes
 
     def bad(self, text: str) -> None:
@@ -212,7 +212,7 @@
             raise OSError(f"event {self.announced} never came")
         self.announced = number
         if self.last >= number:
-            self.stamps.caught_up(self.core.now())
+            self.stamps.mark_caught_up(self.core.now())
 
     def move(self, address: tuple[str, int]) -> None:
         """The feed is at another address from now on; its numbers go on from the last one had."""
--- a/onyxwick/net/director_feed.py
+++ b/onyxwick/net/director_feed.py
@@ -6,7 +6,7 @@
 
 from onyxwick import logs
 from onyxwick.core import RequestEngine
-from onyxwick.core.clock import FeedStamps
+from onyxwick.core.clock import FeedTimestamps
 from onyxwick.counters import Counters
 from onyxwick.distribution.documents import Assembler, DocumentError
 from onyxwick.distribution.model import (
@@ -39,7 +39,7 @@
     ) -> None:
         self.core, self.counters = core, counters
         self.documents = dict(documents or {})
-        self.purges, self.stamps = PurgeTable(), FeedStamps()
+        self.purges, self.stamps = PurgeTable(), FeedTimestamps()
         self.versions: dict[str, tuple[int, str]] = {}  # of each document seen whole: version and digest
         self.cursor = Cursor(0, 0)
         self._assembler = Assembler()
@@ -71,11 +71,11 @@
     def refresh(self, freshness: Freshness) -> None:
         """The publisher was reached: where nothing is outstanding, what comes next happened after this."""
         if freshness.cursor <= self.cursor:
-            self.stamps.caught_up(self.core.now())
+            self.stamps.mark_caught_up(self.core.now())
 
     def _reached(self, cursor: Cursor) -> None:
         self.cursor = cursor
-        self.core.feed_observed(cursor.packed)
+        self.core.feed.record_feed_index(cursor.packed)
 
     def _apply(self, payload: Payload) -> None:
         if isinstance(payload, PurgeEvent):
@@ -83,7 +83,9 @@
         elif isinstance(payload, CacheListChange):
             rows = [row.fields for row in payload.rows]
             changed = {"servers": rows, "full": payload.full, "version": payload.version}
-            self.core.list_changed(*read_members(changed, self.stamps, self.core.now(), self._bad_row))
+            self.core.feed.apply_endpoints(
+                *read_members(changed, self.stamps, self.core.now(), self._bad_row)
+            )
         elif isinstance(payload, DocumentPart):
             self._document_part(payload)
         else:
@@ -96,8 +98,8 @@
     def _purge(self, purge: PurgeEvent) -> None:
         if self.purges.add(purge):
             group = -1 if purge.key.shard is None else purge.key.shard
-            made = self.stamps.purge(purge.unix_ms * 1000, self.core.now())
-            self.core.purged(group, purge.key.ref, made)
+            made = self.stamps.purge_time_us(purge.unix_ms * 1000, self.core.now())
+            self.core.feed.apply_purge(group, purge.key.ref, made)
 
     def _document_part(self, part: DocumentPart) -> None:
         try:
--- a/onyxwick/net/front.py
+++ b/onyxwick/net/front.py
@@ -15,8 +15,8 @@
 from onyxwick.config.director import SHUT_LEAST, SHUT_SHARE
 from onyxwick.core import RequestEngine
 from onyxwick.core.reasons import ConnectionCloseReason
-from onyxwick.core.shutdown import HELD_AFTER_S, LAST_WORDS_S, ShutdownKind, ShutdownSchedule, ShutdownStage
-from onyxwick.core.stall import STALL_S
+from onyxwick.core.shutdown import DRAIN_LIMIT_S, FINAL_FLUSH_S, ShutdownKind, ShutdownSchedule, ShutdownStage
+from onyxwick.core.stall_detector import STALL_S
 from onyxwick.counters import Counters
 from onyxwick.net import connection_slots as room
 from onyxwick.net import errors
@@ -92,7 +92,7 @@
         """From now on connections end as the schedule says. A drain's own replaces that of an earlier drain;
         a termination keeps what a drain has promised."""
         if self.ending is not None and schedule.kind is not ShutdownKind.DRAIN:
-            schedule = schedule.with_earlier(self.ending)
+            schedule = schedule.earliest_of(self.ending)
         self.ending, self.stage, self._held_checked = schedule, ShutdownStage.SERVING, False
         self.advance(time.monotonic())
 
@@ -114,15 +114,15 @@
         stage = schedule.stage(now)
         if fresh := stage is not self.stage:
             self._enter(stage, schedule, now)
-        must_end = now >= schedule.fails_at
+        must_end = now >= schedule.fail_at_s
         for client in list(self.clients):
             client.advance(stage, now, gives_back=not fresh, must_end=must_end)
-        if schedule.kind is ShutdownKind.DRAIN and now - schedule.begun_at >= HELD_AFTER_S:
+        if schedule.kind is ShutdownKind.DRAIN and now - schedule.started_at_s >= DRAIN_LIMIT_S:
             self._check_held(now)
 
     def _enter(self, stage: ShutdownStage, schedule: ShutdownSchedule, now: float) -> None:
         self.stage, self._stage_since = stage, now
-        name, clients = stage.name.lower(), list(self.clients)
+        name, clients = stage.metric_key, list(self.clients)
         half = sum(client.parser.half for client in clients)
         unwritten = sum(client.writes.pending > 0 for client in clients)
         self.counters.add(f"ending.{schedule.kind.value}.{name}")
@@ -130,13 +130,13 @@
             "ending",
             kind=schedule.kind.value,
             stage=name,
-            after_s=round(now - schedule.begun_at, 3),
+            after_s=round(now - schedule.started_at_s, 3),
             clients=len(clients),
             owed=len(self.core.lifecycles),
             half=half,
             unwritten=unwritten,
         )
-        if stage >= ShutdownStage.ENDS_HALF_CALLS:
+        if stage >= ShutdownStage.CLOSE_PARTIAL:
             held = [client for client in clients if not client.shut_at]
             for client in held[:MOST_TOLD]:
                 client.tell_held(now, name)
@@ -152,7 +152,7 @@
             if not client.shut_at and now - client.born > SETTLES_S:
                 arrived = [live.request.arrived_us for live in client.open.values() if live is not None]
                 youngest_us = now_us - max(arrived) if arrived else None
-                invariants.held_in_drain(client.number, youngest_us)
+                invariants.connection_open_after_drain(client.number, youngest_us)
 
     def bad(self, text: str) -> None:
         """Count and log bad input of a client."""
@@ -183,7 +183,7 @@
                     task.cancel()  # its end was written, and the client does not close its own
             elif client.writes.stalled(now, STALLED_S):
                 self.counters.add("client.stalled")
-                client.end = client.end or ConnectionCloseReason.STALLED
+                client.end = client.end or ConnectionCloseReason.WRITE_STALLED
                 task.cancel()
             elif client.hears_no_more:
                 client.close_when_written(now, ConnectionCloseReason.CLOSING)
@@ -206,7 +206,7 @@
         if least is None:
             return False
         self.counters.add("client.displaced")
-        self._give_up(least, now, ConnectionCloseReason.DISPLACED)
+        self._give_up(least, now, ConnectionCloseReason.EVICTED)
         return True
 
     def _give_up(self, client: FrontConnection, now: float, reason: ConnectionCloseReason) -> None:
@@ -314,12 +314,12 @@
         if self.ending is None:
             self.begin_ending(schedule)
         closed_at = 0.0  # when its last stage was seen: after a stop of the process that may be late
-        while self.clients or not self.core.idle.is_set():
+        while self.clients or not self.core.table.idle.is_set():
             now = time.monotonic()
             self.advance(now)
-            if self.stage is ShutdownStage.CLOSED:
+            if self.stage is ShutdownStage.CLOSE_ALL:
                 closed_at = closed_at or now
-                if now >= closed_at + LAST_WORDS_S:
+                if now >= closed_at + FINAL_FLUSH_S:
                     break
             await asyncio.sleep(READ_S)
         tasks, owed = list(self.clients.values()), len(self.core.lifecycles)
--- a/onyxwick/net/front_connection.py
+++ b/onyxwick/net/front_connection.py
@@ -42,7 +42,11 @@
 LINGER_MOST_S = 15.0  # after its written end, however much is still on its way
 LAST_READ_MOST = 16  # reads of what stands in a socket, before nothing more is heard or it is closed
 BY_CLIENT = frozenset(
-    {ConnectionCloseReason.CLOSED_BY_PEER, ConnectionCloseReason.BROKEN, ConnectionCloseReason.STALLED}
+    {
+        ConnectionCloseReason.CLOSED_BY_PEER,
+        ConnectionCloseReason.CONNECTION_ERROR,
+        ConnectionCloseReason.WRITE_STALLED,
+    }
 )
 """Ends that are the client's own doing."""
 
@@ -82,7 +86,7 @@
                 task.result()
         except OSError:
             self.front.counters.add("client.broken")
-            self.end = self.end or ConnectionCloseReason.BROKEN
+            self.end = self.end or ConnectionCloseReason.CONNECTION_ERROR
         finally:
             writer.cancel()
             reader.cancel()
@@ -123,8 +127,8 @@
         if not on_its_way or self.end is None or self.end in BY_CLIENT or ended(self.sock):
             return
         self.front.counters.add("client.cut")
-        if self.front.stage_at(now) is not ShutdownStage.CLOSED:
-            self.front.core.invariants.answer_cut(self.number, on_its_way)
+        if self.front.stage_at(now) is not ShutdownStage.CLOSE_ALL:
+            self.front.core.invariants.answer_truncated(self.number, on_its_way)
 
     def _pass_over_unread(self) -> None:
         """A close over unread bytes would reset the connection, and take along what is still on its way."""
@@ -142,7 +146,7 @@
         lives, self.open = self.open, {}
         for lifecycle in lives.values():
             if lifecycle is not None:
-                self.front.core.leave(lifecycle)
+                self.front.core.client_departed(lifecycle)
 
     async def _read(self) -> None:
         loop = asyncio.get_running_loop()
@@ -242,7 +246,7 @@
 
     def _may_have_waited(self, now: float) -> float:
         """How many seconds what was just read may have stood in the socket."""
-        since = self.front.core.stalls.turn(now)
+        since = self.front.core.stalls.observe(now)
         if self.not_read_since:
             since = min(since, self.not_read_since)
         if since >= now:
@@ -300,7 +304,7 @@
                 lifecycle = self.open.pop(number, None)
                 self.send(number, fastcgi.end_request(number))
                 if lifecycle is not None:
-                    self.front.core.leave(lifecycle)
+                    self.front.core.client_departed(lifecycle)
             case fastcgi.FastCgiReply(data, fault, last):
                 self.writes.post(PendingWrite(data))
                 if fault:
@@ -358,39 +362,39 @@
         if stage is ShutdownStage.SERVING or self.shut_at:
             return
         self.delivery.in_flight(now)  # noted also while more is owed
-        if self.open and stage < ShutdownStage.GIVES_BACK:
+        if self.open and stage < ShutdownStage.RELEASE_REQUESTS:
             return
         if self.hears_no_more:
             return self.close_when_written(now, ConnectionCloseReason.CLOSING)
         if self.ending and not self.open:
             return  # `_end` is at it
         match next_step(stage, self._state(now)):
-            case ConnectionStep.GIVE_BACK if gives_back:
+            case ConnectionStep.RELEASE_REQUESTS if gives_back:
                 self._give_back(must_end)
-            case ConnectionStep.HEAR_LAST:
+            case ConnectionStep.READ_REMAINING:
                 self._hear_last()
                 self.close_when_written(now, ConnectionCloseReason.CLOSING)
-            case ConnectionStep.END:
+            case ConnectionStep.CLOSE:
                 self.close_softly(now, ConnectionCloseReason.CLOSING)
             case _:
                 pass
 
     def _state(self, now: float) -> ConnectionState:
         return ConnectionState(
-            calls=self.calls,
-            owed=len(self.open),
-            unwritten=self.writes.pending,
-            delivered_s=self.delivery.since_many_s(now),
-            half_call=self.parser.half,
-            unread=unread(self.sock) > 0,
+            request_count=self.calls,
+            unanswered=len(self.open),
+            unwritten_bytes=self.writes.pending,
+            since_delivered_s=self.delivery.since_many_s(now),
+            has_partial_request=self.parser.half,
+            has_unread_input=unread(self.sock) > 0,
             age_s=now - self.born,
-            rest_s=now - self.used_at,
+            idle_s=now - self.used_at,
         )
 
     def _give_back(self, must_end: bool) -> None:
         for lifecycle in list(self.open.values()):
             if lifecycle is not None:
-                self.front.core.give_back(lifecycle, must_end)
+                self.front.core.release(lifecycle, must_end)
 
     def _hear_last(self) -> None:
         """Take in what has come, and nothing that comes after it: who goes on calling keeps nothing open."""
--- a/onyxwick/net/subscription.py
+++ b/onyxwick/net/subscription.py
@@ -8,8 +8,8 @@
 
 from onyxwick import logs
 from onyxwick.config.address import Address, written
+from onyxwick.core.backoff import BackoffPolicy, ReconnectBackoff
 from onyxwick.core.clock import steady_us
-from onyxwick.core.pacing import BackoffPolicy, ReconnectBackoff
 from onyxwick.counters import Counters
 from onyxwick.distribution.codec import HEAD_BYTES, stub_of
 from onyxwick.distribution.follower import (
@@ -50,7 +50,9 @@
     """The follower's waits: exponential backoff with full jitter, from the director's own pacing."""
 
     def __init__(self, seed: int, now: int) -> None:
-        self._backoff = ReconnectBackoff(seed, now, BackoffPolicy(max_delay_us=MAX_RETRY_US), directors=1)
+        self._backoff = ReconnectBackoff(
+            seed, now, BackoffPolicy(max_delay_us=MAX_RETRY_US), director_count=1
+        )
 
     def next_delay_us(self) -> int:
         """The wait before the next attempt, in microseconds."""
--- a/onyxwick/operations/command_executor.py
+++ b/onyxwick/operations/command_executor.py
@@ -18,7 +18,7 @@
 from onyxwick.counters import Counters
 from onyxwick.interface import EndpointsChanged
 from onyxwick.operations import operator_commands as o
-from onyxwick.operations.metrics import figures
+from onyxwick.operations.metrics import metrics_document
 from onyxwick.operations.persisted_commands import PersistedCommands
 
 log = logs.get()
@@ -33,20 +33,20 @@
         core: RequestEngine,
         members: EndpointTable,
         counters: Counters,
-        ready_word: Callable[[], str],
-        drained: Callable[[o.OperatorCommands], None],
+        readiness: Callable[[], str],
+        on_drain_changed: Callable[[o.OperatorCommands], None],
         persisted: PersistedCommands | None,
     ) -> None:
         self.core, self.members, self.counters, self.persisted = core, members, counters, persisted
-        self.ready_word, self.drained = ready_word, drained
-        self.known = o.KnownCaches()
-        self.orders = self.applied = (
+        self.readiness, self.on_drain_changed = readiness, on_drain_changed
+        self.known_caches = o.KnownCaches()
+        self.commands = self.applied = (
             o.OperatorCommands()
         )  # the latest; those the director's loop has taken up
-        self.published: dict[str, dict[str, object]] = figures({}, 0, 0, 0)
+        self.published: dict[str, dict[str, object]] = metrics_document({}, 0, 0, 0)
         self.loop: asyncio.AbstractEventLoop | None = None
 
-    def recall(self) -> None:
+    def restore(self) -> None:
         """What a predecessor was ordered, before anything is listed or sent. A file that cannot be read is
         tried again for `RECALL_S`; after that the program starts, and the door goes on trying."""
         if self.persisted is None:
@@ -57,28 +57,28 @@
             log.error("the door's file of a predecessor cannot be read", error=str(error))
             return
         if read is not None:
-            self.orders = self.applied = read[0]
-            self.members.excluded = read[0].held
-            self.known.add(read[1])
-            log.info("orders of a predecessor", version=read[0].version, held=len(read[0].held))
+            self.commands = self.applied = read[0]
+            self.members.excluded = read[0].disabled_caches
+            self.known_caches.add(read[1])
+            log.info("orders of a predecessor", version=read[0].version, held=len(read[0].disabled_caches))
 
-    def shown(self, event: EndpointsChanged, now: int) -> EndpointsChanged:
+    def adjust_endpoints(self, event: EndpointsChanged, now: int) -> EndpointsChanged:
         """The list as the module is to see it: every id is known from now on, the orders bind."""
-        self.known.add([member.address for member in event.members])
-        return o.shown_list(event, self.orders, now)
+        self.known_caches.add([member.address for member in event.members])
+        return o.endpoints_under_commands(event, self.commands, now)
 
     # ---- from the door's thread --------------------------------------------------------------------------
 
-    def figures(self) -> dict[str, dict[str, object]]:
+    def metrics(self) -> dict[str, dict[str, object]]:
         return self.published
 
-    def ordered(self, orders: o.OperatorCommands, known: list[str]) -> None:
-        self.orders = orders
-        self.members.excluded = orders.held  # from here on, no send to a cache left out
+    def apply_commands(self, orders: o.OperatorCommands, known: list[str]) -> None:
+        self.commands = orders
+        self.members.excluded = orders.disabled_caches  # from here on, no send to a cache left out
         if self.loop is not None:
             self.loop.call_soon_threadsafe(self._take_up, known)
 
-    def written(self, ordered: int, written: int) -> None:
+    def commands_written(self, ordered: int, written: int) -> None:
         """The file holds this version of what was ordered."""
         if self.loop is not None:
             self.loop.call_soon_threadsafe(self.core.invariants.commands_written, ordered, written)
@@ -86,20 +86,20 @@
     # ---- in the director's loop ----------------------------------------------------------------------------
 
     def _take_up(self, known: list[str]) -> None:
-        self.known.add(known)
-        before, after = self.applied, self.orders
+        self.known_caches.add(known)
+        before, after = self.applied, self.commands
         self.applied = after
-        names = o.changed(before, after)
+        names = o.changed_caches(before, after)
         if names:
-            self.core.resend_rows(*names)
-            log.info("caches left out", held=sorted(after.held)[:16], changed=sorted(names)[:16])
-        if o.is_another_drain(before, after):
-            self.drained(after)
+            self.core.feed.reapply_members(*names)
+            log.info("caches left out", held=sorted(after.disabled_caches)[:16], changed=sorted(names)[:16])
+        if o.is_new_drain_state(before, after):
+            self.on_drain_changed(after)
 
     def publish(self) -> None:
         """The figures as they are now, for the door to show."""
         decider = self.core.router
-        self.published = figures(
+        self.published = metrics_document(
             self.counters.counts.copy(),
             len(self.core.lifecycles),
             len(self.members.listed),
--- a/onyxwick/operations/metrics.py
+++ b/onyxwick/operations/metrics.py
@@ -17,8 +17,8 @@
     return {name.removeprefix(prefix): n for name, n in sorted(counts.items()) if name.startswith(prefix)}
 
 
-def figures(
-    counts: Mapping[str, int], outstanding: int, discovered: int, ejected: int
+def metrics_document(
+    counts: Mapping[str, int], open_requests: int, listed_members: int, ejected_members: int
 ) -> dict[str, dict[str, object]]:
     """The document of `GET /metrics`. `counts`: the director's counters; the rest as they are now."""
     served, refused = _by(counts, "answer.served."), _by(counts, "answer.refused.")
@@ -29,9 +29,9 @@
         "declined": {"value": sum(refused.values()) + unplaced, "service": refused},
         "aborted": {"value": counts.get("request.left", 0)},
         "forwards": {"value": counts.get("attempt.sent", 0), "disposition": ended},
-        "outstanding": {"value": outstanding},
-        "discovered": {"value": discovered},
-        "ejected": {"value": ejected},
+        "outstanding": {"value": open_requests},
+        "discovered": {"value": listed_members},
+        "ejected": {"value": ejected_members},
         "sighup_applied": {"value": counts.get("reload.read", 0)},
         "sighup_rejected": {"value": counts.get("reload.bad", 0)},
     }
--- a/onyxwick/operations/operator_commands.py
+++ b/onyxwick/operations/operator_commands.py
@@ -18,10 +18,12 @@
 
 from onyxwick.interface import EndpointsChanged, Member, MemberState
 
-S = 1_000_000
-BACK_KEPT_US = 40 * S  # a cache let back in is shown as started then for so long: past the longest cold time
-MOST_HELD = 4096  # caches left out at once; more are refused
-MOST_KNOWN = 8192  # ids of caches ever listed that are remembered, the oldest forgotten first
+US_PER_S = 1_000_000
+RE_ENABLED_RETENTION_US = (
+    40 * US_PER_S
+)  # a cache let back in is shown as started then for so long: past the longest cold time
+MAX_DISABLED_CACHES = 4096  # caches left out at once; more are refused
+MAX_KNOWN_CACHES = 8192  # ids of caches ever listed that are remembered, the oldest forgotten first
 
 
 class OperatorCommandError(Exception):
@@ -34,53 +36,70 @@
     `drain_called_at`: monotonic seconds of this process at which a drain was called for; 0: not here."""
 
     version: int = 0
-    drained: bool = False
-    held: frozenset[str] = frozenset()
-    back: tuple[tuple[str, int], ...] = ()
-    drain_called_at: float = field(default=0.0, compare=False)
+    is_drained: bool = False
+    disabled_caches: frozenset[str] = frozenset()
+    re_enabled_at_us: tuple[tuple[str, int], ...] = ()
+    drain_requested_at_s: float = field(default=0.0, compare=False)
 
-    def cold_from(self, cache: str) -> int:
-        return next((at for name, at in self.back if name == cache), 0)
+    def cache_re_enabled_at_us(self, cache: str) -> int:
+        return next((at for name, at in self.re_enabled_at_us if name == cache), 0)
 
 
-def disable(orders: OperatorCommands, cache: str, now: int) -> OperatorCommands:
+def disable_cache(commands: OperatorCommands, cache: str, now_us: int) -> OperatorCommands:
     """Leave a cache out; the same orders where it is out already, as a call again changes nothing."""
-    if cache in orders.held:
-        return orders
-    if len(orders.held) >= MOST_HELD:
-        raise OperatorCommandError(f"{MOST_HELD} caches are left out already")
-    back = tuple((name, at) for name, at in orders.back if name != cache)
-    return replace(orders, version=orders.version + 1, held=orders.held | {cache}, back=back)
-
-
-def enable(orders: OperatorCommands, cache: str, now: int) -> OperatorCommands:
+    if cache in commands.disabled_caches:
+        return commands
+    if len(commands.disabled_caches) >= MAX_DISABLED_CACHES:
+        raise OperatorCommandError(f"{MAX_DISABLED_CACHES} caches are left out already")
+    back = tuple((name, at) for name, at in commands.re_enabled_at_us if name != cache)
+    return replace(
+        commands,
+        version=commands.version + 1,
+        disabled_caches=commands.disabled_caches | {cache},
+        re_enabled_at_us=back,
+    )
+
+
+def enable_cache(commands: OperatorCommands, cache: str, now_us: int) -> OperatorCommands:
     """Let a cache back in, cold from now; one call ends the ban however many left it out."""
-    if cache not in orders.held:
-        return orders
-    back = (*((name, at) for name, at in orders.back if now - at < BACK_KEPT_US), (cache, now))
-    return replace(orders, version=orders.version + 1, held=orders.held - {cache}, back=back)
-
-
-def drain(orders: OperatorCommands, drained: bool, called_at: float = 0.0) -> OperatorCommands:
+    if cache not in commands.disabled_caches:
+        return commands
+    back = (
+        *((name, at) for name, at in commands.re_enabled_at_us if now_us - at < RE_ENABLED_RETENTION_US),
+        (cache, now_us),
+    )
+    return replace(
+        commands,
+        version=commands.version + 1,
+        disabled_caches=commands.disabled_caches - {cache},
+        re_enabled_at_us=back,
+    )
+
+
+def set_drained(
+    commands: OperatorCommands, is_drained: bool, requested_at_s: float = 0.0
+) -> OperatorCommands:
     """Drain the director, or end that; the same orders where it is so: the first call's time holds."""
-    if orders.drained is drained:
-        return orders
-    return replace(orders, version=orders.version + 1, drained=drained, drain_called_at=called_at)
+    if commands.is_drained is is_drained:
+        return commands
+    return replace(
+        commands, version=commands.version + 1, is_drained=is_drained, drain_requested_at_s=requested_at_s
+    )
 
 
-def is_another_drain(before: OperatorCommands, after: OperatorCommands) -> bool:
+def is_new_drain_state(before: OperatorCommands, after: OperatorCommands) -> bool:
     """Is the director drained, or no longer, or drained anew, with an end of the first drain in between? One
     that another process was called for has no time here, and is the same where this one is drained."""
-    if before.drained is not after.drained:
+    if before.is_drained is not after.is_drained:
         return True
-    return after.drained and after.drain_called_at not in (0.0, before.drain_called_at)
+    return after.is_drained and after.drain_requested_at_s not in (0.0, before.drain_requested_at_s)
 
 
-Change = Callable[[OperatorCommands], OperatorCommands]
+CommandChange = Callable[[OperatorCommands], OperatorCommands]
 """What a call makes of orders."""
 
 
-def rebased(theirs: OperatorCommands, changes: Iterable[Change]) -> OperatorCommands:
+def rebase(theirs: OperatorCommands, changes: Iterable[CommandChange]) -> OperatorCommands:
     """Changes of this process that nobody else has seen, on top of what another process wrote meanwhile."""
     for change in changes:
         theirs = change(theirs)
@@ -92,58 +111,62 @@
     return theirs if theirs.version > mine.version else mine
 
 
-def changed(before: OperatorCommands, after: OperatorCommands) -> set[str]:
+def changed_caches(before: OperatorCommands, after: OperatorCommands) -> set[str]:
     """Caches whose showing to the module differs between two orders."""
-    return set(before.held ^ after.held) | {name for name, _ in set(before.back) ^ set(after.back)}
+    return set(before.disabled_caches ^ after.disabled_caches) | {
+        name for name, _ in set(before.re_enabled_at_us) ^ set(after.re_enabled_at_us)
+    }
 
 
-def shown(member: Member, orders: OperatorCommands, now: int) -> Member:
+def member_under_commands(member: Member, commands: OperatorCommands, now_us: int) -> Member:
     """A row of the list as the module is to see it under these orders."""
     if member.state is not MemberState.READY:
         return member
-    if member.address in orders.held:
+    if member.address in commands.disabled_caches:
         return replace(member, state=MemberState.DRAINING)
-    back = orders.cold_from(member.address)
-    if back and now - back < BACK_KEPT_US and member.started_at_us < back:
+    back = commands.cache_re_enabled_at_us(member.address)
+    if back and now_us - back < RE_ENABLED_RETENTION_US and member.started_at_us < back:
         return replace(member, started_at_us=back)
     return member
 
 
-def shown_list(event: EndpointsChanged, orders: OperatorCommands, now: int) -> EndpointsChanged:
-    members = tuple(shown(member, orders, now) for member in event.members)
+def endpoints_under_commands(
+    event: EndpointsChanged, commands: OperatorCommands, now_us: int
+) -> EndpointsChanged:
+    members = tuple(member_under_commands(member, commands, now_us) for member in event.members)
     return event if members == event.members else replace(event, members=members)
 
 
 class KnownCaches:
     """Ids of caches ever listed, so that an order for one that never was is refused; the oldest go first."""
 
-    def __init__(self, most: int = MOST_KNOWN) -> None:
-        self.most = most
+    def __init__(self, max_ids: int = MAX_KNOWN_CACHES) -> None:
+        self.max_ids = max_ids
         self.ids: dict[str, None] = {}
 
     def add(self, ids: tuple[str, ...] | list[str]) -> None:
         for name in ids:
             self.ids.pop(name, None)
             self.ids[name] = None
-        while len(self.ids) > self.most:
+        while len(self.ids) > self.max_ids:
             del self.ids[next(iter(self.ids))]
 
     def __contains__(self, name: object) -> bool:
         return name in self.ids
 
 
-def to_json(orders: OperatorCommands, known: KnownCaches) -> dict[str, object]:
+def commands_to_json(orders: OperatorCommands, known: KnownCaches) -> dict[str, object]:
     return {
         "v": 1,
         "version": orders.version,
-        "drained": orders.drained,
-        "held": sorted(orders.held),
-        "back": [[name, at] for name, at in orders.back],
+        "drained": orders.is_drained,
+        "held": sorted(orders.disabled_caches),
+        "back": [[name, at] for name, at in orders.re_enabled_at_us],
         "known": list(known.ids),
     }
 
 
-def of_json(data: object) -> tuple[OperatorCommands, list[str]]:
+def commands_from_json(data: object) -> tuple[OperatorCommands, list[str]]:
     """Orders and known ids as `to_json` wrote them; ValueError where the text is not such."""
     if not isinstance(data, dict) or data.get("v") != 1:
         raise ValueError("no orders of version 1")
--- a/onyxwick/operations/persisted_commands.py
+++ b/onyxwick/operations/persisted_commands.py
@@ -21,14 +21,19 @@
 import ujson
 
 from onyxwick.core.clock import SteadyClock, steady_us
-from onyxwick.operations.operator_commands import KnownCaches, OperatorCommands, of_json, to_json
+from onyxwick.operations.operator_commands import (
+    KnownCaches,
+    OperatorCommands,
+    commands_from_json,
+    commands_to_json,
+)
 
-MOST_BYTES = 1_000_000  # a larger file is no file of ours
-LOCK_TRIES, LOCK_RETRY_S = 5, 0.002  # the other process holds its lock for a read and a write
+MAX_FILE_BYTES = 1_000_000  # a larger file is no file of ours
+LOCK_ATTEMPTS, LOCK_RETRY_S = 5, 0.002  # the other process holds its lock for a read and a write
 
 
 def _lock(folder: int) -> None:
-    for _ in range(LOCK_TRIES - 1):
+    for _ in range(LOCK_ATTEMPTS - 1):
         with contextlib.suppress(BlockingIOError):
             return fcntl.flock(folder, fcntl.LOCK_EX | fcntl.LOCK_NB)
         time.sleep(LOCK_RETRY_S)
@@ -50,7 +55,9 @@
     def __init__(self, folder: Path, name: str, clock: SteadyClock = steady_us) -> None:
         self.clock = clock
         self.path = folder / f"onyxwick-orders-{name or 'director'}.json"
-        self.seen: tuple[int, int, int] | None = None  # inode, size and time of the text last read or written
+        self.last_stamp: tuple[int, int, int] | None = (
+            None  # inode, size and time of the text last read or written
+        )
 
     @contextlib.contextmanager
     def locked(self) -> Iterator[None]:
@@ -76,14 +83,14 @@
         ValueError where the file is no file of orders; OSError where it cannot be read.
         """
         stamp = self._stamp()
-        if stamp is None or stamp == self.seen:
+        if stamp is None or stamp == self.last_stamp:
             return None
-        if stamp[1] > MOST_BYTES:
-            raise ValueError(f"{self.path.name} is larger than {MOST_BYTES} bytes")
+        if stamp[1] > MAX_FILE_BYTES:
+            raise ValueError(f"{self.path.name} is larger than {MAX_FILE_BYTES} bytes")
         text = self.path.read_bytes()
-        self.seen = stamp  # only now: an error before passes, and the file is read again
+        self.last_stamp = stamp  # only now: an error before passes, and the file is read again
         data = ujson.loads(text)
-        orders, known = of_json(data)
+        orders, known = commands_from_json(data)
         return self._in_steady_time(orders, data.get("clock")), known
 
     def _in_steady_time(self, orders: OperatorCommands, clock: object) -> OperatorCommands:
@@ -98,15 +105,15 @@
         ):
             shift = self.clock.offset_us - clock["offset"]
         now = self.clock()
-        back = tuple((name, min(now, max(at, at + shift))) for name, at in orders.back)
-        return replace(orders, back=back)
+        back = tuple((name, min(now, max(at, at + shift))) for name, at in orders.re_enabled_at_us)
+        return replace(orders, re_enabled_at_us=back)
 
     def write(self, orders: OperatorCommands, known: KnownCaches) -> int:
         """The orders whole, in place of what was there; the version that stands there now. OSError where the
         folder takes nothing."""
         draft = self.path.with_name(f".{self.path.name}.{os.getpid()}")
         clock = {"boot": boot_id(), "offset": self.clock.offset_us}
-        draft.write_text(ujson.dumps({**to_json(orders, known), "clock": clock}))
+        draft.write_text(ujson.dumps({**commands_to_json(orders, known), "clock": clock}))
         os.replace(draft, self.path)
-        self.seen = self._stamp()
-        return of_json(ujson.loads(self.path.read_bytes()))[0].version
+        self.last_stamp = self._stamp()
+        return commands_from_json(ujson.loads(self.path.read_bytes()))[0].version
--- a/onyxwick/operations/routes.py
+++ b/onyxwick/operations/routes.py
@@ -34,7 +34,7 @@
 
     def __init__(self, status: int, text: str, allow: str = "") -> None:
         super().__init__(text)
-        self.status, self.text, self.allow = status, text, allow
+        self.status, self.reason, self.allowed_method = status, text, allow
 
 
 PLAIN = {
@@ -46,7 +46,7 @@
 CACHES = {"disable": OperatorCallKind.DISABLE, "enable": OperatorCallKind.ENABLE}
 
 
-def route(method: str, path: str) -> OperatorCall:
+def parse_call(method: str, path: str) -> OperatorCall:
     """The call that `method` and `path` ask for; Refused with 404, 405 or 400 where they ask for none."""
     parts = path.split("/")
     if len(parts) == 2 and parts[0] == "" and parts[1] in PLAIN:
--- a/onyxwick/operations/server.py
+++ b/onyxwick/operations/server.py
@@ -24,7 +24,7 @@
 from onyxwick.counters import Counters
 from onyxwick.operations import operator_commands as o
 from onyxwick.operations.persisted_commands import PersistedCommands
-from onyxwick.operations.routes import OperatorCall, OperatorCallKind, OperatorCallRejectedError, route
+from onyxwick.operations.routes import OperatorCall, OperatorCallKind, OperatorCallRejectedError, parse_call
 
 log = logs.get()
 PLACES = 32  # callers at once; a newcomer displaces the one open longest
@@ -39,13 +39,13 @@
 class DirectorControl(Protocol):
     """What the door needs of the director; each may be called from the door's thread."""
 
-    def ready_word(self) -> str: ...
+    def readiness(self) -> str: ...
 
-    def figures(self) -> dict[str, dict[str, object]]: ...
+    def metrics(self) -> dict[str, dict[str, object]]: ...
 
-    def ordered(self, orders: o.OperatorCommands, known: list[str]) -> None: ...
+    def apply_commands(self, orders: o.OperatorCommands, known: list[str]) -> None: ...
 
-    def written(self, ordered: int, written: int) -> None: ...
+    def commands_written(self, ordered: int, written: int) -> None: ...
 
 
 Answer = tuple[int, object]
@@ -56,17 +56,24 @@
 
     def __init__(
         self,
-        bound: socket.socket,
+        listening_socket: socket.socket,
         address: tuple[str, int],
         director: DirectorControl,
-        orders: o.OperatorCommands,
-        known: o.KnownCaches,
+        commands: o.OperatorCommands,
+        known_caches: o.KnownCaches,
         persisted: PersistedCommands | None,
         clock: Callable[[], int],
     ) -> None:
-        self.bound, self.director, self.orders, self.known = bound, director, orders, known
+        self.listening_socket, self.director, self.commands, self.known_caches = (
+            listening_socket,
+            director,
+            commands,
+            known_caches,
+        )
         self.persisted, self.clock = persisted, clock
-        self.unwritten: dict[str, o.Change] = {}  # ordered here, not in the file yet; by cache, "" the drain
+        self.unwritten_changes: dict[
+            str, o.CommandChange
+        ] = {}  # ordered here, not in the file yet; by cache, "" the drain
         self.counters = Counters()  # of this thread alone: the director's are written by its own
         self.server = HttpServer(
             address, self, self.counters, PLACES, PATIENCE_S, one_call=True, name="door", counted="door"
@@ -98,7 +105,7 @@
     async def _serve(self) -> None:
         looking = asyncio.get_running_loop().create_task(self._look())
         try:
-            await self.server.run(self.bound)
+            await self.server.run(self.listening_socket)
         finally:
             looking.cancel()
 
@@ -106,12 +113,12 @@
 
     def __call__(self, request: HttpRequest) -> Answer:
         try:
-            call = route(request.method, request.path)
+            call = parse_call(request.method, request.path)
         except OperatorCallRejectedError as refused:
             self.counters.add("door.refused")
-            log.warning("a call that the door does not take", path=request.path[:64], reason=refused.text)
-            headers = {"Allow": refused.allow} if refused.allow else None
-            raise HttpError(refused.status, refused.text, headers) from None
+            log.warning("a call that the door does not take", path=request.path[:64], reason=refused.reason)
+            headers = {"Allow": refused.allowed_method} if refused.allowed_method else None
+            raise HttpError(refused.status, refused.reason, headers) from None
         answer = self._carry_out(call, time.monotonic() - request.waited_s)
         if call.kind not in LOOKS:
             log.info(
@@ -119,49 +126,59 @@
                 call=call.kind.value,
                 cache=call.cache,
                 status=answer[0],
-                version=self.orders.version,
-                drained=self.orders.drained,
+                version=self.commands.version,
+                drained=self.commands.is_drained,
                 waited_s=round(request.waited_s, 3),
             )
         return answer
 
     def _carry_out(self, call: OperatorCall, called_at: float) -> Answer:
         if call.kind is OperatorCallKind.READY:
-            word = self.director.ready_word()
+            word = self.director.readiness()
             return (200 if word == "YES" else 503), {"ready": word}
         if call.kind is OperatorCallKind.METRICS:
-            return 200, self.director.figures()
+            return 200, self.director.metrics()
         if call.kind in (OperatorCallKind.DRAIN, OperatorCallKind.UNDRAIN):
-            self._order(
-                "", partial(o.drain, drained=call.kind is OperatorCallKind.DRAIN, called_at=called_at)
+            self._apply(
+                "",
+                partial(
+                    o.set_drained, is_drained=call.kind is OperatorCallKind.DRAIN, requested_at_s=called_at
+                ),
             )
-            return 200, {"drained": self.orders.drained, **self._unkept()}
-        if call.cache not in self.known:
+            return 200, {"drained": self.commands.is_drained, **self._unkept()}
+        if call.cache not in self.known_caches:
             self.counters.add("door.unknown")
             log.warning("a call for a cache never listed", cache=call.cache)
             raise HttpError(404, f"cache {call.cache!r} was never listed")
-        now, change = self.clock(), o.disable if call.kind is OperatorCallKind.DISABLE else o.enable
+        now, change = (
+            self.clock(),
+            o.disable_cache if call.kind is OperatorCallKind.DISABLE else o.enable_cache,
+        )
         try:
-            self._order(call.cache, partial(change, cache=call.cache, now=now))
+            self._apply(call.cache, partial(change, cache=call.cache, now_us=now))
         except o.OperatorCommandError as error:
             raise HttpError(409, str(error)) from None
-        return 200, {"cache": call.cache, "disabled": call.cache in self.orders.held, **self._unkept()}
+        return 200, {
+            "cache": call.cache,
+            "disabled": call.cache in self.commands.disabled_caches,
+            **self._unkept(),
+        }
 
     def _unkept(self) -> dict[str, bool]:
         """Told beside the answer while the folder takes no write: a successor would not know of the call."""
-        return {"kept": False} if self.unwritten else {}
+        return {"kept": False} if self.unwritten_changes else {}
 
-    def _order(self, what: str, change: o.Change) -> None:
+    def _apply(self, what: str, change: o.CommandChange) -> None:
         """A change that binds from now on: in this process at once, in the file as soon as the folder takes
         it. `what`: the cache, or "" for the drain; of two changes of the same the later one is enough."""
-        orders = change(self.orders)
-        if orders is not self.orders:
-            self.orders = orders
-            self.director.ordered(orders, [])
+        orders = change(self.commands)
+        if orders is not self.commands:
+            self.commands = orders
+            self.director.apply_commands(orders, [])
             self.counters.add("door.ordered")
             if self.persisted is not None:
-                self.unwritten.pop(what, None)
-                self.unwritten[what] = change
+                self.unwritten_changes.pop(what, None)
+                self.unwritten_changes[what] = change
         self._synchronise()
 
     def _synchronise(self) -> None:
@@ -172,21 +189,21 @@
         if self.persisted is None:
             return
         try:
-            if self.unwritten:
+            if self.unwritten_changes:
                 self._write(self.persisted)
             else:
                 self._take_over(self.persisted)
         except OSError as error:
-            self.counters.add("door.unsaved" if self.unwritten else "door.unreadable")
+            self.counters.add("door.unsaved" if self.unwritten_changes else "door.unreadable")
             log.warning("the door's file fails, and is tried again", error=str(error))
 
     def _write(self, persisted: PersistedCommands) -> None:
         """This one's commands on top of what the other process wrote, which can write nothing meanwhile."""
         with persisted.locked():
             self._take_over(persisted)
-            written = persisted.write(self.orders, self.known)
-        self.unwritten.clear()
-        self.director.written(self.orders.version, written)
+            written = persisted.write(self.commands, self.known_caches)
+        self.unwritten_changes.clear()
+        self.director.commands_written(self.commands.version, written)
 
     def _take_over(self, persisted: PersistedCommands) -> None:
         try:
@@ -195,10 +212,10 @@
             self.counters.add("door.unreadable")
             log.warning("the door's file cannot be used", error=str(error))
             return
-        if read is None or (read[0].version <= self.orders.version and not self.unwritten):
+        if read is None or (read[0].version <= self.commands.version and not self.unwritten_changes):
             return
-        self.orders = o.rebased(read[0], self.unwritten.values())
-        self.director.ordered(self.orders, read[1])
+        self.commands = o.rebase(read[0], self.unwritten_changes.values())
+        self.director.apply_commands(self.commands, read[1])
         log.info("orders taken from the other process", version=read[0].version)
 
     async def _look(self) -> None:
--- a/onyxwick/service.py
+++ b/onyxwick/service.py
@@ -135,7 +135,7 @@
 
     def pace(self, coordinator: CoordinatorFeed, caches: CacheConnectionPool) -> None:
         """Coming back from its store, a director may be one of many that do at once: it calls for the feed
-        after a wait drawn from its seed, and opens its connections to caches step by step (core/pacing.py).
+        after a wait drawn from its seed, and opens its connections to caches step by step (core/backoff.py).
         It serves meanwhile from what it recovered and what the configuration told. With sites, what it asks
         of the relay stores comes back at the same pace: its counts of what is popular are empty, and all
         that is seldom asked for would go up to them at once."""
@@ -143,16 +143,16 @@
             coordinator.beat = self._feed_heard
         if self.durable is None and self.sites is None:
             return
-        from onyxwick.core.pacing import BackoffPolicy, ReconnectBackoff
+        from onyxwick.core.backoff import BackoffPolicy, ReconnectBackoff
 
         back = ReconnectBackoff(
             self.config.seed ^ BACK_DRAW, self.core.now(), BackoffPolicy(), self.config.settings.router_count
         )
         if self.sites is not None:
-            self.sites.share = back.share
+            self.sites.share = back.ramp_share
         if self.durable is not None:
-            coordinator.initial_delay_us = back.wait_us
-            caches.share = lambda: back.share(self.core.now())
+            coordinator.initial_delay_us = back.initial_delay_us
+            caches.share = lambda: back.ramp_share(self.core.now())
 
     def follow(self, coordinator: CoordinatorFeed) -> Coroutine[None, None, None]:
         """What keeps lists and purges coming: the coordinator itself, or a node of the distribution tree."""
@@ -205,7 +205,7 @@
         loop, side = asyncio.get_running_loop(), list[asyncio.Task[None]]()
         if self.durable is not None:
             self.durable.start()
-            self.core.restore(self.durable)
+            self.core.feed.restore(self.durable)
             side.append(loop.create_task(self._recovering(self.durable)))
         side += [loop.create_task(front.run()) for front in self._fronts(health)]
         if self.told.trace is not None:
@@ -261,21 +261,23 @@
         core = self.core
         try:
             while True:
-                if core.watch is None and loop.time() < self.trace_until:
+                if core.context.tracer is None and loop.time() < self.trace_until:
                     now = core.now()
-                    core.watch = DecisionTracer(core.settings, self.config.name, told.folder, bounds, now)
-                    core.watch.listed(now, self.members.listed.values())
+                    core.context.tracer = DecisionTracer(
+                        core.settings, self.config.name, told.folder, bounds, now
+                    )
+                    core.context.tracer.listed(now, self.members.listed.values())
                     log.info("trace begun", folder=str(told.folder))
-                elif core.watch is not None and loop.time() >= self.trace_until:
+                elif core.context.tracer is not None and loop.time() >= self.trace_until:
                     self._end_trace()
                 await asyncio.sleep(TRACE_TICK_S)
-                if core.watch is not None:
-                    core.watch.tick(core.now())
+                if core.context.tracer is not None:
+                    core.context.tracer.tick(core.now())
         finally:
             self._end_trace()
 
     def _end_trace(self) -> None:
-        watch, self.core.watch = self.core.watch, None
+        watch, self.core.context.tracer = self.core.context.tracer, None
         if watch is not None:
             watch.stop(self.core.now())
 
--- a/onyxwick/sites/router.py
+++ b/onyxwick/sites/router.py
@@ -76,7 +76,7 @@
 
 class SiteRouter:
     """`share`, where it is set: of its usual limits that a director allows itself after a start
-    (core/pacing.py)."""
+    (core/backoff.py)."""
 
     def __init__(
         self,
--- a/onyxwick/start.py
+++ b/onyxwick/start.py
@@ -76,5 +76,5 @@
             director = Director(told, service)
         except StoreError as error:
             raise StartupError(f"the store in {service.store.folder.name} is not opened: {error}") from None
-    director.early = early
+    director.early_signals = early
     return await director.run(handed)
--- a/onyxwick/tenants.py
+++ b/onyxwick/tenants.py
@@ -15,7 +15,7 @@
 import dns.zone
 import ujson
 
-from onyxwick.quota import Quota
+from onyxwick.quota import TokenBucket
 
 QUOTA_PER_S = 500.0  # queries, where a tenant is given no quota
 ADMIN_PER_S = 20.0  # administration requests of one tenant
@@ -55,7 +55,7 @@
         if not _NAME(name):
             raise TenantError("field 'name' is no name of small letters, digits and hyphens")
         self.name, self.token = name, token
-        self.quota, self.admin_quota = Quota(per_s), Quota(ADMIN_PER_S)
+        self.quota, self.admin_quota = TokenBucket(per_s), TokenBucket(ADMIN_PER_S)
         self.keys: dict[dns.name.Name, bytes] = {}
         self.zones: dict[dns.name.Name, TenantZone] = {}
 
--- a/tests/ground.py
+++ b/tests/ground.py
@@ -84,7 +84,7 @@
         self.script, self.members, self.counters = Script(), EndpointTable(), Counters()
         self.caches = CacheConnectionPool(self.members, self.counters, connect_us)
         self.core = RequestEngine(
-            settings, 7, self.caches, self.members, self.counters, decide=lambda *_: self.script
+            settings, 7, self.caches, self.members, self.counters, make_router=lambda *_: self.script
         )
         self.front = FastCgiFront(self.core, self.counters, lambda: True, 64, 10_000_000)
         self.answers: list[FinalAnswer] = []
@@ -104,7 +104,7 @@
 
     def list(self, state: MemberState, name: str, address: tuple[str, int]) -> None:
         told = Member(name, "edge-1", "box", 0, state, 6.0, 0)
-        self.core.list_changed(EndpointsChanged(EndpointListKind.CHANGE, (told,)), {name: address})
+        self.core.feed.apply_endpoints(EndpointsChanged(EndpointListKind.CHANGE, (told,)), {name: address})
 
     def held(self, name: str) -> Iterator[Callable[[], Awaitable[socket.socket]]]:
         """A member to which no connection comes up until the value is awaited, which gives the next one."""
@@ -133,8 +133,13 @@
 
     def request(self, kind: str = "chunk", **more: object) -> ClientRequest:
         self.asked += 1
-        fields = {"id": f"{self.asked:016x}", "class_name": kind, "object": "7f3a9c21e0b4d655", "part": 0}
-        told = {"group": 17, "arrived_us": steady_us(), "timeout_us": 9_000_000}
+        fields = {
+            "request_id": f"{self.asked:016x}",
+            "class_name": kind,
+            "object_id": "7f3a9c21e0b4d655",
+            "part": 0,
+        }
+        told = {"object_group": 17, "arrived_us": steady_us(), "timeout_us": 9_000_000}
         return ClientRequest(**{**fields, **told, **more})  # type: ignore[arg-type]
 
     def start(self, kind: str = "chunk", **more: object) -> RequestLifecycle:
--- a/tests/test_callers_on_time.py
+++ b/tests/test_callers_on_time.py
@@ -101,7 +101,7 @@
     async def play() -> None:
         director = Director(relay.read(json.loads((FOLDER / "config.json").read_text())))
         director.phase = DirectorPhase.DRAINED
-        director._drained(OperatorCommands(1, True, drain_called_at=time.monotonic()))
+        director._on_drain_changed(OperatorCommands(1, True, drain_requested_at_s=time.monotonic()))
         assert director.phase is DirectorPhase.DRAINED and director.front.ending is not None
 
     asyncio.run(play())
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -10,7 +10,7 @@
 import pytest
 
 from onyxwick.config.errors import ConfigError
-from onyxwick.core.endpoints import PURGES_KEPT_US, EndpointTable
+from onyxwick.core.endpoints import PURGE_RETENTION_US, EndpointTable, PurgeScope, ReceivedPurge
 from onyxwick.distribution.fanout import FanOut, FanOutLimits, Subscriber
 from onyxwick.lab.scale import bounds
 from onyxwick.lab.scale.fits import fit
@@ -134,7 +134,7 @@
 
     async def ask(self, name: str, number: int) -> None:
         await super().ask(name, number)
-        self.core.members.purge_times[(None, name)] = self.core.now(), 0
+        self.core.endpoints.purge_times[PurgeScope(None, name)] = ReceivedPurge(self.core.now(), 0)
 
 
 def test_a_table_that_grows_with_objects_is_seen() -> None:
@@ -180,11 +180,11 @@
     for n in range(3_000):
         now = n * 50_000
         name = f"o{n * 7 % 500}"
-        members.purged(-1, name, now)
+        members.record_purge(-1, name, now)
         held = held if held is not None else members.purge_times
         assert members.purge_times is held, "not copied: the cost would grow with the rate"
-        reference = {k: at for k, at in reference.items() if at > now - PURGES_KEPT_US}
+        reference = {k: at for k, at in reference.items() if at > now - PURGE_RETENTION_US}
         reference[(None, name)] = now
         assert {key: at for key, (at, _) in members.purge_times.items()} == reference
-    members.purged(17, None, now + PURGES_KEPT_US)
+    members.record_purge(17, None, now + PURGE_RETENTION_US)
     assert list(members.purge_times) == [(17, None)]
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -396,10 +396,10 @@
         plan = plan_of()
         members, counters = EndpointTable(), Counters()
         core = RequestEngine(
-            SET, 7, Instant(), members, counters, decide=lambda s, n, at: CellRouter(s, n, at, plan, 400)
+            SET, 7, Instant(), members, counters, make_router=lambda s, n, at: CellRouter(s, n, at, plan, 400)
         )
         rows = (*BOXES, *PARENTS, ORIGIN)
-        core.list_changed(
+        core.feed.apply_endpoints(
             EndpointsChanged(EndpointListKind.SNAPSHOT, rows), {m.address: ("127.0.0.1", 9) for m in rows}
         )
         cells = core.router
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from onyxwick.core.clock import FeedStamps
+from onyxwick.core.clock import FeedTimestamps
 from onyxwick.interface import AttemptStatus, EndpointsChanged, ObjectsPurged, SetTimer, TimerFired
 from onyxwick.net.coordinator_feed import CoordinatorFeed, newest_stamp_us
 from tests.ground import Ground, ask, played
@@ -104,7 +104,7 @@
         ground.script.ended = lambda request, status: []
         ground.script.timer = lambda: ask(lifecycle.request.request_id, "c0")
         ground.core.handle(TimerFired("hedge"))
-        ground.core.purged(17, None, ground.core.now())
+        ground.core.feed.apply_purge(17, None, ground.core.now())
         await ground.until(lambda: ground.script.ends() == [AttemptStatus.NOT_SENT])
 
     played(play)
@@ -116,34 +116,38 @@
 
 
 def test_stamps_of_a_feed_that_is_an_hour_behind_are_taken_for_later_never_for_earlier() -> None:
-    stamps, now = FeedStamps(), 10 * HOUR_US
-    stamps.caught_up(now)
+    stamps, now = FeedTimestamps(), 10 * HOUR_US
+    stamps.mark_caught_up(now)
     made = now + S_US  # true times; the feed writes an hour less
-    assert stamps.purge(made - HOUR_US, made + 200_000) == made + 200_000
+    assert stamps.purge_time_us(made - HOUR_US, made + 200_000) == made + 200_000
     later = made + 5 * S_US
-    stamps.caught_up(later - S_US)
-    assert later <= stamps.purge(later - HOUR_US, later + 300_000) <= later + 300_000
-    assert later <= stamps.start("c0", later - HOUR_US, later + 300_000) <= later + 300_000
+    stamps.mark_caught_up(later - S_US)
+    assert later <= stamps.purge_time_us(later - HOUR_US, later + 300_000) <= later + 300_000
+    assert later <= stamps.start_time_us("c0", later - HOUR_US, later + 300_000) <= later + 300_000
 
 
 def test_a_start_an_hour_old_by_its_stamp_that_a_live_feed_tells_for_the_first_time_is_a_start_now() -> None:
-    stamps, now = FeedStamps(), 10 * HOUR_US
-    assert stamps.start("known", now - HOUR_US, now) == now - HOUR_US  # before the feed is live: as it says
-    stamps.caught_up(now)
-    assert stamps.start("c0", now - HOUR_US, now + S_US) == now + S_US
-    assert stamps.start("c0", now - HOUR_US, now + 9 * S_US) == now + S_US  # the same start, told again
-    assert stamps.start("known", now - HOUR_US, now + 9 * S_US) == now - HOUR_US
+    stamps, now = FeedTimestamps(), 10 * HOUR_US
+    assert (
+        stamps.start_time_us("known", now - HOUR_US, now) == now - HOUR_US
+    )  # before the feed is live: as it says
+    stamps.mark_caught_up(now)
+    assert stamps.start_time_us("c0", now - HOUR_US, now + S_US) == now + S_US
+    assert (
+        stamps.start_time_us("c0", now - HOUR_US, now + 9 * S_US) == now + S_US
+    )  # the same start, told again
+    assert stamps.start_time_us("known", now - HOUR_US, now + 9 * S_US) == now - HOUR_US
     stamps.forget("known")
-    assert stamps.start("known", now - HOUR_US, now + 9 * S_US) == now + 9 * S_US
+    assert stamps.start_time_us("known", now - HOUR_US, now + 9 * S_US) == now + 9 * S_US
 
 
 def test_nothing_lies_in_the_future_and_what_a_live_feed_tells_is_younger_than_its_last_heartbeat() -> None:
-    stamps, now = FeedStamps(), 10 * HOUR_US
-    assert stamps.purge(now + HOUR_US, now) == now
-    assert stamps.start("c0", now + HOUR_US, now) == now
-    stamps.caught_up(now)
+    stamps, now = FeedTimestamps(), 10 * HOUR_US
+    assert stamps.purge_time_us(now + HOUR_US, now) == now
+    assert stamps.start_time_us("c0", now + HOUR_US, now) == now
+    stamps.mark_caught_up(now)
     # The feed's clock was ahead for a moment, and is right again: no purge is taken for an hour old.
-    assert stamps.purge(now - HOUR_US, now + S_US) >= now
+    assert stamps.purge_time_us(now - HOUR_US, now + S_US) >= now
 
 
 def test_a_start_with_the_clock_an_hour_ahead_is_put_right_by_the_first_live_purge(wall: WallClock) -> None:
@@ -171,14 +175,14 @@
 
 
 def test_a_first_purge_that_comes_late_after_an_outage_says_nothing_of_the_clocks() -> None:
-    stamps, now = FeedStamps(), 10 * HOUR_US
-    stamps.begin(now - S_US, now)
-    started = stamps.start("c0", now - 2 * S_US, now)
-    stamps.caught_up(now)
-    stamps.purge(now + 5 * S_US, now + 25 * S_US)  # the feed was away for 20 s
-    assert stamps.start("c0", now - 2 * S_US, now + 25 * S_US) == started
-    assert stamps.start("c1", now + 24 * S_US, now + 25 * S_US) <= now + 25 * S_US
-    assert now + 25_900_000 <= stamps.purge(now + 25_900_000, now + 26 * S_US) <= now + 26 * S_US
+    stamps, now = FeedTimestamps(), 10 * HOUR_US
+    stamps.anchor(now - S_US, now)
+    started = stamps.start_time_us("c0", now - 2 * S_US, now)
+    stamps.mark_caught_up(now)
+    stamps.purge_time_us(now + 5 * S_US, now + 25 * S_US)  # the feed was away for 20 s
+    assert stamps.start_time_us("c0", now - 2 * S_US, now + 25 * S_US) == started
+    assert stamps.start_time_us("c1", now + 24 * S_US, now + 25 * S_US) <= now + 25 * S_US
+    assert now + 25_900_000 <= stamps.purge_time_us(now + 25_900_000, now + 26 * S_US) <= now + 26 * S_US
 
 
 def test_a_stamp_that_no_clock_can_show_makes_nothing_else_seem_older() -> None:
--- a/tests/test_dns_routing.py
+++ b/tests/test_dns_routing.py
@@ -42,13 +42,13 @@
 
     def __init__(self, decide: Callable[[RouterSettings, int, int], RequestRouter] = Router) -> None:
         self.members, self.counters = EndpointTable(), Counters()
-        self.core = RequestEngine(SETTINGS, 7, Naming(), self.members, self.counters, decide=decide)
+        self.core = RequestEngine(SETTINGS, 7, Naming(), self.members, self.counters, make_router=decide)
         config = load(FOLDER / "service.hcl")
         self.front = DnsFront(self.core, self.counters, config)
         self.asked: dict[str, list[float]] = {box: [] for box in BOXES}
 
     def told(self, *rows: Member, kind: EndpointListKind = EndpointListKind.CHANGE) -> None:
-        self.core.list_changed(EndpointsChanged(kind, rows), {**BOXES, "p0": ("127.77.2.9", 15071)})
+        self.core.feed.apply_endpoints(EndpointsChanged(kind, rows), {**BOXES, "p0": ("127.77.2.9", 15071)})
 
     async def run(self, scene: Callable[[Depot], Awaitable[None]]) -> None:
         def box(name: str) -> Callable[[asyncio.StreamReader, asyncio.StreamWriter], None]:
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -9,9 +9,9 @@
 
 from onyxwick.interface import MemberState
 from onyxwick.operations import operator_commands as o
-from onyxwick.operations.metrics import figures
+from onyxwick.operations.metrics import metrics_document
 from onyxwick.operations.persisted_commands import PersistedCommands
-from onyxwick.operations.routes import OperatorCall, OperatorCallKind, OperatorCallRejectedError, route
+from onyxwick.operations.routes import OperatorCall, OperatorCallKind, OperatorCallRejectedError, parse_call
 from tests.world import member
 
 S = 1_000_000
@@ -29,7 +29,7 @@
     ],
 )
 def test_each_call_of_the_platform_is_known(method: str, path: str, call: OperatorCall) -> None:
-    assert route(method, path) == call
+    assert parse_call(method, path) == call
 
 
 @pytest.mark.parametrize(
@@ -51,49 +51,62 @@
 )
 def test_what_is_no_call_is_a_4xx_with_a_reason(method: str, path: str, status: int) -> None:
     with pytest.raises(OperatorCallRejectedError) as refused:
-        route(method, path)
-    assert refused.value.status == status and refused.value.text
-    assert (refused.value.allow != "") is (status == 405)
+        parse_call(method, path)
+    assert refused.value.status == status and refused.value.reason
+    assert (refused.value.allowed_method != "") is (status == 405)
 
 
 def test_calls_again_change_nothing_and_one_enable_ends_the_ban() -> None:
     none = o.OperatorCommands()
-    out = o.disable(none, "c0", 5 * S)
-    assert out.held == {"c0"} and out.version == 1
-    assert o.disable(out, "c0", 6 * S) is out  # a second call: the same orders, no new version
-    back = o.enable(out, "c0", 7 * S)
-    assert back.held == frozenset() and back.cold_from("c0") == 7 * S and back.version == 2
-    assert o.enable(back, "c0", 8 * S) is back
-    assert o.enable(none, "c9", 8 * S) is none  # listed, never left out: nothing to end
-    assert o.changed(none, out) == {"c0"} and o.changed(out, back) == {"c0"} and not o.changed(back, back)
+    out = o.disable_cache(none, "c0", 5 * S)
+    assert out.disabled_caches == {"c0"} and out.version == 1
+    assert o.disable_cache(out, "c0", 6 * S) is out  # a second call: the same orders, no new version
+    back = o.enable_cache(out, "c0", 7 * S)
+    assert (
+        back.disabled_caches == frozenset()
+        and back.cache_re_enabled_at_us("c0") == 7 * S
+        and back.version == 2
+    )
+    assert o.enable_cache(back, "c0", 8 * S) is back
+    assert o.enable_cache(none, "c9", 8 * S) is none  # listed, never left out: nothing to end
+    assert (
+        o.changed_caches(none, out) == {"c0"}
+        and o.changed_caches(out, back) == {"c0"}
+        and not o.changed_caches(back, back)
+    )
 
 
 def test_a_cache_left_out_is_shown_draining_whatever_the_list_says_and_comes_back_cold() -> None:
     told = member("c0", since=1 * S)
-    out = o.disable(o.OperatorCommands(), "c0", 5 * S)
-    assert o.shown(told, out, 5 * S).state is MemberState.DRAINING
-    assert o.shown(replace(told, state=MemberState.REMOVED), out, 5 * S).state is MemberState.REMOVED
+    out = o.disable_cache(o.OperatorCommands(), "c0", 5 * S)
+    assert o.member_under_commands(told, out, 5 * S).state is MemberState.DRAINING
     assert (
-        o.shown(replace(told, started_at_us=6 * S), out, 6 * S).state is MemberState.DRAINING
+        o.member_under_commands(replace(told, state=MemberState.REMOVED), out, 5 * S).state
+        is MemberState.REMOVED
+    )
+    assert (
+        o.member_under_commands(replace(told, started_at_us=6 * S), out, 6 * S).state is MemberState.DRAINING
     )  # restarted meanwhile
-    back = o.enable(out, "c0", 9 * S)
-    seen = o.shown(told, back, 9 * S)
+    back = o.enable_cache(out, "c0", 9 * S)
+    seen = o.member_under_commands(told, back, 9 * S)
     assert seen.state is MemberState.READY and seen.started_at_us == 9 * S  # cold from the call back
     assert (
-        o.shown(replace(told, started_at_us=10 * S), back, 10 * S).started_at_us == 10 * S
+        o.member_under_commands(replace(told, started_at_us=10 * S), back, 10 * S).started_at_us == 10 * S
     )  # a later start holds
-    assert o.shown(told, back, 9 * S + o.BACK_KEPT_US).started_at_us == 1 * S  # long after, the list's own
-    assert o.shown(member("c1"), back, 9 * S) == member("c1")
+    assert (
+        o.member_under_commands(told, back, 9 * S + o.RE_ENABLED_RETENTION_US).started_at_us == 1 * S
+    )  # long after, the list's own
+    assert o.member_under_commands(member("c1"), back, 9 * S) == member("c1")
 
 
 def test_a_drain_and_its_end_are_one_version_each() -> None:
-    drained = o.drain(o.OperatorCommands(), True)
-    assert drained.drained and drained.version == 1 and o.drain(drained, True) is drained
-    assert not o.drain(drained, False).drained and o.newer(drained, o.OperatorCommands()) is drained
+    drained = o.set_drained(o.OperatorCommands(), True)
+    assert drained.is_drained and drained.version == 1 and o.set_drained(drained, True) is drained
+    assert not o.set_drained(drained, False).is_drained and o.newer(drained, o.OperatorCommands()) is drained
 
 
 def test_known_ids_are_bounded_and_the_oldest_go_first() -> None:
-    known = o.KnownCaches(most=3)
+    known = o.KnownCaches(max_ids=3)
     known.add(["a", "b", "c"])
     known.add(["a", "d"])  # 'a' listed again is young again
     assert "b" not in known and all(name in known for name in "acd")
@@ -102,12 +115,15 @@
 def test_the_file_holds_the_orders_whole_and_is_read_once_for_each_change(tmp_path: Path) -> None:
     mine, theirs = PersistedCommands(tmp_path, "n1"), PersistedCommands(tmp_path, "n1")
     assert theirs.read() is None  # nothing yet
-    orders, known = o.enable(o.disable(o.OperatorCommands(), "c0", 1 * S), "c0", 2 * S), o.KnownCaches()
+    orders, known = (
+        o.enable_cache(o.disable_cache(o.OperatorCommands(), "c0", 1 * S), "c0", 2 * S),
+        o.KnownCaches(),
+    )
     known.add(["c0", "c1"])
-    mine.write(o.drain(orders, True), known)
+    mine.write(o.set_drained(orders, True), known)
     assert mine.read() is None  # what it wrote itself is no news to it
     read = theirs.read()
-    assert read is not None and read[0] == o.drain(orders, True) and read[1] == ["c0", "c1"]
+    assert read is not None and read[0] == o.set_drained(orders, True) and read[1] == ["c0", "c1"]
     assert theirs.read() is None
     (tmp_path / "onyxwick-orders-n1.json").write_text('{"v": 1, "version": "x"}')
     with pytest.raises(ValueError, match="version"):
@@ -130,7 +146,7 @@
     import ujson
 
     with pytest.raises(ValueError):
-        o.of_json(ujson.loads(text))
+        o.commands_from_json(ujson.loads(text))
 
 
 def test_the_figures_are_those_that_the_platform_names() -> None:
@@ -145,7 +161,7 @@
         "outcome.reset": 2,
         "reload.read": 1,
     }
-    shown = figures(counts, outstanding=4, discovered=11, ejected=1)
+    shown = metrics_document(counts, open_requests=4, listed_members=11, ejected_members=1)
     assert list(shown) == [
         "app_succeeded",
         "app_declined",
--- a/tests/test_ending_schedule.py
+++ b/tests/test_ending_schedule.py
@@ -7,8 +7,8 @@
 import pytest
 
 from onyxwick.core.shutdown import (
-    HELD_AFTER_S,
-    RECENT_S,
+    DRAIN_LIMIT_S,
+    RECENT_REQUEST_S,
     ConnectionState,
     ConnectionStep,
     ShutdownStage,
@@ -23,10 +23,10 @@
 
 def test_a_drain_refuses_before_requests_are_recent_and_closes_before_connections_are_held() -> None:
     schedule = drain_schedule(100.0)
-    assert schedule.stage(99.9) is ShutdownStage.SERVING and schedule.stage(100.0) is ShutdownStage.ENDS_FREE
-    assert schedule.begins_at(ShutdownStage.REFUSES) + 1.0 <= 100.0 + HELD_AFTER_S - RECENT_S
-    assert schedule.begins_at(ShutdownStage.CLOSED) + 0.5 < 100.0 + HELD_AFTER_S
-    assert schedule.stage(1e9) is ShutdownStage.CLOSED
+    assert schedule.stage(99.9) is ShutdownStage.SERVING and schedule.stage(100.0) is ShutdownStage.CLOSE_IDLE
+    assert schedule.stage_start_s(ShutdownStage.REJECT_NEW) + 1.0 <= 100.0 + DRAIN_LIMIT_S - RECENT_REQUEST_S
+    assert schedule.stage_start_s(ShutdownStage.CLOSE_ALL) + 0.5 < 100.0 + DRAIN_LIMIT_S
+    assert schedule.stage(1e9) is ShutdownStage.CLOSE_ALL
 
 
 @pytest.mark.parametrize("longest_s", [0.0, 0.05, 0.3, 0.8, 1.5, 3.0, 15.0])
@@ -37,33 +37,33 @@
 ) -> None:
     schedule = termination_schedule(100.0, 100.0 + stood_still_s, longest_s, successor)
     kill_at = 100.0 + kill_after_s(longest_s)
-    assert list(schedule.begins) == sorted(schedule.begins)
-    assert schedule.begins_at(ShutdownStage.GIVES_BACK) <= schedule.fails_at <= kill_at - 0.2
-    newcomers_s = schedule.accept_until - 100.0 - stood_still_s
+    assert list(schedule.stage_starts_s) == sorted(schedule.stage_starts_s)
+    assert schedule.stage_start_s(ShutdownStage.RELEASE_REQUESTS) <= schedule.fail_at_s <= kill_at - 0.2
+    newcomers_s = schedule.accept_until_s - 100.0 - stood_still_s
     assert newcomers_s == 0.0 if successor else 0.4 < newcomers_s < 0.8
     if not stood_still_s:
-        assert schedule.begins_at(ShutdownStage.CLOSED) <= kill_at - 0.2
+        assert schedule.stage_start_s(ShutdownStage.CLOSE_ALL) <= kill_at - 0.2
 
 
 def test_what_a_drain_has_promised_holds_in_a_termination() -> None:
-    both = termination_schedule(102.0, 102.0, 3.0, False).with_earlier(drain_schedule(100.0))
-    assert both.begins == drain_schedule(100.0).begins
-    assert both.fails_at == termination_schedule(102.0, 102.0, 3.0, False).fails_at
+    both = termination_schedule(102.0, 102.0, 3.0, False).earliest_of(drain_schedule(100.0))
+    assert both.stage_starts_s == drain_schedule(100.0).stage_starts_s
+    assert both.fail_at_s == termination_schedule(102.0, 102.0, 3.0, False).fail_at_s
 
 
 @pytest.mark.parametrize(
     ("state", "steps"),  # for each stage from SERVING to CLOSED
     [
         (RESTING, "keep end end end end end"),
-        (replace(RESTING, owed=1), "keep keep keep keep give_back give_back"),
-        (replace(RESTING, owed=1, unread=True), "keep keep keep keep give_back give_back"),
-        (replace(RESTING, unread=True), "keep keep keep keep keep hear_last"),
-        (replace(RESTING, unwritten=9), "keep keep keep keep keep keep"),
-        (replace(RESTING, half_call=True, rest_s=0.4), "keep keep keep end end end"),
-        (replace(RESTING, half_call=True, rest_s=1.4), "keep end end end end end"),
-        (replace(RESTING, calls=0, age_s=0.4), "keep keep keep end end end"),
-        (replace(RESTING, calls=0, age_s=1.4), "keep end end end end end"),
-        (replace(RESTING, delivered_s=0.1), "keep keep keep keep end end"),
+        (replace(RESTING, unanswered=1), "keep keep keep keep give_back give_back"),
+        (replace(RESTING, unanswered=1, has_unread_input=True), "keep keep keep keep give_back give_back"),
+        (replace(RESTING, has_unread_input=True), "keep keep keep keep keep hear_last"),
+        (replace(RESTING, unwritten_bytes=9), "keep keep keep keep keep keep"),
+        (replace(RESTING, has_partial_request=True, idle_s=0.4), "keep keep keep end end end"),
+        (replace(RESTING, has_partial_request=True, idle_s=1.4), "keep end end end end end"),
+        (replace(RESTING, request_count=0, age_s=0.4), "keep keep keep end end end"),
+        (replace(RESTING, request_count=0, age_s=1.4), "keep end end end end end"),
+        (replace(RESTING, since_delivered_s=0.1), "keep keep keep keep end end"),
     ],
 )
 def test_what_each_stage_does_with_a_connection(state: ConnectionState, steps: str) -> None:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -66,7 +66,7 @@
         _on_arrival(ground, "c0")
         gone = ground.start()
         await ground.until(lambda: ground.caches.links.get("c0"))
-        ground.core.leave(gone)
+        ground.core.client_departed(gone)
         await let_up()
         await ground.until(lambda: not ground.core.lifecycles)
         assert ground.script.ends() == [AttemptStatus.NOT_SENT] and not ground.answers
@@ -81,7 +81,7 @@
         lifecycle = ground.start()
         while not lifecycle.attempts:
             await asyncio.sleep(0)  # the attempt's task is there, and has not taken its first step
-        ground.core.leave(lifecycle)
+        ground.core.client_departed(lifecycle)
         await ground.until(lambda: ground.script.ends())
         assert ground.script.ends() == [AttemptStatus.NOT_SENT] and not ground.caches.links
         sock.close()
@@ -170,7 +170,7 @@
         again.send(told[:40].encode())  # half a line, and the rest
         await asyncio.sleep(0.02)
         again.send(told[40:].encode())
-        await ground.until(lambda: not ground.members.ready("c0"))
+        await ground.until(lambda: not ground.members.is_ready("c0"))
         await let_up()
         await ground.until(lambda: ground.script.ends() == [AttemptStatus.NOT_SENT])
         assert not lifecycle.client_departed
@@ -330,7 +330,7 @@
 
         _on_arrival(ground, "c0")
         _on_error(ground, lambda request: [FailRequest(request)])
-        lifecycle = ground.start(held_tag="4be0c1927d55a6f3")
+        lifecycle = ground.start(client_etag="4be0c1927d55a6f3")
         conn = await ground.accepted(sock)
         await ground.read(conn, lifecycle.request.request_id.encode())
         conn.send(
@@ -338,7 +338,7 @@
         )
         await ground.until(lambda: ground.answers)
         assert ground.answers[0].status is AnswerStatus.FAILED and ground.counters.counts["bad.tag"] == 1
-        lifecycle = ground.start(held_tag="4be0c1927d55a6f3")  # and that connection goes on
+        lifecycle = ground.start(client_etag="4be0c1927d55a6f3")  # and that connection goes on
         await ground.read(conn, lifecycle.request.request_id.encode())
         conn.send(_answer(lifecycle.request.request_id, b"unchanged", FOUND, b""))
         await ground.until(lambda: len(ground.answers) == 2)
@@ -494,7 +494,7 @@
     monkeypatch.setattr(client_module, "PAUSE_BYTES", 100_000)
 
     async def play(ground: Ground) -> None:
-        ground.core.transport = Slow()
+        ground.core.context.transport = Slow()
         _on_arrival(ground, "c0")
         sock = await ground.client()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -524,8 +524,8 @@
 
 def test_a_call_taken_back_while_its_connection_ends_is_taken_back() -> None:
     async def play(ground: Ground) -> None:
-        ground.core.transport = Slow()
-        ground.core.transport.runs = 1
+        ground.core.context.transport = Slow()
+        ground.core.context.transport.runs = 1
         _on_arrival(ground, "c0")
         sock = await ground.client()
         sock.send(call(1, keep=False))
@@ -540,7 +540,7 @@
 
 def test_a_call_that_comes_while_its_connection_waits_to_end_is_refused_and_not_lost() -> None:
     async def play(ground: Ground) -> None:
-        slow = ground.core.transport = Slow()
+        slow = ground.core.context.transport = Slow()
         slow.runs = 1
         _on_arrival(ground, "c0")
         sock = await ground.client()
@@ -595,7 +595,7 @@
 
 def test_a_slow_reader_of_a_last_answer_gets_all_of_it() -> None:
     async def play(ground: Ground) -> None:
-        ground.core.transport = Slow()
+        ground.core.context.transport = Slow()
         _on_arrival(ground, "c0")
         sock = await ground.client()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -734,7 +734,7 @@
         (link,) = ground.caches.links["c0"]
         from onyxwick.core.request_lifecycle import ClientDeparted
 
-        lifecycle.mailbox.put(ClientDeparted(overdue=True))
+        lifecycle.mailbox.put(ClientDeparted(deadline_exceeded=True))
         link._answered([lifecycle.request.request_id.encode(), b"data", FOUND, b"walk"])
         await ground.until(lambda: not ground.core.lifecycles)
         assert [a.status for a in ground.answers] == [AnswerStatus.FAILED]
@@ -812,7 +812,7 @@
         await ground.until(lambda: ground.caches.links.get("c0"))
         name, at = ("c0", address) if restarted == "member" else ("p0", source)
         row = Member(name, "edge-1", "box", 0, MemberState.READY, 6.0, ground.core.now())
-        ground.core.list_changed(EndpointsChanged(EndpointListKind.CHANGE, (row,)), {name: at})
+        ground.core.feed.apply_endpoints(EndpointsChanged(EndpointListKind.CHANGE, (row,)), {name: at})
         await let_up()
         await ground.until(lambda: ground.script.ends() == [AttemptStatus.NOT_SENT])
 
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -8,6 +8,7 @@
 import pytest
 
 from onyxwick.core import RequestEngine
+from onyxwick.core.context import EngineContext
 from onyxwick.core.endpoints import EndpointTable
 from onyxwick.counters import Counters
 from onyxwick.interface import RejectRequest
@@ -133,7 +134,7 @@
 
     async def play(ground: Ground) -> None:
         ground.script.arrived = lambda request: [RejectRequest(request)]
-        monkeypatch.setattr(ground.core, "refused", lambda *line: told.append(line[2]))
+        monkeypatch.setattr(EngineContext, "record_rejection", lambda _, *line: told.append(line[2]))
         sock = await ground.client()
         sock.send(call(1))
         await ground.read(sock, b"503")
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -8,7 +8,9 @@
 
 import pytest
 
-from onyxwick.core.invariants import AttemptStarted, InvariantRule, Invariants, Violation, budget
+from onyxwick.core.attempt_invariants import slow_start_limit
+from onyxwick.core.invariant_model import AttemptStarted, InvariantRule, Violation
+from onyxwick.core.invariants import Invariants
 from onyxwick.interface import EndpointListKind, EndpointsChanged, Member, MemberState
 from tests.ground import FOUND, Ground, ask, call, played
 from tests.world import SETTINGS, member
@@ -18,7 +20,7 @@
 
 
 class Checked:
-    """Checks over three caches and one request of a class, whose first attempt is `begin`."""
+    """Checks over three caches and one request of a class, whose first attempt is `start_attempt`."""
 
     def __init__(self, kind: str = "chunk") -> None:
         self.found: list[Violation] = []
@@ -28,17 +30,17 @@
         self.checks.request_started("r1", kind, 17, "o1", NOW + 2 * S, NOW)
 
     def members(self, *rows: Member, now: int = NOW) -> None:
-        self.checks.list_changed(EndpointsChanged(EndpointListKind.CHANGE, rows), now)
+        self.checks.endpoints_changed(EndpointsChanged(EndpointListKind.CHANGE, rows), now)
 
-    def begin(self, now: int = NOW, number: int = 0, **more: object) -> None:
+    def start_attempt(self, now: int = NOW, attempt_index: int = 0, **more: object) -> None:
         facts = {
             "request": "r1",
             "member": "c0",
-            "source": None,
-            "accept_us": 0,
-            "left_us": NOW + 2 * S - now,
+            "fill_source": None,
+            "max_age_us": 0,
+            "remaining_us": NOW + 2 * S - now,
         }
-        self.checks.attempt_begun(AttemptStarted(**{**facts, "number": number, **more}), now)  # type: ignore[arg-type]
+        self.checks.attempt_started(AttemptStarted(**{**facts, "attempt_index": attempt_index, **more}), now)  # type: ignore[arg-type]
 
     @property
     def rules(self) -> list[InvariantRule]:
@@ -47,52 +49,54 @@
 
 def _departed(c: Checked, late: int) -> None:
     c.checks.client_departed("r1", NOW)
-    c.begin(NOW + (110_000 if late else 90_000))
+    c.start_attempt(NOW + (110_000 if late else 90_000))
 
 
 def _answered_before(c: Checked, late: int) -> None:
     if late:
         c.checks.answered("r1", NOW)
-    c.begin(NOW + 1)
+    c.start_attempt(NOW + 1)
 
 
 def _draining(c: Checked, late: int) -> None:
     c.members(replace(member("c0"), state=MemberState.DRAINING), now=NOW)
-    c.begin(NOW + SETTINGS.rules.drain_grace_us + (60_000 if late else 40_000), left_us=0)
+    c.start_attempt(NOW + SETTINGS.rules.drain_grace_us + (60_000 if late else 40_000), remaining_us=0)
 
 
 def _gone_source(c: Checked, late: int) -> None:
     c.members(replace(member("c1"), state=MemberState.REMOVED), now=NOW)
-    c.begin(NOW + SETTINGS.rules.drain_grace_us + (60_000 if late else 40_000), left_us=0, source="c1")
+    c.start_attempt(
+        NOW + SETTINGS.rules.drain_grace_us + (60_000 if late else 40_000), remaining_us=0, fill_source="c1"
+    )
 
 
 def _purged(c: Checked, late: int) -> None:
-    c.checks.purged(17, None, NOW - 100_000, NOW)
+    c.checks.object_purged(17, None, NOW - 100_000, NOW)
     at = NOW + 500_000  # grace is 0.3 s
-    c.begin(at, accept_us=2 * S if late else 600_000)
+    c.start_attempt(at, max_age_us=2 * S if late else 600_000)
 
 
 def _unbounded_after_a_purge(c: Checked, late: int) -> None:
-    c.checks.purged(-1, "o1" if late else "o2", NOW - 100_000, NOW)
-    c.begin(NOW + 500_000)
+    c.checks.object_purged(-1, "o1" if late else "o2", NOW - 100_000, NOW)
+    c.start_attempt(NOW + 500_000)
 
 
 def _repeated(c: Checked, late: int) -> None:
-    c.begin()
-    c.checks.attempt_ended("r1", 0, proves_unrun=not late)
-    c.begin(NOW + 1, number=1)
+    c.start_attempt()
+    c.checks.attempt_ended("r1", 0, proves_not_executed=not late)
+    c.start_attempt(NOW + 1, attempt_index=1)
 
 
 def _time_told(c: Checked, late: int) -> None:
-    c.begin(left_us=2 * S + (160_000 if late else 140_000))
+    c.start_attempt(remaining_us=2 * S + (160_000 if late else 140_000))
 
 
 def _cold(c: Checked, late: int) -> None:
     c.members(member("c0", since=NOW, weight=6.0))
     rules = SETTINGS.rules
     allowed = rules.overload_multiple * rules.warm_up_start_share * 6.0 * rules.overload_window_us / 100_000
-    for _ in range(int(budget(allowed)) + late):
-        c.begin(NOW + 1)
+    for _ in range(int(slow_start_limit(allowed)) + late):
+        c.start_attempt(NOW + 1)
 
 
 def _answer_twice(c: Checked, late: int) -> None:
@@ -119,16 +123,16 @@
 
 
 def _held(c: Checked, late: int) -> None:
-    c.checks.held_in_drain(7, 2 * S - late)
+    c.checks.connection_open_after_drain(7, 2 * S - late)
 
 
 def _held_idle(c: Checked, late: int) -> None:
-    c.checks.held_in_drain(7, None if late else 3 * S)
+    c.checks.connection_open_after_drain(7, None if late else 3 * S)
 
 
 def _cut(c: Checked, late: int) -> None:
     if late:
-        c.checks.answer_cut(7, 1)
+        c.checks.answer_truncated(7, 1)
 
 
 def _outlives(c: Checked, late: int) -> None:
@@ -136,28 +140,28 @@
 
 
 def _check_fails(c: Checked, late: int) -> None:
-    c.begin(left_us=None if late else S)
+    c.start_attempt(remaining_us=None if late else S)
 
 
 CASES: list[tuple[InvariantRule, str, Callable[[Checked, int], None]]] = [
-    (InvariantRule.SENT_FOR_DEPARTED, "chunk", _departed),
+    (InvariantRule.SENT_AFTER_CLIENT_DEPARTED, "chunk", _departed),
     (InvariantRule.SENT_AFTER_ANSWER, "chunk", _answered_before),
-    (InvariantRule.SENT_TO_UNREADY, "chunk", _draining),
-    (InvariantRule.SENT_TO_UNREADY, "chunk", _gone_source),
-    (InvariantRule.SENT_OVER_PURGE, "chunk", _purged),
-    (InvariantRule.SENT_OVER_PURGE, "chunk", _unbounded_after_a_purge),
-    (InvariantRule.REPEATED_UNSAFELY, "save", _repeated),
-    (InvariantRule.TIME_TOLD, "chunk", _time_told),
-    (InvariantRule.SLOW_START, "chunk", _cold),
-    (InvariantRule.SECOND_ANSWER, "chunk", _answer_twice),
+    (InvariantRule.SENT_TO_UNAVAILABLE_MEMBER, "chunk", _draining),
+    (InvariantRule.SENT_TO_UNAVAILABLE_MEMBER, "chunk", _gone_source),
+    (InvariantRule.PURGED_COPY_ACCEPTED, "chunk", _purged),
+    (InvariantRule.PURGED_COPY_ACCEPTED, "chunk", _unbounded_after_a_purge),
+    (InvariantRule.UNSAFE_RETRY, "save", _repeated),
+    (InvariantRule.TIMEOUT_EXCEEDS_DEADLINE, "chunk", _time_told),
+    (InvariantRule.SLOW_START_LIMIT_EXCEEDED, "chunk", _cold),
+    (InvariantRule.DUPLICATE_ANSWER, "chunk", _answer_twice),
     (InvariantRule.NO_ANSWER, "chunk", _never_answered),
     (InvariantRule.LATE_ANSWER, "chunk", _answered_late),
-    (InvariantRule.CLOSED_OWING, "chunk", _closed_owing),
-    (InvariantRule.COMMAND_UNWRITTEN, "chunk", _unwritten),
-    (InvariantRule.HELD_IN_DRAIN, "chunk", _held),
-    (InvariantRule.HELD_IN_DRAIN, "chunk", _held_idle),
-    (InvariantRule.ANSWER_CUT, "chunk", _cut),
-    (InvariantRule.OUTLIVED_KILL, "chunk", _outlives),
+    (InvariantRule.CLOSED_WITH_UNANSWERED_REQUESTS, "chunk", _closed_owing),
+    (InvariantRule.OPERATOR_COMMAND_NOT_PERSISTED, "chunk", _unwritten),
+    (InvariantRule.OPEN_AFTER_DRAIN, "chunk", _held),
+    (InvariantRule.OPEN_AFTER_DRAIN, "chunk", _held_idle),
+    (InvariantRule.ANSWER_TRUNCATED, "chunk", _cut),
+    (InvariantRule.EXITED_AFTER_KILL_TIME, "chunk", _outlives),
     (InvariantRule.CHECK_FAILED, "chunk", _check_fails),
 ]
 
@@ -178,18 +182,18 @@
 
 
 def test_a_repeat_by_key_is_sound_within_its_window_alone() -> None:
-    for late, found in ((0, []), (1, [InvariantRule.REPEATED_UNSAFELY])):
+    for late, found in ((0, []), (1, [InvariantRule.UNSAFE_RETRY])):
         c = Checked("hold")
-        c.begin()
-        c.begin(NOW + 2 * S + (1 if late else -1), number=1)
+        c.start_attempt()
+        c.start_attempt(NOW + 2 * S + (1 if late else -1), attempt_index=1)
         assert c.rules == found
 
 
 def test_tables_are_bounded_by_what_settles() -> None:
     c = Checked()
     for n in range(5_000):
-        c.checks.purged(-1, f"o{n}", NOW + n * 10_000, NOW + n * 10_000)
-    assert len(c.checks.purges) <= 2 * SETTINGS.rules.purge_retention_us / 10_000 + 2
+        c.checks.object_purged(-1, f"o{n}", NOW + n * 10_000, NOW + n * 10_000)
+    assert len(c.checks.attempts.purges) <= 2 * SETTINGS.rules.purge_retention_us / 10_000 + 2
     c.checks.request_ended("r1")
     assert not c.checks.requests
 
@@ -201,7 +205,7 @@
     async def play(ground: Ground) -> None:
         cache = ground.cache("c0")
         ground.script.arrived = lambda request: ask(request, "c0", "c0")
-        ground.core.guard.may_repeat = lambda lifecycle, number: True  # type: ignore[method-assign]  # planted
+        ground.core.guard.may_retry = lambda lifecycle, attempt_index: True  # type: ignore[method-assign]  # planted
         lifecycle = ground.start("save")
         conn = await ground.accepted(cache)
         await ground.read(conn, lifecycle.request.request_id.encode())
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -17,7 +17,7 @@
 
 def test_a_flood_of_lines_is_cut_and_counted() -> None:
     now = [0.0]
-    throttle = logs.Throttle(lambda: now[0])
+    throttle = logs.LineRateLimit(lambda: now[0])
 
     def passes(event: str) -> Mapping[str, object] | None:
         try:
@@ -25,7 +25,7 @@
         except structlog.DropEvent:
             return None
 
-    assert sum(passes("bad input") is not None for _ in range(500)) == logs.MOST_PER_S
+    assert sum(passes("bad input") is not None for _ in range(500)) == logs.MAX_LINES_PER_S
     assert passes("another kind"), "it has lines of its own"
     now[0] = 1.0
     assert (passes("bad input") or {})["left_out"] == 490
