--- a/tests/test_operator_commands.py
+++ b/tests/test_operator_commands.py
@@ -58,7 +58,7 @@
 def test_a_file_that_could_not_be_read_once_is_read_again(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    PersistedCommands(tmp_path, "n1").write(o.disable(o.OperatorCommands(), "c0", 1), o.KnownCaches())
+    PersistedCommands(tmp_path, "n1").write(o.disable_cache(o.OperatorCommands(), "c0", 1), o.KnownCaches())
     persisted, real = PersistedCommands(tmp_path, "n1"), Path.read_bytes
 
     def fails(path: Path) -> bytes:
@@ -69,13 +69,16 @@
         persisted.read()
     monkeypatch.setattr(Path, "read_bytes", real)
     read = persisted.read()
-    assert read is not None and read[0].held == {"c0"}
+    assert read is not None and read[0].disabled_caches == {"c0"}
 
 
 def test_two_processes_that_are_ordered_something_at_once_both_keep_it() -> None:
-    first, second = o.disable(o.OperatorCommands(), "c0", 1), partial(o.disable, cache="c1", now=2)
-    kept = o.rebased(first, [second])
-    assert kept.held == {"c0", "c1"} and kept.version > first.version
+    first, second = (
+        o.disable_cache(o.OperatorCommands(), "c0", 1),
+        partial(o.disable_cache, cache="c1", now_us=2),
+    )
+    kept = o.rebase(first, [second])
+    assert kept.disabled_caches == {"c0", "c1"} and kept.version > first.version
 
 
 def test_a_cache_let_back_in_is_as_cold_for_a_successor_though_the_wall_clock_was_stepped(
@@ -85,13 +88,13 @@
     mine = SteadyClock()
     now = mine()
     PersistedCommands(tmp_path, "n1", mine).write(
-        o.enable(o.disable(o.OperatorCommands(), "c0", now), "c0", now), o.KnownCaches()
+        o.enable_cache(o.disable_cache(o.OperatorCommands(), "c0", now), "c0", now), o.KnownCaches()
     )
     for step in (hour_ns, -hour_ns):
         monkeypatch.setattr(time, "time_ns", lambda step=step: real() + step)
         successor = SteadyClock()
         read = PersistedCommands(tmp_path, "n1", successor).read()
-        assert read is not None and 0 <= successor() - read[0].cold_from("c0") < 2_000_000, step
+        assert read is not None and 0 <= successor() - read[0].cache_re_enabled_at_us("c0") < 2_000_000, step
 
 
 @pytest.mark.parametrize("orders_while_unreadable", [False, True])
@@ -155,12 +158,12 @@
     def meanwhile(source: Path, target: Path) -> None:
         monkeypatch.setattr(os, "replace", replace)
         monkeypatch.setattr(os, "getpid", lambda: 1)  # the other process
-        second._order("c1", partial(o.disable, cache="c1", now=2))
+        second._apply("c1", partial(o.disable_cache, cache="c1", now_us=2))
         replace(source, target)
 
     monkeypatch.setattr(os, "replace", meanwhile)
-    first._order("c0", partial(o.disable, cache="c0", now=1))
+    first._apply("c0", partial(o.disable_cache, cache="c0", now_us=1))
     for door in (second, first, second):  # as each looks ten times a second
         door._synchronise()
-    assert first.orders.held == second.orders.held == {"c0", "c1"}
+    assert first.commands.disabled_caches == second.commands.disabled_caches == {"c0", "c1"}
     assert sorted(_held(tmp_path / "onyxwick-orders-n1.json")) == ["c0", "c1"]
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -15,9 +15,9 @@
 from onyxwick.admin.durable import DurableApi
 from onyxwick.admin.http import HttpError, HttpRequest
 from onyxwick.core import AttemptOutcome, AttemptSpec, ClientRequest, RequestEngine
+from onyxwick.core.backoff import BackoffPolicy, ReconnectBackoff
 from onyxwick.core.endpoints import EndpointTable
 from onyxwick.core.model import AnswerStatus, FinalAnswer
-from onyxwick.core.pacing import BackoffPolicy, ReconnectBackoff
 from onyxwick.counters import Counters
 from onyxwick.interface import (
     AnswerDetail,
@@ -123,9 +123,9 @@
         backs = [ReconnectBackoff(n * 7919, 0, BackoffPolicy(), directors) for n in range(directors)]
         windows = [0] * 21
         for back in backs:
-            windows[back.wait_us // 100_000] += 1
+            windows[back.initial_delay_us // 100_000] += 1
         assert max(windows) <= most and sum(windows) == directors
-        shares = [sum(b.share(at) for b in backs) / directors for at in range(0, 14 * S, S)]
+        shares = [sum(b.ramp_share(at) for b in backs) / directors for at in range(0, 14 * S, S)]
         assert shares == sorted(shares) and shares[0] <= 0.21 and shares[-1] == 1.0
     alone = ReconnectBackoff(1, 0, BackoffPolicy(), 1)
     assert alone.may_connect(0)
@@ -184,10 +184,10 @@
         self.durable = _durable(files, bookings)
         self.durable.start()
         self.core = RequestEngine(SETTINGS, 7, Nothing(), EndpointTable(), Counters())
-        self.core.durable = self.durable
+        self.core.context.durable = self.durable
         self.tenants = Tenants()
         self.durable.load_tenants(self.tenants)
-        self.core.list_changed(EndpointsChanged(EndpointListKind.SNAPSHOT, ROWS), ADDRESSES)
+        self.core.feed.apply_endpoints(EndpointsChanged(EndpointListKind.SNAPSHOT, ROWS), ADDRESSES)
         self.api = DurableApi(
             Api(self.tenants, Counters(), "operator-token-1", dict), self.durable, self.core
         )
@@ -218,16 +218,16 @@
         assert (await depot.call("PUT", "/drains/c1", {"reason": "disk"}))[0] == 200
         assert (await depot.call("POST", "/tenants", {"name": "gone"}))[0] == 201
         assert (await depot.call("DELETE", "/tenants/gone"))[0] == 204
-        assert not depot.core.members.ready("c1") and depot.core.members.ready("c0")
+        assert not depot.core.endpoints.is_ready("c1") and depot.core.endpoints.is_ready("c0")
         assert b"onyxwick-test-key" not in b"".join(depot.files.read(n) for n in depot.files.names())
         again = Depot(depot.files.after_crash(random.Random(1)))
         tenant = again.tenants.tenants["yard"]
         assert set(again.tenants.tenants) == {"yard"} and tenant.quota.per_s == 5 and tenant.token == "t" * 16
         assert [z.data.get_soa().serial for z in tenant.zones.values()] == [7]
         assert list(tenant.keys.values()) == [b"onyxwick-test-key"]
-        assert not again.core.members.ready("c1"), "the drain holds before the first request"
+        assert not again.core.endpoints.is_ready("c1"), "the drain holds before the first request"
         assert (await again.call("DELETE", "/drains/c1"))[1] == {"member": "c1", "lifted": True}
-        assert again.core.members.ready("c1")
+        assert again.core.endpoints.is_ready("c1")
 
     asyncio.run(play())
 
@@ -263,7 +263,7 @@
         tenant = depot.tenants.tenants["yard"]
         assert list(depot.tenants.tenants) == ["yard"] and tenant.quota.per_s == 5
         assert [z.data.get_soa().serial for z in tenant.zones.values()] == [1]
-        assert depot.core.members.ready("c0")
+        assert depot.core.endpoints.is_ready("c0")
 
     asyncio.run(play())
 
@@ -301,18 +301,18 @@
 
     async def play() -> None:
         depot = Depot(FaultyFiles())
-        depot.core.feed_observed(9)
+        depot.core.feed.record_feed_index(9)
         drained = EndpointsChanged(EndpointListKind.CHANGE, (replace(CACHES[0], state=MemberState.DRAINING),))
-        depot.core.list_changed(drained, ADDRESSES)
+        depot.core.feed.apply_endpoints(drained, ADDRESSES)
         await asyncio.gather(*depot.durable.notes)
         for seed in range(3):  # each time up with the old list, in which all are ready, and killed again
             depot = Depot(depot.files.after_crash(random.Random(seed)))
-            depot.core.feed_observed(1)
+            depot.core.feed.record_feed_index(1)
             await asyncio.gather(*depot.durable.notes)
             assert depot.durable.recovery.reached == 9
-            assert not depot.core.members.ready("c0") and depot.core.members.ready("c1")
-        depot.core.feed_observed(10)
-        assert depot.core.members.ready("c0"), "the feed is past it and has not drained it again"
+            assert not depot.core.endpoints.is_ready("c0") and depot.core.endpoints.is_ready("c1")
+        depot.core.feed.record_feed_index(10)
+        assert depot.core.endpoints.is_ready("c0"), "the feed is past it and has not drained it again"
         await asyncio.gather(*depot.durable.notes)
         assert not list(depot.durable.engine.keys("drain/"))
 
@@ -337,7 +337,7 @@
                 sent.append(order.request.request_id)
                 return AttemptOutcome(AttemptStatus.OK, body=b"done")
 
-        depot.core.transport = Origin()
+        depot.core.context.transport = Origin()
         request = ClientRequest("b" * 16, "save", "0" * 16, 0, None, depot.core.now(), 3 * S)
         answers: list[FinalAnswer] = []
         await depot.core.serve(request, answers.append)
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -388,12 +388,18 @@
 
     async def play() -> list[tuple[int, int, dict[str, object]]]:
         core = RequestEngine(
-            SETTINGS, 7, Nothing(), EndpointTable(), Counters(), lambda: 1_002 * S, decide=lambda *_: decider
+            SETTINGS,
+            7,
+            Nothing(),
+            EndpointTable(),
+            Counters(),
+            lambda: 1_002 * S,
+            make_router=lambda *_: decider,
         )
-        core.watch = DecisionTracer(SETTINGS, "n0", tmp_path, SinkLimits(), core.now(), lambda: 1)
+        core.context.tracer = DecisionTracer(SETTINGS, "n0", tmp_path, SinkLimits(), core.now(), lambda: 1)
         decider.order(1_002 * S, SiteCommand("north", SiteDirective.EVACUATE, "flood"))
         core.handle()
-        core.watch.stop(core.now())
+        core.context.tracer.stop(core.now())
         assert core.counters.counts["sites.evacuating.north"] == 1
         (path,) = tmp_path.glob("*.owt")
         with open_trace(path) as trace:
--- a/tests/test_slow_and_failing_calls.py
+++ b/tests/test_slow_and_failing_calls.py
@@ -16,7 +16,7 @@
 
 from onyxwick.core.clock import steady_us
 from onyxwick.core.shutdown import drain_schedule, termination_schedule
-from onyxwick.core.stall import StallWatch
+from onyxwick.core.stall_detector import StallDetector
 from onyxwick.interface import AttemptEnded, AttemptStatus, FailRequest, RejectRequest, SetTimer, TimerFired
 from onyxwick.net import coordinator_feed as coordinator
 from onyxwick.net import fastcgi, resp
@@ -98,7 +98,7 @@
                 raise KeyError("an error of our own")
             applied.append(name)
 
-        monkeypatch.setattr(ground.core, "purged", purged)
+        monkeypatch.setattr(ground.core.feed, "apply_purge", purged)
         first, second = (
             json.dumps({"index": n, "evict": {"ref": ref * 16, "unix_ms": 1}}).encode()
             for n, ref in ((1, "a"), (2, "b"))
@@ -387,7 +387,7 @@
         client.sendall(call(1, more={"HTTP_X_TIMEOUT_MS": "1000"}))
         sent = time.monotonic()
         await asyncio.sleep(0.4)
-        ground.core.stalls.turn(time.monotonic())  # a front that has just begun
+        ground.core.stalls.observe(time.monotonic())  # a front that has just begun
         ground.tasks.append(loop.create_task(ground.front.watch_turns()))
         await asyncio.sleep(0.1)
         client.sendall(call(2, path="/ping") if followed else b"")
@@ -506,7 +506,7 @@
         def fails(index: int) -> None:
             raise RuntimeError("planted")
 
-        monkeypatch.setattr(ground.core, "feed_observed", fails)
+        monkeypatch.setattr(ground.core.feed, "record_feed_index", fails)
         _, conn = await _stopped(ground, 0.3, _purge_lines(1, 1))
         await ground.read(conn, f"{2:016x}".encode())
         assert ground.counters.counts["error.coordinator"] == 1
@@ -551,25 +551,25 @@
 
 
 def test_what_stood_in_sockets_in_a_stop_has_waited_though_the_loop_takes_long_to_come_round_to_it() -> None:
-    watch, woken = StallWatch(100.0), 102.0
+    watch, woken = StallDetector(100.0), 102.0
     watch.tick(woken)
-    assert watch.turn(woken + 0.09) == 100.0  # a turn that is long, and no stall by itself
+    assert watch.observe(woken + 0.09) == 100.0  # a turn that is long, and no stall by itself
     for turn in range(1, 4):
         watch.tick(woken + 0.09 * turn)
-    assert watch.turn(woken + 0.35) == 100.0
+    assert watch.observe(woken + 0.35) == 100.0
     later = woken + 0.35
     for _ in range(20):
         later += 0.06
         watch.tick(later)
-    assert watch.turn(later) == later
+    assert watch.observe(later) == later
 
 
 def test_one_stall_after_the_other_counts_no_further_back_than_its_aftermath() -> None:
-    watch, now = StallWatch(100.0), 100.0
+    watch, now = StallDetector(100.0), 100.0
     for _ in range(100):  # a process that is short of processor time for long
         now += 0.15
         watch.tick(now)
-        assert now - watch.turn(now) < 1.0
+        assert now - watch.observe(now) < 1.0
 
 
 def test_a_call_that_is_being_written_as_the_end_closes_the_rest_is_answered() -> None:
