--- a/onyxwick/lifecycle.py
+++ b/onyxwick/lifecycle.py
@@ -16,7 +16,7 @@
 from onyxwick import logs
 from onyxwick.config import ConfigError
 from onyxwick.config import director as relay
-from onyxwick.config.address import written
+from onyxwick.config.address import format_address
 from onyxwick.config.director import DirectorConfig
 from onyxwick.config.errors import ConfigUnreadableError
 from onyxwick.core import RequestEngine
@@ -70,7 +70,7 @@
             self.counters,
             config.settings.limits.connect_timeout_us,
             config.settings.report_names,
-            most_links=config.most_links,
+            max_connections=config.max_cache_connections,
         )
         service = self.service
         self.engine = RequestEngine(
@@ -79,12 +79,12 @@
             self.cache_pool,
             self.endpoints,
             self.counters,
-            max_open_requests=config.most_open,
+            max_open_requests=config.max_open_requests,
             make_router=Router if service is None else service.decide,
         )
         routers = config.settings.router_count
         self.coordinator = CoordinatorFeed(self.engine, self.counters, config.seed ^ FEED_DRAW, routers)
-        self.coordinator.move(config.coordinator)  # a reload while starting moves it on
+        self.coordinator.set_address(config.coordinator)  # a reload while starting moves it on
         if service is not None:
             service.attach(self.engine, self.endpoints, self.counters)
             service.pace(self.coordinator, self.cache_pool)
@@ -92,15 +92,15 @@
             self.engine,
             self.counters,
             self.is_ready,
-            config.most_clients,
-            config.most_held,
+            config.max_clients,
+            config.max_held_bytes,
             *(() if service is None else service.places()),
         )
         self.command_executor = self._bridge()
 
     def _bridge(self) -> CommandExecutor | None:
         """The director's side of the operators' door, where the configuration gives one."""
-        if self.config.admin is None:
+        if self.config.operations_address is None:
             return None
         from onyxwick.operations.command_executor import CommandExecutor, persisted_commands
 
@@ -143,9 +143,9 @@
         if phase is not self.phase:  # not so where the start, or a turn with two drains in it, entered it
             self._enter(phase)
         if orders.is_drained:
-            self.front.begin_ending(drain_schedule(orders.drain_requested_at_s or time.monotonic()))
+            self.front.begin_shutdown(drain_schedule(orders.drain_requested_at_s or time.monotonic()))
         else:
-            self.front.resume()
+            self.front.cancel_shutdown()
 
     def _request_stop(self) -> None:
         """SIGTERM. It may have come at any time in a stop of the process or a long turn of the loop."""
@@ -180,7 +180,7 @@
         try:
             told, service = relay.load(), read_service() if self.service else None
             if self.service is not None:
-                self.service.reload(service.plan if service else None)
+                self.service.reload(service.cell_plan if service else None)
         except ConfigUnreadableError as error:
             self.counters.add("reload.unreadable")
             log.warning("configuration not read yet", error=str(error), tries_left=tries)
@@ -193,8 +193,8 @@
             log.error("configuration kept as it was", error=str(error))
             return
         self.counters.add("reload.read")
-        log.info("configuration read again", coordinator=written(told.coordinator))
-        self.coordinator.move(told.coordinator)
+        log.info("configuration read again", coordinator=format_address(told.coordinator))
+        self.coordinator.set_address(told.coordinator)
 
     def print_counters(self) -> None:
         door = self.door_counters
@@ -219,13 +219,13 @@
             loop, side = asyncio.get_running_loop(), list[asyncio.Task[None]]()
             if self.service is not None:
                 side += self.service.start(self.health)
-            self.coordinator.known(self.config.known)
+            self.coordinator.load_configured(self.config.known_events)
             service, coordinator = self.service, self.coordinator
             side += [
                 loop.create_task(coordinator.follow() if service is None else service.follow(coordinator)),
                 self._keep("sweep.caches", self.cache_pool.sweep),
                 self._keep("sweep.front", self.front.sweep),
-                self._keep("turns", self.front.watch_turns),
+                self._keep("turns", self.front.record_loop_ticks),
                 self._keep("collect", self._collect),
             ]
             gc.set_threshold(GC_EVERY, 20, 100)  # requests leave few cycles behind
@@ -236,7 +236,7 @@
             drained = self.command_executor is not None and self.command_executor.commands.is_drained
             self._enter(DirectorPhase.DRAINED if drained else DirectorPhase.SERVING)
             if self.command_executor is not None and drained:
-                self.front.begin_ending(
+                self.front.begin_shutdown(
                     drain_schedule(self.command_executor.commands.drain_requested_at_s or time.monotonic())
                 )
             await self.stop_requested.wait()
@@ -284,7 +284,7 @@
         self, loop: asyncio.AbstractEventLoop, side: list[asyncio.Task[None]]
     ) -> OperationsServer | None:
         """The operators' door in its own thread; Unusable where its address cannot be listened on."""
-        bridge, address = self.command_executor, self.config.admin
+        bridge, address = self.command_executor, self.config.operations_address
         if bridge is None or address is None:
             return None
         from onyxwick.operations.server import OperationsServer
@@ -293,7 +293,7 @@
             bound = listening.listen(address)
         except OSError as error:
             raise StartupError(
-                f"the operators' door cannot listen on {written(address)}: {error.strerror}"
+                f"the operators' door cannot listen on {format_address(address)}: {error.strerror}"
             ) from None
         bridge.loop = loop
         door = OperationsServer(
@@ -349,14 +349,14 @@
         On a socket that the platform holds the successor takes new connections at once: none are taken here.
         """
         self._enter(DirectorPhase.DRAINING)
-        self.front.begin_ending(schedule)
+        self.front.begin_shutdown(schedule)
         await asyncio.sleep(max(0.0, schedule.accept_until_s - time.monotonic()))
         accepting.cancel()
         await asyncio.gather(accepting, return_exceptions=True)
         if not self.has_inherited_socket:
-            await self.front.accept_rest(sock, schedule.stage_start_s(ShutdownStage.RELEASE_REQUESTS))
+            await self.front.accept_remaining(sock, schedule.stage_start_s(ShutdownStage.RELEASE_REQUESTS))
             sock.close()
-        await self.front.finish(schedule)
+        await self.front.finish_shutdown(schedule)
 
 
 def _service(config: DirectorConfig, told: ServiceConfig | None) -> HostedService | None:
