--- /dev/null
+++ b/onyxwick/core/errors.py
@@ -0,0 +1,13 @@
+"""Errors of the core."""
+
+from __future__ import annotations
+
+from onyxwick.errors import OnyxwickError
+
+
+class CoreError(OnyxwickError):
+    """Base of the errors of this package."""
+
+
+class StartupError(CoreError):
+    """The program cannot start from what it was given; the text says why and is shown to the operator."""
--- a/onyxwick/core/phase.py
+++ b/onyxwick/core/phase.py
@@ -1,10 +1,10 @@
-"""The phases of a director's process, and the table of legal transitions. No I/O."""
+"""The phases of a director's process with their legal transitions, and its readiness. No I/O."""
 
 from __future__ import annotations
 
 from enum import Enum
 
-from onyxwick.errors import OnyxwickError
+from onyxwick.core.errors import CoreError
 
 
 class DirectorPhase(Enum):
@@ -28,7 +28,7 @@
 }
 
 
-class IllegalPhaseChangeError(OnyxwickError):
+class IllegalPhaseChangeError(CoreError):
     """A transition between phases that `PHASE_TRANSITIONS` does not have."""
 
     def __init__(self, found: DirectorPhase, wanted: DirectorPhase) -> None:
@@ -36,3 +36,11 @@
         super().__init__(f"from phase {found.value} to {wanted.value}; legal: {legal}")
         self.found = found
         self.wanted = wanted
+
+
+class Readiness(Enum):
+    """The answer of the operations endpoint's readiness call. The values are the platform's."""
+
+    READY = "YES"
+    NOT_READY = "NO"
+    STOPPING = "END"
--- /dev/null
+++ b/onyxwick/hosting/durable_state.py
@@ -0,0 +1,54 @@
+"""Opens the store of a director and restores its tenants, plan of cells and site directives."""
+
+from __future__ import annotations
+
+from hashlib import blake2b
+from typing import TYPE_CHECKING
+
+from onyxwick import logs
+from onyxwick.config.service import ServiceConfig, StoreConfig
+from onyxwick.hosting.routers import RouterFactory
+from onyxwick.store.durable import DurableState
+from onyxwick.store.encryption import read_keys
+from onyxwick.store.engine import StoreLimits
+from onyxwick.store.files import DiskFiles
+
+if TYPE_CHECKING:
+    from onyxwick.core import RequestEngine
+
+log = logs.get()
+INSTALLATION_DIGEST_BYTES = 16
+
+
+def open_durable_state(
+    engine: RequestEngine, service_config: ServiceConfig, store_config: StoreConfig, routers: RouterFactory
+) -> DurableState:
+    """Open the store before anything is decided; StoreError rather than a part of what was stored."""
+    installation = store_config.installation.encode()
+    durable = DurableState(
+        DiskFiles(store_config.folder),
+        read_keys(store_config.key_file),
+        blake2b(installation, digest_size=INSTALLATION_DIGEST_BYTES).digest(),
+        engine.now(),
+        engine.settings.rules.purge_retention_us,
+        store_config.persists_bookings,
+        StoreLimits(log=store_config.max_log_bytes, total=store_config.max_total_bytes),
+    )
+    durable.load_tenants(service_config.tenants)
+    _restore_cell_plan(engine, durable, routers)
+    if routers.sites is not None:
+        from onyxwick.sites.operator_commands import of_row
+
+        routers.sites.watch.recalled([of_row(row) for row in durable.site_orders()])
+    return durable
+
+
+def _restore_cell_plan(engine: RequestEngine, durable: DurableState, routers: RouterFactory) -> None:
+    """A plan that was changed by a call takes precedence over the file's, which it was made from."""
+    row = durable.plan()
+    if row is None or routers.cells is None:
+        return
+    from onyxwick.config.cells import plan_of_json
+
+    routers.cells.apply(engine.now(), plan_of_json(row["plan"], int(row["version"])))
+    log.info("plan of cells restored from store", version=routers.cells.plan.version)
--- /dev/null
+++ b/onyxwick/hosting/fronts.py
@@ -0,0 +1,78 @@
+"""Makes the hosted service's fronts: DNS, and the administration API with the parts that are configured."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+from onyxwick.config.service import ServiceConfig
+from onyxwick.hosting.routers import RouterFactory
+
+if TYPE_CHECKING:
+    from onyxwick.admin.api import Api
+    from onyxwick.admin.cells import CellsApi
+    from onyxwick.admin.http import Handler, HttpServer
+    from onyxwick.admin.sites import SitesApi
+    from onyxwick.core import RequestEngine
+    from onyxwick.dns.server import DnsFront
+    from onyxwick.store.durable import DurableState
+
+
+class FrontFactory:
+    """Makes the fronts that a service file asks for."""
+
+    def __init__(
+        self,
+        engine: RequestEngine,
+        service_config: ServiceConfig,
+        routers: RouterFactory,
+        durable: DurableState | None,
+    ) -> None:
+        self.engine = engine
+        self.service_config = service_config
+        self.routers = routers
+        self.durable = durable
+
+    def make_fronts(self, health: Callable[[], dict[str, object]]) -> list[DnsFront | HttpServer]:
+        """All fronts; `health` gives the document of the health call."""
+        fronts: list[DnsFront | HttpServer] = []
+        if self.service_config.dns_address:
+            from onyxwick.dns.server import DnsFront
+
+            fronts.append(DnsFront(self.engine, self.engine.counters, self.service_config, self.durable))
+        if self.service_config.admin_address:
+            from onyxwick.admin.http import HttpServer
+
+            handler = self._admin_handler(health)
+            fronts.append(HttpServer(self.service_config.admin_address, handler, self.engine.counters))
+        return fronts
+
+    def _admin_handler(self, health: Callable[[], dict[str, object]]) -> Handler:
+        from onyxwick.admin.api import Api
+
+        config = self.service_config
+        parts = {"cells": self._cells_api(), "sites": self._sites_api()}
+        api = Api(config.tenants, self.engine.counters, config.admin_token, health, parts)
+        return self._durable_handler(api)
+
+    def _durable_handler(self, api: Api) -> Handler:
+        if self.durable is None:
+            return api
+        from onyxwick.admin.durable import DurableApi
+
+        return DurableApi(api, self.durable, self.engine)
+
+    def _cells_api(self) -> CellsApi | None:
+        if self.routers.cells is None:
+            return None
+        from onyxwick.admin.cells import CellsApi
+        from onyxwick.cells import CellPlanControl
+
+        return CellsApi(CellPlanControl(self.routers.cells, self.engine.now, self.engine.handle))
+
+    def _sites_api(self) -> SitesApi | None:
+        if self.routers.sites is None:
+            return None
+        from onyxwick.admin.sites import SitesApi
+
+        return SitesApi(self.routers.sites, self.engine.now, self.engine.handle)
--- a/onyxwick/lifecycle.py
+++ b/onyxwick/lifecycle.py
@@ -1,4 +1,9 @@
-"""The director from start to exit, as named states of one object."""
+"""One director from start to exit: makes its parts, and takes it through its phases.
+
+Inputs: the platform's configuration, the service file if there is one, and signals (SIGTERM and SIGINT:
+graceful shutdown; SIGHUP: reload; SIGUSR1: print counters; SIGUSR2: trace). The phases and their transitions
+are in `core/phase.py`, the schedule of a shutdown in `core/shutdown.py`.
+"""
 
 from __future__ import annotations
 
@@ -9,28 +14,22 @@
 import signal
 import socket
 import time
-from collections.abc import Callable, Coroutine, Sequence
+from collections.abc import Sequence
 from pathlib import Path
 from typing import TYPE_CHECKING
 
 from onyxwick import logs
 from onyxwick.config import ConfigError
-from onyxwick.config import director as relay
+from onyxwick.config import director as director_config
 from onyxwick.config.address import format_address
 from onyxwick.config.director import DirectorConfig
 from onyxwick.config.errors import ConfigUnreadableError
 from onyxwick.core import RequestEngine
-from onyxwick.core.clock import steady_us
 from onyxwick.core.endpoints import EndpointTable
-from onyxwick.core.phase import PHASE_TRANSITIONS, DirectorPhase, IllegalPhaseChangeError
-from onyxwick.core.shutdown import (
-    FINAL_FLUSH_S,
-    ShutdownSchedule,
-    ShutdownStage,
-    drain_schedule,
-    kill_after_s,
-    termination_schedule,
-)
+from onyxwick.core.phase import PHASE_TRANSITIONS, DirectorPhase, IllegalPhaseChangeError, Readiness
+from onyxwick.core.shutdown import FINAL_FLUSH_S, ShutdownSchedule, ShutdownStage, drain_schedule
+from onyxwick.core.supervision import TaskSupervisor
+from onyxwick.core.termination import Termination
 from onyxwick.counters import Counters
 from onyxwick.logic import Router
 from onyxwick.net import listening
@@ -40,31 +39,38 @@
 
 if TYPE_CHECKING:
     from onyxwick.config.service import ServiceConfig
-    from onyxwick.operations.command_executor import CommandExecutor
+    from onyxwick.operations.endpoint import OperationsEndpoint
     from onyxwick.operations.operator_commands import OperatorCommands
-    from onyxwick.operations.server import OperationsServer
     from onyxwick.service import HostedService
 
 log = logs.get()
 SERVICE_FILE = Path(__file__).parents[1] / "deploy" / "service.hcl"
-FEED_DRAW = 0xFEED  # mixed into the seed: a draw of its own
-
-GC_EVERY = 20_000  # new objects between collections of the young
-GC_ALL_S = 10.0  # between full collections: ended connections leave cycles, which must not add up over a day
+FEED_SEED = 0xFEED
+"""Mixed into the director's seed, for random numbers of the feed's own."""
 
-
-RELOAD_RETRY_S, RELOAD_TRIES = 0.2, 50  # a file that cannot be read for a moment is read again
-AGAIN_S = 0.1  # before a task of the whole director goes on after an error in it
-UNWRITTEN_LOOK_S = 0.05  # at the end, between two looks at commands that the folder does not take yet
-FIGURES_S = 0.5  # between two takings of the figures that the operators' door shows
+GC_THRESHOLDS = (20_000, 20, 100)
+"""Requests leave few reference cycles behind, so the young generation is collected rarely."""
+FULL_GC_INTERVAL_S = 10.0
+"""Closed connections leave cycles that must not add up over a day."""
+RELOAD_RETRY_S = 0.2
+RELOAD_ATTEMPTS = 50
+"""A file that cannot be read at the moment is read again."""
 
 
 class Director:
-    def __init__(self, config: DirectorConfig, told: ServiceConfig | None = None) -> None:
-        self.config, self.service = config, _service(config, told)
+    """One director's process. Parts of a service file are loaded only where there is one."""
+
+    def __init__(self, config: DirectorConfig, service_config: ServiceConfig | None = None) -> None:
+        self.config = config
+        self.service = _hosted_service(config, service_config)
         self.phase = DirectorPhase.STARTING
-        self.counters, self.endpoints = Counters(), EndpointTable()
-        self.stop_requested = asyncio.Event()
+        self.has_inherited_socket = False
+        """The listening socket is the platform's: a successor accepts on it already."""
+        self.counters = Counters()
+        self.supervisor = TaskSupervisor(self.counters)
+        deadlines_us = [request_class.deadline_us for request_class in config.settings.classes]
+        self.termination = Termination(max(deadlines_us, default=0) / 1e6)
+        self.endpoints = EndpointTable()
         self.cache_pool = CacheConnectionPool(
             self.endpoints,
             self.counters,
@@ -72,7 +78,6 @@
             config.settings.report_names,
             max_connections=config.max_cache_connections,
         )
-        service = self.service
         self.engine = RequestEngine(
             config.settings,
             config.seed,
@@ -80,53 +85,75 @@
             self.endpoints,
             self.counters,
             max_open_requests=config.max_open_requests,
-            make_router=Router if service is None else service.decide,
+            make_router=Router if self.service is None else self.service.make_router,
         )
-        routers = config.settings.router_count
-        self.coordinator = CoordinatorFeed(self.engine, self.counters, config.seed ^ FEED_DRAW, routers)
-        self.coordinator.set_address(config.coordinator)  # a reload while starting moves it on
-        if service is not None:
-            service.attach(self.engine, self.endpoints, self.counters)
-            service.pace(self.coordinator, self.cache_pool)
-        self.front = FastCgiFront(
+        self.coordinator = CoordinatorFeed(
+            self.engine, self.counters, config.seed ^ FEED_SEED, config.settings.router_count
+        )
+        self.coordinator.set_address(config.coordinator)  # a reload while starting changes it
+        if self.service is not None:
+            self.service.attach(self.engine)
+            self.service.ramp_up(self.coordinator, self.cache_pool)
+        self.front = self._make_front()
+        self.operations = self._make_operations()
+        self._reload_retry: asyncio.TimerHandle | None = None
+
+    def _make_front(self) -> FastCgiFront:
+        config = self.config
+        front_fields = () if self.service is None else self.service.front_fields()
+        return FastCgiFront(
             self.engine,
             self.counters,
             self.is_ready,
             config.max_clients,
             config.max_held_bytes,
-            *(() if service is None else service.places()),
+            *front_fields,
         )
-        self.command_executor = self._bridge()
 
-    def _bridge(self) -> CommandExecutor | None:
-        """The director's side of the operators' door, where the configuration gives one."""
+    def _make_operations(self) -> OperationsEndpoint | None:
+        """The operations endpoint, where the configuration gives it an address."""
         if self.config.operations_address is None:
             return None
-        from onyxwick.operations.command_executor import CommandExecutor, persisted_commands
+        from onyxwick.operations.command_executor import persisted_commands
+        from onyxwick.operations.endpoint import OperationsEndpoint
 
-        bridge = CommandExecutor(
+        return OperationsEndpoint(
+            self.config.operations_address,
             self.engine,
-            self.endpoints,
-            self.counters,
             self.readiness,
             self._on_drain_changed,
             persisted_commands(os.environ.get("TMPDIR"), self.config.name),
         )
-        bridge.restore()
-        self.engine.feed.adjust_endpoints = bridge.adjust_endpoints
-        return bridge
+
+    # ---- state ------------------------------------------------------------------------------------------
 
     def is_ready(self) -> bool:
-        """Whether new clients are welcome; may be asked from the door's thread."""
-        drained = self.command_executor is not None and self.command_executor.commands.is_drained
-        # The orders bind from the door's answer on; the phase follows them a turn of the loop later.
-        serving = self.phase in (DirectorPhase.SERVING, DirectorPhase.DRAINED)
-        return serving and self.endpoints.loaded and not drained
+        """Whether new clients are welcome; may be called from the operations endpoint's thread.
+
+        A drain is in force from the answer to its call on; the phase follows a turn of the loop later.
+        """
+        is_serving = self.phase in (DirectorPhase.SERVING, DirectorPhase.DRAINED)
+        return is_serving and self.endpoints.loaded and not self._is_drained()
 
-    def readiness(self) -> str:
+    def readiness(self) -> Readiness:
+        """The answer to a readiness call; may be called from the operations endpoint's thread."""
         if self.phase in (DirectorPhase.DRAINING, DirectorPhase.STOPPED):
-            return "END"
-        return "YES" if self.is_ready() else "NO"
+            return Readiness.STOPPING
+        return Readiness.READY if self.is_ready() else Readiness.NOT_READY
+
+    def health(self) -> dict[str, object]:
+        """The health document of the administration API."""
+        listed = self.endpoints.listed
+        ready_count = sum(self.endpoints.is_ready(member) for member in listed)
+        return {
+            "state": self.phase.value,
+            "ready": self.is_ready(),
+            "members": len(listed),
+            "up": ready_count,
+        }
+
+    def _is_drained(self) -> bool:
+        return self.operations is not None and self.operations.commands.is_drained
 
     def _enter(self, phase: DirectorPhase) -> None:
         if phase not in PHASE_TRANSITIONS[self.phase]:
@@ -134,249 +161,202 @@
         self.phase = phase
         log.info(phase.value, name=self.config.name)
 
-    def _on_drain_changed(self, orders: OperatorCommands) -> None:
-        """The operators' drain, or its end: connections end by its schedule, or stay. The drain's time runs
-        from its call, however late the loop comes round to it."""
-        if self.phase not in (DirectorPhase.SERVING, DirectorPhase.DRAINED):
-            return  # starting, the first phase entered takes it; ending, connections close anyway
-        phase = DirectorPhase.DRAINED if orders.is_drained else DirectorPhase.SERVING
-        if phase is not self.phase:  # not so where the start, or a turn with two drains in it, entered it
-            self._enter(phase)
-        if orders.is_drained:
-            self.front.begin_shutdown(drain_schedule(orders.drain_requested_at_s or time.monotonic()))
-        else:
-            self.front.cancel_shutdown()
-
-    def _request_stop(self) -> None:
-        """SIGTERM. It may have come at any time in a stop of the process or a long turn of the loop."""
-        if self.shutdown is None:
-            now, longest_s = time.monotonic(), self._longest_s()
-            self.kill_at_s = now + kill_after_s(longest_s)
-            sent_at = self.engine.stalls.observe(now)
-            self.shutdown = termination_schedule(sent_at, now, longest_s, self.has_inherited_socket)
-            self.stop_requested.set()
-
-    def _longest_s(self) -> float:
-        return max((kind.deadline_us for kind in self.config.settings.classes), default=0) / 1e6
-
-    def _signals(self) -> None:
-        loop = asyncio.get_running_loop()
-        loop.add_signal_handler(signal.SIGTERM, self._request_stop)
-        loop.add_signal_handler(signal.SIGINT, self._request_stop)
-        loop.add_signal_handler(signal.SIGUSR1, self.print_counters)
-        loop.add_signal_handler(signal.SIGHUP, self.reload)
-        if self.service is not None and self.service.told.trace is not None:
-            # Before it serves: without a handler the signal would end the program.
-            loop.add_signal_handler(signal.SIGUSR2, self.service.want_trace)
+    # ---- phases -----------------------------------------------------------------------------------------
 
-    def reload(self, tries: int = RELOAD_TRIES) -> None:
-        """Read the configuration again, whole; one that cannot be used changes nothing. One whose file cannot
-        be read for a moment is read a moment later.
+    async def run(
+        self, inherited_socket: socket.socket | None = None, early_signals: Sequence[int] = ()
+    ) -> None:
+        """From STARTING to STOPPED; returns when all admitted requests are answered.
 
-        Only the coordinator and the plan of cells can change under way. Requests and attempts go on.
+        `inherited_socket`: the listening socket that the platform holds; else the program binds its own.
+        `early_signals`: signals to reload that came while the program was starting.
         """
-        if self.reloading is not None:
-            self.reloading.cancel()
-        try:
-            told, service = relay.load(), read_service() if self.service else None
-            if self.service is not None:
-                self.service.reload(service.cell_plan if service else None)
-        except ConfigUnreadableError as error:
-            self.counters.add("reload.unreadable")
-            log.warning("configuration not read yet", error=str(error), tries_left=tries)
-            if tries:
-                loop = asyncio.get_running_loop()
-                self.reloading = loop.call_later(RELOAD_RETRY_S, self.reload, tries - 1)
+        self.has_inherited_socket = inherited_socket is not None
+        self._install_signal_handlers()
+        if early_signals:
+            self.reload()
+        if self.termination.requested.is_set() and self.service is None:
+            # Asked to stop before a client could connect.
+            self._enter(DirectorPhase.DRAINING)
+            self._enter(DirectorPhase.STOPPED)
             return
-        except ConfigError as error:
-            self.counters.add("reload.bad")
-            log.error("configuration kept as it was", error=str(error))
+        with self._listening_socket(inherited_socket) as sock:
+            tasks = self._start_background_tasks()
+            accepting = self.supervisor.start("accept", lambda: self.front.accept(sock))
+            self._begin_serving()
+            await self.termination.requested.wait()
+            assert self.termination.schedule is not None
+            await self._drain(accepting, sock, self.termination.schedule)
+        await self._stop(tasks)
+
+    def _listening_socket(
+        self, inherited_socket: socket.socket | None
+    ) -> contextlib.AbstractContextManager[socket.socket]:
+        if inherited_socket is not None:
+            return contextlib.nullcontext(inherited_socket)
+        return listening.listen(self.config.listen)
+
+    def _start_background_tasks(self) -> list[asyncio.Task[None]]:
+        """Start all that runs beside the front; the tasks are cancelled at the end."""
+        tasks: list[asyncio.Task[None]] = []
+        if self.service is not None:
+            tasks += self.service.start(self.health)
+        self.coordinator.load_configured(self.config.known_events)
+        following = (
+            self.coordinator.follow() if self.service is None else self.service.follow(self.coordinator)
+        )
+        start = self.supervisor.start
+        tasks += [
+            asyncio.get_running_loop().create_task(following),
+            start("sweep.caches", self.cache_pool.sweep),
+            start("sweep.front", self.front.sweep),
+            start("turns", self.front.record_loop_ticks),
+            start("collect", _collect_garbage),
+        ]
+        gc.set_threshold(*GC_THRESHOLDS)
+        gc.collect()  # else what imports have left is kept for good
+        gc.freeze()  # what exists from the start need not be examined again
+        if self.operations is not None:
+            self.operations.start()
+            tasks.append(start("publish", self.operations.publish_metrics))
+        return tasks
+
+    def _begin_serving(self) -> None:
+        if self.operations is None or not self.operations.commands.is_drained:
+            self._enter(DirectorPhase.SERVING)
             return
-        self.counters.add("reload.read")
-        log.info("configuration read again", coordinator=format_address(told.coordinator))
-        self.coordinator.set_address(told.coordinator)
+        self._enter(DirectorPhase.DRAINED)
+        self._begin_drain(self.operations.commands)
 
-    def print_counters(self) -> None:
-        door = self.door_counters
-        logs.print_lines(self.counters.text() if door is None else self.counters.merged(door).text())
+    def _on_drain_changed(self, commands: OperatorCommands) -> None:
+        """The operators have drained the director or ended the drain: close connections, or keep them."""
+        if self.phase not in (DirectorPhase.SERVING, DirectorPhase.DRAINED):
+            return  # while starting, `_begin_serving` will apply it; while draining, connections close anyway
+        phase = DirectorPhase.DRAINED if commands.is_drained else DirectorPhase.SERVING
+        if phase is not self.phase:  # the same after a start, or two drains within one turn of the loop
+            self._enter(phase)
+        if commands.is_drained:
+            self._begin_drain(commands)
+        else:
+            self.front.cancel_shutdown()
+
+    def _begin_drain(self, commands: OperatorCommands) -> None:
+        """The drain's time runs from its call, however late the loop gets to it."""
+        self.front.begin_shutdown(drain_schedule(commands.drain_requested_at_s or time.monotonic()))
 
-    async def run(self, handed: socket.socket | None = None) -> None:
-        """STARTING to STOPPED; returns when everything taken is answered.
+    async def _drain(
+        self, accepting: asyncio.Task[None], sock: socket.socket, schedule: ShutdownSchedule
+    ) -> None:
+        """Serve what still arrives, then stop accepting and answer all admitted requests.
 
-        `handed`: the listening socket that the platform holds; else the program binds `listen` itself.
+        On a socket that the platform holds, the successor accepts new connections at once and none are
+        accepted here.
         """
-        self.has_inherited_socket = handed is not None
-        self._signals()
-        if self.early_signals:
-            self.reload()
-        if self.stop_requested.is_set() and self.service is None:  # told to end before a client could come
-            self._enter(DirectorPhase.DRAINING)
-            return self._enter(DirectorPhase.STOPPED)
-        opened: contextlib.AbstractContextManager[socket.socket] = (
-            listening.listen(self.config.listen) if handed is None else contextlib.nullcontext(handed)
-        )
-        with opened as sock:
-            loop, side = asyncio.get_running_loop(), list[asyncio.Task[None]]()
-            if self.service is not None:
-                side += self.service.start(self.health)
-            self.coordinator.load_configured(self.config.known_events)
-            service, coordinator = self.service, self.coordinator
-            side += [
-                loop.create_task(coordinator.follow() if service is None else service.follow(coordinator)),
-                self._keep("sweep.caches", self.cache_pool.sweep),
-                self._keep("sweep.front", self.front.sweep),
-                self._keep("turns", self.front.record_loop_ticks),
-                self._keep("collect", self._collect),
-            ]
-            gc.set_threshold(GC_EVERY, 20, 100)  # requests leave few cycles behind
-            gc.collect()  # else what imports have left would be kept for good
-            gc.freeze()  # what lives from the start need not be looked through again
-            door = self._open_door(loop, side)
-            accepting = self._keep("accept", lambda: self.front.accept(sock))
-            drained = self.command_executor is not None and self.command_executor.commands.is_drained
-            self._enter(DirectorPhase.DRAINED if drained else DirectorPhase.SERVING)
-            if self.command_executor is not None and drained:
-                self.front.begin_shutdown(
-                    drain_schedule(self.command_executor.commands.drain_requested_at_s or time.monotonic())
-                )
-            await self.stop_requested.wait()
-            assert self.shutdown is not None
-            await self._drain(accepting, sock, self.shutdown)
-        if door is not None:
-            await self._until_written(door)
-            door.stop()
-        for task in side:
+        self._enter(DirectorPhase.DRAINING)
+        self.front.begin_shutdown(schedule)
+        await asyncio.sleep(max(0.0, schedule.accept_until_s - time.monotonic()))
+        accepting.cancel()
+        await asyncio.gather(accepting, return_exceptions=True)
+        if not self.has_inherited_socket:
+            release_at_s = schedule.stage_start_s(ShutdownStage.RELEASE_REQUESTS)
+            await self.front.accept_remaining(sock, release_at_s)
+            sock.close()
+        await self.front.finish_shutdown(schedule)
+
+    async def _stop(self, tasks: Sequence[asyncio.Task[None]]) -> None:
+        """All requests are answered: stop the other parts, within the time before SIGKILL."""
+        if self.operations is not None:
+            await self.operations.stop(self.termination.kill_at_s - FINAL_FLUSH_S)
+        for task in tasks:
             task.cancel()
-        await asyncio.gather(*side, return_exceptions=True)
+        await asyncio.gather(*tasks, return_exceptions=True)
         await self.cache_pool.close()
         if self.service is not None:
             await self._close_service(self.service)
         self._enter(DirectorPhase.STOPPED)
-        self._check_end()
+        self.termination.check_exit(self.engine.invariants)
         self.print_counters()
 
-    def _check_end(self) -> None:
-        if self.shutdown is not None:
-            allowed_s = kill_after_s(self._longest_s())
-            after_s = time.monotonic() - self.kill_at_s + allowed_s
-            self.engine.invariants.process_ended(int(after_s * 1e6), int(allowed_s * 1e6))
-
     async def _close_service(self, service: HostedService) -> None:
-        """Let the store end what it is at, for no longer than the platform lets the process run."""
+        """Let the store finish its writes, for no longer than the platform lets the process run."""
         try:
-            async with asyncio.timeout(max(FINAL_FLUSH_S, self.kill_at_s - time.monotonic())):
+            async with asyncio.timeout(max(FINAL_FLUSH_S, self.termination.kill_at_s - time.monotonic())):
                 await service.close()
         except TimeoutError:
-            log.error("the store was not closed in time")
-
-    async def _until_written(self, door: OperationsServer) -> None:
-        """Give a folder that takes no write all the time that is left before SIGKILL: a successor is to know
-        what was ordered."""
-        end = self.kill_at_s - FINAL_FLUSH_S
-        while door.unwritten_changes and time.monotonic() < end:
-            await asyncio.sleep(UNWRITTEN_LOOK_S)
-        if door.unwritten_changes:
-            log.error(
-                "the operators' commands were never written", commands=sorted(door.unwritten_changes)[:16]
-            )
-
-    def _open_door(
-        self, loop: asyncio.AbstractEventLoop, side: list[asyncio.Task[None]]
-    ) -> OperationsServer | None:
-        """The operators' door in its own thread; Unusable where its address cannot be listened on."""
-        bridge, address = self.command_executor, self.config.operations_address
-        if bridge is None or address is None:
-            return None
-        from onyxwick.operations.server import OperationsServer
+            log.error("store not closed in time")
 
-        try:
-            bound = listening.listen(address)
-        except OSError as error:
-            raise StartupError(
-                f"the operators' door cannot listen on {format_address(address)}: {error.strerror}"
-            ) from None
-        bridge.loop = loop
-        door = OperationsServer(
-            bound, address, bridge, bridge.commands, bridge.known_caches, bridge.persisted, steady_us
-        )
-        door.start()
-        side.append(self._keep("publish", lambda: self._publish(bridge)))
-        self.door_counters = door.counters
-        return door
-
-    door_counters: Counters | None = None
-
-    def _keep(self, name: str, work: Callable[[], Coroutine[None, None, None]]) -> asyncio.Task[None]:
-        """A task of the whole director: an error in it is told, and it goes on."""
+    # ---- signals ----------------------------------------------------------------------------------------
 
-        async def on() -> None:
-            while True:
-                try:
-                    return await work()
-                except Exception:
-                    self.counters.add(f"error.{name}")
-                    log.exception("error in a task of the director", task=name)
-                    await asyncio.sleep(AGAIN_S)
-
-        return asyncio.get_running_loop().create_task(on())
+    def _install_signal_handlers(self) -> None:
+        loop = asyncio.get_running_loop()
+        loop.add_signal_handler(signal.SIGTERM, self._request_stop)
+        loop.add_signal_handler(signal.SIGINT, self._request_stop)
+        loop.add_signal_handler(signal.SIGUSR1, self.print_counters)
+        loop.add_signal_handler(signal.SIGHUP, self.reload)
+        if self.service is not None and self.service.trace is not None:
+            # Before it serves: without a handler the signal ends the process.
+            loop.add_signal_handler(signal.SIGUSR2, self.service.trace.request)
 
-    async def _publish(self, bridge: CommandExecutor) -> None:
-        while True:
-            bridge.publish()
-            await asyncio.sleep(FIGURES_S)
+    def _request_stop(self) -> None:
+        """SIGTERM was received. It may have been sent at any time in a stall of the process."""
+        now_s = time.monotonic()
+        sent_at_s = self.engine.stalls.observe(now_s)
+        self.termination.request(sent_at_s, now_s, self.has_inherited_socket)
 
-    async def _collect(self) -> None:
-        while True:
-            await asyncio.sleep(GC_ALL_S)
-            gc.collect()
+    def reload(self, attempts_left: int = RELOAD_ATTEMPTS) -> None:
+        """Read the configuration again; one that is invalid changes nothing.
 
-    def health(self) -> dict[str, object]:
-        listed = self.endpoints.listed
-        ready = sum(self.endpoints.is_ready(member) for member in listed)
-        return {"state": self.phase.value, "ready": self.is_ready(), "members": len(listed), "up": ready}
+        A file that cannot be read at the moment is read again later. Only the coordinator's address and the
+        plan of cells can change while the director runs; requests and attempts go on.
+        """
+        if self._reload_retry is not None:
+            self._reload_retry.cancel()
+        try:
+            config = director_config.load()
+            if self.service is not None:
+                service_config = read_service()
+                self.service.reload(service_config.cell_plan if service_config else None)
+        except ConfigUnreadableError as error:
+            self.counters.add("reload.unreadable")
+            log.warning("configuration not read yet", error=str(error), tries_left=attempts_left)
+            if attempts_left:
+                loop = asyncio.get_running_loop()
+                self._reload_retry = loop.call_later(RELOAD_RETRY_S, self.reload, attempts_left - 1)
+        except ConfigError as error:
+            self.counters.add("reload.bad")
+            log.error("configuration kept as it was", error=str(error))
+        else:
+            self.counters.add("reload.read")
+            log.info("configuration read again", coordinator=format_address(config.coordinator))
+            self.coordinator.set_address(config.coordinator)
 
-    reloading: asyncio.TimerHandle | None = None  # the next try of a reload that could not read its file
-    early_signals: Sequence[int] = ()  # signals to reload that came while the program started
-    shutdown: ShutdownSchedule | None = None  # since SIGTERM
-    kill_at_s = 0.0  # monotonic seconds at which SIGKILL may come, from when SIGTERM was heard
-    has_inherited_socket = False  # the listening socket is the platform's: a successor accepts on it already
+    def print_counters(self) -> None:
+        """Print all counters on standard output."""
+        counters = self.counters
+        if self.operations is not None and self.operations.counters is not None:
+            counters = counters.merged(self.operations.counters)
+        logs.print_lines(counters.text())
 
-    async def _drain(
-        self, accepting: asyncio.Task[None], sock: socket.socket, schedule: ShutdownSchedule
-    ) -> None:
-        """Serve what still comes, then close the door and answer all that was taken.
 
-        On a socket that the platform holds the successor takes new connections at once: none are taken here.
-        """
-        self._enter(DirectorPhase.DRAINING)
-        self.front.begin_shutdown(schedule)
-        await asyncio.sleep(max(0.0, schedule.accept_until_s - time.monotonic()))
-        accepting.cancel()
-        await asyncio.gather(accepting, return_exceptions=True)
-        if not self.has_inherited_socket:
-            await self.front.accept_remaining(sock, schedule.stage_start_s(ShutdownStage.RELEASE_REQUESTS))
-            sock.close()
-        await self.front.finish_shutdown(schedule)
+async def _collect_garbage() -> None:
+    while True:
+        await asyncio.sleep(FULL_GC_INTERVAL_S)
+        gc.collect()
 
 
-def _service(config: DirectorConfig, told: ServiceConfig | None) -> HostedService | None:
-    """What the service file asks for; loaded only where there is one."""
-    if told is None:
+def _hosted_service(config: DirectorConfig, service_config: ServiceConfig | None) -> HostedService | None:
+    if service_config is None:
         return None
     from onyxwick.service import HostedService
 
-    return HostedService(config, told)
+    return HostedService(config, service_config)
 
 
 def read_service() -> ServiceConfig | None:
-    """The hosted service, if a file of ours asks for it. ONYXWICK_SERVICE names another file."""
+    """The service file, if there is one; `ONYXWICK_SERVICE` names another. ConfigError if it is invalid."""
     path = Path(os.environ.get("ONYXWICK_SERVICE") or SERVICE_FILE)
     if not path.exists():
         return None
     from onyxwick.config.service import load
 
     return load(path)
-
-
-class StartupError(Exception):
-    """What the program starts from cannot be used; the text says why."""
--- a/onyxwick/operations/command_executor.py
+++ b/onyxwick/operations/command_executor.py
@@ -1,8 +1,7 @@
-"""The director's side of the operators' door: orders taken from the door's thread into the director's loop.
+"""The director's side of the operations endpoint: carries the operators' commands into the director's loop.
 
-What must hold at the yes holds in the door's thread already: a cache left out is in `Members.held`, which
-every send looks at, and a drained director says no. The module is told in the director's loop right after:
-a cache left out is shown to it as draining, one let back in as started at that moment, so it comes back cold.
+A disabled cache is in `EndpointTable.excluded`, which every send checks, before the endpoint answers; a
+drained director is not ready from then on. The router is notified in the director's loop right after.
 """
 
 from __future__ import annotations
@@ -15,111 +14,149 @@
 from onyxwick import logs
 from onyxwick.core import RequestEngine
 from onyxwick.core.endpoints import EndpointTable
+from onyxwick.core.phase import Readiness
 from onyxwick.counters import Counters
 from onyxwick.interface import EndpointsChanged
-from onyxwick.operations import operator_commands as o
-from onyxwick.operations.metrics import metrics_document
+from onyxwick.operations.command_codec import StoredCommands
+from onyxwick.operations.errors import CommandFileError
+from onyxwick.operations.metrics import MetricsSnapshot
+from onyxwick.operations.operator_commands import (
+    KnownCaches,
+    OperatorCommands,
+    changed_caches,
+    endpoints_under_commands,
+    is_new_drain_state,
+)
 from onyxwick.operations.persisted_commands import PersistedCommands
 
 log = logs.get()
-RECALL_S, RECALL_RETRY_S = 2.0, 0.05  # how long a start waits for a predecessor's file, and between two tries
+RESTORE_TIMEOUT_S = 2.0
+RESTORE_RETRY_S = 0.05
+"""How long a start tries to read a predecessor's file, and the pause between two attempts."""
+MAX_LOGGED_CACHES = 16
 
 
 class CommandExecutor:
-    """Orders, figures and readiness, each safe to read or hand over from the door's thread."""
+    """Commands, metrics and readiness, each safe to read or hand over from the endpoint's thread.
+
+    `on_drain_changed`: called in the director's loop when a drain begins or ends.
+    """
 
     def __init__(
         self,
-        core: RequestEngine,
-        members: EndpointTable,
+        engine: RequestEngine,
+        endpoints: EndpointTable,
         counters: Counters,
-        readiness: Callable[[], str],
-        on_drain_changed: Callable[[o.OperatorCommands], None],
+        readiness: Callable[[], Readiness],
+        on_drain_changed: Callable[[OperatorCommands], None],
         persisted: PersistedCommands | None,
     ) -> None:
-        self.core, self.members, self.counters, self.persisted = core, members, counters, persisted
-        self.readiness, self.on_drain_changed = readiness, on_drain_changed
-        self.known_caches = o.KnownCaches()
-        self.commands = self.applied = (
-            o.OperatorCommands()
-        )  # the latest; those the director's loop has taken up
-        self.published: dict[str, dict[str, object]] = metrics_document({}, 0, 0, 0)
+        self.engine = engine
+        self.endpoints = endpoints
+        self.counters = counters
+        self.persisted = persisted
+        self.readiness = readiness
+        self.on_drain_changed = on_drain_changed
+        self.known_caches = KnownCaches()
+        self.commands = OperatorCommands()
+        """The latest."""
+        self.notified_commands = self.commands
+        """Those that the director's loop has taken up."""
         self.loop: asyncio.AbstractEventLoop | None = None
+        self._metrics = MetricsSnapshot()
 
     def restore(self) -> None:
-        """What a predecessor was ordered, before anything is listed or sent. A file that cannot be read is
-        tried again for `RECALL_S`; after that the program starts, and the door goes on trying."""
+        """Take over a predecessor's commands, before anything is listed or sent.
+
+        A file that cannot be read is retried for `RESTORE_TIMEOUT_S`; then the program starts without it, and
+        the endpoint goes on trying.
+        """
         if self.persisted is None:
             return
         try:
-            read = _read_patiently(self.persisted)
-        except (OSError, ValueError) as error:
-            log.error("the door's file of a predecessor cannot be read", error=str(error))
+            stored = _read_with_retries(self.persisted)
+        except (OSError, CommandFileError) as error:
+            log.error("operator command file of predecessor unreadable", error=str(error))
             return
-        if read is not None:
-            self.commands = self.applied = read[0]
-            self.members.excluded = read[0].disabled_caches
-            self.known_caches.add(read[1])
-            log.info("orders of a predecessor", version=read[0].version, held=len(read[0].disabled_caches))
-
-    def adjust_endpoints(self, event: EndpointsChanged, now: int) -> EndpointsChanged:
-        """The list as the module is to see it: every id is known from now on, the orders bind."""
+        if stored is not None:
+            commands = stored.commands
+            self.commands = commands
+            self.notified_commands = commands
+            self.endpoints.excluded = commands.disabled_caches
+            self.known_caches.add(stored.known_caches)
+            log.info(
+                "operator commands of predecessor restored",
+                version=commands.version,
+                held=len(commands.disabled_caches),
+            )
+
+    def adjust_endpoints(self, event: EndpointsChanged, now_us: int) -> EndpointsChanged:
+        """The list as the router gets it under the commands; its ids are known from now on."""
         self.known_caches.add([member.address for member in event.members])
-        return o.endpoints_under_commands(event, self.commands, now)
+        return endpoints_under_commands(event, self.commands, now_us)
 
-    # ---- from the door's thread --------------------------------------------------------------------------
+    # ---- from the endpoint's thread ------------------------------------------------------------------------
 
-    def metrics(self) -> dict[str, dict[str, object]]:
-        return self.published
+    def metrics(self) -> MetricsSnapshot:
+        """The latest snapshot of the director's loop."""
+        return self._metrics
 
-    def apply_commands(self, orders: o.OperatorCommands, known: list[str]) -> None:
-        self.commands = orders
-        self.members.excluded = orders.disabled_caches  # from here on, no send to a cache left out
+    def apply_commands(self, commands: OperatorCommands, known_caches: list[str]) -> None:
+        """Put commands into force: no send to a disabled cache from here on; then notify the loop."""
+        self.commands = commands
+        self.endpoints.excluded = commands.disabled_caches
         if self.loop is not None:
-            self.loop.call_soon_threadsafe(self._take_up, known)
+            self.loop.call_soon_threadsafe(self._on_commands, known_caches)
 
-    def commands_written(self, ordered: int, written: int) -> None:
-        """The file holds this version of what was ordered."""
+    def commands_written(self, issued_version: int, written_version: int) -> None:
+        """The command file was written: the version issued, and the version read back from it."""
         if self.loop is not None:
-            self.loop.call_soon_threadsafe(self.core.invariants.commands_written, ordered, written)
+            check = self.engine.invariants.commands_written
+            self.loop.call_soon_threadsafe(check, issued_version, written_version)
 
     # ---- in the director's loop ----------------------------------------------------------------------------
 
-    def _take_up(self, known: list[str]) -> None:
-        self.known_caches.add(known)
-        before, after = self.applied, self.commands
-        self.applied = after
-        names = o.changed_caches(before, after)
-        if names:
-            self.core.feed.reapply_members(*names)
-            log.info("caches left out", held=sorted(after.disabled_caches)[:16], changed=sorted(names)[:16])
-        if o.is_new_drain_state(before, after):
+    def _on_commands(self, known_caches: list[str]) -> None:
+        self.known_caches.add(known_caches)
+        before = self.notified_commands
+        after = self.commands
+        self.notified_commands = after
+        changed = changed_caches(before, after)
+        if changed:
+            self.engine.feed.reapply_members(*changed)
+            log.info(
+                "disabled caches changed",
+                held=sorted(after.disabled_caches)[:MAX_LOGGED_CACHES],
+                changed=sorted(changed)[:MAX_LOGGED_CACHES],
+            )
+        if is_new_drain_state(before, after):
             self.on_drain_changed(after)
 
-    def publish(self) -> None:
-        """The figures as they are now, for the door to show."""
-        decider = self.core.router
-        self.published = metrics_document(
+    def publish_metrics(self) -> None:
+        """Take a snapshot for the endpoint."""
+        self._metrics = MetricsSnapshot(
             self.counters.counts.copy(),
-            len(self.core.lifecycles),
-            len(self.members.listed),
-            decider.ejected_count(),
+            len(self.engine.lifecycles),
+            len(self.endpoints.listed),
+            self.engine.router.ejected_count(),
         )
 
 
-def _read_patiently(persisted: PersistedCommands) -> tuple[o.OperatorCommands, list[str]] | None:
-    """The file's orders; OSError where it could not be read for so long. Blocks: nothing is served yet."""
-    end = time.monotonic() + RECALL_S
+def _read_with_retries(persisted: PersistedCommands) -> StoredCommands | None:
+    """Read the file; OSError where it fails for too long. Blocks: nothing is served yet."""
+    give_up_at_s = time.monotonic() + RESTORE_TIMEOUT_S
     while True:
         try:
             return persisted.read()
         except OSError:
-            if time.monotonic() > end:
+            if time.monotonic() > give_up_at_s:
                 raise
-            time.sleep(RECALL_RETRY_S)
+            time.sleep(RESTORE_RETRY_S)
 
 
 def persisted_commands(folder: str | None, name: str) -> PersistedCommands | None:
-    """The file shared with a successor, in the folder that the platform gives both (`$TMPDIR`); None where
-    no such folder is given, as a folder of some other use may hold what another director left."""
+    """The command file in the folder that the platform gives a process and its successor (`$TMPDIR`).
+
+    None where no folder is given: one of another use may hold what another director has left.
+    """
     return PersistedCommands(Path(folder), name) if folder else None
--- /dev/null
+++ b/onyxwick/operations/endpoint.py
@@ -0,0 +1,101 @@
+"""The operations endpoint of a director: commands from construction on, the server from its start on."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from collections.abc import Callable
+
+from onyxwick import logs
+from onyxwick.config.address import Address, format_address
+from onyxwick.core import RequestEngine
+from onyxwick.core.clock import steady_us
+from onyxwick.core.errors import StartupError
+from onyxwick.core.phase import Readiness
+from onyxwick.counters import Counters
+from onyxwick.net import listening
+from onyxwick.operations.command_executor import CommandExecutor
+from onyxwick.operations.operator_commands import OperatorCommands
+from onyxwick.operations.persisted_commands import PersistedCommands
+from onyxwick.operations.server import OperationsServer
+
+log = logs.get()
+METRICS_INTERVAL_S = 0.5
+UNWRITTEN_CHECK_INTERVAL_S = 0.05
+MAX_LOGGED_COMMANDS = 16
+
+
+class OperationsEndpoint:
+    """One director's endpoint. A predecessor's commands are in force as soon as it is constructed.
+
+    `readiness` may be called from the endpoint's thread; `on_drain_changed` is called in the director's loop.
+    """
+
+    def __init__(
+        self,
+        address: Address,
+        engine: RequestEngine,
+        readiness: Callable[[], Readiness],
+        on_drain_changed: Callable[[OperatorCommands], None],
+        persisted: PersistedCommands | None,
+    ) -> None:
+        self.address = address
+        self.executor = CommandExecutor(
+            engine, engine.endpoints, engine.counters, readiness, on_drain_changed, persisted
+        )
+        self.executor.restore()
+        engine.feed.adjust_endpoints = self.executor.adjust_endpoints
+        self.server: OperationsServer | None = None
+
+    @property
+    def commands(self) -> OperatorCommands:
+        """The commands in force."""
+        return self.executor.commands
+
+    @property
+    def counters(self) -> Counters | None:
+        """Counts of the endpoint's own thread; None before it is started."""
+        return None if self.server is None else self.server.counters
+
+    def start(self) -> None:
+        """Listen, and serve in a thread; StartupError where the address cannot be listened on."""
+        try:
+            listening_socket = listening.listen(self.address)
+        except OSError as error:
+            address = format_address(self.address)
+            raise StartupError(
+                f"the operations endpoint cannot listen on {address}: {error.strerror}"
+            ) from None
+        executor = self.executor
+        executor.loop = asyncio.get_running_loop()
+        self.server = OperationsServer(
+            listening_socket,
+            self.address,
+            executor,
+            executor.commands,
+            executor.known_caches,
+            executor.persisted,
+            steady_us,
+        )
+        self.server.start()
+
+    async def publish_metrics(self) -> None:
+        """Take a snapshot of the metrics at intervals, until cancelled."""
+        while True:
+            self.executor.publish_metrics()
+            await asyncio.sleep(METRICS_INTERVAL_S)
+
+    async def stop(self, write_until_s: float) -> None:
+        """Stop the server, once its commands are written or (monotonic) `write_until_s` is reached.
+
+        A successor must learn of them, so a file that cannot be written gets all the time that is left.
+        """
+        server = self.server
+        if server is None:
+            return
+        while server.unwritten_changes and time.monotonic() < write_until_s:
+            await asyncio.sleep(UNWRITTEN_CHECK_INTERVAL_S)
+        if server.unwritten_changes:
+            commands = sorted(server.unwritten_changes)[:MAX_LOGGED_COMMANDS]
+            log.error("operator commands were not written", commands=commands)
+        server.stop()
--- a/onyxwick/operations/metrics.py
+++ b/onyxwick/operations/metrics.py
@@ -1,37 +1,50 @@
-"""The figures that the door's `GET /metrics` shows, free of I/O: from the counters and a few present values.
+"""The document of `GET /metrics`, made of the director's counters and a few present values. No I/O.
 
-Each figure is `app_NAME` with its `value`; where it can be told apart, `service` gives it by class of request
-and `disposition` by how attempts ended. Counts run from the start of the process; present values are of the
-moment the director's loop last took them (`lifecycle.FIGURES_S`).
+Each metric is `app_NAME` with its `value`; `service` gives it by class of request, and `disposition` by how
+attempts ended. Counts run from the start of the process; present values are those of the last snapshot
+(`endpoint.METRICS_INTERVAL_S`). The names are the platform's.
 """
 
 from __future__ import annotations
 
 from collections.abc import Mapping
+from dataclasses import dataclass, field
 
 PREFIX = "app"
 
 
-def _by(counts: Mapping[str, int], prefix: str) -> dict[str, int]:
+@dataclass(frozen=True, slots=True)
+class MetricsSnapshot:
+    """The director's counters and present values at one moment."""
+
+    counts: Mapping[str, int] = field(default_factory=dict)
+    open_requests: int = 0
+    listed_members: int = 0
+    ejected_members: int = 0
+
+
+def _by_suffix(counts: Mapping[str, int], prefix: str) -> dict[str, int]:
     """Counts whose names begin with `prefix`, by the rest of the name."""
-    return {name.removeprefix(prefix): n for name, n in sorted(counts.items()) if name.startswith(prefix)}
+    return {
+        name.removeprefix(prefix): count for name, count in sorted(counts.items()) if name.startswith(prefix)
+    }
 
 
-def metrics_document(
-    counts: Mapping[str, int], open_requests: int, listed_members: int, ejected_members: int
-) -> dict[str, dict[str, object]]:
-    """The document of `GET /metrics`. `counts`: the director's counters; the rest as they are now."""
-    served, refused = _by(counts, "answer.served."), _by(counts, "answer.refused.")
-    unplaced = counts.get("answer.overloaded", 0) + counts.get("answer.cell_full", 0)
-    ended = _by(counts, "outcome.")
+def metrics_document(snapshot: MetricsSnapshot) -> dict[str, dict[str, object]]:
+    """The document of `GET /metrics`."""
+    counts = snapshot.counts
+    served = _by_suffix(counts, "answer.served.")
+    rejected = _by_suffix(counts, "answer.refused.")
+    not_admitted = counts.get("answer.overloaded", 0) + counts.get("answer.cell_full", 0)
+    outcomes = _by_suffix(counts, "outcome.")
     rows: dict[str, dict[str, object]] = {
         "succeeded": {"value": sum(served.values()), "service": served},
-        "declined": {"value": sum(refused.values()) + unplaced, "service": refused},
+        "declined": {"value": sum(rejected.values()) + not_admitted, "service": rejected},
         "aborted": {"value": counts.get("request.left", 0)},
-        "forwards": {"value": counts.get("attempt.sent", 0), "disposition": ended},
-        "outstanding": {"value": open_requests},
-        "discovered": {"value": listed_members},
-        "ejected": {"value": ejected_members},
+        "forwards": {"value": counts.get("attempt.sent", 0), "disposition": outcomes},
+        "outstanding": {"value": snapshot.open_requests},
+        "discovered": {"value": snapshot.listed_members},
+        "ejected": {"value": snapshot.ejected_members},
         "sighup_applied": {"value": counts.get("reload.read", 0)},
         "sighup_rejected": {"value": counts.get("reload.bad", 0)},
     }
--- a/onyxwick/operations/persisted_commands.py
+++ b/onyxwick/operations/persisted_commands.py
@@ -1,10 +1,9 @@
-"""The door's orders in a file of the folder that a process and its successor share (`$TMPDIR`).
+"""The operators' commands in a file of the folder that a process and its successor share (`$TMPDIR`).
 
-Written whole under a new name and moved into place, so that a reader finds the old text or the new one, never
-half of one, and under a lock on the folder, so that of two processes that write at once neither overwrites
-what it has not read. Read at the start, and again whenever the file has changed: what the other process was
-told binds here too. Nothing else is kept; a folder that the platform empties at each start holds nothing
-stale.
+The file is written under a temporary name and moved into place, so that a reader finds the old content or the
+new one, never a part. A lock on the folder keeps two processes that write at once from overwriting what they
+have not read. The file is read at the start, and again whenever it has changed: what the other process was
+asked for binds here too.
 """
 
 from __future__ import annotations
@@ -17,22 +16,29 @@
 from dataclasses import replace
 from functools import cache
 from pathlib import Path
+from typing import NamedTuple
 
 import ujson
 
 from onyxwick.core.clock import SteadyClock, steady_us
-from onyxwick.operations.operator_commands import (
-    KnownCaches,
-    OperatorCommands,
-    commands_from_json,
-    commands_to_json,
+from onyxwick.operations.command_codec import (
+    StoredCommands,
+    WriterClock,
+    commands_from_document,
+    commands_to_document,
 )
+from onyxwick.operations.errors import CommandFileError
+from onyxwick.operations.operator_commands import KnownCaches, OperatorCommands, ReEnabledCache
 
-MAX_FILE_BYTES = 1_000_000  # a larger file is no file of ours
-LOCK_ATTEMPTS, LOCK_RETRY_S = 5, 0.002  # the other process holds its lock for a read and a write
+MAX_FILE_BYTES = 1_000_000
+LOCK_ATTEMPTS = 5
+LOCK_RETRY_S = 0.002
+"""Between two attempts: the other process holds the lock for one read and one write."""
+BOOT_ID_FILE = Path("/proc/sys/kernel/random/boot_id")
 
 
 def _lock(folder: int) -> None:
+    """Lock an open folder; OSError where the other process does not release it."""
     for _ in range(LOCK_ATTEMPTS - 1):
         with contextlib.suppress(BlockingIOError):
             return fcntl.flock(folder, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -42,27 +48,37 @@
 
 @cache
 def boot_id() -> str:
-    """Which start of the machine this is: monotonic clocks of two processes agree within one."""
+    """Identifies this boot of the machine, within which monotonic clocks agree; empty where unknown."""
     try:
-        return Path("/proc/sys/kernel/random/boot_id").read_text().strip()
+        return BOOT_ID_FILE.read_text().strip()
     except OSError:
         return ""
 
 
+class _FileStamp(NamedTuple):
+    """Changes whenever the file is replaced or written."""
+
+    inode: int
+    size_bytes: int
+    modified_ns: int
+
+
 class PersistedCommands:
-    """One file of orders; I/O through the standard calls on the folder it is given."""
+    """One command file. Standard blocking I/O on the folder it is given."""
 
     def __init__(self, folder: Path, name: str, clock: SteadyClock = steady_us) -> None:
         self.clock = clock
         self.path = folder / f"onyxwick-orders-{name or 'director'}.json"
-        self.last_stamp: tuple[int, int, int] | None = (
-            None  # inode, size and time of the text last read or written
-        )
+        self.last_stamp: _FileStamp | None = None
+        """Of the content last read or written."""
 
     @contextlib.contextmanager
     def locked(self) -> Iterator[None]:
-        """Keep the other process of an upgrade from writing between a read and a write of this one; OSError
-        where it does not let go (it may be stopped) or the folder cannot be opened. A kill lets go."""
+        """Keep the other process of an upgrade from writing between a read and a write of this one.
+
+        OSError where it does not release the lock (it may be stopped), or the folder cannot be opened. The
+        lock is released when its holder is killed.
+        """
         folder = os.open(self.path.parent, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
             _lock(folder)
@@ -70,50 +86,56 @@
         finally:
             os.close(folder)
 
-    def _stamp(self) -> tuple[int, int, int] | None:
+    def _stamp(self) -> _FileStamp | None:
         try:
-            told = os.stat(self.path)
+            status = os.stat(self.path)
         except FileNotFoundError:
             return None
-        return told.st_ino, told.st_size, told.st_mtime_ns
+        return _FileStamp(status.st_ino, status.st_size, status.st_mtime_ns)
 
-    def read(self) -> tuple[OperatorCommands, list[str]] | None:
-        """The orders in the file where it has changed since it was last seen; None where it has not.
+    def read(self) -> StoredCommands | None:
+        """The commands in the file where it has changed since it was last read or written, else None.
 
-        ValueError where the file is no file of orders; OSError where it cannot be read.
+        CommandFileError where it holds no commands; OSError where it cannot be read.
         """
         stamp = self._stamp()
         if stamp is None or stamp == self.last_stamp:
             return None
-        if stamp[1] > MAX_FILE_BYTES:
-            raise ValueError(f"{self.path.name} is larger than {MAX_FILE_BYTES} bytes")
-        text = self.path.read_bytes()
-        self.last_stamp = stamp  # only now: an error before passes, and the file is read again
-        data = ujson.loads(text)
-        orders, known = commands_from_json(data)
-        return self._in_steady_time(orders, data.get("clock")), known
-
-    def _in_steady_time(self, orders: OperatorCommands, clock: object) -> OperatorCommands:
-        """Times of another process's steady clock in this one's. Both run with the machine's monotonic clock,
-        which a step of the wall clock between their starts does not move; of the two readings the later
-        holds, so that no cache is taken for warmer than it is."""
-        shift = 0
-        if (
-            isinstance(clock, dict)
-            and clock.get("boot") == boot_id()
-            and isinstance(clock.get("offset"), int)
-        ):
-            shift = self.clock.offset_us - clock["offset"]
-        now = self.clock()
-        back = tuple((name, min(now, max(at, at + shift))) for name, at in orders.re_enabled_at_us)
-        return replace(orders, re_enabled_at_us=back)
-
-    def write(self, orders: OperatorCommands, known: KnownCaches) -> int:
-        """The orders whole, in place of what was there; the version that stands there now. OSError where the
-        folder takes nothing."""
+        if stamp.size_bytes > MAX_FILE_BYTES:
+            raise CommandFileError(f"{self.path.name} is larger than {MAX_FILE_BYTES} bytes")
+        content = self.path.read_bytes()
+        self.last_stamp = stamp  # only now: after a passing error the file is read again
+        stored = commands_from_document(_parse(content))
+        return replace(stored, commands=self._in_steady_time(stored))
+
+    def _in_steady_time(self, stored: StoredCommands) -> OperatorCommands:
+        """Convert times of another process's steady clock to this one's.
+
+        Both run with the machine's monotonic clock, which a step of the wall clock between their starts does
+        not move. Of the two readings the later holds, so that no cache is taken for warmer than it is.
+        """
+        shift_us = 0
+        if stored.clock is not None and stored.clock.boot_id == boot_id():
+            shift_us = self.clock.offset_us - stored.clock.offset_us
+        now_us = self.clock()
+        re_enabled = tuple(
+            ReEnabledCache(row.cache, min(now_us, max(row.at_us, row.at_us + shift_us)))
+            for row in stored.commands.re_enabled
+        )
+        return replace(stored.commands, re_enabled=re_enabled)
+
+    def write(self, commands: OperatorCommands, known: KnownCaches) -> int:
+        """Replace the file's content; returns the version that is read back. OSError where it fails."""
         draft = self.path.with_name(f".{self.path.name}.{os.getpid()}")
-        clock = {"boot": boot_id(), "offset": self.clock.offset_us}
-        draft.write_text(ujson.dumps({**commands_to_json(orders, known), "clock": clock}))
+        clock = WriterClock(boot_id(), self.clock.offset_us)
+        draft.write_text(ujson.dumps(commands_to_document(commands, known, clock)))
         os.replace(draft, self.path)
         self.last_stamp = self._stamp()
-        return commands_from_json(ujson.loads(self.path.read_bytes()))[0].version
+        return commands_from_document(_parse(self.path.read_bytes())).commands.version
+
+
+def _parse(content: bytes) -> object:
+    try:
+        return ujson.loads(content)
+    except ValueError as error:
+        raise CommandFileError(f"no JSON: {error}") from None
--- a/onyxwick/operations/routes.py
+++ b/onyxwick/operations/routes.py
@@ -1,8 +1,7 @@
-"""The calls of the operators' door, free of I/O: which call a method and path ask for, or why none.
+"""Which call of the operations endpoint a method and path ask for, or why none. No I/O.
 
-The paths are the platform's own (`GET /ready`, `GET /metrics`, `POST /caches/disable/ID`,
-`POST /caches/enable/ID`, `POST /drain`, `POST /undrain`); one call a connection. Anything else is a 4xx
-with a short reason.
+The paths are the platform's: `GET /ready`, `GET /metrics`, `POST /caches/disable/ID`,
+`POST /caches/enable/ID`, `POST /drain`, `POST /undrain`. Anything else is a 4xx with a short reason.
 """
 
 from __future__ import annotations
@@ -10,11 +9,19 @@
 import re
 from dataclasses import dataclass
 from enum import Enum
+from typing import NamedTuple
 
-_ID = re.compile(r"[A-Za-z0-9._:-]{1,128}").fullmatch
+from onyxwick.operations.errors import OperatorCallRejectedError
+
+_is_cache_id = re.compile(r"[A-Za-z0-9._:-]{1,128}").fullmatch
+MAX_QUOTED_CHARS = 64
+"""Of a caller's text in a reason."""
+MAX_QUOTED_METHOD_CHARS = 16
 
 
 class OperatorCallKind(Enum):
+    """The calls of the endpoint. The values appear in log lines."""
+
     READY = "ready"
     METRICS = "metrics"
     DISABLE = "disable"
@@ -25,44 +32,51 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorCall:
-    kind: OperatorCallKind
-    cache: str = ""  # of DISABLE and ENABLE
+    """One call. `cache`: of DISABLE and ENABLE."""
 
+    kind: OperatorCallKind
+    cache: str = ""
 
-class OperatorCallRejectedError(Exception):
-    """No call: `status` is the 4xx to answer with, the text its short reason."""
 
-    def __init__(self, status: int, text: str, allow: str = "") -> None:
-        super().__init__(text)
-        self.status, self.reason, self.allowed_method = status, text, allow
+class _Route(NamedTuple):
+    kind: OperatorCallKind
+    method: str
 
 
-PLAIN = {
-    "ready": (OperatorCallKind.READY, "GET"),
-    "metrics": (OperatorCallKind.METRICS, "GET"),
-    "drain": (OperatorCallKind.DRAIN, "POST"),
+ROUTES = {
+    "ready": _Route(OperatorCallKind.READY, "GET"),
+    "metrics": _Route(OperatorCallKind.METRICS, "GET"),
+    "drain": _Route(OperatorCallKind.DRAIN, "POST"),
+    "undrain": _Route(OperatorCallKind.UNDRAIN, "POST"),
+}
+CACHE_ROUTES = {
+    "disable": _Route(OperatorCallKind.DISABLE, "POST"),
+    "enable": _Route(OperatorCallKind.ENABLE, "POST"),
 }
-PLAIN["undrain"] = (OperatorCallKind.UNDRAIN, "POST")
-CACHES = {"disable": OperatorCallKind.DISABLE, "enable": OperatorCallKind.ENABLE}
 
 
 def parse_call(method: str, path: str) -> OperatorCall:
-    """The call that `method` and `path` ask for; Refused with 404, 405 or 400 where they ask for none."""
+    """The call that `method` and `path` ask for.
+
+    OperatorCallRejectedError with status 404, 405 or 400 where they ask for none.
+    """
     parts = path.split("/")
-    if len(parts) == 2 and parts[0] == "" and parts[1] in PLAIN:
-        kind, wanted = PLAIN[parts[1]]
-        _method(method, wanted)
-        return OperatorCall(kind)
-    if len(parts) == 4 and parts[:2] == ["", "caches"] and parts[2] in CACHES:
-        _method(method, "POST")
-        if not _ID(parts[3]):
-            raise OperatorCallRejectedError(400, f"no cache id: {parts[3][:64]!r}")
-        return OperatorCall(CACHES[parts[2]], parts[3])
-    raise OperatorCallRejectedError(404, f"no such call: {path[:64]!r}")
-
-
-def _method(method: str, wanted: str) -> None:
-    if method != wanted:
-        raise OperatorCallRejectedError(
-            405, f"{method[:16]!r} is not for this call; it takes {wanted}", allow=wanted
-        )
+    if len(parts) == 2 and parts[0] == "" and parts[1] in ROUTES:
+        route = ROUTES[parts[1]]
+        _check_method(method, route)
+        return OperatorCall(route.kind)
+    if len(parts) == 4 and parts[:2] == ["", "caches"] and parts[2] in CACHE_ROUTES:
+        route = CACHE_ROUTES[parts[2]]
+        cache = parts[3]
+        _check_method(method, route)
+        if not _is_cache_id(cache):
+            raise OperatorCallRejectedError(400, f"no cache id: {cache[:MAX_QUOTED_CHARS]!r}")
+        return OperatorCall(route.kind, cache)
+    raise OperatorCallRejectedError(404, f"no such call: {path[:MAX_QUOTED_CHARS]!r}")
+
+
+def _check_method(method: str, route: _Route) -> None:
+    if method != route.method:
+        quoted = repr(method[:MAX_QUOTED_METHOD_CHARS])
+        reason = f"{quoted} is not for this call; it takes {route.method}"
+        raise OperatorCallRejectedError(405, reason, allowed_method=route.method)
--- a/onyxwick/operations/server.py
+++ b/onyxwick/operations/server.py
@@ -1,10 +1,8 @@
-"""The operators' door: HTTP/1.1 on an address of its own, one call a connection, in a thread of its own.
+"""The operations endpoint: HTTP/1.1 on an address of its own, one call a connection, in a thread of its own.
 
-Design. The door runs its own event loop in its own thread, so that it answers within its second however busy
-the director's loop is: a burst of thousands of connections takes that loop for longer than a caller waits.
-What a call changes takes effect in this thread before the yes (`Director.ordered`), and the director's loop
-is told after it. Rejected: the door as one more task of the director's loop, which is simpler but answers
-only as soon as that loop comes round to it.
+The thread has its own event loop, so that a call is answered within a second however busy the director's loop
+is. What a call changes takes effect in this thread before the answer (`DirectorControl.apply_commands`); the
+director's loop is notified after it. See docs/design/operations.md.
 """
 
 from __future__ import annotations
@@ -15,85 +13,122 @@
 import time
 from collections.abc import Callable
 from functools import partial
-from typing import Protocol
+from typing import NamedTuple, Protocol
 
 import uvloop
 
 from onyxwick import logs
 from onyxwick.admin.http import HttpError, HttpRequest, HttpServer
+from onyxwick.core.phase import Readiness
 from onyxwick.counters import Counters
-from onyxwick.operations import operator_commands as o
+from onyxwick.operations.errors import CommandFileError, OperatorCallRejectedError, OperatorCommandError
+from onyxwick.operations.metrics import MetricsSnapshot, metrics_document
+from onyxwick.operations.operator_commands import (
+    CommandChange,
+    KnownCaches,
+    OperatorCommands,
+    disable_cache,
+    enable_cache,
+    is_newer,
+    rebase,
+    set_drained,
+)
 from onyxwick.operations.persisted_commands import PersistedCommands
-from onyxwick.operations.routes import OperatorCall, OperatorCallKind, OperatorCallRejectedError, parse_call
+from onyxwick.operations.routes import OperatorCall, OperatorCallKind, parse_call
 
 log = logs.get()
-PLACES = 32  # callers at once; a newcomer displaces the one open longest
-PATIENCE_S = 1.0  # a caller waits 1 s for its answer: one that has not finished its call by then waits none
-LOOK_S = 0.1  # between two looks at the file that the other process may have written
-STOP_S = 1.0  # the longest wait for the thread at the end
-LOOKS = frozenset(
-    {OperatorCallKind.READY, OperatorCallKind.METRICS}
-)  # calls that change nothing, some ten times a second
+MAX_CALLERS = 32
+"""At once; a new one displaces the one that has been open longest."""
+CALL_TIMEOUT_S = 1.0
+"""A caller waits 1 s for its answer: one that has not sent its call by then waits no longer."""
+FILE_CHECK_INTERVAL_S = 0.1
+STOP_TIMEOUT_S = 1.0
+"""The longest wait for the thread's end."""
+MAX_LOGGED_PATH_CHARS = 64
+DRAIN_TARGET = ""
+"""Stands for the director itself among the targets of commands, which are cache ids else."""
+READ_ONLY_CALLS = frozenset({OperatorCallKind.READY, OperatorCallKind.METRICS})
+"""Calls that change nothing; they come some ten times a second and are not logged."""
 
 
 class DirectorControl(Protocol):
-    """What the door needs of the director; each may be called from the door's thread."""
+    """What the endpoint needs of the director; each method may be called from the endpoint's thread."""
 
-    def readiness(self) -> str: ...
+    def readiness(self) -> Readiness:
+        """Whether new clients are welcome."""
+        ...
 
-    def metrics(self) -> dict[str, dict[str, object]]: ...
+    def metrics(self) -> MetricsSnapshot:
+        """The latest snapshot."""
+        ...
 
-    def apply_commands(self, orders: o.OperatorCommands, known: list[str]) -> None: ...
+    def apply_commands(self, commands: OperatorCommands, known_caches: list[str]) -> None:
+        """Put commands into force, in this thread at once. `known_caches`: ids that another process knew."""
+        ...
 
-    def commands_written(self, ordered: int, written: int) -> None: ...
+    def commands_written(self, issued_version: int, written_version: int) -> None:
+        """The command file was written: the version issued, and the version read back from it."""
+        ...
 
 
-Answer = tuple[int, object]
+class OperatorAnswer(NamedTuple):
+    """An HTTP status and the JSON document of the body."""
+
+    status: int
+    document: object
 
 
 class OperationsServer:
-    """The calls, the thread and the file. `clock`: Unix microseconds."""
+    """The calls, the thread and the command file. `clock`: steady microseconds."""
 
     def __init__(
         self,
         listening_socket: socket.socket,
         address: tuple[str, int],
         director: DirectorControl,
-        commands: o.OperatorCommands,
-        known_caches: o.KnownCaches,
+        commands: OperatorCommands,
+        known_caches: KnownCaches,
         persisted: PersistedCommands | None,
         clock: Callable[[], int],
     ) -> None:
-        self.listening_socket, self.director, self.commands, self.known_caches = (
-            listening_socket,
-            director,
-            commands,
-            known_caches,
-        )
-        self.persisted, self.clock = persisted, clock
-        self.unwritten_changes: dict[
-            str, o.CommandChange
-        ] = {}  # ordered here, not in the file yet; by cache, "" the drain
+        self.listening_socket = listening_socket
+        self.director = director
+        self.commands = commands
+        self.known_caches = known_caches
+        self.persisted = persisted
+        self.clock = clock
+        self.unwritten_changes: dict[str, CommandChange] = {}
+        """Made here, not in the file yet; by cache or `DRAIN_TARGET`."""
         self.counters = Counters()  # of this thread alone: the director's are written by its own
         self.server = HttpServer(
-            address, self, self.counters, PLACES, PATIENCE_S, one_call=True, name="door", counted="door"
+            address,
+            self.answer,
+            self.counters,
+            MAX_CALLERS,
+            CALL_TIMEOUT_S,
+            one_call=True,
+            name="operations endpoint",
+            counted="door",
         )
-        self.thread = threading.Thread(target=self._run, name="door", daemon=True)
+        self.thread = threading.Thread(target=self._run, name="operations", daemon=True)
         self.loop: asyncio.AbstractEventLoop | None = None
         self.task: asyncio.Task[None] | None = None
         self.started = threading.Event()
 
     def start(self) -> None:
+        """Start the thread; returns when its loop runs."""
         self.thread.start()
         self.started.wait()
 
     def stop(self) -> None:
+        """Stop the thread; returns when it has ended, or after `STOP_TIMEOUT_S`."""
         if self.loop is not None and self.task is not None:
             self.loop.call_soon_threadsafe(self.task.cancel)
-        self.thread.join(STOP_S)
+        self.thread.join(STOP_TIMEOUT_S)
 
     def _run(self) -> None:
-        loop = self.loop = uvloop.new_event_loop()
+        loop = uvloop.new_event_loop()
+        self.loop = loop
         try:
             self.task = loop.create_task(self._serve())
             loop.call_soon(self.started.set)
@@ -103,88 +138,91 @@
             loop.close()
 
     async def _serve(self) -> None:
-        looking = asyncio.get_running_loop().create_task(self._look())
+        file_checks = asyncio.get_running_loop().create_task(self._check_file())
         try:
             await self.server.run(self.listening_socket)
         finally:
-            looking.cancel()
+            file_checks.cancel()
 
     # ---- calls ----------------------------------------------------------------------------------------
 
-    def __call__(self, request: HttpRequest) -> Answer:
+    def answer(self, request: HttpRequest) -> OperatorAnswer:
+        """Carry out a call; HttpError where it is none, or cannot be carried out."""
         try:
             call = parse_call(request.method, request.path)
-        except OperatorCallRejectedError as refused:
+        except OperatorCallRejectedError as error:
             self.counters.add("door.refused")
-            log.warning("a call that the door does not take", path=request.path[:64], reason=refused.reason)
-            headers = {"Allow": refused.allowed_method} if refused.allowed_method else None
-            raise HttpError(refused.status, refused.reason, headers) from None
+            path = request.path[:MAX_LOGGED_PATH_CHARS]
+            log.warning("operator call rejected", path=path, reason=error.reason)
+            headers = {"Allow": error.allowed_method} if error.allowed_method else None
+            raise HttpError(error.status, error.reason, headers) from None
         answer = self._carry_out(call, time.monotonic() - request.waited_s)
-        if call.kind not in LOOKS:
+        if call.kind not in READ_ONLY_CALLS:
             log.info(
-                "operators' call answered",
+                "operator call answered",
                 call=call.kind.value,
                 cache=call.cache,
-                status=answer[0],
+                status=answer.status,
                 version=self.commands.version,
                 drained=self.commands.is_drained,
                 waited_s=round(request.waited_s, 3),
             )
         return answer
 
-    def _carry_out(self, call: OperatorCall, called_at: float) -> Answer:
-        if call.kind is OperatorCallKind.READY:
-            word = self.director.readiness()
-            return (200 if word == "YES" else 503), {"ready": word}
-        if call.kind is OperatorCallKind.METRICS:
-            return 200, self.director.metrics()
-        if call.kind in (OperatorCallKind.DRAIN, OperatorCallKind.UNDRAIN):
-            self._apply(
-                "",
-                partial(
-                    o.set_drained, is_drained=call.kind is OperatorCallKind.DRAIN, requested_at_s=called_at
-                ),
-            )
-            return 200, {"drained": self.commands.is_drained, **self._unkept()}
+    def _carry_out(self, call: OperatorCall, requested_at_s: float) -> OperatorAnswer:
+        match call.kind:
+            case OperatorCallKind.READY:
+                readiness = self.director.readiness()
+                status = 200 if readiness is Readiness.READY else 503
+                return OperatorAnswer(status, {"ready": readiness.value})
+            case OperatorCallKind.METRICS:
+                return OperatorAnswer(200, metrics_document(self.director.metrics()))
+            case OperatorCallKind.DRAIN | OperatorCallKind.UNDRAIN:
+                is_drained = call.kind is OperatorCallKind.DRAIN
+                change = partial(set_drained, is_drained=is_drained, requested_at_s=requested_at_s)
+                self._apply(DRAIN_TARGET, change)
+                return OperatorAnswer(200, {"drained": self.commands.is_drained, **self._not_kept()})
+            case OperatorCallKind.DISABLE | OperatorCallKind.ENABLE:
+                return self._change_cache(call)
+
+    def _change_cache(self, call: OperatorCall) -> OperatorAnswer:
         if call.cache not in self.known_caches:
             self.counters.add("door.unknown")
-            log.warning("a call for a cache never listed", cache=call.cache)
+            log.warning("operator call for unknown cache", cache=call.cache)
             raise HttpError(404, f"cache {call.cache!r} was never listed")
-        now, change = (
-            self.clock(),
-            o.disable_cache if call.kind is OperatorCallKind.DISABLE else o.enable_cache,
-        )
+        change = disable_cache if call.kind is OperatorCallKind.DISABLE else enable_cache
         try:
-            self._apply(call.cache, partial(change, cache=call.cache, now_us=now))
-        except o.OperatorCommandError as error:
+            self._apply(call.cache, partial(change, cache=call.cache, now_us=self.clock()))
+        except OperatorCommandError as error:
             raise HttpError(409, str(error)) from None
-        return 200, {
-            "cache": call.cache,
-            "disabled": call.cache in self.commands.disabled_caches,
-            **self._unkept(),
-        }
-
-    def _unkept(self) -> dict[str, bool]:
-        """Told beside the answer while the folder takes no write: a successor would not know of the call."""
+        is_disabled = call.cache in self.commands.disabled_caches
+        return OperatorAnswer(200, {"cache": call.cache, "disabled": is_disabled, **self._not_kept()})
+
+    def _not_kept(self) -> dict[str, bool]:
+        """Added to an answer while the file cannot be written: a successor would not know of the call."""
         return {"kept": False} if self.unwritten_changes else {}
 
-    def _apply(self, what: str, change: o.CommandChange) -> None:
-        """A change that binds from now on: in this process at once, in the file as soon as the folder takes
-        it. `what`: the cache, or "" for the drain; of two changes of the same the later one is enough."""
-        orders = change(self.commands)
-        if orders is not self.commands:
-            self.commands = orders
-            self.director.apply_commands(orders, [])
+    # ---- commands and their file ----------------------------------------------------------------------
+
+    def _apply(self, target: str, change: CommandChange) -> None:
+        """Put a change into force: in this process at once, in the file as soon as it can be written.
+
+        Of two changes of the same target the later one suffices.
+        """
+        commands = change(self.commands)
+        if commands is not self.commands:
+            self.commands = commands
+            self.director.apply_commands(commands, [])
             self.counters.add("door.ordered")
             if self.persisted is not None:
-                self.unwritten_changes.pop(what, None)
-                self.unwritten_changes[what] = change
+                self.unwritten_changes.pop(target, None)
+                self.unwritten_changes[target] = change
         self._synchronise()
 
     def _synchronise(self) -> None:
-        """Take up what the other process of an upgrade has written, and write what this one was ordered.
+        """Take over what the other process of an upgrade has written, and write the changes of this one.
 
-        Nothing is written over a file that could not be read: another process's orders may stand in it.
+        Nothing is written over a file that could not be read: it may hold another process's commands.
         """
         if self.persisted is None:
             return
@@ -194,36 +232,39 @@
             else:
                 self._take_over(self.persisted)
         except OSError as error:
-            self.counters.add("door.unsaved" if self.unwritten_changes else "door.unreadable")
-            log.warning("the door's file fails, and is tried again", error=str(error))
+            if self.unwritten_changes:
+                self.counters.add("door.unsaved")
+                log.warning("operator command file write failed, retrying", error=str(error))
+            else:
+                self.counters.add("door.unreadable")
+                log.warning("operator command file read failed, retrying", error=str(error))
 
     def _write(self, persisted: PersistedCommands) -> None:
-        """This one's commands on top of what the other process wrote, which can write nothing meanwhile."""
+        """Write the changes on top of what the other process wrote, which is locked out meanwhile."""
         with persisted.locked():
             self._take_over(persisted)
-            written = persisted.write(self.commands, self.known_caches)
+            written_version = persisted.write(self.commands, self.known_caches)
         self.unwritten_changes.clear()
-        self.director.commands_written(self.commands.version, written)
+        self.director.commands_written(self.commands.version, written_version)
 
     def _take_over(self, persisted: PersistedCommands) -> None:
         try:
-            read = persisted.read()
-        except ValueError as error:  # no file of orders: there is nothing in it to keep
+            stored = persisted.read()
+        except CommandFileError as error:  # it holds no commands that could be lost
             self.counters.add("door.unreadable")
-            log.warning("the door's file cannot be used", error=str(error))
-            return
-        if read is None or (read[0].version <= self.commands.version and not self.unwritten_changes):
+            log.warning("operator command file invalid", error=str(error))
             return
-        self.commands = o.rebase(read[0], self.unwritten_changes.values())
-        self.director.apply_commands(self.commands, read[1])
-        log.info("orders taken from the other process", version=read[0].version)
+        if stored is not None and (is_newer(stored.commands, self.commands) or self.unwritten_changes):
+            self.commands = rebase(stored.commands, self.unwritten_changes.values())
+            self.director.apply_commands(self.commands, stored.known_caches)
+            log.info("operator commands taken over", version=stored.commands.version)
 
-    async def _look(self) -> None:
-        """Look at the file again and again: what another process wrote, and whether it takes what is owed."""
+    async def _check_file(self) -> None:
+        """Read the file when another process has written it, and retry a write that has failed."""
         while self.persisted is not None:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(FILE_CHECK_INTERVAL_S)
             try:
                 self._synchronise()
-            except Exception:
+            except Exception:  # the checks must go on
                 self.counters.add("error.door")
-                log.exception("error in the door's look at its file")
+                log.exception("error in operator command file check")
--- a/onyxwick/quota.py
+++ b/onyxwick/quota.py
@@ -1,38 +1,41 @@
-"""Token buckets: so many a second, with so much saved up."""
+"""Token buckets: a rate with a bounded burst. Times in seconds."""
 
 from __future__ import annotations
 
 import time
 from collections.abc import Callable
 
-BURST_S = 1.0  # of its quota that a bucket can save up
+BURST_S = 1.0
+"""A bucket holds the tokens of so long a time."""
 
 
 class TokenBucket:
-    """So many a second, counted for one owner alone: none can starve another.
+    """A rate of `per_s`, counted for one owner alone, so that none can starve another.
 
     `clock` gives seconds that never go back.
     """
 
     def __init__(self, per_s: float, clock: Callable[[], float] = time.monotonic) -> None:
-        self.per_s, self.clock = per_s, clock
-        self.tokens, self.refilled_at_s = per_s * BURST_S, clock()
+        self.per_s = per_s
+        self.clock = clock
+        self.tokens = per_s * BURST_S
+        self.refilled_at_s = clock()
 
-    def _fill(self) -> None:
-        now = self.clock()
-        self.tokens = min(
-            max(1.0, self.per_s * BURST_S), self.tokens + (now - self.refilled_at_s) * self.per_s
-        )
-        self.refilled_at_s = now
+    def _refill(self) -> None:
+        now_s = self.clock()
+        gained = (now_s - self.refilled_at_s) * self.per_s
+        self.tokens = min(max(1.0, self.per_s * BURST_S), self.tokens + gained)
+        self.refilled_at_s = now_s
 
     def take(self) -> bool:
-        self._fill()
+        """Take a token; False where there is none."""
+        self._refill()
         if self.tokens < 1:
             return False
         self.tokens -= 1
         return True
 
     def wait_s(self) -> float:
-        """Seconds until the next one can be taken."""
-        self._fill()
+        """Seconds until the next token."""
+        self._refill()
         return max(0.0, (1 - self.tokens) / self.per_s)
--- a/onyxwick/start.py
+++ b/onyxwick/start.py
@@ -1,4 +1,4 @@
-"""One director in the foreground: its configuration is read, it is made and run; its end is an exit code."""
+"""Starts one director in the foreground: reads its configuration, runs it, and returns an exit code."""
 
 from __future__ import annotations
 
@@ -8,73 +8,91 @@
 import sys
 import time
 from collections.abc import Sequence
-from typing import TYPE_CHECKING, NoReturn
+from typing import TYPE_CHECKING, NamedTuple, NoReturn
 
 import uvloop
 
 from onyxwick import logs
 from onyxwick.config import ConfigError
-from onyxwick.config import director as relay
+from onyxwick.config import director as director_config
 from onyxwick.config.director import DirectorConfig
 from onyxwick.config.errors import ConfigUnreadableError
-from onyxwick.lifecycle import Director, StartupError, read_service
+from onyxwick.core.errors import StartupError
+from onyxwick.lifecycle import Director, read_service
 from onyxwick.net import listening
 
 if TYPE_CHECKING:
     from onyxwick.config.service import ServiceConfig
 
 log = logs.get()
-START_RETRY_S, START_TRIES = 0.1, 50  # a file that cannot be read for a moment is read again
+READ_RETRY_S = 0.1
+READ_ATTEMPTS = 50
+"""A configuration file that cannot be read at the moment is read again."""
+EXIT_STARTUP_FAILED = 2
 
 
-def main(early: Sequence[int] = ()) -> int:
-    """One director in the foreground, told by RELAY_CONFIG, RELAY_LISTEN, RELAY_NAME and RELAY_LISTEN_FD;
-    its exit code. `early` grows by each signal to reload until the director hears them itself."""
+class _Configuration(NamedTuple):
+    director: DirectorConfig
+    service: ServiceConfig | None
+
+
+def main(early_signals: Sequence[int] = ()) -> int:
+    """Run one director, configured by RELAY_CONFIG, RELAY_LISTEN, RELAY_NAME and RELAY_LISTEN_FD.
+
+    Returns its exit code. `early_signals` grows by each signal to reload until the director handles signals.
+    """
     logs.set_up()
     try:
-        told, service = _load_patiently()
-        handed = None if told.listen_fd is None else listening.inherited_listener(told.listen_fd)
+        configuration = _read_with_retries()
+        listen_fd = configuration.director.listen_fd
+        inherited_socket = None if listen_fd is None else listening.inherited_listener(listen_fd)
     except ConfigError as error:
         print(f"onyxwick: {error}", file=sys.stderr)
-        return 2
+        return EXIT_STARTUP_FAILED
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            runner.run(_run(told, service, handed, early))
-            _leave()
+            runner.run(_run(configuration, inherited_socket, early_signals))
+            _exit()
     except StartupError as error:
         print(f"onyxwick: {error}", file=sys.stderr)
-        return 2
+        return EXIT_STARTUP_FAILED
     return 0
 
 
-def _load_patiently() -> tuple[DirectorConfig, ServiceConfig | None]:
-    """The configuration of a start; ConfigError where it cannot be used, or not be read for too long."""
-    for _ in range(START_TRIES):
+def _read_with_retries() -> _Configuration:
+    """The configuration; ConfigError where it is invalid, or cannot be read for too long."""
+    for _ in range(READ_ATTEMPTS):
         try:
-            return relay.load(), read_service()
+            return _Configuration(director_config.load(), read_service())
         except ConfigUnreadableError as error:
             log.warning("configuration not read yet", error=str(error))
-            time.sleep(START_RETRY_S)
-    return relay.load(), read_service()
+            time.sleep(READ_RETRY_S)
+    return _Configuration(director_config.load(), read_service())
+
 
+def _exit() -> NoReturn:
+    """Exit at once: everything is closed, and log lines bypass the streams' buffers.
 
-def _leave() -> NoReturn:
-    """End the process at once: all is closed, lines of the log go past the streams' buffers, and what a loop
-    and the interpreter do at their end has no bound of ours (a loop's close was seen to wait for good)."""
+    The event loop and the interpreter set no bound on what they do at their end.
+    """
     os._exit(0)
 
 
 async def _run(
-    told: DirectorConfig, service: ServiceConfig | None, handed: socket.socket | None, early: Sequence[int]
+    configuration: _Configuration, inherited_socket: socket.socket | None, early_signals: Sequence[int]
 ) -> None:
+    director = _make_director(configuration)
+    await director.run(inherited_socket, early_signals)
+
+
+def _make_director(configuration: _Configuration) -> Director:
+    config, service = configuration
     if service is None or service.store is None:
-        director = Director(told, service)
-    else:
-        from onyxwick.store.errors import StoreError
+        return Director(config, service)
+    from onyxwick.store.errors import StoreError
 
-        try:
-            director = Director(told, service)
-        except StoreError as error:
-            raise StartupError(f"the store in {service.store.folder.name} is not opened: {error}") from None
-    director.early_signals = early
-    return await director.run(handed)
+    try:
+        return Director(config, service)
+    except StoreError as error:
+        folder = service.store.folder.name
+        raise StartupError(f"the store in {folder} is not opened: {error}") from None
--- a/tests/exchange.py
+++ b/tests/exchange.py
@@ -12,7 +12,7 @@
 Where the platform holds the clients' listening socket (files named `handed_*`), the test makes it and hands
 it down as the platform does; `program upgrade -` starts a successor on it and waits until it serves, and
 `program term -` sends SIGTERM to the one that runs longest, waits for its clean exit, leaves the successor.
-`door` is the operators' door (files `door_*` and `handed_*`), `next` the door of the first successor.
+`operations` is the operations endpoint (files `operations_*`, `handed_*`), `next` that of the successor.
 """
 
 from __future__ import annotations
@@ -35,9 +35,15 @@
 LISTEN, COORDINATOR, DNS = ("127.77.0.1", 15050), ("127.77.200.1", 17070), ("127.77.0.1", 15353)
 MOVED = ("127.77.200.2", 17070)
 ADMIN = ("127.77.0.1", 18053)
-DOOR = ("127.77.0.1", 19600)  # the operators' door, of files named `door_*` and `handed_*`
+OPERATIONS = ("127.77.0.1", 19600)  # the operations endpoint, of files named `operations_*` and `handed_*`
 WAITS = {"service.hcl": "DNS front on", "cells.hcl": "administration API on"}
-TCP = {"client": LISTEN, "tcp": DNS, "admin": ADMIN, "door": DOOR, "next": (DOOR[0], DOOR[1] + 1)}
+TCP = {
+    "client": LISTEN,
+    "tcp": DNS,
+    "admin": ADMIN,
+    "operations": OPERATIONS,
+    "next": (OPERATIONS[0], OPERATIONS[1] + 1),
+}
 
 
 def _address(text: str) -> tuple[str, int]:
@@ -53,7 +59,7 @@
         folder: Path,
         service: str = "",
         handed: bool = False,
-        door: bool = False,
+        operations: bool = False,
         config: str = "",
         descriptors: int = 0,
         stdout: int | None = None,
@@ -71,8 +77,8 @@
         self.path.write_text(json.dumps(self.config))
         environment = {**os.environ, "RELAY_CONFIG": str(self.path), "ONYXWICK_SERVICE": str(folder / "none")}
         environment["TMPDIR"] = str(folder)  # shared by a process and its successor, as the platform does
-        if door or handed:
-            environment["RELAY_ADMIN"] = f"{DOOR[0]}:{DOOR[1]}"
+        if operations or handed:
+            environment["RELAY_ADMIN"] = f"{OPERATIONS[0]}:{OPERATIONS[1]}"
         if service:
             for name in (service, "operator.token", "depot.zone"):
                 shutil.copy(FOLDER / name, folder)
@@ -171,7 +177,7 @@
             return self._until(text)
         if what == "upgrade":
             self.older.append(self.program)
-            self.environment["RELAY_ADMIN"] = f"{DOOR[0]}:{DOOR[1] + len(self.older)}"
+            self.environment["RELAY_ADMIN"] = f"{OPERATIONS[0]}:{OPERATIONS[1] + len(self.older)}"
             self.program = self._start()
             return self._until("serving")
         if what == "term":
--- a/tests/ground.py
+++ b/tests/ground.py
@@ -169,11 +169,11 @@
         loop = asyncio.get_running_loop()
         if not self.accepting:
             self.accepting = True
-            self.door = listen(("127.0.0.1", 0))
-            self.opened.append(self.door)
-            self.tasks.append(loop.create_task(self.front.accept(self.door)))
+            self.listener = listen(("127.0.0.1", 0))
+            self.opened.append(self.listener)
+            self.tasks.append(loop.create_task(self.front.accept(self.listener)))
             self.tasks.append(loop.create_task(self.front.record_loop_ticks()))
-        sock = socket.create_connection(self.door.getsockname())
+        sock = socket.create_connection(self.listener.getsockname())
         sock.setblocking(False)
         self.opened.append(sock)
         return sock
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -444,14 +444,14 @@
     async def play(ground: Ground) -> None:
         await ground.client()
         await ground.until(lambda: ground.front.connections)
-        late = socket.create_connection(ground.door.getsockname())
+        late = socket.create_connection(ground.listener.getsockname())
         late.setblocking(False)
         ground.opened.append(late)
         late.send(call(1, path="/ping"))
         ground.tasks[0].cancel()  # before the loop has seen that there is somebody
         await asyncio.gather(ground.tasks[0], return_exceptions=True)
-        await ground.front.accept_remaining(ground.door)
-        ground.door.close()
+        await ground.front.accept_remaining(ground.listener)
+        ground.listener.close()
         await ground.read(late, b"200 OK")
 
     played(play)
@@ -769,7 +769,7 @@
             await ground.client()
         if at_the_end:
             await asyncio.gather(accepting, return_exceptions=True)
-            await ground.front.accept_remaining(ground.door)
+            await ground.front.accept_remaining(ground.listener)
         await ground.until(lambda: len(taken) == 4 * places)
         assert ground.front.counters.counts["client.displaced"] >= places
         lingering = max(relay.MIN_HALF_CLOSED, places // relay.CLIENTS_PER_HALF_CLOSED)
--- a/tests/test_endings_program.py
+++ b/tests/test_endings_program.py
@@ -16,7 +16,7 @@
 import pytest
 
 from onyxwick.net import resp
-from tests.exchange import COORDINATOR, DOOR, FOLDER, LISTEN, MOVED, PATIENCE_S, ROOT, Exchange
+from tests.exchange import COORDINATOR, FOLDER, LISTEN, MOVED, OPERATIONS, PATIENCE_S, ROOT, Exchange
 from tests.ground import FOUND, call
 
 CONFIG = (FOLDER / "config.json").read_text()
@@ -144,7 +144,7 @@
 def test_with_all_places_taken_and_discovery_down_the_fixed_parts_keep_theirs(tmp_path: Path) -> None:
     """The limit is the platform's: idle clients, halves of calls and answered ones take all they can."""
     limited = {**json.loads(CONFIG), "limits": {"cores": 1, "memory_mb": 192, "sockets": 96}}
-    exchange = Exchange(tmp_path, door=True, config=json.dumps(limited), descriptors=96)
+    exchange = Exchange(tmp_path, operations=True, config=json.dumps(limited), descriptors=96)
     crowd, links = list[socket.socket](), list[socket.socket]()
     try:
         exchange._peer("coordinator").close()
@@ -155,13 +155,15 @@
             with contextlib.suppress(OSError):
                 crowd.append(sock := socket.create_connection(LISTEN, PATIENCE_S))
                 sock.sendall((b"", call(1, path="/ping")[:20], call(1, path="/ping"))[number % 3])
-        crowd += [socket.create_connection(DOOR, PATIENCE_S) for _ in range(32)]  # and the door's places
+        crowd += [
+            socket.create_connection(OPERATIONS, PATIENCE_S) for _ in range(32)
+        ]  # and all of the operations endpoint
         time.sleep(0.4)  # those just come keep their places for a quarter of a second
         for number in range(3):
             _serve(exchange, number, "c0", links)
-        with socket.create_connection(DOOR, PATIENCE_S) as door:
-            door.sendall(b"GET /ready HTTP/1.1\r\nHost: door\r\n\r\n")
-            assert b"200" in door.recv(4096)
+        with socket.create_connection(OPERATIONS, PATIENCE_S) as connection:
+            connection.sendall(b"GET /ready HTTP/1.1\r\nHost: operations\r\n\r\n")
+            assert b"200" in connection.recv(4096)
         exchange.path.write_text(json.dumps(limited))
         exchange.program.send_signal(signal.SIGHUP)
         exchange._until("configuration read again")
@@ -228,8 +230,8 @@
         try:
             for number in range(7):
                 path = tmp_path / f"{number}.json"
-                listen, door = f"127.77.0.{10 + number}:15050", f"127.77.0.{10 + number}:19600"
-                path.write_text(json.dumps({**json.loads(CONFIG), "listen": listen, "admin": door}))
+                listen, operations = f"127.77.0.{10 + number}:15050", f"127.77.0.{10 + number}:19600"
+                path.write_text(json.dumps({**json.loads(CONFIG), "listen": listen, "admin": operations}))
                 environment = {
                     **os.environ,
                     "RELAY_CONFIG": str(path),
@@ -249,9 +251,9 @@
                 )
             took = [_ping((f"127.77.0.{10 + number}", 15050), 10.0) for number in range(7)]
             assert max(took) < 10.0, took
-            for number in range(7):  # the door says the same
+            for number in range(7):  # the operations endpoint says the same
                 with socket.create_connection((f"127.77.0.{10 + number}", 19600), PATIENCE_S) as sock:
-                    sock.sendall(b"GET /ready HTTP/1.1\r\nHost: door\r\n\r\n")
+                    sock.sendall(b"GET /ready HTTP/1.1\r\nHost: operations\r\n\r\n")
                     assert b"200" in sock.recv(4096)
         finally:
             for program in programs:
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -21,7 +21,9 @@
 def test_exchange(name: str, tmp_path: Path) -> None:
     services = {"dns": "service.hcl", "admin": "service.hcl", "cells": "cells.hcl"}
     kind = re.split("[_.]", name)[0]
-    exchange = Exchange(tmp_path, services.get(kind, ""), handed=kind == "handed", door=kind == "door")
+    exchange = Exchange(
+        tmp_path, services.get(kind, ""), handed=kind == "handed", operations=kind == "operations"
+    )
     try:
         exchange.play(name)
     finally:
--- a/tests/test_door.py
+++ b/tests/test_operations.py
@@ -1,4 +1,4 @@
-"""The operators' door without sockets: its calls, its orders, its figures and its file."""
+"""The operations endpoint without sockets: its calls, commands, metrics and file."""
 
 from __future__ import annotations
 
@@ -9,9 +9,11 @@
 
 from onyxwick.interface import MemberState
 from onyxwick.operations import operator_commands as o
-from onyxwick.operations.metrics import metrics_document
+from onyxwick.operations.command_codec import commands_from_document
+from onyxwick.operations.errors import OperatorCallRejectedError
+from onyxwick.operations.metrics import MetricsSnapshot, metrics_document
 from onyxwick.operations.persisted_commands import PersistedCommands
-from onyxwick.operations.routes import OperatorCall, OperatorCallKind, OperatorCallRejectedError, parse_call
+from onyxwick.operations.routes import OperatorCall, OperatorCallKind, parse_call
 from tests.world import member
 
 S = 1_000_000
@@ -50,59 +52,60 @@
     ],
 )
 def test_what_is_no_call_is_a_4xx_with_a_reason(method: str, path: str, status: int) -> None:
-    with pytest.raises(OperatorCallRejectedError) as refused:
+    with pytest.raises(OperatorCallRejectedError) as rejected:
         parse_call(method, path)
-    assert refused.value.status == status and refused.value.reason
-    assert (refused.value.allowed_method != "") is (status == 405)
+    assert rejected.value.status == status and rejected.value.reason
+    assert (rejected.value.allowed_method != "") is (status == 405)
 
 
-def test_calls_again_change_nothing_and_one_enable_ends_the_ban() -> None:
+def test_repeated_calls_change_nothing_and_one_enable_suffices() -> None:
     none = o.OperatorCommands()
-    out = o.disable_cache(none, "c0", 5 * S)
-    assert out.disabled_caches == {"c0"} and out.version == 1
-    assert o.disable_cache(out, "c0", 6 * S) is out  # a second call: the same orders, no new version
-    back = o.enable_cache(out, "c0", 7 * S)
+    disabled = o.disable_cache(none, "c0", 5 * S)
+    assert disabled.disabled_caches == {"c0"} and disabled.version == 1
     assert (
-        back.disabled_caches == frozenset()
-        and back.cache_re_enabled_at_us("c0") == 7 * S
-        and back.version == 2
-    )
-    assert o.enable_cache(back, "c0", 8 * S) is back
-    assert o.enable_cache(none, "c9", 8 * S) is none  # listed, never left out: nothing to end
-    assert (
-        o.changed_caches(none, out) == {"c0"}
-        and o.changed_caches(out, back) == {"c0"}
-        and not o.changed_caches(back, back)
-    )
-
-
-def test_a_cache_left_out_is_shown_draining_whatever_the_list_says_and_comes_back_cold() -> None:
-    told = member("c0", since=1 * S)
-    out = o.disable_cache(o.OperatorCommands(), "c0", 5 * S)
-    assert o.member_under_commands(told, out, 5 * S).state is MemberState.DRAINING
+        o.disable_cache(disabled, "c0", 6 * S) is disabled
+    )  # a second call: the same commands, no new version
+    enabled = o.enable_cache(disabled, "c0", 7 * S)
+    assert enabled.disabled_caches == frozenset()
+    assert enabled.re_enabled_at_us("c0") == 7 * S and enabled.version == 2
+    assert o.enable_cache(enabled, "c0", 8 * S) is enabled
+    assert o.enable_cache(none, "c9", 8 * S) is none  # listed, never disabled: nothing to end
+    assert o.changed_caches(none, disabled) == {"c0"} and o.changed_caches(disabled, enabled) == {"c0"}
+    assert not o.changed_caches(enabled, enabled)
+
+
+def test_a_disabled_cache_is_draining_for_the_router_and_cold_once_it_is_enabled() -> None:
+    listed = member("c0", since=1 * S)
+    disabled = o.disable_cache(o.OperatorCommands(), "c0", 5 * S)
+    assert o.member_under_commands(listed, disabled, 5 * S).state is MemberState.DRAINING
     assert (
-        o.member_under_commands(replace(told, state=MemberState.REMOVED), out, 5 * S).state
+        o.member_under_commands(replace(listed, state=MemberState.REMOVED), disabled, 5 * S).state
         is MemberState.REMOVED
     )
     assert (
-        o.member_under_commands(replace(told, started_at_us=6 * S), out, 6 * S).state is MemberState.DRAINING
+        o.member_under_commands(replace(listed, started_at_us=6 * S), disabled, 6 * S).state
+        is MemberState.DRAINING
     )  # restarted meanwhile
-    back = o.enable_cache(out, "c0", 9 * S)
-    seen = o.member_under_commands(told, back, 9 * S)
-    assert seen.state is MemberState.READY and seen.started_at_us == 9 * S  # cold from the call back
+    enabled = o.enable_cache(disabled, "c0", 9 * S)
+    adjusted = o.member_under_commands(listed, enabled, 9 * S)
     assert (
-        o.member_under_commands(replace(told, started_at_us=10 * S), back, 10 * S).started_at_us == 10 * S
+        adjusted.state is MemberState.READY and adjusted.started_at_us == 9 * S
+    )  # cold from the call enabled
+    assert (
+        o.member_under_commands(replace(listed, started_at_us=10 * S), enabled, 10 * S).started_at_us
+        == 10 * S
     )  # a later start holds
     assert (
-        o.member_under_commands(told, back, 9 * S + o.RE_ENABLED_RETENTION_US).started_at_us == 1 * S
+        o.member_under_commands(listed, enabled, 9 * S + o.RE_ENABLED_RETENTION_US).started_at_us == 1 * S
     )  # long after, the list's own
-    assert o.member_under_commands(member("c1"), back, 9 * S) == member("c1")
+    assert o.member_under_commands(member("c1"), enabled, 9 * S) == member("c1")
 
 
 def test_a_drain_and_its_end_are_one_version_each() -> None:
     drained = o.set_drained(o.OperatorCommands(), True)
     assert drained.is_drained and drained.version == 1 and o.set_drained(drained, True) is drained
-    assert not o.set_drained(drained, False).is_drained and o.newer(drained, o.OperatorCommands()) is drained
+    assert not o.set_drained(drained, False).is_drained and o.is_newer(drained, o.OperatorCommands())
+    assert not o.is_newer(o.OperatorCommands(), drained)
 
 
 def test_known_ids_are_bounded_and_the_oldest_go_first() -> None:
@@ -112,18 +115,17 @@
     assert "b" not in known and all(name in known for name in "acd")
 
 
-def test_the_file_holds_the_orders_whole_and_is_read_once_for_each_change(tmp_path: Path) -> None:
+def test_the_file_holds_all_commands_and_is_read_once_for_each_change(tmp_path: Path) -> None:
     mine, theirs = PersistedCommands(tmp_path, "n1"), PersistedCommands(tmp_path, "n1")
     assert theirs.read() is None  # nothing yet
-    orders, known = (
-        o.enable_cache(o.disable_cache(o.OperatorCommands(), "c0", 1 * S), "c0", 2 * S),
-        o.KnownCaches(),
-    )
+    commands = o.enable_cache(o.disable_cache(o.OperatorCommands(), "c0", 1 * S), "c0", 2 * S)
+    known = o.KnownCaches()
     known.add(["c0", "c1"])
-    mine.write(o.set_drained(orders, True), known)
-    assert mine.read() is None  # what it wrote itself is no news to it
-    read = theirs.read()
-    assert read is not None and read[0] == o.set_drained(orders, True) and read[1] == ["c0", "c1"]
+    mine.write(o.set_drained(commands, True), known)
+    assert mine.read() is None  # what it wrote itself is no change to it
+    stored = theirs.read()
+    assert stored is not None and stored.commands == o.set_drained(commands, True)
+    assert stored.known_caches == ["c0", "c1"]
     assert theirs.read() is None
     (tmp_path / "onyxwick-orders-n1.json").write_text('{"v": 1, "version": "x"}')
     with pytest.raises(ValueError, match="version"):
@@ -142,14 +144,14 @@
         '{"v": 1, "version": 1, "drained": false, "held": [], "back": [["c0", "now"]], "known": []}',
     ],
 )
-def test_a_file_that_is_no_file_of_orders_is_refused(text: str) -> None:
+def test_a_file_without_operator_commands_is_rejected(text: str) -> None:
     import ujson
 
     with pytest.raises(ValueError):
-        o.commands_from_json(ujson.loads(text))
+        commands_from_document(ujson.loads(text))
 
 
-def test_the_figures_are_those_that_the_platform_names() -> None:
+def test_the_metrics_are_those_that_the_platform_names() -> None:
     counts = {
         "answer.served.site-video": 7,
         "answer.served.booking": 1,
@@ -161,8 +163,10 @@
         "outcome.reset": 2,
         "reload.read": 1,
     }
-    shown = metrics_document(counts, open_requests=4, listed_members=11, ejected_members=1)
-    assert list(shown) == [
+    document = metrics_document(
+        MetricsSnapshot(counts, open_requests=4, listed_members=11, ejected_members=1)
+    )
+    assert list(document) == [
         "app_succeeded",
         "app_declined",
         "app_aborted",
@@ -173,8 +177,12 @@
         "app_sighup_applied",
         "app_sighup_rejected",
     ]
-    assert shown["app_succeeded"] == {"value": 8, "service": {"booking": 1, "site-video": 7}}
-    assert shown["app_declined"]["value"] == 3 and shown["app_aborted"]["value"] == 3
-    assert shown["app_forwards"] == {"value": 12, "disposition": {"ok": 10, "reset": 2}}
-    assert [shown[f"app_{name}"]["value"] for name in ("outstanding", "discovered", "ejected")] == [4, 11, 1]
-    assert shown["app_sighup_applied"]["value"] == 1 and shown["app_sighup_rejected"]["value"] == 0
+    assert document["app_succeeded"] == {"value": 8, "service": {"booking": 1, "site-video": 7}}
+    assert document["app_declined"]["value"] == 3 and document["app_aborted"]["value"] == 3
+    assert document["app_forwards"] == {"value": 12, "disposition": {"ok": 10, "reset": 2}}
+    assert [document[f"app_{name}"]["value"] for name in ("outstanding", "discovered", "ejected")] == [
+        4,
+        11,
+        1,
+    ]
+    assert document["app_sighup_applied"]["value"] == 1 and document["app_sighup_rejected"]["value"] == 0
--- a/tests/test_operator_commands.py
+++ b/tests/test_operator_commands.py
@@ -1,4 +1,4 @@
-"""What the operators were told yes to is kept, though the folder fails for a while."""
+"""Operator commands are kept though their file cannot be read or written for a while."""
 
 from __future__ import annotations
 
@@ -17,27 +17,27 @@
 from onyxwick.operations import operator_commands as o
 from onyxwick.operations.persisted_commands import PersistedCommands
 from onyxwick.operations.server import OperationsServer
-from tests.exchange import DOOR, PATIENCE_S, Exchange
+from tests.exchange import OPERATIONS, PATIENCE_S, Exchange
 
 
 def _post(path: str) -> str:
-    with socket.create_connection(DOOR, PATIENCE_S) as door:
-        door.sendall(f"POST {path} HTTP/1.1\r\nHost: door\r\n\r\n".encode())
+    with socket.create_connection(OPERATIONS, PATIENCE_S) as connection:
+        connection.sendall(f"POST {path} HTTP/1.1\r\nHost: operations\r\n\r\n".encode())
         got = b""
-        while more := door.recv(4096):
+        while more := connection.recv(4096):
             got += more
     return got.decode()
 
 
-def _held(file: Path) -> list[str]:
+def _disabled(file: Path) -> list[str]:
     try:
         return list(json.loads(file.read_text())["held"])
     except OSError:
         return []
 
 
-def test_a_cache_left_out_while_the_folder_takes_no_write_is_written_once_it_does(tmp_path: Path) -> None:
-    exchange = Exchange(tmp_path, door=True)
+def test_a_disabled_cache_is_written_once_the_folder_accepts_writes(tmp_path: Path) -> None:
+    exchange = Exchange(tmp_path, operations=True)
     file = tmp_path / f"onyxwick-orders-{exchange.config['name']}.json"
     try:
         file.mkdir()  # in the way: a write fails, and so does a read
@@ -48,7 +48,7 @@
         (file / "x").unlink()
         file.rmdir()
         end = time.monotonic() + PATIENCE_S / 4
-        while _held(file) != ["c0"]:
+        while _disabled(file) != ["c0"]:
             assert time.monotonic() < end, "never written"
             time.sleep(0.02)
     finally:
@@ -68,20 +68,18 @@
     with pytest.raises(OSError):
         persisted.read()
     monkeypatch.setattr(Path, "read_bytes", real)
-    read = persisted.read()
-    assert read is not None and read[0].disabled_caches == {"c0"}
+    stored = persisted.read()
+    assert stored is not None and stored.commands.disabled_caches == {"c0"}
 
 
-def test_two_processes_that_are_ordered_something_at_once_both_keep_it() -> None:
-    first, second = (
-        o.disable_cache(o.OperatorCommands(), "c0", 1),
-        partial(o.disable_cache, cache="c1", now_us=2),
-    )
+def test_commands_of_two_processes_at_once_are_both_kept() -> None:
+    first = o.disable_cache(o.OperatorCommands(), "c0", 1)
+    second = partial(o.disable_cache, cache="c1", now_us=2)
     kept = o.rebase(first, [second])
     assert kept.disabled_caches == {"c0", "c1"} and kept.version > first.version
 
 
-def test_a_cache_let_back_in_is_as_cold_for_a_successor_though_the_wall_clock_was_stepped(
+def test_an_enabled_cache_is_as_cold_for_a_successor_though_the_wall_clock_was_stepped(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     real, hour_ns = time.time_ns, 3_600_000_000_000
@@ -93,15 +91,16 @@
     for step in (hour_ns, -hour_ns):
         monkeypatch.setattr(time, "time_ns", lambda step=step: real() + step)
         successor = SteadyClock()
-        read = PersistedCommands(tmp_path, "n1", successor).read()
-        assert read is not None and 0 <= successor() - read[0].cache_re_enabled_at_us("c0") < 2_000_000, step
+        stored = PersistedCommands(tmp_path, "n1", successor).read()
+        assert stored is not None, step
+        assert 0 <= successor() - stored.commands.re_enabled_at_us("c0") < 2_000_000, step
 
 
-@pytest.mark.parametrize("orders_while_unreadable", [False, True])
+@pytest.mark.parametrize("commanded_while_unreadable", [False, True])
 def test_a_predecessor_s_commands_are_taken_over_though_its_file_cannot_be_read_at_the_start(
-    orders_while_unreadable: bool, tmp_path: Path
+    commanded_while_unreadable: bool, tmp_path: Path
 ) -> None:
-    exchange = Exchange(tmp_path, door=True)
+    exchange = Exchange(tmp_path, operations=True)
     file = tmp_path / f"onyxwick-orders-{exchange.config['name']}.json"
     try:
         assert " 200 " in _post("/caches/disable/c0")
@@ -111,22 +110,22 @@
         file.mkdir()  # in the way, for longer than a start waits
         exchange.program = exchange._start()
         exchange._until("serving")
-        if orders_while_unreadable:
+        if commanded_while_unreadable:
             assert " 200 " in _post("/drain")
         file.rmdir()
         (tmp_path / "away").rename(file)
-        exchange._until("caches left out")
+        exchange._until("disabled caches changed")
         end = time.monotonic() + PATIENCE_S / 4
-        while orders_while_unreadable and not json.loads(file.read_text())["drained"]:
+        while commanded_while_unreadable and not json.loads(file.read_text())["drained"]:
             assert time.monotonic() < end, "never written"
             time.sleep(0.02)
-        assert _held(file) == ["c0"]
+        assert _disabled(file) == ["c0"]
     finally:
         exchange.stop()
 
 
-def test_a_planned_end_waits_for_the_folder_with_commands_that_are_not_written_yet(tmp_path: Path) -> None:
-    exchange = Exchange(tmp_path, door=True)
+def test_a_shutdown_waits_for_the_folder_with_commands_that_are_not_written_yet(tmp_path: Path) -> None:
+    exchange = Exchange(tmp_path, operations=True)
     file = tmp_path / f"onyxwick-orders-{exchange.config['name']}.json"
     file.mkdir()  # in the way for 1.5 s, longer than the end takes otherwise
     assert " 200 " in _post("/caches/disable/c0")
@@ -134,14 +133,16 @@
     time.sleep(1.5)
     file.rmdir()
     exchange.stop()
-    assert _held(file) == ["c0"]
+    assert _disabled(file) == ["c0"]
 
 
-def _door(folder: Path) -> OperationsServer:
-    """A door that listens nowhere; its file is the one that it shares with others of the folder."""
+def _server(folder: Path) -> OperationsServer:
+    """A server that listens nowhere; its file is the one that it shares with others of the folder."""
     known = o.KnownCaches()
     known.add(["c0", "c1"])
-    director = SimpleNamespace(ordered=lambda orders, names: None, written=lambda ordered, written: None)
+    director = SimpleNamespace(
+        apply_commands=lambda commands, names: None, commands_written=lambda issued, written: None
+    )
     bound, address = socket.socket(), ("127.0.0.1", 0)
     with bound:
         return OperationsServer(
@@ -153,7 +154,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The other one writes between this one's look at the file and its own write."""
-    first, second, replace = _door(tmp_path), _door(tmp_path), os.replace
+    first, second, replace = _server(tmp_path), _server(tmp_path), os.replace
 
     def meanwhile(source: Path, target: Path) -> None:
         monkeypatch.setattr(os, "replace", replace)
@@ -163,7 +164,7 @@
 
     monkeypatch.setattr(os, "replace", meanwhile)
     first._apply("c0", partial(o.disable_cache, cache="c0", now_us=1))
-    for door in (second, first, second):  # as each looks ten times a second
-        door._synchronise()
+    for server in (second, first, second):  # as each looks ten times a second
+        server._synchronise()
     assert first.commands.disabled_caches == second.commands.disabled_caches == {"c0", "c1"}
-    assert sorted(_held(tmp_path / "onyxwick-orders-n1.json")) == ["c0", "c1"]
+    assert sorted(_disabled(tmp_path / "onyxwick-orders-n1.json")) == ["c0", "c1"]
--- a/tests/test_slow_and_failing_calls.py
+++ b/tests/test_slow_and_failing_calls.py
@@ -134,12 +134,12 @@
 
 def test_whoever_has_connected_is_taken_in_at_the_end_though_accept_fails_for_a_moment() -> None:
     async def play(ground: Ground) -> None:
-        door = listen(("127.0.0.1", 0))
-        ground.opened.append(door)
-        clients = [socket.create_connection(door.getsockname()) for _ in range(3)]
+        listener = listen(("127.0.0.1", 0))
+        ground.opened.append(listener)
+        clients = [socket.create_connection(listener.getsockname()) for _ in range(3)]
         ground.opened += clients
         errors = (errno.ENFILE, errno.ECONNABORTED, errno.EMFILE, errno.ENOBUFS, errno.EPROTO, errno.ENOMEM)
-        await ground.front.accept_remaining(FailingListener(door, *errors))  # type: ignore[arg-type]
+        await ground.front.accept_remaining(FailingListener(listener, *errors))  # type: ignore[arg-type]
         assert len(ground.front.connections) == 3
 
     played(play)
@@ -170,9 +170,9 @@
 
 def test_a_connection_given_up_before_it_was_accepted_holds_up_no_other() -> None:
     async def play(ground: Ground) -> None:
-        door = listen(("127.0.0.1", 0))
-        ground.opened += [door, socket.create_connection(door.getsockname())]
-        flaky = FailingListener(door, *[errno.ECONNABORTED] * 40)
+        listener = listen(("127.0.0.1", 0))
+        ground.opened += [listener, socket.create_connection(listener.getsockname())]
+        flaky = FailingListener(listener, *[errno.ECONNABORTED] * 40)
         ground.tasks.append(asyncio.get_running_loop().create_task(ground.front.accept(flaky)))  # type: ignore[arg-type]
         begun = asyncio.get_running_loop().time()
         await ground.until(lambda: ground.front.connections)
@@ -354,12 +354,12 @@
     async def play(ground: Ground) -> None:
         cache, loop = ground.cache("c0"), asyncio.get_running_loop()
         ground.script.arrived = lambda request: ask(request, "c0")
-        door = listen(("127.0.0.1", 0))
-        client = socket.create_connection(door.getsockname())
-        ground.opened += [door, client]
+        listener = listen(("127.0.0.1", 0))
+        client = socket.create_connection(listener.getsockname())
+        ground.opened += [listener, client]
         client.sendall(call(1, more={"HTTP_X_TIMEOUT_MS": "1000"}))
         sent = time.monotonic()
-        flaky = FailingListener(door, *[errno.ENOMEM] * 8)
+        flaky = FailingListener(listener, *[errno.ENOMEM] * 8)
         ground.tasks.append(loop.create_task(ground.front.accept(flaky)))  # type: ignore[arg-type]
         ground.tasks.append(loop.create_task(ground.front.record_loop_ticks()))
         conn = await ground.accepted(cache)
@@ -381,9 +381,9 @@
     async def play(ground: Ground) -> None:
         cache, loop = ground.cache("c0"), asyncio.get_running_loop()
         ground.script.arrived = lambda request: ask(request, "c0")
-        door = listen(("127.0.0.1", 0))
-        client = socket.create_connection(door.getsockname())
-        ground.opened += [door, client]
+        listener = listen(("127.0.0.1", 0))
+        client = socket.create_connection(listener.getsockname())
+        ground.opened += [listener, client]
         client.sendall(call(1, more={"HTTP_X_TIMEOUT_MS": "1000"}))
         sent = time.monotonic()
         await asyncio.sleep(0.4)
@@ -391,7 +391,7 @@
         ground.tasks.append(loop.create_task(ground.front.record_loop_ticks()))
         await asyncio.sleep(0.1)
         client.sendall(call(2, path="/ping") if followed else b"")
-        ground.tasks.append(loop.create_task(ground.front.accept(door)))
+        ground.tasks.append(loop.create_task(ground.front.accept(listener)))
         conn = await ground.accepted(cache)
         told = _told_ms(await ground.read(conn, f"{1:016x}".encode()))
         assert told <= 1000 - 1000 * (time.monotonic() - sent) + 150
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -529,7 +529,7 @@
     try:
         assert not (tmp_path / "trace").exists()
         exchange.program.send_signal(signal.SIGUSR2)
-        exchange._until("trace begun")
+        exchange._until("trace started")
         exchange.play("served.txt")
     finally:
         exchange.stop()
