--- a/onyxwick/logs.py
+++ b/onyxwick/logs.py
@@ -1,4 +1,7 @@
-"""Structured logs on standard error, and a bound on them: bad input must not fill a disk or take the core."""
+"""Structured logs on standard error, limited in rate: bad input must not fill a disk or use up the processor.
+
+Lines are text on a terminal, else JSON. A line that cannot be written at once is dropped and counted.
+"""
 
 from __future__ import annotations
 
@@ -9,44 +12,60 @@
 import threading
 import time
 from collections.abc import Callable, MutableMapping
+from dataclasses import dataclass
 from typing import Any, TextIO, cast
 
 import structlog
 import ujson
 
-MAX_LINES_PER_S = 10  # lines of one kind
-MAX_TRACEBACK_CHARS = 2500  # characters of an error's trace
-MAX_LINE_KINDS = 1024  # of lines counted at once
+MAX_LINES_PER_S = 10
+"""Of one kind: a level and an event."""
+MAX_TRACEBACK_CHARS = 2500
+MAX_LINE_KINDS = 1024
+"""Counted at once."""
+
+
+@dataclass(slots=True)
+class _KindCount:
+    second: int
+    passed: int = 0
+    """In this second."""
+    left_out: int = 0
+    """Since the last line that passed."""
 
 
 class LineRateLimit:
-    """Passes so many lines a second of each kind (level and event); the next one tells how many were not."""
+    """Passes `MAX_LINES_PER_S` lines of each kind; the next line that passes says how many were left out."""
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
         self.clock = clock
-        self.kinds: dict[tuple[str, str], list[int]] = {}  # [second, passed in it, left out since]
+        self.kinds: dict[tuple[str, str], _KindCount] = {}
 
     def __call__(self, logger: Any, method: str, event: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
-        second, key = int(self.clock()), (method, str(event.get("event")))
+        """Pass a line, or raise structlog.DropEvent."""
+        second = int(self.clock())
+        key = (method, str(event.get("event")))
         if key not in self.kinds and len(self.kinds) >= MAX_LINE_KINDS:
             self.kinds.clear()
-        kind = self.kinds.setdefault(key, [second, 0, 0])
-        if kind[0] != second:
-            kind[:2] = second, 0
-        kind[1] += 1
-        if kind[1] > MAX_LINES_PER_S:
-            kind[2] += 1
+        kind = self.kinds.setdefault(key, _KindCount(second))
+        if kind.second != second:
+            kind.second = second
+            kind.passed = 0
+        kind.passed += 1
+        if kind.passed > MAX_LINES_PER_S:
+            kind.left_out += 1
             raise structlog.DropEvent
-        if kind[2]:
-            event["left_out"], kind[2] = kind[2], 0
+        if kind.left_out:
+            event["left_out"] = kind.left_out
+            kind.left_out = 0
         return event
 
 
 def _shorten(logger: Any, method: str, event: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
-    """The end of a long trace tells the cause; a line has to fit into one write."""
-    trace = event.get("exception")
-    if isinstance(trace, str) and len(trace) > MAX_TRACEBACK_CHARS:
-        event["exception"] = f"... {trace[-MAX_TRACEBACK_CHARS:]}"
+    """Keep the end of a long traceback, which names the cause: a line must fit into one write."""
+    traceback = event.get("exception")
+    if isinstance(traceback, str) and len(traceback) > MAX_TRACEBACK_CHARS:
+        event["exception"] = f"... {traceback[-MAX_TRACEBACK_CHARS:]}"
     return event
 
 
@@ -55,42 +74,44 @@
 
 
 class _Line(threading.local):
-    """The parts of a thread's line that was not written yet."""
+    """The parts of a thread's line that are not written yet."""
 
     def __init__(self) -> None:
         self.parts: list[str] = []
 
 
 class LineStream:
-    """An output for whole lines that never stop the program: a line that cannot be written at once, as the
-    disk is full, the pipe is closed or nobody empties it, is dropped and counted.
+    """An output for lines that never block the program.
 
-    Lines go past the stream's own buffer: what stands there would be tried again, and fail, at the exit.
+    A line that cannot be written at once (the disk is full, the pipe is closed or nobody reads it) is dropped
+    and counted. Lines bypass the stream's own buffer: its content would be written again, and fail, at exit.
     """
 
     def __init__(self, stream: TextIO) -> None:
-        self.stream, self.dropped_lines = stream, 0
-        self._line = _Line()  # of each thread its own: parts of two never come into one line
-        self._lock = threading.Lock()  # between a look for room and the write into it
+        self.stream = stream
+        self.dropped_lines = 0
+        self._line = _Line()  # one for each thread: their parts never mix in a line
+        self._lock = threading.Lock()  # held from the check for space to the write
         self._poll: select.poll | None = None
-        with contextlib.suppress(OSError, ValueError):  # no descriptor behind it: it never blocks
+        with contextlib.suppress(OSError, ValueError):  # no descriptor: it never blocks
             self._descriptor = stream.fileno()
             poll = select.poll()
             poll.register(self._descriptor, select.POLLOUT)
             self._poll = poll
 
     def isatty(self) -> bool:
-        """Does a person look on?"""
+        """Whether the output is a terminal."""
         return self.stream.isatty()
 
     def write(self, text: str) -> int:
-        """Part of a line; it goes out with `flush`."""
+        """Add a part of a line, which `flush` writes."""
         self._line.parts.append(text)
         return len(text)
 
     def flush(self) -> None:
-        """Write what was given, or drop it."""
-        text, self._line.parts = "".join(self._line.parts), []
+        """Write the parts as a line, or drop it."""
+        text = "".join(self._line.parts)
+        self._line.parts = []
         try:
             if self._poll is None:
                 self.stream.write(text)
@@ -101,7 +122,7 @@
             self.dropped_lines += 1
 
     def _write_now(self, line: bytes, poll: select.poll) -> None:
-        # What is writable takes so many bytes without blocking (pipe(7), PIPE_BUF).
+        # A writable pipe takes PIPE_BUF bytes without blocking (pipe(7)).
         if len(line) > select.PIPE_BUF:
             line = line[: select.PIPE_BUF - 2] + b"\n"
         with self._lock:
@@ -111,7 +132,7 @@
 
 
 def print_lines(text: str) -> None:
-    """Lines on standard output, each dropped where it cannot be written at once."""
+    """Print lines on standard output; one that cannot be written at once is dropped."""
     if sys.stdout is None:  # closed before the start
         return
     out = LineStream(sys.stdout)
@@ -121,23 +142,23 @@
 
 
 def set_up(stream: TextIO | None = None) -> None:
-    """Text on a terminal, else JSON lines. Called once, by whichever command runs."""
+    """Configure logging: text on a terminal, else JSON lines. Called once, by the command that runs."""
     out = LineStream(stream or sys.stderr)
-    terminal = out.isatty()
-    last: Any = (
+    is_terminal = out.isatty()
+    renderer: Any = (
         structlog.dev.ConsoleRenderer(colors=False)
-        if terminal
+        if is_terminal
         else structlog.processors.JSONRenderer(serializer=_serialise)
     )
-    traces = [] if terminal else [structlog.processors.format_exc_info]
+    tracebacks = [] if is_terminal else [structlog.processors.format_exc_info]
     structlog.configure(
         processors=[
             LineRateLimit(),
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso", utc=True),
-            *traces,
+            *tracebacks,
             _shorten,
-            last,
+            renderer,
         ],
         logger_factory=structlog.PrintLoggerFactory(cast("TextIO", out)),
         cache_logger_on_first_use=True,
@@ -145,5 +166,5 @@
 
 
 def get() -> Any:
-    """A logger; what it says goes where `set_up` has said, at the time of the first line."""
+    """A logger. Its output is bound to the configuration of `set_up` with its first line."""
     return structlog.get_logger()
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -17,11 +17,11 @@
 
 def test_a_flood_of_lines_is_cut_and_counted() -> None:
     now = [0.0]
-    throttle = logs.LineRateLimit(lambda: now[0])
+    limit = logs.LineRateLimit(lambda: now[0])
 
     def passes(event: str) -> Mapping[str, object] | None:
         try:
-            return throttle(None, "warning", {"event": event, "detail": "x"})
+            return limit(None, "warning", {"event": event, "detail": "x"})
         except structlog.DropEvent:
             return None
 
