--- a/onyxwick/net/call_intake.py
+++ b/onyxwick/net/call_intake.py
@@ -102,10 +102,10 @@
             self.policy.counters.add("client.crossed")  # it crossed the close: the client sends it again
             return
         if connection.is_closing:  # received before the close is written: it is owed a final answer
-            self._reject_overloaded(call, RejectionReason.CONNECTION_ENDING, "answer.ending")
+            self._reject_overloaded(call, RejectionReason.CONNECTION_CLOSING, "answer.ending")
             return
         if not call.keep_connection:
-            connection.begin_closing(ConnectionCloseReason.NOT_KEPT)
+            connection.begin_closing(ConnectionCloseReason.NO_KEEP_ALIVE)
         path = call.params.get(PATH, b"")
         if path == PING_PATH:
             self._answer_ping(call)
@@ -134,11 +134,13 @@
     def _admit(self, call: fastcgi.FastCgiCall, request: ClientRequest) -> None:
         """Start a request, or reject it where a limit is reached."""
         policy = self.policy
-        if policy.stage_at(time.monotonic()) >= ShutdownStage.REFUSES:
+        if policy.stage_at(time.monotonic()) >= ShutdownStage.REJECT_NEW:
             # The connection is about to close and would never become idle: the client retries on a new one.
-            self._reject(call, RejectionReason.PASSED_ON, "answer.passed_on", policy.closing_retry_us)
+            self._reject(
+                call, RejectionReason.REJECTED_IN_SHUTDOWN, "answer.passed_on", policy.closing_retry_us
+            )
         elif policy.budget.held_bytes > policy.max_held_bytes:
-            self._reject_overloaded(call, RejectionReason.UNREAD_ANSWERS, "answer.overloaded")
+            self._reject_overloaded(call, RejectionReason.UNREAD_ANSWER_LIMIT, "answer.overloaded")
         elif policy.reservation is not None and not self._reserve_in_cell(policy.reservation, request.tenant):
             self._reject(call, RejectionReason.CELL_FULL, "answer.cell_full", policy.overload_retry_us)
         else:
@@ -155,7 +157,7 @@
             return True
         if connection.cell is None:
             if not reservation.connect(cell):
-                connection.begin_closing(ConnectionCloseReason.PLACE_NEEDED)
+                connection.begin_closing(ConnectionCloseReason.SLOT_NEEDED)
                 return False
             connection.cell = cell
         return not reservation.full(connection.cell)
@@ -187,4 +189,4 @@
 
     def _report_rejection(self, call: fastcgi.FastCgiCall, reason: RejectionReason) -> None:
         request_id = call.params.get(REQUEST_ID, b"")[:LOGGED_ID_BYTES].decode("latin-1")
-        self.policy.core.refused(reason, request_id, self.connection.number)
+        self.policy.core.record_rejection(reason, request_id, self.connection.number)
--- a/onyxwick/net/director_feed.py
+++ b/onyxwick/net/director_feed.py
@@ -10,7 +10,7 @@
 
 from onyxwick import logs
 from onyxwick.core import RequestEngine
-from onyxwick.core.clock import FeedStamps
+from onyxwick.core.clock import FeedTimestamps
 from onyxwick.counters import Counters
 from onyxwick.distribution.documents import Assembler, DocumentError
 from onyxwick.distribution.model import (
@@ -43,7 +43,7 @@
         self.counters = counters
         self.documents = dict(documents or {})
         self.purges = PurgeTable()
-        self.stamps = FeedStamps()
+        self.stamps = FeedTimestamps()
         self.versions: dict[str, tuple[int, str]] = {}  # of each complete document: version and digest
         self.cursor = Cursor(0, 0)
         self._assembler = Assembler()
@@ -75,11 +75,11 @@
     def refresh(self, freshness: Freshness) -> None:
         """The publisher was reached: if nothing is outstanding, later events happened after this."""
         if freshness.cursor <= self.cursor:
-            self.stamps.caught_up(self.core.now())
+            self.stamps.mark_caught_up(self.core.now())
 
     def _advance_cursor(self, cursor: Cursor) -> None:
         self.cursor = cursor
-        self.core.feed_observed(cursor.packed)
+        self.core.feed.record_feed_index(cursor.packed)
 
     def _apply(self, payload: Payload) -> None:
         if isinstance(payload, PurgeEvent):
@@ -95,7 +95,7 @@
         rows = [row.fields for row in change.rows]
         document = {ROWS: rows, IS_SNAPSHOT: change.full, LIST_VERSION: change.version}
         update = read_members(document, self.stamps, self.core.now(), self._report_bad_row)
-        self.core.list_changed(update.change, update.addresses)
+        self.core.feed.apply_endpoints(update.change, update.addresses)
 
     def _report_bad_row(self, text: str) -> None:
         self.counters.add("bad.distribution")
@@ -104,8 +104,8 @@
     def _apply_purge(self, purge: PurgeEvent) -> None:
         if self.purges.add(purge):
             group = ALL_GROUPS if purge.key.shard is None else purge.key.shard
-            made_at_us = self.stamps.purge(purge.unix_ms * US_PER_MS, self.core.now())
-            self.core.purged(group, purge.key.ref, made_at_us)
+            made_at_us = self.stamps.purge_time_us(purge.unix_ms * US_PER_MS, self.core.now())
+            self.core.feed.apply_purge(group, purge.key.ref, made_at_us)
 
     def _add_document_part(self, part: DocumentPart) -> None:
         try:
--- a/onyxwick/net/front.py
+++ b/onyxwick/net/front.py
@@ -19,8 +19,8 @@
 from onyxwick.config.director import CLIENTS_PER_HALF_CLOSED, MIN_HALF_CLOSED
 from onyxwick.core import RequestEngine
 from onyxwick.core.reasons import ConnectionCloseReason
-from onyxwick.core.shutdown import HELD_AFTER_S, LAST_WORDS_S, ShutdownKind, ShutdownSchedule, ShutdownStage
-from onyxwick.core.stall import STALL_S
+from onyxwick.core.shutdown import DRAIN_LIMIT_S, FINAL_FLUSH_S, ShutdownKind, ShutdownSchedule, ShutdownStage
+from onyxwick.core.stall_detector import STALL_S
 from onyxwick.counters import Counters
 from onyxwick.net import connection_shutdown
 from onyxwick.net.accept_loop import AcceptLoop
@@ -103,7 +103,7 @@
         The schedule of a new drain replaces that of an earlier one; a termination keeps a drain's deadlines.
         """
         if self.shutdown is not None and schedule.kind is not ShutdownKind.DRAIN:
-            schedule = schedule.with_earlier(self.shutdown)
+            schedule = schedule.earliest_of(self.shutdown)
         self.shutdown = schedule
         self.stage = ShutdownStage.SERVING
         self._held_checked = False
@@ -132,29 +132,29 @@
         is_new_stage = stage is not self.stage
         if is_new_stage:
             self._enter_stage(stage, schedule, now_s)
-        must_answer_all = now_s >= schedule.fails_at
+        must_answer_all = now_s >= schedule.fail_at_s
         for connection in list(self.connections):
             connection_shutdown.advance(connection, stage, now_s, not is_new_stage, must_answer_all)
-        if schedule.kind is ShutdownKind.DRAIN and now_s - schedule.begun_at >= HELD_AFTER_S:
+        if schedule.kind is ShutdownKind.DRAIN and now_s - schedule.started_at_s >= DRAIN_LIMIT_S:
             self._check_held_connections(now_s)
 
     def _enter_stage(self, stage: ShutdownStage, schedule: ShutdownSchedule, now_s: float) -> None:
         self.stage = stage
         self._stage_since_s = now_s
-        name = stage.name.lower()
+        name = stage.metric_key
         connections = list(self.connections)
         self.counters.add(f"ending.{schedule.kind.value}.{name}")
         log.info(
             "shutdown stage",
             kind=schedule.kind.value,
             stage=name,
-            after_s=round(now_s - schedule.begun_at, 3),
+            after_s=round(now_s - schedule.started_at_s, 3),
             clients=len(connections),
             owed=len(self.core.lifecycles),
             half=sum(each.parser.has_partial_call for each in connections),
             unwritten=sum(each.writes.pending_bytes > 0 for each in connections),
         )
-        if stage >= ShutdownStage.ENDS_HALF_CALLS:
+        if stage >= ShutdownStage.CLOSE_PARTIAL:
             held = [each for each in connections if not each.half_closed_at_s]
             for connection in held[:MAX_HELD_LOG_LINES]:
                 connection_shutdown.log_held(connection, now_s, name)
@@ -174,7 +174,7 @@
             open_calls = connection.open_calls.values()
             arrived_us = [each.request.arrived_us for each in open_calls if each is not None]
             youngest_us = now_us - max(arrived_us) if arrived_us else None
-            self.core.invariants.held_in_drain(connection.number, youngest_us)
+            self.core.invariants.connection_open_after_drain(connection.number, youngest_us)
 
     async def finish_shutdown(self, schedule: ShutdownSchedule) -> None:
         """Carry a termination through.
@@ -185,12 +185,12 @@
         if self.shutdown is None:
             self.begin_shutdown(schedule)
         closed_at_s = 0.0  # when the last stage was first observed: after a stall that may be late
-        while self.connections or not self.core.idle.is_set():
+        while self.connections or not self.core.table.idle.is_set():
             now_s = time.monotonic()
             self.advance(now_s)
-            if self.stage is ShutdownStage.CLOSED:
+            if self.stage is ShutdownStage.CLOSE_ALL:
                 closed_at_s = closed_at_s or now_s
-                if now_s >= closed_at_s + LAST_WORDS_S:
+                if now_s >= closed_at_s + FINAL_FLUSH_S:
                     break
             await asyncio.sleep(LINGER_READ_INTERVAL_S)
         await self._close_all()
@@ -245,7 +245,7 @@
                     task.cancel()  # its end is written, and the client does not close its side
             elif connection.writes.is_stalled(now_s, CLIENT_STALLED_S):
                 self.counters.add("client.stalled")
-                connection.close_reason = connection.close_reason or ConnectionCloseReason.STALLED
+                connection.close_reason = connection.close_reason or ConnectionCloseReason.WRITE_STALLED
                 task.cancel()
             elif connection.ignores_new_calls:
                 connection_shutdown.close_when_written(connection, now_s, ConnectionCloseReason.CLOSING)
@@ -313,7 +313,7 @@
         if evicted is None:
             return False
         self.counters.add("client.displaced")
-        self._evict(evicted, now_s, ConnectionCloseReason.DISPLACED)
+        self._evict(evicted, now_s, ConnectionCloseReason.EVICTED)
         return True
 
     def _evict(self, connection: FrontConnection, now_s: float, reason: ConnectionCloseReason) -> None:
