--- a/onyxwick/core/feed_intake.py
+++ b/onyxwick/core/feed_intake.py
@@ -14,7 +14,7 @@
 from onyxwick.interface import EndpointListKind, EndpointsChanged, Member, ObjectsPurged
 
 if TYPE_CHECKING:
-    from onyxwick.store.durable import DurableState
+    from onyxwick.store.durable_state import DurableState
 
 
 class _ReceivedMember(NamedTuple):
@@ -36,8 +36,8 @@
         context = self.context
         self._remember(event, addresses)
         if context.durable is not None:
-            context.durable.list_told(event, context.now())
-            event = context.durable.recovery.seen(event)
+            context.durable.record_endpoints(event, context.now())
+            event = context.durable.recovery.with_drains(event)
         if self.adjust_endpoints is not None:
             event = self.adjust_endpoints(event, context.now())
         context.invariants.endpoints_changed(event, context.now())
@@ -66,7 +66,7 @@
         """A purge of an object, or of a group (`object_id` None), was received."""
         context = self.context
         if context.durable is not None:
-            context.durable.purge_told(object_group, object_id, purged_at_us, context.now())
+            context.durable.record_purge(object_group, object_id, purged_at_us, context.now())
         context.invariants.object_purged(object_group, object_id, purged_at_us, context.now())
         context.endpoints.record_purge(object_group, object_id, context.now())
         age_us = max(0, context.now() - purged_at_us)
@@ -77,14 +77,14 @@
         context = self.context
         if context.durable is not None:
             held_back = list(context.durable.recovery.drains)
-            if context.durable.index_told(index, context.now()):
+            if context.durable.record_feed_number(index, context.now()):
                 self.reapply_members(*held_back)
 
     def restore(self, durable: DurableState) -> None:
         """Take over the stored state: purges that a cache may not have applied bind the first request."""
         context = self.context
         context.durable = durable
-        for purge in durable.recovery.purges_to_tell(context.now()):
+        for purge in durable.recovery.purges_to_replay(context.now()):
             purged_at_us = context.now() - purge.age_us
             context.invariants.object_purged(purge.object_group, purge.object_id, purged_at_us, context.now())
             context.endpoints.record_purge(purge.object_group, purge.object_id, context.now())
--- a/onyxwick/core/request_table.py
+++ b/onyxwick/core/request_table.py
@@ -70,7 +70,7 @@
     def needs_intent(self, lifecycle: RequestLifecycle) -> bool:
         """Whether the store must record a request's intent before its first attempt is sent."""
         durable = self.context.durable
-        if durable is None or not durable.bookings:
+        if durable is None or not durable.records_intents:
             return False
         return lifecycle.request.class_name in self.non_idempotent
 
--- a/onyxwick/dns/server.py
+++ b/onyxwick/dns/server.py
@@ -33,7 +33,7 @@
 from onyxwick.tenants import TenantZone, read_zone
 
 if TYPE_CHECKING:
-    from onyxwick.store.durable import DurableState
+    from onyxwick.store.durable_state import DurableState
 
 log = logs.get()
 PLAIN_SIZE, EDNS_SIZE = 512, 1232  # answers over UDP without and with EDNS
@@ -190,7 +190,7 @@
         """Durable before the update is answered; its serial can then never go back over a restart."""
         if self.durable is not None:
             tenant = self.tenants.tenants[zone.tenant]
-            await self.durable.commit(self.durable.tenant_changes(zone.tenant, tenant), "update")
+            await self.durable.commit(self.durable.tenant_operations(zone.tenant, tenant), "update")
 
     # ---- routed names -----------------------------------------------------------------------------------
 
--- a/onyxwick/hosting/durable_state.py
+++ b/onyxwick/hosting/durable_state.py
@@ -8,8 +8,8 @@
 from onyxwick import logs
 from onyxwick.config.service import ServiceConfig, StoreConfig
 from onyxwick.hosting.routers import RouterFactory
-from onyxwick.store.durable import DurableState
-from onyxwick.store.encryption import read_keys
+from onyxwick.store.durable_state import DurableState
+from onyxwick.store.encryption import read_key_file
 from onyxwick.store.engine import StoreLimits
 from onyxwick.store.files import DiskFiles
 
@@ -27,28 +27,28 @@
     installation = store_config.installation.encode()
     durable = DurableState(
         DiskFiles(store_config.folder),
-        read_keys(store_config.key_file),
+        read_key_file(store_config.key_file),
         blake2b(installation, digest_size=INSTALLATION_DIGEST_BYTES).digest(),
         engine.now(),
         engine.settings.rules.purge_retention_us,
         store_config.persists_bookings,
-        StoreLimits(log=store_config.max_log_bytes, total=store_config.max_total_bytes),
+        StoreLimits(log_bytes=store_config.max_log_bytes, total_bytes=store_config.max_total_bytes),
     )
     durable.load_tenants(service_config.tenants)
     _restore_cell_plan(engine, durable, routers)
     if routers.sites is not None:
         from onyxwick.sites.operator_commands import of_row
 
-        routers.sites.watch.recalled([of_row(row) for row in durable.site_orders()])
+        routers.sites.watch.recalled([of_row(row) for row in durable.site_command_rows()])
     return durable
 
 
 def _restore_cell_plan(engine: RequestEngine, durable: DurableState, routers: RouterFactory) -> None:
     """A plan that was changed by a call takes precedence over the file's, which it was made from."""
-    row = durable.plan()
-    if row is None or routers.cells is None:
+    stored = durable.cell_plan()
+    if stored is None or routers.cells is None:
         return
     from onyxwick.config.cells import plan_of_json
 
-    routers.cells.apply(engine.now(), plan_of_json(row["plan"], int(row["version"])))
+    routers.cells.apply(engine.now(), plan_of_json(stored.plan, stored.version))
     log.info("plan of cells restored from store", version=routers.cells.plan.version)
--- a/onyxwick/hosting/fronts.py
+++ b/onyxwick/hosting/fronts.py
@@ -15,7 +15,7 @@
     from onyxwick.admin.sites import SitesApi
     from onyxwick.core import RequestEngine
     from onyxwick.dns.server import DnsFront
-    from onyxwick.store.durable import DurableState
+    from onyxwick.store.durable_state import DurableState
 
 
 class FrontFactory:
@@ -58,7 +58,7 @@
     def _durable_handler(self, api: Api) -> Handler:
         if self.durable is None:
             return api
-        from onyxwick.admin.durable import DurableApi
+        from onyxwick.admin.durable_api import DurableApi
 
         return DurableApi(api, self.durable, self.engine)
 
--- a/onyxwick/service.py
+++ b/onyxwick/service.py
@@ -28,7 +28,7 @@
     from onyxwick.cells import CellPlan
     from onyxwick.config.distribution import FeedConfig
     from onyxwick.net.subscription import Subscription
-    from onyxwick.store.durable import DurableState
+    from onyxwick.store.durable_state import DurableState
 
 log = logs.get()
 RECOVERY_TICK_S = 0.5
@@ -194,5 +194,5 @@
 
         while durable.recovery.phase is RecoveryPhase.CHECKING:
             await asyncio.sleep(RECOVERY_TICK_S)
-            if durable.recovery.tick(self.engine.now()):
-                log.warning("recovery without the feed", **durable.recovery.shown())
+            if durable.recovery.on_tick(self.engine.now()):
+                log.warning("recovery without the feed", **durable.recovery.status())
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -12,7 +12,7 @@
 import pytest
 
 from onyxwick.admin.api import Api
-from onyxwick.admin.durable import DurableApi
+from onyxwick.admin.durable_api import DurableApi
 from onyxwick.admin.http import HttpError, HttpRequest
 from onyxwick.admin.sites import SitesApi
 from onyxwick.core import RequestEngine
@@ -356,7 +356,7 @@
             decider = _decider()
             durable = _durable(files)
             durable.start()
-            orders.append([of_row(row) for row in durable.site_orders()])
+            orders.append([of_row(row) for row in durable.site_command_rows()])
             core = RequestEngine(SETTINGS, 7, Nothing(), EndpointTable(), Counters())
             sites = SitesApi(decider, lambda: 1_002 * S, lambda: None)
             api = Api(Tenants(), Counters(), "operator-token-1", dict, {"sites": sites})
