--- a/onyxwick/admin/durable_api.py
+++ b/onyxwick/admin/durable_api.py
@@ -172,7 +172,7 @@
         return 200, {"recovery": recovery.status(), "drains": drains}
 
     async def _add_drain(self, request: HttpRequest, member: str, identity: CallIdentity) -> Answer:
-        listed = self.core.members.listed
+        listed = self.core.endpoints.listed
         if member not in listed:
             raise HttpError(404, f"no member '{member}' on the list")
         reason = str(request.json().get("reason", ""))[:MAX_REASON]
@@ -181,7 +181,7 @@
         answer = 200, {"member": member, "draining": True}
         await self._commit([self.durable.drain_operation(drain)], identity, answer)
         self.durable.recovery.add_drain(drain)
-        self.core.resend_rows(member)
+        self.core.feed.reapply_members(member)
         return answer
 
     async def _lift_drain(self, member: str, identity: CallIdentity) -> Answer:
@@ -189,7 +189,7 @@
         answer = 200, {"member": member, "lifted": bool(operations)}
         await self._commit(operations, identity, answer)
         self.durable.recovery.lift_drain(member)
-        self.core.resend_rows(member)
+        self.core.feed.reapply_members(member)
         return answer
 
 
--- a/onyxwick/dns/routed_names.py
+++ b/onyxwick/dns/routed_names.py
@@ -71,10 +71,10 @@
         response: dns.message.Message,
     ) -> None:
         """The chosen cache; the list is checked again, as a drain may have been received since the choice."""
-        members = self.core.members
+        members = self.core.endpoints
         address = members.addresses.get(answer.member)
         is_served = answer.status is AnswerStatus.SERVED
-        if not is_served or address is None or not members.ready(answer.member):
+        if not is_served or address is None or not members.is_ready(answer.member):
             self.counters.add("dns.servfail")
             response.set_rcode(dns.rcode.SERVFAIL)
             return
@@ -99,10 +99,10 @@
         response: dns.message.Message,
     ) -> None:
         """The target of an SRV answer, which was charged to the router there; none once the cache drains."""
-        if not self.core.members.ready(member):
+        if not self.core.endpoints.is_ready(member):
             response.set_rcode(dns.rcode.NXDOMAIN)
         elif record_type == dns.rdatatype.A:
-            host = self.core.members.addresses[member][0]
+            host = self.core.endpoints.addresses[member][0]
             response.answer.append(_address_record(name, host))
             return
         response.authority.append(lookup.negative_answer_soa(zone))
--- a/onyxwick/net/cache_pool.py
+++ b/onyxwick/net/cache_pool.py
@@ -61,12 +61,12 @@
         self.connections: dict[str, list[CacheConnection]] = {}  # by member
         self.count = 0
         self.budget = ByteBudget()
-        members.watchers.append(self.on_member_changed)
+        members.replacement_listeners.append(self.on_member_changed)
 
     async def run(self, order: AttemptSpec) -> AttemptOutcome:
         """Carry out one attempt; a cancel abandons it."""
         address = self.members.addresses.get(order.member)
-        if address is None or order.left_us() <= 0 or not order.is_still_valid():
+        if address is None or order.remaining_us() <= 0 or not order.is_still_valid():
             return AttemptOutcome(AttemptStatus.NOT_SENT)
         try:
             connection = self._connection_for(order, address)
@@ -76,7 +76,7 @@
             return AttemptOutcome(AttemptStatus.NOT_SENT)
         attempt = connection.start_attempt(order)
         loop = asyncio.get_running_loop()
-        timer = loop.call_later(order.left_us() / US_PER_S, connection.expire, attempt)
+        timer = loop.call_later(order.remaining_us() / US_PER_S, connection.expire, attempt)
         try:
             return await attempt.result
         except asyncio.CancelledError:
@@ -123,7 +123,7 @@
         """Close the connection that is idle longest, if any is idle."""
         idle = [each for each in self._all() if not each.attempts]
         if idle:
-            min(idle, key=lambda each: each.last_used_at_s).close(ConnectionCloseReason.PLACE_NEEDED)
+            min(idle, key=lambda each: each.last_used_at_s).close(ConnectionCloseReason.SLOT_NEEDED)
 
     def _all(self) -> list[CacheConnection]:
         return [each for connections in self.connections.values() for each in connections]
@@ -155,9 +155,9 @@
     def _close_if_useless(self, connection: CacheConnection, now_s: float) -> None:
         if connection.is_answer_stuck(now_s):
             self.counters.add("bad.stuck")
-            connection.close(ConnectionCloseReason.ANSWER_STUCK)
+            connection.close(ConnectionCloseReason.ANSWER_STALLED)
         if connection.writes.is_stalled(now_s, WRITE_STALL_LIMIT_S):
-            connection.close(ConnectionCloseReason.STALLED)
+            connection.close(ConnectionCloseReason.WRITE_STALLED)
         if connection.attempts or connection.writes.pending_bytes:
             return
         if connection.is_retired:
--- a/onyxwick/net/connection_shutdown.py
+++ b/onyxwick/net/connection_shutdown.py
@@ -31,7 +31,7 @@
     if stage is ShutdownStage.SERVING or connection.half_closed_at_s:
         return
     connection.delivery.in_flight_bytes(now_s)  # sampled also while calls are open
-    if connection.open_calls and stage < ShutdownStage.GIVES_BACK:
+    if connection.open_calls and stage < ShutdownStage.RELEASE_REQUESTS:
         return
     if connection.ignores_new_calls:
         close_when_written(connection, now_s, ConnectionCloseReason.CLOSING)
@@ -39,12 +39,12 @@
     if connection.is_closing and not connection.open_calls:
         return  # its reader closes it
     match next_step(stage, _state(connection, now_s)):
-        case ConnectionStep.GIVE_BACK if may_answer_open_calls:
+        case ConnectionStep.RELEASE_REQUESTS if may_answer_open_calls:
             connection.answer_open_calls(must_answer_all)
-        case ConnectionStep.HEAR_LAST:
+        case ConnectionStep.READ_REMAINING:
             _receive_last(connection)
             close_when_written(connection, now_s, ConnectionCloseReason.CLOSING)
-        case ConnectionStep.END:
+        case ConnectionStep.CLOSE:
             connection.half_close(now_s, ConnectionCloseReason.CLOSING)
         case _:
             pass
@@ -67,14 +67,14 @@
 
 def _state(connection: FrontConnection, now_s: float) -> ConnectionState:
     return ConnectionState(
-        calls=connection.complete_calls,
-        owed=len(connection.open_calls),
-        unwritten=connection.writes.pending_bytes,
-        delivered_s=connection.delivery.seconds_since_backlog(now_s),
-        half_call=connection.parser.has_partial_call,
-        unread=unread_bytes(connection.sock) > 0,
+        request_count=connection.complete_calls,
+        unanswered=len(connection.open_calls),
+        unwritten_bytes=connection.writes.pending_bytes,
+        since_delivered_s=connection.delivery.seconds_since_backlog(now_s),
+        has_partial_request=connection.parser.has_partial_call,
+        has_unread_input=unread_bytes(connection.sock) > 0,
         age_s=now_s - connection.opened_at_s,
-        rest_s=now_s - connection.last_active_at_s,
+        idle_s=now_s - connection.last_active_at_s,
     )
 
 
--- a/onyxwick/tenants.py
+++ b/onyxwick/tenants.py
@@ -16,7 +16,7 @@
 import ujson
 
 from onyxwick.errors import OnyxwickError
-from onyxwick.quota import Quota
+from onyxwick.quota import TokenBucket
 
 DEFAULT_QUOTA_PER_S = 500.0
 """Queries a second of a tenant without a quota of its own."""
@@ -65,8 +65,8 @@
             raise TenantError("field 'name' is no name of small letters, digits and hyphens")
         self.name = name
         self.token = token
-        self.quota = Quota(per_s)
-        self.admin_quota = Quota(ADMIN_REQUESTS_PER_S)
+        self.quota = TokenBucket(per_s)
+        self.admin_quota = TokenBucket(ADMIN_REQUESTS_PER_S)
         self.keys: dict[dns.name.Name, bytes] = {}
         self.zones: dict[dns.name.Name, TenantZone] = {}
 
--- a/tests/ground.py
+++ b/tests/ground.py
@@ -84,7 +84,7 @@
         self.script, self.members, self.counters = Script(), EndpointTable(), Counters()
         self.caches = CacheConnectionPool(self.members, self.counters, connect_us)
         self.core = RequestEngine(
-            settings, 7, self.caches, self.members, self.counters, decide=lambda *_: self.script
+            settings, 7, self.caches, self.members, self.counters, make_router=lambda *_: self.script
         )
         self.front = FastCgiFront(self.core, self.counters, lambda: True, 64, 10_000_000)
         self.answers: list[FinalAnswer] = []
@@ -104,7 +104,7 @@
 
     def list(self, state: MemberState, name: str, address: tuple[str, int]) -> None:
         told = Member(name, "edge-1", "box", 0, state, 6.0, 0)
-        self.core.list_changed(EndpointsChanged(EndpointListKind.CHANGE, (told,)), {name: address})
+        self.core.feed.apply_endpoints(EndpointsChanged(EndpointListKind.CHANGE, (told,)), {name: address})
 
     def held(self, name: str) -> Iterator[Callable[[], Awaitable[socket.socket]]]:
         """A member to which no connection comes up until the value is awaited, which gives the next one."""
@@ -169,11 +169,11 @@
         loop = asyncio.get_running_loop()
         if not self.accepting:
             self.accepting = True
-            self.door = listen(("127.0.0.1", 0))
-            self.opened.append(self.door)
-            self.tasks.append(loop.create_task(self.front.accept(self.door)))
+            self.listener = listen(("127.0.0.1", 0))
+            self.opened.append(self.listener)
+            self.tasks.append(loop.create_task(self.front.accept(self.listener)))
             self.tasks.append(loop.create_task(self.front.record_loop_ticks()))
-        sock = socket.create_connection(self.door.getsockname())
+        sock = socket.create_connection(self.listener.getsockname())
         sock.setblocking(False)
         self.opened.append(sock)
         return sock
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -27,7 +27,8 @@
     SnapshotEnd,
 )
 from onyxwick.distribution.replica import FeedSnapshot, Replica
-from onyxwick.operations.operator_commands import KnownCaches, to_json
+from onyxwick.operations.command_codec import WriterClock, commands_to_document
+from onyxwick.operations.operator_commands import KnownCaches
 from onyxwick.operations.persisted_commands import PersistedCommands
 from onyxwick.sites.lifecycle import SiteDirective
 from onyxwick.sites.operator_commands import SiteCommand, of_row, to_row
@@ -249,16 +250,16 @@
 def test_persisted_operator_commands_are_read_and_written_alike(folder: Path) -> None:
     persisted = PersistedCommands(folder / "commands", "director-1", LaterClock())
     data = ujson.loads(persisted.path.read_text())
-    read = persisted.read()
-    assert read is not None
-    commands, ids = read
-    assert (commands.version, commands.drained) == (4, True)
-    assert commands.held == {"box-1"}
-    assert commands.back == (("box-2", START_US + S),)
-    assert ids == ["box-1", "box-2", "box-3"]
+    stored = persisted.read()
+    assert stored is not None
+    commands = stored.commands
+    assert (commands.version, commands.is_drained) == (4, True)
+    assert commands.disabled_caches == {"box-1"}
+    assert commands.re_enabled == (("box-2", START_US + S),)
+    assert stored.known_caches == ["box-1", "box-2", "box-3"]
     known = KnownCaches()
-    known.add(ids)
-    assert {**to_json(commands, known), "clock": {"boot": "fixture-boot", "offset": 0}} == data
+    known.add(stored.known_caches)
+    assert commands_to_document(commands, known, WriterClock("fixture-boot", 0)) == data
 
 
 # ---- traces ---------------------------------------------------------------------------------------------
