--- a/tests/test_callers_on_time.py
+++ b/tests/test_callers_on_time.py
@@ -81,7 +81,7 @@
     assert asyncio.run(play()).startswith(b"HTTP/1.1 200 OK")
 
 
-def test_a_message_by_tcp_that_never_comes_whole_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_incomplete_message_over_tcp_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(dns_server, "TCP_TIMEOUT_S", PATIENCE_S)
 
     async def play() -> float:
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -1,4 +1,4 @@
-"""The distribution tree's state machines: alone, and as a tree on a made-up clock under seeded faults."""
+"""The distribution tree's state machines, one by one."""
 
 from __future__ import annotations
 
@@ -56,24 +56,24 @@
     HISTORY,
     NOW_MS,
     START,
-    NoWait,
+    ImmediateBackoff,
     S,
-    check_earlier_states_are_refused,
-    filled,
-    following,
-    purge,
+    check_earlier_states_are_rejected,
+    connected_follower,
+    filled_replica,
+    purge_event,
 )
 
 # ---- the follower ---------------------------------------------------------------------------------------
 
 
-def test_a_follower_takes_the_next_event_alone() -> None:
-    follower = following()
-    taken = follower.on_line(START, purge(6).line.strip())
-    assert taken == (DeliverEvent(purge(6)),), "with its line feed, as a relay sends it on"
-    assert follower.on_line(START, purge(6).line) == ()
+def test_a_follower_delivers_only_the_next_event() -> None:
+    follower = connected_follower()
+    taken = follower.on_line(START, purge_event(6).line.strip())
+    assert taken == (DeliverEvent(purge_event(6)),), "with its line feed, as a relay sends it on"
+    assert follower.on_line(START, purge_event(6).line) == ()
     assert follower.counts["duplicate"] == 1
-    (gone,) = follower.on_line(START, purge(8).line)
+    (gone,) = follower.on_line(START, purge_event(8).line)
     assert isinstance(gone, DisconnectFromParent)
     assert "gap" in gone.reason
     assert follower.cursor.number == 6
@@ -81,15 +81,15 @@
     assert follower.on_connected(START) == (SendLine(b"follow %d\n" % Cursor(HISTORY, 6).packed),)
 
 
-def test_an_event_announced_that_never_came_ends_the_connection() -> None:
-    follower = following()
+def test_an_announced_event_that_does_not_arrive_ends_the_connection() -> None:
+    follower = connected_follower()
     assert follower.on_line(START, codec.encode_announcement(Cursor(HISTORY, 7))) == ()
     (gone,) = follower.on_line(START, codec.encode_announcement(Cursor(HISTORY, 7)))
     assert isinstance(gone, DisconnectFromParent)
 
 
 def test_a_silent_parent_is_given_up_within_its_time() -> None:
-    follower = following()
+    follower = connected_follower()
     follower.on_line(START, codec.encode_announcement(Cursor(HISTORY, 5)))
     assert follower.on_tick(START + 699_999) == ()
     (gone,) = follower.on_tick(START + 700_000)
@@ -97,8 +97,8 @@
     assert follower.state is FollowerState.WAITING
 
 
-def test_a_follower_that_stood_still_itself_does_not_blame_its_parent() -> None:
-    follower = following()
+def test_a_suspended_follower_does_not_give_up_its_parent() -> None:
+    follower = connected_follower()
     follower.on_line(START, codec.encode_announcement(Cursor(HISTORY, 5)))
     late = START + 5 * S
     assert follower.on_tick(late) == (), "its own stall: what has come meanwhile is read first"
@@ -110,28 +110,28 @@
     assert isinstance(gone, DisconnectFromParent), "a parent that is silent all the same is given up after it"
 
 
-def test_a_snapshot_of_an_earlier_state_or_history_is_refused() -> None:
-    check_earlier_states_are_refused()
+def test_a_snapshot_of_an_earlier_state_or_history_is_rejected() -> None:
+    check_earlier_states_are_rejected()
 
 
-def test_a_snapshot_counts_when_it_is_whole_and_its_purges_at_once() -> None:
-    lines = filled(9).snapshot_lines(NOW_MS)[1]
+def test_a_snapshot_is_installed_when_complete_and_its_purges_at_once() -> None:
+    lines = filled_replica(9).snapshot_lines(NOW_MS)[1]
     for cut in range(1, len(lines)):
-        follower = following()
+        follower = connected_follower()
         actions = [a for line in lines[:cut] for a in follower.on_line(START, line)]
         assert all(isinstance(a, DeliverEvent) and a.from_snapshot for a in actions)
         assert follower.cursor == Cursor(HISTORY, 5), "no step before the whole snapshot"
-    follower = following()
+    follower = connected_follower()
     actions = [a for line in lines for a in follower.on_line(START, line)]
     assert isinstance(actions[-1], InstallSnapshot)
     assert follower.cursor == Cursor(HISTORY, 9)
-    assert follower.on_line(START, purge(10).line) == (DeliverEvent(purge(10)),)
+    assert follower.on_line(START, purge_event(10).line) == (DeliverEvent(purge_event(10)),)
 
 
-def test_a_snapshot_mixed_with_others_or_cut_short_is_dropped() -> None:
-    begin, *body, end = filled(9).snapshot_lines(NOW_MS)[1]
-    for wrong in ([*body[:-1], end], [*body, body[0], end], [purge(10).line], [begin]):
-        follower = following()
+def test_a_snapshot_mixed_with_other_lines_or_incomplete_is_dropped() -> None:
+    begin, *body, end = filled_replica(9).snapshot_lines(NOW_MS)[1]
+    for wrong in ([*body[:-1], end], [*body, body[0], end], [purge_event(10).line], [begin]):
+        follower = connected_follower()
         follower.on_line(START, begin)
         actions = [a for line in wrong for a in follower.on_line(START, line)]
         assert any(isinstance(a, DisconnectFromParent) for a in actions)
@@ -139,8 +139,8 @@
         assert follower.cursor == Cursor(HISTORY, 5)
 
 
-def test_a_parent_cut_off_from_the_publisher_is_left_and_the_age_is_shown() -> None:
-    follower, now = following(), START
+def test_a_parent_cut_off_from_the_publisher_is_left_and_staleness_is_reported() -> None:
+    follower, now = connected_follower(), START
     beat = codec.encode_announcement(Cursor(HISTORY, 5))
     follower.on_line(now, codec.encode_freshness(Cursor(HISTORY, 5), NOW_MS))
     while follower.state is FollowerState.FOLLOWING or now == START:
@@ -160,7 +160,7 @@
 
 
 def test_a_follower_returns_to_its_first_parent() -> None:
-    follower = following()
+    follower = connected_follower()
     follower.on_connection_lost(START, "reset")
     follower.on_tick(START)
     follower.on_connected(START)
@@ -174,8 +174,8 @@
     assert follower.parent == 0
 
 
-def test_a_plain_coordinator_that_begins_anew_is_read_from_its_first_event() -> None:
-    follower = Follower(1, NoWait(), Cursor(0, 40), resets_on_restart=True)
+def test_a_restarted_plain_coordinator_is_read_from_its_first_event() -> None:
+    follower = Follower(1, ImmediateBackoff(), Cursor(0, 40), resets_on_restart=True)
     follower.start(START)
     follower.on_connected(START)
     (gone,) = follower.on_line(START, b"3\n")
@@ -184,12 +184,12 @@
     assert follower.on_connected(START) == (SendLine(b"follow 0\n"),)
 
 
-def test_the_tables_of_transitions_are_kept() -> None:
-    follower = Follower(1, NoWait())
+def test_only_transitions_of_the_tables_are_possible() -> None:
+    follower = Follower(1, ImmediateBackoff())
     with pytest.raises(IllegalTransitionError):
         follower.on_connected(START)
     assert all(FollowerState.STOPPED in TRANSITIONS[s] for s in FollowerState if s.value != "stopped")
-    subscriber = FanOut(filled(1)).on_connected(START)
+    subscriber = FanOut(filled_replica(1)).on_connected(START)
     assert subscriber is not None
     with pytest.raises(IllegalTransitionError):
         subscriber.transition(SubscriberState.LIVE)
@@ -201,12 +201,12 @@
 def test_a_line_cut_at_each_byte_is_harmless() -> None:
     row = CacheRow("c1", False, {"id": "c1", "addr": "10.0.0.1:5050", "state": "SERVING"})
     document = split_document("quotas", 1, "x" * 40)[0]
-    payloads = (purge(6).payload, CacheListChange((row,), True, 3), document)
+    payloads = (purge_event(6).payload, CacheListChange((row,), True, 3), document)
     tried = 0
     for payload in payloads:
         line = codec.encode_event(Cursor(HISTORY, 6), payload).line
         for cut in range(len(line) - 1):
-            follower = following()
+            follower = connected_follower()
             actions = follower.on_line(START, line[:cut])
             assert actions == ()
             assert follower.cursor == Cursor(HISTORY, 5)
@@ -226,33 +226,33 @@
     ],
 )
 def test_an_event_that_cannot_be_read_is_passed_on_and_counted(line: bytes) -> None:
-    follower = following()
+    follower = connected_follower()
     (passed_on,) = follower.on_line(START, line % Cursor(HISTORY, 6).packed)
     assert isinstance(passed_on, DeliverEvent)
     assert isinstance(passed_on.event.payload, UnknownPayload)
     assert follower.counts["bad.event"] == 1
-    relay = filled(5)
+    relay = filled_replica(5)
     relay.apply(passed_on.event, NOW_MS)
     sent_on = line % Cursor(HISTORY, 6).packed + b"\n"
     assert relay.log.lines[-1] == sent_on, "a newer reader may know it"
-    assert follower.on_line(START, purge(7).line) == (DeliverEvent(purge(7)),)
+    assert follower.on_line(START, purge_event(7).line) == (DeliverEvent(purge_event(7)),)
 
 
-def test_numbers_out_of_range_and_endless_garbage_are_refused() -> None:
+def test_numbers_out_of_range_and_endless_garbage_are_rejected() -> None:
     for line in (b"-1", b"9223372036854775808", b"true", b"[]", b'{"index":-4,"evict":{}}', b"\xff\xfe"):
         with pytest.raises(MalformedLineError):
             codec.decode(line)
-    follower = following()
+    follower = connected_follower()
     actions = [a for _ in range(20) for a in follower.on_line(START, b"garbage")]
     assert [type(a) for a in actions] == [DisconnectFromParent]
     with pytest.raises(MalformedLineError):
         codec.decode_follow(b"follow 99999999999999999999999")
 
 
-def test_a_line_of_five_megabytes_is_passed_over_and_the_feed_goes_on() -> None:
+def test_a_line_of_five_megabytes_is_skipped_and_the_feed_goes_on() -> None:
     async def main() -> tuple[list[int], int]:
         big = b'{"index":2,"document":{"text":"' + b"x" * 5_000_000 + b'"}}\n'
-        small = [codec.encode_event(Cursor(0, n), purge(n).payload).line for n in (1, 3)]
+        small = [codec.encode_event(Cursor(0, n), purge_event(n).payload).line for n in (1, 3)]
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readline()
@@ -271,7 +271,7 @@
 
             def refresh(self, freshness: Freshness) -> None: ...
 
-        follower = Follower(1, NoWait(), limits=PLAIN_COORDINATOR)
+        follower = Follower(1, ImmediateBackoff(), limits=PLAIN_COORDINATOR)
         address = server.sockets[0].getsockname()
         task = asyncio.create_task(Subscription(follower, [address], Sink(), Counters()).run())
         async with asyncio.timeout(10):
@@ -292,8 +292,8 @@
         codec.decode(codec.oversized_line_stub(b"x" * 64))
 
 
-def test_documents_over_the_bound_or_with_wrong_parts_are_refused() -> None:
-    publisher = Publisher(filled(0), START)
+def test_documents_over_the_bound_or_with_wrong_parts_are_rejected() -> None:
+    publisher = Publisher(filled_replica(0), START)
     with pytest.raises(PublishRejectedError, match="at most"):
         publisher.submit_document("big", "x" * (MAX_DOCUMENT_BYTES + 1))
     assert not publisher.document_queue
@@ -315,9 +315,9 @@
 # ---- publisher, replica, fan-out ------------------------------------------------------------------------
 
 
-def test_purges_go_before_documents_and_documents_keep_their_rate() -> None:
+def test_purges_are_sent_before_documents_and_documents_at_their_rate() -> None:
     limits = PublisherLimits(bulk_bytes_per_s=10_000, bulk_burst_bytes=20_000)
-    replica = filled(0)
+    replica = filled_replica(0)
     publisher = Publisher(replica, START, limits)
     publisher.submit_document("a", "x" * 60_000)
     publisher.submit(PurgeEvent(PurgeKey("p", None), NOW_MS), NOW_MS)
@@ -340,8 +340,8 @@
     assert not publisher.document_queue
 
 
-def test_a_newer_document_displaces_what_is_queued_of_the_older() -> None:
-    replica = filled(0)
+def test_a_newer_document_preempts_queued_parts_of_the_older() -> None:
+    replica = filled_replica(0)
     publisher = Publisher(replica, START, PublisherLimits(bulk_burst_bytes=13_000))
     publisher.submit_document("a", "x" * 50_000)
     for event in publisher.take_due_events(START):
@@ -353,8 +353,8 @@
     assert replica.state.documents["a"].text == "short"
 
 
-def test_the_publisher_refuses_over_its_bounds_and_keeps_what_it_has() -> None:
-    publisher = Publisher(filled(0), START, PublisherLimits(max_queued=4, max_purges=3))
+def test_the_publisher_rejects_over_its_bounds_and_keeps_its_queue() -> None:
+    publisher = Publisher(filled_replica(0), START, PublisherLimits(max_queued=4, max_purges=3))
     for n in range(3):
         publisher.submit(PurgeEvent(PurgeKey(f"p{n}", None), NOW_MS), NOW_MS)
     with pytest.raises(PublishRejectedError, match="binding"):
@@ -367,18 +367,18 @@
     assert len(publisher.take_due_events(START)) == 4
 
 
-def test_a_replica_refuses_gaps_and_earlier_states() -> None:
-    replica = filled(3)
+def test_a_replica_rejects_gaps_and_earlier_states() -> None:
+    replica = filled_replica(3)
     with pytest.raises(FeedGapError):
-        replica.apply(purge(5), NOW_MS)
+        replica.apply(purge_event(5), NOW_MS)
     with pytest.raises(OlderSnapshotError):
         replica.install(FeedSnapshot(Cursor(HISTORY, 2), ()))
     replica.install(FeedSnapshot(Cursor(HISTORY + 1, 0), ()))
     assert replica.cursor == Cursor(HISTORY + 1, 0)
 
 
-def test_the_log_is_bounded_and_who_is_behind_it_gets_a_snapshot_with_all_binding_purges() -> None:
-    replica = filled(2_000, log_bytes=20_000)
+def test_a_subscriber_behind_the_bounded_log_gets_a_snapshot_with_all_binding_purges() -> None:
+    replica = filled_replica(2_000, log_bytes=20_000)
     assert replica.log.size_bytes <= 20_000
     fanout = FanOut(replica)
     subscriber = fanout.on_connected(START)
@@ -394,15 +394,15 @@
 
 
 def test_purges_leave_snapshots_only_after_their_retention() -> None:
-    replica = filled(10)
+    replica = filled_replica(10)
     late = NOW_MS + replica.retention_ms
     assert len(replica.snapshot_lines(late)[1]) == 2 + 10
-    replica.apply(purge(11), late + 6)
+    replica.apply(purge_event(11), late + 6)
     assert {key.ref for key in replica.state.purges.unix_ms_by_key} == {f"{n:016x}" for n in range(6, 12)}
 
 
 def test_many_subscribers_share_one_snapshot() -> None:
-    fanout, rows = FanOut(filled(500, log_bytes=5_000)), []
+    fanout, rows = FanOut(filled_replica(500, log_bytes=5_000)), []
     for _ in range(20):
         subscriber = fanout.on_connected(START)
         assert subscriber is not None
@@ -412,8 +412,8 @@
     assert len({id(lines) for lines in rows}) == 1
 
 
-def test_a_stuck_subscriber_delays_nobody_and_is_closed() -> None:
-    replica = filled(5)
+def test_a_stalled_subscriber_delays_no_other_and_is_closed() -> None:
+    replica = filled_replica(5)
     fanout = FanOut(replica, FanOutLimits(high_water_bytes=1_000))
     stuck, well = fanout.on_connected(START), fanout.on_connected(START)
     assert stuck is not None
@@ -421,7 +421,7 @@
     for subscriber in (stuck, well):
         assert fanout.on_follow(subscriber, replica.cursor, START)
     for number in range(6, 200):
-        replica.apply(purge(number), NOW_MS)
+        replica.apply(purge_event(number), NOW_MS)
         assert fanout.next_bytes(well, 1_000, START)
         assert fanout.next_bytes(stuck, 0, START) == b""
     assert fanout.is_current(well)
@@ -430,8 +430,8 @@
     assert fanout.close_reason(well, 0, START + 60 * S) == ""
 
 
-def test_a_publisher_with_an_older_disk_refuses_who_knows_more() -> None:
-    root, relay = FanOut(filled(5), authoritative=True), FanOut(filled(5))
+def test_a_publisher_with_an_older_disk_rejects_followers_ahead_of_it() -> None:
+    root, relay = FanOut(filled_replica(5), authoritative=True), FanOut(filled_replica(5))
     ahead = Cursor(HISTORY, 9)
     for fanout, taken in ((root, False), (relay, True)):
         subscriber = fanout.on_connected(START)
@@ -495,7 +495,7 @@
         plan_tree("root", relays[:3], leaves, TreeLimits(max_children=100))
 
 
-def test_a_lost_rack_leaves_every_director_a_parent() -> None:
+def test_a_lost_rack_leaves_every_director_one_parent() -> None:
     relays, leaves = [f"r{n}" for n in range(12)], [f"d{n}" for n in range(1000)]
     racks = {relay: f"rack-{n % 3}" for n, relay in enumerate(relays)}
 
@@ -519,7 +519,7 @@
         assert root.durable is not None
         files = FaultyFiles()
         root.durable.engine.log.files = files
-        files.fail.add("write")
+        files.failing_calls.add("write")
         running = asyncio.create_task(root.run())
         await asyncio.sleep(0)
         payload = PurgeEvent(PurgeKey("a", None), wall_us() // 1000)
--- a/tests/test_dns_routing.py
+++ b/tests/test_dns_routing.py
@@ -1,4 +1,4 @@
-"""Routing by name on loopback: stand-in resolvers and clients, and a count of what reaches each box late."""
+"""Routing by name on loopback: emulated resolvers and clients, and a count of late requests at each cache."""
 
 from __future__ import annotations
 
@@ -32,36 +32,42 @@
 from tests.exchange import DNS, FOLDER
 from tests.world import SETTINGS, member
 
-BOXES = {f"c{n}": (f"127.77.2.{n + 1}", 15071) for n in range(3)}
+CACHE_ADDRESSES = {f"c{n}": (f"127.77.2.{n + 1}", 15071) for n in range(3)}
 GRACE_S = 0.5
 NAME = "{}.7f3a9c21e0b4d655.chunk.route.depot.test."
 
 
-class Depot:
-    """A core with the DNS front before it, and boxes that count when they are asked."""
+class DnsDirector:
+    """A core with the DNS front, and caches that record when they get requests."""
 
     def __init__(self, decide: Callable[[RouterSettings, int, int], RequestRouter] = Router) -> None:
         self.members, self.counters = EndpointTable(), Counters()
         self.core = RequestEngine(SETTINGS, 7, CacheNaming(), self.members, self.counters, make_router=decide)
         config = load(FOLDER / "service.hcl")
         self.front = DnsFront(self.core, self.counters, config)
-        self.asked: dict[str, list[float]] = {box: [] for box in BOXES}
+        self.request_times: dict[str, list[float]] = {box: [] for box in CACHE_ADDRESSES}
 
-    def told(self, *rows: Member, kind: EndpointListKind = EndpointListKind.CHANGE) -> None:
-        self.core.feed.apply_endpoints(EndpointsChanged(kind, rows), {**BOXES, "p0": ("127.77.2.9", 15071)})
+    def receive_list(self, *rows: Member, kind: EndpointListKind = EndpointListKind.CHANGE) -> None:
+        self.core.feed.apply_endpoints(
+            EndpointsChanged(kind, rows), {**CACHE_ADDRESSES, "p0": ("127.77.2.9", 15071)}
+        )
 
-    async def run(self, scene: Callable[[Depot], Awaitable[None]]) -> None:
+    async def run(self, scene: Callable[[DnsDirector], Awaitable[None]]) -> None:
         def box(name: str) -> Callable[[asyncio.StreamReader, asyncio.StreamWriter], None]:
             def serve(_: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-                self.asked[name].append(time.monotonic())
+                self.request_times[name].append(time.monotonic())
                 writer.close()
 
             return serve
 
-        servers = [await asyncio.start_server(box(name), *address) for name, address in BOXES.items()]
+        servers = [
+            await asyncio.start_server(box(name), *address) for name, address in CACHE_ADDRESSES.items()
+        ]
         front = asyncio.create_task(self.front.run())
-        self.told(
-            *(member(name) for name in BOXES), member("p0", "parent", "hub"), kind=EndpointListKind.SNAPSHOT
+        self.receive_list(
+            *(member(name) for name in CACHE_ADDRESSES),
+            member("p0", "parent", "hub"),
+            kind=EndpointListKind.SNAPSHOT,
         )
         await asyncio.sleep(0)
         try:
@@ -73,9 +79,9 @@
                 server.close()
 
 
-def play(scene: Callable[[Depot], Awaitable[None]]) -> None:
+def play(scene: Callable[[DnsDirector], Awaitable[None]]) -> None:
     async def main() -> None:
-        await Depot().run(scene)  # made where the loop runs: the core sets its first timer at once
+        await DnsDirector().run(scene)  # made where the loop runs: the core sets its first timer at once
 
     asyncio.run(main())
 
@@ -105,15 +111,15 @@
 async def client(resolver: Resolver, part: int) -> None:
     """A tablet: resolves the name of a part and asks the box that was named."""
     address = await resolver.address(NAME.format(part))
-    _, writer = await asyncio.open_connection(address, BOXES["c0"][1])
+    _, writer = await asyncio.open_connection(address, CACHE_ADDRESSES["c0"][1])
     writer.close()
 
 
-async def _drain(depot: Depot, resolver: Resolver) -> tuple[str, float]:
+async def _drain(depot: DnsDirector, resolver: Resolver) -> tuple[str, float]:
     """Ask for parts until c0 has been named, drain it, ask on; the box and the moment it was told."""
     for part in range(24):
         await client(resolver, part)
-    depot.told(replace(member("c0"), state=MemberState.DRAINING))
+    depot.receive_list(replace(member("c0"), state=MemberState.DRAINING))
     return "c0", time.monotonic()
 
 
@@ -121,47 +127,47 @@
     return sum(at > told + GRACE_S for at in times)
 
 
-def test_a_drained_box_is_named_no_more_and_honest_resolvers_send_nothing_late() -> None:
-    async def scene(depot: Depot) -> None:
+def test_a_drained_cache_is_not_named_and_honest_resolvers_send_nothing_late() -> None:
+    async def scene(depot: DnsDirector) -> None:
         resolver = Resolver()
         box, told = await _drain(depot, resolver)
-        assert depot.asked[box]
+        assert depot.request_times[box]
         while time.monotonic() < told + GRACE_S + 0.2:
             await asyncio.gather(*(client(resolver, part) for part in range(24)))
-        assert not [at for at, address in resolver.named if at > told and address == BOXES[box][0]]
-        assert _late(depot.asked[box], told) == 0
+        assert not [at for at, address in resolver.named if at > told and address == CACHE_ADDRESSES[box][0]]
+        assert _late(depot.request_times[box], told) == 0
 
     play(scene)
 
 
-def test_what_a_resolver_keeps_too_long_reaches_a_drained_box_and_is_counted() -> None:
+def test_answers_cached_too_long_reach_a_drained_cache_and_are_counted() -> None:
     """What naming alone cannot prevent: every late request comes from a kept answer, none from a naming."""
 
-    async def scene(depot: Depot) -> None:
+    async def scene(depot: DnsDirector) -> None:
         resolver = Resolver(keeps_s=60.0)
         box, told = await _drain(depot, resolver)
-        kept = [part for part in range(24) if resolver.kept[NAME.format(part)][1] == BOXES[box][0]]
+        kept = [part for part in range(24) if resolver.kept[NAME.format(part)][1] == CACHE_ADDRESSES[box][0]]
         await asyncio.sleep(GRACE_S + 0.1)
-        before, resolver.stale = len(depot.asked[box]), 0
+        before, resolver.stale = len(depot.request_times[box]), 0
         for part in range(24):
             await client(resolver, part)
-        while len(depot.asked[box]) < before + len(kept):  # the box counts when it accepts
+        while len(depot.request_times[box]) < before + len(kept):  # the box counts when it accepts
             await asyncio.sleep(0.01)
-        assert resolver.stale == 24 and _late(depot.asked[box], told) == len(kept) > 0
-        assert not [at for at, address in resolver.named if at > told and address == BOXES[box][0]]
+        assert resolver.stale == 24 and _late(depot.request_times[box], told) == len(kept) > 0
+        assert not [at for at, address in resolver.named if at > told and address == CACHE_ADDRESSES[box][0]]
 
     play(scene)
 
 
-def test_a_box_that_comes_back_cold_is_named_within_its_budget() -> None:
+def test_a_restarted_cache_is_named_within_its_slow_start_budget() -> None:
     """Namings are charged to the cold budget: a flood of names does not all go to the empty box."""
 
-    async def scene(depot: Depot) -> None:
-        depot.told(replace(member("c0"), started_at_us=depot.core.now()))
+    async def scene(depot: DnsDirector) -> None:
+        depot.receive_list(replace(member("c0"), started_at_us=depot.core.now()))
         resolver = Resolver()
         for part in range(150):
             await client(resolver, part)
-        cold = sum(address == BOXES["c0"][0] for _, address in resolver.named)
+        cold = sum(address == CACHE_ADDRESSES["c0"][0] for _, address in resolver.named)
         router = depot.core.router
         assert isinstance(router, Router)
         peer = router.peers["c0"]
@@ -184,7 +190,7 @@
     async def ask(message: dns.message.Message) -> dns.message.Message:
         return await dns.asyncquery.udp(message, DNS[0], 10, DNS[1])
 
-    async def scene(_: Depot) -> None:
+    async def scene(_: DnsDirector) -> None:
         key = dns.tsigkeyring.from_text({"update.depot.test.": "b255eHdpY2stdGVzdC1rZXk="})
         change = dns.update.UpdateMessage("depot.test.", keyring=key)
         change.absent("new")
@@ -206,22 +212,22 @@
     play(scene)
 
 
-def test_names_go_through_cells_too() -> None:
+def test_names_are_routed_through_cells() -> None:
     """A tenant's names lead to its own cell's boxes, at any load, and leave nothing open behind them."""
     plan = CellPlan(
         {"a": Cell("a", ("c0",)), "b": Cell("b", ("c1", "c2"))}, {"depot": TenantSpec("depot", cells=("a",))}
     )
 
-    async def scene(depot: Depot) -> None:
+    async def scene(depot: DnsDirector) -> None:
         resolver = Resolver()
         for part in range(40):
             await client(resolver, part)
-        assert {address for _, address in resolver.named} == {BOXES["c0"][0]}
+        assert {address for _, address in resolver.named} == {CACHE_ADDRESSES["c0"][0]}
         cells = depot.core.router
         assert isinstance(cells, CellRouter)
         assert not cells.requests and cells.units["a"].open == 0
 
     async def main() -> None:
-        await Depot(lambda s, seed, now: CellRouter(s, seed, now, plan, 400)).run(scene)
+        await DnsDirector(lambda s, seed, now: CellRouter(s, seed, now, plan, 400)).run(scene)
 
     asyncio.run(main())
--- a/tests/test_http.py
+++ b/tests/test_http_server.py
@@ -1,4 +1,4 @@
-"""The small HTTP server beside the main protocol: callers that never finish a call hold no place for long."""
+"""The small HTTP server: callers that never finish a call hold no connection for long."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
         return got
 
 
-def test_a_newcomer_displaces_the_oldest_silent_caller_and_one_call_ends_its_connection() -> None:
+def test_a_new_caller_displaces_the_oldest_idle_one_and_one_call_ends_its_connection() -> None:
     async def play() -> tuple[bytes, bytes, bytes]:
         counters = Counters()
         server = HttpServer(
@@ -74,7 +74,7 @@
         return super().accept()
 
 
-def test_connections_that_ended_before_they_were_accepted_hold_up_no_caller() -> None:
+def test_connections_that_ended_before_they_were_accepted_delay_no_caller() -> None:
     """A caller of the door waits a second; 40 pauses of 50 ms would be two."""
 
     async def play() -> float:
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -64,7 +64,7 @@
 # ---- the machine ----------------------------------------------------------------------------------------
 
 
-def test_only_legal_steps_are_possible() -> None:
+def test_only_legal_transitions_are_possible() -> None:
     for phase in RecoveryPhase:
         for to in RecoveryPhase:
             recovery = Recovery(0, S)
@@ -74,7 +74,7 @@
                     recovery._transition(to, 1)
 
 
-def test_until_the_feed_is_heard_the_stricter_word_wins_and_then_the_coordinators() -> None:
+def test_until_the_feed_is_received_the_stricter_state_holds_and_then_the_coordinators() -> None:
     recovery = _recovered(
         [MemberDrain("c0", DrainSource.COORDINATOR, 0), MemberDrain("c1", DrainSource.OPERATOR, 0)]
     )
@@ -90,7 +90,7 @@
     assert recovery.with_drains(event) is event
 
 
-def test_another_process_under_a_drained_name_is_not_drained_by_the_coordinators_word() -> None:
+def test_another_process_under_a_drained_name_is_not_drained_by_the_coordinator() -> None:
     recovery = _recovered(
         [MemberDrain("c0", DrainSource.COORDINATOR, 50 * S), MemberDrain("c1", DrainSource.OPERATOR, 50 * S)]
     )
@@ -100,14 +100,14 @@
     assert recovery.with_drains(gone).members[0].state is MemberState.REMOVED
 
 
-def test_a_feed_that_is_never_heard_keeps_the_drains_and_does_not_hold_the_service() -> None:
+def test_a_feed_that_is_never_received_keeps_the_drains_and_does_not_block_the_service() -> None:
     recovery = _recovered([MemberDrain("c0", DrainSource.COORDINATOR)])
     assert recovery.may_serve and not recovery.on_tick(109 * S)
     assert recovery.on_tick(111 * S) and recovery.phase is RecoveryPhase.SERVING
     assert recovery.is_drained(member("c0")) and "not heard" in recovery.reason
 
 
-def test_a_feed_heard_late_lifts_the_coordinators_drains_once_and_keeps_the_operators() -> None:
+def test_a_feed_received_late_lifts_the_coordinators_drains_once_and_keeps_the_operators() -> None:
     recovery = _recovered(
         [MemberDrain("c0", DrainSource.COORDINATOR), MemberDrain("c1", DrainSource.OPERATOR)], reached=5
     )
@@ -118,13 +118,13 @@
     assert not recovery.on_feed_number(114 * S, 6)  # nothing more to lift
 
 
-def test_purges_that_may_not_be_done_are_told_again_and_bookings_are_not_sent_again() -> None:
+def test_purges_that_may_not_be_carried_out_are_replayed_and_intents_are_not_sent_again() -> None:
     recovery = _recovered([])
     assert recovery.purges_to_replay(101 * S) == [ObjectsPurged(1, None, 3 * S)]
     assert not recovery.may_send("b1") and recovery.may_send("b2")
 
 
-def test_directors_that_start_together_do_not_call_together() -> None:
+def test_directors_that_start_together_do_not_connect_together() -> None:
     """At 3 and at 40: the calls of the first 100 ms, and the limits that all allow themselves."""
     for directors, most in ((3, 3), (40, 8)):
         backs = [ReconnectBackoff(n * 7919, 0, BackoffPolicy(), directors) for n in range(directors)]
@@ -145,11 +145,11 @@
 # ---- rows -----------------------------------------------------------------------------------------------
 
 
-def _durable(files: FaultyFiles, bookings: bool = False) -> DurableState:
+def open_state(files: FaultyFiles, bookings: bool = False) -> DurableState:
     return DurableState(files, SecretCipher([KEY]), b"installation-one", 100 * S, 6 * S, bookings)
 
 
-def test_keys_rotate_and_a_wrong_key_is_refused(tmp_path: Path) -> None:
+def test_keys_rotate_and_a_wrong_key_is_rejected(tmp_path: Path) -> None:
     old, new = generate_key(), generate_key()
     sealed = SecretCipher([old]).encrypt(b"secret")
     both = SecretCipher([new, old])
@@ -166,7 +166,7 @@
             read_key_file(tmp_path / "keys")
 
 
-def test_a_row_of_a_newer_schema_is_refused() -> None:
+def test_a_row_of_a_newer_schema_is_rejected() -> None:
     from onyxwick.store.row_schema import encode_row, unpack_row
 
     with pytest.raises(StoreUnusableError, match="schema 9, newer"):
@@ -178,19 +178,19 @@
 # ---- the API --------------------------------------------------------------------------------------------
 
 
-class Nothing:
+class ImmediateTransport:
     async def run(self, order: AttemptSpec) -> AttemptOutcome:
         return AttemptOutcome(AttemptStatus.OK, AnswerDetail.HIT)
 
 
-class Depot:
+class DirectorWithStore:
     """A core, the API and a store, over files that outlive it."""
 
     def __init__(self, files: FaultyFiles, bookings: bool = False) -> None:
         self.files = files
-        self.durable = _durable(files, bookings)
+        self.durable = open_state(files, bookings)
         self.durable.start()
-        self.core = RequestEngine(SETTINGS, 7, Nothing(), EndpointTable(), Counters())
+        self.core = RequestEngine(SETTINGS, 7, ImmediateTransport(), EndpointTable(), Counters())
         self.core.context.durable = self.durable
         self.tenants = Tenants()
         self.durable.load_tenants(self.tenants)
@@ -213,7 +213,7 @@
 
 def test_what_the_api_acknowledged_is_there_after_a_restart() -> None:
     async def play() -> None:
-        depot = Depot(FaultyFiles())
+        depot = DirectorWithStore(FaultyFiles())
         assert (await depot.call("POST", "/tenants", {"name": "yard", "quota_per_s": 5, "token": "t" * 16}))[
             0
         ] == 201
@@ -227,7 +227,7 @@
         assert (await depot.call("DELETE", "/tenants/gone"))[0] == 204
         assert not depot.core.endpoints.is_ready("c1") and depot.core.endpoints.is_ready("c0")
         assert b"onyxwick-test-key" not in b"".join(depot.files.read(n) for n in depot.files.names())
-        again = Depot(depot.files.after_crash(random.Random(1)))
+        again = DirectorWithStore(depot.files.after_crash(random.Random(1)))
         tenant = again.tenants.tenants["yard"]
         assert set(again.tenants.tenants) == {"yard"} and tenant.quota.per_s == 5 and tenant.token == "t" * 16
         assert [z.data.get_soa().serial for z in tenant.zones.values()] == [7]
@@ -239,11 +239,11 @@
     asyncio.run(play())
 
 
-def test_the_same_call_is_done_once_and_tells_its_first_outcome_again() -> None:
+def test_an_idempotent_call_is_done_once_and_repeats_its_first_outcome() -> None:
     async def play() -> None:
-        depot = Depot(FaultyFiles())
+        depot = DirectorWithStore(FaultyFiles())
         first = await depot.call("POST", "/tenants", {"name": "yard"}, key="k1")
-        again = Depot(depot.files.after_crash(random.Random(2)))
+        again = DirectorWithStore(depot.files.after_crash(random.Random(2)))
         assert await again.call("POST", "/tenants", {"name": "yard"}, key="k1") == first and first[0] == 201
         assert (await again.call("POST", "/tenants", {"name": "yard"}, key="k2"))[0] == 409
         assert (await again.call("POST", "/tenants", {"name": "other"}, key="k1"))[0] == 409
@@ -252,12 +252,12 @@
     asyncio.run(play())
 
 
-def test_what_cannot_be_made_durable_is_not_done() -> None:
+def test_a_change_that_cannot_be_made_durable_is_rolled_back() -> None:
     async def play() -> None:
-        depot = Depot(FaultyFiles())
+        depot = DirectorWithStore(FaultyFiles())
         await depot.call("POST", "/tenants", {"name": "yard", "quota_per_s": 5})
         await depot.call("PUT", "/tenants/yard/zones/yard.test.", {"text": ZONE.format(1)})
-        depot.files.fail.add("sync")
+        depot.files.failing_calls.add("sync")
         for method, path, data in (
             ("PATCH", "/tenants/yard", {"quota_per_s": 9}),
             ("PUT", "/tenants/yard/zones/yard.test.", {"text": ZONE.format(2)}),
@@ -277,25 +277,25 @@
 
 @pytest.mark.parametrize("seed", range(12))
 def test_power_lost_in_the_middle_of_calls_leaves_each_done_or_not(seed: int) -> None:
-    from tests.faulty_files import Crash
+    from tests.faulty_files import PowerLoss
 
     async def play() -> None:
         rng, files = random.Random(seed), FaultyFiles()
-        depot, acknowledged = Depot(files), set[str]()
-        files.crash_at = files.calls + rng.randrange(2, 40)
+        depot, acknowledged = DirectorWithStore(files), set[str]()
+        files.crash_at_call = files.calls + rng.randrange(2, 40)
         trying = ""
         try:
             for n in range(20):
                 trying = f"t{n}"
                 task = depot.call("POST", "/tenants", {"name": trying, "token": f"token-of-tenant-{n:03d}"})
                 done = await asyncio.wait_for(task, 5)
-                if done[0] == 503 and files.calls >= files.crash_at:
+                if done[0] == 503 and files.calls >= files.crash_at_call:
                     break  # the power went in the call: it is refused, and nothing after it is acknowledged
                 assert done[0] == 201
                 acknowledged.add(trying)
-        except (Crash, TimeoutError, StoreFailedError, StoreFullError):
+        except (PowerLoss, TimeoutError, StoreFailedError, StoreFullError):
             pass
-        again = Depot(files.after_crash(rng))
+        again = DirectorWithStore(files.after_crash(rng))
         found = set(again.tenants.tenants)
         assert acknowledged <= found <= acknowledged | {trying}
         assert all(t.token for t in again.tenants.tenants.values()), "whole, with its token"
@@ -303,17 +303,17 @@
     asyncio.run(play())
 
 
-def test_a_second_kill_before_the_feed_is_heard_forgets_no_drain() -> None:
+def test_a_second_kill_before_the_feed_is_received_loses_no_drain() -> None:
     """The list of a start is old: it must neither lift what is recorded nor put the feed's number back."""
 
     async def play() -> None:
-        depot = Depot(FaultyFiles())
+        depot = DirectorWithStore(FaultyFiles())
         depot.core.feed.record_feed_index(9)
         drained = EndpointsChanged(EndpointListKind.CHANGE, (replace(CACHES[0], state=MemberState.DRAINING),))
         depot.core.feed.apply_endpoints(drained, ADDRESSES)
         await asyncio.gather(*depot.durable.background_commits)
         for seed in range(3):  # each time up with the old list, in which all are ready, and killed again
-            depot = Depot(depot.files.after_crash(random.Random(seed)))
+            depot = DirectorWithStore(depot.files.after_crash(random.Random(seed)))
             depot.core.feed.record_feed_index(1)
             await asyncio.gather(*depot.durable.background_commits)
             assert depot.durable.recovery.last_feed_number == 9
@@ -329,17 +329,17 @@
 # ---- bookings -------------------------------------------------------------------------------------------
 
 
-def test_a_bookings_intent_is_durable_before_it_is_sent_and_it_is_never_sent_again() -> None:
+def test_a_write_ahead_intent_is_durable_before_its_request_is_sent_and_it_is_never_sent_again() -> None:
     sent: list[str] = []
 
     async def play() -> None:
         files = FaultyFiles()
-        depot = Depot(files, bookings=True)
+        depot = DirectorWithStore(files, bookings=True)
 
         class Origin:
             async def run(self, order: AttemptSpec) -> AttemptOutcome:
                 kept = files.after_crash(random.Random(1))
-                intents = [k for k in _durable(kept).engine.keys("booking/")]
+                intents = [k for k in open_state(kept).engine.keys("booking/")]
                 assert intents == [f"booking/{order.request.request_id}"], "durable before the first byte"
                 sent.append(order.request.request_id)
                 return AttemptOutcome(AttemptStatus.OK, body=b"done")
@@ -350,12 +350,12 @@
         await depot.core.serve(request, answers.append)
         assert [a.status for a in answers] == [AnswerStatus.SERVED] and sent == ["b" * 16]
         await depot.durable.close()
-        assert not list(_durable(files.copy()).engine.keys("booking/")), "ended, so forgotten"
+        assert not list(open_state(files.copy()).engine.keys("booking/")), "ended, so forgotten"
 
         open_ = FaultyFiles()
-        before = Depot(open_, bookings=True)
+        before = DirectorWithStore(open_, bookings=True)
         await before.durable.record_intent("c" * 16, 1)
-        again = Depot(open_.after_crash(random.Random(3)), bookings=True)
+        again = DirectorWithStore(open_.after_crash(random.Random(3)), bookings=True)
         answers.clear()
         twice = ClientRequest("c" * 16, "save", "0" * 16, 0, None, again.core.now(), 3 * S)
         await again.core.serve(twice, answers.append)
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -52,7 +52,7 @@
 from onyxwick.trace.table import Strings
 from tests.exchange import ROOT
 from tests.faulty_files import FaultyFiles
-from tests.test_recovery import Nothing, _durable
+from tests.test_recovery import ImmediateTransport, open_state
 from tests.world import SETTINGS, S
 
 LOSS = ROOT / "examples" / "lab" / "faults" / "site-loss.hcl"
@@ -354,10 +354,10 @@
         files, orders = FaultyFiles(), []
         for start in range(2):
             decider = _decider()
-            durable = _durable(files)
+            durable = open_state(files)
             durable.start()
             orders.append([of_row(row) for row in durable.site_command_rows()])
-            core = RequestEngine(SETTINGS, 7, Nothing(), EndpointTable(), Counters())
+            core = RequestEngine(SETTINGS, 7, ImmediateTransport(), EndpointTable(), Counters())
             sites = SitesApi(decider, lambda: 1_002 * S, lambda: None)
             api = AdminApi(Tenants(), Counters(), "operator-token-1", dict, {"sites": sites})
             body = json.dumps({"word": "evacuate", "reason": "flood"}).encode()
@@ -390,7 +390,7 @@
         core = RequestEngine(
             SETTINGS,
             7,
-            Nothing(),
+            ImmediateTransport(),
             EndpointTable(),
             Counters(),
             lambda: 1_002 * S,
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The store under crashes: every cut, every flip, every call, any order; and what was planted is caught."""
+"""The store under crashes: every truncation, bit flip, call and order of writes; planted bugs are caught."""
 
 from __future__ import annotations
 
@@ -24,47 +24,47 @@
 )
 from onyxwick.store import records as r
 from onyxwick.store.files import DiskFiles
-from tests.faulty_files import Crash, FaultyFiles
+from tests.faulty_files import FaultyFiles, PowerLoss
 
 SMALL = StoreLimits(segment_bytes=700, log_bytes=2000, total_bytes=1 << 20)
 State = dict[str, bytes]
 
 
-def put(key: str, value: bytes | None, version: int = -1) -> Transaction:
+def put_one(key: str, value: bytes | None, version: int = -1) -> Transaction:
     return Transaction((WriteOperation(key, value, version),), "test", 1)
 
 
-def content(engine: StoreEngine) -> State:
+def rows_of(engine: StoreEngine) -> State:
     return dict(engine.scan())
 
 
-def filled(files: FaultyFiles, count: int = 30, compact_at: int = -1) -> list[State]:
+def fill_store(files: FaultyFiles, count: int = 30, compact_at: int = -1) -> list[State]:
     """A store with some changes; its content after each of them."""
     engine = StoreEngine(files, SMALL)
-    states = [content(engine)]
+    states = [rows_of(engine)]
     for n in range(count):
         ops = [
             WriteOperation(f"key-{n % 7}", b"v%d" % n * 3),
             WriteOperation(f"other-{n % 3}", None if n % 5 == 4 else b"x%d" % n),
         ]
         engine.commit(Transaction(tuple(ops), "test", n))
-        states.append(content(engine))
+        states.append(rows_of(engine))
         if n == compact_at:
             engine.compact()
     engine.close()
     return states
 
 
-# ---- what it does ---------------------------------------------------------------------------------------
+# ---- transactions and snapshots -------------------------------------------------------------------------
 
 
-def test_transactions_are_whole_and_versions_guard_them() -> None:
+def test_transactions_are_atomic_and_check_versions() -> None:
     engine = StoreEngine(FaultyFiles())
-    engine.commit(put("a", b"1", 0))
+    engine.commit(put_one("a", b"1", 0))
     with pytest.raises(VersionConflictError, match="'b' has version 0, not 3"):
         engine.commit(Transaction((WriteOperation("a", b"2", 1), WriteOperation("b", b"1", 3))))
-    assert content(engine) == {"a": b"1"} and engine.version("a") == 1
-    batch, errors = engine.prepare([put("a", b"2", 1), put("a", b"3", 1), put("a", b"4", 2)])
+    assert rows_of(engine) == {"a": b"1"} and engine.version("a") == 1
+    batch, errors = engine.prepare([put_one("a", b"2", 1), put_one("a", b"3", 1), put_one("a", b"4", 2)])
     assert [type(e) for e in errors] == [type(None), VersionConflictError, type(None)], (
         "one batch, each by itself"
     )
@@ -75,14 +75,14 @@
         engine.commit(Transaction((WriteOperation("a", b"1"), WriteOperation("a", b"2"))))
 
 
-def test_snapshots_hold_while_writers_go_on() -> None:
+def test_snapshots_are_unchanged_by_later_commits() -> None:
     engine = StoreEngine(FaultyFiles(), SMALL)
     for n in range(10):
-        engine.commit(put(f"k{n}", b"old"))
+        engine.commit(put_one(f"k{n}", b"old"))
     with engine.snapshot() as view, engine.snapshot() as again:
         for n in range(0, 10, 2):
-            engine.commit(put(f"k{n}", None if n % 4 else b"new"))
-        engine.commit(put("k99", b"new"))
+            engine.commit(put_one(f"k{n}", None if n % 4 else b"new"))
+        engine.commit(put_one("k99", b"new"))
         engine.compact()
         assert dict(view.scan("k")) == dict(again.scan("k")) == {f"k{n}": b"old" for n in range(10)}
         with engine.snapshot() as later:
@@ -91,48 +91,48 @@
     assert [k for k, _ in engine.scan("k9")] == ["k9", "k99"]
 
 
-def test_a_bound_on_size_refuses_growth_and_allows_deletion() -> None:
+def test_the_size_limit_rejects_growth_and_allows_deletion() -> None:
     engine = StoreEngine(FaultyFiles(), StoreLimits(segment_bytes=500, log_bytes=1000, total_bytes=3000))
     with pytest.raises(StoreFullError, match=r"of 3000"):
         for n in range(100):
-            engine.commit(put(f"k{n}", bytes(100)))
+            engine.commit(put_one(f"k{n}", bytes(100)))
     for n in range(12):
-        engine.commit(put(f"k{n}", None))
+        engine.commit(put_one(f"k{n}", None))
     assert engine.compact() and engine.total_bytes() < 2500
-    engine.commit(put("again", bytes(100)))
+    engine.commit(put_one("again", bytes(100)))
 
 
-def test_another_process_and_another_installation_are_kept_out(tmp_path: Path) -> None:
+def test_another_process_and_another_installation_are_rejected(tmp_path: Path) -> None:
     engine = StoreEngine(DiskFiles(tmp_path), expected_store_id=b"installation-one")
-    engine.commit(put("a", b"1"))
+    engine.commit(put_one("a", b"1"))
     with pytest.raises(StoreBusyError):
         StoreEngine(DiskFiles(tmp_path))
     engine.close()
     with pytest.raises(StoreUnusableError, match="another installation"):
         StoreEngine(DiskFiles(tmp_path), expected_store_id=b"installation-two")
     again = StoreEngine(DiskFiles(tmp_path), expected_store_id=b"installation-one")
-    assert content(again) == {"a": b"1"}
+    assert rows_of(again) == {"a": b"1"}
     again.compact()
     again.close()
-    assert content(StoreEngine(DiskFiles(tmp_path))) == {"a": b"1"}
+    assert rows_of(StoreEngine(DiskFiles(tmp_path))) == {"a": b"1"}
 
 
-# ---- cuts and flips -------------------------------------------------------------------------------------
+# ---- truncated files and flipped bits -------------------------------------------------------------------
 
 
 def _opened(files: FaultyFiles) -> State | None:
-    """The content, or None where the store refuses. Nothing else may come of it."""
+    """The rows, or None where the store refuses to open; any other error fails the test."""
     try:
-        return content(StoreEngine(files, SMALL))
+        return rows_of(StoreEngine(files, SMALL))
     except StoreUnusableError as error:
-        assert len(str(error)) > 20, "it says what may be lost"
+        assert len(str(error)) > 20, "the message says what may be lost"
         return None
 
 
 @pytest.mark.parametrize("compact_at", [-1, 17])
-def test_files_cut_at_every_byte_forget_nothing_in_silence(compact_at: int) -> None:
+def test_files_truncated_at_every_byte_lose_nothing_unnoticed(compact_at: int) -> None:
     files = FaultyFiles()
-    last = filled(files, compact_at=compact_at)[-1]
+    last = fill_store(files, compact_at=compact_at)[-1]
     tried = refused = 0
     for name in files.names():
         for size in range(len(files.read(name))):
@@ -148,9 +148,9 @@
 
 
 @pytest.mark.parametrize("compact_at", [-1, 17])
-def test_a_flipped_bit_at_every_byte_forgets_nothing_in_silence(compact_at: int) -> None:
+def test_a_flipped_bit_at_every_byte_loses_nothing_unnoticed(compact_at: int) -> None:
     files = FaultyFiles()
-    last, tried, rng = filled(files, 20, compact_at)[-1], 0, random.Random(3)
+    last, tried, rng = fill_store(files, 20, compact_at)[-1], 0, random.Random(3)
     for name in files.names():
         for at in range(len(files.read(name))):
             flipped = files.copy()
@@ -164,42 +164,42 @@
 
 
 def _run(files: FaultyFiles, acknowledged: list[State], ignored: str = "") -> None:
-    """Some work with a compaction in the middle; `acknowledged` grows with what was promised, and its last
-    one is what is being attempted."""
+    """Some work with a compaction in the middle; `acknowledged` grows with each acknowledged
+    state, and its last one is what is being attempted."""
     if ignored:
-        files.ignored.add(ignored)
+        files.ignored_calls.add(ignored)
     engine = StoreEngine(files, SMALL)
     state: State = {}
     for n in range(14):
         new = state | {f"k{n % 5}": b"value %d" % n * 20}
         acknowledged.append(new)
-        engine.commit(put(f"k{n % 5}", new[f"k{n % 5}"]))
+        engine.commit(put_one(f"k{n % 5}", new[f"k{n % 5}"]))
         state = new
         acknowledged.append(state)
         if n == 8:
             while not engine.compact(lambda: False):
                 state = state | {"during": b"compaction"}
                 acknowledged.append(state)
-                engine.commit(put("during", b"compaction"))
+                engine.commit(put_one("during", b"compaction"))
                 acknowledged.append(state)
     engine.close()
 
 
 def _survives(files: FaultyFiles, rng: random.Random, before: list[State]) -> bool:
-    """After a crash: the last that was acknowledged is there, or what was being attempted is, whole."""
-    found = content(StoreEngine(files.after_crash(rng), SMALL))
+    """After a crash: the last acknowledged state is found, or all of what was being attempted."""
+    found = rows_of(StoreEngine(files.after_crash(rng), SMALL))
     return found in (before[-2:] if len(before) > 1 else [{}, *before])
 
 
-def test_a_crash_at_every_call_with_writes_in_any_order_loses_nothing_that_was_acknowledged() -> None:
+def test_a_crash_at_every_call_with_writes_in_any_order_loses_nothing_acknowledged() -> None:
     whole = FaultyFiles()
     _run(whole, [])
     tried = 0
     for at in range(1, whole.calls + 1):
         for seed in range(12):
             files, before = FaultyFiles(), list[State]()
-            files.crash_at = at
-            with pytest.raises(Crash):
+            files.crash_at_call = at
+            with pytest.raises(PowerLoss):
                 _run(files, before)
             assert _survives(files, random.Random(seed), before or [{}]), (at, seed, files.log[-1])
             tried += 1
@@ -214,8 +214,8 @@
     caught = 0
     for at in range(1, whole.calls + 1):
         files, before = FaultyFiles(), list[State]()
-        files.crash_at = at
-        with pytest.raises(Crash):
+        files.crash_at_call = at
+        with pytest.raises(PowerLoss):
             _run(files, before, bug)
         try:
             caught += not _survives(files, random.Random(at), before or [{}])
@@ -229,32 +229,32 @@
 
     monkeypatch.setattr(r, "_record_checksum", lambda number, payload: crc32c.crc32c(payload[:16]))
     files = FaultyFiles()
-    last = filled(files, 12)[-1]
+    last = fill_store(files, 12)[-1]
     found = []
     for name in [n for n in files.names() if n.startswith("log-")]:
         for at in range(len(files.read(name))):
             flipped = files.copy()
             flipped.entries[name].now[at] ^= 1
             try:
-                found.append(content(StoreEngine(flipped, SMALL)))
+                found.append(rows_of(StoreEngine(flipped, SMALL)))
             except StoreUnusableError:
                 continue
     assert any(state != last for state in found)
 
 
-def test_crashes_while_recovering_and_again_lose_nothing() -> None:
+def test_repeated_crashes_during_recovery_lose_nothing() -> None:
     for seed in range(60):
         rng = random.Random(seed)
         files, before = FaultyFiles(), list[State]()
-        files.crash_at = rng.randrange(5, 70)
-        with pytest.raises(Crash):
+        files.crash_at_call = rng.randrange(5, 70)
+        with pytest.raises(PowerLoss):
             _run(files, before)
         for _ in range(3):
             files = files.after_crash(rng)
-            files.crash_at = rng.randrange(1, 4)
+            files.crash_at_call = rng.randrange(1, 4)
             try:
                 StoreEngine(files, SMALL)
-            except Crash:
+            except PowerLoss:
                 continue
         assert _survives(files, rng, before or [{}]), seed
 
@@ -266,34 +266,34 @@
 def test_after_a_failed_call_nothing_more_is_acknowledged(call: str) -> None:
     files = FaultyFiles()
     engine = StoreEngine(files, SMALL)
-    engine.commit(put("a", b"1"))
-    files.fail.add(call)
+    engine.commit(put_one("a", b"1"))
+    files.failing_calls.add(call)
     with pytest.raises(StoreFailedError):
-        engine.commit(put("a", b"2"))
-    files.fail.clear()
+        engine.commit(put_one("a", b"2"))
+    files.failing_calls.clear()
     with pytest.raises(StoreFailedError, match="open the store anew"):
-        engine.commit(put("a", b"3"))
+        engine.commit(put_one("a", b"3"))
     with pytest.raises(StoreFailedError):
         engine.compact()
     assert engine.get("a") == b"1", "readers see what was acknowledged"
     files.close()
-    assert content(StoreEngine(files, SMALL))["a"] in (b"1", b"2")
+    assert rows_of(StoreEngine(files, SMALL))["a"] in (b"1", b"2")
 
 
-def test_a_full_disk_and_a_short_write_lose_nothing() -> None:
+def test_a_full_disk_and_a_partial_write_lose_nothing() -> None:
     for room in range(300, 2500, 37):
         files, done, tried = FaultyFiles(), State(), State()
-        files.room = room
+        files.free_bytes = room
         try:
             engine = StoreEngine(files, SMALL)
             for n in range(50):
                 tried = {f"k{n % 4}": b"%d" % n * 9}
-                engine.commit(put(*next(iter(tried.items()))))
+                engine.commit(put_one(*next(iter(tried.items()))))
                 done |= tried
         except (StoreFailedError, OSError):
             pass
         files.close()
-        found = content(StoreEngine(files.after_crash(random.Random(room)), SMALL))
+        found = rows_of(StoreEngine(files.after_crash(random.Random(room)), SMALL))
         # All that was acknowledged, and of what was being attempted all or nothing.
         assert found in (done, done | tried), room
 
@@ -301,8 +301,8 @@
 # ---- against a model ------------------------------------------------------------------------------------
 
 
-class Machine(RuleBasedStateMachine):
-    """A dictionary is the model; a crash may or may not bring what was never acknowledged."""
+class StoreAgainstModel(RuleBasedStateMachine):
+    """A dictionary is the model; after a crash what was never acknowledged may be found or not."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -311,7 +311,7 @@
 
     @rule(key=st.sampled_from("abcde"), value=st.one_of(st.none(), st.binary(max_size=200)))
     def change(self, key: str, value: bytes | None) -> None:
-        self.engine.commit(put(key, value))
+        self.engine.commit(put_one(key, value))
         if value is None:
             self.model.pop(key, None)
         else:
@@ -334,34 +334,34 @@
     @precondition(lambda self: not self.engine.failure)
     @rule(call=st.integers(1, 3), key=st.sampled_from("abcde"), seed=st.integers(0, 1 << 30))
     def lose_power_in_a_commit(self, call: int, key: str, seed: int) -> None:
-        self.files.crash_at = self.files.calls + call
+        self.files.crash_at_call = self.files.calls + call
         try:
-            self.engine.commit(put(key, b"torn"))
+            self.engine.commit(put_one(key, b"torn"))
             self.model[key] = b"torn"
-            self.files.crash_at = -1
-        except Crash:
+            self.files.crash_at_call = -1
+        except PowerLoss:
             self.files = self.files.after_crash(random.Random(seed))
             self.engine = StoreEngine(self.files, SMALL)
-            if content(self.engine) == self.model | {key: b"torn"}:
+            if rows_of(self.engine) == self.model | {key: b"torn"}:
                 self.model[key] = b"torn"
 
     @invariant()
     def same(self) -> None:
-        assert content(self.engine) == self.model
+        assert rows_of(self.engine) == self.model
 
 
-Machine.TestCase.settings = settings(
+StoreAgainstModel.TestCase.settings = settings(
     max_examples=60,
     stateful_step_count=25,
     deadline=None,
     derandomize=True,
     suppress_health_check=list(HealthCheck),
 )
-TestMachine = Machine.TestCase
+TestMachine = StoreAgainstModel.TestCase
 
 
-def test_an_error_of_the_stores_own_fails_its_callers_and_all_later_ones(tmp_path: Path) -> None:
-    """No caller waits for ever: a commit that meets an error that is not the disk's is told Failed."""
+def test_an_internal_error_fails_its_callers_and_all_later_ones(tmp_path: Path) -> None:
+    """No caller waits for ever: a commit that meets an error that is not the disk's fails too."""
     import asyncio
 
     from onyxwick.store.committer import Committer
@@ -378,14 +378,14 @@
 
     async def play() -> list[str]:
         committer = Committer(engine)
-        told = []
+        results = []
         for n in range(2):
             try:
-                await asyncio.wait_for(committer.commit(put(f"k{n}", b"v")), 5)
-                told.append("done")
+                await asyncio.wait_for(committer.commit(put_one(f"k{n}", b"v")), 5)
+                results.append("done")
             except StoreFailedError as error:
-                told.append(str(error).split(" (")[0])
+                results.append(str(error).split(" (")[0])
         await asyncio.wait_for(committer.close(), 5)
-        return told
+        return results
 
     assert asyncio.run(play()) == ["an error of the store's own", "an error of the store's own"]
