--- a/onyxwick/dns/query_handler.py
+++ b/onyxwick/dns/query_handler.py
@@ -55,7 +55,7 @@
         except Exception:
             # A fault in one query must not end the front: the client is told that the server failed.
             self.counters.add("error.dns")
-            log.exception("error in a DNS query")
+            log.exception("internal error in a DNS query")
             send(messages.error_response(wire, dns.rcode.SERVFAIL))
 
     def count_bad_input(self, detail: str) -> None:
--- a/onyxwick/store/committer.py
+++ b/onyxwick/store/committer.py
@@ -106,7 +106,7 @@
         except Exception as error:
             # A fault of the store's own code: what reached the disk and the index is unknown, so that nothing
             # more may be acknowledged, as after an error of the disk.
-            log.exception("error in a commit")
+            log.exception("internal error in a commit")
             self.engine.failure = f"an error of the store's own ({error!r}); open the store anew"
             _resolve_all(commits, StoreFailedError(self.engine.failure))
             return
--- a/onyxwick/store/durable_state.py
+++ b/onyxwick/store/durable_state.py
@@ -162,7 +162,7 @@
             await self.commit(operations, author)
         except StoreError as error:
             self.failed_background_commits += 1
-            log.warning("not recorded", by=author, error=str(error))
+            log.warning("background commit failed", by=author, error=str(error))
 
     def _commit_in_background(self, operations: list[WriteOperation]) -> None:
         """The coordinator can send it again, so nobody waits for it."""
