--- a/onyxwick/lab/soak/process.py
+++ b/onyxwick/lab/soak/process.py
@@ -13,14 +13,14 @@
 from pathlib import Path
 from typing import Any
 
-from onyxwick.config.address import Address, written
+from onyxwick.config.address import Address, format_address
 from onyxwick.lab.faults.relay import LinkRelay
 from onyxwick.lab.feed import Feed
 from onyxwick.lab.machines import CoordinatorEmulator
 from onyxwick.lab.soak.model import SoakRecords, Termination
 from onyxwick.lab.soak.shim import Control
 from onyxwick.net import fastcgi
-from onyxwick.net.listening import BACKLOG
+from onyxwick.net.listening import ACCEPT_BACKLOG
 
 READY_S, END_S, PING_S = 10.0, 10.0, 1.0
 NOTABLE = ('"event":"invariant violated"', "Traceback", '"level":"critical"', "error in ")
@@ -121,7 +121,7 @@
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.bind(self.listen)
-        sock.listen(BACKLOG)
+        sock.listen(ACCEPT_BACKLOG)
         return sock
 
     @property
@@ -144,7 +144,10 @@
         """A process more, once it is ready; a late start is noted."""
         self.starts += 1
         environment = {**os.environ, **shim, "RELAY_CONFIG": str(self.config), "TMPDIR": str(self.folder)}
-        environment |= {"ONYXWICK_SERVICE": str(self.folder / "none"), "RELAY_ADMIN": written(self.admin)}
+        environment |= {
+            "ONYXWICK_SERVICE": str(self.folder / "none"),
+            "RELAY_ADMIN": format_address(self.admin),
+        }
         fd = None if self.held is None else self.held.fileno()
         if fd is not None:
             environment["RELAY_LISTEN_FD"] = str(fd)
@@ -221,7 +224,7 @@
 
 def _ping() -> bytes:
     begin = fastcgi.BEGIN_BODY.pack(fastcgi.RESPONDER, 0)
-    pairs = fastcgi.write_pairs({b"SCRIPT_NAME": b"/ping"})
+    pairs = fastcgi.encode_pairs({b"SCRIPT_NAME": b"/ping"})
     kind = fastcgi.RecordType
     records = ((kind.BEGIN, begin), (kind.PARAMS, pairs), (kind.PARAMS, b""), (kind.STDIN, b""))
-    return b"".join(fastcgi.record(k, 1, content) for k, content in records)
+    return b"".join(fastcgi.encode_record(k, 1, content) for k, content in records)
--- a/onyxwick/lifecycle.py
+++ b/onyxwick/lifecycle.py
@@ -16,7 +16,7 @@
 from onyxwick import logs
 from onyxwick.config import ConfigError
 from onyxwick.config import director as relay
-from onyxwick.config.address import written
+from onyxwick.config.address import format_address
 from onyxwick.config.director import DirectorConfig
 from onyxwick.config.errors import ConfigUnreadableError
 from onyxwick.core import RequestEngine
@@ -70,7 +70,7 @@
             self.counters,
             config.settings.limits.connect_timeout_us,
             config.settings.report_names,
-            most_links=config.most_links,
+            max_connections=config.max_cache_connections,
         )
         service = self.service
         self.core = RequestEngine(
@@ -79,12 +79,12 @@
             self.caches,
             self.members,
             self.counters,
-            most_open=config.most_open,
+            most_open=config.max_open_requests,
             decide=Router if service is None else service.decide,
         )
         routers = config.settings.router_count
         self.coordinator = CoordinatorFeed(self.core, self.counters, config.seed ^ FEED_DRAW, routers)
-        self.coordinator.move(config.coordinator)  # a reload while starting moves it on
+        self.coordinator.set_address(config.coordinator)  # a reload while starting moves it on
         if service is not None:
             service.attach(self.core, self.members, self.counters)
             service.pace(self.coordinator, self.caches)
@@ -92,15 +92,15 @@
             self.core,
             self.counters,
             self.is_ready,
-            config.most_clients,
-            config.most_held,
+            config.max_clients,
+            config.max_held_bytes,
             *(() if service is None else service.places()),
         )
         self.bridge = self._bridge()
 
     def _bridge(self) -> CommandExecutor | None:
         """The director's side of the operators' door, where the configuration gives one."""
-        if self.config.admin is None:
+        if self.config.operations_address is None:
             return None
         from onyxwick.operations.command_executor import CommandExecutor, persisted_commands
 
@@ -143,9 +143,9 @@
         if phase is not self.phase:  # not so where the start, or a turn with two drains in it, entered it
             self._enter(phase)
         if orders.drained:
-            self.front.begin_ending(drain_schedule(orders.drain_called_at or time.monotonic()))
+            self.front.begin_shutdown(drain_schedule(orders.drain_called_at or time.monotonic()))
         else:
-            self.front.resume()
+            self.front.cancel_shutdown()
 
     def _end(self) -> None:
         """SIGTERM. It may have come at any time in a stop of the process or a long turn of the loop."""
@@ -180,7 +180,7 @@
         try:
             told, service = relay.load(), read_service() if self.service else None
             if self.service is not None:
-                self.service.reload(service.plan if service else None)
+                self.service.reload(service.cell_plan if service else None)
         except ConfigUnreadableError as error:
             self.counters.add("reload.unreadable")
             log.warning("configuration not read yet", error=str(error), tries_left=tries)
@@ -193,8 +193,8 @@
             log.error("configuration kept as it was", error=str(error))
             return
         self.counters.add("reload.read")
-        log.info("configuration read again", coordinator=written(told.coordinator))
-        self.coordinator.move(told.coordinator)
+        log.info("configuration read again", coordinator=format_address(told.coordinator))
+        self.coordinator.set_address(told.coordinator)
 
     def print_counters(self) -> None:
         door = self.door_counters
@@ -219,13 +219,13 @@
             loop, side = asyncio.get_running_loop(), list[asyncio.Task[None]]()
             if self.service is not None:
                 side += self.service.start(self.health)
-            self.coordinator.known(self.config.known)
+            self.coordinator.load_configured(self.config.known_events)
             service, coordinator = self.service, self.coordinator
             side += [
                 loop.create_task(coordinator.follow() if service is None else service.follow(coordinator)),
                 self._keep("sweep.caches", self.caches.sweep),
                 self._keep("sweep.front", self.front.sweep),
-                self._keep("turns", self.front.watch_turns),
+                self._keep("turns", self.front.record_loop_ticks),
                 self._keep("collect", self._collect),
             ]
             gc.set_threshold(GC_EVERY, 20, 100)  # requests leave few cycles behind
@@ -236,7 +236,7 @@
             drained = self.bridge is not None and self.bridge.orders.drained
             self._enter(DirectorPhase.DRAINED if drained else DirectorPhase.SERVING)
             if self.bridge is not None and drained:
-                self.front.begin_ending(
+                self.front.begin_shutdown(
                     drain_schedule(self.bridge.orders.drain_called_at or time.monotonic())
                 )
             await self.leaving.wait()
@@ -282,7 +282,7 @@
         self, loop: asyncio.AbstractEventLoop, side: list[asyncio.Task[None]]
     ) -> OperationsServer | None:
         """The operators' door in its own thread; Unusable where its address cannot be listened on."""
-        bridge, address = self.bridge, self.config.admin
+        bridge, address = self.bridge, self.config.operations_address
         if bridge is None or address is None:
             return None
         from onyxwick.operations.server import OperationsServer
@@ -291,7 +291,7 @@
             bound = listening.listen(address)
         except OSError as error:
             raise StartupError(
-                f"the operators' door cannot listen on {written(address)}: {error.strerror}"
+                f"the operators' door cannot listen on {format_address(address)}: {error.strerror}"
             ) from None
         bridge.loop = loop
         door = OperationsServer(
@@ -347,14 +347,14 @@
         On a socket that the platform holds the successor takes new connections at once: none are taken here.
         """
         self._enter(DirectorPhase.DRAINING)
-        self.front.begin_ending(schedule)
+        self.front.begin_shutdown(schedule)
         await asyncio.sleep(max(0.0, schedule.accept_until - time.monotonic()))
         accepting.cancel()
         await asyncio.gather(accepting, return_exceptions=True)
         if not self.handed:
-            await self.front.accept_rest(sock, schedule.begins_at(ShutdownStage.GIVES_BACK))
+            await self.front.accept_remaining(sock, schedule.begins_at(ShutdownStage.GIVES_BACK))
             sock.close()
-        await self.front.finish(schedule)
+        await self.front.finish_shutdown(schedule)
 
 
 def _service(config: DirectorConfig, told: ServiceConfig | None) -> HostedService | None:
