--- a/tests/cells.py
+++ b/tests/cells.py
@@ -21,7 +21,7 @@
     RequestLimits,
     TimerFired,
 )
-from tests.world import ORIGIN, PARENTS, SETTINGS, S, member, sent
+from tests.world import ORIGIN, PARENTS, SETTINGS, S, forwards, member
 
 BOXES = tuple(member(f"b{n}") for n in range(8))
 LIMITS = RequestLimits(max_attempts=6, cancellation=True, retry_after=True, max_retry_after_us=500_000)
@@ -57,7 +57,7 @@
 
     def give(self, *events: Event) -> list[Action]:
         out = self.cells.handle(self.now, list(events))
-        for action in sent(out):
+        for action in forwards(out):
             number = self.flown.get(action.request_id, 0)
             self.flown[action.request_id] = number + 1
             self.open[(action.request_id, number)] = action.member
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -38,7 +38,7 @@
 from onyxwick.net.front import FastCgiFront
 from onyxwick.net.front_connection import FrontConnection
 from tests.cells import BOXES, SET, CellWorld, plan_of, refusals
-from tests.world import ORIGIN, PARENTS, S, sent
+from tests.world import ORIGIN, PARENTS, S, forwards
 
 WELL = CellHealthSignals(seats=4, ready=4, warmth=1.0, pressure=0.0, old_ready=4, open_old=0, open_new=0)
 MOVE = MigrationSpec("m", "t1", ("b",), warm_us=2 * S, bake_us=S)
@@ -52,7 +52,7 @@
     w = CellWorld()
     for tenant, cell in (("t1", "a"), ("t2", "b")) * 40:
         request = w.ask(tenant)
-        (attempt,) = sent(w.last)
+        (attempt,) = forwards(w.last)
         assert attempt.member in w.cells.roster.placement.members(cell)
         w.end(request)
     assert not w.cells.requests and not w.cells.admission.open_of and w.cells.admission.writes.open == 0
@@ -118,7 +118,7 @@
     assert len(w.cells.requests) < 400, "what is over the cell's bounds was refused"
     for _ in range(20):
         request = w.ask("t2", kind)
-        assert sent(w.last) and not refusals(w.last)
+        assert forwards(w.last) and not refusals(w.last)
         w.end(request)
     assert w.cells.units["a"].open <= w.cells.admission.pool.most("a")
 
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -69,7 +69,7 @@
 
 
 def test_a_cache_left_out_is_shown_draining_whatever_the_list_says_and_comes_back_cold() -> None:
-    told = member("c0", since=1 * S)
+    told = member("c0", started_at_us=1 * S)
     out = o.disable(o.OperatorCommands(), "c0", 5 * S)
     assert o.shown(told, out, 5 * S).state is MemberState.DRAINING
     assert o.shown(replace(told, state=MemberState.REMOVED), out, 5 * S).state is MemberState.REMOVED
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -88,7 +88,7 @@
 
 
 def _cold(c: Checked, late: int) -> None:
-    c.members(member("c0", since=NOW, weight=6.0))
+    c.members(member("c0", started_at_us=NOW, weight=6.0))
     rules = SETTINGS.rules
     allowed = rules.overload_multiple * rules.warm_up_start_share * 6.0 * rules.overload_window_us / 100_000
     for _ in range(int(budget(allowed)) + late):
--- a/tests/test_largest.py
+++ b/tests/test_largest.py
@@ -7,7 +7,7 @@
 import pytest
 
 from onyxwick.interface import Action, AnswerDetail, AttemptStatus, CancelAttempt, TimerFired
-from tests.world import SETTINGS, S, World, finals, sent
+from tests.world import SETTINGS, RouterHarness, S, final_answers, forwards
 
 QUICK_S, LONG_S, TURN_US = 0.25, 4.2, 20_000  # transfers; one request in ten is a long one
 
@@ -15,38 +15,52 @@
 def _shares(gap_s: float, routers: int, asked: int = 150) -> tuple[float, float]:
     """Answered share of the long ones and of the others, asked for every `gap_s` seconds."""
     limits = replace(SETTINGS.limits, hedging=True)
-    w = World(replace(SETTINGS, router_count=routers, zone_router_count=routers, limits=limits))
+    harness = RouterHarness(replace(SETTINGS, router_count=routers, zone_router_count=routers, limits=limits))
     under_way: dict[tuple[str, int], tuple[int, int, str]] = {}  # attempt: due, sent at, member
     long: dict[str, bool] = {}
     tries: dict[str, int] = {}
     answered: dict[str, bool] = {}
 
     def act(actions: list[Action]) -> None:
-        for action in sent(actions):
+        for action in forwards(actions):
             number = tries[action.request_id] = tries.get(action.request_id, -1) + 1
             took = LONG_S if long[action.request_id] else QUICK_S
-            under_way[action.request_id, number] = (w.now + int(took * S), w.now, action.member)
-        for final in finals(actions):
+            under_way[action.request_id, number] = (harness.now + int(took * S), harness.now, action.member)
+        for final in final_answers(actions):
             answered.setdefault(final.request_id, False)
         for cancel in [action for action in actions if isinstance(action, CancelAttempt)]:
             _, _, member = under_way.pop((cancel.request_id, cancel.attempt_index), (0, 0, ""))
             if member:
-                act(w.end(AttemptStatus.CANCELLED, cancel.request_id, cancel.attempt_index, member))
+                act(
+                    harness.end_attempt(
+                        AttemptStatus.CANCELLED, cancel.request_id, cancel.attempt_index, member
+                    )
+                )
 
-    following = w.now
+    following = harness.now
     while len(long) < asked or under_way:
-        w.now += TURN_US
-        act(w.give(TimerFired("due")))
+        harness.now += TURN_US
+        act(harness.handle(TimerFired("due")))
         for (request, number), (due, begun, member) in list(under_way.items()):
-            if due <= w.now and (request, number) in under_way:
+            if due <= harness.now and (request, number) in under_way:
                 del under_way[request, number]
                 answered.setdefault(request, True)
-                detail, took = AnswerDetail.HIT, w.now - begun
-                act(w.end(AttemptStatus.OK, request, number, member, latency=took, detail=detail))
-        if w.now >= following and len(long) < asked:
+                detail, took = AnswerDetail.HIT, harness.now - begun
+                act(
+                    harness.end_attempt(
+                        AttemptStatus.OK, request, number, member, latency_us=took, detail=detail
+                    )
+                )
+        if harness.now >= following and len(long) < asked:
             following += int(gap_s * S)
-            long[f"r{w.asked + 1}"] = len(long) % 10 == 9
-            act(w.ask(name=f"o{w.asked % 7}", part=w.asked % 3, left=6 * S))
+            long[f"r{harness.request_count + 1}"] = len(long) % 10 == 9
+            act(
+                harness.request(
+                    object_id=f"o{harness.request_count % 7}",
+                    part=harness.request_count % 3,
+                    expires_in_us=6 * S,
+                )
+            )
     both = [[answered[r] for r, is_long in long.items() if is_long is kind] for kind in (True, False)]
     return sum(both[0]) / len(both[0]), sum(both[1]) / len(both[1])
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -89,7 +89,9 @@
 
 def test_another_process_under_a_drained_name_is_not_drained_by_the_coordinators_word() -> None:
     recovery = _recovered([MemberDrain("c0", "coordinator", 50 * S), MemberDrain("c1", "operator", 50 * S)])
-    new = EndpointsChanged(EndpointListKind.CHANGE, (member("c0", since=90 * S), member("c1", since=90 * S)))
+    new = EndpointsChanged(
+        EndpointListKind.CHANGE, (member("c0", started_at_us=90 * S), member("c1", started_at_us=90 * S))
+    )
     assert [m.state for m in recovery.seen(new).members] == [MemberState.READY, MemberState.DRAINING]
     gone = EndpointsChanged(EndpointListKind.CHANGE, (replace(member("c1"), state=MemberState.REMOVED),))
     assert recovery.seen(gone).members[0].state is MemberState.REMOVED
--- /dev/null
+++ b/tests/test_routing_failures.py
@@ -0,0 +1,367 @@
+"""How a router behaves in faults and overload: one small test for each failure it once had."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+import pytest
+
+from onyxwick.interface import (
+    AnswerDetail,
+    AnswerDetailLevel,
+    AttemptStatus,
+    CancelAttempt,
+    ClientDisconnected,
+    EndpointListKind,
+    FillOption,
+    MemberState,
+    SiblingFills,
+    SubscribeToEndpoints,
+    WeightSource,
+)
+from tests.world import (
+    ALL,
+    CACHES,
+    ORIGIN,
+    PARENTS,
+    SETTINGS,
+    RouterHarness,
+    S,
+    final_answers,
+    forwards,
+    member,
+    single_forward,
+)
+
+
+def test_a_timeout_behind_a_slow_fill_is_not_unresponsiveness() -> None:
+    """An overloaded cache is neither ejected nor taken for one that has restarted."""
+    harness = RouterHarness(members=(CACHES[0], *PARENTS, ORIGIN))
+    for _ in range(10):
+        harness.request(object_id=f"slow{harness.request_count}")
+        slow = f"r{harness.request_count}"
+        harness.now += S
+        harness.request(object_id=f"quick{harness.request_count}")
+        harness.end_attempt(AttemptStatus.OK, detail=AnswerDetail.HIT)
+        harness.now += 2 * S
+        harness.end_attempt(AttemptStatus.TIMEOUT, request_id=slow, latency_us=3 * S, is_final=False)
+    record = harness.record("c0")
+    assert not record.ejected and harness.warm_share(record.info.address) == 1.0
+
+
+def test_a_rejection_that_names_no_side_counts_at_the_fill_source() -> None:
+    """A parent that rejects is ejected; the caches, whose hits go on, keep their concurrency limit."""
+    harness = RouterHarness(replace(SETTINGS, answer_detail=AnswerDetailLevel.HIT_ONLY))
+    for n in range(60):
+        forward = single_forward(harness.request(object_id=f"o{n}"))
+        rejected = n % 2 == 0 and forward.fill_source == "p0"
+        actions = harness.end_attempt(
+            AttemptStatus.OVERLOADED if rejected else AttemptStatus.OK,
+            member=forward.member,
+            detail=AnswerDetail(0 if rejected else 1),
+        )
+        if rejected and forwards(actions):
+            harness.end_attempt(AttemptStatus.OK, attempt=1, detail=AnswerDetail.FILLED)
+    assert harness.record("p0").ejected
+    assert all(harness.record(c.address).limit_factor >= 1.0 for c in CACHES)
+
+
+def test_caches_at_their_limit_are_not_bypassed() -> None:
+    """With every cache at its limit a request is rejected at once, not sent to a parent."""
+    harness = RouterHarness(replace(SETTINGS, cache_bypass=True))
+    actions = [a for n in range(400) for a in harness.request(object_id=f"o{n}")]
+    assert final_answers(actions) and all(a.member in {"c0", "c1", "c2"} for a in forwards(actions))
+
+
+def test_a_fill_source_at_its_limit_leaves_lookups() -> None:
+    """With the source at its limit a cache serves what it holds; a miss is answered at once."""
+    harness = RouterHarness()
+    for p in ("p0", "p1"):
+        harness.record(p).in_flight.update({(f"x{n}", 0): None for n in range(500)})
+    forward = single_forward(harness.request())
+    assert forward.fill_source == forward.member
+    assert len(final_answers(harness.end_attempt(AttemptStatus.MISS, member=forward.member))) == 1
+
+
+def test_rejected_fills_decrease_a_limit_more_than_late_ones() -> None:
+    """An overloaded origin is relieved by what fails, not only by what is late."""
+    harness = RouterHarness(replace(SETTINGS, answer_detail=AnswerDetailLevel.HIT_ONLY))
+    harness.record("origin").recent_answers = 100.0  # it answers often: single steps
+    forward = single_forward(harness.request())
+    harness.end_attempt(AttemptStatus.OVERLOADED, member=forward.member)
+    rejected = harness.record("origin").limit_factor
+    harness = RouterHarness()
+    harness.record("origin").recent_answers = 100.0
+    forward = single_forward(harness.request())
+    harness.now += 2 * S
+    harness.end_attempt(
+        AttemptStatus.OK, member=forward.member, latency_us=2 * S, detail=AnswerDetail.FILLED_FROM_ORIGIN
+    )
+    assert rejected < harness.record("origin").limit_factor < 1.0
+
+
+def test_a_slow_origin_does_not_make_parents_unresponsive() -> None:
+    """When all fills are slow the origin is: the parents are not ejected, nor warmed up later."""
+    harness = RouterHarness()
+    for n in range(12):
+        forward = single_forward(harness.request(object_id=f"o{n}", expires_in_us=6 * S))
+        harness.now += S // 5
+        harness.request(object_id="warm", part=n)
+        harness.end_attempt(AttemptStatus.OK, member=forward.member, detail=AnswerDetail.HIT)
+    harness.advance(5 * S)
+    for n in range(12):
+        harness.end_attempt(
+            AttemptStatus.ERROR,
+            request_id=f"r{2 * n + 1}",
+            latency_us=6 * S,
+            detail=AnswerDetail.SOURCE_UNREACHABLE,
+        )
+    members = harness.router.endpoints.members
+    assert not any(members[p.address].ejected or members[p.address].unresponsive for p in PARENTS)
+
+
+def test_the_only_unresponsive_parent_is_ejected() -> None:
+    harness = RouterHarness()
+    for n in range(40):
+        forward = single_forward(harness.request(object_id=f"o{n}"))
+        if forward.fill_source != "p0":
+            harness.now += 50_000
+            harness.end_attempt(AttemptStatus.OK, member=forward.member, detail=AnswerDetail.FILLED)
+    harness.advance(2 * S)
+    for n in range(40):
+        if single_forward(harness.request(object_id=f"q{n}")).fill_source == "p1":
+            harness.end_attempt(AttemptStatus.OK, detail=AnswerDetail.FILLED)
+    harness.advance(2 * S)
+    assert harness.record("p0").ejected and not harness.record("p1").ejected
+
+
+def test_concurrency_limits_settle_where_few_answers_are_late() -> None:
+    """One late answer in eight decreases a limit."""
+    harness = RouterHarness(members=(CACHES[0], *PARENTS, ORIGIN))
+    for n in range(160):
+        harness.request(object_id=f"o{n}")
+        harness.end_attempt(
+            AttemptStatus.OK, latency_us=2 * S if n % 8 == 0 else 100_000, detail=AnswerDetail.HIT
+        )
+    assert harness.record("c0").limit_factor < 0.9
+
+
+def test_a_failed_subscription_is_renewed_at_a_low_rate() -> None:
+    harness = RouterHarness(replace(SETTINGS, subscribe=True))
+    assert not [
+        a
+        for _ in range(5)
+        for a in harness.announce(EndpointListKind.UNAVAILABLE)
+        if isinstance(a, SubscribeToEndpoints)
+    ]
+    assert len([a for a in harness.advance(3 * S) if isinstance(a, SubscribeToEndpoints)]) == 1
+
+
+def test_lost_answers_eject_no_member_and_decrease_no_limit() -> None:
+    """A quarter of the answers is lost, the others come in time."""
+    harness = RouterHarness(replace(SETTINGS, limits=replace(SETTINGS.limits, cancellation=False)))
+    lost: list[tuple[int, str, str]] = []
+    for n in range(120):
+        harness.advance(S // 10)
+        forward = single_forward(harness.request(object_id=f"o{n}", expires_in_us=3 * S))
+        if n % 4 == 0:
+            lost.append((harness.now, f"r{harness.request_count}", forward.member))
+        else:
+            spread = 50_000 + 60_000 * (n % 7)
+            harness.end_attempt(
+                AttemptStatus.OK,
+                member=forward.member,
+                latency_us=spread,
+                detail=AnswerDetail.FILLED_FROM_ORIGIN,
+            )
+        while lost and harness.now - lost[0][0] >= 3 * S:
+            _, request, address = lost.pop(0)
+            harness.end_attempt(AttemptStatus.TIMEOUT, request, member=address, latency_us=3 * S)
+    members = harness.router.endpoints.members.values()
+    assert not any(p.ejected for p in members) and all(p.limit_factor >= 1 for p in members)
+
+
+def test_an_origin_that_fails_behind_a_parent_does_not_eject_the_parent() -> None:
+    """Fills of what a parent holds go on while the origin rejects; the parents are not ejected."""
+    harness = RouterHarness()
+    for n in range(20):
+        forward = single_forward(harness.request(object_id=f"o{n}"))
+        actions = harness.end_attempt(
+            AttemptStatus.OVERLOADED, member=forward.member, detail=AnswerDetail.ORIGIN_FAILED
+        )
+        for _ in range(6):
+            if not forwards(actions):
+                break
+            actions = harness.end_attempt(
+                AttemptStatus.MISS, attempt=1 + _, member=forward.member, detail=AnswerDetail.SOURCE_MISS
+            )
+    assert not any(harness.record(p.address).ejected for p in PARENTS)
+    for n in range(3):  # a few full fills at a time try the origin
+        harness.request(object_id=f"a{n}")
+    assert single_forward(harness.request(object_id="b")).fill_options & FillOption.ONLY_IF_CACHED
+    actions = harness.end_attempt(AttemptStatus.MISS, member="c0", detail=AnswerDetail.SOURCE_MISS)
+    assert len(final_answers(actions)) == 1 and not forwards(actions)
+
+
+def test_without_a_parent_the_home_cache_in_another_zone_is_the_source() -> None:
+    """With the parents warming up or removed a cache of another zone is the source, where settings allow it.
+
+    A zone without caches whose requests may go straight to parents never sends to a remote cache.
+    """
+    abroad = (member("x0", zone="edge-2"), member("x1", zone="edge-2"))
+    free = replace(SETTINGS, sibling_fills=SiblingFills.ANY)
+    harness = RouterHarness(free, members=(*CACHES, *abroad))
+    forward = single_forward(harness.request())
+    assert (
+        forward.fill_source in {"x0", "x1"}
+        and forward.fill_options & FillOption.ONLY_IF_CACHED
+        and forward.member in {"c0", "c1", "c2"}
+    )
+    assert (
+        len(
+            final_answers(
+                harness.end_attempt(
+                    AttemptStatus.MISS, member=forward.member, detail=AnswerDetail.SOURCE_MISS
+                )
+            )
+        )
+        == 1
+    )
+    assert single_forward(RouterHarness(members=(*CACHES, *abroad)).request()).fill_source in {
+        "c0",
+        "c1",
+        "c2",
+    }
+    harness = RouterHarness(replace(free, cache_bypass=True), members=abroad)
+    assert not forwards(harness.request()) and len(final_answers(harness.request())) == 1
+    for m in abroad:  # the rule on drains holds for any source
+        harness = RouterHarness(free, members=(*CACHES, *abroad))
+        harness.change_state(m, MemberState.DRAINING)
+        assert all(
+            single_forward(harness.request(object_id=f"o{n}")).fill_source != m.address for n in range(30)
+        )
+
+
+def test_one_failure_halves_the_limit_of_a_rarely_used_origin_at_most() -> None:
+    """A single failed fill halves a limit at most; one lost answer leaves it."""
+    harness = RouterHarness()
+    forward = single_forward(harness.request())
+    harness.end_attempt(AttemptStatus.OVERLOADED, member=forward.member, detail=AnswerDetail.ORIGIN_FAILED)
+    assert 0.45 < harness.record("origin").limit_factor < 1.0
+    harness = RouterHarness()
+    forward = single_forward(harness.request(object_id="lost"))
+    harness.now += 3 * S
+    harness.end_attempt(AttemptStatus.TIMEOUT, "r1", member=forward.member, latency_us=3 * S)
+    assert harness.record("origin").limit_factor == 1.0
+
+
+def test_timeouts_are_overload_among_late_answers_only() -> None:
+    """The share of late answers tells a slow origin from lost answers."""
+
+    def room(latency: int) -> float:
+        harness = RouterHarness()
+        harness.record("origin").limit_factor = 0.9  # already low, which by itself proves no overload
+        for n in range(12):
+            forward = single_forward(harness.request(object_id=f"a{n}"))
+            harness.end_attempt(
+                AttemptStatus.OK,
+                member=forward.member,
+                latency_us=latency,
+                detail=AnswerDetail.FILLED_FROM_ORIGIN,
+            )
+        record = harness.record("origin")
+        record.limit_factor = 0.9
+        forward = single_forward(harness.request(object_id="lost"))
+        harness.now += S
+        harness.request(object_id="other")
+        harness.end_attempt(AttemptStatus.OK, member=forward.member, detail=AnswerDetail.FILLED_FROM_ORIGIN)
+        record.limit_factor = 0.9
+        harness.end_attempt(
+            AttemptStatus.TIMEOUT, f"r{harness.request_count - 1}", member=forward.member, latency_us=3 * S
+        )
+        return record.limit_factor
+
+    assert room(50_000) == 0.9 > room(2 * S)
+
+
+def test_resets_of_one_connection_count_once() -> None:
+    """One corrupt answer resets all others on its connection, which is no reason to eject the cache."""
+    harness = RouterHarness(members=(CACHES[0], *PARENTS, ORIGIN))
+    for _ in range(6):
+        harness.request(object_id=f"o{harness.request_count}")
+    for n in range(6):
+        harness.end_attempt(AttemptStatus.RESET, request_id=f"r{n + 1}", is_final=False)
+    record = harness.record("c0")
+    assert not record.ejected and harness.warm_share(record.info.address) == 1.0
+
+
+def test_an_overdue_attempt_is_hedged_at_another_cache() -> None:
+    """An answer that never comes, from a cache that answers others: a hedged request is sent."""
+    harness = RouterHarness(replace(SETTINGS, limits=replace(SETTINGS.limits, hedging=True)))
+    first = single_forward(harness.request(object_id="lost", expires_in_us=6 * S))
+    copies = []
+    for _ in range(50):
+        copies += forwards(harness.advance(100_000))
+        for p in harness.router.endpoints.members.values():
+            p.last_answer_us = harness.now
+    (second,) = copies
+    assert second.member != first.member
+    cancelled = harness.end_attempt(AttemptStatus.OK, "r1", attempt=1, member=second.member)
+    assert [a.attempt_index for a in cancelled if isinstance(a, CancelAttempt)] == [0]
+
+
+def test_attempts_of_a_disconnected_client_are_cancelled_if_young() -> None:
+    """A fill that must be nearly done may leave its copy."""
+    harness = RouterHarness()
+    harness.request()
+    assert any(isinstance(a, CancelAttempt) for a in harness.handle(ClientDisconnected("r1")))
+    harness.request()
+    harness.now += 2 * S
+    assert not any(isinstance(a, CancelAttempt) for a in harness.handle(ClientDisconnected("r2")))
+
+
+def test_an_error_that_names_no_side_does_not_count_at_the_source() -> None:
+    """With full answer detail, a cache's own error decreases no parent's limit and ejects none."""
+    harness = RouterHarness()
+    for n in range(30):
+        forward = single_forward(harness.request(object_id=f"o{n}"))
+        harness.end_attempt(AttemptStatus.ERROR, member=forward.member)
+    assert all(harness.record(p.address).limit_factor >= 1.0 for p in (*PARENTS, ORIGIN))
+    assert not any(harness.record(p.address).ejected for p in PARENTS)
+
+
+@pytest.mark.parametrize("routers", [12, 40])
+def test_capacity_is_inferred_from_demand_where_nothing_else_is_known(routers: int) -> None:
+    """Neither weights nor link capacities are known, and all answers come in time: few are rejected."""
+    unsized = replace(
+        SETTINGS, weight_source=WeightSource.NONE, router_count=routers, zone_router_count=routers
+    )
+    harness = RouterHarness(unsized, members=tuple(replace(m, weight=1.0) for m in ALL))
+    in_flight: list[tuple[int, str, str]] = []  # when it ends, request, member
+    rejected = 0
+    per_s = 8
+    for n in range(40 * per_s):
+        harness.advance(S // per_s)
+        for ended in [attempt for attempt in in_flight if attempt[0] <= harness.now]:
+            in_flight.remove(ended)
+            _, request, at = ended
+            harness.end_attempt(
+                AttemptStatus.OK, request, member=at, latency_us=400_000, detail=AnswerDetail.HIT
+            )
+        actions = harness.request(object_id=f"o{n % 50}", part=n % 7)
+        rejected += len(final_answers(actions))
+        request_id = f"r{harness.request_count}"
+        in_flight += [(harness.now + 400_000, request_id, sent.member) for sent in forwards(actions)]
+    assert rejected <= 0.03 * harness.request_count
+
+
+def test_a_known_capacity_does_not_follow_demand() -> None:
+    known_link = replace(
+        SETTINGS, weight_source=WeightSource.NONE, zone_link_kb_per_s=56_000.0, transfer_kb_per_s=6_900.0
+    )
+    for settings in (known_link, SETTINGS):
+        harness = RouterHarness(settings)
+        before = harness.router.capacity.transfers(harness.router.endpoints.caches[0])
+        for n in range(30):
+            harness.request(object_id=f"o{n}")
+        assert harness.router.capacity.transfers(harness.router.endpoints.caches[0]) == before
--- a/tests/test_popularity.py
+++ b/tests/test_routing_popularity.py
@@ -79,22 +79,24 @@
 
 
 def _play(router: Router, seed: int, requests: int, objects: int) -> list[object]:
-    rng, now, out = random.Random(seed), START_US, list[object]()
-    listed = EndpointsChanged(EndpointListKind.SNAPSHOT, (*CACHES, *PARENTS, ORIGIN))
-    router.handle(now, [listed])
+    """Send reads of a skewed stream; return the rank and the cache of each, and the thresholds after it."""
+    rng = random.Random(seed)
+    now = START_US
+    decisions: list[object] = []
+    router.handle(now, [EndpointsChanged(EndpointListKind.SNAPSHOT, (*CACHES, *PARENTS, ORIGIN))])
     for n in range(requests):
         now += int(rng.expovariate(1 / 15_000))
-        name = f"o{min(objects, int(rng.paretovariate(0.6)))}"
-        actions = router.handle(now, [RequestArrived(f"r{n}", "chunk", name, 3 * S, part=n % 3 // 2)])
-        out += [(a.retention_rank, a.member) for a in actions if isinstance(a, ForwardWithFill)]
-        hit = AnswerDetail.HIT if rng.random() < 0.6 else AnswerDetail.FILLED
-        for action in actions:
-            if isinstance(action, ForwardWithFill):
-                end = AttemptEnded(f"r{n}", 0, action.member, AttemptStatus.OK, 60_000, True, hit)
-                router.handle(now + 1, [end])
+        object_id = f"o{min(objects, int(rng.paretovariate(0.6)))}"
+        actions = router.handle(now, [RequestArrived(f"r{n}", "chunk", object_id, 3 * S, part=n % 3 // 2)])
+        forwards = [action for action in actions if isinstance(action, ForwardWithFill)]
+        decisions += [(forward.retention_rank, forward.member) for forward in forwards]
+        detail = AnswerDetail.HIT if rng.random() < 0.6 else AnswerDetail.FILLED
+        for forward in forwards:
+            end = AttemptEnded(f"r{n}", 0, forward.member, AttemptStatus.OK, 60_000, True, detail)
+            router.handle(now + 1, [end])
         ranks = router.popularity
-        out.append((round(ranks.gold_threshold, 6), round(ranks.bronze_threshold, 6)))
-    return out
+        decisions.append((round(ranks.gold_threshold, 6), round(ranks.bronze_threshold, 6)))
+    return decisions
 
 
 @pytest.mark.parametrize("seed", range(3))
--- a/tests/test_module.py
+++ b/tests/test_routing_structure.py
@@ -1,4 +1,4 @@
-"""Limits on the module's text, and the library's own shape."""
+"""The form of the routing package: its size, its documentation, its imports; the README's example."""
 
 from __future__ import annotations
 
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -35,7 +35,7 @@
     )
 
 
-def test_a_short_life() -> None:
+def test_one_instance_from_start_to_restart() -> None:
     input_lines = (
         "BATCH 100",
         "FLUSH",
@@ -84,5 +84,5 @@
         assert all(word in done.stderr for word in words), done.stderr
 
 
-def test_end_of_input_is_a_clean_end() -> None:
+def test_end_of_input_exits_with_success() -> None:
     assert run_adapter("BATCH 5", "FLUSH").returncode == 0
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -450,15 +450,15 @@
 
 
 def test_the_module_spends_less_as_its_reserve_goes() -> None:
-    from tests.world import World, finals, sent
+    from tests.world import RouterHarness, final_answers, forwards
 
     tries = {}
     for reserve in (1.0, 0.5, 0.0):
-        w = World()
-        w.give(RetryReserveChanged(reserve))
-        out, count = w.ask(), 0
-        while sent(out) and not finals(out):
+        w = RouterHarness()
+        w.handle(RetryReserveChanged(reserve))
+        out, count = w.request(), 0
+        while forwards(out) and not final_answers(out):
             count += 1
-            out = w.end(AttemptStatus.ERROR, attempt=count - 1, member=sent(out)[0].member)
+            out = w.end_attempt(AttemptStatus.ERROR, attempt=count - 1, member=forwards(out)[0].member)
         tries[reserve] = count
     assert tries[1.0] > tries[0.5] > tries[0.0] == 1
--- a/tests/world.py
+++ b/tests/world.py
@@ -1,4 +1,4 @@
-"""A small hand-held world for driving the module alone."""
+"""A router driven by hand: its settings, members, clock, and the actions it returns."""
 
 from __future__ import annotations
 
@@ -82,9 +82,9 @@
 
 
 def member(
-    address: str, kind: str = "box", zone: str = "edge-1", since: int = 0, weight: float = 6.0
+    address: str, kind: str = "box", zone: str = "edge-1", started_at_us: int = 0, weight: float = 6.0
 ) -> Member:
-    return Member(address, zone, kind, 0, MemberState.READY, weight, since)
+    return Member(address, zone, kind, 0, MemberState.READY, weight, started_at_us)
 
 
 CACHES = tuple(member(f"c{n}") for n in range(3))
@@ -93,38 +93,43 @@
 ALL = (*CACHES, *PARENTS, ORIGIN)
 
 
-class World:
-    """A router, a clock and a count of requests; every action since the last call is returned."""
+class RouterHarness:
+    """A router and its clock. Each method feeds it events and returns its actions."""
 
     def __init__(
         self, settings: RouterSettings = SETTINGS, members: tuple[Member, ...] = ALL, age_us: int = 0
     ) -> None:
         self.now = 100 * S
         self.router = Router(settings, 7, self.now)
-        self.asked = 0
-        self.members(EndpointListKind.RESTORED, *members)
-        self.pass_time(age_us)
+        self.request_count = 0
+        self.announce(EndpointListKind.RESTORED, *members)
+        self.advance(age_us)
 
-    def give(self, *events: Event) -> list[Action]:
+    def handle(self, *events: Event) -> list[Action]:
+        """Feed events to the router at the present time."""
         return self.router.handle(self.now, list(events))
 
-    def pass_time(self, us: int) -> list[Action]:
+    def advance(self, us: int) -> list[Action]:
         """Let time pass in steps of 100 ms, with the timer fired at each."""
-        out: list[Action] = []
+        actions: list[Action] = []
         end = self.now + us
         while self.now < end:
             self.now = min(end, self.now + 100_000)
-            out += self.give(TimerFired("due"))
-        return out
+            actions += self.handle(TimerFired("due"))
+        return actions
 
-    def members(self, kind: EndpointListKind, *members: Member) -> list[Action]:
-        return self.give(EndpointsChanged(kind, members))
+    def announce(self, kind: EndpointListKind, *members: Member) -> list[Action]:
+        """Give the router an endpoint list or a change of it."""
+        return self.handle(EndpointsChanged(kind, members))
 
-    def change(self, m: Member, state: MemberState, since: int | None = None) -> list[Action]:
-        return self.members(
-            EndpointListKind.CHANGE,
-            replace(m, state=state, started_at_us=m.started_at_us if since is None else since),
-        )
+    def change_state(
+        self, member: Member, state: MemberState, started_at_us: int | None = None
+    ) -> list[Action]:
+        """Announce a member's new state, and its restart at `started_at_us` if that is given."""
+        if started_at_us is None:
+            started_at_us = member.started_at_us
+        changed = replace(member, state=state, started_at_us=started_at_us)
+        return self.announce(EndpointListKind.CHANGE, changed)
 
     def record(self, address: str) -> MemberRecord:
         """What the router knows of a listed member."""
@@ -134,44 +139,59 @@
         """Share of its capacity that the router grants a member now."""
         return self.router.slow_start.warm_share(self.record(address), self.now)
 
-    def ask(
+    def request(
         self,
-        kind: str = "chunk",
-        name: str = "o1",
+        class_name: str = "chunk",
+        object_id: str = "o1",
         part: int = 0,
         group: int = 1,
-        left: int = 3 * S,
-        repeat: bool = False,
+        expires_in_us: int = 3 * S,
+        is_retry: bool = False,
     ) -> list[Action]:
-        self.asked += 1
-        return self.give(
-            RequestArrived(f"r{self.asked}", kind, name, left, object_group=group, part=part, is_retry=repeat)
+        """Send the next request, whose id is `r` and its number, counted from 1."""
+        self.request_count += 1
+        return self.handle(
+            RequestArrived(
+                f"r{self.request_count}",
+                class_name,
+                object_id,
+                expires_in_us,
+                object_group=group,
+                part=part,
+                is_retry=is_retry,
+            )
         )
 
-    def end(
+    def end_attempt(
         self,
         status: AttemptStatus,
-        request: str | None = None,
+        request_id: str | None = None,
         attempt: int = 0,
         member: str = "c0",
-        latency: int = 50_000,
+        latency_us: int = 50_000,
         detail: AnswerDetail = AnswerDetail.NONE,
-        final: bool | None = None,
+        is_final: bool | None = None,
     ) -> list[Action]:
-        done = status is AttemptStatus.OK if final is None else final
-        return self.give(
-            AttemptEnded(request or f"r{self.asked}", attempt, member, status, latency, done, detail)
+        """End an attempt, of the last request unless another is named."""
+        done = status is AttemptStatus.OK if is_final is None else is_final
+        return self.handle(
+            AttemptEnded(
+                request_id or f"r{self.request_count}", attempt, member, status, latency_us, done, detail
+            )
         )
 
 
-def sent(actions: list[Action]) -> list[ForwardRequest | ForwardWithFill]:
+def forwards(actions: list[Action]) -> list[ForwardRequest | ForwardWithFill]:
+    """The actions that start an attempt."""
     return [a for a in actions if isinstance(a, ForwardRequest | ForwardWithFill)]
 
 
-def fetched(actions: list[Action]) -> ForwardWithFill:
+def single_forward(actions: list[Action]) -> ForwardWithFill:
+    """The one action that starts an attempt at a cache; fails if there is none or another."""
     (only,) = [a for a in actions if isinstance(a, ForwardWithFill)]
     return only
 
 
-def finals(actions: list[Action]) -> list[FailRequest | RejectRequest]:
+def final_answers(actions: list[Action]) -> list[FailRequest | RejectRequest]:
+    """The actions that end a request without an answer from a member."""
     return [a for a in actions if isinstance(a, FailRequest | RejectRequest)]
