--- a/onyxwick/core/engine.py
+++ b/onyxwick/core/engine.py
@@ -45,7 +45,7 @@
     SiteStateChanged,
     SubscribeToEndpoints,
 )
-from onyxwick.logic import Router
+from onyxwick.routing import Router
 
 log = logs.get()
 MAX_OPEN_REQUESTS = 2048
@@ -100,7 +100,7 @@
 
     def _mean_send_us(self) -> dict[str, float]:
         """Mean processing time by class, as the router has learned it; empty where many routers decide."""
-        return {name: work.mean for name, work in getattr(self.router, "work", {}).items()}
+        return self.router.mean_transfer_us() if isinstance(self.router, Router) else {}
 
     # ---- events in, actions out -------------------------------------------------------------------------
 
