--- a/onyxwick/lifecycle.py
+++ b/onyxwick/lifecycle.py
@@ -31,11 +31,11 @@
 from onyxwick.core.supervision import TaskSupervisor
 from onyxwick.core.termination import Termination
 from onyxwick.counters import Counters
-from onyxwick.logic import Router
 from onyxwick.net import listening
 from onyxwick.net.cache_pool import CacheConnectionPool
 from onyxwick.net.coordinator_feed import CoordinatorFeed
 from onyxwick.net.front import FastCgiFront
+from onyxwick.routing import Router
 
 if TYPE_CHECKING:
     from onyxwick.config.service import ServiceConfig
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -75,7 +75,7 @@
 
 
 def test_a_disabled_cache_is_draining_for_the_router_and_cold_once_it_is_enabled() -> None:
-    listed = member("c0", since=1 * S)
+    listed = member("c0", started_at_us=1 * S)
     disabled = o.disable_cache(o.OperatorCommands(), "c0", 5 * S)
     assert o.member_under_commands(listed, disabled, 5 * S).state is MemberState.DRAINING
     assert (
