--- a/onyxwick/admin/http_server.py
+++ b/onyxwick/admin/http_server.py
@@ -156,5 +156,7 @@
         except Exception:
             # A fault in one call's handler must not end the server.
             self.counters.add(f"error.{self.counter_prefix}")
-            log.exception("internal error in a call", method=request.method, path=request.path[:MAX_LOGGED_PATH])
+            log.exception(
+                "internal error in a call", method=request.method, path=request.path[:MAX_LOGGED_PATH]
+            )
             return encode_response(500, {"error": "internal error"}, close=close)
