--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -50,9 +50,9 @@
 from onyxwick.trace.reader import open_trace
 from onyxwick.trace.sink import SinkLimits
 from onyxwick.trace.table import Strings
+from tests.director_with_store import ImmediateTransport, open_state
 from tests.exchange import ROOT
 from tests.faulty_files import FaultyFiles
-from tests.test_recovery import ImmediateTransport, open_state
 from tests.world import SETTINGS, S
 
 LOSS = ROOT / "examples" / "lab" / "faults" / "site-loss.hcl"
