--- a/onyxwick/admin/api.py
+++ b/onyxwick/admin/api.py
@@ -62,7 +62,7 @@
         path = [part for part in request.path.split("/") if part]
         if path == ["health"]:
             _allow(request, "GET")
-            return 200, self.health()
+            return Answer(200, self.health())
         caller = self._caller(request)
         try:
             return self._route(request, path, caller)
@@ -97,7 +97,7 @@
             case ["counters"]:
                 _require_operator(caller)
                 _allow(request, "GET")
-                return 200, dict(self.counters.counts)
+                return Answer(200, dict(self.counters.counts))
             case ["tenants"]:
                 _require_operator(caller)
                 return self._tenants(request)
@@ -119,15 +119,15 @@
                 return self._tenant(request, tenant, caller)
             case ["counters"]:
                 _allow(request, "GET")
-                return 200, self._tenant_counters(tenant)
+                return Answer(200, self._tenant_counters(tenant))
             case ["zones"]:
                 _allow(request, "GET")
-                return 200, {"zones": [str(name) for name in tenant.zones]}
+                return Answer(200, {"zones": [str(name) for name in tenant.zones]})
             case ["zones", name]:
                 return self._zone(request, tenant, name)
             case ["keys"]:
                 _allow(request, "GET")
-                return 200, {"keys": [str(name) for name in tenant.keys]}
+                return Answer(200, {"keys": [str(name) for name in tenant.keys]})
             case ["keys", name]:
                 return self._key(request, tenant, name)
         raise HttpError(404, "nothing here")
@@ -137,26 +137,26 @@
     def _tenants(self, request: HttpRequest) -> Answer:
         _allow(request, "GET", "POST")
         if request.method == "GET":
-            return 200, {"tenants": list(self.tenants.tenants)}
+            return Answer(200, {"tenants": list(self.tenants.tenants)})
         data = request.json()
         tenant = Tenant(str(data.get("name", "")))
         self._change_tenant(tenant, data)
         self.tenants.add(tenant)
-        return 201, _tenant_data(tenant)
+        return Answer(201, _tenant_data(tenant))
 
     def _tenant(self, request: HttpRequest, tenant: Tenant, caller: Tenant | None) -> Answer:
         _allow(request, "GET", "PATCH", "DELETE")
         if request.method == "GET":
-            return 200, _tenant_data(tenant)
+            return Answer(200, _tenant_data(tenant))
         _require_operator(caller)
         if request.method == "DELETE":
             self.tenants.remove(tenant.name)
-            return 204, None
+            return Answer(204, None)
         data = request.json()
         if data.get("name", tenant.name) != tenant.name:
             raise HttpError(400, "field 'name' cannot be changed")
         self._change_tenant(tenant, data)
-        return 200, _tenant_data(tenant)
+        return Answer(200, _tenant_data(tenant))
 
     def _change_tenant(self, tenant: Tenant, data: dict[str, object]) -> None:
         """All of a change or none of it."""
@@ -191,8 +191,8 @@
             raise HttpError(404, "no such zone")
         if request.method == "DELETE":
             self.tenants.remove_zone(existing)
-            return 204, None
-        return 200, {**_zone_data(existing), "text": existing.data.to_text(relativize=False)}
+            return Answer(204, None)
+        return Answer(200, {**_zone_data(existing), "text": existing.data.to_text(relativize=False)})
 
     def _put_zone(self, request: HttpRequest, tenant: Tenant, name: str, exists: bool) -> Answer:
         data = request.json()
@@ -202,7 +202,7 @@
             raise HttpError(400, "fields 'text' and 'routed' are no texts")
         zone = read_zone(tenant.name, name, text, routed)
         self.tenants.add_zone(zone)
-        return (200 if exists else 201), _zone_data(zone)
+        return Answer(200 if exists else 201, _zone_data(zone))
 
     def _key(self, request: HttpRequest, tenant: Tenant, name: str) -> Answer:
         """Secrets are accepted and never returned."""
@@ -213,10 +213,10 @@
             if not exists and key in self.tenants.keyring():
                 raise HttpError(409, "key exists")
             tenant.add_key(key, secret)
-            return (200 if exists else 201), {"name": str(key)}
+            return Answer(200 if exists else 201, {"name": str(key)})
         if tenant.keys.pop(read_name(name), None) is None:
             raise HttpError(404, "no such key")
-        return 204, None
+        return Answer(204, None)
 
 
 def _allow(request: HttpRequest, *methods: str) -> None:
--- a/onyxwick/admin/cells.py
+++ b/onyxwick/admin/cells.py
@@ -33,9 +33,11 @@
     def _route(self, request: HttpRequest, path: list[str]) -> Answer:
         match request.method, path:
             case "GET", []:
-                return 200, show(self.control.cells)
+                return Answer(200, show(self.control.cells))
             case "GET", ["plan"]:
-                return 200, {"version": self.control.plan.version, "plan": json_of_plan(self.control.plan)}
+                return Answer(
+                    200, {"version": self.control.plan.version, "plan": json_of_plan(self.control.plan)}
+                )
             case "PUT", ["plan"]:
                 return self._put_plan(request)
             case (("PUT" | "DELETE"), ["plan", section, name]) if section in PLAN_SECTIONS:
@@ -56,14 +58,14 @@
     def _change(self, data: dict[str, Any], expected_version: int | None) -> Answer:
         plan = plan_of_json(data, self.control.plan.version)
         changed = self.control.change(plan, expected_version)
-        return 200, {"version": self.control.plan.version, "changed": changed}
+        return Answer(200, {"version": self.control.plan.version, "changed": changed})
 
     def _change_row(self, request: HttpRequest, section: str, name: str) -> Answer:
         data = json_of_plan(self.control.plan)
         rows = data[section]
         if request.method == "DELETE":
             if name not in rows:  # deleted before, perhaps by a first attempt of this call
-                return 200, {"version": self.control.plan.version, "changed": False}
+                return Answer(200, {"version": self.control.plan.version, "changed": False})
             del rows[name]
             if section == "tenants":  # its migrations have nothing left to move
                 data["moves"] = {move: row for move, row in data["moves"].items() if row["tenant"] != name}
@@ -76,15 +78,18 @@
             done = self.control.abort(name)
         except KeyError:
             raise HttpError(404, f"no move '{name}'") from None
-        return 200, {"changed": done, "move": self.control.cells.moves[name].shown()}
+        return Answer(200, {"changed": done, "move": self.control.cells.moves[name].shown()})
 
     def _explain(self, tenant: str, name: str) -> Answer:
         try:
-            return 200, {
-                "tenant": tenant,
-                "object": name,
-                "because": explain(self.control.cells, tenant, name),
-            }
+            return Answer(
+                200,
+                {
+                    "tenant": tenant,
+                    "object": name,
+                    "because": explain(self.control.cells, tenant, name),
+                },
+            )
         except KeyError:
             raise HttpError(404, f"no tenant '{tenant}'") from None
 
--- a/onyxwick/admin/durable_api.py
+++ b/onyxwick/admin/durable_api.py
@@ -85,7 +85,7 @@
             if done is not None:
                 if done.fingerprint != identity.fingerprint:
                     raise HttpError(409, "Idempotency-Key was used for another call")
-                return done.status, done.data
+                return Answer(done.status, done.data)
         if path[:1] == ["drains"]:
             return await self._drains(request, path[1:], identity)
         sites = self.api.sections.get("sites")
@@ -96,8 +96,7 @@
     async def _commit(self, operations: list[WriteOperation], identity: CallIdentity, answer: Answer) -> None:
         now = time.time_ns() // 1000
         if identity.key and operations:
-            status, data = answer
-            call = IdempotentCall(identity.fingerprint, status, data, now)
+            call = IdempotentCall(identity.fingerprint, answer.status, answer.data, now)
             operations = operations + self.durable.idempotent_call_operations(identity.key, call, now)
         try:
             await self.durable.commit(operations, AUTHOR)
@@ -142,7 +141,7 @@
         if request.method != "PUT":
             raise HttpError(405, "method not allowed", {"Allow": "PUT"})
         command = sites.read_command(request, site)
-        answer = 200, {"site": site, "word": command.word.value, "drill": command.drill}
+        answer = Answer(200, {"site": site, "word": command.word.value, "drill": command.drill})
         await self._commit([self.durable.site_command_operation(site, kept(command))], identity, answer)
         sites.apply_command(command)
         return answer
@@ -169,7 +168,7 @@
             drain.member: {"by": drain.by.value, "reason": drain.reason, "at_us": drain.at_us}
             for drain in recovery.drains.values()
         }
-        return 200, {"recovery": recovery.status(), "drains": drains}
+        return Answer(200, {"recovery": recovery.status(), "drains": drains})
 
     async def _add_drain(self, request: HttpRequest, member: str, identity: CallIdentity) -> Answer:
         listed = self.core.endpoints.listed
@@ -178,7 +177,7 @@
         reason = str(request.json().get("reason", ""))[:MAX_REASON]
         started_at_us = listed[member].started_at_us
         drain = MemberDrain(member, DrainSource.OPERATOR, started_at_us, reason, self.core.now())
-        answer = 200, {"member": member, "draining": True}
+        answer = Answer(200, {"member": member, "draining": True})
         await self._commit([self.durable.drain_operation(drain)], identity, answer)
         self.durable.recovery.add_drain(drain)
         self.core.feed.reapply_members(member)
@@ -186,7 +185,7 @@
 
     async def _lift_drain(self, member: str, identity: CallIdentity) -> Answer:
         operations = self.durable.lift_operations(member)
-        answer = 200, {"member": member, "lifted": bool(operations)}
+        answer = Answer(200, {"member": member, "lifted": bool(operations)})
         await self._commit(operations, identity, answer)
         self.durable.recovery.lift_drain(member)
         self.core.feed.reapply_members(member)
--- a/onyxwick/admin/http_messages.py
+++ b/onyxwick/admin/http_messages.py
@@ -4,6 +4,7 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 import httptools
 import ujson
@@ -30,8 +31,13 @@
 }
 """The reason phrase of each status that is sent."""
 NO_CONTENT = 204
-Answer = tuple[int, object]
-"""The status of a response and the data of its body, as JSON can hold it."""
+
+
+class Answer(NamedTuple):
+    """The status of a response and the data of its body, as JSON can hold it."""
+
+    status: int
+    data: object = None
 
 
 class HttpError(OnyxwickError):
--- a/onyxwick/admin/http_server.py
+++ b/onyxwick/admin/http_server.py
@@ -14,7 +14,6 @@
 
 from onyxwick import logs
 from onyxwick.admin.http_messages import (
-    Answer,
     HttpError,
     HttpRequest,
     MalformedRequestError,
@@ -35,8 +34,8 @@
 MAX_QUEUED_S = 1.0
 """Longest wait in the socket that is reported: no caller waits longer for its answer."""
 MAX_LOGGED_PATH = 64  # characters
-Handler = Callable[[HttpRequest], Answer | Awaitable[Answer]]
-"""Answers a request; HttpError for an error status."""
+Handler = Callable[[HttpRequest], tuple[int, object] | Awaitable[tuple[int, object]]]
+"""Answers a request with a status and data for JSON; HttpError for an error status."""
 
 
 class HttpServer:
--- a/onyxwick/admin/sites.py
+++ b/onyxwick/admin/sites.py
@@ -24,9 +24,9 @@
         """Answer one call; HttpError where it is rejected."""
         match request.method, path:
             case "GET", []:
-                return 200, show(self.sites, self.clock())
+                return Answer(200, show(self.sites, self.clock()))
             case "GET", ["orders"]:
-                return 200, {"orders": self.sites.watch.orders.shown()}
+                return Answer(200, {"orders": self.sites.watch.orders.shown()})
             case "GET", ["explain", site, class_name, object_id]:
                 return self._explain(site, class_name, object_id)
             case "PUT", ["orders", _]:
@@ -40,7 +40,7 @@
             explanation = explain(self.sites, site, class_name, object_id)
         except KeyError as error:
             raise HttpError(404, f"nothing called {error}") from None
-        return 200, {"site": site, "class": class_name, "object": object_id, "because": explanation}
+        return Answer(200, {"site": site, "class": class_name, "object": object_id, "because": explanation})
 
     def read_command(self, request: HttpRequest, site: str) -> SiteCommand:
         """The command that a call asks for; HttpError where it cannot be taken."""
--- a/onyxwick/distribution/publisher.py
+++ b/onyxwick/distribution/publisher.py
@@ -1,7 +1,7 @@
 """The publisher: takes events in, numbers them, purges and lists before documents.
 
 Documents are sent in parts at a stated rate, so that they neither delay purges nor exceed what a director may
-receive. Only a document's newest version is worth sending: it preempts parts of an older one that are queued.
+receive. Only a document's newest version has to be sent: it preempts parts of an older one that are queued.
 Times in microseconds, except where a name ends in `_ms`.
 """
 
--- a/onyxwick/dns/query_handler.py
+++ b/onyxwick/dns/query_handler.py
@@ -53,7 +53,7 @@
             if query is not None:
                 await self._answer(query, over_udp, send)
         except Exception:
-            # A fault in one query must not end the front: the client is told that the server failed.
+            # A fault in one query must not end the front; the client gets SERVFAIL.
             self.counters.add("error.dns")
             log.exception("internal error in a DNS query")
             send(messages.error_response(wire, dns.rcode.SERVFAIL))
