--- a/onyxwick/admin/durable_api.py
+++ b/onyxwick/admin/durable_api.py
@@ -165,7 +165,7 @@
     def _drain_list(self) -> Answer:
         recovery = self.durable.recovery
         drains = {
-            drain.member: {"by": drain.by.value, "reason": drain.reason, "at_us": drain.at_us}
+            drain.member: {"by": drain.source.value, "reason": drain.reason, "at_us": drain.recorded_at_us}
             for drain in recovery.drains.values()
         }
         return Answer(200, {"recovery": recovery.status(), "drains": drains})
--- a/onyxwick/distribution/codec.py
+++ b/onyxwick/distribution/codec.py
@@ -138,13 +138,13 @@
     part = DocumentPart(
         name=_text_field(value, "name"),
         version=_unsigned_field(value, "version"),
-        part=_unsigned_field(value, "part"),
-        parts=_unsigned_field(value, "parts"),
+        number=_unsigned_field(value, "part"),
+        part_count=_unsigned_field(value, "parts"),
         digest=_text_field(value, "digest"),
         text=_text_field(value, "text"),
     )
-    if part.part >= part.parts:
-        raise PayloadError(f"part {part.part} of {part.parts}")
+    if part.number >= part.part_count:
+        raise PayloadError(f"part {part.number} of {part.part_count}")
     return part
 
 
@@ -222,7 +222,7 @@
         return {"endpoints": {"version": payload.version, "full": payload.full, "servers": servers}}
     if isinstance(payload, PurgeEvent):
         key = payload.key
-        key_fields = {"ref": key.ref} if key.ref is not None else {"shard": key.shard}
+        key_fields = {"ref": key.object_id} if key.object_id is not None else {"shard": key.object_group}
         return {"evict": {**key_fields, "unix_ms": payload.unix_ms}}
     if isinstance(payload, UnknownPayload):
         raise PayloadError("an event with an unknown payload is passed on as its line, never encoded")
@@ -230,8 +230,8 @@
         "document": {
             "name": payload.name,
             "version": payload.version,
-            "part": payload.part,
-            "parts": payload.parts,
+            "part": payload.number,
+            "parts": payload.part_count,
             "digest": payload.digest,
             "text": payload.text,
         }
--- a/onyxwick/distribution/documents.py
+++ b/onyxwick/distribution/documents.py
@@ -49,13 +49,17 @@
 class _PartialDocument:
     version: int
     digest: str
-    parts: int
+    part_count: int
     texts: list[str] = field(default_factory=list)
     size_bytes: int = 0
 
     def is_continued_by(self, part: DocumentPart) -> bool:
-        is_same_version = (self.version, self.digest, self.parts) == (part.version, part.digest, part.parts)
-        return is_same_version and part.part == len(self.texts)
+        is_same_version = (self.version, self.digest, self.part_count) == (
+            part.version,
+            part.digest,
+            part.part_count,
+        )
+        return is_same_version and part.number == len(self.texts)
 
 
 class DocumentAssembler:
@@ -70,24 +74,24 @@
         DocumentError if a part does not fit; the unfinished document is then dropped.
         """
         partial = self._partial.get(part.name)
-        if part.part == 0:
+        if part.number == 0:
             partial = self._begin(part)
         if partial is None or not partial.is_continued_by(part):
             self._partial.pop(part.name, None)
-            raise DocumentError(f"part {part.part} of document '{part.name}' fits nothing before it")
+            raise DocumentError(f"part {part.number} of document '{part.name}' fits nothing before it")
         partial.texts.append(part.text)
         partial.size_bytes += len(part.text.encode())
         if partial.size_bytes > MAX_DOCUMENT_BYTES:
             del self._partial[part.name]
             raise DocumentError(f"document '{part.name}' is over {MAX_DOCUMENT_BYTES} bytes")
-        if len(partial.texts) < partial.parts:
+        if len(partial.texts) < partial.part_count:
             return None
         return self._finish(part.name)
 
     def unfinished_parts(self) -> list[DocumentPart]:
         """The parts of documents that are not complete yet, for a snapshot."""
         return [
-            DocumentPart(name, partial.version, number, partial.parts, partial.digest, text)
+            DocumentPart(name, partial.version, number, partial.part_count, partial.digest, text)
             for name, partial in self._partial.items()
             for number, text in enumerate(partial.texts)
         ]
@@ -95,9 +99,9 @@
     def _begin(self, part: DocumentPart) -> _PartialDocument:
         if part.name not in self._partial and len(self._partial) >= MAX_DOCUMENTS:
             raise DocumentError(f"over {MAX_DOCUMENTS} documents are unfinished")
-        if part.parts > MAX_PARTS:
-            raise DocumentError(f"document '{part.name}' has {part.parts} parts, {MAX_PARTS} at most")
-        partial = _PartialDocument(part.version, part.digest, part.parts)
+        if part.part_count > MAX_PARTS:
+            raise DocumentError(f"document '{part.name}' has {part.part_count} parts, {MAX_PARTS} at most")
+        partial = _PartialDocument(part.version, part.digest, part.part_count)
         self._partial[part.name] = partial
         return partial
 
--- a/onyxwick/distribution/durable_feed.py
+++ b/onyxwick/distribution/durable_feed.py
@@ -127,7 +127,7 @@
     """
     parts = documents.setdefault(payload.name, list(_earlier_parts(state, payload)))
     parts.append(payload)
-    if payload.part + 1 < payload.parts:
+    if payload.number + 1 < payload.part_count:
         return {}
     text = "".join(part.text for part in parts if part.digest == payload.digest)
     document = Document(payload.name, payload.version, payload.digest, text)
@@ -150,7 +150,7 @@
 
 
 def _purge_key(key: PurgeKey) -> str:
-    name = f"ref/{key.ref}" if key.ref is not None else f"shard/{key.shard}"
+    name = f"ref/{key.object_id}" if key.object_id is not None else f"shard/{key.object_group}"
     return PURGE_PREFIX + name
 
 
--- a/onyxwick/distribution/model.py
+++ b/onyxwick/distribution/model.py
@@ -117,10 +117,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PurgeKey:
-    """What a purge names: one object (`ref`) or one group (`shard`)."""
+    """What a purge names: one object or one group of them; the other field is None."""
 
-    ref: str | None
-    shard: int | None
+    object_id: str | None
+    object_group: int | None
 
 
 @dataclass(frozen=True, slots=True)
@@ -133,12 +133,12 @@
 
 @dataclass(frozen=True, slots=True)
 class DocumentPart:
-    """Part `part` (from 0) of `parts` of one version of a configuration document."""
+    """Part `number` (from 0) of `part_count` of one version of a configuration document."""
 
     name: str
     version: int
-    part: int
-    parts: int
+    number: int
+    part_count: int
     digest: str
     text: str
 
--- a/onyxwick/distribution/publisher.py
+++ b/onyxwick/distribution/publisher.py
@@ -143,7 +143,7 @@
             part = self.document_queue.popleft()
             allowed_bytes -= _part_bytes(part)
             payloads.append(part)
-            if part.part + 1 == part.parts:
+            if part.number + 1 == part.part_count:
                 self._queued_versions.pop(part.name, None)
         self._allowance_bytes = allowed_bytes
         self._refilled_at_us = now
--- a/onyxwick/distribution/replica.py
+++ b/onyxwick/distribution/replica.py
@@ -138,6 +138,13 @@
     return chosen
 
 
+class LogExcerpt(NamedTuple):
+    """Lines of a log, and the cursor behind the last of them."""
+
+    data: bytes
+    cursor: Cursor
+
+
 class EventLog:
     """Recent events as lines, consecutive in one history, bounded in bytes."""
 
@@ -178,11 +185,11 @@
         position = cursor.number + 1 - self.first_number
         return self.lines[position] if position < len(self.lines) else None
 
-    def lines_after(self, cursor: Cursor, max_bytes: int) -> tuple[bytes, Cursor]:
-        """Lines behind a cursor that `can_resume`, and the cursor behind them: one line at least if there is
-        one, then as many as fit into so many bytes."""
+    def lines_after(self, cursor: Cursor, max_bytes: int) -> LogExcerpt:
+        """Lines behind a cursor that `can_resume`: one at least if there is one, then as many as fit into so
+        many bytes."""
         lines = lines_within(self.lines, cursor.number + 1 - self.first_number, max_bytes)
-        return b"".join(lines), Cursor(cursor.history, cursor.number + len(lines))
+        return LogExcerpt(b"".join(lines), Cursor(cursor.history, cursor.number + len(lines)))
 
 
 @dataclass(frozen=True, slots=True)
--- a/onyxwick/net/director_feed.py
+++ b/onyxwick/net/director_feed.py
@@ -103,9 +103,9 @@
 
     def _apply_purge(self, purge: PurgeEvent) -> None:
         if self.purges.add(purge):
-            group = ALL_GROUPS if purge.key.shard is None else purge.key.shard
+            group = ALL_GROUPS if purge.key.object_group is None else purge.key.object_group
             made_at_us = self.stamps.purge_time_us(purge.unix_ms * US_PER_MS, self.core.now())
-            self.core.feed.apply_purge(group, purge.key.ref, made_at_us)
+            self.core.feed.apply_purge(group, purge.key.object_id, made_at_us)
 
     def _add_document_part(self, part: DocumentPart) -> None:
         try:
--- a/onyxwick/store/durable_state.py
+++ b/onyxwick/store/durable_state.py
@@ -25,9 +25,12 @@
     add_tenant,
     deleted_tenant_key,
     is_of_tenant,
+    key_prefix,
+    tenant_key,
     tenant_prefixes,
     tenant_rows,
     with_plain_secret,
+    zone_prefix,
 )
 from onyxwick.tenants import Tenant, Tenants
 
@@ -108,12 +111,12 @@
         for name in deleted:
             if name in tenants.tenants:
                 tenants.remove(name)
-        stored = self._rows("tenant/")
+        stored = self._rows(tenant_key(""))
         for key, row in stored:
             name = key.partition("/")[2]
             if name in tenants.tenants:
                 tenants.remove(name)
-            parts = self._rows(f"zone/{name}/") + self._rows(f"key/{name}/")
+            parts = self._rows(zone_prefix(name)) + self._rows(key_prefix(name))
             add_tenant(tenants, name, row, parts, self.cipher)
         return len(stored) + len(deleted)
 
--- a/onyxwick/store/engine.py
+++ b/onyxwick/store/engine.py
@@ -8,7 +8,6 @@
 
 from collections.abc import Callable, Iterator, Sequence
 from contextlib import AbstractContextManager
-from typing import Any
 
 from onyxwick.store import records
 from onyxwick.store.compaction import CheckpointInfo, compaction_steps
@@ -18,6 +17,7 @@
 from onyxwick.store.opening import open_store
 from onyxwick.store.transactions import (
     ANY_VERSION,
+    PreparedBatch,
     StoreLimits,
     Transaction,
     WriteBatch,
@@ -81,7 +81,7 @@
 
     # ---- writing ----------------------------------------------------------------------------------------
 
-    def prepare(self, transactions: Sequence[Transaction]) -> tuple[WriteBatch, list[StoreError | None]]:
+    def prepare(self, transactions: Sequence[Transaction]) -> PreparedBatch:
         """One batch of the transactions that can be done, and an error or None for each of them.
 
         StoreFailedError where the disk has failed before.
@@ -110,7 +110,7 @@
             encoded.append(record)
             batch_bytes += len(record)
         batch.data = b"".join(encoded)
-        return batch, errors
+        return PreparedBatch(batch, errors)
 
     def _check_size(self, payload: records.RecordPayload, batch_bytes: int) -> None:
         """StoreFullError where a transaction that adds data exceeds the limit; deletions are always taken."""
@@ -186,7 +186,7 @@
         """Close the files and release the lock."""
         self.log.files.close()
 
-    def status(self) -> dict[str, Any]:
+    def status(self) -> dict[str, int | str]:
         """Figures for logs and `onyxwick store`, under their published names."""
         return {
             "store": self.store_id.hex(),
--- a/onyxwick/store/recovery.py
+++ b/onyxwick/store/recovery.py
@@ -56,24 +56,24 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberDrain:
-    """A member that is to get no requests. `since_us`: the start of the process that was drained, as the
-    endpoint list reported it; `at_us`: when the drain was recorded."""
+    """A member that is to get no requests. `process_started_us`: the start of the process that was drained,
+    as the endpoint list reported it."""
 
     member: str
-    by: DrainSource
-    since_us: int = 0
+    source: DrainSource
+    process_started_us: int = 0
     reason: str = ""
-    at_us: int = 0
+    recorded_at_us: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class RecordedPurge:
-    """A purge of one object or, without one, of a group, made at `unix_us`; `index` is its feed number."""
+    """A purge of one object or, without one, of a group, made at `unix_us`."""
 
-    group: int
-    object: str | None
+    object_group: int
+    object_id: str | None
     unix_us: int
-    index: int = 0
+    feed_number: int = 0
 
 
 class Recovery:
@@ -132,7 +132,9 @@
             self._transition(RecoveryPhase.SERVING, now)
         self.feed_overdue = False
         # Drains of the coordinator that still hold were reported again before this number.
-        self.drains = {name: drain for name, drain in self.drains.items() if drain.by is DrainSource.OPERATOR}
+        self.drains = {
+            name: drain for name, drain in self.drains.items() if drain.source is DrainSource.OPERATOR
+        }
         return True
 
     def on_tick(self, now: int) -> bool:
@@ -158,7 +160,7 @@
             return False
         # The coordinator drains one process: a later one of the same name is not drained. An operator drains
         # the name.
-        return drain.by is DrainSource.OPERATOR or member.started_at_us <= drain.since_us
+        return drain.source is DrainSource.OPERATOR or member.started_at_us <= drain.process_started_us
 
     def with_drains(self, event: EndpointsChanged) -> EndpointsChanged:
         """The list with drained members shown as draining."""
@@ -173,7 +175,8 @@
     def purges_to_replay(self, now: int) -> list[ObjectsPurged]:
         """Purges that a cache may not have carried out yet: they bind from the first request on."""
         return [
-            ObjectsPurged(purge.group, purge.object, max(0, now - purge.unix_us)) for purge in self.purges
+            ObjectsPurged(purge.object_group, purge.object_id, max(0, now - purge.unix_us))
+            for purge in self.purges
         ]
 
     def may_send(self, request_id: str) -> bool:
--- a/onyxwick/store/row_schema.py
+++ b/onyxwick/store/row_schema.py
@@ -80,10 +80,10 @@
     """A drain as it is stored."""
     return {
         "member": drain.member,
-        "by": drain.by.value,
-        "since_us": drain.since_us,
+        "by": drain.source.value,
+        "since_us": drain.process_started_us,
         "reason": drain.reason,
-        "at_us": drain.at_us,
+        "at_us": drain.recorded_at_us,
     }
 
 
@@ -100,7 +100,9 @@
 
 def purge_key(purge: RecordedPurge) -> str:
     """The key of a purge, which begins with its time."""
-    return f"{PURGE_PREFIX}{purge.unix_us:0{_PURGE_TIME_DIGITS}d}/{purge.group}/{purge.object or ''}"
+    return (
+        f"{PURGE_PREFIX}{purge.unix_us:0{_PURGE_TIME_DIGITS}d}/{purge.object_group}/{purge.object_id or ''}"
+    )
 
 
 def purge_key_unix_us(key: str) -> int:
@@ -112,10 +114,10 @@
 def purge_row(purge: RecordedPurge) -> StoredRow:
     """A purge as it is stored."""
     return {
-        "group": purge.group,
-        "object": purge.object,
+        "group": purge.object_group,
+        "object": purge.object_id,
         "unix_us": purge.unix_us,
-        "index": purge.index,
+        "index": purge.feed_number,
     }
 
 
--- a/onyxwick/store/tenant_rows.py
+++ b/onyxwick/store/tenant_rows.py
@@ -22,9 +22,19 @@
     return f"gone/{name}"
 
 
+def zone_prefix(name: str) -> str:
+    """The prefix of the keys of a tenant's zones."""
+    return f"zone/{name}/"
+
+
+def key_prefix(name: str) -> str:
+    """The prefix of the keys of a tenant's TSIG keys."""
+    return f"key/{name}/"
+
+
 def tenant_prefixes(name: str) -> tuple[str, ...]:
     """Prefixes of all keys of a tenant; those of tenants with longer names may begin with them too."""
-    return (tenant_key(name), f"zone/{name}/", f"key/{name}/", deleted_tenant_key(name))
+    return (tenant_key(name), zone_prefix(name), key_prefix(name), deleted_tenant_key(name))
 
 
 def is_of_tenant(key: str, name: str) -> bool:
@@ -39,9 +49,9 @@
     for name, zone in tenant.zones.items():
         routed = str(zone.routed) if zone.routed is not None else None
         text = zone.data.to_text(relativize=False)
-        rows[f"zone/{tenant.name}/{name}"] = {"text": text, "routed": routed}
+        rows[f"{zone_prefix(tenant.name)}{name}"] = {"text": text, "routed": routed}
     for name, secret in tenant.keys.items():
-        rows[f"key/{tenant.name}/{name}"] = {"secret": cipher.encrypt(secret)}
+        rows[f"{key_prefix(tenant.name)}{name}"] = {"secret": cipher.encrypt(secret)}
     return rows
 
 
--- a/onyxwick/store/transactions.py
+++ b/onyxwick/store/transactions.py
@@ -8,8 +8,9 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
-from onyxwick.store.errors import InvalidTransactionError, VersionConflictError
+from onyxwick.store.errors import InvalidTransactionError, StoreError, VersionConflictError
 from onyxwick.store.records import MAX_PAYLOAD_BYTES, RecordPayload, StoredOperations
 
 ANY_VERSION = -1
@@ -54,6 +55,13 @@
     first_number: int = 0
 
 
+class PreparedBatch(NamedTuple):
+    """A batch of the transactions that can be done, and for each transaction its error or None."""
+
+    batch: WriteBatch
+    errors: list[StoreError | None]
+
+
 def check_transaction(transaction: Transaction, version_of: Callable[[str], int]) -> RecordPayload:
     """The payload with the versions that the transaction makes.
 
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -398,7 +398,9 @@
     late = NOW_MS + replica.retention_ms
     assert len(replica.snapshot_lines(late)[1]) == 2 + 10
     replica.apply(purge_event(11), late + 6)
-    assert {key.ref for key in replica.state.purges.unix_ms_by_key} == {f"{n:016x}" for n in range(6, 12)}
+    assert {key.object_id for key in replica.state.purges.unix_ms_by_key} == {
+        f"{n:016x}" for n in range(6, 12)
+    }
 
 
 def test_many_subscribers_share_one_snapshot() -> None:
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -39,7 +39,7 @@
 FEED = (f"{BASE}.1.8", 7070)
 
 
-class Recorder:
+class RecordingSink:
     """A sink that keeps what a director would apply, in order."""
 
     def __init__(self) -> None:
@@ -49,8 +49,8 @@
 
     def deliver(self, event: FeedEvent, from_snapshot: bool) -> None:
         if isinstance(event.payload, PurgeEvent) and self.table.add(event.payload):
-            assert event.payload.key.ref is not None
-            self.purges.append(event.payload.key.ref)
+            assert event.payload.key.object_id is not None
+            self.purges.append(event.payload.key.object_id)
 
     def install(self, snapshot: FeedSnapshot) -> None:
         pass
@@ -59,7 +59,7 @@
         pass
 
 
-class Tree:
+class ProcessTree:
     """All processes of one test, and followers in the test's own."""
 
     def __init__(self, folder: Path) -> None:
@@ -69,26 +69,26 @@
         self.nodes: dict[str, subprocess.Popen[bytes]] = {}
         self.directors: list[Program] = []
         self.admins: list[Address] = []
-        self.recorders: list[Recorder] = []
+        self.recorders: list[RecordingSink] = []
         self.tasks: list[asyncio.Task[None]] = []
-        self.way = LinkDirection("relay-0", "root")
+        self.uplink = LinkDirection("relay-0", "root")
         self.sent: list[str] = []
 
-    def tell(self, payload: dict[str, Any]) -> None:
+    def publish(self, payload: dict[str, Any]) -> None:
         self.index += 1
         self.feed.tell(json.dumps({"index": self.index, **payload}).encode() + b"\n")
 
-    def purge(self) -> None:
+    def publish_purge(self) -> None:
         self.sent.append(f"{len(self.sent):016x}")
-        self.tell({"evict": {"ref": self.sent[-1], "unix_ms": wall_us() // 1000}})
+        self.publish({"evict": {"ref": self.sent[-1], "unix_ms": wall_us() // 1000}})
 
-    async def purges(self, count: int) -> None:
+    async def publish_purges(self, count: int) -> None:
         for _ in range(count):
-            self.purge()
+            self.publish_purge()
             await asyncio.sleep(0.005)
 
-    def list(self, caches: int) -> None:
-        self.tell({"endpoints": {"version": caches, "full": True, "servers": rows(caches)}})
+    def publish_list(self, caches: int) -> None:
+        self.publish({"endpoints": {"version": caches, "full": True, "servers": rows(caches)}})
 
     # ---- processes ----------------------------------------------------------------------------------------
 
@@ -97,9 +97,9 @@
         path.write_text(
             f'distribution {{\n  name = "{name}"\n  listen = "{format_address(listen)}"\n{fields}\n}}\n'
         )
-        self.again(name)
+        self.start_node(name)
 
-    def again(self, name: str) -> None:
+    def start_node(self, name: str) -> None:
         out = (self.folder / f"{name}.out").open("ab")
         self.nodes[name] = subprocess.Popen(
             [sys.executable, "-m", "onyxwick", "distribution", "run", str(self.folder / f"{name}.hcl")],
@@ -146,8 +146,8 @@
         writer.close()
         return dict(json.loads(body))
 
-    def follow(self, *parents: Address) -> Recorder:
-        recorder = Recorder()
+    def follow(self, *parents: Address) -> RecordingSink:
+        recorder = RecordingSink()
         follower = Follower(len(parents), ReconnectDelays(len(self.recorders), wall_us()))
         subscription = Subscription(follower, parents, recorder, Counters())
         self.recorders.append(recorder)
@@ -177,7 +177,7 @@
 
     async def set_up(self) -> None:
         await self.feed.listen()
-        self.list(3)
+        self.publish_list(3)
         (self.folder / "quotas.json").write_text('{"quotas": {"acme": 20}}')
         (self.folder / "bulk").write_text("x")
         self.start(
@@ -188,7 +188,7 @@
             '  document "quotas" {\n    file = "quotas.json"\n  }\n'
             '  document "bulk" {\n    file = "bulk"\n  }',
         )
-        await LinkRelay(self.way, UPLINK, ROOT, random.Random(1)).start()
+        await LinkRelay(self.uplink, UPLINK, ROOT, random.Random(1)).start()
         for number, (listen, parents) in enumerate(
             zip(RELAYS, ((UPLINK,), (ROOT, RELAYS[0]), (ROOT, RELAYS[1])), strict=True)
         ):
@@ -215,47 +215,47 @@
         assert wrong == ["", ""], "both directors end well"
 
 
-async def _killed_in_mid_event(tree: Tree) -> None:
-    publishing = asyncio.create_task(tree.purges(120))
+async def _killed_in_mid_event(tree: ProcessTree) -> None:
+    publishing = asyncio.create_task(tree.publish_purges(120))
     await asyncio.sleep(0.3)
     tree.nodes["relay-0"].kill()
     tree.nodes["relay-0"].wait()
     await publishing
     await tree.all_had("a relay killed")
-    tree.list(7)
+    tree.publish_list(7)
     await tree.members(9)
-    tree.again("relay-0")
+    tree.start_node("relay-0")
 
 
-async def _paused(tree: Tree) -> None:
+async def _paused(tree: ProcessTree) -> None:
     tree.nodes["relay-1"].send_signal(signal.SIGSTOP)
-    await tree.purges(40)
+    await tree.publish_purges(40)
     await tree.all_had("a relay paused")
     tree.nodes["relay-1"].send_signal(signal.SIGCONT)
-    tree.list(4)
+    tree.publish_list(4)
     await tree.members(6)
 
 
-async def _cut(tree: Tree) -> None:
-    tree.way.cut_there = tree.way.cut_back = True
-    tree.way.changed()
-    await tree.purges(40)
+async def _cut(tree: ProcessTree) -> None:
+    tree.uplink.cut_there = tree.uplink.cut_back = True
+    tree.uplink.changed()
+    await tree.publish_purges(40)
     await tree.all_had("an uplink cut: its followers go to another parent")
-    tree.way.cut_there = tree.way.cut_back = False
-    tree.way.changed()
+    tree.uplink.cut_there = tree.uplink.cut_back = False
+    tree.uplink.changed()
 
 
-async def _publisher_restarts(tree: Tree) -> None:
+async def _publisher_restarts(tree: ProcessTree) -> None:
     tree.nodes["root"].kill()
     tree.nodes["root"].wait()
     ages = [int((await tree.api(admin, "/health"))["feed_age_ms"]) for admin in tree.admins]
     assert all(age >= 0 for age in ages)
-    await tree.purges(20)  # into the coordinator, while nobody publishes
-    tree.again("root")
+    await tree.publish_purges(20)  # into the coordinator, while nobody publishes
+    tree.start_node("root")
     await tree.all_had("the publisher killed and back on its disk")
 
 
-async def _a_full_queue(tree: Tree) -> None:
+async def _a_full_queue(tree: ProcessTree) -> None:
     stuck = socket.socket()
     stuck.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     stuck.connect(RELAYS[2])
@@ -264,7 +264,7 @@
         (tree.folder / "bulk").write_text(f"{number}" * 500_000)
         tree.nodes["root"].send_signal(signal.SIGHUP)
         await asyncio.sleep(0.15)
-        tree.purge()
+        tree.publish_purge()
     await tree.all_had("a follower that reads nothing delays nobody")
     tree.nodes["relay-2"].send_signal(signal.SIGUSR1)
     await asyncio.sleep(0.3)
@@ -274,7 +274,7 @@
     stuck.close()
 
 
-async def _documents(tree: Tree) -> None:
+async def _documents(tree: ProcessTree) -> None:
     async def quota_is(value: float) -> None:
         end = time.monotonic() + PATIENCE_S
         while True:
@@ -295,10 +295,10 @@
 
 def test_a_tree_of_processes_loses_and_repeats_nothing(tmp_path: Path) -> None:
     async def main() -> None:
-        tree = Tree(tmp_path)
+        tree = ProcessTree(tmp_path)
         try:
             await tree.set_up()
-            await tree.purges(20)
+            await tree.publish_purges(20)
             await tree.all_had("no fault")
             await _documents(tree)
             await _killed_in_mid_event(tree)
