--- a/onyxwick/store/durable_state.py
+++ b/onyxwick/store/durable_state.py
@@ -190,9 +190,9 @@
                 return None
             drain = MemberDrain(member.address, DrainSource.COORDINATOR, member.started_at_us, "", now)
             return self.drain_operation(drain)
-        is_coordinators = row is not None and row["by"] == DrainSource.COORDINATOR.value
+        drain_source = schema.drain_of_row(row).source if row is not None else None
         # Not before the feed is received: the list of a start may be older than what is recorded.
-        if is_coordinators and self.recovery.phase is RecoveryPhase.SERVING:
+        if drain_source is DrainSource.COORDINATOR and self.recovery.phase is RecoveryPhase.SERVING:
             return WriteOperation(key, None)
         return None
 
--- a/onyxwick/store/row_schema.py
+++ b/onyxwick/store/row_schema.py
@@ -88,8 +88,14 @@
 
 
 def drain_of_row(row: StoredRow) -> MemberDrain:
-    """A stored drain."""
-    return MemberDrain(row["member"], DrainSource(row["by"]), row["since_us"], row["reason"], row["at_us"])
+    """A stored drain; fields that the row lacks have their defaults."""
+    return MemberDrain(
+        row["member"],
+        DrainSource(row["by"]),
+        row.get("since_us", 0),
+        row.get("reason", ""),
+        row.get("at_us", 0),
+    )
 
 
 # ---- purges ---------------------------------------------------------------------------------------------
@@ -122,8 +128,8 @@
 
 
 def purge_of_row(row: StoredRow) -> RecordedPurge:
-    """A stored purge."""
-    return RecordedPurge(row["group"], row["object"], row["unix_us"], row["index"])
+    """A stored purge; fields that the row lacks have their defaults."""
+    return RecordedPurge(row["group"], row["object"], row["unix_us"], row.get("index", 0))
 
 
 # ---- the plan of cells and idempotent calls -------------------------------------------------------------
--- a/tests/test_store_rows.py
+++ b/tests/test_store_rows.py
@@ -8,6 +8,8 @@
 
 from onyxwick.store import StoreUnusableError
 from onyxwick.store.encryption import SecretCipher, generate_key, read_key_file
+from onyxwick.store.recovery import DrainSource, MemberDrain, RecordedPurge
+from onyxwick.store.row_schema import drain_of_row, drain_row, purge_of_row, purge_row
 
 
 def test_keys_rotate_and_a_wrong_key_is_rejected(tmp_path: Path) -> None:
@@ -34,3 +36,12 @@
         unpack_row("drain/c0", encode_row([9, {}]))
     with pytest.raises(StoreUnusableError, match="cannot be read"):
         unpack_row("drain/c0", b"\xc1")
+
+
+def test_rows_without_the_later_fields_are_read_with_their_defaults() -> None:
+    drain = drain_of_row({"member": "c0", "by": "operator"})
+    assert drain == MemberDrain("c0", DrainSource.OPERATOR, 0, "", 0)
+    assert drain_of_row(drain_row(drain)) == drain
+    purge = purge_of_row({"group": 3, "object": None, "unix_us": 7})
+    assert purge == RecordedPurge(3, None, 7, 0)
+    assert purge_of_row(purge_row(purge)) == purge
