--- a/onyxwick/store/row_schema.py
+++ b/onyxwick/store/row_schema.py
@@ -88,10 +88,16 @@
 
 
 def drain_of_row(row: StoredRow) -> MemberDrain:
-    """A stored drain; fields that the row lacks have their defaults."""
+    """A stored drain; fields that the row lacks have their defaults. StoreUnusableError for another source."""
+    try:
+        source = DrainSource(row["by"])
+    except ValueError:
+        raise StoreUnusableError(
+            f"the drain of '{row['member']}' is by {row['by']!r}, not by operator or coordinator"
+        ) from None
     return MemberDrain(
         row["member"],
-        DrainSource(row["by"]),
+        source,
         row.get("since_us", 0),
         row.get("reason", ""),
         row.get("at_us", 0),
