--- a/onyxwick/store/row_schema.py
+++ b/onyxwick/store/row_schema.py
@@ -88,7 +88,7 @@
 
 
 def drain_of_row(row: StoredRow) -> MemberDrain:
-    """A stored drain; fields that the row lacks have their defaults. StoreUnusableError for another source."""
+    """A stored drain; fields that the row lacks have their defaults. StoreUnusableError: unknown source."""
     try:
         source = DrainSource(row["by"])
     except ValueError:
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -154,7 +154,7 @@
     def without_bound(self: FanOut, subscriber: Subscriber, room: int, now: int) -> bytes:
         return taken(self, subscriber, 1 << 30, now)
 
-    monkeypatch.setattr(FanOut, "take", without_bound)
+    monkeypatch.setattr(FanOut, "next_bytes", without_bound)
     monkeypatch.setattr("onyxwick.net.fanout_server._SubscriberConnection.pause_writing", lambda self: None)
 
     report = run(SmallPlan(directors=2, events=300, slot=8), small_mark, stuck=True)
