--- a/onyxwick/store/opening.py
+++ b/onyxwick/store/opening.py
@@ -98,8 +98,7 @@
         if not marks:
             if has_data:
                 raise StoreUnusableError(
-                    f"{COMMIT_MARK_FILE}: the commit mark is missing or damaged;"
-                    " what was acknowledged is unknown"
+                    "the commit mark is missing or damaged; what was acknowledged is unknown"
                 )
             return False
         mark = max(marks, key=lambda mark: mark.sequence)
