--- a/tests/feed_world.py
+++ b/tests/feed_world.py
@@ -318,9 +318,9 @@
         self.published.append(purge)
         self.publish_due()
 
-    def publish_change(self, name: str, gone: bool = False, full: bool = False) -> None:
-        state = "DELETED" if gone else "SERVING"
-        row = CacheRow(name, gone, {"id": name, "addr": "10.0.0.1:5050", "state": state})
+    def publish_change(self, name: str, deleted: bool = False, full: bool = False) -> None:
+        state = "DELETED" if deleted else "SERVING"
+        row = CacheRow(name, deleted, {"id": name, "addr": "10.0.0.1:5050", "state": state})
         self.publisher.submit(CacheListChange((row,), full, self.count), self.now // 1000)
         self.publish_due()
 
@@ -400,7 +400,7 @@
 def check_earlier_states_are_rejected() -> None:
     for cursor in (Cursor(HISTORY, 4), Cursor(HISTORY - 1, 900)):
         follower = connected_follower()
-        (gone,) = follower.on_line(START, codec.encode_snapshot_begin(cursor, 0))
-        assert isinstance(gone, DisconnectFromParent)
-        assert "stepback" in gone.reason
+        (action,) = follower.on_line(START, codec.encode_snapshot_begin(cursor, 0))
+        assert isinstance(action, DisconnectFromParent)
+        assert "stepback" in action.reason
         assert follower.cursor == Cursor(HISTORY, 5)
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -73,9 +73,9 @@
     assert taken == (DeliverEvent(purge_event(6)),), "with its line feed, as a relay sends it on"
     assert follower.on_line(START, purge_event(6).line) == ()
     assert follower.counts["duplicate"] == 1
-    (gone,) = follower.on_line(START, purge_event(8).line)
-    assert isinstance(gone, DisconnectFromParent)
-    assert "gap" in gone.reason
+    (action,) = follower.on_line(START, purge_event(8).line)
+    assert isinstance(action, DisconnectFromParent)
+    assert "gap" in action.reason
     assert follower.cursor.number == 6
     assert follower.on_tick(START) == (ConnectToParent(1),), "the next parent is asked, from the same cursor"
     assert follower.on_connected(START) == (SendLine(b"follow %d\n" % Cursor(HISTORY, 6).packed),)
@@ -84,16 +84,16 @@
 def test_an_announced_event_that_does_not_arrive_ends_the_connection() -> None:
     follower = connected_follower()
     assert follower.on_line(START, codec.encode_announcement(Cursor(HISTORY, 7))) == ()
-    (gone,) = follower.on_line(START, codec.encode_announcement(Cursor(HISTORY, 7)))
-    assert isinstance(gone, DisconnectFromParent)
+    (action,) = follower.on_line(START, codec.encode_announcement(Cursor(HISTORY, 7)))
+    assert isinstance(action, DisconnectFromParent)
 
 
 def test_a_silent_parent_is_given_up_within_its_time() -> None:
     follower = connected_follower()
     follower.on_line(START, codec.encode_announcement(Cursor(HISTORY, 5)))
     assert follower.on_tick(START + 699_999) == ()
-    (gone,) = follower.on_tick(START + 700_000)
-    assert isinstance(gone, DisconnectFromParent)
+    (action,) = follower.on_tick(START + 700_000)
+    assert isinstance(action, DisconnectFromParent)
     assert follower.state is FollowerState.WAITING
 
 
@@ -106,8 +106,8 @@
     assert follower.on_tick(late + 500_000) == ()
     assert follower.state is FollowerState.FOLLOWING
     follower.on_tick(late + 5 * S)
-    (gone,) = follower.on_tick(late + 5 * S + 300_000)
-    assert isinstance(gone, DisconnectFromParent), "a parent that is silent all the same is given up after it"
+    (action,) = follower.on_tick(late + 5 * S + 300_000)
+    assert isinstance(action, DisconnectFromParent), "a parent that stays silent is given up after it"
 
 
 def test_a_snapshot_of_an_earlier_state_or_history_is_rejected() -> None:
@@ -120,7 +120,7 @@
         follower = connected_follower()
         actions = [a for line in lines[:cut] for a in follower.on_line(START, line)]
         assert all(isinstance(a, DeliverEvent) and a.from_snapshot for a in actions)
-        assert follower.cursor == Cursor(HISTORY, 5), "no step before the whole snapshot"
+        assert follower.cursor == Cursor(HISTORY, 5), "no step before the complete snapshot"
     follower = connected_follower()
     actions = [a for line in lines for a in follower.on_line(START, line)]
     assert isinstance(actions[-1], InstallSnapshot)
@@ -178,8 +178,8 @@
     follower = Follower(1, ImmediateBackoff(), Cursor(0, 40), resets_on_restart=True)
     follower.start(START)
     follower.on_connected(START)
-    (gone,) = follower.on_line(START, b"3\n")
-    assert isinstance(gone, DisconnectFromParent)
+    (action,) = follower.on_line(START, b"3\n")
+    assert isinstance(action, DisconnectFromParent)
     follower.on_tick(START)
     assert follower.on_connected(START) == (SendLine(b"follow 0\n"),)
 
@@ -304,9 +304,9 @@
         collector.add(parts[1])
     for part in parts[:-1]:
         assert collector.add(part) is None
-    whole = collector.add(parts[-1])
-    assert whole is not None
-    assert whole.text == "\u00e9" * 60_000
+    document = collector.add(parts[-1])
+    assert document is not None
+    assert document.text == "\u00e9" * 60_000
     collector.add(parts[0])
     with pytest.raises(DocumentError):
         collector.add(parts[2])
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -250,7 +250,7 @@
     tree.nodes["root"].wait()
     ages = [int((await tree.api(admin, "/health"))["feed_age_ms"]) for admin in tree.admins]
     assert all(age >= 0 for age in ages)
-    await tree.publish_purges(20)  # into the coordinator, while nobody publishes
+    await tree.publish_purges(20)  # into the coordinator, while no publisher runs
     tree.start_node("root")
     await tree.all_had("the publisher killed and back on its disk")
 
@@ -265,7 +265,7 @@
         tree.nodes["root"].send_signal(signal.SIGHUP)
         await asyncio.sleep(0.15)
         tree.publish_purge()
-    await tree.all_had("a follower that reads nothing delays nobody")
+    await tree.all_had("a follower that reads nothing delays no other")
     tree.nodes["relay-2"].send_signal(signal.SIGUSR1)
     await asyncio.sleep(0.3)
     answers = tree.status("relay-2")
--- a/tests/test_distribution_trees.py
+++ b/tests/test_distribution_trees.py
@@ -36,7 +36,7 @@
         for _ in range(2):
             world.publish_purge(f"{world.rng.getrandbits(64):016x}")
         if step % 5 == 0:
-            world.publish_change(f"c{world.rng.randrange(30)}", gone=world.rng.random() < 0.3)
+            world.publish_change(f"c{world.rng.randrange(30)}", deleted=world.rng.random() < 0.3)
         if step % 17 == 0:
             world.publish_document(f"doc{step % 3}", f"{step}" * world.rng.randrange(1, 20_000))
         world.run(0.1)
@@ -69,7 +69,7 @@
     lost = sum(n.follower.counts["lost"] for n in world.nodes.values() if n.follower is not None)
     assert lost > 5, "the faults were felt"
     for node in world.nodes.values():
-        # A garbled event can be valid JSON with another meaning only for the whole line; nothing is missed.
+        # A garbled event can be valid JSON with another meaning only for the complete line; nothing is lost.
         assert not node.parents or not world.missing_purges(node), node.name
 
 
--- a/tests/test_dns_routing.py
+++ b/tests/test_dns_routing.py
@@ -45,15 +45,15 @@
         self.core = RequestEngine(SETTINGS, 7, CacheNaming(), self.members, self.counters, make_router=decide)
         config = load(FOLDER / "service.hcl")
         self.front = DnsFront(self.core, self.counters, config)
-        self.request_times: dict[str, list[float]] = {box: [] for box in CACHE_ADDRESSES}
+        self.request_times: dict[str, list[float]] = {name: [] for name in CACHE_ADDRESSES}
 
     def receive_list(self, *rows: Member, kind: EndpointListKind = EndpointListKind.CHANGE) -> None:
         self.core.feed.apply_endpoints(
             EndpointsChanged(kind, rows), {**CACHE_ADDRESSES, "p0": ("127.77.2.9", 15071)}
         )
 
-    async def run(self, scene: Callable[[DnsDirector], Awaitable[None]]) -> None:
-        def box(name: str) -> Callable[[asyncio.StreamReader, asyncio.StreamWriter], None]:
+    async def run(self, scenario: Callable[[DnsDirector], Awaitable[None]]) -> None:
+        def count_requests(name: str) -> Callable[[asyncio.StreamReader, asyncio.StreamWriter], None]:
             def serve(_: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
                 self.request_times[name].append(time.monotonic())
                 writer.close()
@@ -61,7 +61,8 @@
             return serve
 
         servers = [
-            await asyncio.start_server(box(name), *address) for name, address in CACHE_ADDRESSES.items()
+            await asyncio.start_server(count_requests(name), *address)
+            for name, address in CACHE_ADDRESSES.items()
         ]
         front = asyncio.create_task(self.front.run())
         self.receive_list(
@@ -71,7 +72,7 @@
         )
         await asyncio.sleep(0)
         try:
-            await scene(self)
+            await scenario(self)
         finally:
             front.cancel()
             await asyncio.gather(front, return_exceptions=True)
@@ -79,9 +80,9 @@
                 server.close()
 
 
-def play(scene: Callable[[DnsDirector], Awaitable[None]]) -> None:
+def run_scenario(scenario: Callable[[DnsDirector], Awaitable[None]]) -> None:
     async def main() -> None:
-        await DnsDirector().run(scene)  # made where the loop runs: the core sets its first timer at once
+        await DnsDirector().run(scenario)  # made where the loop runs: the core sets its first timer at once
 
     asyncio.run(main())
 
@@ -128,7 +129,7 @@
 
 
 def test_a_drained_cache_is_not_named_and_honest_resolvers_send_nothing_late() -> None:
-    async def scene(depot: DnsDirector) -> None:
+    async def scenario(depot: DnsDirector) -> None:
         resolver = Resolver()
         box, told = await _drain(depot, resolver)
         assert depot.request_times[box]
@@ -137,13 +138,13 @@
         assert not [at for at, address in resolver.named if at > told and address == CACHE_ADDRESSES[box][0]]
         assert _late(depot.request_times[box], told) == 0
 
-    play(scene)
+    run_scenario(scenario)
 
 
 def test_answers_cached_too_long_reach_a_drained_cache_and_are_counted() -> None:
     """What naming alone cannot prevent: every late request comes from a kept answer, none from a naming."""
 
-    async def scene(depot: DnsDirector) -> None:
+    async def scenario(depot: DnsDirector) -> None:
         resolver = Resolver(keeps_s=60.0)
         box, told = await _drain(depot, resolver)
         kept = [part for part in range(24) if resolver.kept[NAME.format(part)][1] == CACHE_ADDRESSES[box][0]]
@@ -156,13 +157,13 @@
         assert resolver.stale == 24 and _late(depot.request_times[box], told) == len(kept) > 0
         assert not [at for at, address in resolver.named if at > told and address == CACHE_ADDRESSES[box][0]]
 
-    play(scene)
+    run_scenario(scenario)
 
 
 def test_a_restarted_cache_is_named_within_its_slow_start_budget() -> None:
     """Namings are charged to the cold budget: a flood of names does not all go to the empty box."""
 
-    async def scene(depot: DnsDirector) -> None:
+    async def scenario(depot: DnsDirector) -> None:
         depot.receive_list(replace(member("c0"), started_at_us=depot.core.now()))
         resolver = Resolver()
         for part in range(150):
@@ -184,14 +185,14 @@
         popularity = router.popularity
         assert (popularity.hits, popularity.answers) == (0, 0) and not popularity.recent_hits
 
-    play(scene)
+    run_scenario(scenario)
 
 
 def test_a_signed_update_changes_the_zone_and_raises_its_serial() -> None:
     async def ask(message: dns.message.Message) -> dns.message.Message:
         return await dns.asyncquery.udp(message, DNS[0], 10, DNS[1])
 
-    async def scene(_: DnsDirector) -> None:
+    async def scenario(_: DnsDirector) -> None:
         key = dns.tsigkeyring.from_text({"update.depot.test.": "b255eHdpY2stdGVzdC1rZXk="})
         change = dns.update.UpdateMessage("depot.test.", keyring=key)
         change.absent("new")
@@ -210,7 +211,7 @@
         foreign.add("0.7f3a9c21e0b4d655.chunk.route", 60, "A", "127.77.9.9")
         assert (await ask(foreign)).rcode() == dns.rcode.REFUSED
 
-    play(scene)
+    run_scenario(scenario)
 
 
 def test_names_are_routed_through_cells() -> None:
@@ -219,7 +220,7 @@
         {"a": Cell("a", ("c0",)), "b": Cell("b", ("c1", "c2"))}, {"depot": TenantSpec("depot", cells=("a",))}
     )
 
-    async def scene(depot: DnsDirector) -> None:
+    async def scenario(depot: DnsDirector) -> None:
         resolver = Resolver()
         for part in range(40):
             await client(resolver, part)
@@ -229,6 +230,6 @@
         assert not cells.requests and cells.units["a"].open == 0
 
     async def main() -> None:
-        await DnsDirector(lambda s, seed, now: CellRouter(s, seed, now, plan, 400)).run(scene)
+        await DnsDirector(lambda s, seed, now: CellRouter(s, seed, now, plan, 400)).run(scenario)
 
     asyncio.run(main())
--- a/tests/test_durable_api.py
+++ b/tests/test_durable_api.py
@@ -25,22 +25,22 @@
 
 
 def test_what_the_api_acknowledged_is_there_after_a_restart() -> None:
-    async def play() -> None:
-        depot = DirectorWithStore(FaultyFiles())
-        assert (await depot.call("POST", "/tenants", {"name": "yard", "quota_per_s": 5, "token": "t" * 16}))[
-            0
-        ] == 201
+    async def scenario() -> None:
+        director = DirectorWithStore(FaultyFiles())
+        assert (
+            await director.call("POST", "/tenants", {"name": "yard", "quota_per_s": 5, "token": "t" * 16})
+        )[0] == 201
         zone = {"text": ZONE.format(7)}
-        assert (await depot.call("PUT", "/tenants/yard/zones/yard.test.", zone))[0] == 201
+        assert (await director.call("PUT", "/tenants/yard/zones/yard.test.", zone))[0] == 201
         assert (
-            await depot.call("PUT", "/tenants/yard/keys/k.test.", {"secret": "b255eHdpY2stdGVzdC1rZXk="})
+            await director.call("PUT", "/tenants/yard/keys/k.test.", {"secret": "b255eHdpY2stdGVzdC1rZXk="})
         )[0] == 201
-        assert (await depot.call("PUT", "/drains/c1", {"reason": "disk"}))[0] == 200
-        assert (await depot.call("POST", "/tenants", {"name": "gone"}))[0] == 201
-        assert (await depot.call("DELETE", "/tenants/gone"))[0] == 204
-        assert not depot.core.endpoints.is_ready("c1") and depot.core.endpoints.is_ready("c0")
-        assert b"onyxwick-test-key" not in b"".join(depot.files.read(n) for n in depot.files.names())
-        again = DirectorWithStore(depot.files.after_crash(random.Random(1)))
+        assert (await director.call("PUT", "/drains/c1", {"reason": "disk"}))[0] == 200
+        assert (await director.call("POST", "/tenants", {"name": "gone"}))[0] == 201
+        assert (await director.call("DELETE", "/tenants/gone"))[0] == 204
+        assert not director.core.endpoints.is_ready("c1") and director.core.endpoints.is_ready("c0")
+        assert b"onyxwick-test-key" not in b"".join(director.files.read(n) for n in director.files.names())
+        again = DirectorWithStore(director.files.after_crash(random.Random(1)))
         tenant = again.tenants.tenants["yard"]
         assert set(again.tenants.tenants) == {"yard"} and tenant.quota.per_s == 5 and tenant.token == "t" * 16
         assert [z.data.get_soa().serial for z in tenant.zones.values()] == [7]
@@ -49,28 +49,28 @@
         assert (await again.call("DELETE", "/drains/c1"))[1] == {"member": "c1", "lifted": True}
         assert again.core.endpoints.is_ready("c1")
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_an_idempotent_call_is_done_once_and_repeats_its_first_outcome() -> None:
-    async def play() -> None:
-        depot = DirectorWithStore(FaultyFiles())
-        first = await depot.call("POST", "/tenants", {"name": "yard"}, key="k1")
-        again = DirectorWithStore(depot.files.after_crash(random.Random(2)))
+    async def scenario() -> None:
+        director = DirectorWithStore(FaultyFiles())
+        first = await director.call("POST", "/tenants", {"name": "yard"}, key="k1")
+        again = DirectorWithStore(director.files.after_crash(random.Random(2)))
         assert await again.call("POST", "/tenants", {"name": "yard"}, key="k1") == first and first[0] == 201
         assert (await again.call("POST", "/tenants", {"name": "yard"}, key="k2"))[0] == 409
         assert (await again.call("POST", "/tenants", {"name": "other"}, key="k1"))[0] == 409
         assert list(again.tenants.tenants) == ["yard"]
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_a_change_that_cannot_be_made_durable_is_rolled_back() -> None:
-    async def play() -> None:
-        depot = DirectorWithStore(FaultyFiles())
-        await depot.call("POST", "/tenants", {"name": "yard", "quota_per_s": 5})
-        await depot.call("PUT", "/tenants/yard/zones/yard.test.", {"text": ZONE.format(1)})
-        depot.files.failing_calls.add("sync")
+    async def scenario() -> None:
+        director = DirectorWithStore(FaultyFiles())
+        await director.call("POST", "/tenants", {"name": "yard", "quota_per_s": 5})
+        await director.call("PUT", "/tenants/yard/zones/yard.test.", {"text": ZONE.format(1)})
+        director.files.failing_calls.add("sync")
         for method, path, data in (
             ("PATCH", "/tenants/yard", {"quota_per_s": 9}),
             ("PUT", "/tenants/yard/zones/yard.test.", {"text": ZONE.format(2)}),
@@ -78,29 +78,31 @@
             ("POST", "/tenants", {"name": "new"}),
             ("PUT", "/drains/c0", {}),
         ):
-            status, text = await depot.call(method, path, data)
+            status, text = await director.call(method, path, data)
             assert status == 503 and "not done" in str(text)
-        tenant = depot.tenants.tenants["yard"]
-        assert list(depot.tenants.tenants) == ["yard"] and tenant.quota.per_s == 5
+        tenant = director.tenants.tenants["yard"]
+        assert list(director.tenants.tenants) == ["yard"] and tenant.quota.per_s == 5
         assert [z.data.get_soa().serial for z in tenant.zones.values()] == [1]
-        assert depot.core.endpoints.is_ready("c0")
+        assert director.core.endpoints.is_ready("c0")
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("seed", range(12))
 def test_power_lost_in_the_middle_of_calls_leaves_each_done_or_not(seed: int) -> None:
     from tests.faulty_files import PowerLoss
 
-    async def play() -> None:
+    async def scenario() -> None:
         rng, files = random.Random(seed), FaultyFiles()
-        depot, acknowledged = DirectorWithStore(files), set[str]()
+        director, acknowledged = DirectorWithStore(files), set[str]()
         files.crash_at_call = files.calls + rng.randrange(2, 40)
         trying = ""
         try:
             for n in range(20):
                 trying = f"t{n}"
-                task = depot.call("POST", "/tenants", {"name": trying, "token": f"token-of-tenant-{n:03d}"})
+                task = director.call(
+                    "POST", "/tenants", {"name": trying, "token": f"token-of-tenant-{n:03d}"}
+                )
                 done = await asyncio.wait_for(task, 5)
                 if done[0] == 503 and files.calls >= files.crash_at_call:
                     break  # the power went in the call: it is refused, and nothing after it is acknowledged
@@ -111,32 +113,32 @@
         again = DirectorWithStore(files.after_crash(rng))
         found = set(again.tenants.tenants)
         assert acknowledged <= found <= acknowledged | {trying}
-        assert all(t.token for t in again.tenants.tenants.values()), "whole, with its token"
+        assert all(t.token for t in again.tenants.tenants.values()), "complete, with its token"
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_a_second_kill_before_the_feed_is_received_loses_no_drain() -> None:
     """The list of a start is old: it must neither lift what is recorded nor put the feed's number back."""
 
-    async def play() -> None:
-        depot = DirectorWithStore(FaultyFiles())
-        depot.core.feed.record_feed_index(9)
+    async def scenario() -> None:
+        director = DirectorWithStore(FaultyFiles())
+        director.core.feed.record_feed_index(9)
         drained = EndpointsChanged(EndpointListKind.CHANGE, (replace(CACHES[0], state=MemberState.DRAINING),))
-        depot.core.feed.apply_endpoints(drained, ADDRESSES)
-        await asyncio.gather(*depot.durable.background_commits)
+        director.core.feed.apply_endpoints(drained, ADDRESSES)
+        await asyncio.gather(*director.durable.background_commits)
         for seed in range(3):  # each time up with the old list, in which all are ready, and killed again
-            depot = DirectorWithStore(depot.files.after_crash(random.Random(seed)))
-            depot.core.feed.record_feed_index(1)
-            await asyncio.gather(*depot.durable.background_commits)
-            assert depot.durable.recovery.last_feed_number == 9
-            assert not depot.core.endpoints.is_ready("c0") and depot.core.endpoints.is_ready("c1")
-        depot.core.feed.record_feed_index(10)
-        assert depot.core.endpoints.is_ready("c0"), "the feed is past it and has not drained it again"
-        await asyncio.gather(*depot.durable.background_commits)
-        assert not list(depot.durable.engine.keys("drain/"))
+            director = DirectorWithStore(director.files.after_crash(random.Random(seed)))
+            director.core.feed.record_feed_index(1)
+            await asyncio.gather(*director.durable.background_commits)
+            assert director.durable.recovery.last_feed_number == 9
+            assert not director.core.endpoints.is_ready("c0") and director.core.endpoints.is_ready("c1")
+        director.core.feed.record_feed_index(10)
+        assert director.core.endpoints.is_ready("c0"), "the feed is past it and has not drained it again"
+        await asyncio.gather(*director.durable.background_commits)
+        assert not list(director.durable.engine.keys("drain/"))
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 # ---- write-ahead intents ---------------------------------------------------------------------------------
@@ -145,9 +147,9 @@
 def test_a_write_ahead_intent_is_durable_before_its_request_is_sent_and_it_is_never_sent_again() -> None:
     sent: list[str] = []
 
-    async def play() -> None:
+    async def scenario() -> None:
         files = FaultyFiles()
-        depot = DirectorWithStore(files, bookings=True)
+        director = DirectorWithStore(files, bookings=True)
 
         class Origin:
             async def run(self, order: AttemptSpec) -> AttemptOutcome:
@@ -157,12 +159,12 @@
                 sent.append(order.request.request_id)
                 return AttemptOutcome(AttemptStatus.OK, body=b"done")
 
-        depot.core.context.transport = Origin()
-        request = ClientRequest("b" * 16, "save", "0" * 16, 0, None, depot.core.now(), 3 * S)
+        director.core.context.transport = Origin()
+        request = ClientRequest("b" * 16, "save", "0" * 16, 0, None, director.core.now(), 3 * S)
         answers: list[FinalAnswer] = []
-        await depot.core.serve(request, answers.append)
+        await director.core.serve(request, answers.append)
         assert [a.status for a in answers] == [AnswerStatus.SERVED] and sent == ["b" * 16]
-        await depot.durable.close()
+        await director.durable.close()
         assert not list(open_state(files.copy()).engine.keys("booking/")), "ended, so forgotten"
 
         open_ = FaultyFiles()
@@ -174,4 +176,4 @@
         await again.core.serve(twice, answers.append)
         assert [a.status for a in answers] == [AnswerStatus.FAILED] and sent == ["b" * 16]
 
-    asyncio.run(play())
+    asyncio.run(scenario())
--- a/tests/test_http_server.py
+++ b/tests/test_http_server.py
@@ -30,7 +30,7 @@
 
 
 def test_a_new_caller_displaces_the_oldest_idle_one_and_one_call_ends_its_connection() -> None:
-    async def play() -> tuple[bytes, bytes, bytes]:
+    async def scenario() -> tuple[bytes, bytes, bytes]:
         counters = Counters()
         server = HttpServer(
             ADDRESS,
@@ -56,7 +56,7 @@
         await asyncio.gather(task, return_exceptions=True)
         return answer, first, str(counters.counts["admin.displaced"]).encode()
 
-    answer, first, displaced = asyncio.run(play())
+    answer, first, displaced = asyncio.run(scenario())
     assert answer.startswith(b"HTTP/1.1 200 OK\r\n") and b"Connection: close" in answer, answer
     assert b'{"path":"/ready"}' in answer and b"/other" not in answer
     assert first == b"" and displaced == b"1"
@@ -77,7 +77,7 @@
 def test_connections_that_ended_before_they_were_accepted_delay_no_caller() -> None:
     """A caller of the door waits a second; 40 pauses of 50 ms would be two."""
 
-    async def play() -> float:
+    async def scenario() -> float:
         counters, bound = Counters(), FlakySocket()
         bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         bound.bind(ADDRESS)
@@ -99,4 +99,4 @@
         await asyncio.gather(task, return_exceptions=True)
         return time.monotonic() - begun
 
-    assert asyncio.run(play()) < 0.5
+    assert asyncio.run(scenario()) < 0.5
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -63,7 +63,7 @@
     assert not recovery.on_feed_number(101 * S, 4) and recovery.status()["phase"] == "checking"
     assert recovery.on_feed_number(101 * S, 5) and recovery.status()["phase"] == "serving"
     states = {m.address: m.state for m in recovery.with_drains(event).members}
-    assert states["c0"] is MemberState.READY, "the coordinator has not told of a drain again: it was lifted"
+    assert states["c0"] is MemberState.READY, "the coordinator has not repeated the drain: it was lifted"
     assert states["c1"] is MemberState.DRAINING, "an operator's drain is lifted by an operator alone"
     assert recovery.lift_drain("c1") and not recovery.lift_drain("c1")
     assert recovery.with_drains(event) is event
@@ -77,8 +77,8 @@
         EndpointListKind.CHANGE, (member("c0", started_at_us=90 * S), member("c1", started_at_us=90 * S))
     )
     assert [m.state for m in recovery.with_drains(new).members] == [MemberState.READY, MemberState.DRAINING]
-    gone = EndpointsChanged(EndpointListKind.CHANGE, (replace(member("c1"), state=MemberState.REMOVED),))
-    assert recovery.with_drains(gone).members[0].state is MemberState.REMOVED
+    removed = EndpointsChanged(EndpointListKind.CHANGE, (replace(member("c1"), state=MemberState.REMOVED),))
+    assert recovery.with_drains(removed).members[0].state is MemberState.REMOVED
 
 
 def test_a_feed_that_is_never_received_keeps_the_drains_and_does_not_block_the_service() -> None:
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -141,9 +141,9 @@
             found = _opened(cut)
             assert found in (None, last), (name, size)
             tried, refused = tried + 1, refused + (found is None)
-        gone = files.copy()
-        del gone.entries[name]
-        assert _opened(gone) in (None, last), name
+        without_file = files.copy()
+        del without_file.entries[name]
+        assert _opened(without_file) in (None, last), name
     assert tried > 2000 and 0.05 < refused / tried < 1
 
 
@@ -192,10 +192,10 @@
 
 
 def test_a_crash_at_every_call_with_writes_in_any_order_loses_nothing_acknowledged() -> None:
-    whole = FaultyFiles()
-    _run(whole, [])
+    complete_run = FaultyFiles()
+    _run(complete_run, [])
     tried = 0
-    for at in range(1, whole.calls + 1):
+    for at in range(1, complete_run.calls + 1):
         for seed in range(12):
             files, before = FaultyFiles(), list[State]()
             files.crash_at_call = at
@@ -203,16 +203,16 @@
                 _run(files, before)
             assert _survives(files, random.Random(seed), before or [{}]), (at, seed, files.log[-1])
             tried += 1
-    assert tried == 12 * whole.calls > 800
+    assert tried == 12 * complete_run.calls > 800
 
 
 @pytest.mark.parametrize("bug", ["sync", "sync_folder"])
 def test_planted_bugs_are_caught(bug: str) -> None:
     """An acknowledgement before the sync; a compaction without the folder's."""
-    whole = FaultyFiles()
-    _run(whole, [], bug)
+    complete_run = FaultyFiles()
+    _run(complete_run, [], bug)
     caught = 0
-    for at in range(1, whole.calls + 1):
+    for at in range(1, complete_run.calls + 1):
         files, before = FaultyFiles(), list[State]()
         files.crash_at_call = at
         with pytest.raises(PowerLoss):
@@ -376,7 +376,7 @@
 
     engine.prepare = prepare  # type: ignore[assignment,method-assign]
 
-    async def play() -> list[str]:
+    async def scenario() -> list[str]:
         committer = Committer(engine)
         results = []
         for n in range(2):
@@ -388,4 +388,4 @@
         await asyncio.wait_for(committer.close(), 5)
         return results
 
-    assert asyncio.run(play()) == ["an error of the store's own", "an error of the store's own"]
+    assert asyncio.run(scenario()) == ["an error of the store's own", "an error of the store's own"]
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -278,8 +278,8 @@
         assert not trace.losses
     assert [len(table) for table in tables] == [3, 3]
     _check_requests(join(tables, strings), strings)
-    told = [(kind, at - START_US, data) for table in tables for kind, at, data in table.told]
-    assert [(NotificationKind(kind).name, at) for kind, at, _ in told] == [
+    notifications = [(kind, at - START_US, data) for table in tables for kind, at, data in table.told]
+    assert [(NotificationKind(kind).name, at) for kind, at, _ in notifications] == [
         ("START", 0),
         ("CLOCK", 0),
         ("LIST", 0),
@@ -289,11 +289,11 @@
         ("SITE", 170_000),
         ("STOP", 300_000),
     ]
-    assert told[1][2] == {"unix_us": START_US, "mono_us": 5 * S}
-    assert told[2][2]["members"][0] == ["box-1", "zone-a", "cache", "ready", 1.0, 0]
-    assert told[3][2] == {"id": 3, "member": "box-1", "class": "booking"}
-    assert told[4][2] == {"group": 3, "object": None, "age_us": 0}
-    assert told[6][2] == {"site": "site-north", "was": "steady", "now": "away"}
+    assert notifications[1][2] == {"unix_us": START_US, "mono_us": 5 * S}
+    assert notifications[2][2]["members"][0] == ["box-1", "zone-a", "cache", "ready", 1.0, 0]
+    assert notifications[3][2] == {"id": 3, "member": "box-1", "class": "booking"}
+    assert notifications[4][2] == {"group": 3, "object": None, "age_us": 0}
+    assert notifications[6][2] == {"site": "site-north", "was": "steady", "now": "away"}
 
 
 def _check_requests(table: Table, strings: Strings) -> None:
