--- a/onyxwick/net/cache_wire.py
+++ b/onyxwick/net/cache_wire.py
@@ -134,8 +134,9 @@
 
 def _load_report(text: str, names: tuple[str, ...]) -> tuple[float, ...]:
     """The named values of `name:value;name:value`, 0 where one is absent; empty without a report."""
-    pairs = [pair.partition(":") for pair in text.split(";") if pair]
-    if not pairs:
+    if not text:
+        return ()
+    values = dict([pair.partition(":")[::2] for pair in text.split(";") if pair])
+    if not values:
         return ()
-    values = {name: value for name, _, value in pairs}
     return tuple(float(values.get(name) or 0) for name in names)
--- a/onyxwick/net/call_intake.py
+++ b/onyxwick/net/call_intake.py
@@ -18,7 +18,7 @@
 from onyxwick.net import fastcgi
 from onyxwick.net.errors import BadCallError
 from onyxwick.net.fastcgi_calls import (
-    CALL_PATH,
+    CALL_PATH_PREFIX,
     PATH,
     REQUEST_ID,
     OwnerFields,
@@ -31,7 +31,6 @@
     from onyxwick.cells.reservation import ConnectionReservation
 
 PING_PATH = b"/ping"
-CALL_PATH_PREFIX = CALL_PATH.encode()
 READY_STATUS = "200 OK"
 NOT_READY_STATUS = "503 Not Ready"
 LOGGED_PATH_BYTES = 64
--- a/onyxwick/net/fastcgi_calls.py
+++ b/onyxwick/net/fastcgi_calls.py
@@ -23,7 +23,7 @@
 IS_RETRY = b"HTTP_X_RETRY"
 IDEMPOTENCY_KEY = b"HTTP_IDEMPOTENCY_KEY"
 """The names of a call's parameters, as the platform's wire has them."""
-CALL_PATH = "/call/"
+CALL_PATH_PREFIX = b"/call/"
 
 STATUS_LINES = {
     AnswerStatus.SERVED: "200 OK",
@@ -82,7 +82,7 @@
     params: Params, body: bytes, arrived_us: int, classes: dict[str, RequestClass], owner: OwnerFields
 ) -> ClientRequest:
     """The core's request for a call; BadCallError names the parameter that cannot be used."""
-    class_name = params[PATH].removeprefix(CALL_PATH.encode()).decode("latin-1")
+    class_name = params[PATH].removeprefix(CALL_PATH_PREFIX).decode("latin-1")
     request_class = classes.get(class_name)
     if request_class is None:
         raise BadCallError("unknown class")  # no cache could serve it
--- a/onyxwick/net/resp.py
+++ b/onyxwick/net/resp.py
@@ -17,6 +17,7 @@
 MAX_LINE_BYTES = 32
 """The longest line with a count or a length."""
 CRLF = b"\r\n"
+CRLF_BYTES = 2
 ARRAY, BULK, CR, LF = b"*$\r\n"
 
 
@@ -53,7 +54,7 @@
         if buffer.data[at] != prefix or not is_number or int(digits) > highest:
             line = bytes(buffer.data[at:end][:MAX_LINE_BYTES])
             raise RespProtocolError(f"bad line {line!r}, expected {chr(prefix)!r} and a number to {highest}")
-        return int(digits), end + len(CRLF)
+        return int(digits), end + CRLF_BYTES
 
     def _next_array(self) -> list[bytes] | None:
         buffer = self.buffer
@@ -68,7 +69,7 @@
                 if bulk is None:
                     return None
                 size, begin = bulk
-                at = begin + size + len(CRLF)
+                at = begin + size + CRLF_BYTES
                 if buffer.end < at:
                     self.needed_bytes = at - buffer.start
                     return None
