--- a/onyxwick/config/director.py
+++ b/onyxwick/config/director.py
@@ -1,5 +1,4 @@
-"""The director's configuration: the platform's JSON file and environment variables, and the bounds they
-imply.
+"""The director's configuration: the platform's JSON file and variables, and the bounds that they imply.
 
 The one place where the platform's names of this file and of its variables become terms of the code.
 """
--- a/onyxwick/config/errors.py
+++ b/onyxwick/config/errors.py
@@ -1,5 +1,4 @@
-"""The errors of all configuration readers: what was found, where, what was expected, what was likely
-meant."""
+"""The errors of all configuration readers: what was found, where, and what was expected or likely meant."""
 
 from __future__ import annotations
 
--- a/onyxwick/config/service.py
+++ b/onyxwick/config/service.py
@@ -38,8 +38,7 @@
 
 @dataclass(slots=True)
 class ServiceConfig:
-    """Where the DNS front and the administration API listen (None: off), and the parts that are
-    configured."""
+    """Where DNS front and administration API listen (None: off), and the parts that are configured."""
 
     tenants: Tenants
     dns_address: Address | None = None
--- a/onyxwick/lab/soak/ground.py
+++ b/onyxwick/lab/soak/ground.py
@@ -59,8 +59,7 @@
     """Servers that have a fault now."""
 
     def reserve_server(self, fault: SoakFault, kinds: tuple[str, ...]) -> SoakServer | None:
-        """A server without a fault, drawn; the caller removes it from `taken` at the end. None: no more
-        now."""
+        """A server without a fault, drawn, or None; the caller removes it from `taken` at the end."""
         candidates = [s for s in self.servers.values() if s.kind in kinds and s.name not in self.taken]
         if len(self.taken) >= MAX_FAULTY_SERVERS or not candidates:
             return None
--- a/onyxwick/net/accept_loop.py
+++ b/onyxwick/net/accept_loop.py
@@ -1,7 +1,7 @@
-"""Accepts connections on a listening socket; failures of accept(2) are counted and retried. Times are
-seconds.
+"""Accepts connections on a listening socket; failures of accept(2) are counted and retried.
 
-An accepted socket is passed to `admit` without an await in between, so that a cancel loses no client.
+An accepted socket is passed to `admit` without an await in between, so that a cancel loses no client. Times
+are seconds.
 """
 
 from __future__ import annotations
--- a/onyxwick/net/arrival_clock.py
+++ b/onyxwick/net/arrival_clock.py
@@ -1,8 +1,8 @@
-"""Estimates how long a client's bytes may have waited in the socket before they were read. Seconds,
-monotonic.
+"""Estimates how long a client's bytes may have waited in the socket before they were read.
 
 A call's time limit runs from its arrival. After a pause in reading, a stall of the process or a late accept
-the call may have arrived long before it is read; the estimate is never shorter than the real wait.
+the call may have arrived long before it is read; the estimate is never shorter than the real wait. Times are
+monotonic seconds.
 """
 
 from __future__ import annotations
--- a/onyxwick/net/cache_connection.py
+++ b/onyxwick/net/cache_connection.py
@@ -235,8 +235,7 @@
             delay_s = min(2 * delay_s, MAX_LOCAL_RETRY_S)
 
     async def _connect_within_limit(self, sock: socket.socket) -> None:
-        """Connect; TimeoutError after `connect_s`, unless a stall of the process hid that it has
-        succeeded."""
+        """Connect; TimeoutError after `connect_s`, unless it succeeded during a stall of the process."""
         try:
             async with asyncio.timeout(self.pool.connect_s):
                 await asyncio.get_running_loop().sock_connect(sock, self.address)
--- a/onyxwick/net/connection_slots.py
+++ b/onyxwick/net/connection_slots.py
@@ -59,8 +59,7 @@
     silent_grace_s: float = SILENT_GRACE_S,
     partial_call_grace_s: float = PARTIAL_CALL_GRACE_S,
 ) -> tuple[EvictionGroup, float] | None:
-    """The connection's rank, evicted lowest first: its group, and since when it is in it; None: it is
-    kept."""
+    """The connection's rank, the lowest evicted first: group and time of entry; None if it is kept."""
     if slot.open_calls or slot.unwritten_bytes or slot.is_closing:
         return None
     if slot.has_partial_call:
--- a/onyxwick/net/fastcgi_calls.py
+++ b/onyxwick/net/fastcgi_calls.py
@@ -44,8 +44,7 @@
 
 
 class OwnerFields:
-    """The call parameters that name the tenant and the client's site; empty where an installation has
-    none."""
+    """The call parameters that name tenant and client site; empty where an installation has none."""
 
     def __init__(self, tenant_field: str = "", site_field: str = "") -> None:
         self.tenant = _parameter_name(tenant_field)
--- a/onyxwick/net/fastcgi_parser.py
+++ b/onyxwick/net/fastcgi_parser.py
@@ -1,5 +1,4 @@
-"""Parses the FastCGI records of one connection into calls, aborts and the protocol's own replies. Free of
-I/O.
+"""Parses a connection's FastCGI records into calls, aborts and the protocol's own replies. Free of I/O.
 
 A request is partial until its last byte is received, then open until it is answered. Sizes are bytes.
 """
--- a/onyxwick/net/feed_race.py
+++ b/onyxwick/net/feed_race.py
@@ -1,5 +1,4 @@
-"""Establishes a connection to the feed by racing several: a slow one goes on while others are tried beside
-it.
+"""Establishes a connection to the feed by racing several: a slow one goes on while others are tried.
 
 A connection that is never established, or on which nothing is ever sent, costs only the wait until the next
 one is started; a merely slow one is not abandoned for it. Times are monotonic seconds.
--- a/onyxwick/net/socket_state.py
+++ b/onyxwick/net/socket_state.py
@@ -44,8 +44,7 @@
 
 
 def is_closed_by_peer(sock: socket.socket) -> bool:
-    """Whether the peer has closed its side or the connection is gone, even if bytes before that are
-    unread."""
+    """Whether the peer has closed its side or the connection is gone, even if bytes are unread."""
     if sock.fileno() < 0:
         return True
     poll = select.poll()
