--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -1,4 +1,4 @@
-"""Every recorded exchange, played against the running program."""
+"""Every recorded exchange, replayed against the running program."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
 
 @pytest.mark.parametrize("handed", ["seven", "unbound", "file"])
 def test_an_inherited_descriptor_that_is_no_listening_socket_is_rejected(handed: str, tmp_path: Path) -> None:
-    """What the platform hands down must be its listening socket: anything else ends the start with 2."""
+    """Anything but the platform's listening socket ends the start with exit code 2."""
     config = tmp_path / "config.json"
     config.write_text((FOLDER / "config.json").read_text())
     with socket.socket() as unbound, config.open() as file:
@@ -72,5 +72,6 @@
             pass_fds=() if handed == "seven" else (int(fd),),
             timeout=PATIENCE_S,
         )
-    told = done.stderr
-    assert done.returncode == 2 and "RELAY_LISTEN_FD" in told and "likely intent" in told, told
+    message = done.stderr
+    assert done.returncode == 2, message
+    assert "RELAY_LISTEN_FD" in message and "likely intent" in message, message
--- a/tests/test_feed_race.py
+++ b/tests/test_feed_race.py
@@ -1,4 +1,4 @@
-"""Connections to the feed that are slow or silent, beside others."""
+"""The race for a connection to the feed: slow, silent and refused connections."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 from onyxwick.net import feed_race
 from onyxwick.net.feed_race import FeedRace, PendingConnection
 
-SILENT_S = 0.3
+SILENCE_S = 0.3
 GREETING = b"follow 7\n"
 
 
 @pytest.fixture(autouse=True)
-def _quick(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(feed_race, "SILENCE_LIMIT_S", SILENT_S)
-    monkeypatch.setattr(feed_race, "CONNECT_LIMIT_S", SILENT_S / 2)
+def _short_limits(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(feed_race, "SILENCE_LIMIT_S", SILENCE_S)
+    monkeypatch.setattr(feed_race, "CONNECT_LIMIT_S", SILENCE_S / 2)
 
 
-class Feed:
-    """Accepts connections and speaks when it is told."""
+class StubFeed:
+    """A listener that accepts connections; the tests send on them."""
 
     def __init__(self) -> None:
         self.sock = socket.create_server(("127.0.0.1", 0))
@@ -45,7 +45,7 @@
             sock.close()
 
 
-async def _is_ended(conn: socket.socket) -> bool:
+async def _is_closed(conn: socket.socket) -> bool:
     with contextlib.suppress(ConnectionResetError):
         return await asyncio.get_running_loop().sock_recv(conn, 64) == b""
     return True
@@ -53,95 +53,96 @@
 
 def test_a_slow_connection_wins_although_others_were_tried() -> None:
     async def play() -> None:
-        feed, loop = Feed(), asyncio.get_running_loop()
+        feed, loop = StubFeed(), asyncio.get_running_loop()
         race = loop.create_task(feed.race.run())
-        slow, beside = await feed.accepted(), await feed.accepted()
+        slow, other = await feed.accepted(), await feed.accepted()
         await loop.sock_sendall(slow, b"7\n")
-        with await race as kept:
-            assert kept.getpeername() == feed.sock.getsockname()
-            assert kept.getsockname() == slow.getpeername()
-            assert kept.recv(64) == b"7\n"  # nothing of it has been read
-        assert await _is_ended(beside)
+        with await race as winner:
+            assert winner.getpeername() == feed.sock.getsockname()
+            assert winner.getsockname() == slow.getpeername()
+            assert winner.recv(64) == b"7\n"  # nothing of it has been read
+        assert await _is_closed(other)
         feed.close()
 
-    uvloop.run(asyncio.wait_for(play(), 20 * SILENT_S))
+    uvloop.run(asyncio.wait_for(play(), 20 * SILENCE_S))
 
 
 def test_silent_connections_cost_one_wait_each_and_are_bounded() -> None:
     async def play() -> None:
-        feed, loop, begun = Feed(), asyncio.get_running_loop(), time.monotonic()
+        feed, loop = StubFeed(), asyncio.get_running_loop()
+        begun_s = time.monotonic()
         race = loop.create_task(feed.race.run())
         silent = [await feed.accepted() for _ in range(feed_race.MAX_CONCURRENT_CONNECTIONS)]
         last = await feed.accepted()
-        assert time.monotonic() - begun < (feed_race.MAX_CONCURRENT_CONNECTIONS + 1.5) * SILENT_S
-        assert await _is_ended(silent[0])  # the oldest has given up its place
+        assert time.monotonic() - begun_s < (feed_race.MAX_CONCURRENT_CONNECTIONS + 1.5) * SILENCE_S
+        assert await _is_closed(silent[0])  # the oldest was stopped
         assert len(feed.race.attempts) <= feed_race.MAX_CONCURRENT_CONNECTIONS
         await loop.sock_sendall(last, b"7\n")
         (await race).close()
         for conn in silent[1:]:
-            assert await _is_ended(conn)
+            assert await _is_closed(conn)
         feed.close()
 
-    uvloop.run(asyncio.wait_for(play(), 40 * SILENT_S))
+    uvloop.run(asyncio.wait_for(play(), 40 * SILENCE_S))
 
 
 def test_refused_connects_beside_a_silent_one_are_not_retried_at_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    begun = 0
+    started = 0
 
     async def play() -> None:
-        feed, loop = Feed(), asyncio.get_running_loop()
+        feed, loop = StubFeed(), asyncio.get_running_loop()
         race = loop.create_task(feed.race.run())
         silent = await feed.accepted()
         feed.sock.close()  # refused from now on
-        await asyncio.sleep(3 * SILENT_S)
+        await asyncio.sleep(3 * SILENCE_S)
         await loop.sock_sendall(silent, b"7\n")
         (await race).close()
         feed.close()
 
     class Counted(PendingConnection):
-        def __init__(self, *told: Any) -> None:
-            nonlocal begun
-            begun += 1
-            super().__init__(*told)
+        def __init__(self, *arguments: Any) -> None:
+            nonlocal started
+            started += 1
+            super().__init__(*arguments)
 
     monkeypatch.setattr(feed_race, "PendingConnection", Counted)
-    uvloop.run(asyncio.wait_for(play(), 40 * SILENT_S))
-    assert 2 <= begun <= 7
+    uvloop.run(asyncio.wait_for(play(), 40 * SILENCE_S))
+    assert 2 <= started <= 7
 
 
 def test_the_error_of_the_last_connection_is_raised_where_none_is_left() -> None:
     async def play() -> None:
-        feed = Feed()
+        feed = StubFeed()
         feed.sock.close()
         with pytest.raises(ConnectionRefusedError):
             await feed.race.run()
 
-    uvloop.run(asyncio.wait_for(play(), 20 * SILENT_S))
+    uvloop.run(asyncio.wait_for(play(), 20 * SILENCE_S))
 
 
 def test_a_winner_read_before_the_end_of_the_race_stays_the_winner() -> None:
     async def play() -> None:
-        feed, loop = Feed(), asyncio.get_running_loop()
+        feed, loop = StubFeed(), asyncio.get_running_loop()
         race = loop.create_task(feed.race.run())
         first, second = await feed.accepted(), await feed.accepted()
         second.send(b"7\n")
-        time.sleep(0.01)  # the loop has not looked yet
+        time.sleep(0.01)  # the race has not checked yet
         chosen = feed.race.first_readable()
         assert chosen is not None and chosen.recv(64) == b"7\n"
         first.send(b"7\n")
-        with await race as kept:
-            assert kept is chosen
-        assert await _is_ended(first)
+        with await race as winner:
+            assert winner is chosen
+        assert await _is_closed(first)
         feed.close()
 
-    uvloop.run(asyncio.wait_for(play(), 20 * SILENT_S))
+    uvloop.run(asyncio.wait_for(play(), 20 * SILENCE_S))
 
 
 def test_the_winner_is_closed_when_the_race_is_cancelled() -> None:
     async def play() -> None:
-        feed, loop = Feed(), asyncio.get_running_loop()
+        feed, loop = StubFeed(), asyncio.get_running_loop()
         race = loop.create_task(feed.race.run())
         conn = await feed.accepted()
         conn.send(b"7\n")
@@ -152,4 +153,4 @@
         assert chosen is not None and chosen.fileno() < 0
         feed.close()
 
-    uvloop.run(asyncio.wait_for(play(), 20 * SILENT_S))
+    uvloop.run(asyncio.wait_for(play(), 20 * SILENCE_S))
--- a/tests/test_largest.py
+++ b/tests/test_largest.py
@@ -1,58 +1,102 @@
-"""The largest requests of a class get their share: a long transfer is neither silence nor a lost answer."""
+"""Long transfers get their share of answers: they are neither a silence nor a lost answer."""
 
 from __future__ import annotations
 
 from dataclasses import replace
+from typing import NamedTuple
 
 import pytest
 
 from onyxwick.interface import Action, AnswerDetail, AttemptStatus, CancelAttempt, TimerFired
 from tests.world import SETTINGS, S, World, finals, sent
 
-QUICK_S, LONG_S, TURN_US = 0.25, 4.2, 20_000  # transfers; one request in ten is a long one
+SHORT_TRANSFER_S = 0.25
+LONG_TRANSFER_S = 4.2
+TICK_US = 20_000
+LONG_EVERY = 10
+"""One request in so many is a long transfer."""
 
 
-def _shares(gap_s: float, routers: int, asked: int = 150) -> tuple[float, float]:
-    """Answered share of the long ones and of the others, asked for every `gap_s` seconds."""
-    limits = replace(SETTINGS.limits, hedging=True)
-    w = World(replace(SETTINGS, router_count=routers, zone_router_count=routers, limits=limits))
-    under_way: dict[tuple[str, int], tuple[int, int, str]] = {}  # attempt: due, sent at, member
-    long: dict[str, bool] = {}
-    tries: dict[str, int] = {}
-    answered: dict[str, bool] = {}
+class _Transfer(NamedTuple):
+    ends_at_us: int
+    sent_at_us: int
+    member: str
 
-    def act(actions: list[Action]) -> None:
+
+class _Load:
+    """Requests at a fixed interval, of which some take long transfers; caches answer all of them."""
+
+    def __init__(self, routers: int) -> None:
+        limits = replace(SETTINGS.limits, hedging=True)
+        self.world = World(replace(SETTINGS, router_count=routers, zone_router_count=routers, limits=limits))
+        self.transfers: dict[tuple[str, int], _Transfer] = {}
+        self.is_long: dict[str, bool] = {}
+        self.last_attempt: dict[str, int] = {}
+        self.answered: dict[str, bool] = {}
+
+    def perform(self, actions: list[Action]) -> None:
         for action in sent(actions):
-            number = tries[action.request_id] = tries.get(action.request_id, -1) + 1
-            took = LONG_S if long[action.request_id] else QUICK_S
-            under_way[action.request_id, number] = (w.now + int(took * S), w.now, action.member)
+            number = self.last_attempt.get(action.request_id, -1) + 1
+            self.last_attempt[action.request_id] = number
+            transfer_s = LONG_TRANSFER_S if self.is_long[action.request_id] else SHORT_TRANSFER_S
+            ends_at_us = self.world.now + int(transfer_s * S)
+            transfer = _Transfer(ends_at_us, self.world.now, action.member)
+            self.transfers[action.request_id, number] = transfer
         for final in finals(actions):
-            answered.setdefault(final.request_id, False)
+            self.answered.setdefault(final.request_id, False)
         for cancel in [action for action in actions if isinstance(action, CancelAttempt)]:
-            _, _, member = under_way.pop((cancel.request_id, cancel.attempt_index), (0, 0, ""))
-            if member:
-                act(w.end(AttemptStatus.CANCELLED, cancel.request_id, cancel.attempt_index, member))
-
-    following = w.now
-    while len(long) < asked or under_way:
-        w.now += TURN_US
-        act(w.give(TimerFired("due")))
-        for (request, number), (due, begun, member) in list(under_way.items()):
-            if due <= w.now and (request, number) in under_way:
-                del under_way[request, number]
-                answered.setdefault(request, True)
-                detail, took = AnswerDetail.HIT, w.now - begun
-                act(w.end(AttemptStatus.OK, request, number, member, latency=took, detail=detail))
-        if w.now >= following and len(long) < asked:
-            following += int(gap_s * S)
-            long[f"r{w.asked + 1}"] = len(long) % 10 == 9
-            act(w.ask(name=f"o{w.asked % 7}", part=w.asked % 3, left=6 * S))
-    both = [[answered[r] for r, is_long in long.items() if is_long is kind] for kind in (True, False)]
-    return sum(both[0]) / len(both[0]), sum(both[1]) / len(both[1])
+            self.cancel(cancel)
+
+    def cancel(self, cancel: CancelAttempt) -> None:
+        transfer = self.transfers.pop((cancel.request_id, cancel.attempt_index), None)
+        if transfer is not None:
+            status = AttemptStatus.CANCELLED
+            self.perform(self.world.end(status, cancel.request_id, cancel.attempt_index, transfer.member))
+
+    def finish_transfers(self) -> None:
+        for key, transfer in list(self.transfers.items()):
+            if transfer.ends_at_us > self.world.now or key not in self.transfers:
+                continue
+            request, number = key
+            del self.transfers[key]
+            self.answered.setdefault(request, True)
+            latency_us = self.world.now - transfer.sent_at_us
+            ended = self.world.end(
+                AttemptStatus.OK,
+                request,
+                number,
+                transfer.member,
+                latency=latency_us,
+                detail=AnswerDetail.HIT,
+            )
+            self.perform(ended)
+
+    def ask(self) -> None:
+        asked = self.world.asked
+        self.is_long[f"r{asked + 1}"] = len(self.is_long) % LONG_EVERY == LONG_EVERY - 1
+        self.perform(self.world.ask(name=f"o{asked % 7}", part=asked % 3, left=6 * S))
+
+    def answered_share(self, is_long: bool) -> float:
+        answers = [self.answered[request] for request, long in self.is_long.items() if long is is_long]
+        return sum(answers) / len(answers)
+
+
+def _answered_shares(interval_s: float, routers: int, requests: int = 150) -> tuple[float, float]:
+    """The answered share of the long requests and of the others."""
+    load = _Load(routers)
+    next_at_us = load.world.now
+    while len(load.is_long) < requests or load.transfers:
+        load.world.now += TICK_US
+        load.perform(load.world.give(TimerFired("due")))
+        load.finish_transfers()
+        if load.world.now >= next_at_us and len(load.is_long) < requests:
+            next_at_us += int(interval_s * S)
+            load.ask()
+    return load.answered_share(is_long=True), load.answered_share(is_long=False)
 
 
 @pytest.mark.parametrize(
-    ("gap_s", "routers", "least"),
+    ("interval_s", "routers", "lowest_ratio"),
     [
         (0.3, 3, 2 / 3),
         (1.0, 3, 2 / 3),
@@ -62,7 +106,7 @@
         (0.1, 40, 1 / 2),
     ],
 )
-def test_the_largest_requests_get_their_share(gap_s: float, routers: int, least: float) -> None:
-    """Two thirds of the others' on quiet days, half where room is short (the last rows)."""
-    long, others = _shares(gap_s, routers)
-    assert others > 0.3 and long >= least * others, (long, others)
+def test_the_largest_requests_get_their_share(interval_s: float, routers: int, lowest_ratio: float) -> None:
+    """Two thirds of the others' on quiet days, half where capacity is short (the last rows)."""
+    long, others = _answered_shares(interval_s, routers)
+    assert others > 0.3 and long >= lowest_ratio * others, (long, others)
