--- a/onyxwick/net/cache_wire.py
+++ b/onyxwick/net/cache_wire.py
@@ -80,7 +80,7 @@
         CLASS: request.class_name,
         OBJECT_ID: request.object_id,
         PART: str(request.part),
-        TIMEOUT_MS: str(max(1, spec.left_us() // US_PER_MS)),
+        TIMEOUT_MS: str(max(1, spec.remaining_us() // US_PER_MS)),
     }
     if spec.fill_source is not None:
         fields[FILL_SOURCE] = spec.fill_source
--- a/onyxwick/net/subscription.py
+++ b/onyxwick/net/subscription.py
@@ -11,8 +11,8 @@
 
 from onyxwick import logs
 from onyxwick.config.address import Address, format_address
+from onyxwick.core.backoff import BackoffPolicy, ReconnectBackoff
 from onyxwick.core.clock import steady_us
-from onyxwick.core.pacing import BackoffPolicy, ReconnectBackoff
 from onyxwick.counters import Counters
 from onyxwick.distribution.codec import HEAD_BYTES, stub_of
 from onyxwick.distribution.follower import (
@@ -54,7 +54,9 @@
     """The waits between a follower's connections: exponential backoff with full jitter."""
 
     def __init__(self, seed: int, now: int) -> None:
-        self._backoff = ReconnectBackoff(seed, now, BackoffPolicy(max_delay_us=MAX_RETRY_US), directors=1)
+        self._backoff = ReconnectBackoff(
+            seed, now, BackoffPolicy(max_delay_us=MAX_RETRY_US), director_count=1
+        )
 
     def next_delay_us(self) -> int:
         """The wait before the next attempt, in microseconds."""
--- a/tests/test_arrival_clock.py
+++ b/tests/test_arrival_clock.py
@@ -11,7 +11,7 @@
 import pytest
 
 from onyxwick.core.clock import steady_us
-from onyxwick.core.stall import StallWatch
+from onyxwick.core.stall_detector import StallDetector
 from onyxwick.interface import RejectRequest
 from onyxwick.net.buffer import ReceiveBuffer
 from onyxwick.net.listening import listen
@@ -97,7 +97,7 @@
         client.sendall(call(1, more={"HTTP_X_TIMEOUT_MS": "1000"}))
         sent = time.monotonic()
         await asyncio.sleep(0.4)
-        ground.core.stalls.turn(time.monotonic())  # a front that has just begun
+        ground.core.stalls.observe(time.monotonic())  # a front that has just begun
         ground.tasks.append(loop.create_task(ground.front.record_loop_ticks()))
         await asyncio.sleep(0.1)
         client.sendall(call(2, path="/ping") if followed else b"")
@@ -128,25 +128,25 @@
 
 
 def test_time_in_sockets_during_a_stall_counts_although_the_read_is_late() -> None:
-    watch, woken = StallWatch(100.0), 102.0
+    watch, woken = StallDetector(100.0), 102.0
     watch.tick(woken)
-    assert watch.turn(woken + 0.09) == 100.0  # a turn that is long, and no stall by itself
+    assert watch.observe(woken + 0.09) == 100.0  # a turn that is long, and no stall by itself
     for turn in range(1, 4):
         watch.tick(woken + 0.09 * turn)
-    assert watch.turn(woken + 0.35) == 100.0
+    assert watch.observe(woken + 0.35) == 100.0
     later = woken + 0.35
     for _ in range(20):
         later += 0.06
         watch.tick(later)
-    assert watch.turn(later) == later
+    assert watch.observe(later) == later
 
 
 def test_successive_stalls_count_no_further_back_than_the_aftermath() -> None:
-    watch, now = StallWatch(100.0), 100.0
+    watch, now = StallDetector(100.0), 100.0
     for _ in range(100):  # a process that is short of processor time for long
         now += 0.15
         watch.tick(now)
-        assert now - watch.turn(now) < 1.0
+        assert now - watch.observe(now) < 1.0
 
 
 def test_the_end_of_a_slow_call_received_in_a_stall_counts_although_another_call_follows() -> None:
--- a/tests/test_coordinator_feed.py
+++ b/tests/test_coordinator_feed.py
@@ -76,7 +76,7 @@
                 raise KeyError("an error of our own")
             applied.append(name)
 
-        monkeypatch.setattr(ground.core, "purged", purged)
+        monkeypatch.setattr(ground.core.feed, "apply_purge", purged)
         first, second = (
             json.dumps({"index": n, "evict": {"ref": ref * 16, "unix_ms": 1}}).encode()
             for n, ref in ((1, "a"), (2, "b"))
@@ -156,7 +156,7 @@
         def fails(index: int) -> None:
             raise RuntimeError("planted")
 
-        monkeypatch.setattr(ground.core, "feed_observed", fails)
+        monkeypatch.setattr(ground.core.feed, "record_feed_index", fails)
         _, conn = await _stall_process(ground, 0.3, _purge_lines(1, 1))
         await ground.read(conn, f"{2:016x}".encode())
         assert ground.counters.counts["error.coordinator"] == 1
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -9,6 +9,7 @@
 
 import pytest
 
+from onyxwick.core.context import EngineContext
 from onyxwick.core.shutdown import drain_schedule, termination_schedule
 from onyxwick.interface import FailRequest, RejectRequest, TimerFired
 from onyxwick.net import fastcgi, resp
@@ -128,7 +129,7 @@
 
     async def play(ground: Ground) -> None:
         ground.script.arrived = lambda request: [RejectRequest(request)]
-        monkeypatch.setattr(ground.core, "refused", lambda *line: told.append(line[2]))
+        monkeypatch.setattr(EngineContext, "record_rejection", lambda _, *line: told.append(line[2]))
         sock = await ground.client()
         sock.send(call(1))
         await ground.read(sock, b"503")
