--- a/onyxwick/net/buffer.py
+++ b/onyxwick/net/buffer.py
@@ -30,15 +30,15 @@
     def __len__(self) -> int:
         return self.end - self.start
 
-    def peek(self, size: int, at: int = 0) -> bytes:
-        """Up to `size` unparsed bytes from the offset `at`, without consuming them."""
-        begin = self.start + at
+    def peek(self, size: int, offset: int = 0) -> bytes:
+        """Up to `size` unparsed bytes from `offset` on, without consuming them."""
+        begin = self.start + offset
         with memoryview(self.data) as view:  # one copy, where a slice of the bytearray would make two
             return bytes(view[begin : min(begin + size, self.end)])
 
-    def find(self, separator: bytes, at: int = 0) -> int:
-        """The offset of a separator from the first unparsed byte, or -1."""
-        place = self.data.find(separator, self.start + at, self.end)
+    def find(self, separator: bytes, offset: int = 0) -> int:
+        """The offset of a separator from the first unparsed byte, searched from `offset` on; -1 if absent."""
+        place = self.data.find(separator, self.start + offset, self.end)
         return place - self.start if place >= 0 else -1
 
     def skip(self, size: int) -> None:
--- a/onyxwick/net/cache_pool.py
+++ b/onyxwick/net/cache_pool.py
@@ -63,20 +63,20 @@
         self.budget = ByteBudget()
         members.replacement_listeners.append(self.on_member_changed)
 
-    async def run(self, order: AttemptSpec) -> AttemptOutcome:
+    async def run(self, spec: AttemptSpec) -> AttemptOutcome:
         """Carry out one attempt; a cancel abandons it."""
-        address = self.members.addresses.get(order.member)
-        if address is None or order.remaining_us() <= 0 or not order.is_still_valid():
+        address = self.members.addresses.get(spec.member)
+        if address is None or spec.remaining_us() <= 0 or not spec.is_still_valid():
             return AttemptOutcome(AttemptStatus.NOT_SENT)
         try:
-            connection = self._connection_for(order, address)
+            connection = self._connection_for(spec, address)
         except ConnectionLimitError as error:
             self.counters.add("error.places")
-            log.warning("no connection slot for attempt", member=order.member, error=str(error))
+            log.warning("no connection slot for attempt", member=spec.member, error=str(error))
             return AttemptOutcome(AttemptStatus.NOT_SENT)
-        attempt = connection.start_attempt(order)
+        attempt = connection.start_attempt(spec)
         loop = asyncio.get_running_loop()
-        timer = loop.call_later(order.remaining_us() / US_PER_S, connection.expire, attempt)
+        timer = loop.call_later(spec.remaining_us() / US_PER_S, connection.expire, attempt)
         try:
             return await attempt.result
         except asyncio.CancelledError:
@@ -86,19 +86,19 @@
             timer.cancel()
             if attempt.write.begun_at_s:
                 since_s = time.monotonic() - attempt.write.begun_at_s
-                order.sent_us = steady_us() - int(since_s * US_PER_S)
+                spec.sent_us = steady_us() - int(since_s * US_PER_S)
 
-    def _connection_for(self, order: AttemptSpec, address: tuple[str, int]) -> CacheConnection:
+    def _connection_for(self, spec: AttemptSpec, address: tuple[str, int]) -> CacheConnection:
         """An unused connection, a new one, or the least used; ConnectionLimitError where none is possible."""
-        request_id = order.request.request_id.encode()
-        usable = [each for each in self.connections.get(order.member, []) if each.can_accept(request_id)]
+        request_id = spec.request.request_id.encode()
+        usable = [each for each in self.connections.get(spec.member, []) if each.can_accept(request_id)]
         least_used = min(usable, key=lambda each: len(each.attempts), default=None)
         if least_used is None:
-            return self._open(order.member, address)
+            return self._open(spec.member, address)
         if not least_used.attempts or self.count >= self.max_connections:
             return least_used
-        if order.needs_own_connection or len(usable) < self._max_per_member():
-            return self._open(order.member, address)
+        if spec.needs_own_connection or len(usable) < self._max_per_member():
+            return self._open(spec.member, address)
         return least_used
 
     def _open(self, member: str, address: tuple[str, int]) -> CacheConnection:
--- a/onyxwick/net/call_intake.py
+++ b/onyxwick/net/call_intake.py
@@ -51,7 +51,7 @@
     closing_retry_us: int
     overload_retry_us: int
 
-    def stage_at(self, now: float) -> ShutdownStage:
+    def stage_at(self, now_s: float) -> ShutdownStage:
         """The shutdown stage at a monotonic time in seconds."""
         ...
 
--- a/onyxwick/net/fastcgi.py
+++ b/onyxwick/net/fastcgi.py
@@ -97,10 +97,10 @@
 FastCgiMessage = FastCgiCall | FastCgiAbort | FastCgiReply
 
 
-def encode_record(kind: RecordType, number: int, content: bytes) -> bytes:
+def encode_record(record_type: RecordType, number: int, content: bytes) -> bytes:
     """One record, padded to a multiple of eight bytes."""
     padding = -len(content) % RECORD_ALIGNMENT
-    head = HEADER.pack(VERSION, kind, number, len(content), padding)
+    head = HEADER.pack(VERSION, record_type, number, len(content), padding)
     return head + content + bytes(padding)
 
 
@@ -111,9 +111,9 @@
     return encode_record(RecordType.END, number, END_BODY.pack(app_status, status))
 
 
-def encode_unknown_type(kind: int) -> bytes:
+def encode_unknown_type(record_type: int) -> bytes:
     """The reply to a management record of an unknown type."""
-    return encode_record(RecordType.UNKNOWN, 0, bytes([kind]) + UNKNOWN_TYPE_PADDING)
+    return encode_record(RecordType.UNKNOWN, 0, bytes([record_type]) + UNKNOWN_TYPE_PADDING)
 
 
 @lru_cache(maxsize=MAX_OPEN_REQUESTS * 4)
--- a/onyxwick/net/fastcgi_parser.py
+++ b/onyxwick/net/fastcgi_parser.py
@@ -99,25 +99,25 @@
             if message is not None:
                 yield message
 
-    def _record(self, kind: int, number: int, content: bytes) -> FastCgiMessage | None:
+    def _record(self, record_type: int, number: int, content: bytes) -> FastCgiMessage | None:
         if number == 0:
-            return self._management(kind, content)
-        if kind == BEGIN:
+            return self._management(record_type, content)
+        if record_type == BEGIN:
             return self._begin(number, content)
-        if kind == ABORT:
+        if record_type == ABORT:
             return self._abort(number)
         partial = self.partial.get(number)
         if partial is None:
             return self._unmatched_record(number)
-        if kind == PARAMS:
+        if record_type == PARAMS:
             return self._params(number, partial, content)
-        if kind == STDIN:
+        if record_type == STDIN:
             return self._stdin(number, partial, content)
         return None  # DATA is for filters
 
-    def _management(self, kind: int, content: bytes) -> FastCgiReply:
-        if kind != RecordType.GET_VALUES:
-            return FastCgiReply(encode_unknown_type(kind), "unknown management record")
+    def _management(self, record_type: int, content: bytes) -> FastCgiReply:
+        if record_type != RecordType.GET_VALUES:
+            return FastCgiReply(encode_unknown_type(record_type), "unknown management record")
         try:
             requested = decode_pairs(content)
         except FastCgiPairError as error:
--- a/onyxwick/net/front.py
+++ b/onyxwick/net/front.py
@@ -115,9 +115,9 @@
         self.stage = ShutdownStage.SERVING
         log.info("shutdown cancelled", clients=len(self.connections), owed=len(self.core.lifecycles))
 
-    def stage_at(self, now: float) -> ShutdownStage:
+    def stage_at(self, now_s: float) -> ShutdownStage:
         """The stage at a time, by the schedule alone."""
-        return ShutdownStage.SERVING if self.shutdown is None else self.shutdown.stage(now)
+        return ShutdownStage.SERVING if self.shutdown is None else self.shutdown.stage(now_s)
 
     def advance(self, now_s: float) -> None:
         """Carry out the stage on each connection.
--- a/onyxwick/net/subscription.py
+++ b/onyxwick/net/subscription.py
@@ -53,9 +53,9 @@
 class ReconnectDelays:
     """The waits between a follower's connections: exponential backoff with full jitter."""
 
-    def __init__(self, seed: int, now: int) -> None:
+    def __init__(self, seed: int, now_us: int) -> None:
         self._backoff = ReconnectBackoff(
-            seed, now, BackoffPolicy(max_delay_us=MAX_RETRY_US), director_count=1
+            seed, now_us, BackoffPolicy(max_delay_us=MAX_RETRY_US), director_count=1
         )
 
     def next_delay_us(self) -> int:
