--- a/onyxwick/hosting/routers.py
+++ b/onyxwick/hosting/routers.py
@@ -10,7 +10,7 @@
 
 from onyxwick.config.service import ServiceConfig
 from onyxwick.interface import RequestRouter, RouterSettings
-from onyxwick.logic import Router
+from onyxwick.routing import Router
 
 if TYPE_CHECKING:
     from onyxwick.cells import CellRouter
--- a/tests/test_largest.py
+++ b/tests/test_largest.py
@@ -8,7 +8,7 @@
 import pytest
 
 from onyxwick.interface import Action, AnswerDetail, AttemptStatus, CancelAttempt, TimerFired
-from tests.world import SETTINGS, S, World, finals, sent
+from tests.world import SETTINGS, RouterHarness, S, final_answers, forwards
 
 SHORT_TRANSFER_S = 0.25
 LONG_TRANSFER_S = 4.2
@@ -28,21 +28,23 @@
 
     def __init__(self, routers: int) -> None:
         limits = replace(SETTINGS.limits, hedging=True)
-        self.world = World(replace(SETTINGS, router_count=routers, zone_router_count=routers, limits=limits))
+        self.harness = RouterHarness(
+            replace(SETTINGS, router_count=routers, zone_router_count=routers, limits=limits)
+        )
         self.transfers: dict[tuple[str, int], _Transfer] = {}
         self.is_long: dict[str, bool] = {}
         self.last_attempt: dict[str, int] = {}
         self.answered: dict[str, bool] = {}
 
     def perform(self, actions: list[Action]) -> None:
-        for action in sent(actions):
+        for action in forwards(actions):
             number = self.last_attempt.get(action.request_id, -1) + 1
             self.last_attempt[action.request_id] = number
             transfer_s = LONG_TRANSFER_S if self.is_long[action.request_id] else SHORT_TRANSFER_S
-            ends_at_us = self.world.now + int(transfer_s * S)
-            transfer = _Transfer(ends_at_us, self.world.now, action.member)
+            ends_at_us = self.harness.now + int(transfer_s * S)
+            transfer = _Transfer(ends_at_us, self.harness.now, action.member)
             self.transfers[action.request_id, number] = transfer
-        for final in finals(actions):
+        for final in final_answers(actions):
             self.answered.setdefault(final.request_id, False)
         for cancel in [action for action in actions if isinstance(action, CancelAttempt)]:
             self.cancel(cancel)
@@ -51,30 +53,32 @@
         transfer = self.transfers.pop((cancel.request_id, cancel.attempt_index), None)
         if transfer is not None:
             status = AttemptStatus.CANCELLED
-            self.perform(self.world.end(status, cancel.request_id, cancel.attempt_index, transfer.member))
+            self.perform(
+                self.harness.end_attempt(status, cancel.request_id, cancel.attempt_index, transfer.member)
+            )
 
     def finish_transfers(self) -> None:
         for key, transfer in list(self.transfers.items()):
-            if transfer.ends_at_us > self.world.now or key not in self.transfers:
+            if transfer.ends_at_us > self.harness.now or key not in self.transfers:
                 continue
             request, number = key
             del self.transfers[key]
             self.answered.setdefault(request, True)
-            latency_us = self.world.now - transfer.sent_at_us
-            ended = self.world.end(
+            latency_us = self.harness.now - transfer.sent_at_us
+            ended = self.harness.end_attempt(
                 AttemptStatus.OK,
                 request,
                 number,
                 transfer.member,
-                latency=latency_us,
+                latency_us=latency_us,
                 detail=AnswerDetail.HIT,
             )
             self.perform(ended)
 
     def ask(self) -> None:
-        asked = self.world.asked
+        asked = self.harness.request_count
         self.is_long[f"r{asked + 1}"] = len(self.is_long) % LONG_EVERY == LONG_EVERY - 1
-        self.perform(self.world.ask(name=f"o{asked % 7}", part=asked % 3, left=6 * S))
+        self.perform(self.harness.request(object_id=f"o{asked % 7}", part=asked % 3, expires_in_us=6 * S))
 
     def answered_share(self, is_long: bool) -> float:
         answers = [self.answered[request] for request, long in self.is_long.items() if long is is_long]
@@ -84,12 +88,12 @@
 def _answered_shares(interval_s: float, routers: int, requests: int = 150) -> tuple[float, float]:
     """The answered share of the long requests and of the others."""
     load = _Load(routers)
-    next_at_us = load.world.now
+    next_at_us = load.harness.now
     while len(load.is_long) < requests or load.transfers:
-        load.world.now += TICK_US
-        load.perform(load.world.give(TimerFired("due")))
+        load.harness.now += TICK_US
+        load.perform(load.harness.handle(TimerFired("due")))
         load.finish_transfers()
-        if load.world.now >= next_at_us and len(load.is_long) < requests:
+        if load.harness.now >= next_at_us and len(load.is_long) < requests:
             next_at_us += int(interval_s * S)
             load.ask()
     return load.answered_share(is_long=True), load.answered_share(is_long=False)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -94,7 +94,9 @@
     recovery = _recovered(
         [MemberDrain("c0", DrainSource.COORDINATOR, 50 * S), MemberDrain("c1", DrainSource.OPERATOR, 50 * S)]
     )
-    new = EndpointsChanged(EndpointListKind.CHANGE, (member("c0", since=90 * S), member("c1", since=90 * S)))
+    new = EndpointsChanged(
+        EndpointListKind.CHANGE, (member("c0", started_at_us=90 * S), member("c1", started_at_us=90 * S))
+    )
     assert [m.state for m in recovery.with_drains(new).members] == [MemberState.READY, MemberState.DRAINING]
     gone = EndpointsChanged(EndpointListKind.CHANGE, (replace(member("c1"), state=MemberState.REMOVED),))
     assert recovery.with_drains(gone).members[0].state is MemberState.REMOVED
