--- a/onyxwick/net/cache_connection.py
+++ b/onyxwick/net/cache_connection.py
@@ -19,7 +19,7 @@
 from onyxwick.counters import Counters
 from onyxwick.interface import AttemptStatus
 from onyxwick.net import errors, resp
-from onyxwick.net.cache_wire import decode_outcome, encode_attempt, encode_cancel
+from onyxwick.net.cache_wire import CacheReply, decode_reply, encode_attempt, encode_cancel
 from onyxwick.net.socket_state import is_connected, unread_bytes
 from onyxwick.net.write_queue import ByteBudget, PendingWrite, WriteProgress, WriteQueue
 
@@ -267,7 +267,7 @@
             self._unread_bytes = 0
             for words in parser.messages():
                 self.partial_answer_since_s = 0.0
-                self._on_answer(words)
+                self._on_reply(decode_reply(words, self.pool.report_names))
             if len(parser.buffer):
                 self.partial_answer_since_s = self.partial_answer_since_s or now_s
             # A body arrives slowly and in many pieces: one wake-up for what is missing, not one a piece.
@@ -286,10 +286,9 @@
             self._progress_at_s = now_s
         return now_s - self._progress_at_s > PARTIAL_ANSWER_LIMIT_S
 
-    def _on_answer(self, words: list[bytes]) -> None:
-        """Settle the attempt that a reply belongs to; RespProtocolError for an invalid reply."""
-        outcome = decode_outcome(words, self.pool.report_names)
-        request_id = words[0]
+    def _on_reply(self, reply: CacheReply) -> None:
+        """Settle the attempt that a reply belongs to; RespProtocolError for one that contradicts it."""
+        request_id, outcome = reply
         attempt = self.attempts.pop(request_id, None)
         if attempt is None:  # unmatched: of an abandoned attempt, a repeated reply, or of an unknown id
             self.pool.counters.add("answer.late")
--- a/onyxwick/net/cache_wire.py
+++ b/onyxwick/net/cache_wire.py
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 from functools import cache
+from typing import NamedTuple
 
 from onyxwick.core.model import AttemptOutcome, AttemptSpec
 from onyxwick.interface import AnswerDetail, AttemptStatus, FillOption
@@ -104,15 +105,22 @@
     return resp.encode_command(CANCEL_COMMAND, request_id)
 
 
-def decode_outcome(words: list[bytes], report_names: tuple[str, ...]) -> AttemptOutcome:
-    """The outcome in one reply; RespProtocolError where it is none.
+class CacheReply(NamedTuple):
+    """One reply: which attempt it belongs to, and how that attempt ended."""
+
+    request_id: bytes
+    outcome: AttemptOutcome
+
+
+def decode_reply(words: list[bytes], report_names: tuple[str, ...]) -> CacheReply:
+    """The reply in one array; RespProtocolError where it is none.
 
     `report_names`: the values of the load report that the outcome takes, in this order.
     """
     if len(words) != REPLY_WORDS or words[1] not in STATUS_OF_REPLY:
         start = [word[:QUOTED_WORD_BYTES] for word in words[:2]]
         raise RespProtocolError(f"no reply: {start!r}, expected ID WORD FIELDS BODY")
-    _, word, text, body = words
+    request_id, word, text, body = words
     fields = resp.parse_fields(text)
     try:
         first_byte_us = int(float(fields.get(FIRST_BYTE_MS) or 0) * US_PER_MS)
@@ -120,7 +128,7 @@
         dated_us = int(fields.get(DATED_MS) or 0) * US_PER_MS
     except (ValueError, OverflowError):
         raise RespProtocolError(f"bad fields {text[:QUOTED_FIELDS_BYTES]!r}") from None
-    return AttemptOutcome(
+    outcome = AttemptOutcome(
         STATUS_OF_REPLY[word],
         DETAIL_OF_NOTE.get(fields.get(DETAIL, ""), AnswerDetail.NONE),
         first_byte_us,
@@ -130,6 +138,7 @@
         word == UNCHANGED,
         dated_us,
     )
+    return CacheReply(request_id, outcome)
 
 
 def _load_report(text: str, names: tuple[str, ...]) -> tuple[float, ...]:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -33,11 +33,16 @@
     MemberState,
     RejectRequest,
 )
-from onyxwick.net import cache_connection as cache_link
-from onyxwick.net import connection_slots as room
-from onyxwick.net import coordinator_feed as coordinator
-from onyxwick.net import fastcgi, front, resp
-from onyxwick.net import front_connection as client_module
+from onyxwick.net import (
+    cache_connection,
+    connection_slots,
+    coordinator_feed,
+    fastcgi,
+    front,
+    front_connection,
+    resp,
+)
+from onyxwick.net.cache_wire import decode_reply
 from onyxwick.net.coordinator_feed import CoordinatorFeed
 from onyxwick.net.front_connection import LINGER_S
 from onyxwick.net.write_queue import ByteBudget, PendingWrite, WriteQueue
@@ -146,7 +151,7 @@
 def test_a_drain_told_by_a_feed_that_had_fallen_silent_holds_for_what_waits(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(coordinator, "SILENCE_LIMIT_S", 0.2)
+    monkeypatch.setattr(coordinator_feed, "SILENCE_LIMIT_S", 0.2)
 
     async def play(ground: Ground) -> None:
         (let_up,) = ground.held("c0")
@@ -381,7 +386,8 @@
         (link,) = ground.caches.connections["c0"]
         (only,) = link.attempts.values()
         words = [lifecycle.request.request_id.encode(), b"data", FOUND, b"walk"]
-        deeds: list[Callable[[], None]] = [lambda: link._on_answer(words), lambda: link.expire(only)]
+        reply = decode_reply(words, ())
+        deeds: list[Callable[[], None]] = [lambda: link._on_reply(reply), lambda: link.expire(only)]
         for deed in deeds if first == "answer" else reversed(deeds):
             deed()  # both before the lifecycle hears of either
         await ground.until(lambda: ground.script.ends())
@@ -491,7 +497,7 @@
 def test_a_client_that_leaves_while_it_is_not_read_from_is_heard(
     end: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(client_module, "PAUSE_READING_ABOVE_BYTES", 100_000)
+    monkeypatch.setattr(front_connection, "PAUSE_READING_ABOVE_BYTES", 100_000)
 
     async def play(ground: Ground) -> None:
         ground.core.context.transport = Slow()
@@ -735,10 +741,11 @@
         from onyxwick.core.request_lifecycle import ClientDeparted
 
         lifecycle.mailbox.put(ClientDeparted(deadline_exceeded=True))
-        link._on_answer([lifecycle.request.request_id.encode(), b"data", FOUND, b"walk"])
+        words = [lifecycle.request.request_id.encode(), b"data", FOUND, b"walk"]
+        link._on_reply(decode_reply(words, ()))
         await ground.until(lambda: not ground.core.lifecycles)
         assert [a.status for a in ground.answers] == [AnswerStatus.FAILED]
-        assert isinstance(ground.answers[0], FinalAnswer) and cache_link.PARTIAL_ANSWER_LIMIT_S > 0
+        assert isinstance(ground.answers[0], FinalAnswer) and cache_connection.PARTIAL_ANSWER_LIMIT_S > 0
 
     played(play)
 
@@ -761,7 +768,7 @@
         places = ground.front.max_clients
         first = [await ground.client() for _ in range(places)]
         await ground.until(lambda: len(ground.front.connections) == places)
-        await asyncio.sleep(room.SILENT_GRACE_S * 1.5)  # all of them may be displaced now
+        await asyncio.sleep(connection_slots.SILENT_GRACE_S * 1.5)  # all of them may be displaced now
         accepting = ground.tasks[0]
         if at_the_end:
             accepting.cancel()
