--- a/tests/test_callers_on_time.py
+++ b/tests/test_callers_on_time.py
@@ -43,7 +43,7 @@
     return time.monotonic() - began
 
 
-def test_a_caller_that_writes_a_call_without_end_is_ended_when_its_patience_is_over() -> None:
+def test_a_caller_that_never_ends_its_call_is_closed_after_the_timeout() -> None:
     async def play() -> float:
         server = HttpServer(ADDRESS, _answer, Counters(), patience_s=PATIENCE_S)
         task = asyncio.get_running_loop().create_task(server.run())
@@ -78,7 +78,7 @@
     assert asyncio.run(play()).startswith(b"HTTP/1.1 200 OK")
 
 
-def test_a_message_by_tcp_that_never_comes_whole_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_tcp_message_that_is_never_complete_is_dropped(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(dns_server, "TCP_IDLE_S", PATIENCE_S)
 
     async def play() -> float:
@@ -95,7 +95,7 @@
     assert asyncio.run(play()) < 3 * PATIENCE_S
 
 
-def test_a_drain_called_for_before_the_first_state_is_entered_is_no_error() -> None:
+def test_a_drain_requested_before_the_first_phase_is_entered_is_no_error() -> None:
     """The loop comes round to it once the director has started drained already."""
 
     async def play() -> None:
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -97,7 +97,7 @@
     played(play)
 
 
-def test_a_purge_received_between_a_decision_and_its_attempt_holds_for_it() -> None:
+def test_a_purge_received_between_a_decision_and_its_attempt_applies_to_it() -> None:
     async def play(ground: Ground) -> None:
         ground.cache("c0")
         lifecycle = ground.start()
@@ -116,7 +116,7 @@
 S_US = 1_000_000
 
 
-def test_stamps_of_a_feed_that_is_an_hour_behind_are_taken_for_later_never_for_earlier() -> None:
+def test_timestamps_of_a_feed_an_hour_behind_count_as_later_never_as_earlier() -> None:
     stamps, now = FeedTimestamps(), 10 * HOUR_US
     stamps.mark_caught_up(now)
     made = now + S_US  # true times; the feed writes an hour less
@@ -127,7 +127,7 @@
     assert later <= stamps.start_time_us("c0", later - HOUR_US, later + 300_000) <= later + 300_000
 
 
-def test_a_start_an_hour_old_by_its_stamp_that_a_live_feed_tells_for_the_first_time_is_a_start_now() -> None:
+def test_a_start_that_a_live_feed_first_announces_an_hour_late_is_a_start_now() -> None:
     stamps, now = FeedTimestamps(), 10 * HOUR_US
     assert (
         stamps.start_time_us("known", now - HOUR_US, now) == now - HOUR_US
@@ -142,7 +142,7 @@
     assert stamps.start_time_us("known", now - HOUR_US, now + 9 * S_US) == now + 9 * S_US
 
 
-def test_nothing_lies_in_the_future_and_what_a_live_feed_tells_is_younger_than_its_last_heartbeat() -> None:
+def test_no_event_is_in_the_future_or_older_than_the_last_heartbeat_of_a_live_feed() -> None:
     stamps, now = FeedTimestamps(), 10 * HOUR_US
     assert stamps.purge_time_us(now + HOUR_US, now) == now
     assert stamps.start_time_us("c0", now + HOUR_US, now) == now
@@ -175,7 +175,7 @@
     played(play)
 
 
-def test_a_first_purge_that_comes_late_after_an_outage_says_nothing_of_the_clocks() -> None:
+def test_a_late_first_purge_after_an_outage_does_not_shift_the_clock_offset() -> None:
     stamps, now = FeedTimestamps(), 10 * HOUR_US
     stamps.anchor(now - S_US, now)
     started = stamps.start_time_us("c0", now - 2 * S_US, now)
@@ -186,7 +186,7 @@
     assert now + 25_900_000 <= stamps.purge_time_us(now + 25_900_000, now + 26 * S_US) <= now + 26 * S_US
 
 
-def test_a_stamp_that_no_clock_can_show_makes_nothing_else_seem_older() -> None:
+def test_an_impossible_timestamp_makes_no_other_event_seem_older() -> None:
     now, row = 10 * HOUR_US, {"started_ms": 5 * HOUR_US // 1000}
     events = [{"evict": {"unix_ms": 1 << 60}}, {"endpoints": {"servers": [row, {"started_ms": "x"}, 3]}}, 7]
     assert newest_stamp_us(events, now) == 0  # a list that cannot be read whole says nothing
@@ -206,7 +206,7 @@
     return {"index": 3, "updates": updates}
 
 
-def test_known_purges_and_starts_have_their_ages_whatever_the_clock_says_at_the_start(
+def test_configured_purges_and_starts_have_their_ages_whatever_the_clock_says_at_the_start(
     wall: WallClock,
 ) -> None:
     """Though no purge ever comes over the live feed."""
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -60,7 +60,7 @@
     ground.script.ended = lambda request, status: deed(request) if status is AttemptStatus.ERROR else []
 
 
-def test_a_client_that_left_while_its_attempt_waited_for_a_connection_has_nothing_sent_for_it() -> None:
+def test_nothing_is_sent_for_a_client_that_left_while_its_attempt_waited_for_a_connection() -> None:
     async def play(ground: Ground) -> None:
         (let_up,) = ground.held("c0")
         _on_arrival(ground, "c0")
@@ -74,7 +74,7 @@
     played(play)
 
 
-def test_a_client_that_leaves_in_the_turn_in_which_its_attempt_starts_has_nothing_sent_for_it() -> None:
+def test_nothing_is_sent_for_a_client_that_leaves_as_its_attempt_starts() -> None:
     async def play(ground: Ground) -> None:
         sock = ground.cache("c0")
         _on_arrival(ground, "c0")
@@ -89,7 +89,7 @@
     played(play)
 
 
-def test_a_second_copy_that_waits_as_the_first_is_answered_is_not_sent() -> None:
+def test_a_hedged_request_that_waits_as_the_first_is_answered_is_not_sent() -> None:
     async def play(ground: Ground) -> None:
         sock, (let_up,) = ground.cache("c0"), ground.held("c1")
         _on_arrival(ground, "c0", "c1")
@@ -105,7 +105,7 @@
     played(play)
 
 
-def test_a_repeat_by_key_that_waits_beyond_its_window_is_not_sent() -> None:
+def test_a_keyed_retry_that_waits_beyond_its_window_is_not_sent() -> None:
     kinds = tuple(replace(c, key_window_us=300_000) if c.name == "hold" else c for c in SETTINGS.classes)
 
     async def play(ground: Ground) -> None:
@@ -128,7 +128,7 @@
     played(play, replace(SETTINGS, classes=kinds))
 
 
-def test_what_must_not_run_twice_is_not_sent_again_whatever_was_decided() -> None:
+def test_a_non_idempotent_request_is_not_sent_again_whatever_was_decided() -> None:
     async def play(ground: Ground) -> None:
         sock = ground.cache("c0")
         _on_arrival(ground, "c0", "c0")
@@ -143,7 +143,7 @@
     played(play)
 
 
-def test_a_drain_told_by_a_feed_that_had_fallen_silent_holds_for_what_waits(
+def test_a_drain_from_a_feed_that_had_fallen_silent_applies_to_waiting_attempts(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(coordinator, "SILENCE_LIMIT_S", 0.2)
@@ -178,7 +178,7 @@
     played(play)
 
 
-def test_a_write_behind_one_that_the_socket_does_not_take_is_checked_when_its_turn_comes() -> None:
+def test_a_write_queued_behind_a_blocked_one_is_checked_before_it_is_sent() -> None:
     async def play(ground: Ground) -> None:
         near, far = socket.socketpair(socket.AF_UNIX, socket.SOCK_STREAM)
         ground.opened += [near, far]
@@ -222,7 +222,7 @@
 
 
 @pytest.mark.parametrize("end", ENDS)
-def test_a_client_that_ends_as_its_call_arrives_has_nothing_sent_for_it(end: str) -> None:
+def test_nothing_is_sent_for_a_client_that_closes_as_its_call_arrives(end: str) -> None:
     async def play(ground: Ground) -> None:
         (let_up,) = ground.held("c0")
         _on_arrival(ground, "c0")
@@ -241,7 +241,7 @@
 
 
 @pytest.mark.parametrize("end", ENDS)
-def test_a_client_that_ends_while_its_attempt_connects_has_nothing_sent_for_it(end: str) -> None:
+def test_nothing_is_sent_for_a_client_that_closes_while_its_attempt_connects(end: str) -> None:
     async def play(ground: Ground) -> None:
         (let_up,) = ground.held("c0")
         _on_arrival(ground, "c0")
@@ -257,7 +257,7 @@
 
 
 @pytest.mark.parametrize("end", ENDS)
-def test_a_client_that_ends_between_two_attempts_has_no_second_one_sent(end: str) -> None:
+def test_no_second_attempt_is_sent_for_a_client_that_closed_after_the_first(end: str) -> None:
     async def play(ground: Ground) -> None:
         cache, (let_up,) = ground.cache("c0"), ground.held("c1")
         _on_arrival(ground, "c0")
@@ -280,7 +280,7 @@
     return sum(len(link.attempts) for links in ground.caches.connections.values() for link in links)
 
 
-def test_a_burst_of_clients_that_leave_has_nothing_sent_for_them() -> None:
+def test_nothing_is_sent_for_a_burst_of_clients_that_leave() -> None:
     most = 320
 
     async def play(ground: Ground) -> None:
@@ -301,7 +301,7 @@
     played(play)
 
 
-def test_a_client_that_sends_much_and_goes_leaves_nothing_behind() -> None:
+def test_a_client_that_sends_much_and_closes_leaves_nothing_behind() -> None:
     async def play(ground: Ground) -> None:
         ground.script.arrived = lambda request: [RejectRequest(request)]
         loop = asyncio.get_running_loop()
@@ -324,7 +324,7 @@
 # ---- answers ----------------------------------------------------------------------------------------------
 
 
-def test_a_copy_is_called_current_only_under_the_tag_that_the_client_holds() -> None:
+def test_a_copy_is_not_modified_only_under_the_etag_that_the_client_holds() -> None:
     async def play(ground: Ground) -> None:
         sock = ground.cache("c0")
 
@@ -347,7 +347,7 @@
     played(play)
 
 
-def test_an_answer_without_end_holds_up_no_later_attempt() -> None:
+def test_an_endless_answer_delays_no_later_attempt() -> None:
     async def play(ground: Ground) -> None:
         sock = ground.cache("c0")
         _on_arrival(ground, "c0")
@@ -371,7 +371,7 @@
 
 
 @pytest.mark.parametrize("first", ["answer", "time-out"])
-def test_an_answer_and_the_time_out_in_one_turn_are_one_end(first: str) -> None:
+def test_an_answer_and_the_timeout_in_one_turn_are_one_outcome(first: str) -> None:
     async def play(ground: Ground) -> None:
         sock = ground.cache("c0")
         _on_arrival(ground, "c0")
@@ -391,7 +391,7 @@
     played(play)
 
 
-def test_an_answer_under_way_as_the_cache_closes_in_mid_answer_is_none() -> None:
+def test_a_partial_answer_of_a_cache_that_closes_is_no_answer() -> None:
     async def play(ground: Ground) -> None:
         sock = ground.cache("c0")
         _on_arrival(ground, "c0")
@@ -409,7 +409,7 @@
 # ---- the front --------------------------------------------------------------------------------------------
 
 
-def test_a_client_closed_a_moment_ago_stops_neither_the_door_nor_the_sweep() -> None:
+def test_a_client_closed_a_moment_ago_stops_neither_accepts_nor_the_sweep() -> None:
     """Its socket is closed, and its task's end not yet told: whoever looks through all clients meets it."""
 
     async def play(ground: Ground) -> None:
@@ -440,7 +440,7 @@
     played(play)
 
 
-def test_whoever_has_connected_as_the_door_closes_is_taken_in() -> None:
+def test_a_client_connected_as_the_listening_socket_closes_is_accepted() -> None:
     async def play(ground: Ground) -> None:
         await ground.client()
         await ground.until(lambda: ground.front.connections)
@@ -457,7 +457,7 @@
     played(play)
 
 
-def test_a_connection_that_is_gone_as_it_is_taken_in_does_not_close_the_door() -> None:
+def test_a_connection_gone_as_it_is_accepted_does_not_stop_accepts() -> None:
     async def play(ground: Ground) -> None:
         class Gone(socket.socket):
             def setsockopt(self, *told: object) -> None:
@@ -488,7 +488,7 @@
 
 
 @pytest.mark.parametrize("end", ["half-close", "close", "reset"])
-def test_a_client_that_leaves_while_it_is_not_read_from_is_heard(
+def test_a_client_that_leaves_while_it_is_not_read_from_is_noticed(
     end: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(client_module, "PAUSE_READING_ABOVE_BYTES", 100_000)
@@ -522,7 +522,7 @@
     played(play)
 
 
-def test_a_call_taken_back_while_its_connection_ends_is_taken_back() -> None:
+def test_a_call_cancelled_while_its_connection_closes_is_cancelled() -> None:
     async def play(ground: Ground) -> None:
         ground.core.context.transport = Slow()
         ground.core.context.transport.runs = 1
@@ -538,7 +538,7 @@
     played(play)
 
 
-def test_a_call_that_comes_while_its_connection_waits_to_end_is_refused_and_not_lost() -> None:
+def test_a_call_that_arrives_while_its_connection_waits_to_close_is_rejected_and_not_lost() -> None:
     async def play(ground: Ground) -> None:
         slow = ground.core.context.transport = Slow()
         slow.runs = 1
@@ -553,7 +553,7 @@
     played(play)
 
 
-def test_a_client_that_goes_on_calling_does_not_hold_up_the_end_of_its_connection() -> None:
+def test_a_client_that_goes_on_calling_does_not_delay_the_close_of_its_connection() -> None:
     async def play(ground: Ground) -> None:
         ground.script.arrived = lambda request: [RejectRequest(request)]
         sock, loop = await ground.client(), asyncio.get_running_loop()
@@ -577,7 +577,7 @@
     played(play)
 
 
-def test_an_end_is_written_behind_the_answer_and_what_still_comes_is_read() -> None:
+def test_the_end_is_written_behind_the_answer_and_later_input_is_read() -> None:
     """A close over unread bytes would reset the connection and take the answer along."""
 
     async def play(ground: Ground) -> None:
@@ -611,7 +611,7 @@
     played(play)
 
 
-def test_half_a_call_at_the_soft_close_keeps_its_connection_until_it_is_whole() -> None:
+def test_a_partial_call_at_the_half_close_keeps_its_connection_until_it_is_complete() -> None:
     async def play(ground: Ground) -> None:
         sock, whole = await ground.client(), call(1, path="/ping")
         sock.send(whole[:30])
@@ -623,7 +623,7 @@
     played(play)
 
 
-def test_a_call_read_after_the_end_was_written_is_not_sent_on() -> None:
+def test_a_call_read_after_the_end_was_written_is_not_forwarded() -> None:
     async def play(ground: Ground) -> None:
         _on_arrival(ground, "c0")
         sock = await ground.client()
@@ -640,7 +640,7 @@
     played(play)
 
 
-def test_a_call_that_the_loop_has_just_seen_is_owed_its_answer() -> None:
+def test_a_call_that_was_just_read_is_answered() -> None:
     """Its bytes have come, its reader has not had its turn, and in that turn the resting ones are ended."""
 
     async def play(ground: Ground) -> None:
@@ -660,7 +660,7 @@
     played(play)
 
 
-def test_the_end_of_a_director_resets_nobody_who_still_writes() -> None:
+def test_a_shutdown_resets_no_client_that_still_writes() -> None:
     async def play(ground: Ground) -> None:
         sock = await ground.client()
         sock.send(call(1, path="/ping") + call(2, path="/ping")[:20])  # never whole
@@ -744,7 +744,7 @@
 
 
 @pytest.mark.parametrize("at_the_end", [False, True])
-def test_a_crowd_of_newcomers_holds_no_more_descriptors_than_its_bound(
+def test_a_burst_of_connections_holds_no_more_descriptors_than_its_bound(
     at_the_end: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     taken, most = list[socket.socket](), 0
@@ -799,7 +799,7 @@
 
 
 @pytest.mark.parametrize("restarted", ["member", "source"])
-def test_an_attempt_decided_before_a_cache_started_anew_is_decided_anew(restarted: str) -> None:
+def test_an_attempt_decided_before_a_cache_restarted_is_decided_again(restarted: str) -> None:
     """What a warm cache could take is too much for a cold one."""
 
     async def play(ground: Ground) -> None:
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -167,7 +167,7 @@
 
 
 @pytest.mark.parametrize(("rule", "kind", "play"), CASES, ids=[case[2].__name__ for case in CASES])
-def test_a_breach_is_told_and_what_is_just_in_time_is_not(
+def test_a_violation_is_reported_and_what_is_just_in_time_is_not(
     rule: InvariantRule, kind: str, play: Callable[[Checked, int], None]
 ) -> None:
     sound, broken = Checked(kind), Checked(kind)
@@ -177,11 +177,11 @@
     assert broken.found[0].cause
 
 
-def test_every_rule_has_a_planted_breach() -> None:
+def test_every_rule_has_a_planted_violation() -> None:
     assert {rule for rule, _, _ in CASES} == set(InvariantRule)
 
 
-def test_a_repeat_by_key_is_sound_within_its_window_alone() -> None:
+def test_a_keyed_retry_is_legal_within_its_window_only() -> None:
     for late, found in ((0, []), (1, [InvariantRule.UNSAFE_RETRY])):
         c = Checked("hold")
         c.start_attempt()
@@ -189,7 +189,7 @@
         assert c.rules == found
 
 
-def test_tables_are_bounded_by_what_settles() -> None:
+def test_tables_are_bounded_by_the_purge_retention() -> None:
     c = Checked()
     for n in range(5_000):
         c.checks.object_purged(-1, f"o{n}", NOW + n * 10_000, NOW + n * 10_000)
@@ -201,7 +201,7 @@
 # ---- told by the real paths -------------------------------------------------------------------------------
 
 
-def test_the_guard_s_failure_is_counted_by_the_running_director_and_changes_nothing() -> None:
+def test_a_failure_of_the_guard_is_counted_and_changes_nothing() -> None:
     async def play(ground: Ground) -> None:
         cache = ground.cache("c0")
         ground.script.arrived = lambda request: ask(request, "c0", "c0")
@@ -215,7 +215,7 @@
     played(play)
 
 
-def test_a_served_request_breaks_nothing_and_its_ends_have_reasons() -> None:
+def test_a_served_request_violates_nothing_and_its_connections_have_close_reasons() -> None:
     from onyxwick.net import resp
 
     async def play(ground: Ground) -> None:
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -15,7 +15,7 @@
 from onyxwick import logs
 
 
-def test_a_flood_of_lines_is_cut_and_counted() -> None:
+def test_a_flood_of_lines_is_limited_and_counted() -> None:
     now = [0.0]
     limit = logs.LineRateLimit(lambda: now[0])
 
@@ -31,7 +31,7 @@
     assert (passes("bad input") or {})["left_out"] == 490
 
 
-def test_lines_are_json_and_errors_carry_their_trace() -> None:
+def test_lines_are_json_and_errors_carry_their_traceback() -> None:
     stream = io.StringIO()
     try:
         logs.set_up(stream)
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize("value", [object(), {1, 2}, b"\xff"])
-def test_what_json_cannot_hold_does_not_lose_the_line(value: object) -> None:
+def test_a_value_that_json_cannot_hold_does_not_lose_the_line(value: object) -> None:
     stream = io.StringIO()
     try:
         logs.set_up(stream)
@@ -67,7 +67,7 @@
 """
 
 
-def test_a_log_that_takes_no_line_for_whatever_reason_stops_nothing() -> None:
+def test_a_log_that_accepts_no_lines_stops_nothing() -> None:
     """A full disk, a closed pipe, a pipe that nobody empties."""
     read_end, write_end = os.pipe()
     closed_read, closed_write = os.pipe()
--- a/tests/test_ends_on_time.py
+++ b/tests/test_shutdown_on_time.py
@@ -27,7 +27,7 @@
     return [f"{finding.rule}: {finding.proof}" for finding in report.findings if finding.rule in rules]
 
 
-def test_a_drained_director_holds_no_connection_of_clients_that_use_it_as_long_as_it_is_open(
+def test_a_drained_director_closes_connections_that_clients_keep_using(
     tmp_path: Path,
 ) -> None:
     """One is drained once, one by two callers at once, one in a row of calls, one while accept fails."""
@@ -42,7 +42,7 @@
     assert not _found(report, "held past a drain", "lost", "director"), report.data()
 
 
-def test_a_director_told_to_end_leaves_nothing_unanswered_at_the_earliest_kill(tmp_path: Path) -> None:
+def test_a_terminated_director_leaves_nothing_unanswered_at_the_earliest_sigkill(tmp_path: Path) -> None:
     """Deadlines are short, and clients go on asking on open connections until SIGKILL."""
     faults = tuple(SoakFault(n, SoakFaultKind.TERM, n, 2.0, 0.1, n) for n in range(4))
     report = _played(
@@ -51,7 +51,7 @@
     assert not _found(report, "lost at a kill", "open at a kill", "lost", "director"), report.data()
 
 
-def test_answers_on_their_way_to_slow_readers_arrive_whole_though_the_director_is_drained(
+def test_answers_in_flight_to_slow_readers_arrive_complete_in_a_drain(
     tmp_path: Path,
 ) -> None:
     faults = (SoakFault(1, SoakFaultKind.DRAIN, 0, 2.0, 4.6, 0),)
--- a/tests/test_endings_program.py
+++ b/tests/test_shutdown_program.py
@@ -51,7 +51,7 @@
     return pipe, program
 
 
-def test_a_reload_told_while_the_program_starts_is_done_once_it_has_started(tmp_path: Path) -> None:
+def test_a_reload_during_startup_is_carried_out_once_started(tmp_path: Path) -> None:
     pipe, program = _starting(tmp_path)
     with socket.create_server(COORDINATOR) as old, socket.create_server(MOVED) as new:
         old.settimeout(PATIENCE_S)
@@ -69,7 +69,7 @@
     assert program.returncode == 0 and "Traceback" not in logged, logged
 
 
-def test_an_end_told_while_the_program_starts_leaves_nothing_behind(tmp_path: Path) -> None:
+def test_sigterm_during_startup_leaves_nothing_behind(tmp_path: Path) -> None:
     pipe, program = _starting(tmp_path)
     with contextlib.suppress(BrokenPipeError):  # it has ended in the middle of reading
         _write(pipe, program, CONFIG, signal.SIGTERM)
@@ -77,7 +77,7 @@
     assert program.returncode in (0, -signal.SIGTERM) and "Traceback" not in logged, logged
 
 
-def test_an_end_told_twice_and_in_a_reload_answers_what_is_owed(tmp_path: Path) -> None:
+def test_sigterm_twice_and_during_a_reload_answers_all_requests(tmp_path: Path) -> None:
     exchange = Exchange(tmp_path)
     try:
         client, request = exchange._peer("client"), f"{7:016x}"
@@ -99,7 +99,7 @@
         exchange.stop()
 
 
-def test_whoever_connects_in_the_moment_in_which_the_door_closes_is_answered(tmp_path: Path) -> None:
+def test_a_client_that_connects_as_the_listening_socket_closes_is_answered(tmp_path: Path) -> None:
     """The program stands still as its door is due to close; meanwhile a client connects and asks."""
     exchange = Exchange(tmp_path)
     try:
@@ -141,7 +141,9 @@
         assert b"200 OK" in got and b"walk" in got, got
 
 
-def test_with_all_places_taken_and_discovery_down_the_fixed_parts_keep_theirs(tmp_path: Path) -> None:
+def test_with_all_connections_taken_and_discovery_down_the_fixed_parts_keep_descriptors(
+    tmp_path: Path,
+) -> None:
     """The limit is the platform's: idle clients, halves of calls and answered ones take all they can."""
     limited = {**json.loads(CONFIG), "limits": {"cores": 1, "memory_mb": 192, "sockets": 96}}
     exchange = Exchange(tmp_path, operations=True, config=json.dumps(limited), descriptors=96)
@@ -185,7 +187,7 @@
     assert "Traceback" not in logged and "accept failed" not in logged, logged
 
 
-def test_a_limit_under_what_the_fixed_parts_need_is_refused(tmp_path: Path) -> None:
+def test_a_descriptor_limit_below_the_fixed_parts_is_rejected(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps({**json.loads(CONFIG), "limits": {"sockets": 70}, "admin": 9600}))
     with socket.create_server(LISTEN) as held:
@@ -218,7 +220,7 @@
 
 
 @pytest.mark.parametrize("discovery", ["down", "silent"])
-def test_many_that_start_at_once_on_one_core_are_ready_with_nobody_there(
+def test_many_directors_starting_on_one_core_are_ready_without_clients(
     discovery: str, tmp_path: Path
 ) -> None:
     """Readiness waits for nothing that may never come: discovery down or silent, no cache that answers."""
--- a/tests/test_ending_schedule.py
+++ b/tests/test_shutdown_schedule.py
@@ -21,7 +21,7 @@
 RESTING = ConnectionState(1, 0, 0, 60.0, False, False, 60.0, 60.0)
 
 
-def test_a_drain_refuses_before_requests_are_recent_and_closes_before_connections_are_held() -> None:
+def test_a_drain_rejects_requests_in_time_to_close_every_connection() -> None:
     schedule = drain_schedule(100.0)
     assert schedule.stage(99.9) is ShutdownStage.SERVING and schedule.stage(100.0) is ShutdownStage.CLOSE_IDLE
     assert schedule.stage_start_s(ShutdownStage.REJECT_NEW) + 1.0 <= 100.0 + DRAIN_LIMIT_S - RECENT_REQUEST_S
@@ -32,9 +32,7 @@
 @pytest.mark.parametrize("longest_s", [0.0, 0.05, 0.3, 0.8, 1.5, 3.0, 15.0])
 @pytest.mark.parametrize("successor", [False, True])
 @pytest.mark.parametrize("stood_still_s", [0.0, 0.5, 30.0])
-def test_a_termination_is_over_before_the_kill(
-    longest_s: float, successor: bool, stood_still_s: float
-) -> None:
+def test_a_termination_ends_before_sigkill(longest_s: float, successor: bool, stood_still_s: float) -> None:
     schedule = termination_schedule(100.0, 100.0 + stood_still_s, longest_s, successor)
     kill_at = 100.0 + kill_after_s(longest_s)
     assert list(schedule.stage_starts_s) == sorted(schedule.stage_starts_s)
@@ -45,7 +43,7 @@
         assert schedule.stage_start_s(ShutdownStage.CLOSE_ALL) <= kill_at - 0.2
 
 
-def test_what_a_drain_has_promised_holds_in_a_termination() -> None:
+def test_a_termination_keeps_the_stages_of_an_earlier_drain() -> None:
     both = termination_schedule(102.0, 102.0, 3.0, False).earliest_of(drain_schedule(100.0))
     assert both.stage_starts_s == drain_schedule(100.0).stage_starts_s
     assert both.fail_at_s == termination_schedule(102.0, 102.0, 3.0, False).fail_at_s
