--- a/onyxwick/core/attempt_runner.py
+++ b/onyxwick/core/attempt_runner.py
@@ -14,7 +14,7 @@
 from onyxwick.core.invariant_model import AttemptStarted
 from onyxwick.core.model import AttemptOutcome, AttemptSpec
 from onyxwick.core.request_lifecycle import AttemptDecided, AttemptFinished, RequestLifecycle
-from onyxwick.interface import AttemptEnded, AttemptStatus, ForwardRequest, ForwardWithFill, Idempotency
+from onyxwick.interface import AttemptEnded, AttemptStatus, ForwardRequest, ForwardWithFill
 
 log = logs.get()
 
@@ -31,11 +31,6 @@
 
     def __init__(self, context: EngineContext) -> None:
         self.context = context
-        self.non_idempotent = {
-            request_class.name
-            for request_class in context.settings.classes
-            if request_class.idempotency is Idempotency.NON_IDEMPOTENT
-        }
 
     def start(self, lifecycle: RequestLifecycle, decided: AttemptDecided) -> None:
         """Start an attempt that the router has decided."""
@@ -104,7 +99,7 @@
             action.member,
             timeout_us,
             source,
-            needs_own_connection=request.class_name in self.non_idempotent,
+            needs_own_connection=request.class_name in self.context.non_idempotent_classes,
             is_still_valid=partial(
                 self.context.guard.may_send,
                 lifecycle,
--- a/onyxwick/core/context.py
+++ b/onyxwick/core/context.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import time
 from collections.abc import Callable
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Protocol
@@ -14,7 +13,6 @@
 from onyxwick.core.model import CacheTransport
 from onyxwick.core.reasons import RejectionReason
 from onyxwick.core.send_guard import SendGuard
-from onyxwick.core.stall_detector import StallDetector
 from onyxwick.counters import Counters
 from onyxwick.interface import Event, RouterSettings
 
@@ -58,8 +56,8 @@
     handle: EventHandler
     guard: SendGuard
     invariants: Invariants
-    stalls: StallDetector
     max_open_requests: int
+    non_idempotent_classes: frozenset[str]
     tracer: DecisionTracer | None = None
     """Writes a trace, where one is configured."""
     durable: DurableState | None = None
@@ -83,8 +81,3 @@
         connection=violation.connection,
         member=violation.member,
     )
-
-
-def new_stall_detector() -> StallDetector:
-    """A detector that observes from now on."""
-    return StallDetector(time.monotonic())
--- a/onyxwick/core/engine.py
+++ b/onyxwick/core/engine.py
@@ -9,13 +9,14 @@
 from __future__ import annotations
 
 import asyncio
+import time
 from collections.abc import Callable
 from functools import partial
 
 from onyxwick import logs
 from onyxwick.core.attempt_runner import AttemptRunner, fill_source
 from onyxwick.core.clock import steady_us
-from onyxwick.core.context import EngineContext, MonotonicTime, new_stall_detector, report_violation
+from onyxwick.core.context import EngineContext, MonotonicTime, report_violation
 from onyxwick.core.endpoints import EndpointTable
 from onyxwick.core.feed_intake import FeedIntake
 from onyxwick.core.invariants import Invariants
@@ -30,6 +31,7 @@
 from onyxwick.core.request_runner import RequestRunner
 from onyxwick.core.request_table import RequestTable
 from onyxwick.core.send_guard import SendGuard
+from onyxwick.core.stall_detector import StallDetector
 from onyxwick.core.timers import RouterTimers
 from onyxwick.counters import Counters
 from onyxwick.interface import (
@@ -37,6 +39,7 @@
     Event,
     ForwardRequest,
     ForwardWithFill,
+    Idempotency,
     LogMessage,
     PollEndpoints,
     RequestRouter,
@@ -74,7 +77,7 @@
         self.endpoints = endpoints
         self.counters = counters
         self.now = MonotonicTime(clock)
-        self.stalls = new_stall_detector()
+        self.stalls = StallDetector(time.monotonic())
         self.guard = SendGuard(settings, endpoints, self.stalls, self.now, self.client_departed)
         self.invariants = Invariants(settings, partial(report_violation, counters), self._mean_send_us)
         self.context = EngineContext(
@@ -86,8 +89,8 @@
             self.handle,
             self.guard,
             self.invariants,
-            self.stalls,
             max_open_requests,
+            _non_idempotent_classes(settings),
         )
         self.record_rejection = self.context.record_rejection
         self.feed = FeedIntake(self.context)
@@ -181,3 +184,11 @@
         is_retry_safe = self.guard.is_retry_safe(lifecycle)
         if (is_retry_safe or must_end) and not (lifecycle.answered or lifecycle.client_departed):
             lifecycle.mailbox.put(RequestReleased(is_retry_safe))
+
+
+def _non_idempotent_classes(settings: RouterSettings) -> frozenset[str]:
+    return frozenset(
+        request_class.name
+        for request_class in settings.classes
+        if request_class.idempotency is Idempotency.NON_IDEMPOTENT
+    )
--- a/onyxwick/core/phase.py
+++ b/onyxwick/core/phase.py
@@ -31,11 +31,11 @@
 class IllegalPhaseChangeError(CoreError):
     """A transition between phases that `PHASE_TRANSITIONS` does not have."""
 
-    def __init__(self, found: DirectorPhase, wanted: DirectorPhase) -> None:
+    def __init__(self, found: DirectorPhase, requested: DirectorPhase) -> None:
         legal = ", ".join(sorted(phase.value for phase in PHASE_TRANSITIONS[found])) or "none"
-        super().__init__(f"from phase {found.value} to {wanted.value}; legal: {legal}")
+        super().__init__(f"from phase {found.value} to {requested.value}; legal: {legal}")
         self.found = found
-        self.wanted = wanted
+        self.requested = requested
 
 
 class Readiness(Enum):
--- a/onyxwick/core/request_table.py
+++ b/onyxwick/core/request_table.py
@@ -13,7 +13,6 @@
 from onyxwick.core.model import AnswerStatus, CacheTransport, ClientRequest, FinalAnswer
 from onyxwick.core.reasons import RejectionReason
 from onyxwick.core.request_lifecycle import RequestLifecycle
-from onyxwick.interface import Idempotency
 
 
 class RequestTable:
@@ -24,11 +23,6 @@
         self.lifecycles: dict[str, RequestLifecycle] = {}
         self.idle = asyncio.Event()
         self.idle.set()
-        self.non_idempotent = {
-            request_class.name
-            for request_class in context.settings.classes
-            if request_class.idempotency is Idempotency.NON_IDEMPOTENT
-        }
 
     def admit(
         self, request: ClientRequest, reply: Callable[[FinalAnswer], None], transport: CacheTransport | None
@@ -72,12 +66,12 @@
         durable = self.context.durable
         if durable is None or not durable.bookings:
             return False
-        return lifecycle.request.class_name in self.non_idempotent
+        return lifecycle.request.class_name in self.context.non_idempotent_classes
 
     def _possibly_executed(self, request: ClientRequest) -> bool:
         """Whether an attempt of a non-idempotent request was in flight when this director was restarted."""
         durable = self.context.durable
-        if durable is None or request.class_name not in self.non_idempotent:
+        if durable is None or request.class_name not in self.context.non_idempotent_classes:
             return False
         return not durable.recovery.may_send(request.request_id)
 
