--- a/onyxwick/core/context.py
+++ b/onyxwick/core/context.py
@@ -17,7 +17,7 @@
 from onyxwick.interface import Event, RouterSettings
 
 if TYPE_CHECKING:
-    from onyxwick.store.durable import DurableState
+    from onyxwick.store.durable_state import DurableState
     from onyxwick.trace.decision_tracer import DecisionTracer
 
 log = logs.get()
--- a/onyxwick/core/request_runner.py
+++ b/onyxwick/core/request_runner.py
@@ -56,7 +56,7 @@
             self._answer(lifecycle, answer, reply)
             await self._finish_attempts(lifecycle)
             if lifecycle.intent_recorded and self.context.durable is not None:
-                await self.context.durable.ended(lifecycle.request.request_id)
+                await self.context.durable.resolve_intent(lifecycle.request.request_id)
         finally:
             self.table.remove(lifecycle)
 
@@ -180,7 +180,7 @@
         durable = self.context.durable
         if lifecycle.intent_recorded or durable is None:
             return
-        await durable.intend(lifecycle.request.request_id, self.context.now())
+        await durable.record_intent(lifecycle.request.request_id, self.context.now())
         lifecycle.intent_recorded = True
 
     async def _finish_attempts(self, lifecycle: RequestLifecycle) -> None:
