--- a/onyxwick/core/attempt_invariants.py
+++ b/onyxwick/core/attempt_invariants.py
@@ -63,19 +63,19 @@
 class AttemptInvariants:
     """The checks of attempts of one director.
 
-    `mean_send_us`: mean processing time by class, as far as known.
+    `mean_transfer_us`: mean transfer time by class, as far as known.
     """
 
     def __init__(
         self,
         settings: RouterSettings,
         report: Callable[[Violation], None],
-        mean_send_us: Callable[[], Mapping[str, float]],
+        mean_transfer_us: Callable[[], Mapping[str, float]],
     ) -> None:
         self.settings = settings
         self.rules = settings.rules
         self.report = report
-        self.mean_send_us = mean_send_us
+        self.mean_transfer_us = mean_transfer_us
         self.classes = {request_class.name: request_class for request_class in settings.classes}
         self.members: dict[str, _MemberRecord] = {}
         self.removed_at_us: dict[str, int] = {}  # members that have left the list, oldest first
@@ -218,23 +218,23 @@
         member = record.member
         ramp_us = self._ramp_us(member)
         age_us = now_us - member.started_at_us
-        mean_send_us = self.mean_send_us()
+        mean_transfer_us = self.mean_transfer_us()
         if (
             age_us >= ramp_us
-            or not mean_send_us
+            or not mean_transfer_us
             or member.weight <= 0
             or member.kind == self.settings.origin_kind
         ):
             record.sends = None
             return
-        mean_us = sum(mean_send_us.values()) / len(mean_send_us)
+        mean_us = sum(mean_transfer_us.values()) / len(mean_transfer_us)
         window_us = self.rules.overload_window_us
         if record.sends is None:
             record.sends = deque(maxlen=MAX_REMEMBERED_SENDS)
         sends = record.sends
         while sends and sends[0].sent_at_us <= now_us - window_us:
             sends.popleft()
-        sends.append(_Send(now_us, mean_send_us.get(class_name, mean_us) / mean_us))
+        sends.append(_Send(now_us, mean_transfer_us.get(class_name, mean_us) / mean_us))
         allowed = self._warm_capacity_share(member, age_us) * member.weight * window_us / mean_us
         sent = sum(send.cost for send in sends)
         if sent > slow_start_limit(allowed):
--- a/onyxwick/core/engine.py
+++ b/onyxwick/core/engine.py
@@ -79,7 +79,7 @@
         self.now = MonotonicTime(clock)
         self.stalls = StallDetector(time.monotonic())
         self.guard = SendGuard(settings, endpoints, self.stalls, self.now, self.client_departed)
-        self.invariants = Invariants(settings, partial(report_violation, counters), self._mean_send_us)
+        self.invariants = Invariants(settings, partial(report_violation, counters), self._mean_transfer_us)
         self.context = EngineContext(
             settings,
             transport,
@@ -101,8 +101,8 @@
         self.router = make_router(settings, seed, self.now())
         self.handle()
 
-    def _mean_send_us(self) -> dict[str, float]:
-        """Mean processing time by class, as the router has learned it; empty where many routers decide."""
+    def _mean_transfer_us(self) -> dict[str, float]:
+        """Mean transfer time by class, as the router has learned it; empty where many routers decide."""
         return {name: work.mean for name, work in getattr(self.router, "work", {}).items()}
 
     # ---- events in, actions out -------------------------------------------------------------------------
--- a/onyxwick/core/invariants.py
+++ b/onyxwick/core/invariants.py
@@ -40,16 +40,16 @@
 
 
 class Invariants:
-    """All checks of one director. `mean_send_us`: mean processing time by class, as far as known."""
+    """All checks of one director. `mean_transfer_us`: mean transfer time by class, as far as known."""
 
     def __init__(
         self,
         settings: RouterSettings,
         report: Callable[[Violation], None],
-        mean_send_us: Callable[[], Mapping[str, float]] = dict,
+        mean_transfer_us: Callable[[], Mapping[str, float]] = dict,
     ) -> None:
         self.report = report
-        self.attempts = AttemptInvariants(settings, report, mean_send_us)
+        self.attempts = AttemptInvariants(settings, report, mean_transfer_us)
         self.requests: dict[str, RequestRecord] = {}
 
     # ---- endpoints and purges ----------------------------------------------------------------------------
--- a/tests/ground.py
+++ b/tests/ground.py
@@ -1,6 +1,6 @@
-"""The shared ground of the tests of endings: a director's core, front and links in this process.
+"""One director's engine, front and connections to caches in the test's process, for tests of races.
 
-Sockets are real, a script stands in the module's place, so that a crossing is forced and not hoped for.
+Sockets are real; a scripted router takes the real one's place, so that a race is forced and not left to chance.
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
 
 
 class Script:
-    """In the module's place: it does what is said for arrivals and ends, and keeps all events."""
+    """A router that returns the scripted actions for arrivals, ends and timers, and keeps all events."""
 
     def __init__(self) -> None:
         self.events: list[Event] = []
@@ -103,20 +103,20 @@
         return sock
 
     def list(self, state: MemberState, name: str, address: tuple[str, int]) -> None:
-        told = Member(name, "edge-1", "box", 0, state, 6.0, 0)
-        self.core.feed.apply_endpoints(EndpointsChanged(EndpointListKind.CHANGE, (told,)), {name: address})
+        row = Member(name, "edge-1", "box", 0, state, 6.0, 0)
+        self.core.feed.apply_endpoints(EndpointsChanged(EndpointListKind.CHANGE, (row,)), {name: address})
 
     def held(self, name: str) -> Iterator[Callable[[], Awaitable[socket.socket]]]:
-        """A member to which no connection comes up until the value is awaited, which gives the next one."""
+        """A member that accepts no connection until the value is awaited, which gives the next one."""
         sock = self.cache(name, backlog=0)
         filler = socket.create_connection(sock.getsockname())
         self.opened.append(filler)
 
-        async def let_up() -> socket.socket:
+        async def accept_next() -> socket.socket:
             (await self.accepted(sock)).close()
             return await self.accepted(sock)
 
-        yield let_up
+        yield accept_next
 
     def follow(self, address: tuple[str, int]) -> CoordinatorFeed:
         """The director follows the feed at this address from now on."""
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1,7 +1,7 @@
-"""Each path that ends something, at the instant in which something is still owed (docs/design/endings.md).
+"""Each path that ends something, at the instant in which something is unanswered (docs/design/endings.md).
 
-Real sockets; each crossing is forced: a member whose connection comes up when the test says so, a peer that
-stops reading, a hook at the point of the crossing.
+Real sockets; each race is forced: a member that accepts when the test says so, a peer that stops reading, a
+hook at the point of the race.
 """
 
 from __future__ import annotations
@@ -49,7 +49,7 @@
     return resp.encode_command(life_id.encode(), word, fields, body)
 
 
-# ---- what is no longer wanted is not sent -----------------------------------------------------------------
+# ---- nothing is sent for a client that has left -----------------------------------------------------------------
 
 
 def _on_arrival(ground: Ground, *members: str) -> None:
@@ -62,12 +62,12 @@
 
 def test_nothing_is_sent_for_a_client_that_left_while_its_attempt_waited_for_a_connection() -> None:
     async def play(ground: Ground) -> None:
-        (let_up,) = ground.held("c0")
+        (accept_next,) = ground.held("c0")
         _on_arrival(ground, "c0")
         gone = ground.start()
         await ground.until(lambda: ground.caches.connections.get("c0"))
         ground.core.client_departed(gone)
-        await let_up()
+        await accept_next()
         await ground.until(lambda: not ground.core.lifecycles)
         assert ground.script.ends() == [AttemptStatus.NOT_SENT] and not ground.answers
 
@@ -91,14 +91,14 @@
 
 def test_a_hedged_request_that_waits_as_the_first_is_answered_is_not_sent() -> None:
     async def play(ground: Ground) -> None:
-        sock, (let_up,) = ground.cache("c0"), ground.held("c1")
+        sock, (accept_next,) = ground.cache("c0"), ground.held("c1")
         _on_arrival(ground, "c0", "c1")
         lifecycle = ground.start()
         first = await ground.accepted(sock)
         await ground.read(first, lifecycle.request.request_id.encode())
         first.send(_answer(lifecycle.request.request_id))
         await ground.until(lambda: ground.answers)
-        await let_up()
+        await accept_next()
         await ground.until(lambda: ground.script.ends() == [AttemptStatus.OK, AttemptStatus.NOT_SENT])
         assert ground.answers[0].status is AnswerStatus.SERVED
 
@@ -109,7 +109,7 @@
     kinds = tuple(replace(c, key_window_us=300_000) if c.name == "hold" else c for c in SETTINGS.classes)
 
     async def play(ground: Ground) -> None:
-        sock, (let_up,) = ground.cache("c0"), ground.held("c1")
+        sock, (accept_next,) = ground.cache("c0"), ground.held("c1")
 
         _on_arrival(ground, "c0")
         _on_error(ground, lambda request: ask(request, "c1"))  # at once, and the way is not up in time
@@ -119,7 +119,7 @@
         first.send(_answer(lifecycle.request.request_id, b"failed", b"-", b""))
         await ground.until(lambda: ground.caches.connections.get("c1"))
         await asyncio.sleep(0.35)  # the window passes
-        second = await let_up()
+        second = await accept_next()
         await ground.until(lambda: ground.script.ends() == [AttemptStatus.ERROR, AttemptStatus.NOT_SENT])
         second.setblocking(False)
         with contextlib.suppress(BlockingIOError):
@@ -149,7 +149,7 @@
     monkeypatch.setattr(coordinator, "SILENCE_LIMIT_S", 0.2)
 
     async def play(ground: Ground) -> None:
-        (let_up,) = ground.held("c0")
+        (accept_next,) = ground.held("c0")
         _on_arrival(ground, "c0")
         feed = socket.create_server(("127.0.0.1", 0))
         feed.setblocking(False)
@@ -171,7 +171,7 @@
         await asyncio.sleep(0.02)
         again.send(told[40:].encode())
         await ground.until(lambda: not ground.members.is_ready("c0"))
-        await let_up()
+        await accept_next()
         await ground.until(lambda: ground.script.ends() == [AttemptStatus.NOT_SENT])
         assert not lifecycle.client_departed
 
@@ -224,7 +224,7 @@
 @pytest.mark.parametrize("end", ENDS)
 def test_nothing_is_sent_for_a_client_that_closes_as_its_call_arrives(end: str) -> None:
     async def play(ground: Ground) -> None:
-        (let_up,) = ground.held("c0")
+        (accept_next,) = ground.held("c0")
         _on_arrival(ground, "c0")
         sock = await ground.client()
         await ground.until(lambda: ground.front.connections)
@@ -233,7 +233,7 @@
         await asyncio.sleep(0.1)
         assert all(lifecycle.client_departed for lifecycle in ground.core.lifecycles.values())
         if ground.caches.connections:
-            await let_up()
+            await accept_next()
         await ground.until(lambda: not ground.core.lifecycles)
         assert set(ground.script.ends()) <= {AttemptStatus.NOT_SENT}
 
@@ -243,14 +243,14 @@
 @pytest.mark.parametrize("end", ENDS)
 def test_nothing_is_sent_for_a_client_that_closes_while_its_attempt_connects(end: str) -> None:
     async def play(ground: Ground) -> None:
-        (let_up,) = ground.held("c0")
+        (accept_next,) = ground.held("c0")
         _on_arrival(ground, "c0")
         sock = await ground.client()
         sock.send(call(1))
         await ground.until(lambda: ground.caches.connections.get("c0"))
         _leave(sock, end)
         await asyncio.sleep(0.1)
-        await let_up()
+        await accept_next()
         await ground.until(lambda: ground.script.ends() == [AttemptStatus.NOT_SENT])
 
     played(play)
@@ -259,7 +259,7 @@
 @pytest.mark.parametrize("end", ENDS)
 def test_no_second_attempt_is_sent_for_a_client_that_closed_after_the_first(end: str) -> None:
     async def play(ground: Ground) -> None:
-        cache, (let_up,) = ground.cache("c0"), ground.held("c1")
+        cache, (accept_next,) = ground.cache("c0"), ground.held("c1")
         _on_arrival(ground, "c0")
         _on_error(ground, lambda request: ask(request, "c1"))
         sock = await ground.client()
@@ -270,7 +270,7 @@
         await ground.until(lambda: ground.caches.connections.get("c1"))  # the second waits to be sent
         _leave(sock, end)
         await asyncio.sleep(0.1)
-        await let_up()
+        await accept_next()
         await ground.until(lambda: ground.script.ends() == [AttemptStatus.ERROR, AttemptStatus.NOT_SENT])
 
     played(play)
@@ -284,7 +284,7 @@
     most = 320
 
     async def play(ground: Ground) -> None:
-        (let_up,) = ground.held("c0")
+        (accept_next,) = ground.held("c0")
         _on_arrival(ground, "c0")
         socks = [await ground.client() for _ in range(most // fastcgi.MAX_OPEN_REQUESTS)]
         for number, sock in enumerate(socks):
@@ -294,7 +294,7 @@
         for number, sock in enumerate(socks):
             _leave(sock, ("half-close", "close", "reset")[number % 3])
         await asyncio.sleep(0.1)
-        await let_up()
+        await accept_next()
         await ground.until(lambda: not ground.core.lifecycles)
         assert set(ground.script.ends()) <= {AttemptStatus.NOT_SENT, AttemptStatus.CONNECT_FAILED}
 
@@ -787,12 +787,12 @@
     """The address may be another cache's by now."""
 
     async def play(ground: Ground) -> None:
-        (let_up,) = ground.held("c0")
+        (accept_next,) = ground.held("c0")
         _on_arrival(ground, "c0")
         ground.start()
         await ground.until(lambda: ground.caches.connections.get("c0"))
         ground.list(MemberState.READY, "c0", ("127.0.0.1", 1))
-        await let_up()
+        await accept_next()
         await ground.until(lambda: ground.script.ends() == [AttemptStatus.NOT_SENT])
 
     played(play)
@@ -803,7 +803,7 @@
     """What a warm cache could take is too much for a cold one."""
 
     async def play(ground: Ground) -> None:
-        (let_up,) = ground.held("c0")
+        (accept_next,) = ground.held("c0")
         source = ground.cache("p0").getsockname()
         address = ground.members.addresses["c0"]
         fetch = ForwardWithFill(f"{1:016x}", "c0", "p0", 0, 0, 0, FillOption.NONE)
@@ -813,7 +813,7 @@
         name, at = ("c0", address) if restarted == "member" else ("p0", source)
         row = Member(name, "edge-1", "box", 0, MemberState.READY, 6.0, ground.core.now())
         ground.core.feed.apply_endpoints(EndpointsChanged(EndpointListKind.CHANGE, (row,)), {name: at})
-        await let_up()
+        await accept_next()
         await ground.until(lambda: ground.script.ends() == [AttemptStatus.NOT_SENT])
 
     played(play)
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -1,4 +1,4 @@
-"""Each run-time check fires on a planted breach of its rule, and on no sound run beside it."""
+"""Each run-time check reports a planted violation of its rule, and nothing in a sound run beside it."""
 
 from __future__ import annotations
 
@@ -198,7 +198,7 @@
     assert not c.checks.requests
 
 
-# ---- told by the real paths -------------------------------------------------------------------------------
+# ---- fed by the running engine -------------------------------------------------------------------------------
 
 
 def test_a_failure_of_the_guard_is_counted_and_changes_nothing() -> None:
@@ -210,7 +210,7 @@
         conn = await ground.accepted(cache)
         await ground.read(conn, lifecycle.request.request_id.encode())
         await ground.until(lambda: ground.counters.counts["violation.repeated_unsafely"] == 1)
-        assert not ground.answers  # it is told, and served on
+        assert not ground.answers  # it is counted, and served on
 
     played(play)
 
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""A flood of bad input fills no log, and a log line is JSON where nobody looks on."""
+"""A flood of bad input fills no log, and a log line is JSON unless the output is a terminal."""
 
 from __future__ import annotations
 
--- a/tests/test_shutdown_on_time.py
+++ b/tests/test_shutdown_on_time.py
@@ -1,4 +1,4 @@
-"""Directors that are drained or told to end while their clients do not help: real processes, from outside.
+"""Directors that are drained or terminated while their clients keep connections busy: real processes.
 
 The clients use their connections for as long as they are open (`lab/soak/persistent.py`); the oracle goes by
 what they see 4 s after a drain's call and at the platform's earliest SIGKILL.
--- a/tests/test_shutdown_program.py
+++ b/tests/test_shutdown_program.py
@@ -1,4 +1,4 @@
-"""Endings of the whole program: signals that cross its start, its reload, each other and the door's close."""
+"""Shutdown of the real program: signals during its start and reload, twice, and as it stops listening."""
 
 from __future__ import annotations
 
@@ -100,7 +100,7 @@
 
 
 def test_a_client_that_connects_as_the_listening_socket_closes_is_answered(tmp_path: Path) -> None:
-    """The program stands still as its door is due to close; meanwhile a client connects and asks."""
+    """The program is paused as it is due to stop listening; meanwhile a client connects and sends a request."""
     exchange = Exchange(tmp_path)
     try:
         exchange.program.send_signal(signal.SIGTERM)
--- a/tests/test_shutdown_schedule.py
+++ b/tests/test_shutdown_schedule.py
@@ -1,4 +1,4 @@
-"""The schedule of endings and its one decision a connection, without sockets."""
+"""The schedule of a shutdown, and what each stage does with a connection, without sockets."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     termination_schedule,
 )
 
-RESTING = ConnectionState(1, 0, 0, 60.0, False, False, 60.0, 60.0)
+IDLE = ConnectionState(1, 0, 0, 60.0, False, False, 60.0, 60.0)
 
 
 def test_a_drain_rejects_requests_in_time_to_close_every_connection() -> None:
@@ -31,15 +31,15 @@
 
 @pytest.mark.parametrize("longest_s", [0.0, 0.05, 0.3, 0.8, 1.5, 3.0, 15.0])
 @pytest.mark.parametrize("successor", [False, True])
-@pytest.mark.parametrize("stood_still_s", [0.0, 0.5, 30.0])
-def test_a_termination_ends_before_sigkill(longest_s: float, successor: bool, stood_still_s: float) -> None:
-    schedule = termination_schedule(100.0, 100.0 + stood_still_s, longest_s, successor)
+@pytest.mark.parametrize("stalled_s", [0.0, 0.5, 30.0])
+def test_a_termination_ends_before_sigkill(longest_s: float, successor: bool, stalled_s: float) -> None:
+    schedule = termination_schedule(100.0, 100.0 + stalled_s, longest_s, successor)
     kill_at = 100.0 + kill_after_s(longest_s)
     assert list(schedule.stage_starts_s) == sorted(schedule.stage_starts_s)
     assert schedule.stage_start_s(ShutdownStage.RELEASE_REQUESTS) <= schedule.fail_at_s <= kill_at - 0.2
-    newcomers_s = schedule.accept_until_s - 100.0 - stood_still_s
-    assert newcomers_s == 0.0 if successor else 0.4 < newcomers_s < 0.8
-    if not stood_still_s:
+    accept_s = schedule.accept_until_s - 100.0 - stalled_s
+    assert accept_s == 0.0 if successor else 0.4 < accept_s < 0.8
+    if not stalled_s:
         assert schedule.stage_start_s(ShutdownStage.CLOSE_ALL) <= kill_at - 0.2
 
 
@@ -52,16 +52,16 @@
 @pytest.mark.parametrize(
     ("state", "steps"),  # for each stage from SERVING to CLOSED
     [
-        (RESTING, "keep end end end end end"),
-        (replace(RESTING, unanswered=1), "keep keep keep keep give_back give_back"),
-        (replace(RESTING, unanswered=1, has_unread_input=True), "keep keep keep keep give_back give_back"),
-        (replace(RESTING, has_unread_input=True), "keep keep keep keep keep hear_last"),
-        (replace(RESTING, unwritten_bytes=9), "keep keep keep keep keep keep"),
-        (replace(RESTING, has_partial_request=True, idle_s=0.4), "keep keep keep end end end"),
-        (replace(RESTING, has_partial_request=True, idle_s=1.4), "keep end end end end end"),
-        (replace(RESTING, request_count=0, age_s=0.4), "keep keep keep end end end"),
-        (replace(RESTING, request_count=0, age_s=1.4), "keep end end end end end"),
-        (replace(RESTING, since_delivered_s=0.1), "keep keep keep keep end end"),
+        (IDLE, "keep end end end end end"),
+        (replace(IDLE, unanswered=1), "keep keep keep keep give_back give_back"),
+        (replace(IDLE, unanswered=1, has_unread_input=True), "keep keep keep keep give_back give_back"),
+        (replace(IDLE, has_unread_input=True), "keep keep keep keep keep hear_last"),
+        (replace(IDLE, unwritten_bytes=9), "keep keep keep keep keep keep"),
+        (replace(IDLE, has_partial_request=True, idle_s=0.4), "keep keep keep end end end"),
+        (replace(IDLE, has_partial_request=True, idle_s=1.4), "keep end end end end end"),
+        (replace(IDLE, request_count=0, age_s=0.4), "keep keep keep end end end"),
+        (replace(IDLE, request_count=0, age_s=1.4), "keep end end end end end"),
+        (replace(IDLE, since_delivered_s=0.1), "keep keep keep keep end end"),
     ],
 )
 def test_what_each_stage_does_with_a_connection(state: ConnectionState, steps: str) -> None:
