--- a/tests/ground.py
+++ b/tests/ground.py
@@ -1,6 +1,6 @@
 """One director's engine, front and connections to caches in the test's process, for tests of races.
 
-Sockets are real; a scripted router takes the real one's place, so that a race is forced and not left to chance.
+Sockets are real; a scripted router takes the real one's place, so that a race is forced, not left to chance.
 """
 
 from __future__ import annotations
--- a/tests/test_callers_on_time.py
+++ b/tests/test_callers_on_time.py
@@ -1,4 +1,4 @@
-"""Callers of the hosted fronts and the operators that go on and never end: each wait is over by its time."""
+"""Callers of the hosted fronts and the operations endpoint that never finish: each wait has its limit."""
 
 from __future__ import annotations
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -49,7 +49,7 @@
     return resp.encode_command(life_id.encode(), word, fields, body)
 
 
-# ---- nothing is sent for a client that has left -----------------------------------------------------------------
+# ---- nothing is sent for a client that has left ------------------
 
 
 def _on_arrival(ground: Ground, *members: str) -> None:
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -198,7 +198,7 @@
     assert not c.checks.requests
 
 
-# ---- fed by the running engine -------------------------------------------------------------------------------
+# ---- fed by the running engine ---------------------
 
 
 def test_a_failure_of_the_guard_is_counted_and_changes_nothing() -> None:
--- a/tests/test_shutdown_program.py
+++ b/tests/test_shutdown_program.py
@@ -100,7 +100,7 @@
 
 
 def test_a_client_that_connects_as_the_listening_socket_closes_is_answered(tmp_path: Path) -> None:
-    """The program is paused as it is due to stop listening; meanwhile a client connects and sends a request."""
+    """The program is paused as it is due to stop listening; meanwhile a client connects and sends."""
     exchange = Exchange(tmp_path)
     try:
         exchange.program.send_signal(signal.SIGTERM)
