--- a/onyxwick/admin/cells.py
+++ b/onyxwick/admin/cells.py
@@ -80,7 +80,7 @@
             done = self.control.abort_migration(name)
         except KeyError:
             raise HttpError(404, f"no move '{name}'") from None
-        return 200, {"changed": done, "move": self.control.cells.migrations[name].status()}
+        return 200, {"changed": done, "move": self.control.cells.migrations.by_name[name].status()}
 
     def _explain(self, tenant: str, name: str) -> Answer:
         try:
--- a/onyxwick/cells/migration.py
+++ b/onyxwick/cells/migration.py
@@ -10,7 +10,7 @@
 from enum import Enum
 
 from onyxwick.cells.model import MigrationSpec, S
-from onyxwick.cells.placement import MAX_HASH, mix_hashes, stable_hash
+from onyxwick.cells.placement import MAX_HASH, cells_hash, mix_hashes
 
 HELD_US = 2 * S  # the target must be well for so long before a paused move goes on
 GIVE_UP_US = 120 * S  # a pause this long turns the move back
@@ -72,7 +72,7 @@
         self.warm_up_started_us = 0  # when it began to warm
         self.healthy_since_us = self.reduced_us = 0
         self.reason = "waits for its time" if spec.starts_at_us else "waits for its cells"
-        self.salt = stable_hash(f"move {spec.name}")
+        self.salt = cells_hash(f"move {spec.name}")
 
     def covers(self, key: int) -> bool:
         """Is an object, by its word, among the keys that move?"""
--- a/onyxwick/cells/placement.py
+++ b/onyxwick/cells/placement.py
@@ -27,7 +27,7 @@
 
 
 @lru_cache(maxsize=1 << 14)
-def stable_hash(text: str) -> int:
+def cells_hash(text: str) -> int:
     """64 bits that stand for a name."""
     return int.from_bytes(blake2b(text.encode(), digest_size=8, person=b"cells").digest(), "big")
 
@@ -51,9 +51,7 @@
     exact = {cell.name: seats * cell.weight / total for cell in cells}
     out = {name: int(value) for name, value in exact.items()}
     # Ties are broken by draw and not by name: else the same cells would lack a box in every depot.
-    rest = sorted(
-        exact, key=lambda name: (out[name] - exact[name], rendezvous_score(salt, stable_hash(name)))
-    )
+    rest = sorted(exact, key=lambda name: (out[name] - exact[name], rendezvous_score(salt, cells_hash(name))))
     for name in rest[: seats - sum(out.values())]:
         out[name] += 1
     return out
@@ -64,7 +62,7 @@
     does not depend on any order, and one that leaves moves few others."""
     room = _quotas(cells, len(members), salt)
     pairs = sorted(
-        (rendezvous_score(stable_hash(m), stable_hash(c.name)), m, c.name) for m in members for c in cells
+        (rendezvous_score(cells_hash(m), cells_hash(c.name)), m, c.name) for m in members for c in cells
     )
     out: dict[str, str] = {}
     for _, member, cell in pairs:
@@ -89,7 +87,7 @@
         elif sharing:
             free.setdefault(m.zone, []).append(m.address)
     for zone, names in free.items():
-        out.update(_seat(sharing, names, stable_hash(zone)))
+        out.update(_seat(sharing, names, cells_hash(zone)))
     return out
 
 
@@ -104,11 +102,11 @@
     def order(self, tenant: str, cells: tuple[str, ...]) -> array[int]:
         """Places in `cells`, first choice first."""
         if cells != self.cells:
-            self.cells, self.cell_hashes, self.orders = cells, [stable_hash(name) for name in cells], {}
+            self.cells, self.cell_hashes, self.orders = cells, [cells_hash(name) for name in cells], {}
         order = self.orders.get(tenant)
         if order is None:
             # The mixer of `mix`, one round of it and in line: this is the cost of a placement.
-            at = stable_hash(tenant)
+            at = cells_hash(tenant)
             first = [((at ^ cell) * 0xBF58476D1CE4E5B9) & MAX_HASH for cell in self.cell_hashes]
             drawn = [((z ^ (z >> 29)) * 0x94D049BB133111EB) & MAX_HASH for z in first]
             order = array("H", sorted(range(len(cells)), key=drawn.__getitem__))
@@ -140,7 +138,7 @@
     place_of = {name: n for n, name in enumerate(cells)}
     most = [MAX_LOAD_FACTOR * total * rooms[name] / size for name in cells]
     held = [0.0] * len(cells)
-    for tenant in sorted(plan.tenants.values(), key=lambda t: (-t.weight, stable_hash(t.name), t.name)):
+    for tenant in sorted(plan.tenants.values(), key=lambda t: (-t.weight, cells_hash(t.name), t.name)):
         part = tenant.weight / (len(tenant.cells) or tenant.span)
         if tenant.cells:
             chosen = [place_of[name] for name in tenant.cells if name in place_of]
@@ -168,12 +166,12 @@
         KeyError for an unknown tenant."""
         cells, spec = self.cells_of_tenant[tenant], self.plan.tenants[tenant]
         if spec.ranges:
-            first = stable_hash(name) >> 56
+            first = cells_hash(name) >> 56
             cells = next((r.cells for r in spec.ranges if r.first <= first <= r.last), cells)
         if len(cells) < 2:
             return cells
-        at = stable_hash(name)
-        return tuple(sorted(cells, key=lambda cell: rendezvous_score(at, stable_hash(cell))))
+        at = cells_hash(name)
+        return tuple(sorted(cells, key=lambda cell: rendezvous_score(at, cells_hash(cell))))
 
     def members(self, cell: str) -> list[str]:
         return sorted(member for member, of in self.cell_of_cache.items() if of == cell)
@@ -188,7 +186,7 @@
                 f"Tenant '{tenant}' spans {spec.span} of {len(self.cell_capacity)} cells, chosen by draw,"
                 f" full ones passed by: {', '.join(cells)}."
             ]
-        first = stable_hash(name) >> 56
+        first = cells_hash(name) >> 56
         hit = next((r for r in spec.ranges if r.first <= first <= r.last), None)
         if hit is not None:
             out.append(
--- a/onyxwick/cells/status.py
+++ b/onyxwick/cells/status.py
@@ -1,56 +1,68 @@
-"""What operators are shown of the cells, and the reasons for where an object goes."""
+"""The state of a cell router as operators read it, and why an object goes where it goes.
+
+The keys of `router_status` are those of the administration API.
+"""
 
 from __future__ import annotations
 
 from onyxwick.cells.active_cell import ActiveCell
 from onyxwick.cells.migration import MigrationPhase
-from onyxwick.cells.placement import stable_hash
+from onyxwick.cells.placement import cells_hash
 from onyxwick.cells.router import CellRouter
 
 
-def explain(cells: CellRouter, tenant: str, name: str) -> list[str]:
-    """Why an object of a tenant goes where it goes at this instant. KeyError for an unknown tenant."""
-    out = cells.membership.placement.explain(tenant, name)
-    key = stable_hash(name)
-    for move in cells.migrations_of_tenant.get(tenant, ()):
-        if move.covers(key) and move.phase is not MigrationPhase.ABORTED:
-            side = "already goes" if move.is_migrated(key) else "does not go yet"
-            out.append(
-                f"Move '{move.spec.name}' is {move.phase.value} with {move.share:.0%} over"
-                f" ({move.reason}): the object {side} to {', '.join(move.spec.target_cells)}."
+def explain(router: CellRouter, tenant: str, object_name: str) -> list[str]:
+    """Why an object of a tenant goes where it goes at this instant, a sentence a step.
+
+    KeyError for an unknown tenant."""
+    sentences = router.membership.placement.explain(tenant, object_name)
+    sentences += _explain_migrations(router, tenant, object_name)
+    cells = router.cells_for(tenant, object_name)
+    serving = next((cell for cell in cells if router.has_ready_cache(cell)), None)
+    if serving is not None:
+        return [*sentences, f"It is served by cell '{serving}'."]
+    fallback = router.plan.cells[cells[0]].fallback
+    outcome = f"'{fallback}' takes it within its spare room" if fallback else "it is refused at once"
+    return [*sentences, f"No box of {', '.join(cells)} is ready: {outcome}."]
+
+
+def _explain_migrations(router: CellRouter, tenant: str, object_name: str) -> list[str]:
+    key = cells_hash(object_name)
+    sentences = []
+    for migration in router.migrations.of_tenant.get(tenant, ()):
+        if migration.covers(key) and migration.phase is not MigrationPhase.ABORTED:
+            side = "already goes" if migration.is_migrated(key) else "does not go yet"
+            sentences.append(
+                f"Move '{migration.spec.name}' is {migration.phase.value} with {migration.share:.0%} over"
+                f" ({migration.reason}): the object {side} to {', '.join(migration.spec.target_cells)}."
             )
-    order = cells.cells_for(tenant, name)
-    alive = next((cell for cell in order if cells.has_ready_cache(cell)), None)
-    if alive is not None:
-        return [*out, f"It is served by cell '{alive}'."]
-    fallback = cells.plan.cells[order[0]].fallback
-    then = f"'{fallback}' takes it within its spare room" if fallback else "it is refused at once"
-    return [*out, f"No box of {', '.join(order)} is ready: {then}."]
-
-
-def router_status(cells: CellRouter) -> dict[str, object]:
-    """All of the state that an operator can act on."""
-    writes = cells.admission.write_gate
+    return sentences
+
+
+def router_status(router: CellRouter) -> dict[str, object]:
+    """The administration API's document on cells."""
+    write_gate = router.admission.write_gate
+    migrations = router.migrations.by_name
     return {
-        "version": cells.plan.version,
-        "cells": {name: _unit(cells, unit) for name, unit in sorted(cells.cells.items())},
-        "tenants": len(cells.plan.tenants),
-        "moves": {name: move.status() for name, move in sorted(cells.migrations.items())},
-        "writes": {"open": writes.in_flight, "limit": round(writes.adaptive_limit.limit, 1)},
-        "counts": dict(sorted(cells.counts.items())),
+        "version": router.plan.version,
+        "cells": {name: _cell_status(router, cell) for name, cell in sorted(router.cells.items())},
+        "tenants": len(router.plan.tenants),
+        "moves": {name: migration.status() for name, migration in sorted(migrations.items())},
+        "writes": {"open": write_gate.in_flight, "limit": round(write_gate.adaptive_limit.limit, 1)},
+        "counts": dict(sorted(router.counts.items())),
     }
 
 
-def _unit(cells: CellRouter, unit: ActiveCell) -> dict[str, object]:
-    placement = cells.membership.placement
+def _cell_status(router: CellRouter, cell: ActiveCell) -> dict[str, object]:
+    placement = router.membership.placement
     return {
-        "members": placement.members(unit.name),
-        "ready": unit.ready_caches,
-        "tenants": sum(unit.name in homes for homes in placement.cells_of_tenant.values()),
-        "open": unit.in_flight,
-        "limit": round(unit.gate.adaptive_limit.limit, 1),
-        "most": round(unit.gate.adaptive_limit.upper_bound, 1),
-        "pressure": round(unit.pressure, 3),
-        "parents_part": round(cells.arbiter.shares.get(unit.name, 0.0), 4),
-        "leaving": unit.retired,
+        "members": placement.members(cell.name),
+        "ready": cell.ready_caches,
+        "tenants": sum(cell.name in cells for cells in placement.cells_of_tenant.values()),
+        "open": cell.in_flight,
+        "limit": round(cell.gate.adaptive_limit.limit, 1),
+        "most": round(cell.gate.adaptive_limit.upper_bound, 1),
+        "pressure": round(cell.pressure, 3),
+        "parents_part": round(router.arbiter.shares.get(cell.name, 0.0), 4),
+        "leaving": cell.retired,
     }
--- a/onyxwick/sites/model.py
+++ b/onyxwick/sites/model.py
@@ -11,7 +11,8 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-S = 1_000_000
+MICROSECONDS_PER_SECOND = 1_000_000
+S = MICROSECONDS_PER_SECOND
 ORIGIN_PLACE = "archive"
 DEFAULT_SITE_FIELD = "X-Site"
 MAX_SITES, MAX_HUBS, MAX_CLASSES, MAX_TENANTS = 512, 64, 64, 256  # bounds on memory and on the programme
--- a/onyxwick/sites/router.py
+++ b/onyxwick/sites/router.py
@@ -1,20 +1,18 @@
-"""The decider of a director with sites, behind the module's own face: events in, actions out. No I/O, no
-clock.
-
-Each site whose boxes this director uses has a decider of its own (a router, or cells of routers), so that one
-site's health, limits and retries cannot leak into another's. In calm a director uses its own site's alone and
-everything passes through unchanged. A request lives at one site; it moves to another once at the most, only
-where its class may run twice, and only when the site that took it is lost or was only tried.
+"""The router of a director with sites: decides which site serves a request and lets that site's router
+decide.
+
+In: events, the loss plan and operators' commands. Out: actions; rejections carry a Retry-After in
+microseconds. Each site whose caches this director uses has a router of its own (one router, or one for each
+cell), so that one site's health, limits and retries cannot leak into another's. While all sites are steady a
+director uses its own site's alone and everything passes through unchanged. A request is served by one site;
+it moves to another once at most, only where its class is idempotent, and only when the site that took it is
+lost or was only tried.
 """
 
 from __future__ import annotations
 
-import random
-from collections import deque
-from collections.abc import Callable, Mapping
 from dataclasses import replace
 
-from onyxwick.cells.arbiter import ShareArbiter
 from onyxwick.interface import (
     Action,
     AnswerDetail,
@@ -23,7 +21,6 @@
     CancelAttempt,
     ClientDisconnected,
     EndpointFeedReceived,
-    EndpointListKind,
     EndpointsChanged,
     Event,
     FailRequest,
@@ -31,52 +28,37 @@
     ForwardWithFill,
     Idempotency,
     LogMessage,
-    MemberState,
-    ObjectsPurged,
     RejectRequest,
     RequestArrived,
     RequestClass,
-    RequestRouter,
-    RetryReserveChanged,
     RouterSettings,
-    SetTimer,
     SiteStateChanged,
-    StreamStarted,
-    TimerFired,
 )
 from onyxwick.logic import Router
 from onyxwick.sites.active_site import ActiveSite, RoutedAttempt, SiteRequestOwner
 from onyxwick.sites.lifecycle import AWAY_PHASES
-from onyxwick.sites.load_shedding import SheddingLevels, class_priorities
+from onyxwick.sites.load_shedding import RETRY_SHEDDING_LEVEL
 from onyxwick.sites.model import Topology
-from onyxwick.sites.monitor import SiteMonitor, SiteTransition
+from onyxwick.sites.monitor import SiteTransition
 from onyxwick.sites.operator_commands import SiteCommand
 from onyxwick.sites.plan import SitePlan
 from onyxwick.sites.serving_sites import SiteRoute
-from onyxwick.sites.shares import fleet_share, remote_settings
-from onyxwick.sites.traffic_slices import stable_hash
-
-S = 1_000_000
-TICK_US, ARBITER_EVERY = 100_000, 5
-TOKEN, MARK = "sites", ">"  # of timers: this object's own; between a site's name and its decider's token
-MOVED_AT_ONCE = 32  # requests moved off a lost site when it is found lost
-IDLE_US = 60 * S  # a guest decider that nothing came to for so long goes, once all is steady
-KEPT_STORES = 0.25  # of the stores: kept by weight, the rest by demand
-GUEST_WEIGHT, IDLE_WEIGHT, USED_US = 0.3, 0.02, 5 * S  # of a guest that something came to lately, and did not
-PURGES_MOST, COUNTS_MOST = 4096, 4096
-SOURCE_SPOKE = (
+from onyxwick.sites.site_pool import DEFAULT_MAX_IN_FLIGHT, DEFAULT_TRANSFER_US, MakeRouter, SitePool
+from onyxwick.subrouters.admission_gate import class_priorities
+from onyxwick.subrouters.dispatcher import REBALANCE_TICKS
+
+MAX_RELOCATED_AT_ONCE = 32  # requests moved off a site at the instant it is found lost
+SOURCE_ANSWERED = (
     AnswerDetail.FILLED,
     AnswerDetail.FILLED_FROM_ORIGIN,
     AnswerDetail.SOURCE_REJECTED,
     AnswerDetail.SOURCE_MISS,
     AnswerDetail.ORIGIN_FAILED,
 )
-Decide = Callable[[RouterSettings, int, int], RequestRouter]
 
 
-class SiteRouter:
-    """`share`, where it is set: of its usual limits that a director allows itself after a start
-    (core/pacing.py)."""
+class SiteRouter(SitePool):
+    """Distributes a director's requests among the routers of sites."""
 
     def __init__(
         self,
@@ -85,433 +67,316 @@
         now: int,
         topology: Topology,
         plan: SitePlan,
-        make_router: Decide = Router,
-        max_in_flight: int = 2000,
+        make_router: MakeRouter = Router,
+        max_in_flight: int = DEFAULT_MAX_IN_FLIGHT,
     ) -> None:
-        home = topology.site_of_zone(settings.zone)
-        assert home is not None, "the configuration's check sees to it that the own zone is a site"
-        self.settings, self.topology, self.local_site, self.now = settings, topology, home, now
-        self.make_router, self.max_in_flight = make_router, max_in_flight
-        self.startup_share: Callable[[int], float] | None = None
-        self.random = random.Random(seed ^ stable_hash("sites"))
-        self.classes = {c.name: c for c in settings.classes}
-        works = {n: float(k.transfer_us) for n, k in topology.classes.items()}
-        self.priority_of_class = class_priorities(
-            self.classes, {n: works.get(n, float(S)) for n in self.classes}
-        )
-        self.monitor = SiteMonitor(settings, topology, plan, home, now)
-        self.sites: dict[str, ActiveSite] = {}
-        self.requests: dict[str, SiteRequestOwner] = {}
-        self.purges: deque[tuple[int, ObjectsPurged]] = deque(maxlen=PURGES_MOST)
-        self.counts: dict[str, int] = {}
-        self.shed_now: dict[str, str] = {}  # refused by the last `handle` before any router saw it, and why
-        self.out: list[Action] = []
-        self.ticks = 0
-        self.arbiter = ShareArbiter({home: 1.0}, 0, KEPT_STORES)
-        self._unit(home, seed)
-        self.out.append(SetTimer(now + TICK_US, TOKEN))
-
-    # ---- events -----------------------------------------------------------------------------------------
-
-    def ejected_count(self) -> int:
-        return sum(unit.router.ejected_count() for unit in self.sites.values())
-
-    def handle(self, now: int, events: list[Event]) -> list[Action]:
-        self.now = now
-        self.shed_now.clear()
-        for event in events:
-            match event:
-                case RequestArrived():
-                    self._arrived(event)
-                case AttemptEnded():
-                    self._ended(event)
-                case ClientDisconnected(request) | StreamStarted(request_id=request):
-                    if home := self.requests.get(request):
-                        self._pass(self.sites[home.serving_site], [event])
-                        if isinstance(event, ClientDisconnected):
-                            self._over(request, home)
-                case EndpointsChanged():
-                    self._listed(event)
-                case ObjectsPurged():
-                    self.purges.append((now, event))
-                    for unit in self.sites.values():
-                        self._pass(unit, [event])
-                case EndpointFeedReceived():
-                    self.monitor.evidence.record_feed(now)
-                case TimerFired(token):
-                    self._timer(token)
-                case _:
-                    for unit in self.sites.values():
-                        self._pass(unit, [event])
-        out, self.out = self.out, []
-        return out
-
-    def _timer(self, token: str) -> None:
-        if token == TOKEN:
-            return self._tick()
-        name, mark, inner = token.partition(MARK)
-        if mark and (unit := self.sites.get(name)):
-            self._pass(unit, [TimerFired(inner)])
-        return None
-
-    def _pass(self, unit: ActiveSite, events: list[Event]) -> None:
-        """Events to one site's decider; its actions are taken note of and passed on."""
-        for action in unit.router.handle(self.now, events):
-            match action:
-                case SetTimer(at, token):
-                    self.out.append(SetTimer(at, f"{unit.name}{MARK}{token}"))
-                case ForwardRequest(request_id=request, member=member):
-                    self._sent(unit, request, member, None)
-                    self.out.append(action)
-                case ForwardWithFill(request_id=request, member=member, fill_source=source):
-                    self._sent(unit, request, member, source if source != member else None)
-                    self.out.append(action)
-                case CancelAttempt(request_id=request, attempt_index=attempt):
-                    home = self.requests.get(request)
-                    number = home.attempt_index_of(unit.name, attempt) if home is not None else None
-                    if number is not None:
-                        self.out.append(CancelAttempt(request, number))
-                case RejectRequest(request_id=request) | FailRequest(request_id=request):
-                    self._given_up(unit, request, action)
-                case _:
-                    self.out.append(action)
-
-    def _sent(self, unit: ActiveSite, request: str, member: str, source: str | None) -> None:
-        home = self.requests[request]
-        home.attempts.append(RoutedAttempt(unit.name, home.attempts_at(unit.name), member, source))
-        home.attempts_in_flight += 1
+        """`make_router`: from settings, a seed and the time (us). `max_in_flight`: requests of one site at
+        once."""
+        self.classes = {request_class.name: request_class for request_class in settings.classes}
+        work_us = dict.fromkeys(self.classes, DEFAULT_TRANSFER_US)
+        work_us |= {name: float(planned.transfer_us) for name, planned in topology.classes.items()}
+        self.priority_of_class = class_priorities(settings.classes, work_us)
+        super().__init__(settings, seed, now, topology, plan, make_router, max_in_flight)
+
+    # ---- events --------------------------------------------------------------------------------------------
+
+    def _on_other_event(self, event: Event) -> None:
+        if isinstance(event, EndpointFeedReceived):
+            self.monitor.evidence.record_feed(self.now)
+        else:
+            self._dispatch_to_all(event)
+
+    def _on_endpoints_changed(self, event: EndpointsChanged) -> None:
+        for transition in self.monitor.on_endpoints_changed(self.now, event):
+            self._on_transition(transition)
+
+    def _on_action(self, subrouter: ActiveSite, action: Action) -> None:
+        match action:
+            case ForwardRequest(request_id=request_id, member=member):
+                self._on_attempt_started(subrouter, request_id, member, None)
+                self._pending_actions.append(action)
+            case ForwardWithFill(request_id=request_id, member=member, fill_source=source):
+                self._on_attempt_started(subrouter, request_id, member, source if source != member else None)
+                self._pending_actions.append(action)
+            case CancelAttempt(request_id=request_id, attempt_index=local_index):
+                self._cancel_attempt(subrouter, request_id, local_index)
+            case RejectRequest(request_id=request_id) | FailRequest(request_id=request_id):
+                self._on_request_given_up(subrouter, request_id, action)
+            case _:
+                self._pending_actions.append(action)
+
+    def _on_attempt_started(
+        self, site: ActiveSite, request_id: str, member: str, fill_source: str | None
+    ) -> None:
+        owner = self.requests[request_id]
+        owner.attempts.append(RoutedAttempt(site.name, owner.attempts_at(site.name), member, fill_source))
+        owner.attempts_in_flight += 1
         self.monitor.evidence.record_sent(self.now, member)
-        told = unit.reported_members.get(source) if source is not None else None
-        if told is not None and told.kind == self.settings.parent_kind:
-            self.arbiter.record_demand(unit.name)
-
-    # ---- requests ---------------------------------------------------------------------------------------
-
-    def _arrived(self, ask: RequestArrived) -> None:
-        kind = self.classes.get(ask.class_name)
-        site = (
-            ask.client_site
-            if ask.client_site is not None and ask.client_site in self.topology.sites
-            else self.local_site
-        )
-        if kind is None:
+        source = site.reported_members.get(fill_source) if fill_source is not None else None
+        if source is not None and source.kind == self.settings.parent_kind:
+            self.arbiter.record_demand(site.name)
+
+    def _cancel_attempt(self, site: ActiveSite, request_id: str, local_index: int) -> None:
+        owner = self.requests.get(request_id)
+        index = owner.attempt_index_of(site.name, local_index) if owner is not None else None
+        if index is not None:
+            self._pending_actions.append(CancelAttempt(request_id, index))
+
+    # ---- requests ------------------------------------------------------------------------------------------
+
+    def _on_request_arrived(self, request: RequestArrived) -> None:
+        request_class = self.classes.get(request.class_name)
+        if request_class is None:
             self._count("unknown_class")
-            self.out.append(RejectRequest(ask.request_id))
-            return None
-        self.monitor.record_request(self.now, site, ask.object_id)
-        calm = self.monitor.all_steady
-        if (calm and site == self.local_site) or (kind.is_write and self.settings.cache_bypass):
-            # A write runs at the archive, whatever boxes there are.
-            return self._enter(ask, kind, site, self.sites[self.local_site], SiteRoute(self.local_site))
-        if self.monitor.lacks_observation(self.now, site):
-            self._took(self.monitor.step_site(self.now, site, self._pressure))
-        way = self.monitor.route(self.now, ask, kind, site, self._squeeze)
-        if way.site is None:
-            return self._shed(ask, self.sites[self.local_site], way.reason)
-        unit = self._unit(way.site)
-        why = None
-        if not way.is_trial:
-            why = unit.shedding.rejection_reason(
-                kind, ask.tenant or "", ask.is_retry, self.priority_of_class[kind.name]
+            self._pending_actions.append(RejectRequest(request.request_id))
+            return
+        named_site = request.client_site
+        client_site = (
+            named_site if named_site is not None and named_site in self.topology.sites else self.local_site
+        )
+        self.monitor.record_request(self.now, client_site, request.object_id)
+        is_undisturbed = self.monitor.all_steady and client_site == self.local_site
+        is_executed_at_origin = request_class.is_write and self.settings.cache_bypass
+        if is_undisturbed or is_executed_at_origin:
+            self._admit(request, request_class, client_site, SiteRoute(self.local_site))
+        else:
+            self._route(request, request_class, client_site)
+
+    def _route(self, request: RequestArrived, request_class: RequestClass, client_site: str) -> None:
+        """Admit or reject a request while a site is not steady, or of another site's client."""
+        if self.monitor.lacks_observation(self.now, client_site):
+            self._on_transition(self.monitor.step_site(self.now, client_site, self._pressure))
+        route = self.monitor.route(self.now, request, request_class, client_site, self._plan_strictness)
+        if route.site is None:
+            self._shed(request, self.sites[self.local_site], route.reason)
+            return
+        site = self._site(route.site)
+        if not route.is_trial:
+            priority = self.priority_of_class[request_class.name]
+            reason = site.shedding.rejection_reason(
+                request_class, request.tenant or "", request.is_retry, priority
             )
-        if why is not None:
-            return self._shed(ask, unit, why)
-        return self._enter(ask, kind, site, unit, way)
+            if reason is not None:
+                self._shed(request, site, reason)
+                return
+        self._admit(request, request_class, client_site, route)
 
-    def _enter(
-        self, ask: RequestArrived, kind: RequestClass, site: str, unit: ActiveSite, way: SiteRoute
+    def _admit(
+        self, request: RequestArrived, request_class: RequestClass, client_site: str, route: SiteRoute
     ) -> None:
-        home = SiteRequestOwner(
-            ask, kind, site, unit.name, self.now, self.now + ask.expires_in_us, way.is_trial
+        assert route.site is not None, "only a route to a site admits a request"
+        site = self.sites[route.site]
+        owner = SiteRequestOwner(
+            site.name,
+            request_class,
+            self.now,
+            request=request,
+            client_site=client_site,
+            deadline_us=self.now + request.expires_in_us,
+            is_trial=route.is_trial,
         )
-        self.requests[ask.request_id] = home
-        if way.is_trial:
-            self.monitor.start_trial(self.now, site)
-        self._join(unit, home)
-        self._pass(unit, [ask])
-
-    def _join(self, unit: ActiveSite, home: SiteRequestOwner) -> None:
-        unit.in_flight += 1
-        unit.last_used_us = self.now
-        home.holds_admission = not self.monitor.all_steady and not home.request_class.is_write
-        if home.holds_admission:
-            unit.shedding.gate.admit(home.tenant, 1.0)
-
-    def _leave(self, unit: ActiveSite, home: SiteRequestOwner) -> None:
-        unit.in_flight -= 1
-        if home.holds_admission:
-            unit.shedding.gate.release(home.tenant)
-            home.holds_admission = False
-
-    def _shed(self, ask: RequestArrived, unit: ActiveSite, why: str) -> None:
-        """Refused before any router saw it: at once, with a time to return where the settings allow one."""
-        self._count(f"refused.{why}.{ask.class_name}")
-        self.shed_now[ask.request_id] = why
+        self.requests[request.request_id] = owner
+        if route.is_trial:
+            self.monitor.start_trial(self.now, client_site)
+        self._count_admission(site, owner)
+        self._dispatch(site, [request])
+
+    def _count_admission(self, site: ActiveSite, owner: SiteRequestOwner) -> None:
+        site.in_flight += 1
+        site.last_used_us = self.now
+        owner.holds_admission = not self.monitor.all_steady and not owner.request_class.is_write
+        if owner.holds_admission:
+            site.shedding.gate.admit(owner.tenant, 1.0)
+
+    def _release_admission(self, site: ActiveSite, owner: SiteRequestOwner) -> None:
+        site.in_flight -= 1
+        if owner.holds_admission:
+            site.shedding.gate.release(owner.tenant)
+            owner.holds_admission = False
+
+    def _shed(self, request: RequestArrived, site: ActiveSite, reason: str) -> None:
+        """Reject a request at once, before any site's router receives it."""
+        self._count(f"refused.{reason}.{request.class_name}")
+        self.shed_now[request.request_id] = reason
         limits = self.settings.limits
-        after = unit.shedding.retry_after_us(limits.max_retry_after_us) if limits.retry_after else 0
-        self.out.append(RejectRequest(ask.request_id, after))
+        retry_after_us = site.shedding.retry_after_us(limits.max_retry_after_us) if limits.retry_after else 0
+        self._pending_actions.append(RejectRequest(request.request_id, retry_after_us))
 
-    def _ended(self, event: AttemptEnded) -> None:
-        home = self.requests.get(event.request_id)
-        if home is None or not 0 <= event.attempt_index < len(home.attempts):
+    def _on_attempt_ended(self, event: AttemptEnded) -> None:
+        owner = self.requests.get(event.request_id)
+        if owner is None or not 0 <= event.attempt_index < len(owner.attempts):
             return
-        one = home.attempts[event.attempt_index]
-        home.attempts_in_flight -= 1
-        kind = self.monitor.evidence.record_attempt_ended(self.now, event)
-        self._source(one, event)
-        if home.is_trial and one.site == home.client_site:
-            self.monitor.record_trial_result(self.now, home.client_site, kind)
-        unit = self.sites.get(one.site)
-        if unit is not None:
-            self._learn(unit, home, event)
-            local = (
-                event
-                if one.local_index == event.attempt_index
-                else replace(event, attempt_index=one.local_index)
-            )
-            self._pass(unit, [local])
-        home.answered |= event.is_final
-        self._close(event.request_id, home)
-
-    def _source(self, one: RoutedAttempt, event: AttemptEnded) -> None:
-        """What a box of the own site tells of where it filled from."""
+        attempt = owner.attempts[event.attempt_index]
+        owner.attempts_in_flight -= 1
+        evidence = self.monitor.evidence.record_attempt_ended(self.now, event)
+        self._record_fill_source(attempt, event)
+        if owner.is_trial and attempt.site == owner.client_site:
+            self.monitor.record_trial_result(self.now, owner.client_site, evidence)
+        site = self.sites.get(attempt.site)
+        if site is not None:
+            self._record_answer(site, owner, event)
+            is_translated = attempt.local_index != event.attempt_index
+            local_event = replace(event, attempt_index=attempt.local_index) if is_translated else event
+            self._dispatch(site, [local_event])
+        owner.answered |= event.is_final
+        self._forget_if_ended(event.request_id, owner)
+
+    def _record_fill_source(self, attempt: RoutedAttempt, event: AttemptEnded) -> None:
+        """What an answer of an own site's cache says of the member that it filled from."""
         evidence = self.monitor.evidence
-        if one.fill_source is None or evidence.place_of.get(one.member) != self.local_site:
+        if attempt.fill_source is None or evidence.place_of.get(attempt.member) != self.local_site:
             return
-        if event.detail in SOURCE_SPOKE:
-            evidence.record_fill_source(self.now, one.fill_source, True, event.latency_us)
+        if event.detail in SOURCE_ANSWERED:
+            evidence.record_fill_source(self.now, attempt.fill_source, True, event.latency_us)
         elif event.detail is AnswerDetail.SOURCE_UNREACHABLE:
-            evidence.record_fill_source(self.now, one.fill_source, False, event.latency_us)
+            evidence.record_fill_source(self.now, attempt.fill_source, False, event.latency_us)
 
-    def _learn(self, unit: ActiveSite, home: SiteRequestOwner, event: AttemptEnded) -> None:
-        if not event.is_final or event.status is not AttemptStatus.OK or home.answered:
+    def _record_answer(self, site: ActiveSite, owner: SiteRequestOwner, event: AttemptEnded) -> None:
+        if not event.is_final or event.status is not AttemptStatus.OK or owner.answered:
             return
-        took = self.now - home.arrived_at_us
-        late = took > home.request_class.latency_objective_us * (
-            1 + home.request_class.latency_objective_stretch
-        )
-        unit.shedding.record_answer(self.now, late, took)
-        if home.holds_admission:
-            unit.shedding.record_outcome(self.now, late, home.request_class.latency_objective_us)
-
-    def _given_up(self, unit: ActiveSite, request: str, action: RejectRequest | FailRequest) -> None:
-        """A router gives a request up. One that only tried a site goes on to where it belongs."""
-        home = self.requests.get(request)
-        if home is None or home.serving_site != unit.name or home.answered:
+        request_class = owner.request_class
+        taken_us = self.now - owner.arrived_at_us
+        stretch = 1 + request_class.latency_objective_stretch
+        late = taken_us > request_class.latency_objective_us * stretch
+        site.shedding.record_answer(self.now, late, taken_us)
+        if owner.holds_admission:
+            site.shedding.record_outcome(self.now, late, request_class.latency_objective_us)
+
+    def _on_request_given_up(
+        self, site: ActiveSite, request_id: str, action: RejectRequest | FailRequest
+    ) -> None:
+        """A site's router rejects or fails a request. A trial is relocated to the site it belongs to."""
+        owner = self.requests.get(request_id)
+        if owner is None or owner.assigned_to != site.name or owner.answered:
             return
-        if isinstance(action, RejectRequest) and home.is_trial and self._second(request, home):
+        if isinstance(action, RejectRequest) and owner.is_trial and self._relocate(request_id, owner):
             return
-        unit.shedding.record_answer(self.now, True)
-        self.out.append(action)
-        self._over(request, home)
-
-    def _second(self, request: str, home: SiteRequestOwner) -> bool:
-        """Move a request to its object's new home; False where it may not, or there is none."""
-        left = home.deadline_us - self.now
-        spent = len(home.attempts) >= self.settings.limits.max_attempts or left <= self.settings.tick_us
-        if (
-            home.relocated
-            or home.answered
-            or home.request_class.idempotency is not Idempotency.IDEMPOTENT
-            or spent
-            or self.monitor.is_cut_off
-        ):
+        site.shedding.record_answer(self.now, True)
+        self._pending_actions.append(action)
+        self._finish(request_id, owner)
+
+    def _relocate(self, request_id: str, owner: SiteRequestOwner) -> bool:
+        """Move a request to the site that now serves its object; False where it may not move or none does."""
+        remaining_us = owner.deadline_us - self.now
+        if not self._may_relocate(owner, remaining_us):
             return False
-        target = self.monitor.serving_sites.serving_site_for(
-            home.client_site, home.request_class.name, home.request.object_id
+        target_name = self.monitor.serving_sites.serving_site_for(
+            owner.client_site, owner.request_class.name, owner.request.object_id
         )
-        if target is None or target == home.serving_site:
+        if target_name is None or target_name == owner.assigned_to:
             return False
-        old, unit = self.sites[home.serving_site], self._unit(target)
-        if unit.shedding.level >= 2:
-            return False  # a second try is the first thing that is refused
-        self._leave(old, home)
-        self._done_trying(home)
-        home.serving_site, home.relocated = target, True
-        self._join(unit, home)
-        self._pass(old, [ClientDisconnected(request)])
+        previous = self.sites[owner.assigned_to]
+        target = self._site(target_name)
+        if target.shedding.level >= RETRY_SHEDDING_LEVEL:
+            return False
+        self._release_admission(previous, owner)
+        self._end_trial(owner)
+        owner.assigned_to = target_name
+        owner.relocated = True
+        self._count_admission(target, owner)
+        self._dispatch(previous, [ClientDisconnected(request_id)])
         self._count("moved_on")
-        self._pass(unit, [replace(home.request, expires_in_us=left, is_retry=True)])
+        self._dispatch(target, [replace(owner.request, expires_in_us=remaining_us, is_retry=True)])
         return True
 
-    def _done_trying(self, home: SiteRequestOwner) -> None:
-        if home.is_trial:
-            home.is_trial = False
-            self.monitor.end_trial(home.client_site)
-
-    def _over(self, request: str, home: SiteRequestOwner) -> None:
-        home.answered = True
-        self._close(request, home)
-
-    def _close(self, request: str, home: SiteRequestOwner) -> None:
-        """Forget a request once it is answered and nothing of it runs."""
-        if home.answered:
-            self._done_trying(home)
-        if not home.answered or home.attempts_in_flight > 0 or self.requests.pop(request, None) is None:
-            return
-        if (unit := self.sites.get(home.serving_site)) is not None:
-            self._leave(unit, home)
-
-    # ---- the list and the units -------------------------------------------------------------------------
+    def _may_relocate(self, owner: SiteRequestOwner, remaining_us: int) -> bool:
+        return not (
+            owner.relocated
+            or owner.answered
+            or owner.request_class.idempotency is not Idempotency.IDEMPOTENT
+            or len(owner.attempts) >= self.settings.limits.max_attempts
+            or remaining_us <= self.settings.tick_us
+            or self.monitor.is_cut_off
+        )
 
-    def _listed(self, event: EndpointsChanged) -> None:
-        if event.kind is EndpointListKind.UNAVAILABLE:
-            for unit in self.sites.values():
-                self._pass(unit, [event])
+    def _end_trial(self, owner: SiteRequestOwner) -> None:
+        if owner.is_trial:
+            owner.is_trial = False
+            self.monitor.end_trial(owner.client_site)
+
+    def _on_answered(self, owner: SiteRequestOwner) -> None:
+        self._end_trial(owner)
+
+    def _release(self, owner: SiteRequestOwner) -> None:
+        site = self.sites.get(owner.assigned_to)
+        if site is not None:
+            self._release_admission(site, owner)
+
+    # ---- the tick ------------------------------------------------------------------------------------------
+
+    def _on_tick(self) -> None:
+        for transition in self.monitor.tick(self.now, self._pressure):
+            self._on_transition(transition)
+        for name in self.monitor.step_exercises(self.now, max(map(self._pressure, self.sites))):
+            self._pending_actions.append(LogMessage(f"drill of site {name} has ended"))
+        self._step_load_shedding()
+        if self.ticks % REBALANCE_TICKS == 0:
+            self._rebalance_parents()
+            self._drop_idle_sites()
+
+    def _on_transition(self, transition: SiteTransition | None) -> None:
+        """A site is taken to be in another state: report it, and apply what follows from it."""
+        if transition is None:
             return
-        for changed in self.monitor.on_endpoints_changed(self.now, event):
-            self._took(changed)
-        self._tell_lists()
-
-    def _tell_lists(self) -> None:
-        left = self.monitor.abandoned_places()
-        for unit in list(self.sites.values()):
-            view = self.monitor.membership.members_for(unit.name, left)
-            changed = [m for a, m in view.items() if unit.reported_members.get(a) != m]
-            gone = [
-                replace(m, state=MemberState.REMOVED)
-                for a, m in unit.reported_members.items()
-                if a not in view
-            ]
-            unit.reported_members = view
-            if changed or gone:
-                self._pass(unit, [EndpointsChanged(EndpointListKind.CHANGE, (*changed, *gone))])
-
-    def _unit(self, site: str, seed: int | None = None) -> ActiveSite:
-        """What this director uses a site's boxes with; made when it is first wanted."""
-        unit = self.sites.get(site)
-        if unit is not None:
-            return unit
-        own = site == self.local_site
-        told = self.settings if own else remote_settings(self.settings, self.topology, site)
-        number = self.random.getrandbits(64) if seed is None else seed
-        ladder = SheddingLevels(self.max_in_flight, self.topology.tenant_reserves, number ^ stable_hash(site))
-        unit = self.sites[site] = ActiveSite(site, self.make_router(told, number, self.now), ladder, self.now)
-        if not own:
-            self._pass(unit, [replace(p, age_us=p.age_us + self.now - at) for at, p in self.purges])
-            self._share_stores()
-            self._tell_lists()
-        else:
-            self._pass(unit, [])
-        return unit
-
-    def _share_stores(self) -> None:
-        """The stores are shared by the deciders that there are now, by what each asks of them."""
-        weights = {}
-        for site, unit in self.sites.items():
-            used = unit.in_flight or self.now - unit.last_used_us < USED_US
-            weights[site] = 1.0 if site == self.local_site else GUEST_WEIGHT if used else IDLE_WEIGHT
-        self.arbiter.set_weights(self.now, weights)
-        # What was taken in the first step is free in the second.
-        self._pass_parts(self.arbiter.rebalance(self.now))
-
-    def _pass_parts(self, changed: Mapping[str, float]) -> None:
-        """Each decider's part of stores and boxes, where it is another one than it was told."""
-        pace = self.startup_share(self.now) if self.startup_share is not None else 1.0
-        for unit in self.sites.values():
-            stores = changed.get(unit.name, self.arbiter.shares.get(unit.name, 0.0)) * pace
-            homes = self.monitor.serving_sites
-            silent = self.monitor.silent_directors(self.now)
-            wanted = fleet_share(
-                self.topology, homes.row, homes.lost_sites, unit.name, self.local_site, stores, silent
-            )
-            if wanted != unit.fleet_share:
-                unit.fleet_share = wanted
-                self._pass(unit, [wanted])
-
-    # ---- the clock --------------------------------------------------------------------------------------
-
-    def _pressure(self, site: str) -> float:
-        unit = self.sites.get(site)
-        return unit.shedding.pressure if unit is not None else 0.0
-
-    def _squeeze(self, site: str) -> float:
-        unit = self.sites.get(site)
-        return unit.shedding.plan_strictness if unit is not None else 0.0
-
-    def _tick(self) -> None:
-        self.out.append(SetTimer(self.now + TICK_US, TOKEN))
-        self.ticks += 1
-        for changed in self.monitor.tick(self.now, self._pressure):
-            self._took(changed)
-        for site in self.monitor.step_exercises(self.now, max(map(self._pressure, self.sites))):
-            self.out.append(LogMessage(f"drill of site {site} has ended"))
-        for unit in self.sites.values():
-            unit.shedding.step(self.now)
-            if unit.shedding.retry_reserve != unit.retry_reserve:
-                unit.retry_reserve = unit.shedding.retry_reserve
-                self._pass(unit, [RetryReserveChanged(unit.retry_reserve)])
-        if self.ticks % ARBITER_EVERY == 0:
-            self._share_stores()
-            self._let_go()
-
-    def _took(self, changed: SiteTransition | None) -> None:
-        """A site is held to be in another state: what follows from it, and the word of it."""
-        if changed is None:
-            return
-        life = changed.lifecycle
-        self._count(f"{life.phase.value}.{life.name}")
-        self.out.append(
+        lifecycle = transition.lifecycle
+        state = lifecycle.phase.value
+        self._count(f"{state}.{lifecycle.name}")
+        self._pending_actions.append(
             SiteStateChanged(
-                life.name, changed.previous_phase.value, life.phase.value, life.moved_share, life.reason
+                lifecycle.name,
+                transition.previous_phase.value,
+                state,
+                lifecycle.moved_share,
+                lifecycle.reason,
             )
         )
-        self._pass_parts({})
-        self._tell_lists()
-        if life.phase in AWAY_PHASES and changed.previous_phase not in AWAY_PHASES and life.was_unreachable:
-            self._move_off(life.name)
-
-    def _move_off(self, site: str) -> None:
-        """What waits at the boxes of a site that is lost goes on elsewhere, where it may be sent twice."""
-        if site in self.topology.sites and site in self.sites:
-            waiting = [
-                r
-                for r, h in self.requests.items()
-                if h.serving_site == site and not h.answered and h.attempts_in_flight
-            ]
-            for request in waiting[:MOVED_AT_ONCE]:
-                self._second(request, self.requests[request])
-
-    def _let_go(self) -> None:
-        for site in [s for s in self.sites if s != self.local_site]:
-            unit = self.sites[site]
-            if self.monitor.all_steady and not unit.in_flight and self.now - unit.last_used_us > IDLE_US:
-                del self.sites[site]
-                self._share_stores()
-
-    # ---- operators --------------------------------------------------------------------------------------
-
-    def apply_command(self, now: int, order: SiteCommand) -> None:
-        """An operator's order from this instant on; what it leads to comes from the next `handle`."""
+        self._dispatch_fleet_shares({})
+        self._report_members()
+        is_newly_away = lifecycle.phase in AWAY_PHASES and transition.previous_phase not in AWAY_PHASES
+        if is_newly_away and lifecycle.was_unreachable:
+            self._relocate_waiting(lifecycle.name)
+
+    def _relocate_waiting(self, name: str) -> None:
+        """Relocate what waits for a lost site's caches, where it may be sent twice."""
+        if name not in self.topology.sites or name not in self.sites:
+            return
+        waiting = [
+            request_id
+            for request_id, owner in self.requests.items()
+            if owner.assigned_to == name and not owner.answered and owner.attempts_in_flight
+        ]
+        for request_id in waiting[:MAX_RELOCATED_AT_ONCE]:
+            self._relocate(request_id, self.requests[request_id])
+
+    # ---- operators -----------------------------------------------------------------------------------------
+
+    def apply_command(self, now: int, command: SiteCommand) -> None:
+        """Apply an operator's command from this instant on; the actions come from the next `handle`."""
         self.now = now
-        self.monitor.commands.apply(order)
-        self._took(self.monitor.step_site(now, order.site, self._pressure))
+        self.monitor.commands.apply(command)
+        self._on_transition(self.monitor.step_site(now, command.site, self._pressure))
 
     def replace_plan(self, now: int, plan: SitePlan) -> None:
-        """Another plan for the same topology, as a worker thread has made it."""
+        """Act on another loss plan for the same topology from this instant on."""
         self.now = now
         self.monitor.replace_plan(plan)
-        self._pass_parts({})
-
-    def _count(self, name: str) -> None:
-        if name in self.counts or len(self.counts) < COUNTS_MOST:
-            self.counts[name] = self.counts.get(name, 0) + 1
-
-    # ---- for who looks on -------------------------------------------------------------------------------
-
-    def router_of(self, request: str) -> Router | None:
-        """The router that decides for a request now, for a trace."""
-        home = self.requests.get(request)
-        unit = self.sites.get(home.serving_site) if home is not None else None
-        if unit is None or isinstance(unit.router, Router):
-            return unit.router if unit is not None else None  # type: ignore[return-value]
-        return unit.router.router_of(request)  # type: ignore[attr-defined, no-any-return]
-
-    def cell_of(self, request: str) -> str:
-        """Where a request lives, as `site` or `site/cell`."""
-        home = self.requests.get(request)
-        if home is None:
+        self._dispatch_fleet_shares({})
+
+    # ---- for the trace -------------------------------------------------------------------------------------
+
+    def router_of(self, request_id: str) -> Router | None:
+        """The router that decides for a request now; None for one that is not in progress."""
+        owner = self.requests.get(request_id)
+        site = self.sites.get(owner.assigned_to) if owner is not None else None
+        if site is None or isinstance(site.router, Router):
+            return site.router if site is not None else None  # type: ignore[return-value]
+        return site.router.router_of(request_id)  # type: ignore[attr-defined, no-any-return]
+
+    def cell_of(self, request_id: str) -> str:
+        """What a request is assigned to, as `site` or `site/cell`; empty for one that is not in progress."""
+        owner = self.requests.get(request_id)
+        if owner is None:
             return ""
-        inner = self.sites[home.serving_site].router
-        cell = "" if isinstance(inner, Router) else inner.cell_of(request)  # type: ignore[attr-defined]
-        return f"{home.serving_site}/{cell}" if cell else home.serving_site
+        router = self.sites[owner.assigned_to].router
+        cell = "" if isinstance(router, Router) else router.cell_of(request_id)  # type: ignore[attr-defined]
+        return f"{owner.assigned_to}/{cell}" if cell else owner.assigned_to
--- /dev/null
+++ b/onyxwick/subrouters/dispatcher.py
@@ -0,0 +1,239 @@
+"""The event loop that routers of routers share: which inner router receives an event, and what its actions
+become.
+
+In: the events of one instant (microseconds). Out: the actions of all inner routers, with timer tokens
+qualified by the inner router's name. A request belongs to one inner router at a time, until it is answered
+and its last attempt has ended. Purges are remembered, so that an inner router that starts later honours them
+too.
+
+State is bounded: `MAX_REMEMBERED_PURGES`, `MAX_COUNTER_NAMES`, and one record for each request in progress.
+"""
+
+from __future__ import annotations
+
+from abc import ABC, abstractmethod
+from collections import deque
+from collections.abc import Sequence
+from dataclasses import dataclass, replace
+from typing import Generic, Protocol, TypeVar
+
+from onyxwick.interface import (
+    Action,
+    AttemptEnded,
+    ClientDisconnected,
+    EndpointListKind,
+    EndpointsChanged,
+    Event,
+    Member,
+    MemberState,
+    ObjectsPurged,
+    RequestArrived,
+    RequestClass,
+    RequestRouter,
+    SetTimer,
+    StreamStarted,
+    TimerFired,
+)
+
+TICK_INTERVAL_US = 100_000
+REBALANCE_TICKS = 5  # ticks between two divisions of the parents' budget
+MAX_REMEMBERED_PURGES = 4096
+MAX_COUNTER_NAMES = 4096
+
+
+class Subrouter(Protocol):
+    """An inner router and what the dispatcher keeps of it."""
+
+    name: str
+    reported_members: dict[str, Member]  # the endpoint list that the inner router has been given, by address
+
+    @property
+    def router(self) -> RequestRouter:
+        """The inner router itself."""
+        ...
+
+
+@dataclass(slots=True)
+class RequestOwner:
+    """Which inner router decides for a request, from its arrival until its last attempt has ended."""
+
+    assigned_to: str  # name of the inner router
+    request_class: RequestClass
+    arrived_at_us: int
+    attempts_in_flight: int = 0
+    answered: bool = False  # the final answer is decided; attempts may still be in flight
+
+
+SubrouterType = TypeVar("SubrouterType", bound=Subrouter)
+OwnerType = TypeVar("OwnerType", bound=RequestOwner)
+
+
+class SubrouterDispatcher(ABC, Generic[SubrouterType, OwnerType]):
+    """Base of the routers that distribute requests among inner routers."""
+
+    TIMER_TOKEN: str  # of the dispatcher's own tick
+    TOKEN_SEPARATOR: str  # between an inner router's name and its own timer token
+
+    def __init__(self, now: int, subrouters: dict[str, SubrouterType]) -> None:
+        """`subrouters`: those in use, by name; the subclass adds to it and removes from it."""
+        self.now = now
+        self._subrouters = subrouters
+        self.requests: dict[str, OwnerType] = {}
+        self.counts: dict[str, int] = {}
+        self.shed_now: dict[str, str] = {}  # request id: why the last `handle` rejected it before any router
+        self.ticks = 0
+        self._purges: deque[tuple[int, ObjectsPurged]] = deque(maxlen=MAX_REMEMBERED_PURGES)
+        self._pending_actions: list[Action] = []
+
+    # ---- what a subclass decides -------------------------------------------------------------------------
+
+    @abstractmethod
+    def _on_request_arrived(self, request: RequestArrived) -> None:
+        """Reject a request, or assign it to an inner router and dispatch it there."""
+
+    @abstractmethod
+    def _on_attempt_ended(self, event: AttemptEnded) -> None:
+        """Account for an ended attempt and dispatch the event to the router that ordered it."""
+
+    @abstractmethod
+    def _on_endpoints_changed(self, event: EndpointsChanged) -> None:
+        """Take in a changed endpoint list; the inner routers are informed afterwards."""
+
+    @abstractmethod
+    def _on_other_event(self, event: Event) -> None:
+        """Handle an event that this class does not distribute itself."""
+
+    @abstractmethod
+    def _on_action(self, subrouter: SubrouterType, action: Action) -> None:
+        """Account for an inner router's action and emit what it becomes. Timers do not come here."""
+
+    @abstractmethod
+    def _on_tick(self) -> None:
+        """Periodic work, every `TICK_INTERVAL_US`."""
+
+    @abstractmethod
+    def _members_for(self, subrouter: SubrouterType) -> dict[str, Member]:
+        """The endpoint list of one inner router, by address."""
+
+    @abstractmethod
+    def _release(self, owner: OwnerType) -> None:
+        """Give back what a finished request occupied."""
+
+    def _on_answered(self, owner: OwnerType) -> None:
+        """A request's final answer is decided; called again for each later end of one of its attempts."""
+
+    # ---- events --------------------------------------------------------------------------------------------
+
+    def ejected_count(self) -> int:
+        """Members that an inner router has ejected, counted once for each inner router."""
+        return sum(subrouter.router.ejected_count() for subrouter in self._subrouters.values())
+
+    def handle(self, now: int, events: list[Event]) -> list[Action]:
+        """Dispatch the events of the instant `now` (us) and return the actions on them."""
+        self.now = now
+        self.shed_now.clear()
+        for event in events:
+            self._handle_event(event)
+        actions = self._pending_actions
+        self._pending_actions = []
+        return actions
+
+    def _handle_event(self, event: Event) -> None:
+        match event:
+            case RequestArrived():
+                self._on_request_arrived(event)
+            case AttemptEnded():
+                self._on_attempt_ended(event)
+            case StreamStarted(request_id=request_id):
+                self._dispatch_to_owner(request_id, event)
+            case ClientDisconnected(request_id=request_id):
+                self._dispatch_to_owner(request_id, event)
+                if owner := self.requests.get(request_id):
+                    self._finish(request_id, owner)
+            case EndpointsChanged(kind=EndpointListKind.UNAVAILABLE):
+                self._dispatch_to_all(event)
+            case EndpointsChanged():
+                self._on_endpoints_changed(event)
+                self._report_members()
+            case ObjectsPurged():
+                self._purges.append((self.now, event))
+                self._dispatch_to_all(event)
+            case TimerFired(token):
+                self._on_timer(token)
+            case _:
+                self._on_other_event(event)
+
+    # ---- timers --------------------------------------------------------------------------------------------
+
+    def _schedule_tick(self) -> None:
+        self._pending_actions.append(SetTimer(self.now + TICK_INTERVAL_US, self.TIMER_TOKEN))
+
+    def _on_timer(self, token: str) -> None:
+        if token == self.TIMER_TOKEN:
+            self._schedule_tick()
+            self.ticks += 1
+            self._on_tick()
+            return
+        name, separator, inner_token = token.partition(self.TOKEN_SEPARATOR)
+        subrouter = self._subrouters.get(name)
+        if separator and subrouter is not None:
+            self._dispatch(subrouter, [TimerFired(inner_token)])
+
+    # ---- inner routers -------------------------------------------------------------------------------------
+
+    def _dispatch(self, subrouter: SubrouterType, events: Sequence[Event]) -> None:
+        """Events to one inner router; its actions are accounted for and emitted."""
+        for action in subrouter.router.handle(self.now, list(events)):
+            if isinstance(action, SetTimer):
+                token = f"{subrouter.name}{self.TOKEN_SEPARATOR}{action.token}"
+                self._pending_actions.append(SetTimer(action.at_us, token))
+            else:
+                self._on_action(subrouter, action)
+
+    def _dispatch_to_all(self, event: Event) -> None:
+        for subrouter in self._subrouters.values():
+            self._dispatch(subrouter, [event])
+
+    def _dispatch_to_owner(self, request_id: str, event: Event) -> None:
+        if owner := self.requests.get(request_id):
+            self._dispatch(self._subrouters[owner.assigned_to], [event])
+
+    def _replay_purges(self, subrouter: SubrouterType) -> None:
+        """The remembered purges, aged by the time since they were received, to a router that starts now."""
+        aged = [replace(purge, age_us=purge.age_us + self.now - at) for at, purge in self._purges]
+        self._dispatch(subrouter, aged)
+
+    def _report_members(self) -> None:
+        """Each inner router's changes of its endpoint list since the last report."""
+        for subrouter in list(self._subrouters.values()):
+            known = subrouter.reported_members
+            members = self._members_for(subrouter)
+            changed = [member for address, member in members.items() if known.get(address) != member]
+            removed = [
+                replace(member, state=MemberState.REMOVED)
+                for address, member in known.items()
+                if address not in members
+            ]
+            subrouter.reported_members = members
+            if changed or removed:
+                change = EndpointsChanged(EndpointListKind.CHANGE, (*changed, *removed))
+                self._dispatch(subrouter, [change])
+
+    # ---- requests ------------------------------------------------------------------------------------------
+
+    def _finish(self, request_id: str, owner: OwnerType) -> None:
+        """Record that a request's final answer is decided."""
+        owner.answered = True
+        self._forget_if_ended(request_id, owner)
+
+    def _forget_if_ended(self, request_id: str, owner: OwnerType) -> None:
+        """Forget a request once it is answered and none of its attempts is in flight."""
+        if not owner.answered:
+            return
+        self._on_answered(owner)
+        if owner.attempts_in_flight <= 0 and self.requests.pop(request_id, None) is not None:
+            self._release(owner)
+
+    def _count(self, name: str) -> None:
+        if name in self.counts or len(self.counts) < MAX_COUNTER_NAMES:
+            self.counts[name] = self.counts.get(name, 0) + 1
--- a/tests/cells.py
+++ b/tests/cells.py
@@ -89,7 +89,7 @@
         return self.give(AttemptEnded(request, attempt, where, status, latency, done, AnswerDetail.HIT))
 
     def where(self, request: str) -> str:
-        return self.cells.requests[request].cell
+        return self.cells.requests[request].assigned_to
 
     def change(self, box: Member, state: MemberState, since: int = 0) -> list[Action]:
         return self.give(
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -184,8 +184,8 @@
     seen, shares = [], []
     for _ in range(60):
         _settle(w, 0.1)
-        seen.append(w.cells.migrations["m"].phase)
-        shares.append(w.cells.migrations["m"].share)
+        seen.append(w.cells.migrations.by_name["m"].phase)
+        shares.append(w.cells.migrations.by_name["m"].share)
         request = w.ask("t1")
         w.end(request)
     assert [p for n, p in enumerate(seen) if not n or seen[n - 1] is not p] == [
@@ -199,7 +199,7 @@
     w.end(booking, AttemptStatus.RESET)  # its answer is lost during the cut
     assert w.flown[booking] == 1, "it may have run, so nobody sends it again"
     w.pass_time(200_000)
-    assert w.cells.migrations["m"].phase is MigrationPhase.DONE
+    assert w.cells.migrations.by_name["m"].phase is MigrationPhase.DONE
     assert explain(w.cells, "t1", "x")[-1] == "It is served by cell 'b'."
 
 
@@ -223,7 +223,7 @@
     w = CellWorld(replace(plan, migrations={"m": MOVE}), boxes=boxes)
     for _ in range(150):
         _settle(w, 0.1)
-        move = w.cells.migrations["m"]
+        move = w.cells.migrations.by_name["m"]
         assert (
             move.share <= w.cells.membership.warm_share(("b",), w.now) + 1e-9
             or move.phase is not MigrationPhase.WARMING
@@ -242,7 +242,7 @@
     for box in target[:3]:
         w.change(box, MemberState.DRAINING)
     _settle(w, 0.2)
-    move = w.cells.migrations["m"]
+    move = w.cells.migrations.by_name["m"]
     assert move.phase is MigrationPhase.PAUSED and move.share < 0.2
     for box in target[:3]:
         w.change(box, MemberState.READY)
@@ -292,7 +292,7 @@
         w.now,
         [EndpointsChanged(EndpointListKind.SNAPSHOT, (*BOXES, *PARENTS, ORIGIN)), ObjectsPurged(1, None, 5)],
     )
-    assert again.migrations["m"].share == 0 and again.cells_for("t1", "x") == ("a",)
+    assert again.migrations.by_name["m"].share == 0 and again.cells_for("t1", "x") == ("a",)
     assert all(unit.router.marks for unit in again.cells.values())
     assert again.membership.placement.cell_of_cache == w.cells.membership.placement.cell_of_cache
 
@@ -309,7 +309,7 @@
     w.end(booking)
     assert booking not in w.cells.requests and old in w.cells.cells
     _settle(w, 6)
-    assert w.where(w.ask("t2")) == "a" and "m" not in w.cells.migrations
+    assert w.where(w.ask("t2")) == "a" and "m" not in w.cells.migrations.by_name
 
 
 def test_a_cell_taken_out_of_the_plan_ends_what_it_has() -> None:
--- a/tests/test_cells_placement.py
+++ b/tests/test_cells_placement.py
@@ -10,11 +10,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from onyxwick.cells.arbiter import ShareArbiter
-from onyxwick.cells.limits import AdaptiveLimit, AdmissionGate, ReservedPool
+from onyxwick.cells.limits import ReservedPool
 from onyxwick.cells.model import Cell, CellPlanError, KeyRange, MigrationSpec, TenantSpec, check_plan
-from onyxwick.cells.placement import Placement, compute_placement, stable_hash
+from onyxwick.cells.placement import Placement, cells_hash, compute_placement
 from onyxwick.interface import Member
+from onyxwick.subrouters.admission_gate import AdaptiveLimit, AdmissionGate
+from onyxwick.subrouters.share_arbiter import ShareArbiter
 from tests.cells import plan_of
 from tests.world import S, member
 
@@ -80,7 +81,7 @@
     for n in range(200):
         name = f"{n:016x}"
         order = placed.candidates("t", name)
-        assert (order == ("c",)) == (stable_hash(name) >> 56 <= 0x3F)
+        assert (order == ("c",)) == (cells_hash(name) >> 56 <= 0x3F)
         assert set(order) in ({"c"}, {"a", "b"})
         assert f"Cell '{order[0]}' has" in placed.explain("t", name)[-1]
     first = [placed.candidates("t", f"{n:016x}")[0] for n in range(2000)]
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -39,11 +39,12 @@
 from onyxwick.lab.faults.simulate import Simulation, planned, topology_of
 from onyxwick.sites import SitePlan, SiteRouter
 from onyxwick.sites.lifecycle import SiteDirective, SitePhase
-from onyxwick.sites.load_shedding import LEVEL_THRESHOLDS, SheddingLevels, class_priorities
+from onyxwick.sites.load_shedding import LEVEL_THRESHOLDS, SheddingLevels
 from onyxwick.sites.local_demand import RECENT_US, REPEATED_WITHIN_US, LocalDemand
 from onyxwick.sites.model import Topology
 from onyxwick.sites.operator_commands import SiteCommand, command_from_row
 from onyxwick.sites.status import explain, router_status
+from onyxwick.subrouters.admission_gate import class_priorities
 from onyxwick.tenants import Tenants
 from onyxwick.trace.decision_tracer import DecisionTracer
 from onyxwick.trace.model import NotificationKind
@@ -327,7 +328,7 @@
     assert moved or any(isinstance(a, RejectRequest) for a in out)
     if moved and home is not None:
         assert not sent[-1].member.startswith("west-")
-        numbers = [one.local_index for one in home.attempts if one.site == home.serving_site]
+        numbers = [one.local_index for one in home.attempts if one.site == home.assigned_to]
         assert numbers == list(range(len(numbers)))
 
 
@@ -436,7 +437,9 @@
 
 def test_what_is_shed_first_is_the_least_worth_for_its_work() -> None:
     classes = {k.name: k for k in SETTINGS.classes}
-    order = class_priorities(classes, {"chunk": 400_000.0, "thumb": 50_000.0, "save": 1.0, "hold": 1.0})
+    order = class_priorities(
+        classes.values(), {"chunk": 400_000.0, "thumb": 50_000.0, "save": 1.0, "hold": 1.0}
+    )
     assert order["chunk"] < order["thumb"] < order["save"]
 
 
