--- a/onyxwick/cells/limits.py
+++ b/onyxwick/cells/limits.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Mapping
 
-from onyxwick.quota import Quota
+from onyxwick.quota import TokenBucket
 
 MICROSECONDS_PER_SECOND = 1_000_000
 
@@ -49,13 +49,15 @@
     def __init__(self, clock: Callable[[], float]) -> None:
         """`clock`: seconds that never go back."""
         self.clock = clock
-        self.quotas: dict[str, Quota] = {}
+        self.quotas: dict[str, TokenBucket] = {}
 
     def set_rates(self, rates_per_s: Mapping[str, float]) -> None:
         """Replace the rates; 0 is unlimited. A tenant whose rate is unchanged keeps its saved tokens."""
         kept = {name: quota for name, quota in self.quotas.items() if rates_per_s.get(name) == quota.per_s}
         added = {
-            name: Quota(rate, self.clock) for name, rate in rates_per_s.items() if rate and name not in kept
+            name: TokenBucket(rate, self.clock)
+            for name, rate in rates_per_s.items()
+            if rate and name not in kept
         }
         self.quotas = kept | added
 
--- a/onyxwick/net/cache_connection.py
+++ b/onyxwick/net/cache_connection.py
@@ -131,7 +131,7 @@
         attempt.write = PendingWrite(
             b"",
             is_still_wanted=lambda: (
-                spec.left_us() > 0 and spec.is_still_valid() and self._is_member_address()
+                spec.remaining_us() > 0 and spec.is_still_valid() and self._is_member_address()
             ),
             on_dropped=lambda: self._on_dropped(attempt),
             render=lambda: encode_attempt(spec),
@@ -202,9 +202,9 @@
 
     def _failure_reason(self) -> ConnectionCloseReason:
         if self.is_up:
-            return ConnectionCloseReason.BROKEN
+            return ConnectionCloseReason.CONNECTION_ERROR
         if self.failed_locally:
-            return ConnectionCloseReason.CONNECT_FAILED_HERE
+            return ConnectionCloseReason.CONNECT_FAILED_LOCALLY
         return ConnectionCloseReason.CONNECT_FAILED
 
     async def _connect(self) -> socket.socket:
--- a/onyxwick/net/feed_wire.py
+++ b/onyxwick/net/feed_wire.py
@@ -12,7 +12,7 @@
 from typing import Any, NamedTuple
 
 from onyxwick.config.address import Address, read_address
-from onyxwick.core.clock import FeedStamps
+from onyxwick.core.clock import FeedTimestamps
 from onyxwick.interface import EndpointListKind, EndpointsChanged, Member, MemberState
 
 INDEX = "index"
@@ -78,7 +78,7 @@
 
 
 def read_changes(
-    event: dict[str, Any], stamps: FeedStamps, now_us: int, report_bad_row: Callable[[str], None]
+    event: dict[str, Any], stamps: FeedTimestamps, now_us: int, report_bad_row: Callable[[str], None]
 ) -> FeedChanges:
     """What an event asks for; one of `MALFORMED` where it cannot be read. `now_us`: steady clock."""
     endpoints = None
@@ -90,18 +90,18 @@
     return FeedChanges(endpoints, purge)
 
 
-def _read_purge(document: dict[str, Any], stamps: FeedStamps, now_us: int) -> Purge:
+def _read_purge(document: dict[str, Any], stamps: FeedTimestamps, now_us: int) -> Purge:
     name = document.get(PURGED_OBJECT)
     group = document.get(PURGED_GROUP)
     return Purge(
         name=None if name is None else str(name),
         group=ALL_GROUPS if group is None else int(group),
-        made_at_us=stamps.purge(int(document[PURGED_AT_MS]) * US_PER_MS, now_us),
+        made_at_us=stamps.purge_time_us(int(document[PURGED_AT_MS]) * US_PER_MS, now_us),
     )
 
 
 def read_members(
-    document: dict[str, Any], stamps: FeedStamps, now_us: int, report_bad_row: Callable[[str], None]
+    document: dict[str, Any], stamps: FeedTimestamps, now_us: int, report_bad_row: Callable[[str], None]
 ) -> ListUpdate:
     """A change of the endpoint list, or the complete list. `now_us`: steady clock.
 
@@ -129,7 +129,7 @@
     return ListUpdate(EndpointsChanged(kind, tuple(members), version), addresses)
 
 
-def _read_member(row: dict[str, Any], stamps: FeedStamps, now_us: int) -> Member:
+def _read_member(row: dict[str, Any], stamps: FeedTimestamps, now_us: int) -> Member:
     name = str(row[NAME])
     return Member(
         address=name,
@@ -138,7 +138,7 @@
         cell=int(row.get(CELL) or 0),
         state=MEMBER_STATES[row[STATE]],
         weight=float(row.get(WEIGHT) or 0),
-        started_at_us=stamps.start(name, int(row.get(STARTED_MS) or 0) * US_PER_MS, now_us),
+        started_at_us=stamps.start_time_us(name, int(row.get(STARTED_MS) or 0) * US_PER_MS, now_us),
     )
 
 
--- a/onyxwick/net/front_connection.py
+++ b/onyxwick/net/front_connection.py
@@ -47,7 +47,11 @@
 MAX_LOGGED_REQUESTS = 8
 US_PER_S = 1e6
 CLOSED_BY_CLIENT_REASONS = frozenset(
-    {ConnectionCloseReason.CLOSED_BY_PEER, ConnectionCloseReason.BROKEN, ConnectionCloseReason.STALLED}
+    {
+        ConnectionCloseReason.CLOSED_BY_PEER,
+        ConnectionCloseReason.CONNECTION_ERROR,
+        ConnectionCloseReason.WRITE_STALLED,
+    }
 )
 PEER_GONE_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
@@ -110,7 +114,7 @@
                 task.result()
         except OSError:
             self.owner.counters.add("client.broken")
-            self.close_reason = self.close_reason or ConnectionCloseReason.BROKEN
+            self.close_reason = self.close_reason or ConnectionCloseReason.CONNECTION_ERROR
         finally:
             writer.cancel()
             reader.cancel()
@@ -180,7 +184,7 @@
         read_us = self.owner.core.now()
         now_s = time.monotonic()
         self.last_active_at_s = now_s
-        waited_s = self.arrivals.waited_s(now_s, self.owner.core.stalls.turn(now_s))
+        waited_s = self.arrivals.waited_s(now_s, self.owner.core.stalls.observe(now_s))
         self.arrived_us = read_us - int(waited_s * US_PER_S)
         for message in self.parser.messages():
             self._handle_message(message)
@@ -198,7 +202,7 @@
                 lifecycle = self.open_calls.pop(number, None)
                 self.send(number, fastcgi.encode_end_request(number))
                 if lifecycle is not None:
-                    self.owner.core.leave(lifecycle)
+                    self.owner.core.client_departed(lifecycle)
             case fastcgi.FastCgiReply(data, protocol_error, stop_reading):
                 self.writes.post(PendingWrite(data))
                 if protocol_error:
@@ -262,7 +266,7 @@
         """Give open calls their final answers; see `connection_shutdown.advance`."""
         for lifecycle in list(self.open_calls.values()):
             if lifecycle is not None:
-                self.owner.core.give_back(lifecycle, must_answer_all)
+                self.owner.core.release(lifecycle, must_answer_all)
 
     def _abandon_open_calls(self) -> None:
         """The client no longer waits for any answer."""
@@ -270,7 +274,7 @@
         self.open_calls = {}
         for lifecycle in lifecycles:
             if lifecycle is not None:
-                self.owner.core.leave(lifecycle)
+                self.owner.core.client_departed(lifecycle)
 
     # ---- closing -----------------------------------------------------------------------------------------
 
@@ -348,8 +352,8 @@
         if not undelivered or not is_own_close or is_closed_by_peer(self.sock):
             return
         self.owner.counters.add("client.cut")
-        if self.owner.stage_at(now_s) is not ShutdownStage.CLOSED:
-            self.owner.core.invariants.answer_cut(self.number, undelivered)
+        if self.owner.stage_at(now_s) is not ShutdownStage.CLOSE_ALL:
+            self.owner.core.invariants.answer_truncated(self.number, undelivered)
 
     def open_request_ids(self) -> list[str]:
         """The ids of the requests that are not answered yet."""
--- a/onyxwick/net/publisher_node.py
+++ b/onyxwick/net/publisher_node.py
@@ -15,7 +15,7 @@
 from onyxwick.core.clock import steady_us, wall_us
 from onyxwick.counters import Counters
 from onyxwick.distribution.documents import Assembler, DocumentError
-from onyxwick.distribution.durable import DurableFeed
+from onyxwick.distribution.durable_feed import DurableFeed
 from onyxwick.distribution.fanout import FanOut, FanOutLimits
 from onyxwick.distribution.follower import PLAIN_COORDINATOR, Follower, FollowerState
 from onyxwick.distribution.model import (
@@ -74,7 +74,7 @@
         if self.config.store is None:
             self.replica.log.restart(Cursor(now_s, 0))
             return ORIGIN
-        engine = StoreEngine(DiskFiles(self.config.store), store=STORE_NAME)
+        engine = StoreEngine(DiskFiles(self.config.store), expected_store_id=STORE_NAME)
         self.durable = DurableFeed(engine)
         return self.durable.load(self.replica, now_s)
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -66,7 +66,7 @@
         _on_arrival(ground, "c0")
         gone = ground.start()
         await ground.until(lambda: ground.caches.connections.get("c0"))
-        ground.core.leave(gone)
+        ground.core.client_departed(gone)
         await let_up()
         await ground.until(lambda: not ground.core.lifecycles)
         assert ground.script.ends() == [AttemptStatus.NOT_SENT] and not ground.answers
@@ -81,7 +81,7 @@
         lifecycle = ground.start()
         while not lifecycle.attempts:
             await asyncio.sleep(0)  # the attempt's task is there, and has not taken its first step
-        ground.core.leave(lifecycle)
+        ground.core.client_departed(lifecycle)
         await ground.until(lambda: ground.script.ends())
         assert ground.script.ends() == [AttemptStatus.NOT_SENT] and not ground.caches.connections
         sock.close()
@@ -170,7 +170,7 @@
         again.send(told[:40].encode())  # half a line, and the rest
         await asyncio.sleep(0.02)
         again.send(told[40:].encode())
-        await ground.until(lambda: not ground.members.ready("c0"))
+        await ground.until(lambda: not ground.members.is_ready("c0"))
         await let_up()
         await ground.until(lambda: ground.script.ends() == [AttemptStatus.NOT_SENT])
         assert not lifecycle.client_departed
@@ -444,14 +444,14 @@
     async def play(ground: Ground) -> None:
         await ground.client()
         await ground.until(lambda: ground.front.connections)
-        late = socket.create_connection(ground.door.getsockname())
+        late = socket.create_connection(ground.listener.getsockname())
         late.setblocking(False)
         ground.opened.append(late)
         late.send(call(1, path="/ping"))
         ground.tasks[0].cancel()  # before the loop has seen that there is somebody
         await asyncio.gather(ground.tasks[0], return_exceptions=True)
-        await ground.front.accept_remaining(ground.door)
-        ground.door.close()
+        await ground.front.accept_remaining(ground.listener)
+        ground.listener.close()
         await ground.read(late, b"200 OK")
 
     played(play)
@@ -494,7 +494,7 @@
     monkeypatch.setattr(client_module, "PAUSE_READING_ABOVE_BYTES", 100_000)
 
     async def play(ground: Ground) -> None:
-        ground.core.transport = Slow()
+        ground.core.context.transport = Slow()
         _on_arrival(ground, "c0")
         sock = await ground.client()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -524,8 +524,8 @@
 
 def test_a_call_taken_back_while_its_connection_ends_is_taken_back() -> None:
     async def play(ground: Ground) -> None:
-        ground.core.transport = Slow()
-        ground.core.transport.runs = 1
+        ground.core.context.transport = Slow()
+        ground.core.context.transport.runs = 1
         _on_arrival(ground, "c0")
         sock = await ground.client()
         sock.send(call(1, keep=False))
@@ -540,7 +540,7 @@
 
 def test_a_call_that_comes_while_its_connection_waits_to_end_is_refused_and_not_lost() -> None:
     async def play(ground: Ground) -> None:
-        slow = ground.core.transport = Slow()
+        slow = ground.core.context.transport = Slow()
         slow.runs = 1
         _on_arrival(ground, "c0")
         sock = await ground.client()
@@ -595,7 +595,7 @@
 
 def test_a_slow_reader_of_a_last_answer_gets_all_of_it() -> None:
     async def play(ground: Ground) -> None:
-        ground.core.transport = Slow()
+        ground.core.context.transport = Slow()
         _on_arrival(ground, "c0")
         sock = await ground.client()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -734,7 +734,7 @@
         (link,) = ground.caches.connections["c0"]
         from onyxwick.core.request_lifecycle import ClientDeparted
 
-        lifecycle.mailbox.put(ClientDeparted(overdue=True))
+        lifecycle.mailbox.put(ClientDeparted(deadline_exceeded=True))
         link._on_answer([lifecycle.request.request_id.encode(), b"data", FOUND, b"walk"])
         await ground.until(lambda: not ground.core.lifecycles)
         assert [a.status for a in ground.answers] == [AnswerStatus.FAILED]
@@ -769,7 +769,7 @@
             await ground.client()
         if at_the_end:
             await asyncio.gather(accepting, return_exceptions=True)
-            await ground.front.accept_remaining(ground.door)
+            await ground.front.accept_remaining(ground.listener)
         await ground.until(lambda: len(taken) == 4 * places)
         assert ground.front.counters.counts["client.displaced"] >= places
         lingering = max(relay.MIN_HALF_CLOSED, places // relay.CLIENTS_PER_HALF_CLOSED)
@@ -812,7 +812,7 @@
         await ground.until(lambda: ground.caches.connections.get("c0"))
         name, at = ("c0", address) if restarted == "member" else ("p0", source)
         row = Member(name, "edge-1", "box", 0, MemberState.READY, 6.0, ground.core.now())
-        ground.core.list_changed(EndpointsChanged(EndpointListKind.CHANGE, (row,)), {name: at})
+        ground.core.feed.apply_endpoints(EndpointsChanged(EndpointListKind.CHANGE, (row,)), {name: at})
         await let_up()
         await ground.until(lambda: ground.script.ends() == [AttemptStatus.NOT_SENT])
 
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -12,7 +12,7 @@
 import pytest
 
 from onyxwick.admin.api import Api
-from onyxwick.admin.durable import DurableApi
+from onyxwick.admin.durable_api import DurableApi
 from onyxwick.admin.http import HttpError, HttpRequest
 from onyxwick.admin.sites import SitesApi
 from onyxwick.core import RequestEngine
@@ -359,7 +359,7 @@
             decider = _decider()
             durable = _durable(files)
             durable.start()
-            orders.append([command_from_row(row) for row in durable.site_orders()])
+            orders.append([command_from_row(row) for row in durable.site_command_rows()])
             core = RequestEngine(SETTINGS, 7, Nothing(), EndpointTable(), Counters())
             sites = SitesApi(decider, lambda: 1_002 * S, lambda: None)
             api = Api(Tenants(), Counters(), "operator-token-1", dict, {"sites": sites})
@@ -391,12 +391,18 @@
 
     async def play() -> list[tuple[int, int, dict[str, object]]]:
         core = RequestEngine(
-            SETTINGS, 7, Nothing(), EndpointTable(), Counters(), lambda: 1_002 * S, decide=lambda *_: decider
+            SETTINGS,
+            7,
+            Nothing(),
+            EndpointTable(),
+            Counters(),
+            lambda: 1_002 * S,
+            make_router=lambda *_: decider,
         )
-        core.watch = DecisionTracer(SETTINGS, "n0", tmp_path, SinkLimits(), core.now(), lambda: 1)
+        core.context.tracer = DecisionTracer(SETTINGS, "n0", tmp_path, SinkLimits(), core.now(), lambda: 1)
         decider.apply_command(1_002 * S, SiteCommand("north", SiteDirective.EVACUATE, "flood"))
         core.handle()
-        core.watch.stop(core.now())
+        core.context.tracer.stop(core.now())
         assert core.counters.counts["sites.evacuating.north"] == 1
         (path,) = tmp_path.glob("*.owt")
         with open_trace(path) as trace:
