--- a/onyxwick/cells/__init__.py
+++ b/onyxwick/cells/__init__.py
@@ -1,10 +1,12 @@
-"""Cells: each tenant or key range confined to a part of the fleet, and moved while it serves. No I/O here."""
+"""Cells: each tenant or key range is confined to a part of the fleet, and migrates while it serves. No I/O
+here."""
 
 from onyxwick.cells.model import (
     Cell,
     CellPlan,
     CellPlanError,
     CellPolicy,
+    CellsError,
     KeyRange,
     MigrationSpec,
     TenantSpec,
@@ -19,6 +21,7 @@
     "CellPlanError",
     "CellPolicy",
     "CellRouter",
+    "CellsError",
     "KeyRange",
     "MigrationSpec",
     "PlanVersionConflictError",
--- a/onyxwick/cells/membership.py
+++ b/onyxwick/cells/membership.py
@@ -1,9 +1,14 @@
-"""The list as the cells see it: whose each box is, who keeps a seat, how warm a box is."""
+"""The endpoint list by cell: which cell each cache belongs to, and how much the caches of a cell can serve.
+
+In: changes of the endpoint list and the cell plan. Out: the placement, and the list for the router of one
+cell. A departed cache stays assigned to its cell for a while: a cell whose caches fail must not be given its
+neighbours' at once, or what brought down the one cell would bring down the next. Times are in microseconds.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
-from dataclasses import replace
+from dataclasses import dataclass, replace
 
 from onyxwick.cells.model import CellPlan
 from onyxwick.cells.placement import CellOrderCache, Placement, check_members, compute_placement
@@ -18,102 +23,136 @@
 from onyxwick.logic import DRAWN, GUESSED, PARENT_LINK
 
 
+@dataclass(frozen=True, slots=True)
+class DepartedCache:
+    """A cache that has left the endpoint list and is still assigned to its cell."""
+
+    member: Member
+    departed_us: int
+
+
 class CellMembership:
-    """Members and seats. A box that is gone keeps its seat for a while: a cell whose boxes die must not be
-    given its neighbours' at once, or what has killed the one would kill the next."""
+    """All listed members, recently departed caches, and the placement that follows from them."""
 
     def __init__(self, settings: RouterSettings, plan: CellPlan) -> None:
         self.settings = settings
         self.upstream_kinds = (settings.parent_kind, settings.origin_kind)
         self.members: dict[str, Member] = {}
-        self.departed: dict[str, tuple[Member, int]] = {}  # with the time since when
-        self.draws = CellOrderCache()
-        self.placement = compute_placement(plan, [], self.upstream_kinds, self.draws)
+        self.departed: dict[str, DepartedCache] = {}
+        self.cell_orders = CellOrderCache()
+        self.placement = compute_placement(plan, [], self.upstream_kinds, self.cell_orders)
         self.placed_caches: list[Member] = []
 
-    def _boxes(self) -> list[Member]:
-        held = {a: m for a, (m, _) in self.departed.items()} | self.members
-        return [m for _, m in sorted(held.items()) if m.kind not in self.upstream_kinds]
+    # ---- what comes in -------------------------------------------------------------------------------------
 
     def placement_for(self, plan: CellPlan) -> Placement:
-        """The placement that a plan would give now; PlanError where a cell would have no box here."""
-        boxes = self._boxes()
-        out = compute_placement(plan, boxes, self.upstream_kinds, self.draws)
-        if boxes:
-            check_members(out, boxes, self.settings.zone)
-        return out
+        """The placement that a plan would give now; CellPlanError where a cell would have no cache here."""
+        caches = self._assigned_caches()
+        placement = compute_placement(plan, caches, self.upstream_kinds, self.cell_orders)
+        if caches:
+            check_members(placement, caches, self.settings.zone)
+        return placement
 
     def on_endpoints_changed(self, now: int, event: EndpointsChanged) -> None:
+        """Take in a changed endpoint list."""
         if event.kind is not EndpointListKind.CHANGE:
-            named = {m.address for m in event.members}
-            for address in [a for a in self.members if a not in named]:
-                self._drop(address, now)
-        for m in event.members:
-            if m.state is MemberState.REMOVED:
-                self._drop(m.address, now)
+            named = {member.address for member in event.members}
+            for address in [address for address in self.members if address not in named]:
+                self._remove(address, now)
+        for member in event.members:
+            if member.state is MemberState.REMOVED:
+                self._remove(member.address, now)
             else:
-                self.members[m.address] = m
-                self.departed.pop(m.address, None)
-        self._replace()
+                self.members[member.address] = member
+                self.departed.pop(member.address, None)
+        self._update_placement()
 
-    def _drop(self, address: str, now: int) -> None:
+    def _remove(self, address: str, now: int) -> None:
         member = self.members.pop(address, None)
         if member is not None and member.kind not in self.upstream_kinds:
-            self.departed[address] = (member, now)
-
-    def _replace(self) -> None:
-        boxes = self._boxes()
-        if {m.address: m.zone for m in boxes} != {m.address: m.zone for m in self.placed_caches}:
-            self.placed_caches = boxes
-            self.placement = compute_placement(self.placement.plan, boxes, self.upstream_kinds, self.draws)
-
-    def expire_departed(self, now: int, seat_us: int) -> bool:
-        """End the seats of those gone for too long; True where that changes who has what."""
-        late = [a for a, (_, at) in self.departed.items() if now - at > seat_us]
-        for address in late:
+            self.departed[address] = DepartedCache(member, now)
+
+    def expire_departed(self, now: int, seat_retention_us: int) -> bool:
+        """Unassign the caches that departed too long ago; whether there were any."""
+        expired = [
+            address
+            for address, departed in self.departed.items()
+            if now - departed.departed_us > seat_retention_us
+        ]
+        for address in expired:
             del self.departed[address]
-        if late:
-            self._replace()
-        return bool(late)
+        if expired:
+            self._update_placement()
+        return bool(expired)
+
+    def _assigned(self) -> dict[str, Member]:
+        """Members by address, departed caches included."""
+        return {address: departed.member for address, departed in self.departed.items()} | self.members
+
+    def _assigned_caches(self) -> list[Member]:
+        members = sorted(self._assigned().items())
+        return [member for _, member in members if member.kind not in self.upstream_kinds]
+
+    def _update_placement(self) -> None:
+        caches = self._assigned_caches()
+        zone_of = {cache.address: cache.zone for cache in caches}
+        if zone_of != {cache.address: cache.zone for cache in self.placed_caches}:
+            self.placed_caches = caches
+            plan = self.placement.plan
+            self.placement = compute_placement(plan, caches, self.upstream_kinds, self.cell_orders)
+
+    # ---- what it says --------------------------------------------------------------------------------------
 
     def members_of(self, cell: str) -> dict[str, Member]:
-        """What a cell's router is told of: its boxes in all depots, the parents and the origin."""
-        seat_of = self.placement.cell_of_cache
+        """The list for a cell's router: its caches in all zones, the parents and the origin."""
+        cell_of_cache = self.placement.cell_of_cache
         return {
-            a: self._sized(m)
-            for a, m in self.members.items()
-            if m.kind in self.upstream_kinds or seat_of.get(a) == cell
+            address: self._with_weight(member)
+            for address, member in self.members.items()
+            if member.kind in self.upstream_kinds or cell_of_cache.get(address) == cell
         }
 
-    def _sized(self, m: Member) -> Member:
-        """Where the list gives no weights: sizes by the links, as the module guesses them for a whole depot;
-        a cell's router sees a part of one and would guess too much."""
-        if (
-            self.settings.weight_source != WeightSource.NONE
-            or not self.settings.transfer_kb_per_s
-            or not self.settings.zone_link_kb_per_s
-        ):
-            return m
-        link = self.settings.zone_link_kb_per_s / self.settings.transfer_kb_per_s
-        if m.kind in self.upstream_kinds:
-            return replace(m, weight=GUESSED * link * PARENT_LINK)
-        here = sum(o.zone == m.zone and o.kind not in self.upstream_kinds for o in self.members.values())
-        return replace(m, weight=GUESSED * link / DRAWN / max(1, here))
+    def _with_weight(self, member: Member) -> Member:
+        """Where the list gives no weights: capacities estimated from the links of the whole zone. A cell's
+        router would estimate from its part of the caches, and get too much for each."""
+        settings = self.settings
+        has_weights = settings.weight_source != WeightSource.NONE
+        if has_weights or not settings.transfer_kb_per_s or not settings.zone_link_kb_per_s:
+            return member
+        transfers = settings.zone_link_kb_per_s / settings.transfer_kb_per_s
+        if member.kind in self.upstream_kinds:
+            return replace(member, weight=GUESSED * transfers * PARENT_LINK)
+        caches_in_zone = sum(
+            other.zone == member.zone and other.kind not in self.upstream_kinds
+            for other in self.members.values()
+        )
+        return replace(member, weight=GUESSED * transfers / DRAWN / max(1, caches_in_zone))
 
     def local_cache_count(self, cells: Iterable[str]) -> int:
-        """Boxes of this depot that have a seat in the cells, ready or not."""
-        wanted = set(cells)
-        held = {a: m for a, (m, _) in self.departed.items()} | self.members
-        seat_of = self.placement.cell_of_cache
-        return sum(m.zone == self.settings.zone and seat_of.get(a) in wanted for a, m in held.items())
+        """Caches in this zone that are assigned to the cells, ready or not."""
+        names = set(cells)
+        cell_of_cache = self.placement.cell_of_cache
+        return sum(
+            member.zone == self.settings.zone and cell_of_cache.get(address) in names
+            for address, member in self._assigned().items()
+        )
 
     def warm_share(self, cells: Iterable[str], now: int) -> float:
-        """What the ready boxes of the cells can give now, over what they can give when warm: 0 to 1."""
-        wanted, rules, seat_of = set(cells), self.settings.rules, self.placement.cell_of_cache
-        shares = []
-        for a, m in self.members.items():
-            if seat_of.get(a) in wanted and m.zone == self.settings.zone and m.state is MemberState.READY:
-                age = now - m.started_at_us if m.started_at_us else rules.warm_up_us
-                risen = min(1.0, max(0, age) / max(1, rules.warm_up_us))
-                shares.append(rules.warm_up_start_share + (1 - rules.warm_up_start_share) * risen)
+        """Of what the cells' ready caches in this zone can give when warm, the share that they can give now;
+        0 where none is ready."""
+        names = set(cells)
+        cell_of_cache = self.placement.cell_of_cache
+        shares = [
+            self._warm_share_of(member, now)
+            for address, member in self.members.items()
+            if cell_of_cache.get(address) in names
+            and member.zone == self.settings.zone
+            and member.state is MemberState.READY
+        ]
         return sum(shares) / len(shares) if shares else 0.0
+
+    def _warm_share_of(self, member: Member, now: int) -> float:
+        rules = self.settings.rules
+        age_us = now - member.started_at_us if member.started_at_us else rules.warm_up_us
+        progress = min(1.0, max(0, age_us) / max(1, rules.warm_up_us))
+        return rules.warm_up_start_share + (1 - rules.warm_up_start_share) * progress
--- a/onyxwick/cells/offline.py
+++ b/onyxwick/cells/offline.py
@@ -1,7 +1,8 @@
-"""What a plan would do, from files alone: for operators before a change, and for measurements."""
+"""What a cell plan would do, from files alone: for operators before a change, and for measurements."""
 
 from __future__ import annotations
 
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
@@ -10,7 +11,19 @@
 from onyxwick.interface import Member, MemberState
 
 
-def _plan(path: Path) -> CellPlan:
+@dataclass(frozen=True, slots=True)
+class KnownMembers:
+    """The members that a director's configuration names, the kinds that no cell owns, and its zone."""
+
+    members: list[Member]
+    upstream_kinds: tuple[str | None, ...]
+    zone: str
+
+
+NO_MEMBERS = KnownMembers([], (None,), "")
+
+
+def _read_plan(path: Path) -> CellPlan:
     from onyxwick.config import ConfigError
     from onyxwick.config.service import load
 
@@ -20,52 +33,64 @@
     return plan
 
 
-def _passed_over(text: str) -> None:
-    """A row that cannot be read says nothing here."""
+def _ignore_unreadable_row(text: str) -> None:
+    """A row of the list that cannot be read has no place in a summary."""
 
 
-def _members(config: Path | None) -> tuple[list[Member], tuple[str | None, ...], str]:
+def _read_members(config: Path | None) -> KnownMembers:
     if config is None:
-        return [], (None,), ""
-    from onyxwick.config import director as relay
+        return NO_MEMBERS
+    from onyxwick.config import director
     from onyxwick.core.clock import FeedTimestamps, steady_us
     from onyxwick.net.feed_wire import read_members
 
-    told = relay.load({"RELAY_CONFIG": str(config)})
-    listed: dict[str, Member] = {}
-    for event in told.known_events.get("updates") or ():
+    director_config = director.load({"RELAY_CONFIG": str(config)})
+    members: dict[str, Member] = {}
+    for event in director_config.known_events.get("updates") or ():
         if "endpoints" in event:
-            change, _ = read_members(event["endpoints"], FeedTimestamps(), steady_us(), _passed_over)
-            listed |= {m.address: m for m in change.members}
-    kinds = (told.settings.parent_kind, told.settings.origin_kind)
-    return [m for m in listed.values() if m.state is not MemberState.REMOVED], kinds, told.settings.zone
+            timestamps = FeedTimestamps()
+            change, _ = read_members(event["endpoints"], timestamps, steady_us(), _ignore_unreadable_row)
+            members |= {member.address: member for member in change.members}
+    settings = director_config.settings
+    return KnownMembers(
+        [member for member in members.values() if member.state is not MemberState.REMOVED],
+        (settings.parent_kind, settings.origin_kind),
+        settings.zone,
+    )
 
 
 def moved_tenants(before: Placement, after: Placement) -> dict[str, dict[str, list[str]]]:
-    """Tenants that have other cells in the one than in the other."""
-    out = {}
+    """Tenants whose cells differ between two placements, with their cells in both."""
+    moved = {}
     for tenant, cells in after.cells_of_tenant.items():
-        old = before.cells_of_tenant.get(tenant)
-        if old is not None and set(old) != set(cells):
-            out[tenant] = {"from": list(old), "to": list(cells)}
-    return out
+        previous = before.cells_of_tenant.get(tenant)
+        if previous is not None and set(previous) != set(cells):
+            moved[tenant] = {"from": list(previous), "to": list(cells)}
+    return moved
 
 
 def plan_summary(file: Path, config: Path | None, against: Path | None) -> dict[str, Any]:
-    """Cells with their boxes and tenants, what would move against an earlier file, and findings."""
-    members, kinds, zone = _members(config)
-    placement = compute_placement(_plan(file), members, kinds)
+    """Cells with their caches and tenants, what would move against an earlier file, and findings.
+
+    The keys are those of the command's JSON output. ConfigError where a file cannot be read."""
+    known = _read_members(config)
+    placement = compute_placement(_read_plan(file), known.members, known.upstream_kinds)
     findings = []
     if config is not None:
         try:
-            check_members(placement, members, zone)
+            check_members(placement, known.members, known.zone)
         except CellPlanError as error:
             findings.append(str(error))
-    before = compute_placement(_plan(against), members, kinds) if against else placement
-    homes = placement.cells_of_tenant.values()
+    before = placement
+    if against is not None:
+        before = compute_placement(_read_plan(against), known.members, known.upstream_kinds)
+    cells_of_tenants = placement.cells_of_tenant.values()
     return {
         "cells": {
-            cell: {"members": placement.members(cell), "tenants": sum(cell in home for home in homes)}
+            cell: {
+                "members": placement.members(cell),
+                "tenants": sum(cell in cells for cells in cells_of_tenants),
+            }
             for cell in placement.plan.cells
         },
         "moved": moved_tenants(before, placement),
--- a/onyxwick/cells/placement.py
+++ b/onyxwick/cells/placement.py
@@ -1,13 +1,13 @@
-"""Which cell a box belongs to, which cells a tenant has, and which of them an object of it goes to.
+"""Which cell a cache belongs to, which cells a tenant has, and which of them serves an object of it.
 
-A pure function of the plan and the list: every director that has both has the same answer, with no talk
-and no memory. All choices are rendezvous draws (Thaler and Ravishankar, "Using name-based mappings to
-increase hit rates", 1998, section 3), bounded so that no cell gets more than its part: what a box or tenant
-that comes or goes can move is little, and the bound moves the rest only where a cell is full.
+In: the plan and the endpoint list. Out: a placement. A pure function: every director that has both computes
+the same, without communication or memory. All choices are rendezvous hashing (Thaler and Ravishankar, "Using
+name-based mappings to increase hit rates", 1998, section 3), bounded so that no cell gets more than its
+share: a cache or tenant that is added or removed changes few others, and the bound only where a cell is full.
 
-Shuffle sharding: of N cells a tenant that spans k has one of C(N, k) sets. A cell that is lost touches k in N
-tenants, and whole only those with k = 1; a tenant that ruins all its cells takes along only who has the same
-set, one in C(N, k).
+Shuffle sharding: of N cells a tenant that spans k has one of C(N, k) sets. A lost cell affects k in N
+tenants, and entirely only those with k = 1; a tenant that brings down all its cells affects only tenants with
+the same set, one in C(N, k).
 """
 
 from __future__ import annotations
@@ -17,82 +17,106 @@
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass
 from functools import lru_cache
-from hashlib import blake2b
 
-from onyxwick.cells.model import Cell, CellPlan, CellPlanError, TenantSpec
+from onyxwick.cells.model import Cell, CellPlan, CellPlanError, KeyRange, TenantSpec
 from onyxwick.interface import Member
+from onyxwick.subrouters.hashing import HASH_RANGE, stable_hash
 
-MAX_LOAD_FACTOR = 1.25  # times its fair part of all tenants' weight that a cell takes before draws pass it by
-MAX_HASH = (1 << 64) - 1
+MAX_LOAD_FACTOR = 1.25  # times its fair share of the tenants' weight that a cell takes before it is passed by
+MAX_HASH = HASH_RANGE - 1
+CACHED_NAMES = 1 << 14
+NAMESPACE = b"cells"
+KEY_PREFIX_SHIFT = 56  # to the first byte of a hash
 
+# Constants of SplitMix64 (Steele, Lea and Flood 2014, figure 17).
+MIX_INCREMENT = 0x9E3779B97F4A7C15
+MIX_FIRST = 0xBF58476D1CE4E5B9
+MIX_SECOND = 0x94D049BB133111EB
 
-@lru_cache(maxsize=1 << 14)
+
+@lru_cache(maxsize=CACHED_NAMES)
 def cells_hash(text: str) -> int:
-    """64 bits that stand for a name."""
-    return int.from_bytes(blake2b(text.encode(), digest_size=8, person=b"cells").digest(), "big")
+    """64 bits for the name of an object, cell, cache or tenant."""
+    return stable_hash(text, NAMESPACE)
+
 
+def mix_hashes(one: int, other: int) -> int:
+    """64 bits from two hashes: the finaliser of SplitMix64."""
+    mixed = (one ^ (other * MIX_INCREMENT)) & MAX_HASH
+    mixed = ((mixed ^ (mixed >> 30)) * MIX_FIRST) & MAX_HASH
+    mixed = ((mixed ^ (mixed >> 27)) * MIX_SECOND) & MAX_HASH
+    return mixed ^ (mixed >> 31)
 
-def mix_hashes(a: int, b: int) -> int:
-    """64 bits from two words: the finaliser of SplitMix64 (Steele, Lea and Flood 2014, figure 17)."""
-    z = (a ^ (b * 0x9E3779B97F4A7C15)) & MAX_HASH
-    z = ((z ^ (z >> 30)) * 0xBF58476D1CE4E5B9) & MAX_HASH
-    z = ((z ^ (z >> 27)) * 0x94D049BB133111EB) & MAX_HASH
-    return z ^ (z >> 31)
 
+def rendezvous_score(one: int, other: int, weight: float = 1.0) -> float:
+    """An exponential draw for a pair of hashes; the least of a row is chosen, in proportion to weight."""
+    return -math.log((mix_hashes(one, other) + 1) / (MAX_HASH + 2)) / weight
 
-def rendezvous_score(a: int, b: int, weight: float = 1.0) -> float:
-    """An exponential draw for a pair of words; the least of a row comes first, in proportion to weight."""
-    return -math.log((mix_hashes(a, b) + 1) / (MAX_HASH + 2)) / weight
 
+# ---- caches to cells --------------------------------------------------------------------
 
-def _quotas(cells: Sequence[Cell], seats: int, salt: int) -> dict[str, int]:
-    """How many of a depot's boxes each cell gets: in proportion to weight, by the largest remainder."""
-    total = sum(cell.weight for cell in cells)
-    exact = {cell.name: seats * cell.weight / total for cell in cells}
-    out = {name: int(value) for name, value in exact.items()}
-    # Ties are broken by draw and not by name: else the same cells would lack a box in every depot.
-    rest = sorted(exact, key=lambda name: (out[name] - exact[name], rendezvous_score(salt, cells_hash(name))))
-    for name in rest[: seats - sum(out.values())]:
-        out[name] += 1
-    return out
 
+def assign_caches(
+    plan: CellPlan, members: Iterable[Member], upstream_kinds: tuple[str | None, ...]
+) -> dict[str, str]:
+    """The cell of each listed cache, by address, for each zone separately.
 
-def _seat(cells: Sequence[Cell], members: Sequence[str], salt: int) -> dict[str, str]:
-    """Each member's cell. The least draws of all pairs match first: both sides would agree to it, so that it
-    does not depend on any order, and one that leaves moves few others."""
-    room = _quotas(cells, len(members), salt)
+    `upstream_kinds`: those of parents and origin, which no cell owns. A cache that no cell names is not
+    assigned where all cells name their own."""
+    cell_of_member = {member: cell.name for cell in plan.cells.values() for member in cell.members}
+    sharing_cells = [cell for cell in plan.cells.values() if not cell.members]
+    unnamed_in_zone: dict[str, list[str]] = {}
+    cell_of_cache: dict[str, str] = {}
+    for member in members:
+        if member.kind in upstream_kinds:
+            continue
+        if member.address in cell_of_member:
+            cell_of_cache[member.address] = cell_of_member[member.address]
+        elif sharing_cells:
+            unnamed_in_zone.setdefault(member.zone, []).append(member.address)
+    for zone, addresses in unnamed_in_zone.items():
+        cell_of_cache.update(_assign_in_zone(sharing_cells, addresses, cells_hash(zone)))
+    return cell_of_cache
+
+
+def _assign_in_zone(cells: Sequence[Cell], addresses: Sequence[str], zone_hash: int) -> dict[str, str]:
+    """Each cache's cell. The least scores of all pairs are matched first, a stable matching: it does not
+    depend on any order, and a cache that leaves changes few others."""
+    remaining = _cache_quotas(cells, len(addresses), zone_hash)
     pairs = sorted(
-        (rendezvous_score(cells_hash(m), cells_hash(c.name)), m, c.name) for m in members for c in cells
+        (rendezvous_score(cells_hash(address), cells_hash(cell.name)), address, cell.name)
+        for address in addresses
+        for cell in cells
     )
-    out: dict[str, str] = {}
-    for _, member, cell in pairs:
-        if member not in out and room[cell] > 0:
-            out[member] = cell
-            room[cell] -= 1
-    return out
-
-
-def assign_caches(plan: CellPlan, members: Iterable[Member], kinds: tuple[str | None, ...]) -> dict[str, str]:
-    """The cell of each cache on the list, for each depot apart. `kinds`: those of parents and origin, which
-    no cell owns. A cache that no cell names, where all cells name theirs, has none."""
-    claimed = {member: cell.name for cell in plan.cells.values() for member in cell.members}
-    sharing = [cell for cell in plan.cells.values() if not cell.members]
-    free: dict[str, list[str]] = {}
-    out: dict[str, str] = {}
-    for m in members:
-        if m.kind in kinds:
-            continue
-        if m.address in claimed:
-            out[m.address] = claimed[m.address]
-        elif sharing:
-            free.setdefault(m.zone, []).append(m.address)
-    for zone, names in free.items():
-        out.update(_seat(sharing, names, cells_hash(zone)))
-    return out
+    cell_of_cache: dict[str, str] = {}
+    for _, address, cell_name in pairs:
+        if address not in cell_of_cache and remaining[cell_name] > 0:
+            cell_of_cache[address] = cell_name
+            remaining[cell_name] -= 1
+    return cell_of_cache
+
+
+def _cache_quotas(cells: Sequence[Cell], cache_count: int, zone_hash: int) -> dict[str, int]:
+    """How many of a zone's caches each cell gets: in proportion to weight, by the largest remainder."""
+    total_weight = sum(cell.weight for cell in cells)
+    exact = {cell.name: cache_count * cell.weight / total_weight for cell in cells}
+    quotas = {name: int(value) for name, value in exact.items()}
+
+    def remainder_order(name: str) -> tuple[float, float]:
+        # Ties are decided by hash and not by name: else the same cells would lack a cache in every zone.
+        return quotas[name] - exact[name], rendezvous_score(zone_hash, cells_hash(name))
+
+    by_remainder = sorted(exact, key=remainder_order)
+    for name in by_remainder[: cache_count - sum(quotas.values())]:
+        quotas[name] += 1
+    return quotas
+
+
+# ---- tenants to cells --------------------------------------------------------------------
 
 
 class CellOrderCache:
-    """Each tenant's order of the cells, kept: a list that changes must not cost all draws anew."""
+    """Each tenant's order of the cells, kept: a changed endpoint list must not cost all hashes again."""
 
     def __init__(self) -> None:
         self.cells: tuple[str, ...] = ()
@@ -100,128 +124,152 @@
         self.orders: dict[str, array[int]] = {}
 
     def order(self, tenant: str, cells: tuple[str, ...]) -> array[int]:
-        """Places in `cells`, first choice first."""
+        """Indexes into `cells`, first choice first."""
         if cells != self.cells:
-            self.cells, self.cell_hashes, self.orders = cells, [cells_hash(name) for name in cells], {}
+            self.cells = cells
+            self.cell_hashes = [cells_hash(name) for name in cells]
+            self.orders = {}
         order = self.orders.get(tenant)
         if order is None:
-            # The mixer of `mix`, one round of it and in line: this is the cost of a placement.
-            at = cells_hash(tenant)
-            first = [((at ^ cell) * 0xBF58476D1CE4E5B9) & MAX_HASH for cell in self.cell_hashes]
-            drawn = [((z ^ (z >> 29)) * 0x94D049BB133111EB) & MAX_HASH for z in first]
-            order = array("H", sorted(range(len(cells)), key=drawn.__getitem__))
+            order = self._compute_order(tenant)
             self.orders[tenant] = order
         return order
 
-
-def _chosen(
-    tenant: TenantSpec, order: array[int], part: float, held: list[float], most: list[float]
-) -> list[int]:
-    """The tenant's cells by draw, passing by the full ones while others are left."""
-    out: list[int] = []
-    for n in order:
-        if held[n] + part <= most[n]:
-            out.append(n)
-            if len(out) == tenant.span:
-                return out
-    return (out + [n for n in order if n not in out])[: tenant.span]
+    def _compute_order(self, tenant: str) -> array[int]:
+        # One round of the mixer, written out: this dominates the cost of a placement.
+        tenant_hash = cells_hash(tenant)
+        first = [((tenant_hash ^ cell) * MIX_FIRST) & MAX_HASH for cell in self.cell_hashes]
+        scores = [((mixed ^ (mixed >> 29)) * MIX_SECOND) & MAX_HASH for mixed in first]
+        return array("H", sorted(range(len(scores)), key=scores.__getitem__))
 
 
 def assign_tenants(
-    plan: CellPlan, rooms: Mapping[str, float], draws: CellOrderCache
+    plan: CellPlan, cell_capacity: Mapping[str, float], cell_orders: CellOrderCache
 ) -> dict[str, tuple[str, ...]]:
     """Each tenant's cells. Heavy tenants choose first, as light ones fit in anywhere."""
-    out: dict[str, tuple[str, ...]] = {}
-    total = sum(t.weight for t in plan.tenants.values()) or 1.0
-    size = sum(rooms.values()) or 1.0
-    cells = tuple(name for name in rooms if rooms[name] > 0) or tuple(rooms)
-    place_of = {name: n for n, name in enumerate(cells)}
-    most = [MAX_LOAD_FACTOR * total * rooms[name] / size for name in cells]
-    held = [0.0] * len(cells)
+    cells = tuple(name for name in cell_capacity if cell_capacity[name] > 0) or tuple(cell_capacity)
+    index_of = {name: index for index, name in enumerate(cells)}
+    total_weight = sum(tenant.weight for tenant in plan.tenants.values()) or 1.0
+    total_capacity = sum(cell_capacity.values()) or 1.0
+    max_load = [MAX_LOAD_FACTOR * total_weight * cell_capacity[name] / total_capacity for name in cells]
+    load = [0.0] * len(cells)
+    cells_of_tenant: dict[str, tuple[str, ...]] = {}
     for tenant in sorted(plan.tenants.values(), key=lambda t: (-t.weight, cells_hash(t.name), t.name)):
-        part = tenant.weight / (len(tenant.cells) or tenant.span)
+        added_load = tenant.weight / (len(tenant.cells) or tenant.span)
         if tenant.cells:
-            chosen = [place_of[name] for name in tenant.cells if name in place_of]
-            out[tenant.name] = tenant.cells
+            chosen = [index_of[name] for name in tenant.cells if name in index_of]
+            cells_of_tenant[tenant.name] = tenant.cells
         else:
-            chosen = _chosen(tenant, draws.order(tenant.name, cells), part, held, most)
-            out[tenant.name] = tuple([cells[n] for n in chosen])
-        for n in chosen:
-            held[n] += part
-    return out
+            order = cell_orders.order(tenant.name, cells)
+            chosen = _choose_cells(tenant.span, order, added_load, load, max_load)
+            cells_of_tenant[tenant.name] = tuple([cells[index] for index in chosen])
+        for index in chosen:
+            load[index] += added_load
+    return cells_of_tenant
+
+
+def _choose_cells(
+    span: int, order: array[int], added_load: float, load: list[float], max_load: list[float]
+) -> list[int]:
+    """A tenant's cells in its order, passing by full ones while others are left."""
+    chosen: list[int] = []
+    for index in order:
+        if load[index] + added_load <= max_load[index]:
+            chosen.append(index)
+            if len(chosen) == span:
+                return chosen
+    return (chosen + [index for index in order if index not in chosen])[:span]
+
+
+# ---- the placement --------------------------------------------------------------------
 
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """The answer for one plan and one list."""
+    """The result for one plan and one endpoint list."""
 
     plan: CellPlan
-    cell_of_cache: Mapping[str, str]  # cache: cell
-    cell_capacity: Mapping[str, float]  # cell: its caches' weight
-    cells_of_tenant: Mapping[str, tuple[str, ...]]  # tenant: cells
-
-    def candidates(self, tenant: str, name: str) -> tuple[str, ...]:
-        """The cells for an object of a tenant, the right one first; the others are its next ones.
-
-        KeyError for an unknown tenant."""
-        cells, spec = self.cells_of_tenant[tenant], self.plan.tenants[tenant]
-        if spec.ranges:
-            first = cells_hash(name) >> 56
-            cells = next((r.cells for r in spec.ranges if r.first <= first <= r.last), cells)
+    cell_of_cache: Mapping[str, str]  # by address
+    cell_capacity: Mapping[str, float]  # sum of the caches' weights
+    cells_of_tenant: Mapping[str, tuple[str, ...]]
+
+    def candidates(self, tenant: str, object_name: str) -> tuple[str, ...]:
+        """The cells for an object of a tenant, the first choice first. KeyError for an unknown tenant."""
+        cells = self.cells_of_tenant[tenant]
+        key_range = self._key_range(tenant, object_name)
+        if key_range is not None:
+            cells = key_range.cells
         if len(cells) < 2:
             return cells
-        at = cells_hash(name)
-        return tuple(sorted(cells, key=lambda cell: rendezvous_score(at, cells_hash(cell))))
+        key = cells_hash(object_name)
+        return tuple(sorted(cells, key=lambda cell: rendezvous_score(key, cells_hash(cell))))
 
-    def members(self, cell: str) -> list[str]:
-        return sorted(member for member, of in self.cell_of_cache.items() if of == cell)
+    def _key_range(self, tenant: str, object_name: str) -> KeyRange | None:
+        ranges = self.plan.tenants[tenant].ranges
+        if not ranges:
+            return None
+        prefix = cells_hash(object_name) >> KEY_PREFIX_SHIFT
+        return next((one for one in ranges if one.first <= prefix <= one.last), None)
 
-    def explain(self, tenant: str, name: str) -> list[str]:
-        """Why an object of a tenant goes where it goes, a sentence a step."""
-        spec, cells = self.plan.tenants[tenant], self.cells_of_tenant[tenant]
-        if spec.cells:
-            out = [f"The plan names the cells of tenant '{tenant}': {', '.join(cells)}."]
-        else:
-            out = [
-                f"Tenant '{tenant}' spans {spec.span} of {len(self.cell_capacity)} cells, chosen by draw,"
-                f" full ones passed by: {', '.join(cells)}."
-            ]
-        first = cells_hash(name) >> 56
-        hit = next((r for r in spec.ranges if r.first <= first <= r.last), None)
-        if hit is not None:
-            out.append(
-                f"The object's hash begins with {first:02x}, in the range {hit.first:02x}-{hit.last:02x},"
-                f" which has cells of its own: {', '.join(hit.cells)}."
+    def members(self, cell: str) -> list[str]:
+        """The addresses of a cell's caches, sorted."""
+        return sorted(address for address, name in self.cell_of_cache.items() if name == cell)
+
+    def explain(self, tenant: str, object_name: str) -> list[str]:
+        """Why an object of a tenant goes where it goes, a sentence a step. KeyError for an unknown tenant."""
+        sentences = [self._explain_tenant(self.plan.tenants[tenant])]
+        key_range = self._key_range(tenant, object_name)
+        if key_range is not None:
+            prefix = cells_hash(object_name) >> KEY_PREFIX_SHIFT
+            sentences.append(
+                f"The object's hash begins with {prefix:02x}, in the range"
+                f" {key_range.first:02x}-{key_range.last:02x},"
+                f" which has cells of its own: {', '.join(key_range.cells)}."
             )
-        order = self.candidates(tenant, name)
+        order = self.candidates(tenant, object_name)
         if len(order) > 1:
-            out.append(f"Of these the object draws {order[0]} first, then {', '.join(order[1:])}.")
-        boxes = self.members(order[0])
-        out.append(f"Cell '{order[0]}' has {len(boxes)} boxes: {', '.join(boxes) or 'none'}.")
-        return out
+            sentences.append(f"Of these the object draws {order[0]} first, then {', '.join(order[1:])}.")
+        caches = self.members(order[0])
+        sentences.append(f"Cell '{order[0]}' has {len(caches)} boxes: {', '.join(caches) or 'none'}.")
+        return sentences
+
+    def _explain_tenant(self, tenant: TenantSpec) -> str:
+        cells = ", ".join(self.cells_of_tenant[tenant.name])
+        if tenant.cells:
+            return f"The plan names the cells of tenant '{tenant.name}': {cells}."
+        return (
+            f"Tenant '{tenant.name}' spans {tenant.span} of {len(self.cell_capacity)} cells, chosen by draw,"
+            f" full ones passed by: {cells}."
+        )
 
 
 def compute_placement(
     plan: CellPlan,
     members: Sequence[Member],
-    kinds: tuple[str | None, ...],
-    draws: CellOrderCache | None = None,
+    upstream_kinds: tuple[str | None, ...],
+    cell_orders: CellOrderCache | None = None,
 ) -> Placement:
-    """The placement for a plan and a list of members (of all depots)."""
-    seat_of = assign_caches(plan, members, kinds)
-    rooms = dict.fromkeys(plan.cells, 0.0)
-    for m in members:
-        if m.address in seat_of:
-            rooms[seat_of[m.address]] += m.weight if m.weight > 0 else 1.0
-    return Placement(plan, seat_of, rooms, assign_tenants(plan, rooms, draws or CellOrderCache()))
+    """The placement for a plan and the members of all zones."""
+    cell_of_cache = assign_caches(plan, members, upstream_kinds)
+    cell_capacity = dict.fromkeys(plan.cells, 0.0)
+    for member in members:
+        if member.address in cell_of_cache:
+            cell_capacity[cell_of_cache[member.address]] += member.weight if member.weight > 0 else 1.0
+    cells_of_tenant = assign_tenants(plan, cell_capacity, cell_orders or CellOrderCache())
+    return Placement(plan, cell_of_cache, cell_capacity, cells_of_tenant)
 
 
 def check_members(placement: Placement, members: Iterable[Member], zone: str) -> None:
-    """PlanError where a cell has no box in this director's depot, so that its tenants could not be served."""
-    here = {placement.cell_of_cache.get(m.address) for m in members if m.zone == zone}
+    """CellPlanError where a cell has no cache in this director's zone, so that its tenants could not be
+    served."""
+    local = [member.address for member in members if member.zone == zone]
+    local_cells = {placement.cell_of_cache.get(address) for address in local}
     for cell in placement.plan.cells.values():
-        if cell.name not in here:
-            boxes = sum(m.address in placement.cell_of_cache and m.zone == zone for m in members)
-            told = f"none of its members is listed in depot '{zone}'"
-            text = told if cell.members else f"depot '{zone}' has {boxes} boxes, too few for so many cells"
-            raise CellPlanError("cell", cell.name, "members", text)
+        if cell.name not in local_cells:
+            count = sum(address in placement.cell_of_cache for address in local)
+            reason = (
+                f"none of its members is listed in depot '{zone}'"
+                if cell.members
+                else f"depot '{zone}' has {count} boxes, too few for so many cells"
+            )
+            raise CellPlanError("cell", cell.name, "members", reason)
--- a/onyxwick/cells/plan_control.py
+++ b/onyxwick/cells/plan_control.py
@@ -1,38 +1,43 @@
-"""Changes of the plan while it runs: whole or not at all, by version, and the same change twice is one."""
+"""Changes of the cell plan while it runs: complete or not at all, by version, and idempotent."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from dataclasses import replace
 
-from onyxwick.cells.model import CellPlan
+from onyxwick.cells.model import CellPlan, CellsError
 from onyxwick.cells.router import CellRouter
 
 
-class PlanVersionConflictError(Exception):
-    """The change was made for another version than the one that runs."""
+class PlanVersionConflictError(CellsError):
+    """A change was made for another version than the one that runs."""
 
     def __init__(self, requested_version: int, running_version: int) -> None:
         super().__init__(f"made for version {requested_version}, and version {running_version} runs")
+        self.requested_version = requested_version
         self.running_version = running_version
 
 
 class CellPlanControl:
-    """The only way to change a running plan. `flush` hands what a change leads to on to the core."""
+    """The only way to change a running plan."""
 
     def __init__(self, cells: CellRouter, clock: Callable[[], int], flush: Callable[[], None]) -> None:
-        self.cells, self.clock, self.flush = cells, clock, flush
+        """`clock`: the time in microseconds. `flush`: passes the router's resulting actions to the core."""
+        self.cells = cells
+        self.clock = clock
+        self.flush = flush
 
     @property
     def plan(self) -> CellPlan:
+        """The plan that runs."""
         return self.cells.plan
 
     def replace_plan(self, plan: CellPlan, made_for: int | None = None) -> bool:
-        """Run another plan; True if anything changed.
+        """Run another plan; whether anything changed.
 
-        The same plan again changes nothing and is no conflict: a call repeated for want of an answer finds
-        what it wished. Conflict where another change came between; PlanError where the plan does not fit.
-        """
+        The same plan again changes nothing and is no conflict: a call that is repeated because its answer was
+        lost succeeds. PlanVersionConflictError where another change came between; CellPlanError where the
+        plan does not fit."""
         if plan.equals_except_version(self.plan):
             return False
         if made_for is not None and made_for != self.plan.version:
@@ -42,7 +47,7 @@
         return True
 
     def abort_migration(self, name: str) -> bool:
-        """Turn a move back; False where it has ended. KeyError for an unknown one."""
-        done = self.cells.abort_migration(self.clock(), name)
+        """Abort a migration; False where it has ended. KeyError for an unknown one."""
+        is_aborted = self.cells.abort_migration(self.clock(), name)
         self.flush()
-        return done
+        return is_aborted
--- a/onyxwick/cells/reservation.py
+++ b/onyxwick/cells/reservation.py
@@ -1,5 +1,9 @@
-"""What clients hold at the front: connections, and bytes of answers that nobody reads. Split between cells,
-so that clients of one cell's tenants that never read cannot take what the others' need."""
+"""What clients occupy at the front, divided among cells: connections, and bytes of answers that are not yet
+read.
+
+Clients of one cell's tenants that never read cannot use up what another cell's clients need. A tenant counts
+for the first of its cells, whichever serves its objects.
+"""
 
 from __future__ import annotations
 
@@ -10,47 +14,53 @@
 
 
 class ConnectionReservation:
-    """Counts by cell. A tenant counts for the first cell of its home, wherever its objects go."""
+    """The connections and unread bytes of each cell's clients."""
 
-    def __init__(self, cells: CellRouter, most_bytes: int, most_clients: int) -> None:
-        self.cells, self.most = cells, (most_bytes, most_clients)
+    def __init__(self, cells: CellRouter, max_bytes: int, max_clients: int) -> None:
+        self.cells = cells
+        self.max_bytes = max_bytes
+        self.max_clients = max_clients
         self.plan = cells.plan
-        self.bytes, self.clients = self._pools()
+        self.bytes = self._new_pool(max_bytes)
+        self.clients = self._new_pool(max_clients)
 
-    def _pools(self) -> tuple[ReservedPool, ReservedPool]:
+    def _new_pool(self, total: int) -> ReservedPool:
         weights = {cell.name: cell.weight for cell in self.plan.cells.values()}
-        reserved = self.plan.policy.reserved_share
-        return ReservedPool(self.most[0], reserved, weights), ReservedPool(self.most[1], reserved, weights)
-
-    def _renew(self) -> None:
-        """Another plan has other cells: what is held stays counted where its cell is still there."""
-        if self.plan is not self.cells.plan:
-            old, self.plan = (self.bytes, self.clients), self.cells.plan
-            self.bytes, self.clients = self._pools()
-            for before, after in zip(old, (self.bytes, self.clients), strict=True):
-                for name in after.used:
-                    after.adjust(name, before.used.get(name, 0.0))
+        return ReservedPool(total, self.plan.policy.reserved_share, weights)
+
+    def _follow_plan(self) -> None:
+        """After a change of the plan, what is occupied stays counted where its cell still exists."""
+        if self.plan is self.cells.plan:
+            return
+        self.plan = self.cells.plan
+        self.bytes = self._carry_over(self.bytes, self.max_bytes)
+        self.clients = self._carry_over(self.clients, self.max_clients)
+
+    def _carry_over(self, previous: ReservedPool, total: int) -> ReservedPool:
+        pool = self._new_pool(total)
+        for name in pool.used:
+            pool.adjust(name, previous.used.get(name, 0.0))
+        return pool
 
     def cell_of(self, tenant: str | None) -> str | None:
-        """None for an unknown tenant, whose requests are refused anyway."""
-        self._renew()
-        homes = self.cells.membership.placement.cells_of_tenant.get(
-            tenant or self.plan.policy.default_tenant or ""
-        )
-        return homes[0] if homes else None
+        """The cell that a tenant counts for; None for an unknown one, whose requests are rejected anyway."""
+        self._follow_plan()
+        name = tenant or self.plan.policy.default_tenant or ""
+        cells = self.cells.membership.placement.cells_of_tenant.get(name)
+        return cells[0] if cells else None
 
     def bytes_exhausted(self, cell: str) -> bool:
-        """Does this cell's clients' unread answers take all that they may?"""
+        """Whether the unread answers of this cell's clients use all bytes that they may."""
         return not self.bytes.has_capacity(cell)
 
     def reserve_bytes(self, cell: str, size: int) -> Callable[[], None]:
-        """Count bytes; what is returned gives them back."""
+        """Count bytes for a cell; the function returned gives them back."""
         if cell in self.bytes.used:
             self.bytes.adjust(cell, size)
-        return lambda: self._give_back(cell, size)
+        return lambda: self._release_bytes(cell, size)
 
-    def _give_back(self, cell: str, size: int) -> None:
-        self._renew()
+    def _release_bytes(self, cell: str, size: int) -> None:
+        self._follow_plan()
         if cell in self.bytes.used:
             self.bytes.adjust(cell, -size)
 
@@ -62,6 +72,7 @@
         return True
 
     def disconnect(self, cell: str) -> None:
-        self._renew()
+        """A connection has ended."""
+        self._follow_plan()
         if cell in self.clients.used:
             self.clients.adjust(cell, -1)
--- a/onyxwick/cells/router.py
+++ b/onyxwick/cells/router.py
@@ -17,8 +17,9 @@
 from onyxwick.cells.membership import CellMembership
 from onyxwick.cells.migration import CellHealthSignals, Migration
 from onyxwick.cells.migrations import Migrations
-from onyxwick.cells.model import CellPlan, TenantSpec, check_plan
+from onyxwick.cells.model import CellPlan, TenantSpec
 from onyxwick.cells.placement import cells_hash
+from onyxwick.cells.plan_check import check_plan
 from onyxwick.interface import (
     Action,
     AttemptEnded,
--- a/onyxwick/cli/sites.py
+++ b/onyxwick/cli/sites.py
@@ -14,7 +14,7 @@
 from onyxwick.cli.remote import admin_option, json_option, remote_of, token_option
 
 if TYPE_CHECKING:
-    from onyxwick.sites.linear_program import LossOutcome
+    from onyxwick.sites.loss_outcome import LossOutcome
     from onyxwick.sites.loss_study import LossStudy
     from onyxwick.sites.model import Topology
 
@@ -53,7 +53,7 @@
 
 
 def _loss_row(outcome: LossOutcome) -> dict[str, Any]:
-    from onyxwick.sites.linear_program import resource_name
+    from onyxwick.sites.loss_outcome import resource_name
 
     first = outcome.bottleneck
     return {
@@ -84,7 +84,7 @@
 @json_option
 def plan(file: Path, out: Path | None, plots: Path | None, pairs: bool, as_json: bool) -> None:
     """What each loss would do to the sites in FILE; exit 1 where one site's cannot be borne."""
-    from onyxwick.sites.plan import plan_to_json
+    from onyxwick.sites.plan_document import plan_to_json
 
     study = _study(file, pairs)
     rows = [_loss_row(outcome) for outcome in study.outcomes.values()]
--- a/onyxwick/config/cells.py
+++ b/onyxwick/config/cells.py
@@ -16,7 +16,6 @@
     DEFAULT_TENANT_FIELD,
     DEFAULT_WARM_UP_US,
     KEY_PREFIX_COUNT,
-    MAX_SPAN,
     Cell,
     CellPlan,
     CellPlanError,
@@ -24,8 +23,8 @@
     KeyRange,
     MigrationSpec,
     TenantSpec,
-    check_plan,
 )
+from onyxwick.cells.plan_check import MAX_SPAN, check_plan
 from onyxwick.config.errors import ConfigError
 from onyxwick.config.fields import Fields, format_duration
 from onyxwick.config.hcl import Block, Value
--- a/onyxwick/config/sites.py
+++ b/onyxwick/config/sites.py
@@ -26,9 +26,10 @@
     SitePolicy,
     Topology,
     TopologyError,
-    check_topology,
 )
-from onyxwick.sites.plan import SitePlan, plan_from_json
+from onyxwick.sites.plan import SitePlan
+from onyxwick.sites.plan_document import plan_from_json
+from onyxwick.sites.topology_check import check_topology
 
 S_US = 1_000_000
 MINUTE_US = 60 * S_US
--- a/onyxwick/lab/plans.py
+++ b/onyxwick/lab/plans.py
@@ -8,7 +8,8 @@
 from typing import Any
 
 from onyxwick.sites.loss_study import study_losses
-from onyxwick.sites.model import Hub, NetworkLink, OfferedLoad, PlannedClass, Site, Topology, check_topology
+from onyxwick.sites.model import Hub, NetworkLink, OfferedLoad, PlannedClass, Site, Topology
+from onyxwick.sites.topology_check import check_topology
 
 SITES_A_HUB, NEAR = 20, 6
 BOXES, BOX_CAPACITY, RATE_PER_S = 6, 6.0, 120.0
--- a/onyxwick/sites/lifecycle.py
+++ b/onyxwick/sites/lifecycle.py
@@ -1,8 +1,9 @@
-"""One site (or hub) as one director sees it: named states, and the share of its objects that is away.
+"""One site (or hub) as one director takes it to be: a state machine, and the share of its objects that is
+moved.
 
-Signs and time in, a share out. Nothing here knows of sockets, lists or other directors; each of those sees
-the site at its own time and moves its own clients' requests. The states and their guards:
-docs/design/sites.md.
+In: health signals, operators' directives and the time (microseconds). Out: a phase, and the share of the
+site's objects that other sites serve, 0 to 1. Every director runs its own; they enter a phase at different
+times, and each moves its own clients' requests. States and guards: docs/design/sites.md.
 """
 
 from __future__ import annotations
@@ -10,27 +11,29 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from onyxwick.sites.model import SitePolicy
-
-S = 1_000_000
-SILENT_CONFIRMATION_FACTOR = 4  # the time that confirms a loss, where boxes take connections and say nothing
-SUSPICION_EXPIRY_US = 10 * S  # a suspicion that nothing feeds for so long is dropped
-PRESSED, WELL = (
-    0.35,
-    0.2,
-)  # share of late and refused answers at which a move stands still, under which it goes on
-MIN_LISTED_SHARE = 0.5  # of a site's boxes that the list must name before it is returned to
-FULL_CAPACITY_SHARE = 0.95  # of its planned capacity at which a site counts as whole
-MAX_FLAPS = 5  # doublings of a hold at the most
-FLAP_WINDOW_US = 60 * S  # lost again so soon after it came home: a flap
-FLAP_DECAY_US = 300 * S  # of a steady site that take one flap away
-MAX_STEP_INTERVAL_US = 2 * S  # between two steps: the process was stopped, and what it believed is old
-COLD_START_WARM_SHARE = (
-    0.35  # warmth under which a site at a director's start is taken for one that has just returned
-)
+from onyxwick.errors import OnyxwickError
+from onyxwick.sites.model import MICROSECONDS_PER_SECOND, SitePolicy
+
+SILENT_CONFIRMATION_FACTOR = 4  # times `confirm_us`, where caches accept connections and do not answer
+SUSPICION_EXPIRY_US = 10 * MICROSECONDS_PER_SECOND  # without a further failure
+PAUSE_PRESSURE = 0.35  # share of late and rejected answers at which a move pauses
+RESUME_PRESSURE = 0.2  # below which it goes on
+MIN_LISTED_SHARE = 0.5  # of a site's caches that must be listed before it is returned to
+FULL_CAPACITY_SHARE = 0.95  # of its planned capacity, from which a site counts as complete
+MAX_FLAPS = 5  # doublings of the hold time
+MAX_SETBACK_DOUBLINGS = 2
+FLAP_WINDOW_US = 60 * MICROSECONDS_PER_SECOND  # lost again this soon after its return: a flap
+FLAP_DECAY_US = 300 * MICROSECONDS_PER_SECOND  # in the steady phase, after which one flap is forgotten
+MAX_STEP_INTERVAL_US = 2 * MICROSECONDS_PER_SECOND  # longer: the process was paused, and its state is stale
+COLD_START_WARM_SHARE = 0.35  # below it a site found at a director's start is taken to be returning
+MAX_TRANSITIONS_PER_STEP = 3
+ROUNDING = 1e-9
+NOT_LISTED = "the list names none of its boxes"
 
 
 class SitePhase(Enum):
+    """The states of a site. The values appear in metrics, logs and the administration API."""
+
     STEADY = "steady"
     SUSPECT = "suspect"
     LOST = "lost"
@@ -47,15 +50,23 @@
     SitePhase.EVACUATED: {SitePhase.RETURNING},
     SitePhase.RETURNING: {SitePhase.STEADY, SitePhase.LOST, SitePhase.EVACUATING},
 }
-AWAY_PHASES = (SitePhase.LOST, SitePhase.EVACUATING, SitePhase.EVACUATED)  # nothing but trials goes there
+AWAY_PHASES = (SitePhase.LOST, SitePhase.EVACUATING, SitePhase.EVACUATED)  # only trials are sent there
+
 
+class IllegalSiteTransitionError(OnyxwickError, RuntimeError):
+    """A transition between two phases that `LEGAL_TRANSITIONS` does not allow."""
 
-class IllegalSiteTransitionError(RuntimeError):
-    """A step between two states that no rule allows."""
+    def __init__(self, site: str, phase: SitePhase, requested: SitePhase) -> None:
+        expected = ", ".join(sorted(legal.value for legal in LEGAL_TRANSITIONS[phase]))
+        super().__init__(f"site '{site}': {phase.value} to {requested.value}, expected one of: {expected}")
+        self.site = site
+        self.phase = phase
+        self.requested = requested
 
 
 class SiteDirective(Enum):
-    """What an operator has ordered for a site."""
+    """What an operator has ordered for a site. The values are those of the administration API and the
+    store."""
 
     NONE = "auto"
     EVACUATE = "evacuate"
@@ -65,239 +76,277 @@
 
 @dataclass(frozen=True, slots=True)
 class SiteHealthSignals:
-    """What one step looks at. Times in the caller's microseconds, 0 for never."""
+    """The health of a site at one step. Times are in microseconds, 0 for never; shares are 0 to 1."""
 
-    unreachable: bool = False  # most boxes tried lately are dark and none has answered since
+    unreachable: bool = False  # most recently tried caches are unreachable and none has answered since
     unreachable_since_us: int = 0
-    is_only_silent: bool = False  # what is dark takes connections, and nothing comes of them
+    is_only_silent: bool = False  # unreachable caches accept connections and do not answer
     answered_us: int = 0
-    outside_heard_us: int = 0  # when anything beside this place was last heard
-    cut_off: bool = False
-    has_demand: bool = False  # its clients' requests come here, or it is the own site
-    is_unobserved: bool = False  # they come, and nothing of it was heard lately: is it there?
-    listed_share: float = 1.0  # of its boxes that the list names ready, over those it has had
-    list_loaded: bool = True  # a list is known at all
-    capacity_share: float = 1.0  # planned capacity that its listed boxes have when warm
-    warm_share: float = 1.0  # and can give now
-    healthy_since_us: int = 0  # since when trials there are answered without a failure; 0: they are not
-    pressure: float = 0.0  # late and refused among the latest answers where its objects go
+    outside_heard_us: int = 0  # when anything but this place was last heard
+    cut_off: bool = False  # this director itself is isolated
+    has_demand: bool = False  # its clients' requests arrive here, or it is the own site
+    is_unobserved: bool = False  # they arrive, and nothing of the site was heard recently
+    listed_share: float = 1.0  # of its caches, listed as ready
+    list_loaded: bool = True  # an endpoint list has been received at all
+    capacity_share: float = 1.0  # of its planned capacity that the listed caches have when warm
+    warm_share: float = 1.0  # of it that they can give now
+    healthy_since_us: int = 0  # since when trials are answered without a failure; 0: they are not
+    pressure: float = 0.0  # share of late and rejected answers where its objects are served
     cause: str = ""
 
 
 class SiteLifecycle:
-    """One site's state."""
+    """The state of one site at one director."""
 
     def __init__(self, name: str, now: int, policy: SitePolicy) -> None:
-        self.name, self.policy = name, policy
-        self.phase, self.phase_started_us, self.stepped_us = SitePhase.STEADY, now, now
-        self.moved_share = 0.0
+        self.name = name
+        self.policy = policy
+        self.phase = SitePhase.STEADY
+        self.phase_started_us = now
+        self.stepped_us = now
+        self.moved_share = 0.0  # of its objects, served by other sites
         self.reason = "nothing has been seen of it yet"
         self.flaps = 0
-        self.returned_us = 0  # when it last came home; 0: never
-        self.setbacks = 0
-        self.share_changed_us = 0  # of the last step of the share
+        self.returned_us = 0  # when it last became steady after a loss; 0: never
+        self.setbacks = 0  # steps back in this return
+        self.share_changed_us = 0
         self.hold_until_us = 0
-        self.left_by_command = False  # it was left on an order: evidence does not bring it back
+        self.left_by_command = False  # then health alone does not bring it back
         self.was_unreachable = False  # since it was last steady
-        self.transition_count = 0  # changes of state, for the counters
+        self.transition_count = 0
 
-    def _transition(self, phase: SitePhase, now: int, why: str) -> None:
+    def _transition(self, phase: SitePhase, now: int, reason: str) -> None:
         if phase not in LEGAL_TRANSITIONS[self.phase]:
-            raise IllegalSiteTransitionError(f"site '{self.name}': {self.phase.value} to {phase.value}")
-        again = self.returned_us and now - self.returned_us < FLAP_WINDOW_US
-        if phase is SitePhase.LOST and (again or self.phase is SitePhase.RETURNING):
+            raise IllegalSiteTransitionError(self.name, self.phase, phase)
+        returned_recently = self.returned_us and now - self.returned_us < FLAP_WINDOW_US
+        if phase is SitePhase.LOST and (returned_recently or self.phase is SitePhase.RETURNING):
             self.flaps = min(MAX_FLAPS, self.flaps + 1)
         if phase is SitePhase.STEADY and self.phase is SitePhase.RETURNING:
             self.returned_us = now
-        self.phase, self.phase_started_us, self.reason = phase, now, why
+        self.phase = phase
+        self.phase_started_us = now
+        self.reason = reason
         self.transition_count += 1
         if phase is SitePhase.STEADY:
-            self.moved_share, self.setbacks, self.left_by_command, self.was_unreachable = 0.0, 0, False, False
+            self._reset()
         elif phase is SitePhase.EVACUATED:
             self.moved_share = 1.0
         elif phase is SitePhase.LOST:
-            self.was_unreachable, self.left_by_command = (
-                True,
-                False,
-            )  # whatever an order began, this is the loss itself
+            self.was_unreachable = True
+            self.left_by_command = False  # whatever a command began, this is an actual loss
+
+    def _reset(self) -> None:
+        self.moved_share = 0.0
+        self.setbacks = 0
+        self.left_by_command = False
+        self.was_unreachable = False
 
     @property
     def hold_us(self) -> int:
-        """How long a site must be well before it is returned to."""
-        return self.policy.hold_us << (self.flaps + min(2, self.setbacks))
-
-    def start(self, now: int, signs: SiteHealthSignals) -> None:
-        """The first list of a director that has just started: others may have moved long before."""
-        if (
-            signs.list_loaded
-            and signs.listed_share > 0
-            and signs.warm_share < COLD_START_WARM_SHARE * signs.capacity_share
-        ):
-            self._transition(
-                SitePhase.RETURNING, now, "found cold at the start: its objects are still elsewhere"
-            )
-            self.moved_share = max(0.0, 1 - signs.warm_share)
-
-    def step(self, now: int, signs: SiteHealthSignals, word: SiteDirective = SiteDirective.NONE) -> None:
-        """One look. More than one state may be passed in it where nothing has to be waited for."""
-        passed, self.stepped_us = now - self.stepped_us, now
-        if passed > MAX_STEP_INTERVAL_US:
-            # Stopped and woken: what was believed before counts for nothing until it is seen again.
-            self.share_changed_us = now
-            if self.phase is SitePhase.SUSPECT:
-                self._transition(SitePhase.STEADY, now, "the process was stopped: seen anew")
+        """How long a site must be healthy before it is returned to; doubled with each flap and setback."""
+        return self.policy.hold_us << (self.flaps + min(MAX_SETBACK_DOUBLINGS, self.setbacks))
+
+    def start(self, now: int, signals: SiteHealthSignals) -> None:
+        """The first endpoint list after a director's start: other directors may have left a site long
+        before."""
+        is_cold = signals.warm_share < COLD_START_WARM_SHARE * signals.capacity_share
+        if signals.list_loaded and signals.listed_share > 0 and is_cold:
+            reason = "found cold at the start: its objects are still elsewhere"
+            self._transition(SitePhase.RETURNING, now, reason)
+            self.moved_share = max(0.0, 1 - signals.warm_share)
+
+    def step(
+        self, now: int, signals: SiteHealthSignals, directive: SiteDirective = SiteDirective.NONE
+    ) -> None:
+        """Apply the signals of one instant. Several phases may be passed where nothing has to be waited
+        for."""
+        passed_us = now - self.stepped_us
+        self.stepped_us = now
+        if passed_us > MAX_STEP_INTERVAL_US:
+            self._resume_after_pause(now)
             return
-        for _ in range(3):
+        for _ in range(MAX_TRANSITIONS_PER_STEP):
             before = self.phase
-            self._look(now, signs, word)
+            self._step_phase(now, signals, directive)
             if self.phase is before:
                 return
 
-    def _look(self, now: int, signs: SiteHealthSignals, word: SiteDirective) -> None:
+    def _resume_after_pause(self, now: int) -> None:
+        """The process was paused: what was concluded before counts only once it is observed again."""
+        self.share_changed_us = now
+        if self.phase is SitePhase.SUSPECT:
+            self._transition(SitePhase.STEADY, now, "the process was stopped: seen anew")
+
+    def _step_phase(self, now: int, signals: SiteHealthSignals, directive: SiteDirective) -> None:
         match self.phase:
             case SitePhase.STEADY:
-                self._steady(now, signs, word)
+                self._step_steady(now, signals, directive)
             case SitePhase.SUSPECT:
-                self._suspect(now, signs, word)
+                self._step_suspect(now, signals, directive)
             case SitePhase.LOST:
-                self._lost(now, signs, word)
+                self._step_lost(now, signals, directive)
             case SitePhase.EVACUATING:
-                self._leave(now, signs, word)
+                self._step_evacuating(now, signals, directive)
             case SitePhase.EVACUATED:
-                self._away(now, signs, word)
+                self._step_evacuated(now, signals, directive)
             case SitePhase.RETURNING:
-                self._return(now, signs, word)
-
-    # ---- each state -------------------------------------------------------------------------------------
-
-    def _steady(self, now: int, signs: SiteHealthSignals, word: SiteDirective) -> None:
-        if word is SiteDirective.EVACUATE:
-            self._ordered(now)
-        elif self._off_list(signs):
-            self._transition(SitePhase.SUSPECT, now, "the list names none of its boxes")
-        elif signs.unreachable and not signs.cut_off:
-            self._transition(SitePhase.SUSPECT, now, f"its boxes are dark: {signs.cause}")
-        elif signs.is_unobserved and not signs.cut_off:
-            self._transition(SitePhase.SUSPECT, now, "its clients come here, and none of its boxes was heard")
+                self._step_returning(now, signals, directive)
+
+    # ---- steady, suspect, lost -----------------------------------------------------------------------------
+
+    def _step_steady(self, now: int, signals: SiteHealthSignals, directive: SiteDirective) -> None:
+        if directive is SiteDirective.EVACUATE:
+            self._evacuate_by_command(now)
+        elif self._is_unlisted(signals):
+            self._transition(SitePhase.SUSPECT, now, NOT_LISTED)
+        elif signals.unreachable and not signals.cut_off:
+            self._transition(SitePhase.SUSPECT, now, f"its boxes are dark: {signals.cause}")
+        elif signals.is_unobserved and not signals.cut_off:
+            reason = "its clients come here, and none of its boxes was heard"
+            self._transition(SitePhase.SUSPECT, now, reason)
         elif self.flaps and now - self.phase_started_us > FLAP_DECAY_US:
-            self.flaps, self.phase_started_us = self.flaps - 1, now
+            self.flaps -= 1
+            self.phase_started_us = now
 
-    def _ordered(self, now: int) -> None:
+    def _evacuate_by_command(self, now: int) -> None:
         self.left_by_command = True
         self._transition(SitePhase.EVACUATING, now, "an operator's order")
 
-    def _off_list(self, signs: SiteHealthSignals) -> bool:
-        return signs.list_loaded and signs.listed_share == 0.0
-
-    def _suspect(self, now: int, signs: SiteHealthSignals, word: SiteDirective) -> None:
-        if word is SiteDirective.EVACUATE:
-            return self._ordered(now)
-        if self._off_list(signs):
-            return self._transition(SitePhase.LOST, now, "the list names none of its boxes")
-        if signs.cut_off:
-            self.phase_started_us, self.reason = now, "nothing outside answers: our own cut, not its loss"
-            return None
-        if not signs.unreachable:
-            if signs.answered_us >= self.phase_started_us:
-                self._transition(SitePhase.STEADY, now, "its boxes answer")
-            elif now - self.phase_started_us > SUSPICION_EXPIRY_US:
-                self._transition(SitePhase.STEADY, now, "nothing more was seen against it")
-            return None
-        silent = now - max(self.phase_started_us, signs.unreachable_since_us)
-        if silent < self._confirm_us(signs) or signs.outside_heard_us <= signs.unreachable_since_us:
-            return None
-        if not signs.has_demand:
-            # One link, perhaps cut one way: nobody asks for it here, so nothing need be decided.
-            self.reason = f"not reached from here, and its clients do not come: {signs.cause}"
-            return None
-        return self._transition(SitePhase.LOST, now, f"no box of it answers, the outside does: {signs.cause}")
-
-    def _confirm_us(self, signs: SiteHealthSignals) -> int:
-        """Slow boxes are silent for long, too: more of it is wanted where nothing else speaks of a loss."""
-        return self.policy.confirm_us * (SILENT_CONFIRMATION_FACTOR if signs.is_only_silent else 1)
-
-    def _lost(self, now: int, signs: SiteHealthSignals, word: SiteDirective) -> None:
-        if word is SiteDirective.EVACUATE:
-            self._ordered(now)
-        elif word is SiteDirective.HOLD:
+    def _is_unlisted(self, signals: SiteHealthSignals) -> bool:
+        return signals.list_loaded and signals.listed_share == 0.0
+
+    def _step_suspect(self, now: int, signals: SiteHealthSignals, directive: SiteDirective) -> None:
+        if directive is SiteDirective.EVACUATE:
+            self._evacuate_by_command(now)
+        elif self._is_unlisted(signals):
+            self._transition(SitePhase.LOST, now, NOT_LISTED)
+        elif signals.cut_off:
+            self.phase_started_us = now
+            self.reason = "nothing outside answers: our own cut, not its loss"
+        elif not signals.unreachable:
+            self._clear_suspicion(now, signals)
+        elif self._loss_is_confirmed(now, signals):
+            if signals.has_demand:
+                reason = f"no box of it answers, the outside does: {signals.cause}"
+                self._transition(SitePhase.LOST, now, reason)
+            else:
+                # Perhaps one link fails, in one direction: without demand nothing has to be decided here.
+                self.reason = f"not reached from here, and its clients do not come: {signals.cause}"
+
+    def _clear_suspicion(self, now: int, signals: SiteHealthSignals) -> None:
+        if signals.answered_us >= self.phase_started_us:
+            self._transition(SitePhase.STEADY, now, "its boxes answer")
+        elif now - self.phase_started_us > SUSPICION_EXPIRY_US:
+            self._transition(SitePhase.STEADY, now, "nothing more was seen against it")
+
+    def _loss_is_confirmed(self, now: int, signals: SiteHealthSignals) -> bool:
+        """Unreachable for long enough, while something else was heard."""
+        silent_us = now - max(self.phase_started_us, signals.unreachable_since_us)
+        heard_others = signals.outside_heard_us > signals.unreachable_since_us
+        return silent_us >= self._confirm_us(signals) and heard_others
+
+    def _confirm_us(self, signals: SiteHealthSignals) -> int:
+        """Slow caches are silent for long, too: longer silence is required where it is the only evidence."""
+        return self.policy.confirm_us * (SILENT_CONFIRMATION_FACTOR if signals.is_only_silent else 1)
+
+    def _step_lost(self, now: int, signals: SiteHealthSignals, directive: SiteDirective) -> None:
+        if directive is SiteDirective.EVACUATE:
+            self._evacuate_by_command(now)
+        elif directive is SiteDirective.HOLD:
             return
         elif self.policy.automatic:
             self._transition(SitePhase.EVACUATING, now, self.reason)
-        elif (
-            not self._off_list(signs) and not signs.unreachable and signs.answered_us >= self.phase_started_us
-        ):
-            self._transition(SitePhase.STEADY, now, "its boxes answer, and nothing has moved")
-
-    def _called_back(self, signs: SiteHealthSignals, word: SiteDirective) -> bool:
-        """Is it to be returned to by an order, to boxes that the list names?"""
-        back = word is SiteDirective.RETURN or (self.left_by_command and word is SiteDirective.NONE)
-        return back and not self._off_list(signs)
-
-    def _leave(self, now: int, signs: SiteHealthSignals, word: SiteDirective) -> None:
-        if self._called_back(signs, word):
-            return self._transition(SitePhase.RETURNING, now, "ordered back, or the order was taken back")
-        if (
-            word is SiteDirective.HOLD
-            or signs.cut_off
-            or now - self.share_changed_us < self.policy.step_interval_us
-        ):
-            return None
-        if signs.pressure > PRESSED and self.moved_share > 0:
-            self.reason = f"stands still: {signs.pressure:.0%} late or refused where its objects go"
-            self.share_changed_us = now
-            return None
+        else:
+            answers = not signals.unreachable and signals.answered_us >= self.phase_started_us
+            if answers and not self._is_unlisted(signals):
+                self._transition(SitePhase.STEADY, now, "its boxes answer, and nothing has moved")
+
+    # ---- evacuating, evacuated -----------------------------------------------------------------------------
+
+    def _is_recalled(self, signals: SiteHealthSignals, directive: SiteDirective) -> bool:
+        """Whether a command asks for the return, or no longer for the absence, to caches that are listed."""
+        withdrawn = self.left_by_command and directive is SiteDirective.NONE
+        return (directive is SiteDirective.RETURN or withdrawn) and not self._is_unlisted(signals)
+
+    def _return_by_command(self, now: int) -> None:
+        self._transition(SitePhase.RETURNING, now, "ordered back, or the order was taken back")
+
+    def _must_wait(self, now: int, signals: SiteHealthSignals, directive: SiteDirective) -> bool:
+        """Whether the share stays as it is: on hold, isolated, or changed a moment ago."""
+        too_soon = now - self.share_changed_us < self.policy.step_interval_us
+        return directive is SiteDirective.HOLD or signals.cut_off or too_soon
+
+    def _step_evacuating(self, now: int, signals: SiteHealthSignals, directive: SiteDirective) -> None:
+        if self._is_recalled(signals, directive):
+            self._return_by_command(now)
+            return
+        if self._must_wait(now, signals, directive):
+            return
         self.share_changed_us = now
+        if signals.pressure > PAUSE_PRESSURE and self.moved_share > 0:
+            self.reason = f"stands still: {signals.pressure:.0%} late or refused where its objects go"
+            return
         self.moved_share = min(1.0, self.moved_share + 1 / self.policy.evacuation_steps)
-        if self.moved_share >= 1.0 - 1e-9:
+        if self.moved_share >= 1.0 - ROUNDING:
             self._transition(SitePhase.EVACUATED, now, self.reason)
-        return None
-
-    def _away(self, now: int, signs: SiteHealthSignals, word: SiteDirective) -> None:
-        if self._called_back(signs, word):
-            return self._transition(SitePhase.RETURNING, now, "ordered back, or the order was taken back")
-        if word in (SiteDirective.HOLD, SiteDirective.EVACUATE) or signs.cut_off or self._off_list(signs):
-            return None
-        # Where its objects are is not enough room: any box that answers is more.
-        hold = self.policy.confirm_us if signs.pressure > WELL and not self.flaps else self.hold_us
-        well = signs.healthy_since_us and now - max(signs.healthy_since_us, self.phase_started_us) >= hold
-        if signs.listed_share >= MIN_LISTED_SHARE and well and not signs.unreachable:
+
+    def _step_evacuated(self, now: int, signals: SiteHealthSignals, directive: SiteDirective) -> None:
+        if self._is_recalled(signals, directive):
+            self._return_by_command(now)
+            return
+        stays = directive in (SiteDirective.HOLD, SiteDirective.EVACUATE)
+        if stays or signals.cut_off or self._is_unlisted(signals):
+            return
+        # Where the sites that serve its objects lack capacity, any cache that answers adds some.
+        lacks_capacity = signals.pressure > RESUME_PRESSURE and not self.flaps
+        hold_us = self.policy.confirm_us if lacks_capacity else self.hold_us
+        healthy_us = now - max(signals.healthy_since_us, self.phase_started_us)
+        is_healthy = signals.healthy_since_us and healthy_us >= hold_us and not signals.unreachable
+        if signals.listed_share >= MIN_LISTED_SHARE and is_healthy:
             self._transition(SitePhase.RETURNING, now, "its boxes are listed and answer")
-        return None
-
-    def _return(self, now: int, signs: SiteHealthSignals, word: SiteDirective) -> None:
-        if word is SiteDirective.EVACUATE:
-            return self._ordered(now)
-        if self._off_list(signs):
-            return self._transition(SitePhase.LOST, now, "the list names none of its boxes again")
-        doubted = signs.unreachable and not signs.cut_off and word is not SiteDirective.RETURN
-        if doubted and now - signs.unreachable_since_us >= self._confirm_us(signs) // 2:
-            return self._transition(SitePhase.LOST, now, f"dark again: {signs.cause}")
-        if (
-            word is SiteDirective.HOLD
-            or signs.cut_off
-            or now - self.share_changed_us < self.policy.step_interval_us
-        ):
-            return None
+
+    # ---- returning -----------------------------------------------------------------------------------------
+
+    def _step_returning(self, now: int, signals: SiteHealthSignals, directive: SiteDirective) -> None:
+        if directive is SiteDirective.EVACUATE:
+            self._evacuate_by_command(now)
+        elif self._is_unlisted(signals):
+            self._transition(SitePhase.LOST, now, f"{NOT_LISTED} again")
+        elif self._is_lost_again(now, signals, directive):
+            self._transition(SitePhase.LOST, now, f"dark again: {signals.cause}")
+        elif not self._must_wait(now, signals, directive):
+            self._adapt_returned_share(now, signals)
+
+    def _is_lost_again(self, now: int, signals: SiteHealthSignals, directive: SiteDirective) -> bool:
+        if not signals.unreachable or signals.cut_off or directive is SiteDirective.RETURN:
+            return False
+        return now - signals.unreachable_since_us >= self._confirm_us(signals) // 2
+
+    def _adapt_returned_share(self, now: int, signals: SiteHealthSignals) -> None:
         self.share_changed_us = now
-        if signs.pressure > PRESSED:
-            if now >= self.hold_until_us:  # one step back for one bad look at what it was given
-                self.moved_share = min(1.0, self.moved_share + 1 / self.policy.return_steps)
-                self.setbacks += 1
-            self.hold_until_us = now + (self.policy.hold_us // 2 << min(2, self.setbacks))
-            self.reason = f"a step back: {signs.pressure:.0%} late or refused there"
-            return None
-        if now < self.hold_until_us or signs.pressure > WELL:
-            return None
-        self._step_home(now, signs)
-        return None
-
-    def _step_home(self, now: int, signs: SiteHealthSignals) -> None:
-        """As much as its boxes bear now: cold ones little, fewer ones never all."""
-        whole = signs.capacity_share >= FULL_CAPACITY_SHARE
-        bears = 1.0 if whole and signs.warm_share >= FULL_CAPACITY_SHARE else signs.warm_share
+        if signals.pressure > PAUSE_PRESSURE:
+            self._step_back(now, signals)
+        elif now >= self.hold_until_us and signals.pressure <= RESUME_PRESSURE:
+            self._step_forward(now, signals)
+
+    def _step_back(self, now: int, signals: SiteHealthSignals) -> None:
+        if now >= self.hold_until_us:  # one step back for each hold time
+            self.moved_share = min(1.0, self.moved_share + 1 / self.policy.return_steps)
+            self.setbacks += 1
+        doublings = min(MAX_SETBACK_DOUBLINGS, self.setbacks)
+        self.hold_until_us = now + (self.policy.hold_us // 2 << doublings)
+        self.reason = f"a step back: {signals.pressure:.0%} late or refused there"
+
+    def _step_forward(self, now: int, signals: SiteHealthSignals) -> None:
+        """Return as much as its caches can serve now: little to cold ones, and never all to fewer ones."""
+        is_complete = signals.capacity_share >= FULL_CAPACITY_SHARE
+        is_warm = is_complete and signals.warm_share >= FULL_CAPACITY_SHARE
+        servable_share = 1.0 if is_warm else signals.warm_share
         step = 1 / self.policy.return_steps
-        self.moved_share = min(max(1 - bears, self.moved_share - step, 0.0), self.moved_share + step, 1.0)
-        if self.moved_share <= 1e-9:
+        lowest = max(1 - servable_share, self.moved_share - step, 0.0)
+        self.moved_share = min(lowest, self.moved_share + step, 1.0)
+        if self.moved_share <= ROUNDING:
             self._transition(SitePhase.STEADY, now, "all of its objects are home")
-        elif not whole and self.moved_share <= 1 - signs.capacity_share + 1e-9:
-            self.reason = f"it came back smaller: {1 - signs.capacity_share:.0%} of its objects stay away"
+        elif not is_complete and self.moved_share <= 1 - signals.capacity_share + ROUNDING:
+            missing_share = 1 - signals.capacity_share
+            self.reason = f"it came back smaller: {missing_share:.0%} of its objects stay away"
--- a/onyxwick/sites/loss_study.py
+++ b/onyxwick/sites/loss_study.py
@@ -1,5 +1,5 @@
-"""All losses that a plan answers: nothing, each site, each hub, and the pairs of sites that share a
-survivor."""
+"""All losses that a plan answers: none, each site, each hub, each site's caches, and pairs of sites that
+share a survivor. Capacities are in transfers at once."""
 
 from __future__ import annotations
 
@@ -7,128 +7,120 @@
 from dataclasses import dataclass, field
 from itertools import combinations
 
-from onyxwick.sites.linear_program import (
-    MAX_SURVIVORS,
-    LossOutcome,
-    Resource,
-    ResourceUse,
-    SiteLoss,
-    resource_name,
-    solve_loss,
-)
+from onyxwick.sites.loss_demand import MAX_SURVIVORS
+from onyxwick.sites.loss_outcome import CACHES, LossOutcome, SiteLoss, resource_name
+from onyxwick.sites.loss_solver import solve_loss
 from onyxwick.sites.model import Topology
 from onyxwick.sites.plan import LossKey, LossPlanRow, SitePlan, loss_key
 
 MAX_PAIRS = 2_000
-SAME = 1e-3  # shares nearer than this are the same
+NEGLIGIBLE_CAPACITY = 1e-9
+SHARE_DIGITS = 6  # decimal places of shares in a plan
 
 
 @dataclass(slots=True)
 class LossStudy:
-    """Every loss that was looked at, with what became of it, and the plan made of them."""
+    """Every loss that was solved, with its outcome."""
 
     topology: Topology
     outcomes: dict[LossKey, LossOutcome] = field(default_factory=dict)
-    omitted_pairs: int = 0  # pairs that share a survivor and were over the bound
-    independent_pairs: int = 0  # pairs that share none: what each loses is what it loses alone
+    omitted_pairs: int = 0  # that share a survivor and exceeded `MAX_PAIRS`
+    independent_pairs: int = 0  # that share none: each loses what it loses alone
 
     def plan(self) -> SitePlan:
-        return SitePlan(self.topology, {key: _row(self.topology, out) for key, out in self.outcomes.items()})
+        """The plan that the outcomes make."""
+        rows = {key: _plan_row(self.topology, outcome) for key, outcome in self.outcomes.items()}
+        return SitePlan(self.topology, rows)
 
     def findings(self) -> list[str]:
-        """What cannot be borne, in words with figures; the steady state and single losses first."""
-        out = []
-        for outcome in self.outcomes.values():
-            if outcome.is_feasible:
-                continue
-            lost = str(outcome.loss)
-            head = "With nothing lost" if lost == "nothing" else f"The loss of {lost}"
-            refused = max(0.0, 1 - outcome.served_value / outcome.offered_value)
-            need = ", ".join(
-                f"{more:.1f} transfers more of {resource_name(r)}"
-                for r, more in sorted(outcome.missing_capacity.items())
-            )
-            text = f"{head} cannot be borne: {refused:.1%} of the worth asked for is refused"
-            out.append(
-                text + (f"; it would need {need}." if need else "; no capacity stated here would help.")
-            )
-        return out
-
-
-def _row(top: Topology, outcome: LossOutcome) -> LossPlanRow:
-    guests = {}
-    for name in top.sites:
-        use: ResourceUse | None = outcome.resource_use.get(("boxes", name))
-        if name not in outcome.loss.sites | outcome.loss.cache_sites and use is not None:
-            guests[name] = use.share
-    own = {load.site: 0.0 for load in top.loads}
-    for load in top.loads:
-        kind = top.classes[load.class_name]
-        kept = outcome.served_shares.get((load.site, load.class_name, load.tenant), 1.0)
-        own[load.site] += 0.0 if kind.is_write else load.rate_per_s * kind.work * kept
-    for name, share in guests.items():
-        guests[name] = max(0.0, share - own.get(name, 0.0) / max(1e-9, top.sites[name].capacity))
-    return LossPlanRow(
-        outcome.serving_shares,
-        outcome.served_shares,
-        {name: round(share, 6) for name, share in guests.items()},
+        """The losses that cannot be served in full, a sentence each, in the order of solving."""
+        return [_finding(outcome) for outcome in self.outcomes.values() if not outcome.is_feasible]
+
+
+def _finding(outcome: LossOutcome) -> str:
+    lost = str(outcome.loss)
+    head = "With nothing lost" if lost == "nothing" else f"The loss of {lost}"
+    rejected = max(0.0, 1 - outcome.served_value / outcome.offered_value)
+    missing = ", ".join(
+        f"{amount:.1f} transfers more of {resource_name(resource)}"
+        for resource, amount in sorted(outcome.missing_capacity.items())
     )
+    remedy = f"; it would need {missing}." if missing else "; no capacity stated here would help."
+    return f"{head} cannot be borne: {rejected:.1%} of the worth asked for is refused{remedy}"
+
+
+def _plan_row(topology: Topology, outcome: LossOutcome) -> LossPlanRow:
+    lost = outcome.loss.sites | outcome.loss.cache_sites
+    local_work = _local_work(topology, outcome)
+    guest_shares = {}
+    for name, site in topology.sites.items():
+        use = outcome.resource_use.get((CACHES, name))
+        if name not in lost and use is not None:
+            local_share = local_work.get(name, 0.0) / max(NEGLIGIBLE_CAPACITY, site.capacity)
+            guest_shares[name] = round(max(0.0, use.share - local_share), SHARE_DIGITS)
+    return LossPlanRow(outcome.serving_shares, outcome.served_shares, guest_shares)
+
 
+def _local_work(topology: Topology, outcome: LossOutcome) -> dict[str, float]:
+    """By site, the transfers at once that its own clients' served reads use of its caches."""
+    work = {load.site: 0.0 for load in topology.loads}
+    for load in topology.loads:
+        planned = topology.classes[load.class_name]
+        served = outcome.served_shares.get((load.site, load.class_name, load.tenant), 1.0)
+        work[load.site] += 0.0 if planned.is_write else load.rate_per_s * planned.work * served
+    return work
 
-def _near(top: Topology, site: str) -> set[str]:
-    return set(top.nearest(site, top.sites)[:MAX_SURVIVORS])
+
+def _survivors(topology: Topology, site: str) -> set[str]:
+    return set(topology.nearest(site, topology.sites)[:MAX_SURVIVORS])
 
 
 def _pairs(study: LossStudy) -> list[tuple[str, str]]:
-    """Those whose survivors meet, the ones with the least room left between them first."""
-    top = study.topology
-    near = {site: _near(top, site) for site in top.sites}
-    meeting = []
-    for one, other in combinations(top.sites, 2):
-        if other not in near[one] and one not in near[other] and not near[one] & near[other]:
+    """The pairs whose survivors overlap, those with the least capacity left between them first."""
+    topology = study.topology
+    survivors = {site: _survivors(topology, site) for site in topology.sites}
+    by_spare_capacity = []
+    for one, other in combinations(topology.sites, 2):
+        shared = survivors[one] & survivors[other]
+        if other not in survivors[one] and one not in survivors[other] and not shared:
             study.independent_pairs += 1
             continue
-        rooms = [_room(study, one, s) + _room(study, other, s) for s in near[one] & near[other]]
-        meeting.append((sum(rooms), one, other))
-    meeting.sort()
-    study.omitted_pairs = max(0, len(meeting) - MAX_PAIRS)
-    return [(one, other) for _, one, other in meeting[:MAX_PAIRS]]
-
-
-def _room(study: LossStudy, lost: str, survivor: str) -> float:
-    """Of a survivor's boxes that one loss leaves free, in transfers."""
+        spare = sum(
+            _spare_capacity(study, one, survivor) + _spare_capacity(study, other, survivor)
+            for survivor in shared
+        )
+        by_spare_capacity.append((spare, one, other))
+    by_spare_capacity.sort()
+    study.omitted_pairs = max(0, len(by_spare_capacity) - MAX_PAIRS)
+    return [(one, other) for _, one, other in by_spare_capacity[:MAX_PAIRS]]
+
+
+def _spare_capacity(study: LossStudy, lost: str, survivor: str) -> float:
+    """The transfers at once of a survivor's caches that the loss of one site leaves unused."""
     outcome = study.outcomes.get(loss_key([lost]))
-    use = outcome.resource_use.get(("boxes", survivor)) if outcome is not None else None
+    use = outcome.resource_use.get((CACHES, survivor)) if outcome is not None else None
     capacity = study.topology.sites[survivor].capacity
     return capacity - use.used if use is not None else capacity
 
 
 def losses_to_solve(study: LossStudy, pairs: bool) -> Iterator[SiteLoss]:
-    """In the order of solving: pairs are chosen by what the single losses left."""
+    """The losses in the order of solving: pairs are chosen by what the single losses left."""
+    topology = study.topology
     yield SiteLoss()
-    for site in study.topology.sites:
+    for site in topology.sites:
         yield SiteLoss(frozenset([site]))
-    for hub in study.topology.hubs:
+    for hub in topology.hubs:
         yield SiteLoss(hubs=frozenset([hub]))
-    for site in study.topology.sites:
+    for site in topology.sites:
         yield SiteLoss(cache_sites=frozenset([site]))
-    if pairs and len(study.topology.sites) > 2:
+    if pairs and len(topology.sites) > 2:
         for one, other in _pairs(study):
             yield SiteLoss(frozenset([one, other]))
 
 
-def study_losses(top: Topology, pairs: bool = True) -> LossStudy:
-    """Every loss solved; `programme.Unsolved` where HiGHS gives no answer."""
-    out = LossStudy(top)
-    for loss in losses_to_solve(out, pairs):
-        out.outcomes[loss_key(loss.sites, loss.hubs, loss.cache_sites)] = solve_loss(top, loss)
-    return out
-
-
-def compared(one: LossOutcome, other: LossOutcome) -> dict[Resource, float]:
-    """Resources by how much more of their capacity the second loss uses than the first."""
-    return {
-        r: use.share - one.resource_use[r].share
-        for r, use in other.resource_use.items()
-        if r in one.resource_use and abs(use.share - one.resource_use[r].share) > SAME
-    }
+def study_losses(topology: Topology, pairs: bool = True) -> LossStudy:
+    """Every loss solved; PlanUnsolvedError where the solver finds no solution for one."""
+    study = LossStudy(topology)
+    for loss in losses_to_solve(study, pairs):
+        study.outcomes[loss_key(loss.sites, loss.hubs, loss.cache_sites)] = solve_loss(topology, loss)
+    return study
--- a/onyxwick/sites/membership.py
+++ b/onyxwick/sites/membership.py
@@ -1,5 +1,8 @@
-"""The list as sites see it: whose each member is, what of a site is ready, and what a router is to be
-shown."""
+"""The endpoint list by place: which site or hub each member is at, and how much of a place is available.
+
+In: changes of the endpoint list. Out: the ready members with their places, a place's availability as shares
+of what the topology states, and the list for the router of one site. Times are in microseconds.
+"""
 
 from __future__ import annotations
 
@@ -9,110 +12,130 @@
 from onyxwick.interface import EndpointListKind, EndpointsChanged, Member, MemberState, RouterSettings
 from onyxwick.sites.model import ORIGIN_PLACE, Topology
 
-WARM_UP_REFRESH_US = 500_000  # between two looks at how warm a place is
-NEVER = 1 << 62
+WARM_UP_REFRESH_US = 500_000  # for which an availability is kept while a member warms up
+NEVER_US = 1 << 62
+NEGLIGIBLE_CAPACITY = 1e-9
 
 
 @dataclass(frozen=True, slots=True)
 class PlaceAvailability:
-    """What the list tells of one place. Shares are of what the topology states for it."""
+    """Shares of what the topology states for a place."""
 
-    listed_share: float = 1.0  # members named ready
+    listed_share: float = 1.0  # members listed as ready
     capacity_share: float = 1.0  # capacity that they have when warm
-    warm_share: float = 1.0  # and can give now
+    warm_share: float = 1.0  # capacity that they can give now
+
+
+@dataclass(frozen=True, slots=True)
+class _CachedAvailability:
+    availability: PlaceAvailability
+    valid_until_us: int
 
 
 class SiteMembership:
-    """Members and their places."""
+    """All listed members and their places."""
 
-    def __init__(self, settings: RouterSettings, top: Topology) -> None:
-        self.settings, self.topology = settings, top
+    def __init__(self, settings: RouterSettings, topology: Topology) -> None:
+        self.settings = settings
+        self.topology = topology
         self.members: dict[str, Member] = {}
-        self.max_ready_parents: dict[str, int] = {}  # of a hub: the most stores that the list has named
-        self.loaded = False
-        self.availability_cache: dict[
-            str, tuple[PlaceAvailability, int]
-        ] = {}  # as reckoned last, and until when that holds
-        self.site_of_zone = {s.zone: s.name for s in top.sites.values()}
-        self.hub_of_zone = {h.zone: h.name for h in top.hubs.values()}
-
-    def place_of(self, m: Member) -> str | None:
-        if m.kind == self.settings.origin_kind:
+        self.max_ready_parents: dict[str, int] = {}  # by hub: the most that were ready at once
+        self.loaded = False  # a list has been received
+        self._availability: dict[str, _CachedAvailability] = {}
+        self.site_of_zone = {site.zone: site.name for site in topology.sites.values()}
+        self.hub_of_zone = {hub.zone: hub.name for hub in topology.hubs.values()}
+
+    def place_of(self, member: Member) -> str | None:
+        """The site, hub or origin of a member; None in a zone that the topology does not name."""
+        if member.kind == self.settings.origin_kind:
             return ORIGIN_PLACE
-        if m.kind == self.settings.parent_kind:
-            return self.hub_of_zone.get(m.zone)
-        return self.site_of_zone.get(m.zone)
+        if member.kind == self.settings.parent_kind:
+            return self.hub_of_zone.get(member.zone)
+        return self.site_of_zone.get(member.zone)
 
     def on_endpoints_changed(self, event: EndpointsChanged) -> list[str]:
-        """Take a change in; the members whose process is another one now."""
+        """Take in a change; the addresses under which another process runs now."""
         self.loaded |= event.kind is not EndpointListKind.UNAVAILABLE
         if event.kind not in (EndpointListKind.CHANGE, EndpointListKind.UNAVAILABLE):
-            named = {m.address for m in event.members}
-            self.members = {a: m for a, m in self.members.items() if a in named}
-        anew = []
-        for m in event.members:
-            old = self.members.get(m.address)
-            if m.state is MemberState.REMOVED:
-                self.members.pop(m.address, None)
+            named = {member.address for member in event.members}
+            self.members = {address: m for address, m in self.members.items() if address in named}
+        restarted = []
+        for member in event.members:
+            known = self.members.get(member.address)
+            if member.state is MemberState.REMOVED:
+                self.members.pop(member.address, None)
                 continue
-            if old is None or old.started_at_us != m.started_at_us:
-                anew.append(m.address)
-            self.members[m.address] = m
-        self.availability_cache.clear()
+            if known is None or known.started_at_us != member.started_at_us:
+                restarted.append(member.address)
+            self.members[member.address] = member
+        self._availability.clear()
         for hub in self.topology.hubs:
-            self.max_ready_parents[hub] = max(self.max_ready_parents.get(hub, 0), len(self._ready(hub)))
-        return anew
+            self.max_ready_parents[hub] = max(self.max_ready_parents.get(hub, 0), len(self._ready_at(hub)))
+        return restarted
 
     def ready_members(self) -> Iterator[tuple[str, str]]:
-        """Members that may be sent to, each with its place."""
-        for address, m in self.members.items():
-            place = self.place_of(m) if m.state is MemberState.READY else None
+        """The addresses of members that may receive requests, each with its place."""
+        for address, member in self.members.items():
+            place = self.place_of(member) if member.state is MemberState.READY else None
             if place is not None:
                 yield address, place
 
-    def _ready(self, place: str) -> list[Member]:
+    def _ready_at(self, place: str) -> list[Member]:
         return [
-            m for m in self.members.values() if m.state is MemberState.READY and self.place_of(m) == place
+            member
+            for member in self.members.values()
+            if member.state is MemberState.READY and self.place_of(member) == place
         ]
 
     def availability(self, place: str, now: int) -> PlaceAvailability:
-        """What the list tells of a place; reckoned anew when the list changes, or while a member warms up."""
+        """How much of a site or hub is available; full until a list has been received.
+
+        Computed anew when the list changes, and while a member warms up."""
         if not self.loaded:
             return PlaceAvailability()
-        held = self.availability_cache.get(place)
-        if held is not None and now < held[1]:
-            return held[0]
-        hub = place in self.topology.hubs
-        known = max(1, self.max_ready_parents.get(place, 0)) if hub else self.topology.sites[place].caches
-        planned = self.topology.hubs[place].capacity if hub else self.topology.sites[place].capacity
-        members = self._ready(place)
-        sizes = [(m.weight if m.weight > 0 else planned / known, self._warm(m, now, hub)) for m in members]
-        out = PlaceAvailability(
-            min(1.0, len(members) / known),
-            min(1.0, sum(size for size, _ in sizes) / max(1e-9, planned)),
-            min(1.0, sum(size * warm for size, warm in sizes) / max(1e-9, planned)),
-        )
-        warming = any(warm < 1.0 for _, warm in sizes)
-        self.availability_cache[place] = (out, now + WARM_UP_REFRESH_US if warming else NEVER)
-        return out
-
-    def _warm(self, m: Member, now: int, hub: bool) -> float:
-        """The share of its link that a member can surely give."""
-        r = self.settings.rules
-        start, rise = (
-            (r.parent_warm_up_start_share, r.parent_warm_up_us)
-            if hub
-            else (r.warm_up_start_share, r.warm_up_us)
+        cached = self._availability.get(place)
+        if cached is None or now >= cached.valid_until_us:
+            cached = self._compute_availability(place, now)
+            self._availability[place] = cached
+        return cached.availability
+
+    def _compute_availability(self, place: str, now: int) -> _CachedAvailability:
+        is_hub = place in self.topology.hubs
+        if is_hub:
+            stated_count = max(1, self.max_ready_parents.get(place, 0))
+            stated_capacity = self.topology.hubs[place].capacity
+        else:
+            stated_count = self.topology.sites[place].caches
+            stated_capacity = self.topology.sites[place].capacity
+        members = self._ready_at(place)
+        capacities = [m.weight if m.weight > 0 else stated_capacity / stated_count for m in members]
+        warm_shares = [self._warm_share(member, now, is_hub) for member in members]
+        warm_capacity = sum(size * warm for size, warm in zip(capacities, warm_shares, strict=True))
+        stated_capacity = max(NEGLIGIBLE_CAPACITY, stated_capacity)
+        availability = PlaceAvailability(
+            listed_share=min(1.0, len(members) / stated_count),
+            capacity_share=min(1.0, sum(capacities) / stated_capacity),
+            warm_share=min(1.0, warm_capacity / stated_capacity),
         )
-        if not m.started_at_us or now - m.started_at_us >= rise:
+        is_warming_up = any(warm < 1.0 for warm in warm_shares)
+        return _CachedAvailability(availability, now + WARM_UP_REFRESH_US if is_warming_up else NEVER_US)
+
+    def _warm_share(self, member: Member, now: int, is_parent: bool) -> float:
+        """The share of its capacity that a member can give at its age."""
+        rules = self.settings.rules
+        start_share = rules.parent_warm_up_start_share if is_parent else rules.warm_up_start_share
+        warm_up_us = rules.parent_warm_up_us if is_parent else rules.warm_up_us
+        age_us = now - member.started_at_us
+        if not member.started_at_us or age_us >= warm_up_us:
             return 1.0
-        return start + (1 - start) * max(0, now - m.started_at_us) / max(1, rise)
-
-    def members_for(self, site: str, left: Collection[str]) -> dict[str, Member]:
-        """The list for the router of one site's boxes: what is at places that were left is no source."""
-        out = {}
-        for address, m in self.members.items():
-            place = self.place_of(m)
-            hidden = place in left and place != site and m.state is MemberState.READY
-            out[address] = replace(m, state=MemberState.DRAINING) if hidden else m
-        return out
+        return start_share + (1 - start_share) * max(0, age_us) / max(1, warm_up_us)
+
+    def members_for(self, site: str, abandoned_places: Collection[str]) -> dict[str, Member]:
+        """The list for the router of one site's caches: ready members at abandoned places other than the site
+        itself are given as draining, so that nothing is filled from them."""
+        members = {}
+        for address, member in self.members.items():
+            place = self.place_of(member)
+            is_hidden = place in abandoned_places and place != site and member.state is MemberState.READY
+            members[address] = replace(member, state=MemberState.DRAINING) if is_hidden else member
+        return members
--- a/onyxwick/sites/monitor.py
+++ b/onyxwick/sites/monitor.py
@@ -1,4 +1,8 @@
-"""What one director holds every site to be: evidence, list and orders in, states and ways out. No I/O."""
+"""The state of all places of a topology, as one director takes them to be from its own site. No I/O.
+
+In: observations of attempts, the endpoint list, operators' commands and the time (microseconds). Out: the
+phases that sites enter, and where a request of a site's client goes.
+"""
 
 from __future__ import annotations
 
@@ -6,26 +10,33 @@
 from dataclasses import dataclass
 
 from onyxwick.interface import EndpointsChanged, Idempotency, RequestArrived, RequestClass, RouterSettings
-from onyxwick.sites.evidence import OBSERVATION_WINDOW_US, AttemptEvidence, Evidence
-from onyxwick.sites.lifecycle import AWAY_PHASES, SiteHealthSignals, SiteLifecycle, SitePhase
+from onyxwick.sites.evidence import Evidence
+from onyxwick.sites.lifecycle import (
+    AWAY_PHASES,
+    MAX_STEP_INTERVAL_US,
+    MIN_LISTED_SHARE,
+    SiteHealthSignals,
+    SiteLifecycle,
+    SitePhase,
+)
 from onyxwick.sites.local_demand import LocalDemand
+from onyxwick.sites.member_evidence import OBSERVATION_WINDOW_US, AttemptEvidence
 from onyxwick.sites.membership import SiteMembership
-from onyxwick.sites.model import Topology
+from onyxwick.sites.model import MICROSECONDS_PER_SECOND, Topology
 from onyxwick.sites.operator_commands import SiteCommand, SiteCommands
 from onyxwick.sites.plan import SitePlan
-from onyxwick.sites.serving_sites import READY, ServingSites, SiteRoute, is_evacuated
+from onyxwick.sites.serving_sites import ServingSites, SiteRoute, is_evacuated
 
-S = 1_000_000
-TRIAL_INTERVAL_US = 150_000  # between two trials of a site that is left
-DEMAND_WINDOW_US = 5 * S
-NO_DEMAND_US = 10 * S  # without its clients, a left site is returned to on the list's word alone
-MAX_TICK_INTERVAL_US = 2 * S  # between two ticks: the process was stopped
+TRIAL_INTERVAL_US = 150_000  # between two trials of a site that was left
+DEMAND_WINDOW_US = 5 * MICROSECONDS_PER_SECOND  # for which a client's request counts as demand
+NO_DEMAND_US = 10 * MICROSECONDS_PER_SECOND  # without it a site is returned to by the endpoint list alone
 TRIAL_PHASES = (SitePhase.SUSPECT, SitePhase.LOST, SitePhase.EVACUATED)
+SiteMeasure = Callable[[str], float]  # of a site's caches as used from here, 0 to 1
 
 
 @dataclass(frozen=True, slots=True)
 class SiteTransition:
-    """A site entered another state."""
+    """A site or hub has entered another phase."""
 
     name: str
     previous_phase: SitePhase
@@ -33,242 +44,270 @@
 
 
 class SiteMonitor:
-    """All places of one director's topology, as it sees them from its own site."""
-
-    def __init__(self, settings: RouterSettings, top: Topology, plan: SitePlan, home: str, now: int) -> None:
-        self.topology, self.local_site = top, home
-        self.membership, self.evidence = (
-            SiteMembership(settings, top),
-            Evidence(settings.limits.connect_timeout_us),
-        )
-        self.serving_sites, self.commands = ServingSites(plan, home), SiteCommands()
-        self.lifecycles = {name: SiteLifecycle(name, now, top.policy) for name in (*top.sites, *top.hubs)}
-        self.last_request_us: dict[str, int] = {home: now}  # when a site's clients last came here
-        self.last_trial_us: dict[str, int] = {}
-        self.trials_in_flight: dict[str, int] = {}  # out now
-        self.healthy_since_us: dict[str, int] = {}  # since when trials are answered
-        self.listed_since_us: dict[str, int] = {}  # since when enough of its boxes are listed
+    """All sites and hubs of one director's topology."""
+
+    def __init__(
+        self, settings: RouterSettings, topology: Topology, plan: SitePlan, local_site: str, now: int
+    ) -> None:
+        self.topology = topology
+        self.local_site = local_site
+        self.membership = SiteMembership(settings, topology)
+        self.evidence = Evidence(settings.limits.connect_timeout_us)
+        self.serving_sites = ServingSites(plan, local_site)
+        self.commands = SiteCommands()
         self.local_demand = LocalDemand()
-        self.all_steady, self.is_cut_off, self.started = True, False, False
+        self.lifecycles = {
+            name: SiteLifecycle(name, now, topology.policy) for name in (*topology.sites, *topology.hubs)
+        }
+        self.last_request_us: dict[str, int] = {
+            local_site: now
+        }  # by site: when a client of it last asked here
+        self.last_trial_us: dict[str, int] = {}
+        self.trials_in_flight: dict[str, int] = {}
+        self.healthy_since_us: dict[str, int] = {}  # since when trials are answered; 0: they are not
+        self.listed_since_us: dict[str, int] = {}  # since when enough caches are listed; 0: they are not
+        self.all_steady = True
+        self.is_cut_off = False  # this director itself is isolated
+        self.started = False  # the first endpoint list has been received
         self.last_tick_us = now
 
-    # ---- what comes in ----------------------------------------------------------------------------------
+    # ---- what comes in -------------------------------------------------------------------------------------
 
     def on_endpoints_changed(self, now: int, event: EndpointsChanged) -> list[SiteTransition]:
-        anew = self.membership.on_endpoints_changed(event)
+        """Take in a changed endpoint list; the phases entered by the first one after a start."""
+        restarted = self.membership.on_endpoints_changed(event)
         self.evidence.set_members(self.membership.ready_members())
-        for member in anew:
+        for member in restarted:
             self.evidence.forget_member(member)
         if self.started or not self.membership.loaded:
             return []
         self.started = True
-        return self._begin(now)
+        return self._start(now)
 
-    def _begin(self, now: int) -> list[SiteTransition]:
-        """The first list after a start: a site found cold has just come back, and others left it before."""
-        out = []
+    def _start(self, now: int) -> list[SiteTransition]:
+        """A site that is found cold at a director's start has just returned: other directors left it
+        before."""
+        transitions = []
         for name in self.topology.sites:
-            standing, life = self.membership.availability(name, now), self.lifecycles[name]
-            life.start(
-                now,
-                SiteHealthSignals(
-                    listed_share=standing.listed_share,
-                    capacity_share=standing.capacity_share,
-                    warm_share=standing.warm_share,
-                ),
+            availability = self.membership.availability(name, now)
+            lifecycle = self.lifecycles[name]
+            signals = SiteHealthSignals(
+                listed_share=availability.listed_share,
+                capacity_share=availability.capacity_share,
+                warm_share=availability.warm_share,
             )
-            if life.phase is not SitePhase.STEADY:
-                out.append(SiteTransition(name, SitePhase.STEADY, life))
+            lifecycle.start(now, signals)
+            if lifecycle.phase is not SitePhase.STEADY:
+                transitions.append(SiteTransition(name, SitePhase.STEADY, lifecycle))
         self.refresh_plan_row()
-        return out
+        return transitions
 
-    def record_request(self, now: int, site: str, name: str) -> None:
+    def record_request(self, now: int, site: str, object_name: str) -> None:
+        """A client of a site has requested an object."""
         self.last_request_us[site] = now
         if site == self.local_site:
-            self.local_demand.record_request(now, name)
+            self.local_demand.record_request(now, object_name)
 
     def start_trial(self, now: int, site: str) -> None:
+        """A request is sent to a site that is not known to answer."""
         self.trials_in_flight[site] = self.trials_in_flight.get(site, 0) + 1
         self.last_trial_us[site] = now
 
     def end_trial(self, site: str) -> None:
+        """A request that tried a site has been answered or moved on."""
         self.trials_in_flight[site] = max(0, self.trials_in_flight.get(site, 0) - 1)
 
-    def record_trial_result(self, now: int, site: str, kind: AttemptEvidence | None) -> None:
+    def record_trial_result(self, now: int, site: str, evidence: AttemptEvidence | None) -> None:
         """An attempt of a trial has ended."""
-        if kind is AttemptEvidence.ANSWERED:
+        if evidence is AttemptEvidence.ANSWERED:
             self.healthy_since_us[site] = self.healthy_since_us.get(site) or now
-        elif kind is not None:
+        elif evidence is not None:
             self.healthy_since_us[site] = 0
 
-    # ---- where a request goes ---------------------------------------------------------------------------
+    # ---- where a request goes ------------------------------------------------------------------------------
 
     def route(
         self,
         now: int,
-        ask: RequestArrived,
-        kind: RequestClass,
-        site: str,
-        squeeze: Callable[[str], float],
+        request: RequestArrived,
+        request_class: RequestClass,
+        client_site: str,
+        plan_strictness: SiteMeasure,
     ) -> SiteRoute:
-        """Where a request of one site's clients goes. Steady strangers must be stepped first (`strangers`).
-        `squeeze`: of what the plan refuses, the share that is too much for a site's boxes now."""
-        way = self._way(now, ask, kind, site)
-        if way.site is not None and not way.is_trial:
-            tight = squeeze(way.site)
-            if not self.serving_sites.is_served(site, kind.name, ask.tenant or "", ask.object_id, tight):
-                return SiteRoute(None, reason="plan")
-        return way
-
-    def _way(self, now: int, ask: RequestArrived, kind: RequestClass, site: str) -> SiteRoute:
-        doubted = site != self.local_site and self.lifecycles[site].phase in (SitePhase.SUSPECT, *AWAY_PHASES)
-        if (
-            doubted
-            and self.lifecycles[self.local_site].phase is SitePhase.STEADY
-            and self.local_demand.is_local(now, ask.object_id)
-        ):
-            return SiteRoute(self.local_site)  # it is here already, whatever its new home is
-        may_try = self._may_try(now, site, kind)
-        way = self.serving_sites.route(
-            self.lifecycles[site], kind.name, ask.object_id, site == self.local_site, may_try
+        """Where a request of one site's client goes. If the site `lacks_observation`, step it first.
+
+        `plan_strictness`: of what the plan may reject, the share that a site's caches have to reject now."""
+        route = self._route(now, request, request_class, client_site)
+        if route.site is None or route.is_trial:
+            return route
+        is_served = self.serving_sites.is_served(
+            client_site,
+            request_class.name,
+            request.tenant or "",
+            request.object_id,
+            plan_strictness(route.site),
         )
-        if way.site is not None and way.site != self.local_site and self.is_cut_off:
+        return route if is_served else SiteRoute(None, reason="plan")
+
+    def _route(
+        self, now: int, request: RequestArrived, request_class: RequestClass, client_site: str
+    ) -> SiteRoute:
+        lifecycle = self.lifecycles[client_site]
+        is_local = client_site == self.local_site
+        is_doubtful = not is_local and lifecycle.phase in (SitePhase.SUSPECT, *AWAY_PHASES)
+        local_is_steady = self.lifecycles[self.local_site].phase is SitePhase.STEADY
+        if is_doubtful and local_is_steady and self.local_demand.is_local(now, request.object_id):
+            return SiteRoute(self.local_site)  # it is cached here already, whichever site is to serve it
+        may_try = self._may_try(now, client_site, request_class)
+        route = self.serving_sites.route(lifecycle, request_class.name, request.object_id, is_local, may_try)
+        if self.is_cut_off and route.site is not None and route.site != self.local_site:
             return SiteRoute(None, reason="cut_off")
-        return way
+        return route
 
     def lacks_observation(self, now: int, site: str) -> bool:
-        """Do clients come whose site is held to be steady though nothing was heard of it lately?"""
-        return (
-            site != self.local_site
-            and self.lifecycles[site].phase is SitePhase.STEADY
-            and not self._heard(now, site)
-        )
+        """Whether another site is taken to be steady though nothing was heard of it recently."""
+        is_remote = site != self.local_site
+        is_steady = self.lifecycles[site].phase is SitePhase.STEADY
+        return is_remote and is_steady and not self._was_heard(now, site)
 
-    def _heard(self, now: int, site: str) -> bool:
+    def _was_heard(self, now: int, site: str) -> bool:
         place = self.evidence.places.get(site)
-        return (
-            place is not None and place.answered_us > 0 and now - place.answered_us <= OBSERVATION_WINDOW_US
-        )
+        if place is None or not place.answered_us:
+            return False
+        return now - place.answered_us <= OBSERVATION_WINDOW_US
 
-    def _may_try(self, now: int, site: str, kind: RequestClass) -> bool:
-        """May one more request find out whether a site answers? Only what may be sent twice."""
-        life = self.lifecycles[site]
-        if kind.idempotency is not Idempotency.IDEMPOTENT or life.phase not in TRIAL_PHASES:
+    def _may_try(self, now: int, site: str, request_class: RequestClass) -> bool:
+        """Whether one more request may find out if a site answers; only one that may be sent twice."""
+        phase = self.lifecycles[site].phase
+        if request_class.idempotency is not Idempotency.IDEMPOTENT or phase not in TRIAL_PHASES:
             return False
-        if life.phase is SitePhase.SUSPECT:
-            return self.trials_in_flight.get(site, 0) < self.topology.policy.max_trials
-        if (
-            self.membership.availability(site, now).listed_share < READY
-            or self.trials_in_flight.get(site, 0) >= 1
-        ):
+        trials = self.trials_in_flight.get(site, 0)
+        if phase is SitePhase.SUSPECT:
+            return trials < self.topology.policy.max_trials
+        if trials or self.membership.availability(site, now).listed_share < MIN_LISTED_SHARE:
             return False
         return now - self.last_trial_us.get(site, 0) >= TRIAL_INTERVAL_US
 
-    # ---- the clock --------------------------------------------------------------------------------------
+    # ---- the tick ------------------------------------------------------------------------------------------
 
-    def tick(self, now: int, pressure: Callable[[str], float]) -> list[SiteTransition]:
-        """Some times a second. `pressure`: late and refused answers at a site's boxes, as used from here."""
-        if now - self.last_tick_us > MAX_TICK_INTERVAL_US:
+    def tick(self, now: int, pressure: SiteMeasure) -> list[SiteTransition]:
+        """Periodic; the phases that were entered. `pressure`: share of late and rejected answers of a
+        site."""
+        if now - self.last_tick_us > MAX_STEP_INTERVAL_US:
             self.evidence.discard_failures(now)
         self.last_tick_us = now
-        cut_off = self.evidence.is_cut_off(now, self.local_site)
-        if self.is_cut_off and not cut_off:
+        was_cut_off = self.is_cut_off
+        self.is_cut_off = self.evidence.is_cut_off(now, self.local_site)
+        if was_cut_off and not self.is_cut_off:
             self.evidence.discard_failures(now)
-        self.is_cut_off = cut_off
-        out = []
-        for name, life in self.lifecycles.items():
-            if life.phase is SitePhase.STEADY and self._quiet(now, name, life):
-                life.stepped_us = now
-            elif (changed := self.step_site(now, name, pressure)) is not None:
-                out.append(changed)
-        return out
+        transitions = []
+        for name, lifecycle in self.lifecycles.items():
+            if lifecycle.phase is SitePhase.STEADY and self._is_undisturbed(now, name, lifecycle):
+                lifecycle.stepped_us = now
+            elif (transition := self.step_site(now, name, pressure)) is not None:
+                transitions.append(transition)
+        return transitions
 
     def silent_directors(self, now: int) -> int:
-        """Directors that serve nobody now: of sites that were left, whose clients come here instead."""
-        there = [
-            s for s in self.topology.sites if s != self.local_site and self.lifecycles[s].phase in AWAY_PHASES
-        ]
-        asked = [s for s in there if now - self.last_request_us.get(s, -DEMAND_WINDOW_US) < DEMAND_WINDOW_US]
-        return sum(self.topology.sites[s].directors for s in asked)
-
-    def _quiet(self, now: int, name: str, life: SiteLifecycle) -> bool:
-        """Is there nothing that a steady site's state could change by? Most are so, most of the time."""
-        ordered = name in self.commands.active
-        listed = not self.membership.loaded or self.membership.availability(name, now).listed_share > 0
-        return listed and not ordered and not life.flaps and self.evidence.rules_out_loss(now, name)
-
-    def step_site(self, now: int, name: str, pressure: Callable[[str], float]) -> SiteTransition | None:
-        life = self.lifecycles[name]
-        before = life.phase
-        life.step(now, self._signs(now, name, life, pressure), self.commands.directive_for(name))
-        if life.phase is before:
+        """Directors that serve nobody now: those of sites that were left and whose clients connect here."""
+        return sum(
+            site.directors
+            for name, site in self.topology.sites.items()
+            if name != self.local_site
+            and self.lifecycles[name].phase in AWAY_PHASES
+            and now - self.last_request_us.get(name, -DEMAND_WINDOW_US) < DEMAND_WINDOW_US
+        )
+
+    def _is_undisturbed(self, now: int, name: str, lifecycle: SiteLifecycle) -> bool:
+        """Whether nothing could change a steady site's phase, so that its step can be skipped."""
+        has_command = name in self.commands.active
+        is_listed = not self.membership.loaded or self.membership.availability(name, now).listed_share > 0
+        return (
+            is_listed and not has_command and not lifecycle.flaps and self.evidence.rules_out_loss(now, name)
+        )
+
+    def step_site(self, now: int, name: str, pressure: SiteMeasure) -> SiteTransition | None:
+        """Step one site's state machine; the phase that it entered, if any."""
+        lifecycle = self.lifecycles[name]
+        previous_phase = lifecycle.phase
+        signals = self._health_signals(now, name, lifecycle, pressure)
+        lifecycle.step(now, signals, self.commands.directive_for(name))
+        if lifecycle.phase is previous_phase:
             return None
-        if life.phase is not SitePhase.RETURNING:
+        if lifecycle.phase is not SitePhase.RETURNING:
             self.healthy_since_us[name] = 0
         self.refresh_plan_row()
-        return SiteTransition(name, before, life)
+        return SiteTransition(name, previous_phase, lifecycle)
 
     def refresh_plan_row(self) -> None:
-        """What follows from the sites' states: the plan's row, and who is calm."""
-        sites = frozenset(n for n in self.topology.sites if is_evacuated(self.lifecycles[n]))
-        hubs = frozenset(n for n in self.topology.hubs if self.lifecycles[n].phase in AWAY_PHASES)
+        """Apply what follows from the sites' phases: the plan's row, and whether all are steady."""
+        sites = frozenset(name for name in self.topology.sites if is_evacuated(self.lifecycles[name]))
+        hubs = frozenset(name for name in self.topology.hubs if self.lifecycles[name].phase in AWAY_PHASES)
         self.serving_sites.set_losses(sites, hubs)
-        self.all_steady = all(life.phase is SitePhase.STEADY for life in self.lifecycles.values())
+        self.all_steady = all(lifecycle.phase is SitePhase.STEADY for lifecycle in self.lifecycles.values())
 
-    def _signs(
-        self, now: int, name: str, life: SiteLifecycle, pressure: Callable[[str], float]
+    def _health_signals(
+        self, now: int, name: str, lifecycle: SiteLifecycle, pressure: SiteMeasure
     ) -> SiteHealthSignals:
-        seen, standing = self.evidence.observe(now, name), self.membership.availability(name, now)
-        own, hub = name == self.local_site, name in self.topology.hubs
-        came = now - self.last_request_us.get(name, -NO_DEMAND_US)
-        asked = own or hub or came < DEMAND_WINDOW_US
-        enough = standing.listed_share >= READY
-        self.listed_since_us[name] = (self.listed_since_us.get(name) or now) if enough else 0
-        unasked = hub or came >= NO_DEMAND_US
+        observation = self.evidence.observe(now, name)
+        availability = self.membership.availability(name, now)
+        is_local = name == self.local_site
+        is_hub = name in self.topology.hubs
+        since_request_us = now - self.last_request_us.get(name, -NO_DEMAND_US)
+        has_demand = is_local or is_hub or since_request_us < DEMAND_WINDOW_US
+        is_listed = availability.listed_share >= MIN_LISTED_SHARE
+        self.listed_since_us[name] = (self.listed_since_us.get(name) or now) if is_listed else 0
+        # Without its clients' requests there are no trials: the endpoint list has to do.
+        is_untried = is_hub or since_request_us >= NO_DEMAND_US
+        healthy_since_us = self.listed_since_us[name] if is_untried else self.healthy_since_us.get(name, 0)
         return SiteHealthSignals(
-            unreachable=seen.is_mostly_unreachable,
-            unreachable_since_us=seen.unreachable_since_us,
-            is_only_silent=seen.is_only_silent,
-            answered_us=seen.answered_us,
+            unreachable=observation.is_mostly_unreachable,
+            unreachable_since_us=observation.unreachable_since_us,
+            is_only_silent=observation.is_only_silent,
+            answered_us=observation.answered_us,
             outside_heard_us=self.evidence.last_heard_outside_us([name, self.local_site]),
             cut_off=self.is_cut_off,
-            has_demand=asked,
-            is_unobserved=asked and not own and not hub and not self._heard(now, name),
-            listed_share=standing.listed_share,
+            has_demand=has_demand,
+            is_unobserved=has_demand and not is_local and not is_hub and not self._was_heard(now, name),
+            listed_share=availability.listed_share,
             list_loaded=self.membership.loaded,
-            capacity_share=standing.capacity_share,
-            warm_share=standing.warm_share,
-            healthy_since_us=self.listed_since_us[name] if unasked else self.healthy_since_us.get(name, 0),
-            pressure=self._pressure(name, life, pressure),
-            cause=seen.cause(),
+            capacity_share=availability.capacity_share,
+            warm_share=availability.warm_share,
+            healthy_since_us=healthy_since_us,
+            pressure=self._pressure_of(name, lifecycle, pressure),
+            cause=observation.cause(),
         )
 
-    def _pressure(self, name: str, life: SiteLifecycle, pressure: Callable[[str], float]) -> float:
-        """Late and refused where a site's objects go: its new homes while it is left, itself as it
-        returns."""
-        if name in self.topology.hubs or life.phase is SitePhase.RETURNING:
+    def _pressure_of(self, name: str, lifecycle: SiteLifecycle, pressure: SiteMeasure) -> float:
+        """The share of late and rejected answers where a site's objects are served: at its serving sites
+        while it is left, at the site itself as it returns."""
+        if name in self.topology.hubs or lifecycle.phase is SitePhase.RETURNING:
             return pressure(name)
-        homes = self.serving_sites.row.serving_shares
-        targets = {s for (origin, _), shares in homes.items() if origin == name for s in shares}
+        targets = {
+            serving_site
+            for (origin_site, _), shares in self.serving_sites.row.serving_shares.items()
+            if origin_site == name
+            for serving_site in shares
+        }
         return max(map(pressure, targets), default=0.0)
 
-    # ---- operators --------------------------------------------------------------------------------------
+    # ---- operators -----------------------------------------------------------------------------------------
 
-    def restore_commands(self, orders: list[SiteCommand]) -> None:
-        """Orders that were given before a restart."""
-        for order in orders:
-            if order.site in self.lifecycles:
-                self.commands.apply(order)
+    def restore_commands(self, commands: list[SiteCommand]) -> None:
+        """Apply the commands that were stored before a restart; those for unknown sites are ignored."""
+        for command in commands:
+            if command.site in self.lifecycles:
+                self.commands.apply(command)
 
-    def step_exercises(self, now: int, worst: float) -> list[str]:
-        """The sites whose drill has ended by now."""
-        return self.commands.step_exercises(now, self.lifecycles, worst)
+    def step_exercises(self, now: int, highest_pressure: float) -> list[str]:
+        """Step the failover exercises; the sites whose exercise has ended."""
+        return self.commands.step_exercises(now, self.lifecycles, highest_pressure)
 
     def replace_plan(self, plan: SitePlan) -> None:
-        """Another plan for the same topology."""
+        """Act on another plan for the same topology."""
         self.serving_sites = ServingSites(plan, self.local_site)
         self.refresh_plan_row()
 
     def abandoned_places(self) -> set[str]:
         """Places whose members are no source of a fill now."""
-        return {name for name, life in self.lifecycles.items() if life.phase in AWAY_PHASES}
+        return {name for name, lifecycle in self.lifecycles.items() if lifecycle.phase in AWAY_PHASES}
--- a/onyxwick/sites/operator_commands.py
+++ b/onyxwick/sites/operator_commands.py
@@ -1,7 +1,8 @@
-"""What operators have ordered of sites, as data: kept over a restart by the store, read before anything else.
+"""Operators' commands on sites: read from the administration API, kept by the store, applied by the monitor.
 
-An order names a site and a word (`life.Word`). A drill is an order with an end of its own: it leaves the site
-by steps, stays away for a while, and returns; a gate that fails, or a real loss meanwhile, turns it back.
+A command names a site and a directive, which holds until it is replaced. A failover exercise is a command
+with an end of its own: the site is left in steps, stays away for `exercise_us`, and is returned to; overload,
+or a doubt about another site meanwhile, ends it early. Times are in microseconds.
 """
 
 from __future__ import annotations
@@ -11,21 +12,25 @@
 from typing import Any
 
 from onyxwick.sites.lifecycle import SiteDirective, SiteLifecycle, SitePhase
+from onyxwick.sites.model import MICROSECONDS_PER_SECOND, SitesError
 
-S = 1_000_000
 MAX_REASON_LENGTH = 256
-MIN_EXERCISE_US, MAX_EXERCISE_US = 1 * S, 3600 * S
-ABORT_PRESSURE = 0.35  # share of late and refused answers of the whole director at which a drill turns back
-ABORT_AFTER_US = 2 * S  # for so long
+MIN_EXERCISE_S = 1
+MAX_EXERCISE_S = 3600
+ABORT_PRESSURE = 0.35  # share of late and rejected answers of the whole director that ends an exercise
+ABORT_AFTER_US = 2 * MICROSECONDS_PER_SECOND  # of that pressure
+DOCUMENT_FIELDS = frozenset(("word", "reason", "stay_s"))  # of the API's form
+ROW_FIELDS = frozenset(("site", "word", "reason", "by", "at_us", "stay_us"))  # of the store's form
 
 
-class SiteCommandError(ValueError):
-    """An order that cannot be taken; the text says why."""
+class SiteCommandError(SitesError, ValueError):
+    """A command that cannot be accepted; the message says what was found and what is expected."""
 
 
 @dataclass(frozen=True, slots=True)
 class SiteCommand:
-    """`stay_us`: of a drill, how long the site stays away; 0: no drill, it holds until it is taken back."""
+    """A directive for one site. `exercise_us`: of an exercise, how long the site stays away; 0: no
+    exercise."""
 
     site: str
     directive: SiteDirective
@@ -36,47 +41,57 @@
 
     @property
     def is_exercise(self) -> bool:
+        """Whether the command ends by itself."""
         return self.exercise_us > 0
 
 
-def parse_command(site: str, data: Mapping[str, Any], now: int) -> SiteCommand:
-    """An order from the API's form {"word", "reason", "stay_s"}; OrderError tells what is wrong."""
-    words = {w.value: w for w in SiteDirective}
-    word = words.get(str(data.get("word", "")))
-    if word is None:
-        raise SiteCommandError(f"'word' is {data.get('word')!r}; it is one of {', '.join(words)}")
-    if unknown := set(data) - {"word", "reason", "stay_s"}:
+# ---- the API's form and the store's form ------------------------------------------------------
+
+
+def parse_command(site: str, document: Mapping[str, Any], now: int) -> SiteCommand:
+    """A command from the API's form {"word", "reason", "stay_s"}; SiteCommandError says what is wrong."""
+    directives = {directive.value: directive for directive in SiteDirective}
+    directive = directives.get(str(document.get("word", "")))
+    if directive is None:
+        raise SiteCommandError(f"'word' is {document.get('word')!r}; it is one of {', '.join(directives)}")
+    if unknown := set(document) - DOCUMENT_FIELDS:
         raise SiteCommandError(f"unknown field '{min(unknown)}'; an order has word, reason and stay_s")
-    reason, stay = data.get("reason", ""), data.get("stay_s", 0)
+    reason = document.get("reason", "")
     if not isinstance(reason, str) or len(reason) > MAX_REASON_LENGTH:
         raise SiteCommandError(f"'reason' is no text of at most {MAX_REASON_LENGTH} characters")
-    if isinstance(stay, bool) or not isinstance(stay, int | float):
-        raise SiteCommandError("'stay_s' is no number of seconds")
-    if stay and (word is not SiteDirective.EVACUATE or not MIN_EXERCISE_US <= stay * S <= MAX_EXERCISE_US):
-        raise SiteCommandError("'stay_s' belongs to a drill: with the word evacuate, 1 to 3600 seconds")
-    return SiteCommand(site, word, reason, "operator", now, int(stay * S))
+    exercise_us = _parse_exercise_us(document.get("stay_s", 0), directive)
+    return SiteCommand(site, directive, reason, "operator", now, exercise_us)
 
 
-ROW_FIELDS = frozenset(("site", "word", "reason", "by", "at_us", "stay_us"))
+def _parse_exercise_us(stay_s: object, directive: SiteDirective) -> int:
+    if isinstance(stay_s, bool) or not isinstance(stay_s, int | float):
+        raise SiteCommandError("'stay_s' is no number of seconds")
+    is_possible = directive is SiteDirective.EVACUATE and MIN_EXERCISE_S <= stay_s <= MAX_EXERCISE_S
+    if stay_s and not is_possible:
+        raise SiteCommandError(
+            "'stay_s' belongs to a drill: with the word evacuate,"
+            f" {MIN_EXERCISE_S} to {MAX_EXERCISE_S} seconds"
+        )
+    return int(stay_s * MICROSECONDS_PER_SECOND)
 
 
-def command_to_row(order: SiteCommand) -> dict[str, Any]:
-    """A command as the store keeps it."""
+def command_to_row(command: SiteCommand) -> dict[str, Any]:
+    """A command as the store keeps it. The keys do not follow the names of the code."""
     return {
-        "site": order.site,
-        "word": order.directive.value,
-        "reason": order.reason,
-        "by": order.issued_by,
-        "at_us": order.issued_at_us,
-        "stay_us": order.exercise_us,
+        "site": command.site,
+        "word": command.directive.value,
+        "reason": command.reason,
+        "by": command.issued_by,
+        "at_us": command.issued_at_us,
+        "stay_us": command.exercise_us,
     }
 
 
 def command_from_row(row: Mapping[str, Any]) -> SiteCommand:
-    """An order as `to_row` wrote it; OrderError where it is none."""
+    """A command as `command_to_row` wrote it; SiteCommandError where it is none."""
+    if unknown := set(row) - ROW_FIELDS:
+        raise SiteCommandError(f"no order: unknown field '{min(unknown)}'")
     try:
-        if unknown := set(row) - ROW_FIELDS:
-            raise SiteCommandError(f"unknown field '{min(unknown)}' in a stored command")
         return SiteCommand(
             site=row["site"],
             directive=SiteDirective(row["word"]),
@@ -89,71 +104,86 @@
         raise SiteCommandError(f"no order: {error!r}") from None
 
 
+# ---- the commands in force ------------------------------------------------------
+
+
 class SiteCommands:
-    """All that holds, and the drills' way."""
+    """The commands in force at one director, and the progress of exercises."""
 
     def __init__(self) -> None:
         self.active: dict[str, SiteCommand] = {}
-        self.turned_back: dict[str, str] = {}  # drills that were turned back, and why
-        self.overloaded_since_us: dict[str, int] = {}  # since when a drill's gate fails
-
-    def apply(self, order: SiteCommand) -> None:
-        self.overloaded_since_us.pop(order.site, None)
-        self.turned_back.pop(order.site, None)
-        if order.directive is SiteDirective.NONE:
-            self.active.pop(order.site, None)
+        self.turned_back: dict[str, str] = {}  # site: why its exercise is over
+        self.overloaded_since_us: dict[str, int] = {}
+
+    def apply(self, command: SiteCommand) -> None:
+        """Replace the command for a site; the directive `NONE` withdraws it."""
+        self.overloaded_since_us.pop(command.site, None)
+        self.turned_back.pop(command.site, None)
+        if command.directive is SiteDirective.NONE:
+            self.active.pop(command.site, None)
         else:
-            self.active[order.site] = order
+            self.active[command.site] = command
 
     def directive_for(self, site: str) -> SiteDirective:
-        """What is ordered at this instant. A drill that was turned back orders the return."""
-        order = self.active.get(site)
-        if order is None:
+        """The directive at this instant; after an exercise it is the return."""
+        command = self.active.get(site)
+        if command is None:
             return SiteDirective.NONE
-        return SiteDirective.RETURN if site in self.turned_back else order.directive
+        return SiteDirective.RETURN if site in self.turned_back else command.directive
+
+    def step_exercises(self, now: int, lifecycles: Mapping[str, SiteLifecycle], pressure: float) -> list[str]:
+        """Step the exercises; the sites whose exercise has ended.
 
-    def step_exercises(self, now: int, lives: Mapping[str, SiteLifecycle], pressure: float) -> list[str]:
-        """Drills go on; the sites whose drill has ended with this step. `pressure`: late and refused among
-        all of the director's latest answers."""
+        `pressure`: share of late and rejected among all of the director's latest answers, 0 to 1."""
+        doubtful = [
+            site
+            for site, lifecycle in lifecycles.items()
+            if site not in self.active and lifecycle.phase is not SitePhase.STEADY
+        ]
         ended = []
-        doubted = [s for s, x in lives.items() if s not in self.active and x.phase is not SitePhase.STEADY]
-        for site, order in list(self.active.items()):
-            if not order.is_exercise or site not in lives:
+        for site, command in list(self.active.items()):
+            if not command.is_exercise or site not in lifecycles:
                 continue
-            life = lives[site]
-            if site not in self.turned_back and not life.was_unreachable:
-                self._check_exercise(now, order, life, doubted, pressure)
-            elif (
-                life.phase is SitePhase.STEADY or life.was_unreachable
-            ):  # over, or overtaken by the loss itself
+            lifecycle = lifecycles[site]
+            if site not in self.turned_back and not lifecycle.was_unreachable:
+                self._check_exercise(now, command, lifecycle, doubtful, pressure)
+            elif lifecycle.phase is SitePhase.STEADY or lifecycle.was_unreachable:
+                # Over, or an actual loss has taken its place.
                 ended.append(site)
                 self.apply(SiteCommand(site, SiteDirective.NONE))
         return ended
 
     def _check_exercise(
-        self, now: int, order: SiteCommand, life: SiteLifecycle, doubted: list[str], pressure: float
+        self,
+        now: int,
+        command: SiteCommand,
+        lifecycle: SiteLifecycle,
+        doubtful: list[str],
+        pressure: float,
     ) -> None:
-        site = order.site
-        if doubted:
-            self.turned_back[site] = f"site {min(doubted)} is in doubt: this one's room is wanted"
+        site = command.site
+        if doubtful:
+            self.turned_back[site] = f"site {min(doubtful)} is in doubt: this one's room is wanted"
         elif pressure > ABORT_PRESSURE:
-            begun = self.overloaded_since_us.setdefault(site, now)
-            if now - begun >= ABORT_AFTER_US:
+            overloaded_us = now - self.overloaded_since_us.setdefault(site, now)
+            if overloaded_us >= ABORT_AFTER_US:
                 self.turned_back[site] = f"its gate failed: {pressure:.0%} late or refused"
         else:
             self.overloaded_since_us.pop(site, None)
-        stayed = life.phase is SitePhase.EVACUATED and now - life.phase_started_us >= order.exercise_us
-        if site not in self.turned_back and stayed:
+        is_away = lifecycle.phase is SitePhase.EVACUATED
+        is_complete = is_away and now - lifecycle.phase_started_us >= command.exercise_us
+        if site not in self.turned_back and is_complete:
             self.turned_back[site] = "it has stayed away for its time"
 
     def status(self) -> dict[str, Any]:
+        """The commands in force, with the keys of the administration API."""
         return {
             site: {
-                "word": order.directive.value,
-                "reason": order.reason,
-                "at_us": order.issued_at_us,
-                "drill": order.is_exercise,
+                "word": command.directive.value,
+                "reason": command.reason,
+                "at_us": command.issued_at_us,
+                "drill": command.is_exercise,
                 "turned": self.turned_back.get(site, ""),
             }
-            for site, order in sorted(self.active.items())
+            for site, command in sorted(self.active.items())
         }
--- a/onyxwick/sites/serving_sites.py
+++ b/onyxwick/sites/serving_sites.py
@@ -1,4 +1,5 @@
-"""Where an object of a site's clients goes at this instant: at home, to its new home, or nowhere. No I/O."""
+"""Which site serves an object of a site's clients at this instant: its own, another by the plan, or none. No
+I/O."""
 
 from __future__ import annotations
 
@@ -8,19 +9,22 @@
 from onyxwick.sites.model import NO_TENANT
 from onyxwick.sites.plan import LossKey, LossPlanRow, SitePlan, loss_key
 from onyxwick.sites.traffic_slices import (
-    SLICES,
+    SLICE_COUNT,
     move_position,
     serving_site_of_slice,
     shed_position,
     slice_of,
 )
 
-READY = 0.5  # of a left site's boxes that the list must name for requests to try it
+MAX_SLICE_TABLES = 1024  # kept at once, one for each loss, site and class
+NO_SITE = ""  # in a slice table: looked up, and no site serves it
+SliceTable = list[str | None]
 
 
 @dataclass(frozen=True, slots=True)
 class SiteRoute:
-    """`site` None: refused, for `why`. `trial`: the site is not known to answer."""
+    """Where a request goes. `site` None: it is rejected, for `reason`. `is_trial`: the site may not
+    answer."""
 
     site: str | None
     is_trial: bool = False
@@ -28,92 +32,114 @@
 
 
 class ServingSites:
-    """The plan as it applies to what is lost now."""
+    """The plan as it applies to the present losses."""
 
-    def __init__(self, plan: SitePlan, home: str = "") -> None:
-        """`home`: the own site. While this director serves, only its boxes can be lost: its clients are
-        here."""
-        self.plan, self.local_site = plan, home
+    def __init__(self, plan: SitePlan, local_site: str = "") -> None:
+        """`local_site`: the own one. While this director serves, only its caches can be lost, as its clients
+        connect here."""
+        self.plan = plan
+        self.local_site = local_site
         self.lost_sites: frozenset[str] = frozenset()
         self.lost_hubs: frozenset[str] = frozenset()
         self.row = LossPlanRow()
-        self.rows: dict[LossKey, LossPlanRow] = {}
-        self.slice_tables: dict[tuple[LossKey, str, str], list[str | None]] = {}
-
-    def set_losses(self, lost: frozenset[str], hubs: frozenset[str]) -> bool:
-        """Other places are lost from now on; True where that changes anything."""
-        if (lost, hubs) == (self.lost_sites, self.lost_hubs):
-            return False
-        self.lost_sites, self.lost_hubs = lost, hubs
-        self.row = self._of(lost) if lost or hubs else LossPlanRow()
-        return True
-
-    def _of(self, lost: frozenset[str]) -> LossPlanRow:
-        return self.plan.row(lost - {self.local_site}, self.lost_hubs, lost & {self.local_site})
-
-    def _row(self, site: str) -> tuple[LossKey, LossPlanRow]:
-        """The row with a site lost, whether it is held to be so already or not."""
-        lost = self.lost_sites | {site}
-        return loss_key(lost, self.lost_hubs), self.row if site in self.lost_sites else self._of(lost)
-
-    def serving_site_for(self, site: str, kind: str, name: str) -> str | None:
-        """Where an object of a lost site goes; None: nowhere, as no room is planned for it."""
-        key, row = self._row(site)
-        table = self.slice_tables.get((key, site, kind))
+        self.slice_tables: dict[tuple[LossKey, str, str], SliceTable] = {}
+
+    def set_losses(self, sites: frozenset[str], hubs: frozenset[str]) -> None:
+        """Apply the plan's row for other losses from now on."""
+        if (sites, hubs) != (self.lost_sites, self.lost_hubs):
+            self.lost_sites = sites
+            self.lost_hubs = hubs
+            self.row = self._plan_row(sites) if sites or hubs else LossPlanRow()
+
+    def _plan_row(self, lost_sites: frozenset[str]) -> LossPlanRow:
+        local = {self.local_site}
+        return self.plan.row(lost_sites - local, self.lost_hubs, lost_sites & local)
+
+    def serving_site_for(self, site: str, class_name: str, object_name: str) -> str | None:
+        """The site that serves an object of a lost site; None where the plan has no capacity for it. The site
+        need not be lost yet."""
+        table = self._slice_table(site, class_name)
+        number = slice_of(object_name)
+        serving_site = table[number]
+        if serving_site is None:
+            row = self.row if site in self.lost_sites else self._plan_row(self.lost_sites | {site})
+            weights = row.serving_shares.get((site, class_name)) or self._weights_of_any_class(row, site)
+            serving_site = serving_site_of_slice(site, number, weights) or NO_SITE
+            table[number] = serving_site
+        return serving_site or None
+
+    def _slice_table(self, site: str, class_name: str) -> SliceTable:
+        key = (loss_key(self.lost_sites | {site}, self.lost_hubs), site, class_name)
+        table = self.slice_tables.get(key)
         if table is None:
-            if len(self.slice_tables) >= 1024:
+            if len(self.slice_tables) >= MAX_SLICE_TABLES:
                 self.slice_tables.clear()
-            table = self.slice_tables[(key, site, kind)] = [None] * SLICES
-        number = slice_of(name)
-        found = table[number]
-        if found is None:
-            weights = row.serving_shares.get((site, kind)) or self._any(row, site)
-            found = table[number] = serving_site_of_slice(site, number, weights) or ""
-        return found or None
-
-    def _any(self, row: LossPlanRow, site: str) -> dict[str, float]:
-        """Of a class that the plan knows nothing of: as the site's other classes."""
-        out: dict[str, float] = {}
-        for (origin, _), shares in row.serving_shares.items():
-            if origin == site:
-                for home, share in shares.items():
-                    out[home] = out.get(home, 0.0) + share
-        if not out and not any(origin == site for origin, _ in row.serving_shares):
-            rest = self.plan.topology.sites
-            out = {s: rest[s].capacity for s in rest if s != site and s not in self.lost_sites}
-        return out
-
-    def is_served(self, site: str, kind: str, tenant: str, name: str, squeeze: float) -> bool:
-        """Is this object served in the present loss? By object: all parts of it alike. `squeeze`: of what the
-        plan would refuse, the share that has proved to be too much; it grows and shrinks by whole objects."""
-        kept = self.row.served_shares
-        if not kept or squeeze <= 0:
+            table = [None] * SLICE_COUNT
+            self.slice_tables[key] = table
+        return table
+
+    def _weights_of_any_class(self, row: LossPlanRow, site: str) -> dict[str, float]:
+        """For a class that the plan does not know: the sum of the site's other classes, else capacities."""
+        weights: dict[str, float] = {}
+        has_row = False
+        for (origin_site, _), shares in row.serving_shares.items():
+            if origin_site == site:
+                has_row = True
+                for serving_site, share in shares.items():
+                    weights[serving_site] = weights.get(serving_site, 0.0) + share
+        if has_row:
+            return weights
+        return {
+            name: other.capacity
+            for name, other in self.plan.topology.sites.items()
+            if name != site and name not in self.lost_sites
+        }
+
+    def is_served(self, site: str, class_name: str, tenant: str, object_name: str, strictness: float) -> bool:
+        """Whether the plan serves an object in the present losses, all its segments alike.
+
+        `strictness`: of what the plan would reject, the share that has to be rejected, 0 to 1; as it grows
+        and shrinks, whole objects follow."""
+        served_shares = self.row.served_shares
+        if not served_shares or strictness <= 0:
             return True
-        share = kept.get((site, kind, tenant), kept.get((site, kind, NO_TENANT), 1.0))
-        return share >= 1.0 or shed_position(name) < 1 - (1 - share) * squeeze
-
-    def route(self, life: SiteLifecycle, kind: str, name: str, own: bool, may_try: bool) -> SiteRoute:
-        """Where a request for an object of one site's clients goes, by that site's state. `own`: it is this
-        director's site; `may_try`: one more request may try a site that is not known to answer."""
-        site, phase = life.name, life.phase
-        if phase is SitePhase.STEADY:
-            return SiteRoute(site)
-        if phase in (SitePhase.SUSPECT, SitePhase.LOST):
-            if own or may_try:
-                return SiteRoute(site, is_trial=not own)
-            return SiteRoute(None, reason="in_doubt")
-        if phase is SitePhase.EVACUATED and may_try:
-            return SiteRoute(site, is_trial=True)
-        if phase is SitePhase.EVACUATED or move_position(site, name) < life.moved_share:
-            home = self.serving_site_for(site, kind, name)
-            return SiteRoute(home, reason="" if home else "no_room")
-        if phase is SitePhase.EVACUATING and life.was_unreachable and not own:
+        any_tenant_share = served_shares.get((site, class_name, NO_TENANT), 1.0)
+        share = served_shares.get((site, class_name, tenant), any_tenant_share)
+        return share >= 1.0 or shed_position(object_name) < 1 - (1 - share) * strictness
+
+    def route(
+        self, lifecycle: SiteLifecycle, class_name: str, object_name: str, is_local: bool, may_try: bool
+    ) -> SiteRoute:
+        """Where a request for an object of one site's clients goes, by that site's phase.
+
+        `is_local`: it is this director's site. `may_try`: one more request may be sent to a site that is not
+        known to answer."""
+        site = lifecycle.name
+        match lifecycle.phase:
+            case SitePhase.STEADY:
+                return SiteRoute(site)
+            case SitePhase.SUSPECT | SitePhase.LOST:
+                if is_local or may_try:
+                    return SiteRoute(site, is_trial=not is_local)
+                return SiteRoute(None, reason="in_doubt")
+            case SitePhase.EVACUATED:
+                if may_try:
+                    return SiteRoute(site, is_trial=True)
+                return self._moved_route(site, class_name, object_name)
+        if move_position(site, object_name) < lifecycle.moved_share:
+            return self._moved_route(site, class_name, object_name)
+        is_evacuating = lifecycle.phase is SitePhase.EVACUATING
+        if is_evacuating and lifecycle.was_unreachable and not is_local:
             return SiteRoute(None, reason="moving")
-        return SiteRoute(
-            site
-        )  # not moved yet, where stores and archive are left or nothing is dark; or home again
+        # Returned already; or not moved yet, from a site that answers or that is the own one.
+        return SiteRoute(site)
 
+    def _moved_route(self, site: str, class_name: str, object_name: str) -> SiteRoute:
+        serving_site = self.serving_site_for(site, class_name, object_name)
+        return SiteRoute(serving_site, reason="" if serving_site else "no_room")
 
-def is_evacuated(life: SiteLifecycle) -> bool:
-    """Is a site's room gone from the plan's point of view?"""
-    return life.phase in AWAY_PHASES or (life.phase is SitePhase.RETURNING and life.moved_share > 0)
+
+def is_evacuated(lifecycle: SiteLifecycle) -> bool:
+    """Whether a site's capacity is missing from the plan's point of view."""
+    is_returning = lifecycle.phase is SitePhase.RETURNING
+    return lifecycle.phase in AWAY_PHASES or (is_returning and lifecycle.moved_share > 0)
--- a/onyxwick/sites/status.py
+++ b/onyxwick/sites/status.py
@@ -1,80 +1,110 @@
-"""What operators are shown of sites, and the reasons for where an object goes."""
+"""The state of a site router as operators read it, and why an object goes where it goes.
+
+The keys of `router_status` are those of the administration API.
+"""
 
 from __future__ import annotations
 
 from typing import Any
 
 from onyxwick.sites.lifecycle import SitePhase
+from onyxwick.sites.model import MICROSECONDS_PER_SECOND
 from onyxwick.sites.router import SiteRouter
 from onyxwick.sites.traffic_slices import move_position, slice_of
 
 
-def router_status(sites: SiteRouter, now: int) -> dict[str, Any]:
-    """All of the state that an operator can act on."""
+def router_status(router: SiteRouter, now: int) -> dict[str, Any]:
+    """The administration API's document on sites, at `now` (us)."""
+    monitor = router.monitor
+    plan = monitor.serving_sites.plan
     return {
-        "home": sites.local_site,
-        "topology": sites.monitor.serving_sites.plan.digest,
-        "planned_losses": len(sites.monitor.serving_sites.plan.rows),
-        "calm": sites.monitor.all_steady,
-        "cut_off": sites.monitor.is_cut_off,
-        "sites": {name: _place(sites, name, now) for name in sites.topology.sites},
-        "hubs": {name: _place(sites, name, now) for name in sites.topology.hubs},
-        "orders": sites.monitor.commands.status(),
-        "open": len(sites.requests),
-        "counts": dict(sorted(sites.counts.items())),
+        "home": router.local_site,
+        "topology": plan.digest,
+        "planned_losses": len(plan.rows),
+        "calm": monitor.all_steady,
+        "cut_off": monitor.is_cut_off,
+        "sites": {name: _place_status(router, name, now) for name in router.topology.sites},
+        "hubs": {name: _place_status(router, name, now) for name in router.topology.hubs},
+        "orders": monitor.commands.status(),
+        "open": len(router.requests),
+        "counts": dict(sorted(router.counts.items())),
+    }
+
+
+def _place_status(router: SiteRouter, name: str, now: int) -> dict[str, Any]:
+    lifecycle = router.monitor.lifecycles[name]
+    observation = router.monitor.evidence.observe(now, name)
+    availability = router.monitor.membership.availability(name, now)
+    status: dict[str, Any] = {
+        "state": lifecycle.phase.value,
+        "since_s": round((now - lifecycle.phase_started_us) / MICROSECONDS_PER_SECOND, 1),
+        "why": lifecycle.reason,
+        "away": round(lifecycle.moved_share, 4),
+        "flaps": lifecycle.flaps,
+        "hold_s": round(lifecycle.hold_us / MICROSECONDS_PER_SECOND, 1),
+        "boxes": {
+            "tried": observation.tried,
+            "dark": observation.unreachable,
+            "listed": round(availability.listed_share, 3),
+        },
+        "cause": observation.cause(),
+        "capacity": {
+            "room": round(availability.capacity_share, 3),
+            "warmth": round(availability.warm_share, 3),
+        },
     }
+    return status | _usage_status(router, name)
 
 
-def _place(sites: SiteRouter, name: str, now: int) -> dict[str, Any]:
-    life, seen, standing = (
-        sites.monitor.lifecycles[name],
-        sites.monitor.evidence.observe(now, name),
-        sites.monitor.membership.availability(name, now),
-    )
-    unit = sites.sites.get(name)
-    out: dict[str, Any] = {
-        "state": life.phase.value,
-        "since_s": round((now - life.phase_started_us) / 1e6, 1),
-        "why": life.reason,
-        "away": round(life.moved_share, 4),
-        "flaps": life.flaps,
-        "hold_s": round(life.hold_us / 1e6, 1),
-        "boxes": {"tried": seen.tried, "dark": seen.unreachable, "listed": round(standing.listed_share, 3)},
-        "cause": seen.cause(),
-        "capacity": {"room": round(standing.capacity_share, 3), "warmth": round(standing.warm_share, 3)},
+def _usage_status(router: SiteRouter, name: str) -> dict[str, Any]:
+    """How this director uses a site's caches; empty where it does not."""
+    site = router.sites.get(name)
+    if site is None:
+        return {}
+    return {
+        "open": site.in_flight,
+        "pressure": round(site.shedding.pressure, 3),
+        "step": site.shedding.level,
+        "reserve": round(site.retry_reserve, 3),
+        "limit": round(site.shedding.gate.adaptive_limit.limit, 1),
     }
-    if unit is not None:
-        out |= {
-            "open": unit.in_flight,
-            "pressure": round(unit.shedding.pressure, 3),
-            "step": unit.shedding.level,
-            "reserve": round(unit.retry_reserve, 3),
-            "limit": round(unit.shedding.gate.adaptive_limit.limit, 1),
-        }
-    return out
 
 
-def explain(sites: SiteRouter, site: str, kind: str, name: str) -> list[str]:
-    """Why an object of a site's clients goes where it goes at this instant. KeyError for what is unknown."""
-    life, told = sites.monitor.lifecycles[site], sites.classes[kind]
-    if site not in sites.topology.sites:
+def explain(router: SiteRouter, site: str, class_name: str, object_name: str) -> list[str]:
+    """Why an object of a site's clients goes where it goes at this instant, a sentence a step.
+
+    KeyError for an unknown site or class."""
+    monitor = router.monitor
+    lifecycle = monitor.lifecycles[site]
+    request_class = router.classes[class_name]
+    if site not in router.topology.sites:
         raise KeyError(site)
-    out = [f"Site '{site}' is {life.phase.value}: {life.reason}."]
-    if told.is_write and sites.settings.cache_bypass:
+    sentences = [f"Site '{site}' is {lifecycle.phase.value}: {lifecycle.reason}."]
+    if request_class.is_write and router.settings.cache_bypass:
+        runs_at_origin = f"A '{class_name}' runs at the archive and is sent there from here"
+        return [*sentences, f"{runs_at_origin}, whatever boxes there are."]
+    if monitor.serving_sites.lost_sites:
+        sentences.append(f"Held to be lost: {', '.join(sorted(monitor.serving_sites.lost_sites))}.")
+    if not monitor.serving_sites.is_served(site, class_name, "", object_name, 1.0):
         return [
-            *out,
-            f"A '{kind}' runs at the archive and is sent there from here, whatever boxes there are.",
+            *sentences,
+            "The plan has no room for this object in that loss: it is refused at once.",
         ]
-    if sites.monitor.serving_sites.lost_sites:
-        out.append(f"Held to be lost: {', '.join(sorted(sites.monitor.serving_sites.lost_sites))}.")
-    if not sites.monitor.serving_sites.is_served(site, kind, "", name, 1.0):
-        return [*out, "The plan has no room for this object in that loss: it is refused at once."]
-    if life.phase is SitePhase.STEADY:
-        return [*out, f"It is served by the boxes of '{site}'."]
-    new, turn = sites.monitor.serving_sites.serving_site_for(site, kind, name), move_position(site, name)
-    out.append(
-        f"Its slice is {slice_of(name)}, whose new home is {repr(new) if new else 'nowhere'}; its turn is"
-        f" {turn:.3f}, and {life.moved_share:.3f} of the objects are away."
-    )
-    way = sites.monitor.serving_sites.route(life, kind, name, site == sites.local_site, may_try=False)
-    return [*out, f"It goes to '{way.site}'." if way.site else f"It is refused at once: {way.reason}."]
+    if lifecycle.phase is SitePhase.STEADY:
+        return [*sentences, f"It is served by the boxes of '{site}'."]
+    return [*sentences, *_explain_route(router, site, class_name, object_name)]
+
+
+def _explain_route(router: SiteRouter, site: str, class_name: str, object_name: str) -> list[str]:
+    serving_sites = router.monitor.serving_sites
+    lifecycle = router.monitor.lifecycles[site]
+    serving_site = serving_sites.serving_site_for(site, class_name, object_name)
+    position = move_position(site, object_name)
+    is_local = site == router.local_site
+    route = serving_sites.route(lifecycle, class_name, object_name, is_local, may_try=False)
+    destination = f"'{serving_site}'" if serving_site else "nowhere"
+    return [
+        f"Its slice is {slice_of(object_name)}, whose new home is {destination}; its turn is"
+        f" {position:.3f}, and {lifecycle.moved_share:.3f} of the objects are away.",
+        f"It goes to '{route.site}'." if route.site else f"It is refused at once: {route.reason}.",
+    ]
--- a/onyxwick/sites/views.py
+++ b/onyxwick/sites/views.py
@@ -1,4 +1,4 @@
-"""A picture of every loss before it happens: how much of each place it would use."""
+"""A figure of every loss before it happens: the share of each place's capacity that it would use."""
 
 from __future__ import annotations
 
@@ -9,37 +9,52 @@
 matplotlib.use("Agg")
 from matplotlib import pyplot
 
-from onyxwick.sites.linear_program import resource_name
+from onyxwick.sites.loss_outcome import LINK, LossOutcome, Resource, resource_name
 from onyxwick.sites.loss_study import LossStudy
 
-MOST_ROWS, MOST_COLUMNS = 60, 40  # the fullest ones; more would be no picture
+MAX_ROWS = 60  # losses drawn, those with the fullest place
+MAX_COLUMNS = 40  # places drawn, the fullest ones
+MIN_SIZE_INCHES = (6.0, 3.0)
+FULL_SCALE = 1.1  # share at the end of the colour scale
+DOTS_PER_INCH = 120
 
 
 def draw_losses(study: LossStudy, path: Path) -> None:
-    """Losses by places, the share used as colour and figure; what is refused stands beside each loss."""
-    outcomes = sorted(
-        study.outcomes.values(), key=lambda o: -max((u.share for u in o.resource_use.values()), default=0)
-    )
-    rows = outcomes[:MOST_ROWS]
-    places = sorted(
-        {r for o in rows for r in o.resource_use if r[0] != "link"},
-        key=lambda r: -max(o.resource_use[r].share for o in rows if r in o.resource_use),
-    )[:MOST_COLUMNS]
-    table = [[o.resource_use[p].share if p in o.resource_use else 0.0 for p in places] for o in rows]
-    width, height = 3 + 0.55 * len(places), 1.6 + 0.32 * len(rows)
-    figure, axes = pyplot.subplots(figsize=(max(6, width), max(3, height)), layout="constrained")
-    shown = axes.imshow(table, vmin=0, vmax=1.1, cmap="YlOrRd", aspect="auto")
-    axes.set_xticks(
-        range(len(places)), [resource_name(p) for p in places], rotation=60, ha="right", fontsize=7
-    )
-    labels = [
-        f"{o.loss} ({1 - o.served_value / o.offered_value:.0%} refused)" if o.offered_value else str(o.loss)
-        for o in rows
-    ]
-    axes.set_yticks(range(len(rows)), labels, fontsize=7)
-    for y, line in enumerate(table):
-        for x, share in enumerate(line):
-            axes.text(x, y, f"{share:.0%}", ha="center", va="center", fontsize=6)
-    figure.colorbar(shown, label="share of capacity used")
-    figure.savefig(path, dpi=120)
+    """Losses by places, the used share as colour and number; beside each loss the rejected share."""
+    rows = sorted(study.outcomes.values(), key=lambda outcome: -_fullest(outcome))[:MAX_ROWS]
+    columns = _fullest_places(rows)
+    shares = [[_share(outcome, place) for place in columns] for outcome in rows]
+    size = (max(MIN_SIZE_INCHES[0], 3 + 0.55 * len(columns)), max(MIN_SIZE_INCHES[1], 1.6 + 0.32 * len(rows)))
+    figure, axes = pyplot.subplots(figsize=size, layout="constrained")
+    image = axes.imshow(shares, vmin=0, vmax=FULL_SCALE, cmap="YlOrRd", aspect="auto")
+    names = [resource_name(place) for place in columns]
+    axes.set_xticks(range(len(columns)), names, rotation=60, ha="right", fontsize=7)
+    axes.set_yticks(range(len(rows)), [_label(outcome) for outcome in rows], fontsize=7)
+    for row, line in enumerate(shares):
+        for column, share in enumerate(line):
+            axes.text(column, row, f"{share:.0%}", ha="center", va="center", fontsize=6)
+    figure.colorbar(image, label="share of capacity used")
+    figure.savefig(path, dpi=DOTS_PER_INCH)
     pyplot.close(figure)
+
+
+def _share(outcome: LossOutcome, place: Resource) -> float:
+    use = outcome.resource_use.get(place)
+    return use.share if use is not None else 0.0
+
+
+def _fullest(outcome: LossOutcome) -> float:
+    return max((use.share for use in outcome.resource_use.values()), default=0)
+
+
+def _fullest_places(outcomes: list[LossOutcome]) -> list[Resource]:
+    places = {place for outcome in outcomes for place in outcome.resource_use if place[0] != LINK}
+    return sorted(places, key=lambda place: -max(_share(outcome, place) for outcome in outcomes))[
+        :MAX_COLUMNS
+    ]
+
+
+def _label(outcome: LossOutcome) -> str:
+    if not outcome.offered_value:
+        return str(outcome.loss)
+    return f"{outcome.loss} ({1 - outcome.served_value / outcome.offered_value:.0%} refused)"
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -385,7 +385,7 @@
 def test_unread_answers_and_connections_of_one_cell_leave_the_others_theirs() -> None:
     """Clients that never read fill their own cell's part of the front and no more."""
     w = CellWorld()
-    holding = ConnectionReservation(w.cells, most_bytes=1_000_000, most_clients=100)
+    holding = ConnectionReservation(w.cells, max_bytes=1_000_000, max_clients=100)
     releases = []
     while not holding.bytes_exhausted("a"):
         releases.append(holding.reserve_bytes("a", 10_000))
--- a/tests/test_cells_placement.py
+++ b/tests/test_cells_placement.py
@@ -11,8 +11,9 @@
 from hypothesis import strategies as st
 
 from onyxwick.cells.limits import ReservedPool
-from onyxwick.cells.model import Cell, CellPlanError, KeyRange, MigrationSpec, TenantSpec, check_plan
+from onyxwick.cells.model import Cell, CellPlanError, KeyRange, MigrationSpec, TenantSpec
 from onyxwick.cells.placement import Placement, cells_hash, compute_placement
+from onyxwick.cells.plan_check import check_plan
 from onyxwick.interface import Member
 from onyxwick.subrouters.admission_gate import AdaptiveLimit, AdmissionGate
 from onyxwick.subrouters.share_arbiter import ShareArbiter
--- a/tests/test_sites_life.py
+++ b/tests/test_sites_life.py
@@ -10,13 +10,7 @@
 import pytest
 
 from onyxwick.interface import AttemptEnded, AttemptStatus
-from onyxwick.sites.evidence import (
-    MAX_FEED_INTERVAL_US,
-    OVERDUE_US,
-    AttemptEvidence,
-    Evidence,
-    classify_attempt,
-)
+from onyxwick.sites.evidence import MAX_FEED_INTERVAL_US, Evidence
 from onyxwick.sites.lifecycle import (
     AWAY_PHASES,
     LEGAL_TRANSITIONS,
@@ -26,6 +20,7 @@
     SiteLifecycle,
     SitePhase,
 )
+from onyxwick.sites.member_evidence import OVERDUE_US, AttemptEvidence, classify_attempt
 from onyxwick.sites.model import SitePolicy
 from onyxwick.sites.operator_commands import (
     ABORT_AFTER_US,
--- a/tests/test_sites_plan.py
+++ b/tests/test_sites_plan.py
@@ -14,7 +14,8 @@
 from onyxwick.config import ConfigError, hcl
 from onyxwick.config.fields import Fields
 from onyxwick.config.sites import check_against, read_plan, read_sites
-from onyxwick.sites.linear_program import SiteLoss, solve_loss
+from onyxwick.sites.loss_outcome import SiteLoss
+from onyxwick.sites.loss_solver import solve_loss
 from onyxwick.sites.loss_study import study_losses
 from onyxwick.sites.model import (
     ORIGIN_PLACE,
@@ -24,19 +25,14 @@
     Site,
     SitePolicy,
     Topology,
-    check_topology,
 )
 from onyxwick.sites.model import NetworkLink as Way
-from onyxwick.sites.plan import (
-    PlanMismatchError,
-    SitePlan,
-    loss_key,
-    plan_from_json,
-    plan_to_json,
-    topology_digest,
-)
+from onyxwick.sites.plan import SitePlan, loss_key
+from onyxwick.sites.plan_document import PlanMismatchError, plan_from_json, plan_to_json
+from onyxwick.sites.topology_check import check_topology
+from onyxwick.sites.topology_digest import topology_digest
 from onyxwick.sites.traffic_slices import (
-    SLICES,
+    SLICE_COUNT,
     move_position,
     serving_site_of_slice,
     serving_site_table,
@@ -179,9 +175,9 @@
     table = serving_site_table("north", weights)
     counts = Counter(table)
     for site, share in weights.items():
-        assert abs(counts[site] / SLICES - share) < 4 * (share * (1 - share) / SLICES) ** 0.5
+        assert abs(counts[site] / SLICE_COUNT - share) < 4 * (share * (1 - share) / SLICE_COUNT) ** 0.5
     again = serving_site_table("north", {s: w for s, w in weights.items() if s != "south"})
-    moved = [n for n in range(SLICES) if table[n] != again[n]]
+    moved = [n for n in range(SLICE_COUNT) if table[n] != again[n]]
     assert moved and all(table[n] == "south" for n in moved)
     assert serving_site_of_slice("north", 1, {}) is None
     turns = [move_position("north", f"{n:016x}") for n in range(4000)]
