--- a/onyxwick/cells/active_cell.py
+++ b/onyxwick/cells/active_cell.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from onyxwick.interface import Member
-from onyxwick.logic import Router
+from onyxwick.routing import Router
 from onyxwick.subrouters import RequestOwner
 from onyxwick.subrouters.admission_gate import AdmissionGate
 
@@ -36,7 +36,7 @@
     @property
     def ready_caches(self) -> int:
         """Caches in this director's zone that the cell can send to."""
-        return len(self.router.caches)
+        return len(self.router.endpoints.caches)
 
     def record_answer(self, taken_us: int, late: bool) -> None:
         """A request was answered this long after its admission."""
--- a/onyxwick/cells/membership.py
+++ b/onyxwick/cells/membership.py
@@ -20,7 +20,7 @@
     RouterSettings,
     WeightSource,
 )
-from onyxwick.logic import DRAWN, GUESSED, PARENT_LINK
+from onyxwick.routing.capacity import INFERRED_CAPACITY_MARGIN, LINK_PER_CACHES, PARENT_PER_LINK
 
 
 @dataclass(frozen=True, slots=True)
@@ -121,12 +121,14 @@
             return member
         transfers = settings.zone_link_kb_per_s / settings.transfer_kb_per_s
         if member.kind in self.upstream_kinds:
-            return replace(member, weight=GUESSED * transfers * PARENT_LINK)
+            return replace(member, weight=INFERRED_CAPACITY_MARGIN * transfers * PARENT_PER_LINK)
         caches_in_zone = sum(
             other.zone == member.zone and other.kind not in self.upstream_kinds
             for other in self.members.values()
         )
-        return replace(member, weight=GUESSED * transfers / DRAWN / max(1, caches_in_zone))
+        return replace(
+            member, weight=INFERRED_CAPACITY_MARGIN * transfers / LINK_PER_CACHES / max(1, caches_in_zone)
+        )
 
     def local_cache_count(self, cells: Iterable[str]) -> int:
         """Caches in this zone that are assigned to the cells, ready or not."""
--- a/onyxwick/cells/router.py
+++ b/onyxwick/cells/router.py
@@ -39,13 +39,12 @@
     RouterSettings,
     WeightSource,
 )
-from onyxwick.logic import Router
+from onyxwick.routing import Router
 from onyxwick.subrouters import SubrouterDispatcher
 from onyxwick.subrouters.dispatcher import REBALANCE_TICKS, TICK_INTERVAL_US
 from onyxwick.subrouters.share_arbiter import ShareArbiter
 
 INITIAL_PARENT_SHARE = 1e-3  # of the parents' budget: a new cell's, until its own share is available
-MIN_RETRY_BURST = 4.0  # retries that a cell may make at once, however small its weight
 
 
 @dataclass(frozen=True, slots=True)
@@ -265,8 +264,7 @@
             settings = replace(settings, weight_source=WeightSource.NOMINAL)
         router = Router(settings, self.random.getrandbits(64), self.now)
         share = weight / sum(self._weights().values())
-        router.burst = max(MIN_RETRY_BURST, router.burst * share)
-        router.retries = router.burst
+        router.retry_budget.scale(share)
         cell = ActiveCell(name, router, self.admission.max_in_flight)
         self._replay_purges(cell)
         if name not in self.arbiter.shares:
--- a/onyxwick/sites/router.py
+++ b/onyxwick/sites/router.py
@@ -34,7 +34,7 @@
     RouterSettings,
     SiteStateChanged,
 )
-from onyxwick.logic import Router
+from onyxwick.routing import Router
 from onyxwick.sites.active_site import ActiveSite, RoutedAttempt, SiteRequestOwner
 from onyxwick.sites.lifecycle import AWAY_PHASES
 from onyxwick.sites.load_shedding import RETRY_SHEDDING_LEVEL
