--- a/onyxwick/hosting/site_planning.py
+++ b/onyxwick/hosting/site_planning.py
@@ -30,7 +30,7 @@
         engine.counters.add("error.sites.plan")
         log.error("no plan for site losses", error=str(error))
         return
-    sites.replan(engine.now(), planned.plan)
+    sites.replace_plan(engine.now(), planned.plan)
     engine.handle()
     log.info("plan for site losses installed", losses=len(planned.plan.rows), topology=planned.plan.digest)
     for finding in planned.findings[:MAX_LOGGED_FINDINGS]:
@@ -43,7 +43,7 @@
         from onyxwick.config.sites import read_plan
 
         return _Planned(read_plan(config.topology, config.plan_file), [])
-    from onyxwick.sites.loss_study import study
+    from onyxwick.sites.loss_study import study_losses
 
-    result = study(config.topology)
+    result = study_losses(config.topology)
     return _Planned(result.plan(), result.findings())
--- a/onyxwick/net/call_intake.py
+++ b/onyxwick/net/call_intake.py
@@ -159,7 +159,7 @@
                 connection.begin_closing(ConnectionCloseReason.SLOT_NEEDED)
                 return False
             connection.cell = cell
-        return not reservation.full(connection.cell)
+        return not reservation.bytes_exhausted(connection.cell)
 
     # ---- rejections --------------------------------------------------------------------------------------
 
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -31,7 +31,7 @@
 from onyxwick.operations.operator_commands import KnownCaches
 from onyxwick.operations.persisted_commands import PersistedCommands
 from onyxwick.sites.lifecycle import SiteDirective
-from onyxwick.sites.operator_commands import SiteCommand, of_row, to_row
+from onyxwick.sites.operator_commands import SiteCommand, command_from_row, command_to_row
 from onyxwick.store import records
 from onyxwick.store.durable_state import DurableState
 from onyxwick.store.encryption import SecretCipher
@@ -124,7 +124,7 @@
     assert plan.cells["cell-a"].weight == 2.0
     assert plan.cells["cell-b"].members == ("box-3",)
     assert plan.tenants["acme"].cells == ("cell-a",)
-    assert plan.policy.reserved == 0.25
+    assert plan.policy.reserved_share == 0.25
 
 
 def test_drains_purges_intents_and_the_feed_are_read(state: DurableState) -> None:
@@ -145,12 +145,12 @@
 
 
 def test_site_commands_are_read(state: DurableState) -> None:
-    commands = [of_row(row) for row in state.site_command_rows()]
+    commands = [command_from_row(row) for row in state.site_command_rows()]
     assert commands == [
         SiteCommand("site-north", SiteDirective.EVACUATE, "exercise", "operator", START_US + 12 * S, 120 * S),
         SiteCommand("site-south", SiteDirective.HOLD, "", "operator", START_US + 13 * S, 0),
     ]
-    assert [to_row(command) for command in commands] == state.site_command_rows()
+    assert [command_to_row(command) for command in commands] == state.site_command_rows()
 
 
 def test_the_outcome_of_an_idempotent_call_is_read(state: DurableState) -> None:
