--- a/onyxwick/net/director_feed.py
+++ b/onyxwick/net/director_feed.py
@@ -12,7 +12,7 @@
 from onyxwick.core import RequestEngine
 from onyxwick.core.clock import FeedTimestamps
 from onyxwick.counters import Counters
-from onyxwick.distribution.documents import Assembler, DocumentError
+from onyxwick.distribution.documents import DocumentAssembler, DocumentError
 from onyxwick.distribution.model import (
     CacheListChange,
     Cursor,
@@ -46,7 +46,7 @@
         self.stamps = FeedTimestamps()
         self.versions: dict[str, tuple[int, str]] = {}  # of each complete document: version and digest
         self.cursor = Cursor(0, 0)
-        self._assembler = Assembler()
+        self._assembler = DocumentAssembler()
 
     def deliver(self, event: FeedEvent, from_snapshot: bool) -> None:
         """Apply one event; one that cannot be used is counted and logged, and the feed goes on."""
@@ -61,7 +61,7 @@
 
     def install(self, snapshot: FeedSnapshot) -> None:
         """Apply a complete state; its purges have been delivered before."""
-        self._assembler = Assembler()
+        self._assembler = DocumentAssembler()
         for payload in snapshot.payloads:
             if isinstance(payload, PurgeEvent):
                 continue
--- a/onyxwick/net/fanout_server.py
+++ b/onyxwick/net/fanout_server.py
@@ -42,7 +42,7 @@
         """Admit the subscriber, or close where the width is exhausted."""
         self.transport = cast("asyncio.Transport", transport)  # uvloop's own does not inherit from it
         self.transport.set_write_buffer_limits(high=self.server.fanout.limits.high_water_bytes)
-        self.subscriber = self.server.fanout.connect(self.server.clock())
+        self.subscriber = self.server.fanout.on_connected(self.server.clock())
         if self.subscriber is None:
             self.transport.abort()
         else:
@@ -72,10 +72,10 @@
             log.warning("invalid subscriber request", detail=str(error))
             self.transport.abort()
             return
-        if not server.fanout.follow(self.subscriber, cursor, now_us):
+        if not server.fanout.on_follow(self.subscriber, cursor, now_us):
             self.transport.abort()
             return
-        wait_s = (self.subscriber.admitted_at - now_us) / US_PER_S
+        wait_s = (self.subscriber.admitted_at_us - now_us) / US_PER_S
         delay_s = wait_s + ADMISSION_SLACK_S if wait_s > 0 else 0
         asyncio.get_running_loop().call_later(delay_s, self.flush)
 
@@ -93,7 +93,7 @@
         now_us = server.clock()
         while not self._paused:
             free_bytes = server.fanout.limits.high_water_bytes - transport.get_write_buffer_size()
-            data = server.fanout.take(subscriber, free_bytes, now_us)
+            data = server.fanout.next_bytes(subscriber, free_bytes, now_us)
             if not data:
                 return
             server.sent_bytes += len(data)
@@ -112,7 +112,7 @@
         """Forget the subscriber."""
         self.server.connections.discard(self)
         if self.subscriber is not None:
-            self.server.fanout.close(self.subscriber)
+            self.server.fanout.on_closed(self.subscriber)
 
 
 class FanOutServer:
@@ -167,7 +167,7 @@
             if line and unsent == 0 and self.fanout.is_current(subscriber):
                 self.sent_bytes += len(line)
                 transport.write(line)
-            elif reason := self.fanout.expired(subscriber, unsent, now_us):
+            elif reason := self.fanout.close_reason(subscriber, unsent, now_us):
                 self.counters.add("subscriber.expired")
                 log.info("subscriber closed", reason=reason)
                 transport.abort()
--- a/onyxwick/net/publisher_node.py
+++ b/onyxwick/net/publisher_node.py
@@ -14,10 +14,11 @@
 from onyxwick.config.errors import ConfigError
 from onyxwick.core.clock import steady_us, wall_us
 from onyxwick.counters import Counters
-from onyxwick.distribution.documents import Assembler, DocumentError
+from onyxwick.distribution.documents import DocumentAssembler, DocumentError
 from onyxwick.distribution.durable_feed import DurableFeed
 from onyxwick.distribution.fanout import FanOut, FanOutLimits
-from onyxwick.distribution.follower import PLAIN_COORDINATOR, Follower, FollowerState
+from onyxwick.distribution.follower import Follower, FollowerState
+from onyxwick.distribution.follower_actions import PLAIN_COORDINATOR
 from onyxwick.distribution.model import (
     MAX_DOCUMENT_BYTES,
     ORIGIN,
@@ -25,7 +26,7 @@
     DocumentPart,
     FeedEvent,
     Freshness,
-    PublishRefusedError,
+    PublishRejectedError,
     PurgeEvent,
     UnknownPayload,
 )
@@ -55,7 +56,7 @@
         self.config = config
         self.counters = Counters()
         self.replica = Replica(retention_ms=config.retention_ms)
-        limits = FanOutLimits(width=config.width, admission=config.admission)
+        limits = FanOutLimits(max_subscribers=config.width, admission=config.admission)
         self.fanout = FanOut(self.replica, limits, authoritative=True)
         self.server = FanOutServer(self.fanout, config.listen, self.counters)
         self.durable: DurableFeed | None = None
@@ -63,7 +64,7 @@
         bulk_limits = PublisherLimits(bulk_bytes_per_s=config.bulk_bytes_per_s)
         self.publisher = Publisher(self.replica, steady_us(), bulk_limits)
         self.subscription = self._subscribe(upstream)
-        self._assembler = Assembler()
+        self._assembler = DocumentAssembler()
         self._saved_upstream = upstream  # what is read behind it while documents are queued is read again
         self._flush_timer: asyncio.TimerHandle | asyncio.Handle | None = None
         self._store_failure: asyncio.Future[None]
@@ -83,7 +84,7 @@
         if not parents:
             return None
         delays = ReconnectDelays(self.config.seed, steady_us())
-        follower = Follower(1, delays, upstream, PLAIN_COORDINATOR, restarts=True)
+        follower = Follower(1, delays, upstream, PLAIN_COORDINATOR, resets_on_restart=True)
         return Subscription(follower, parents, self, self.counters)
 
     # ---- input -------------------------------------------------------------------------------------------
@@ -94,10 +95,10 @@
             if isinstance(event.payload, DocumentPart):
                 self._add_document_part(event.payload)
             elif isinstance(event.payload, UnknownPayload):
-                raise PublishRefusedError(event.payload.detail)
+                raise PublishRejectedError(event.payload.detail)
             else:
                 self.publisher.submit(event.payload, steady_us() // US_PER_MS)
-        except (PublishRefusedError, DocumentError) as error:
+        except (PublishRejectedError, DocumentError) as error:
             self.counters.add("refused.event")
             log.error("event not published", index=event.cursor.packed, reason=str(error))
         self._schedule(0.0)
@@ -122,7 +123,7 @@
         for name, text in texts:
             try:
                 version = self.publisher.submit_document(name, text)
-            except PublishRefusedError as error:
+            except PublishRejectedError as error:
                 raise ConfigError(f"document '{name}': {error}") from None
             log.info("document queued", name=name, version=version)
         self._schedule(0.0)
@@ -152,8 +153,8 @@
     def _flush(self) -> None:
         self._flush_timer = None
         now_us = steady_us()
-        events = self.publisher.due(now_us)
-        if not self.publisher.bulk and self.subscription is not None:
+        events = self.publisher.take_due_events(now_us)
+        if not self.publisher.document_queue and self.subscription is not None:
             self._saved_upstream = self.subscription.follower.cursor
         if events:
             if not self._persist(events, now_us):
@@ -161,7 +162,7 @@
             for event in events:
                 self.replica.apply(event, now_us // US_PER_MS)
             self.server.on_published()
-        wait_us = self.publisher.next_due_us(now_us)
+        wait_us = self.publisher.next_due_in_us(now_us)
         if wait_us is not None:
             self._schedule(max(MIN_FLUSH_DELAY_S, wait_us / US_PER_S))
 
@@ -195,7 +196,7 @@
     async def _announce_freshness(self) -> None:
         while True:
             if self._is_source_reachable():
-                self.fanout.fresh(Freshness(self.replica.cursor, wall_us() // US_PER_MS))
+                self.fanout.on_freshness(Freshness(self.replica.cursor, wall_us() // US_PER_MS))
             await asyncio.sleep(FRESHNESS_INTERVAL_S)
 
     def _is_source_reachable(self) -> bool:
@@ -209,7 +210,7 @@
     def status(self) -> dict[str, Any]:
         """The status as a JSON object."""
         status = node_status(self.config, self.replica, self.fanout, self.server, self.counters)
-        return {**status, "queued": len(self.publisher.urgent) + len(self.publisher.bulk)}
+        return {**status, "queued": len(self.publisher.urgent_queue) + len(self.publisher.document_queue)}
 
 
 def _read_document(row: DocumentFile) -> str:
