--- a/onyxwick/routing/cache_selection.py
+++ b/onyxwick/routing/cache_selection.py
@@ -69,11 +69,11 @@
         for cache in candidates:
             if cache.ejected and not may_be_trial:
                 continue
-            if self.admits(cache, request_class, transfer_us, now_us):
+            if self._admits(cache, request_class, transfer_us, now_us):
                 return cache
         return None
 
-    def admits(
+    def _admits(
         self, cache: MemberRecord, request_class: RequestClass, transfer_us: float, now_us: int
     ) -> bool:
         """Whether a cache may take one more request of a class now."""
--- a/onyxwick/routing/fill_source.py
+++ b/onyxwick/routing/fill_source.py
@@ -80,7 +80,10 @@
         return source not in self.endpoints.parents
 
     def origin_is_full(self, request: RequestState, source: MemberRecord | None, now_us: int) -> bool:
-        """Whether a parent may serve only what it holds, as the origin behind it is at its limit."""
+        """Whether `source` is a parent and the origin behind it is at its concurrency limit.
+
+        Such a parent is asked only for what it holds itself.
+        """
         origin = self.endpoints.origin
         if origin is None or source not in self.endpoints.parents:
             return False
--- a/onyxwick/routing/router.py
+++ b/onyxwick/routing/router.py
@@ -123,7 +123,7 @@
             settings, self.endpoints, self.latency, self.popularity, self.outliers, self.concurrency_limit
         )
 
-    # ---- what others read -------------------------------------------------------------------------------
+    # ---- for metrics and the core --------------------------------------------------------------------------
 
     def ejected_count(self) -> int:
         """Number of members that are ejected at present."""
--- a/onyxwick/routing/slow_start.py
+++ b/onyxwick/routing/slow_start.py
@@ -26,6 +26,8 @@
 BUDGET_MARGIN = 0.5
 """Of what the rule allows: weights are approximate and routers are loaded unevenly."""
 GOLDEN_RATIO_FRACTION = 0.6180339887
+SEND_PHASE_KEY = "turn"
+"""Hashed with a member's address; the same at every router."""
 RESTART_NOTICE_US = 5 * US_PER_S
 """The endpoint list announces a restart within this time."""
 
@@ -116,7 +118,7 @@
     ) -> bool:
         """Whether a single send of this router came up within the last overload window."""
         curve = self._curve(member)
-        draw = exponential_draw("turn", member.info.address)
+        draw = exponential_draw(SEND_PHASE_KEY, member.info.address)
         phase = (self.router_index * GOLDEN_RATIO_FRACTION + draw) % 1.0
         age_us = now_us - member.warming_since_us
         before_us = max(0, age_us - self.window_us)
