--- a/onyxwick/net/coordinator_feed.py
+++ b/onyxwick/net/coordinator_feed.py
@@ -18,8 +18,8 @@
 from onyxwick import logs
 from onyxwick.config.address import Address
 from onyxwick.core import RequestEngine
-from onyxwick.core.clock import FeedStamps
-from onyxwick.core.pacing import BackoffPolicy, DoublingTimeout, ReconnectBackoff
+from onyxwick.core.backoff import BackoffPolicy, DoublingTimeout, ReconnectBackoff
+from onyxwick.core.clock import FeedTimestamps
 from onyxwick.counters import Counters
 from onyxwick.net.buffer import ReceiveBuffer
 from onyxwick.net.errors import EventApplyError, FeedConnectionError
@@ -81,11 +81,11 @@
         self.buffer = ReceiveBuffer()
         self.line_began_s = 0.0
         self.line_limit = DoublingTimeout(LINE_LIMIT_S, MAX_LINE_LIMIT_DOUBLINGS)
-        self.stamps = FeedStamps()
+        self.stamps = FeedTimestamps()
         self.apply_failures = 0  # of the next event
         self.gap_connections = 0  # connections on which the next event was missing
         self._silence_limit: asyncio.Timeout | None = None  # of the present connection
-        core.guard.catch_up = self.catch_up
+        core.guard.read_pending_feed = self.catch_up
 
     # ---- events ------------------------------------------------------------------------------------------
 
@@ -94,7 +94,7 @@
         events = known.get(CONFIGURED_EVENTS) or ()
         now_us = self.core.now()
         if newest_us := newest_stamp_us(events, now_us + MAX_CLOCK_STEP_US):
-            self.stamps.begin(newest_us, now_us)
+            self.stamps.anchor(newest_us, now_us)
         for event in events:
             for _ in range(MAX_APPLY_ATTEMPTS):
                 with contextlib.suppress(EventApplyError):
@@ -126,13 +126,13 @@
                 raise EventApplyError(index) from error
         self.last_index = index
         self.apply_failures = 0
-        self.core.feed_observed(index)
+        self.core.feed.record_feed_index(index)
 
     def _apply_changes(self, changes: FeedChanges) -> None:
         if changes.endpoints is not None:
-            self.core.list_changed(changes.endpoints.change, changes.endpoints.addresses)
+            self.core.feed.apply_endpoints(changes.endpoints.change, changes.endpoints.addresses)
         if changes.purge is not None:
-            self.core.purged(changes.purge.group, changes.purge.name, changes.purge.made_at_us)
+            self.core.feed.apply_purge(changes.purge.group, changes.purge.name, changes.purge.made_at_us)
 
     def report_bad_input(self, text: str) -> None:
         """Count and log invalid input of the coordinator."""
@@ -178,7 +178,7 @@
             raise FeedConnectionError(f"event {self.announced_index} was announced and not received")
         self.announced_index = index
         if self.last_index >= index:
-            self.stamps.caught_up(self.core.now())
+            self.stamps.mark_caught_up(self.core.now())
 
     # ---- the connection ----------------------------------------------------------------------------------
 
--- a/onyxwick/net/subscription.py
+++ b/onyxwick/net/subscription.py
@@ -11,8 +11,8 @@
 
 from onyxwick import logs
 from onyxwick.config.address import Address, format_address
+from onyxwick.core.backoff import BackoffPolicy, ReconnectBackoff
 from onyxwick.core.clock import steady_us
-from onyxwick.core.pacing import BackoffPolicy, ReconnectBackoff
 from onyxwick.counters import Counters
 from onyxwick.distribution.codec import HEAD_BYTES, stub_of
 from onyxwick.distribution.follower import (
@@ -54,7 +54,9 @@
     """The waits between a follower's connections: exponential backoff with full jitter."""
 
     def __init__(self, seed: int, now: int) -> None:
-        self._backoff = ReconnectBackoff(seed, now, BackoffPolicy(max_delay_us=MAX_RETRY_US), directors=1)
+        self._backoff = ReconnectBackoff(
+            seed, now, BackoffPolicy(max_delay_us=MAX_RETRY_US), director_count=1
+        )
 
     def next_delay_us(self) -> int:
         """The wait before the next attempt, in microseconds."""
@@ -75,9 +77,11 @@
         self._oversized = b""  # the beginning of a line that is too long, while its rest is skipped
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport; the follower writes its request."""
         self.transport = cast("asyncio.Transport", transport)  # uvloop's own does not inherit from it
 
     def data_received(self, data: bytes) -> None:
+        """Pass complete lines on and keep the rest."""
         self._partial_line += data
         end = self._partial_line.rfind(b"\n")
         if end < 0:
@@ -99,6 +103,7 @@
             self._partial_line.clear()
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Report the end of the connection."""
         self.owner.on_connection_failed(self, repr(exc) if exc is not None else "closed by the parent")
 
 
