--- a/onyxwick/admin/durable_api.py
+++ b/onyxwick/admin/durable_api.py
@@ -19,7 +19,7 @@
 from onyxwick.cells.plan_control import CellPlanControl
 from onyxwick.config.cells import json_of_plan
 from onyxwick.core import RequestEngine
-from onyxwick.sites import kept
+from onyxwick.sites import command_to_row
 from onyxwick.store import StoreError, WriteOperation
 from onyxwick.store.durable_state import DurableState
 from onyxwick.store.recovery import DrainSource, MemberDrain
@@ -123,7 +123,7 @@
             if name:
                 backup.restore(tenants, self.durable)
             if control is not None and plan is not None and control.plan is not plan:
-                control.change(plan)
+                control.replace_plan(plan)
             raise
         return answer
 
@@ -141,8 +141,10 @@
         if request.method != "PUT":
             raise HttpError(405, "method not allowed", {"Allow": "PUT"})
         command = sites.read_command(request, site)
-        answer = Answer(200, {"site": site, "word": command.word.value, "drill": command.drill})
-        await self._commit([self.durable.site_command_operation(site, kept(command))], identity, answer)
+        answer = Answer(200, {"site": site, "word": command.directive.value, "drill": command.is_exercise})
+        await self._commit(
+            [self.durable.site_command_operation(site, command_to_row(command))], identity, answer
+        )
         sites.apply_command(command)
         return answer
 
--- a/onyxwick/admin/sites.py
+++ b/onyxwick/admin/sites.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 
 from onyxwick.admin.http_messages import Answer, HttpError, HttpRequest
-from onyxwick.sites import SiteCommand, SiteCommandError, SiteRouter, read_order
-from onyxwick.sites.status import explain, show
+from onyxwick.sites import SiteCommand, SiteCommandError, SiteRouter, parse_command
+from onyxwick.sites.status import explain, router_status
 
 
 class SitesApi:
@@ -24,9 +24,9 @@
         """Answer one call; HttpError where it is rejected."""
         match request.method, path:
             case "GET", []:
-                return Answer(200, show(self.sites, self.clock()))
+                return Answer(200, router_status(self.sites, self.clock()))
             case "GET", ["orders"]:
-                return Answer(200, {"orders": self.sites.watch.orders.shown()})
+                return Answer(200, {"orders": self.sites.monitor.commands.status()})
             case "GET", ["explain", site, class_name, object_id]:
                 return self._explain(site, class_name, object_id)
             case "PUT", ["orders", _]:
@@ -44,14 +44,14 @@
 
     def read_command(self, request: HttpRequest, site: str) -> SiteCommand:
         """The command that a call asks for; HttpError where it cannot be taken."""
-        if site not in self.sites.watch.lives:
+        if site not in self.sites.monitor.lifecycles:
             raise HttpError(404, f"no site '{site}'")
         try:
-            return read_order(site, request.json(), self.clock())
+            return parse_command(site, request.json(), self.clock())
         except SiteCommandError as error:
             raise HttpError(400, str(error)) from None
 
     def apply_command(self, command: SiteCommand) -> None:
         """A command that is durable takes effect."""
-        self.sites.order(self.clock(), command)
+        self.sites.apply_command(self.clock(), command)
         self.flush()
--- a/onyxwick/cells/__init__.py
+++ b/onyxwick/cells/__init__.py
@@ -1,6 +1,16 @@
-"""Cells: each tenant or key range confined to a part of the fleet, and moved while it serves. No I/O here."""
+"""Cells: each tenant or key range is confined to a part of the fleet, and migrates while it serves. No I/O
+here."""
 
-from onyxwick.cells.model import Cell, CellPlan, CellPolicy, KeyRange, MigrationSpec, PlanError, TenantSpec
+from onyxwick.cells.model import (
+    Cell,
+    CellPlan,
+    CellPlanError,
+    CellPolicy,
+    CellsError,
+    KeyRange,
+    MigrationSpec,
+    TenantSpec,
+)
 from onyxwick.cells.plan_control import CellPlanControl, PlanVersionConflictError
 from onyxwick.cells.router import CellRouter
 
@@ -8,11 +18,12 @@
     "Cell",
     "CellPlan",
     "CellPlanControl",
+    "CellPlanError",
     "CellPolicy",
     "CellRouter",
+    "CellsError",
     "KeyRange",
     "MigrationSpec",
-    "PlanError",
     "PlanVersionConflictError",
     "TenantSpec",
 ]
--- a/onyxwick/cli/sites.py
+++ b/onyxwick/cli/sites.py
@@ -14,7 +14,7 @@
 from onyxwick.cli.remote import admin_option, json_option, remote_of, token_option
 
 if TYPE_CHECKING:
-    from onyxwick.sites.linear_program import LossOutcome
+    from onyxwick.sites.loss_outcome import LossOutcome
     from onyxwick.sites.loss_study import LossStudy
     from onyxwick.sites.model import Topology
 
@@ -38,7 +38,7 @@
 def _study(file: Path, pairs: bool) -> LossStudy:
     from onyxwick.sites import loss_study
 
-    return loss_study.study(_topology(file), pairs)
+    return loss_study.study_losses(_topology(file), pairs)
 
 
 def _topology(file: Path) -> Topology:
@@ -53,18 +53,26 @@
 
 
 def _loss_row(outcome: LossOutcome) -> dict[str, Any]:
-    from onyxwick.sites.linear_program import spelled
+    from onyxwick.sites.loss_outcome import resource_name
 
-    first = outcome.first
+    first = outcome.bottleneck
     return {
         "lost": str(outcome.loss),
-        "refused": max(0.0, round(1 - outcome.worth / outcome.asked, 6)) if outcome.asked else 0.0,
-        "breaks_first": spelled(first) if first else "",
-        "used": round(outcome.use[first].share, 4) if first else 0.0,
-        "homes": [[*at, {s: round(w, 4) for s, w in shares.items()}] for at, shares in outcome.homes.items()],
-        "kept": [[*at, round(share, 4)] for at, share in outcome.kept.items()],
-        "use": {spelled(r): [round(u.used, 3), round(u.capacity, 3)] for r, u in sorted(outcome.use.items())},
-        "need": {spelled(r): round(more, 3) for r, more in sorted(outcome.need.items())},
+        "refused": max(0.0, round(1 - outcome.served_value / outcome.offered_value, 6))
+        if outcome.offered_value
+        else 0.0,
+        "breaks_first": resource_name(first) if first else "",
+        "used": round(outcome.resource_use[first].share, 4) if first else 0.0,
+        "homes": [
+            [*at, {s: round(w, 4) for s, w in shares.items()}]
+            for at, shares in outcome.serving_shares.items()
+        ],
+        "kept": [[*at, round(share, 4)] for at, share in outcome.served_shares.items()],
+        "use": {
+            resource_name(r): [round(u.used, 3), round(u.capacity, 3)]
+            for r, u in sorted(outcome.resource_use.items())
+        },
+        "need": {resource_name(r): round(more, 3) for r, more in sorted(outcome.missing_capacity.items())},
     }
 
 
@@ -76,19 +84,19 @@
 @json_option
 def plan(file: Path, out: Path | None, plots: Path | None, pairs: bool, as_json: bool) -> None:
     """What each loss would do to the sites in FILE; exit 1 where one site's cannot be borne."""
-    from onyxwick.sites.plan import to_json
+    from onyxwick.sites.plan_document import plan_to_json
 
     study = _study(file, pairs)
     rows = [_loss_row(outcome) for outcome in study.outcomes.values()]
     if out is not None:
-        out.write_text(json.dumps(to_json(study.plan()), indent=1) + "\n")
+        out.write_text(json.dumps(plan_to_json(study.plan()), indent=1) + "\n")
     if plots is not None:
-        from onyxwick.sites.views import draw
+        from onyxwick.sites.views import draw_losses
 
         plots.mkdir(parents=True, exist_ok=True)
-        draw(study, plots / "losses.png")
+        draw_losses(study, plots / "losses.png")
     if as_json:
-        document = {"losses": rows, "findings": study.findings(), "pairs_left_out": study.left_out}
+        document = {"losses": rows, "findings": study.findings(), "pairs_left_out": study.omitted_pairs}
         click.echo(json.dumps(document))
     else:
         _print_plan(study, rows)
@@ -100,12 +108,12 @@
     for row in rows:
         click.echo(f"{row['lost']:<32} {row['refused']:>8.1%}  {row['used']:>6.0%}  {row['breaks_first']}")
     for outcome in study.outcomes.values():
-        for (site, kind), shares in sorted(outcome.homes.items()):
+        for (site, kind), shares in sorted(outcome.serving_shares.items()):
             where = ", ".join(f"{share:.0%} to {home}" for home, share in sorted(shares.items()))
             if len(outcome.loss.sites) == 1:
                 click.echo(f"  {outcome.loss}: {kind} of {site}: {where or 'nowhere'}")
-    if study.left_out:
-        click.echo(f"{study.left_out} pairs of sites were left out, those with the most room")
+    if study.omitted_pairs:
+        click.echo(f"{study.omitted_pairs} pairs of sites were left out, those with the most room")
     for text in study.findings():
         click.echo(f"finding: {text}")
 
@@ -113,8 +121,8 @@
 def _exit(study: LossStudy) -> None:
     """Exit 1 where the loss of one place cannot be borne."""
     for outcome in study.outcomes.values():
-        lost = outcome.loss.sites | outcome.loss.hubs | outcome.loss.boxes
-        if not outcome.borne and len(lost) < 2:
+        lost = outcome.loss.sites | outcome.loss.hubs | outcome.loss.cache_sites
+        if not outcome.is_feasible and len(lost) < 2:
             raise click.exceptions.Exit(FINDING_EXIT_CODE)
 
 
--- a/onyxwick/hosting/routers.py
+++ b/onyxwick/hosting/routers.py
@@ -71,7 +71,7 @@
 
     def front_fields(self, max_held_bytes: int, max_clients: int) -> FrontFields:
         """What the front must know; the limits are its own."""
-        site_field = self.sites.top.policy.field if self.sites is not None else ""
+        site_field = self.sites.topology.policy.client_site_field if self.sites is not None else ""
         if self.cells is None:
             tenant_field = DEFAULT_TENANT_FIELD if self.sites is not None else ""
             return FrontFields(None, tenant_field, site_field)
--- a/onyxwick/service.py
+++ b/onyxwick/service.py
@@ -98,7 +98,7 @@
             self.config.settings.router_count,
         )
         if sites is not None:
-            sites.share = backoff.ramp_share
+            sites.startup_share = backoff.ramp_share
         if self.durable is not None:
             coordinator.initial_delay_us = backoff.initial_delay_us
             cache_pool.warm_up_share = lambda: backoff.ramp_share(self.engine.now())
@@ -150,11 +150,11 @@
             if (cells is None) is not (plan is None):
                 log.warning("cells are switched on and off at a restart only")
             return
-        from onyxwick.cells import CellPlanControl, PlanError
+        from onyxwick.cells import CellPlanControl, CellPlanError
 
         try:
-            changed = CellPlanControl(cells, self.engine.now, self.engine.handle).change(plan)
-        except PlanError as error:
+            changed = CellPlanControl(cells, self.engine.now, self.engine.handle).replace_plan(plan)
+        except CellPlanError as error:
             raise ConfigError(str(error)) from None
         if changed:
             log.info("plan of cells changed", version=cells.plan.version)
--- a/onyxwick/sites/active_site.py
+++ b/onyxwick/sites/active_site.py
@@ -1,60 +1,64 @@
-"""One site's boxes as this director uses them, and the place where one request lives. No I/O."""
+"""One site's caches as this director uses them, and which site's router decides for each request."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-from onyxwick.interface import FleetShareChanged, Member, RequestArrived, RequestClass, RequestRouter
+from onyxwick.interface import FleetShareChanged, Member, RequestArrived, RequestRouter
 from onyxwick.sites.load_shedding import SheddingLevels
+from onyxwick.subrouters import RequestOwner
 
 
 @dataclass(frozen=True, slots=True)
 class RoutedAttempt:
-    """One attempt of a request: which unit's router ordered it, as its how-manieth."""
+    """One attempt of a request: the site whose router ordered it, and its index among that router's
+    attempts."""
 
-    unit: str
-    number: int
+    site: str
+    local_index: int
     member: str
-    source: str | None
-
-
-@dataclass(slots=True)
-class SiteRequestOwner:
-    """Where one request lives. It moves once at the most, and only what may run twice."""
-
-    ask: RequestArrived
-    kind: RequestClass
-    site: str  # whose client asks
-    unit: str
-    arrived: int
-    deadline: int
-    trial: bool = False
-    gated: bool = False  # counted at its unit's gate
-    moved: bool = False
-    over: bool = False
-    out: int = 0
-    tries: list[RoutedAttempt] = field(default_factory=list)
+    fill_source: str | None
+
+
+@dataclass(slots=True, kw_only=True)
+class SiteRequestOwner(RequestOwner):
+    """The site that serves one request. It changes once at most, and only for idempotent requests."""
+
+    request: RequestArrived
+    client_site: str  # the site of the client
+    deadline_us: int
+    is_trial: bool = False  # sent to a site that is not known to answer
+    holds_admission: bool = False  # counted at the gate of the site
+    relocated: bool = False
+    attempts: list[RoutedAttempt] = field(default_factory=list)
 
     @property
     def tenant(self) -> str:
-        return self.ask.tenant or ""
+        """The tenant that the request names, or an empty name."""
+        return self.request.tenant or ""
 
-    def local(self, unit: str) -> int:
-        """How many attempts a unit's router has ordered."""
-        return sum(one.unit == unit for one in self.tries)
+    def attempts_at(self, site: str) -> int:
+        """The number of attempts that a site's router has ordered."""
+        return sum(attempt.site == site for attempt in self.attempts)
 
-    def number_of(self, unit: str, local: int) -> int | None:
-        """The attempt's number at the core, by its number at one unit."""
-        return next((n for n, one in enumerate(self.tries) if (one.unit, one.number) == (unit, local)), None)
+    def attempt_index_of(self, site: str, local_index: int) -> int | None:
+        """The index of an attempt among all of the request's, from its index at one site's router."""
+        key = (site, local_index)
+        for index, attempt in enumerate(self.attempts):
+            if (attempt.site, attempt.local_index) == key:
+                return index
+        return None
 
 
 class ActiveSite:
-    """A site's decider, what it was told of the list, its ladder."""
-
-    def __init__(self, site: str, decider: RequestRouter, ladder: SheddingLevels, now: int) -> None:
-        self.site, self.decider, self.ladder = site, decider, ladder
-        self.told: dict[str, Member] = {}
-        self.open = 0
-        self.used_us = now  # when a request last came
-        self.reserve = 1.0  # as its decider was told last
-        self.parts = FleetShareChanged(1.0)  # as it was told last
+    """A site's router, what it has been given, and its load shedding."""
+
+    def __init__(self, name: str, router: RequestRouter, shedding: SheddingLevels, now: int) -> None:
+        self.name = name
+        self.router = router
+        self.shedding = shedding
+        self.reported_members: dict[str, Member] = {}
+        self.in_flight = 0
+        self.last_used_us = now  # when it was last assigned a request
+        self.retry_reserve = 1.0  # as last given to its router
+        self.fleet_share = FleetShareChanged(1.0)  # as last given to its router
--- a/onyxwick/sites/plan.py
+++ b/onyxwick/sites/plan.py
@@ -1,133 +1,87 @@
-"""What the runtime reads of a plan: for a set of lost places, where each class's objects go and what is kept.
+"""The loss plan that a director acts on: for a set of lost places, which sites serve what, and what is
+rejected.
 
-A plan is made beforehand (`planner.py`) and is data here: no solver is needed to act on it. A set of losses
-that no row was made for (three sites at once) is put together from the rows that were.
+A plan is made beforehand by `loss_study` and is data here: acting on it needs no solver. A set of losses
+without a row of its own (three sites at once) is composed of the rows of its parts. Shares are 0 to 1.
 """
 
 from __future__ import annotations
 
-import json
 from collections.abc import Iterable, Mapping
-from dataclasses import asdict, dataclass, field
-from hashlib import blake2b
-from typing import Any
+from dataclasses import dataclass, field
 
 from onyxwick.sites.model import Site, Topology
+from onyxwick.sites.topology_digest import topology_digest
 
-FORMAT = 1
-Key = frozenset[str]
-
-
-class PlanMismatchError(ValueError):
-    """A plan that was made for another topology, or is no plan; the text says which."""
+MAX_COMPOSED_ROWS = 256
+LossKey = frozenset[str]
 
 
 @dataclass(frozen=True, slots=True)
 class LossPlanRow:
-    """One loss. `homes`: (site, class) to new homes by share; `kept`: (site, class, tenant) to the share that
-    is served, where it is under 1; `guests`: of each survivor's boxes, the share that others' clients use."""
+    """What to do in one loss.
 
-    homes: Mapping[tuple[str, str], Mapping[str, float]] = field(default_factory=dict)
-    kept: Mapping[tuple[str, str, str], float] = field(default_factory=dict)
-    guests: Mapping[str, float] = field(default_factory=dict)
+    `serving_shares`: (site, class) to the sites that serve its objects, by share. `served_shares`: (site,
+    class, tenant) to the share that is served, where it is under 1. `guest_shares`: of each remaining site's
+    caches, the share that other sites' clients use."""
 
+    serving_shares: Mapping[tuple[str, str], Mapping[str, float]] = field(default_factory=dict)
+    served_shares: Mapping[tuple[str, str, str], float] = field(default_factory=dict)
+    guest_shares: Mapping[str, float] = field(default_factory=dict)
 
-def digest(top: Topology) -> str:
-    """Of everything that a plan depends on; how sites are watched is no part of it."""
-    policy = {"headroom": top.policy.headroom}
-    told = {
-        "sites": {n: asdict(s) for n, s in sorted(top.sites.items())},
-        "hubs": {n: asdict(h) for n, h in sorted(top.hubs.items())},
-        "archive": asdict(top.archive),
-        "kinds": {n: asdict(k) for n, k in sorted(top.kinds.items())},
-        "loads": sorted([x.kind, x.site, x.tenant, x.rate_per_s] for x in top.loads),
-        "paths": sorted([*sorted(p.ends), p.capacity, p.delay_us] for p in top.paths.values()),
-        "reserves": dict(sorted(top.reserves.items())),
-        "policy": policy,
-    }
-    return blake2b(json.dumps(told, sort_keys=True).encode(), digest_size=8).hexdigest()
 
-
-def key_of(sites: Iterable[str], hubs: Iterable[str] = (), boxes: Iterable[str] = ()) -> Key:
-    """What a loss is called: sites by their names, hubs and sites of which only the boxes are lost in
-    words."""
-    return frozenset(sites) | {f"hub {hub}" for hub in hubs} | {f"boxes of {site}" for site in boxes}
+def loss_key(sites: Iterable[str], hubs: Iterable[str] = (), cache_sites: Iterable[str] = ()) -> LossKey:
+    """The name of a loss: of lost sites, lost hubs, and sites that lose their caches alone."""
+    return frozenset(sites) | {f"hub {hub}" for hub in hubs} | {f"boxes of {site}" for site in cache_sites}
 
 
 class SitePlan:
-    """All rows for one topology."""
-
-    def __init__(self, top: Topology, rows: Mapping[Key, LossPlanRow] | None = None) -> None:
-        self.top, self.digest = top, digest(top)
-        self.rows: dict[Key, LossPlanRow] = dict(rows or {})
-        self.made: dict[Key, LossPlanRow] = {}  # put together where no row was made
-        self.stated = bool(rows)
-
-    def row(self, sites: Iterable[str], hubs: Iterable[str] = (), boxes: Iterable[str] = ()) -> LossPlanRow:
-        """What to do while these places are lost, exactly as planned or put together."""
-        key = key_of(sites, hubs, boxes)
-        found = self.rows.get(key) or self.made.get(key)
-        if found is None:
-            if len(self.made) >= 256:
-                self.made.clear()
-            found = self.made[key] = self._put_together(frozenset(sites), frozenset(hubs), frozenset(boxes))
-        return found
-
-    def _put_together(self, sites: Key, hubs: Key, boxes: Key) -> LossPlanRow:
-        """Each lost site's own row without those that are lost too; the least that any single loss keeps."""
-        homes: dict[tuple[str, str], Mapping[str, float]] = {}
-        kept: dict[tuple[str, str, str], float] = {}
-        gone = sites | boxes
-        alive = [s for s in self.top.sites.values() if s.name not in gone]
-        own = {site: key_of([site]) for site in sites} | {site: key_of((), (), [site]) for site in boxes}
-        for part in [*own.values(), *(key_of([], [hub]) for hub in hubs)]:
-            for at, share in self.rows.get(part, LossPlanRow()).kept.items():
-                kept[at] = min(share, kept.get(at, 1.0))
-        for site, part in sorted(own.items()):
-            row = self.rows.get(part, LossPlanRow())
-            for kind in self.top.kinds:
-                told = {s: w for s, w in row.homes.get((site, kind), {}).items() if s not in gone}
-                homes[(site, kind)] = told or _by_capacity(alive)
-        return LossPlanRow(homes, kept, dict.fromkeys((s.name for s in alive), 1 / max(1, len(alive))))
-
-
-def _by_capacity(alive: list[Site]) -> dict[str, float]:
-    whole = sum(site.capacity for site in alive)
-    return {site.name: site.capacity / whole for site in alive} if whole else {}
-
-
-# ---- as JSON ----------------------------------------------------------------------------------------------
-
-
-def to_json(plan: SitePlan) -> dict[str, Any]:
-    rows = []
-    for key, row in sorted(plan.rows.items(), key=lambda pair: sorted(pair[0])):
-        rows.append(
-            {
-                "lost": sorted(key),
-                "homes": [[*at, dict(shares)] for at, shares in sorted(row.homes.items())],
-                "kept": [[*at, share] for at, share in sorted(row.kept.items())],
-                "guests": dict(row.guests),
-            }
+    """The rows of all planned losses for one topology."""
+
+    def __init__(self, topology: Topology, rows: Mapping[LossKey, LossPlanRow] | None = None) -> None:
+        self.topology = topology
+        self.digest = topology_digest(topology)
+        self.rows: dict[LossKey, LossPlanRow] = dict(rows or {})
+        self._composed_rows: dict[LossKey, LossPlanRow] = {}
+
+    def row(
+        self, sites: Iterable[str], hubs: Iterable[str] = (), cache_sites: Iterable[str] = ()
+    ) -> LossPlanRow:
+        """What to do while these places are lost, as planned or composed."""
+        key = loss_key(sites, hubs, cache_sites)
+        row = self.rows.get(key) or self._composed_rows.get(key)
+        if row is None:
+            if len(self._composed_rows) >= MAX_COMPOSED_ROWS:
+                self._composed_rows.clear()
+            row = self._compose(frozenset(sites), frozenset(hubs), frozenset(cache_sites))
+            self._composed_rows[key] = row
+        return row
+
+    def _compose(self, sites: LossKey, hubs: LossKey, cache_sites: LossKey) -> LossPlanRow:
+        """Each lost site's own row without the sites that are lost too; of what is served, the least that any
+        single loss leaves."""
+        lost = sites | cache_sites
+        remaining = [site for site in self.topology.sites.values() if site.name not in lost]
+        key_of_site = {site: loss_key([site]) for site in sites}
+        key_of_site |= {site: loss_key((), (), [site]) for site in cache_sites}
+        keys = [*key_of_site.values(), *(loss_key([], [hub]) for hub in hubs)]
+        served_shares: dict[tuple[str, str, str], float] = {}
+        for key in keys:
+            for group, share in self.rows.get(key, LossPlanRow()).served_shares.items():
+                served_shares[group] = min(share, served_shares.get(group, 1.0))
+        serving_shares: dict[tuple[str, str], Mapping[str, float]] = {}
+        for site, key in sorted(key_of_site.items()):
+            row = self.rows.get(key, LossPlanRow())
+            for class_name in self.topology.classes:
+                planned = row.serving_shares.get((site, class_name), {})
+                available = {name: share for name, share in planned.items() if name not in lost}
+                serving_shares[(site, class_name)] = available or _shares_by_capacity(remaining)
+        even_share = 1 / max(1, len(remaining))
+        return LossPlanRow(
+            serving_shares, served_shares, dict.fromkeys((site.name for site in remaining), even_share)
         )
-    return {"format": FORMAT, "topology": plan.digest, "rows": rows}
 
 
-def of_json(top: Topology, data: Any) -> SitePlan:
-    """A plan as `to_json` wrote it; PlanMismatch where it is none, or one for another topology."""
-    if not isinstance(data, dict) or data.get("format") != FORMAT or not isinstance(data.get("rows"), list):
-        raise PlanMismatchError(f"no plan of format {FORMAT}")
-    if data.get("topology") != digest(top):
-        raise PlanMismatchError(
-            f"made for topology {data.get('topology')}, and the service file states {digest(top)}:"
-            " make it anew with `onyxwick sites plan`"
-        )
-    rows: dict[Key, LossPlanRow] = {}
-    try:
-        for told in data["rows"]:
-            homes = {(str(s), str(k)): dict(shares) for s, k, shares in told["homes"]}
-            kept = {(str(s), str(k), str(t)): float(share) for s, k, t, share in told["kept"]}
-            rows[frozenset(told["lost"])] = LossPlanRow(homes, kept, dict(told["guests"]))
-    except (KeyError, TypeError, ValueError) as error:
-        raise PlanMismatchError(f"a row of the plan cannot be read: {error!r}") from None
-    return SitePlan(top, rows)
+def _shares_by_capacity(sites: list[Site]) -> dict[str, float]:
+    total = sum(site.capacity for site in sites)
+    return {site.name: site.capacity / total for site in sites} if total else {}
--- a/tests/cells.py
+++ b/tests/cells.py
@@ -68,7 +68,7 @@
         end = self.now + us
         while self.now < end:
             self.now = min(end, self.now + 100_000)
-            timers = [f"{name}/due" for name in self.cells.units]
+            timers = [f"{name}/due" for name in self.cells.cells]
             out += self.give(TimerFired("cells"), *map(TimerFired, timers))
         return out
 
@@ -89,7 +89,7 @@
         return self.give(AttemptEnded(request, attempt, where, status, latency, done, AnswerDetail.HIT))
 
     def where(self, request: str) -> str:
-        return self.cells.requests[request].cell
+        return self.cells.requests[request].assigned_to
 
     def change(self, box: Member, state: MemberState, since: int = 0) -> list[Action]:
         return self.give(
--- a/tests/test_dns_routing.py
+++ b/tests/test_dns_routing.py
@@ -227,7 +227,7 @@
         assert {address for _, address in resolver.named} == {CACHE_ADDRESSES["c0"][0]}
         cells = depot.core.router
         assert isinstance(cells, CellRouter)
-        assert not cells.requests and cells.units["a"].open == 0
+        assert not cells.requests and cells.cells["a"].in_flight == 0
 
     async def main() -> None:
         await DnsDirector(lambda s, seed, now: CellRouter(s, seed, now, plan, 400)).run(scenario)
