--- a/onyxwick/cells/migration.py
+++ b/onyxwick/cells/migration.py
@@ -94,7 +94,9 @@
         self.warm_up_started_us = 0
         self.healthy_since_us = 0
         self.reduced_us = 0
-        self.reason = "waits for its time" if spec.starts_at_us else "waits for its cells"
+        self.reason = (
+            "waits for its start time" if spec.starts_at_us else "waits for caches of the target cells"
+        )
         self.salt = cells_hash(f"move {spec.name}")
 
     def covers(self, key: int) -> bool:
@@ -163,16 +165,16 @@
     def _step_planned(self, now: int, signals: CellHealthSignals) -> None:
         if now >= self.spec.starts_at_us and self._target_is_healthy(signals):
             self.warm_up_started_us = now
-            self._transition(MigrationPhase.WARMING, now, "the share of the new cells grows")
+            self._transition(MigrationPhase.WARMING, now, "the share of the target cells grows")
 
     def _step_warm_up(self, now: int, signals: CellHealthSignals, passed_us: int) -> None:
         if not self._target_is_healthy(signals):
             self.share *= signals.target_ready / max(1, signals.target_caches)
             self.healthy_since_us = 0
-            reason = f"{signals.target_ready} of {signals.target_caches} new boxes are ready"
+            reason = f"{signals.target_ready} of {signals.target_caches} target caches are ready"
             self._transition(MigrationPhase.PAUSED, now, reason)
         elif self.warm_up_started_us + MAX_WARM_UP_FACTOR * self.spec.warm_up_us < now:
-            reason = "the new cells did not bear the load in time"
+            reason = "the target cells did not sustain the load in time"
             self._transition(MigrationPhase.RETURNING, now, reason)
         elif signals.target_pressure > REDUCE_PRESSURE:
             self._reduce_share(now)
@@ -191,7 +193,7 @@
         # Never more of the tenant than the caches can give of what they can give when warm.
         self.share = min(self.share, max(signals.target_warm_share, MIN_MOVED_SHARE))
         if self.share >= 1.0:
-            self._transition(MigrationPhase.CUTTING, now, "all new requests go to the new cells")
+            self._transition(MigrationPhase.CUTTING, now, "all new requests go to the target cells")
 
     def _step_paused(self, now: int, signals: CellHealthSignals) -> None:
         if not self._target_is_healthy(signals):
@@ -199,25 +201,25 @@
             if signals.target_ready == 0:
                 self.share = 0.0
             if now - self.phase_started_us > MAX_PAUSE_US:
-                reason = "the new cells stayed without their boxes"
+                reason = "the target cells stayed without ready caches"
                 self._transition(MigrationPhase.RETURNING, now, reason)
             return
         self.healthy_since_us = self.healthy_since_us or now
         if now - self.healthy_since_us >= HEALTHY_BEFORE_RESUME_US:
-            self._transition(MigrationPhase.WARMING, now, "the new cells have their boxes again")
+            self._transition(MigrationPhase.WARMING, now, "the target cells have ready caches again")
 
     def _step_soak(self, now: int, signals: CellHealthSignals) -> None:
         """After the cut-over: keep the source cells for a while, in case the target fails."""
         lost_caches = signals.target_ready == 0
         fails = lost_caches or signals.target_pressure > ABORT_PRESSURE
         if fails and signals.source_ready:
-            reason = "the new cells lost all their boxes" if lost_caches else "the new cells fail"
+            reason = "the target cells lost all their caches" if lost_caches else "the target cells fail"
             self._transition(MigrationPhase.RETURNING, now, reason)
         elif not fails and now - self.phase_started_us >= self.spec.soak_us:
-            self._transition(MigrationPhase.DRAINING, now, "the old cells end what they have")
+            self._transition(MigrationPhase.DRAINING, now, "the source cells complete their requests")
 
     def _step_draining(self, now: int, signals: CellHealthSignals) -> None:
         if signals.target_ready == 0 and signals.source_ready:
-            self._transition(MigrationPhase.RETURNING, now, "the new cells lost all their boxes")
+            self._transition(MigrationPhase.RETURNING, now, "the target cells lost all their caches")
         elif signals.source_in_flight == 0:
-            self._transition(MigrationPhase.DONE, now, "nothing is under way in the old cells")
+            self._transition(MigrationPhase.DONE, now, "no request is in flight in the source cells")
--- a/onyxwick/cells/migrations.py
+++ b/onyxwick/cells/migrations.py
@@ -13,7 +13,7 @@
 from onyxwick.cells.model import CellPlan
 from onyxwick.cells.placement import cells_hash
 
-ABORTED_BY_OPERATOR = "taken back by the operator"
+ABORTED_BY_OPERATOR = "aborted by the operator"
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,7 +41,7 @@
             if running is None or (running.spec != spec and running.phase in ENDED):
                 self.by_name[name] = Migration(spec, now)
             elif running.spec != spec:
-                running.abort(now, "the plan changed it")
+                running.abort(now, "changed by the plan")
         for name in [name for name in self.by_name if name not in plan.migrations]:
             migration = self.by_name[name]
             is_possible = migration.spec.tenant in plan.tenants and plan.cells.keys() >= set(
--- a/onyxwick/cells/router.py
+++ b/onyxwick/cells/router.py
@@ -276,7 +276,9 @@
     def _on_tick(self) -> None:
         for transition in self.migrations.step(self.now, self.plan, self._health_signals):
             phases = f"{transition.previous_phase.value} to {transition.phase.value}"
-            self._pending_actions.append(LogMessage(f"move {transition.name}: {phases}: {transition.reason}"))
+            self._pending_actions.append(
+                LogMessage(f"cell migration {transition.name}: {phases}: {transition.reason}")
+            )
         if self.ticks % REBALANCE_TICKS == 0:
             self._dispatch_shares(self.arbiter.rebalance(self.now))
         if self.membership.expire_departed(self.now, self.plan.policy.seat_retention_us):
--- a/onyxwick/sites/lifecycle.py
+++ b/onyxwick/sites/lifecycle.py
@@ -28,7 +28,7 @@
 COLD_START_WARM_SHARE = 0.35  # below it a site found at a director's start is taken to be returning
 MAX_TRANSITIONS_PER_STEP = 3
 ROUNDING = 1e-9
-NOT_LISTED = "the list names none of its boxes"
+NOT_LISTED = "none of its caches is listed as ready"
 
 
 class SitePhase(Enum):
@@ -105,7 +105,7 @@
         self.phase_started_us = now
         self.stepped_us = now
         self.moved_share = 0.0  # of its objects, served by other sites
-        self.reason = "nothing has been seen of it yet"
+        self.reason = "not observed yet"
         self.flaps = 0
         self.returned_us = 0  # when it last became steady after a loss; 0: never
         self.setbacks = 0  # steps back in this return
@@ -151,7 +151,7 @@
         before."""
         is_cold = signals.warm_share < COLD_START_WARM_SHARE * signals.capacity_share
         if signals.list_loaded and signals.listed_share > 0 and is_cold:
-            reason = "found cold at the start: its objects are still elsewhere"
+            reason = "found cold at start: its objects are still served elsewhere"
             self._transition(SitePhase.RETURNING, now, reason)
             self.moved_share = max(0.0, 1 - signals.warm_share)
 
@@ -175,7 +175,7 @@
         """The process was paused: what was concluded before counts only once it is observed again."""
         self.share_changed_us = now
         if self.phase is SitePhase.SUSPECT:
-            self._transition(SitePhase.STEADY, now, "the process was stopped: seen anew")
+            self._transition(SitePhase.STEADY, now, "process was paused: observing again")
 
     def _step_phase(self, now: int, signals: SiteHealthSignals, directive: SiteDirective) -> None:
         match self.phase:
@@ -200,9 +200,9 @@
         elif self._is_unlisted(signals):
             self._transition(SitePhase.SUSPECT, now, NOT_LISTED)
         elif signals.unreachable and not signals.cut_off:
-            self._transition(SitePhase.SUSPECT, now, f"its boxes are dark: {signals.cause}")
+            self._transition(SitePhase.SUSPECT, now, f"its caches are unreachable: {signals.cause}")
         elif signals.is_unobserved and not signals.cut_off:
-            reason = "its clients come here, and none of its boxes was heard"
+            reason = "its clients connect here, and none of its caches has answered"
             self._transition(SitePhase.SUSPECT, now, reason)
         elif self.flaps and now - self.phase_started_us > FLAP_DECAY_US:
             self.flaps -= 1
@@ -210,7 +210,7 @@
 
     def _evacuate_by_command(self, now: int) -> None:
         self.left_by_command = True
-        self._transition(SitePhase.EVACUATING, now, "an operator's order")
+        self._transition(SitePhase.EVACUATING, now, "operator command")
 
     def _is_unlisted(self, signals: SiteHealthSignals) -> bool:
         return signals.list_loaded and signals.listed_share == 0.0
@@ -222,22 +222,22 @@
             self._transition(SitePhase.LOST, now, NOT_LISTED)
         elif signals.cut_off:
             self.phase_started_us = now
-            self.reason = "nothing outside answers: our own cut, not its loss"
+            self.reason = "nothing outside this site answers: this director is isolated"
         elif not signals.unreachable:
             self._clear_suspicion(now, signals)
         elif self._loss_is_confirmed(now, signals):
             if signals.has_demand:
-                reason = f"no box of it answers, the outside does: {signals.cause}"
+                reason = f"none of its caches answers while others do: {signals.cause}"
                 self._transition(SitePhase.LOST, now, reason)
             else:
                 # Perhaps one link fails, in one direction: without demand nothing has to be decided here.
-                self.reason = f"not reached from here, and its clients do not come: {signals.cause}"
+                self.reason = f"unreachable from here, and without demand from its clients: {signals.cause}"
 
     def _clear_suspicion(self, now: int, signals: SiteHealthSignals) -> None:
         if signals.answered_us >= self.phase_started_us:
-            self._transition(SitePhase.STEADY, now, "its boxes answer")
+            self._transition(SitePhase.STEADY, now, "its caches answer")
         elif now - self.phase_started_us > SUSPICION_EXPIRY_US:
-            self._transition(SitePhase.STEADY, now, "nothing more was seen against it")
+            self._transition(SitePhase.STEADY, now, "no further failures")
 
     def _loss_is_confirmed(self, now: int, signals: SiteHealthSignals) -> bool:
         """Unreachable for long enough, while something else was heard."""
@@ -259,7 +259,7 @@
         else:
             answers = not signals.unreachable and signals.answered_us >= self.phase_started_us
             if answers and not self._is_unlisted(signals):
-                self._transition(SitePhase.STEADY, now, "its boxes answer, and nothing has moved")
+                self._transition(SitePhase.STEADY, now, "its caches answer, and nothing has been moved")
 
     # ---- evacuating, evacuated -----------------------------------------------------------------------------
 
@@ -269,7 +269,7 @@
         return (directive is SiteDirective.RETURN or withdrawn) and not self._is_unlisted(signals)
 
     def _return_by_command(self, now: int) -> None:
-        self._transition(SitePhase.RETURNING, now, "ordered back, or the order was taken back")
+        self._transition(SitePhase.RETURNING, now, "returned by operator command")
 
     def _must_wait(self, now: int, signals: SiteHealthSignals, directive: SiteDirective) -> bool:
         """Whether the share stays as it is: on hold, isolated, or changed a moment ago."""
@@ -284,7 +284,7 @@
             return
         self.share_changed_us = now
         if signals.pressure > PAUSE_PRESSURE and self.moved_share > 0:
-            self.reason = f"stands still: {signals.pressure:.0%} late or refused where its objects go"
+            self.reason = f"paused: {signals.pressure:.0%} late or rejected where its objects are served"
             return
         self.moved_share = min(1.0, self.moved_share + 1 / self.policy.evacuation_steps)
         if self.moved_share >= 1.0 - ROUNDING:
@@ -303,7 +303,7 @@
         healthy_us = now - max(signals.healthy_since_us, self.phase_started_us)
         is_healthy = signals.healthy_since_us and healthy_us >= hold_us and not signals.unreachable
         if signals.listed_share >= MIN_LISTED_SHARE and is_healthy:
-            self._transition(SitePhase.RETURNING, now, "its boxes are listed and answer")
+            self._transition(SitePhase.RETURNING, now, "its caches are listed and answer")
 
     # ---- returning -----------------------------------------------------------------------------------------
 
@@ -313,7 +313,7 @@
         elif self._is_unlisted(signals):
             self._transition(SitePhase.LOST, now, f"{NOT_LISTED} again")
         elif self._is_lost_again(now, signals, directive):
-            self._transition(SitePhase.LOST, now, f"dark again: {signals.cause}")
+            self._transition(SitePhase.LOST, now, f"unreachable again: {signals.cause}")
         elif not self._must_wait(now, signals, directive):
             self._adapt_returned_share(now, signals)
 
@@ -335,7 +335,7 @@
             self.setbacks += 1
         doublings = min(MAX_SETBACK_DOUBLINGS, self.setbacks)
         self.hold_until_us = now + (self.policy.hold_us // 2 << doublings)
-        self.reason = f"a step back: {signals.pressure:.0%} late or refused there"
+        self.reason = f"step back: {signals.pressure:.0%} late or rejected at the site"
 
     def _step_forward(self, now: int, signals: SiteHealthSignals) -> None:
         """Return as much as its caches can serve now: little to cold ones, and never all to fewer ones."""
@@ -346,7 +346,7 @@
         lowest = max(1 - servable_share, self.moved_share - step, 0.0)
         self.moved_share = min(lowest, self.moved_share + step, 1.0)
         if self.moved_share <= ROUNDING:
-            self._transition(SitePhase.STEADY, now, "all of its objects are home")
+            self._transition(SitePhase.STEADY, now, "all of its objects have returned")
         elif not is_complete and self.moved_share <= 1 - signals.capacity_share + ROUNDING:
             missing_share = 1 - signals.capacity_share
-            self.reason = f"it came back smaller: {missing_share:.0%} of its objects stay away"
+            self.reason = f"returned with less capacity: {missing_share:.0%} of its objects stay elsewhere"
--- a/onyxwick/sites/operator_commands.py
+++ b/onyxwick/sites/operator_commands.py
@@ -19,6 +19,7 @@
 MAX_EXERCISE_S = 3600
 ABORT_PRESSURE = 0.35  # share of late and rejected answers of the whole director that ends an exercise
 ABORT_AFTER_US = 2 * MICROSECONDS_PER_SECOND  # of that pressure
+EXERCISE_COMPLETED = "it has stayed away for its time"  # compared by the command line, so never reworded
 DOCUMENT_FIELDS = frozenset(("word", "reason", "stay_s"))  # of the API's form
 ROW_FIELDS = frozenset(("site", "word", "reason", "by", "at_us", "stay_us"))  # of the store's form
 
@@ -163,17 +164,17 @@
     ) -> None:
         site = command.site
         if doubtful:
-            self.turned_back[site] = f"site {min(doubtful)} is in doubt: this one's room is wanted"
+            self.turned_back[site] = f"site {min(doubtful)} is not steady: this one's capacity is needed"
         elif pressure > ABORT_PRESSURE:
             overloaded_us = now - self.overloaded_since_us.setdefault(site, now)
             if overloaded_us >= ABORT_AFTER_US:
-                self.turned_back[site] = f"its gate failed: {pressure:.0%} late or refused"
+                self.turned_back[site] = f"overload: {pressure:.0%} late or rejected"
         else:
             self.overloaded_since_us.pop(site, None)
         is_away = lifecycle.phase is SitePhase.EVACUATED
         is_complete = is_away and now - lifecycle.phase_started_us >= command.exercise_us
         if site not in self.turned_back and is_complete:
-            self.turned_back[site] = "it has stayed away for its time"
+            self.turned_back[site] = EXERCISE_COMPLETED
 
     def status(self) -> dict[str, Any]:
         """The commands in force, with the keys of the administration API."""
--- a/onyxwick/sites/router.py
+++ b/onyxwick/sites/router.py
@@ -308,7 +308,7 @@
         for transition in self.monitor.tick(self.now, self._pressure):
             self._on_transition(transition)
         for name in self.monitor.step_exercises(self.now, max(map(self._pressure, self.sites))):
-            self._pending_actions.append(LogMessage(f"drill of site {name} has ended"))
+            self._pending_actions.append(LogMessage(f"failover exercise of site {name} ended"))
         self._step_load_shedding()
         if self.ticks % REBALANCE_TICKS == 0:
             self._rebalance_parents()
