--- a/onyxwick/subrouters/dispatcher.py
+++ b/onyxwick/subrouters/dispatcher.py
@@ -13,7 +13,6 @@
 
 from abc import ABC, abstractmethod
 from collections import deque
-from collections.abc import Sequence
 from dataclasses import dataclass, replace
 from typing import Generic, Protocol, TypeVar
 
@@ -181,9 +180,9 @@
 
     # ---- inner routers -------------------------------------------------------------------------------------
 
-    def _dispatch(self, subrouter: SubrouterType, events: Sequence[Event]) -> None:
+    def _dispatch(self, subrouter: SubrouterType, events: list[Event]) -> None:
         """Events to one inner router; its actions are accounted for and emitted."""
-        for action in subrouter.router.handle(self.now, list(events)):
+        for action in subrouter.router.handle(self.now, events):
             if isinstance(action, SetTimer):
                 token = f"{subrouter.name}{self.TOKEN_SEPARATOR}{action.token}"
                 self._pending_actions.append(SetTimer(action.at_us, token))
@@ -200,7 +199,9 @@
 
     def _replay_purges(self, subrouter: SubrouterType) -> None:
         """The remembered purges, aged by the time since they were received, to a router that starts now."""
-        aged = [replace(purge, age_us=purge.age_us + self.now - at) for at, purge in self._purges]
+        aged: list[Event] = [
+            replace(purge, age_us=purge.age_us + self.now - at) for at, purge in self._purges
+        ]
         self._dispatch(subrouter, aged)
 
     def _report_members(self) -> None:
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -64,7 +64,7 @@
 # ---- the machine ----------------------------------------------------------------------------------------
 
 
-def test_only_legal_steps_are_possible() -> None:
+def test_only_legal_migration_transitions_are_possible() -> None:
     for phase in RecoveryPhase:
         for to in RecoveryPhase:
             recovery = Recovery(0, S)
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -128,7 +128,7 @@
     assert left_by(history, "west") >= {"n4", "n5"} and at(history, 38, 44) > 0.9
 
 
-def test_boxes_gone_with_their_directors_alive_are_left_by_them() -> None:
+def test_lost_caches_are_left_by_their_own_directors() -> None:
     """Their own clients go on asking them: they send to the others' boxes, and no crowd asks the archive."""
     history = sound(play(fault("lose", "north", how="boxes")))
     assert {"n0", "n1"} <= left_by(history, "north")
@@ -138,7 +138,7 @@
     assert peaks[0] < peaks[1] and at(history, 12, 18) > 0.85
 
 
-def test_directors_gone_with_their_boxes_alive_are_no_loss_of_the_site() -> None:
+def test_lost_directors_with_their_caches_up_are_no_loss_of_the_site() -> None:
     """Strangers come, their site is tried first, and its boxes go on serving them over the link."""
     history = sound(play(fault("lose", "north", how="directors")))
     assert not left_by(history, "north") and at(history, 13, 18) > 0.9
@@ -152,14 +152,14 @@
     assert not left_by(history, "north") and not left_by(history, "west")
 
 
-def test_our_own_cut_evacuates_nobody_onto_us() -> None:
+def test_an_isolated_director_evacuates_no_site() -> None:
     history = sound(play(fault("cut", "north|outside")))
     ours = [row for row in c.states(history) if row.who in ("n0", "n1") and row.what != "north"]
     assert not [row for row in ours if row.data["now"] in ("lost", "evacuating", "evacuated")]
     assert at(history, 30, 44) > 0.95
 
 
-def test_a_loss_that_the_list_tells_7_s_late_or_never_is_found_from_evidence() -> None:
+def test_a_loss_that_the_list_reports_7_s_late_or_never_is_detected_from_evidence() -> None:
     def late(fleet: FleetScenario) -> FleetScenario:
         return replace(fleet, scenario=replace(fleet.scenario, told_after_us=7 * S))
 
@@ -171,12 +171,12 @@
         assert found and found[0] < 3.0, "within 3 s of its clients' coming, 3 s after the loss"
 
 
-def test_a_loss_during_a_mass_purge_and_under_all_copies_void() -> None:
+def test_a_loss_during_a_mass_purge_and_with_all_copies_purged() -> None:
     history = sound(play(fault("purge", "all", 9, 0), fault("lose", "north")))
     assert at(history, 36, 44) > 0.9
 
 
-def test_of_three_sites_two_lost_the_rest_is_prompt_and_refuses_at_once() -> None:
+def test_with_two_of_three_sites_lost_the_last_is_prompt_and_rejects_at_once() -> None:
     history = sound(play(fault("lose", "north", 8, 14), fault("lose", "west", 8.5, 14)))
     begin = history.began_us + 14 * S
     calls = [r for r in history.of("call") if begin <= r.at_us < begin + 7 * S]
@@ -189,18 +189,18 @@
 
 
 @pytest.mark.parametrize("when", [8.2, 12.0, 19.0])
-def test_a_director_stopped_through_loss_or_return_does_nothing_on_old_beliefs(when: float) -> None:
+def test_a_director_paused_through_loss_or_return_does_not_act_on_stale_state(when: float) -> None:
     history = sound(play(fault("lose", "north"), fault("stop", "n4", when, 4)))
     assert at(history, 38, 44) > 0.95
 
 
 @pytest.mark.parametrize("when", [8.5, 11.2, 13.0, 19.0, 24.0])
-def test_a_director_killed_in_any_state_comes_back_without_a_crowd(when: float) -> None:
+def test_a_director_killed_in_any_phase_restarts_without_a_burst(when: float) -> None:
     history = sound(play(fault("lose", "north"), fault("kill", "n4", when, 1)))
     assert at(history, 38, 44) > 0.95
 
 
-def test_a_drill_leaves_and_returns_and_gives_way_to_a_real_loss() -> None:
+def test_a_failover_exercise_leaves_and_returns_and_yields_to_an_actual_loss() -> None:
     calm = sound(play(fault("drill", "west", 6, 0, amount=4)))
     assert left_by(calm, "west") == {f"n{n}" for n in range(6)} and at(calm, 6, 44) > 0.93
     assert {row.data["now"] for row in c.states(calm, "west")} >= {"evacuated", "returning", "steady"}
@@ -209,7 +209,7 @@
     assert back and min(r.at_us for r in back) < real.began_us + 16 * S
 
 
-def test_bookings_out_at_the_instant_of_loss_run_once() -> None:
+def test_writes_in_flight_at_the_instant_of_loss_are_executed_once() -> None:
     def bookings(fleet: FleetScenario) -> FleetScenario:
         loads = [replace(load, mix=(("booking", 1.0),)) for load in fleet.scenario.loads]
         return replace(fleet, scenario=replace(fleet.scenario, loads=tuple(loads), duration_us=20 * S))
@@ -219,7 +219,7 @@
         assert len(history.of("ran")) > 300
 
 
-def test_a_tenant_whose_whole_room_was_there_is_served_elsewhere() -> None:
+def test_a_tenant_whose_capacity_was_all_there_is_served_elsewhere() -> None:
     history = sound(play(fault("lose", "north")))
     begin = history.began_us + 13 * S
     for rows in c.split(history.of("earned"), "tenant").values():
@@ -227,7 +227,7 @@
 
 
 @pytest.mark.parametrize("how", ["part", "new"])
-def test_a_site_that_comes_back_smaller_or_under_new_names(how: str) -> None:
+def test_a_site_that_returns_smaller_or_under_new_names(how: str) -> None:
     history = sound(play(fault("lose", "north", how=how)))
     assert at(history, 38, 44) > 0.9
     boxes = {row.who for row in history.of("sent") if row.at_us > history.began_us + 36 * S}
@@ -258,7 +258,7 @@
     assert not others
 
 
-def test_load_does_not_keep_itself_up_after_its_cause_has_gone() -> None:
+def test_load_does_not_sustain_itself_after_its_cause_has_ended() -> None:
     """Twice the load and clients that come again: 10 s after the loss is over all is as before."""
 
     def hard(fleet: FleetScenario) -> FleetScenario:
@@ -294,7 +294,7 @@
     )
 
 
-def test_in_calm_all_passes_through_unchanged() -> None:
+def test_while_all_sites_are_steady_everything_passes_through_unchanged() -> None:
     decider, now = _decider(), 1_001 * S
     out = decider.handle(now, [_ask("a"), _ask("b", site="north"), _ask("c", site="nowhere")])
     assert [type(a) for a in out if not isinstance(a, SetTimer)] == [ForwardWithFill] * 3
@@ -308,7 +308,7 @@
     assert decider.handle(now, [_ask("x", "no-class")]) == [RejectRequest("x")]
 
 
-def test_strangers_are_tried_at_their_site_and_moved_on_with_their_attempts_counted() -> None:
+def test_remote_requests_are_tried_at_their_site_and_relocated_with_their_attempts_counted() -> None:
     """The first go to their own boxes; one that finds them dark goes on to its object's new home, its
     attempts numbered on, and no answer is held back."""
     decider, now = _decider(), 1_001 * S
@@ -332,7 +332,7 @@
         assert numbers == list(range(len(numbers)))
 
 
-def test_an_order_is_shown_explained_and_undone() -> None:
+def test_a_command_is_reported_explained_and_withdrawn() -> None:
     decider, now = _decider(), 1_001 * S
     decider.apply_command(now, SiteCommand("north", SiteDirective.EVACUATE, "flood"))
     for n in range(40):
@@ -350,7 +350,7 @@
     assert router_status(decider, now + 30 * S)["sites"]["north"]["state"] == "steady"
 
 
-def test_an_operators_order_binds_when_it_is_durable_and_outlives_the_director() -> None:
+def test_an_operators_command_applies_once_durable_and_outlives_the_director() -> None:
     """By the API, over a store that is read again; without a store an order is refused."""
 
     async def play() -> None:
@@ -386,7 +386,7 @@
     asyncio.run(play())
 
 
-def test_a_state_is_counted_logged_and_traced_with_its_cause(tmp_path: Path) -> None:
+def test_a_phase_is_counted_logged_and_traced_with_its_cause(tmp_path: Path) -> None:
     decider = _decider()
 
     async def play() -> list[tuple[int, int, dict[str, object]]]:
@@ -415,7 +415,7 @@
 # ---- refusal --------------------------------------------------------------------------------------------
 
 
-def test_the_ladder_is_climbed_by_pressure_and_left_more_slowly() -> None:
+def test_shedding_levels_rise_with_pressure_and_fall_more_slowly() -> None:
     ladder, now = SheddingLevels(100, {"a": 0.5}, 1), 0
     assert ladder.retry_reserve == 1.0
     levels = []
@@ -441,7 +441,7 @@
     assert len(waits) > 10 and max(waits) <= 500_000
 
 
-def test_what_is_shed_first_is_the_least_worth_for_its_work() -> None:
+def test_the_lowest_priority_weight_for_its_work_is_shed_first() -> None:
     classes = {k.name: k for k in SETTINGS.classes}
     order = class_priorities(
         classes.values(), {"chunk": 400_000.0, "thumb": 50_000.0, "save": 1.0, "hold": 1.0}
@@ -449,7 +449,7 @@
     assert order["chunk"] < order["thumb"] < order["save"]
 
 
-def test_an_object_that_own_clients_want_is_here() -> None:
+def test_an_object_that_own_clients_request_is_local() -> None:
     wanted = LocalDemand()
     wanted.record_request(S, "o")
     assert wanted.is_local(S + RECENT_US, "o") and not wanted.is_local(2 * S + RECENT_US, "o")
@@ -460,7 +460,7 @@
     assert len(wanted.last_requests) == 20_000
 
 
-def test_the_module_spends_less_as_its_reserve_goes() -> None:
+def test_a_router_retries_less_as_its_reserve_falls() -> None:
     from tests.world import RouterHarness, final_answers, forwards
 
     tries = {}
--- a/tests/test_sites_life.py
+++ b/tests/test_sites_lifecycle.py
@@ -35,13 +35,15 @@
 S = 1_000_000
 TICK = 500_000
 POLICY = SitePolicy(confirm_us=S, step_interval_us=TICK, evacuation_steps=2, return_steps=2, hold_us=S)
-WELL = SiteHealthSignals(outside_heard_us=1 << 60, has_demand=True, answered_us=1 << 60, healthy_since_us=1)
+HEALTHY = SiteHealthSignals(
+    outside_heard_us=1 << 60, has_demand=True, answered_us=1 << 60, healthy_since_us=1
+)
 # What a director may see at a tick: names of signs, each over those of a site that is well.
-WORLD: dict[str, SiteHealthSignals] = {
-    "well": WELL,
-    "dark": replace(WELL, unreachable=True, unreachable_since_us=1, answered_us=0, healthy_since_us=0),
+SIGNALS: dict[str, SiteHealthSignals] = {
+    "well": HEALTHY,
+    "dark": replace(HEALTHY, unreachable=True, unreachable_since_us=1, answered_us=0, healthy_since_us=0),
     "cut off": replace(
-        WELL,
+        HEALTHY,
         unreachable=True,
         unreachable_since_us=1,
         answered_us=0,
@@ -50,52 +52,52 @@
         healthy_since_us=0,
     ),
     "off the list": replace(
-        WELL, listed_share=0.0, capacity_share=0.0, warm_share=0.0, answered_us=0, healthy_since_us=0
+        HEALTHY, listed_share=0.0, capacity_share=0.0, warm_share=0.0, answered_us=0, healthy_since_us=0
     ),
-    "cold": replace(WELL, warm_share=0.4),
-    "pressed": replace(WELL, pressure=0.9),
-    "smaller": replace(WELL, capacity_share=0.5, warm_share=0.5),
+    "cold": replace(HEALTHY, warm_share=0.4),
+    "pressed": replace(HEALTHY, pressure=0.9),
+    "smaller": replace(HEALTHY, capacity_share=0.5, warm_share=0.5),
     "nobody asks": replace(
-        WELL, unreachable=True, unreachable_since_us=1, answered_us=0, has_demand=False, healthy_since_us=0
+        HEALTHY, unreachable=True, unreachable_since_us=1, answered_us=0, has_demand=False, healthy_since_us=0
     ),
 }
-WORDS = (SiteDirective.NONE, SiteDirective.EVACUATE, SiteDirective.RETURN, SiteDirective.HOLD)
+DIRECTIVES = (SiteDirective.NONE, SiteDirective.EVACUATE, SiteDirective.RETURN, SiteDirective.HOLD)
 
 
-def test_an_illegal_step_has_a_name() -> None:
+def test_an_illegal_transition_raises_a_named_error() -> None:
     for phase in SitePhase:
         for to in SitePhase:
-            life = SiteLifecycle("north", 0, POLICY)
-            life.phase = phase
+            lifecycle = SiteLifecycle("north", 0, POLICY)
+            lifecycle.phase = phase
             if to not in LEGAL_TRANSITIONS[phase]:
                 with pytest.raises(IllegalSiteTransitionError, match="site 'north'"):
-                    life._transition(to, 1, "")
+                    lifecycle._transition(to, 1, "")
 
 
 # ---- the explorer ---------------------------------------------------------------------------------------
 
 
-def _key(life: SiteLifecycle, now: int) -> tuple[object, ...]:
+def _key(lifecycle: SiteLifecycle, now: int) -> tuple[object, ...]:
     """What decides how a life goes on; times relative to now and bounded."""
     passed = [
         min(8, (now - t) // TICK)
-        for t in (life.phase_started_us, life.share_changed_us, max(0, life.hold_until_us))
+        for t in (lifecycle.phase_started_us, lifecycle.share_changed_us, max(0, lifecycle.hold_until_us))
     ]
-    ahead = max(0, min(8, (life.hold_until_us - now) // TICK))
+    ahead = max(0, min(8, (lifecycle.hold_until_us - now) // TICK))
     return (
-        life.phase,
-        round(life.moved_share, 3),
-        life.flaps,
-        min(2, life.setbacks),
-        life.left_by_command,
-        life.was_unreachable,
+        lifecycle.phase,
+        round(lifecycle.moved_share, 3),
+        lifecycle.flaps,
+        min(2, lifecycle.setbacks),
+        lifecycle.left_by_command,
+        lifecycle.was_unreachable,
         *passed,
         ahead,
     )
 
 
 def _breach(
-    before: SiteLifecycle, after: SiteLifecycle, signs: SiteHealthSignals, word: SiteDirective
+    before: SiteLifecycle, after: SiteLifecycle, signals: SiteHealthSignals, directive: SiteDirective
 ) -> str:
     """The invariant that a step broke, in words."""
     step = 1 / min(POLICY.evacuation_steps, POLICY.return_steps)
@@ -103,7 +105,7 @@
         return f"a share of {after.moved_share}"
     if abs(after.moved_share - before.moved_share) > step + 1e-9 and after.phase is not SitePhase.STEADY:
         return f"the share moved by {after.moved_share - before.moved_share:+.2f} in one step"
-    if signs.cut_off and signs.listed_share > 0 and word is SiteDirective.NONE:
+    if signals.cut_off and signals.listed_share > 0 and directive is SiteDirective.NONE:
         if after.moved_share != before.moved_share and after.phase not in (
             SitePhase.RETURNING,
             SitePhase.STEADY,
@@ -116,8 +118,8 @@
     if after.phase is SitePhase.EVACUATED and after.moved_share != 1.0:
         return "evacuated with objects at home"
     if (
-        not signs.has_demand
-        and signs.listed_share > 0
+        not signals.has_demand
+        and signals.listed_share > 0
         and before.phase is SitePhase.SUSPECT
         and after.phase is SitePhase.LOST
     ):
@@ -128,7 +130,7 @@
 def explore(
     step: Callable[[SiteLifecycle, int, SiteHealthSignals, SiteDirective], None],
     depth: int,
-    words: tuple[SiteDirective, ...] = WORDS,
+    directives: tuple[SiteDirective, ...] = DIRECTIVES,
 ) -> tuple[int, list[str]]:
     """Every state that so many ticks of any signs and words lead to, breadth first: how many there are, and
     the shortest way to a breach (empty: none)."""
@@ -136,15 +138,15 @@
     seen = {_key(begin, 0)}
     queue: deque[tuple[SiteLifecycle, int, list[str]]] = deque([(begin, 0, [])])
     while queue:
-        life, now, way = queue.popleft()
-        if len(way) >= depth:
+        lifecycle, now, steps = queue.popleft()
+        if len(steps) >= depth:
             continue
-        for name, signs in WORLD.items():
-            for word in words:
-                after, then = copy.copy(life), now + TICK
-                step(after, then, signs, word)
-                path = [*way, f"{name}/{word.value}"]
-                if found := _breach(life, after, signs, word):
+        for name, signals in SIGNALS.items():
+            for directive in directives:
+                after, then = copy.copy(lifecycle), now + TICK
+                step(after, then, signals, directive)
+                path = [*steps, f"{name}/{directive.value}"]
+                if found := _breach(lifecycle, after, signals, directive):
                     return len(seen), [*path, found]
                 key = _key(after, then)
                 if key not in seen:
@@ -153,49 +155,63 @@
     return len(seen), []
 
 
-def test_no_interleaving_of_signs_and_orders_breaks_an_invariant() -> None:
-    states, breach = explore(lambda life, now, signs, word: life.step(now, signs, word), 7)
+def test_no_interleaving_of_signals_and_directives_breaks_an_invariant() -> None:
+    states, breach = explore(
+        lambda lifecycle, now, signals, directive: lifecycle.step(now, signals, directive), 7
+    )
     assert not breach, breach
     assert states > 2000
 
 
-def _ignoring_the_cut(life: SiteLifecycle, now: int, signs: SiteHealthSignals, word: SiteDirective) -> None:
-    life.step(now, replace(signs, cut_off=False, outside_heard_us=1 << 60), word)
+def _ignoring_the_cut(
+    lifecycle: SiteLifecycle, now: int, signals: SiteHealthSignals, directive: SiteDirective
+) -> None:
+    lifecycle.step(now, replace(signals, cut_off=False, outside_heard_us=1 << 60), directive)
 
 
-def _lost_unasked(life: SiteLifecycle, now: int, signs: SiteHealthSignals, word: SiteDirective) -> None:
-    life.step(now, replace(signs, has_demand=True), word)
+def _lost_unasked(
+    lifecycle: SiteLifecycle, now: int, signals: SiteHealthSignals, directive: SiteDirective
+) -> None:
+    lifecycle.step(now, replace(signals, has_demand=True), directive)
 
 
-def _whole_at_once(life: SiteLifecycle, now: int, signs: SiteHealthSignals, word: SiteDirective) -> None:
-    life.step(now, signs, word)
-    if life.phase is SitePhase.RETURNING:
-        life.moved_share = 0.0
+def _whole_at_once(
+    lifecycle: SiteLifecycle, now: int, signals: SiteHealthSignals, directive: SiteDirective
+) -> None:
+    lifecycle.step(now, signals, directive)
+    if lifecycle.phase is SitePhase.RETURNING:
+        lifecycle.moved_share = 0.0
 
 
-def _evacuated_early(life: SiteLifecycle, now: int, signs: SiteHealthSignals, word: SiteDirective) -> None:
-    life.step(now, signs, word)
-    if life.phase is SitePhase.EVACUATING and life.moved_share > 0:
-        life.phase = SitePhase.EVACUATED
+def _evacuated_early(
+    lifecycle: SiteLifecycle, now: int, signals: SiteHealthSignals, directive: SiteDirective
+) -> None:
+    lifecycle.step(now, signals, directive)
+    if lifecycle.phase is SitePhase.EVACUATING and lifecycle.moved_share > 0:
+        lifecycle.phase = SitePhase.EVACUATED
 
 
-def _steady_too_soon(life: SiteLifecycle, now: int, signs: SiteHealthSignals, word: SiteDirective) -> None:
-    life.step(now, signs, word)
-    if life.phase is SitePhase.RETURNING and life.moved_share < 0.6:
-        life.phase = SitePhase.STEADY
+def _steady_too_soon(
+    lifecycle: SiteLifecycle, now: int, signals: SiteHealthSignals, directive: SiteDirective
+) -> None:
+    lifecycle.step(now, signals, directive)
+    if lifecycle.phase is SitePhase.RETURNING and lifecycle.moved_share < 0.6:
+        lifecycle.phase = SitePhase.STEADY
 
 
-def _over_one(life: SiteLifecycle, now: int, signs: SiteHealthSignals, word: SiteDirective) -> None:
-    life.step(now, signs, word)
-    if life.phase is SitePhase.RETURNING and signs.pressure:
-        life.moved_share += 0.4
+def _over_one(
+    lifecycle: SiteLifecycle, now: int, signals: SiteHealthSignals, directive: SiteDirective
+) -> None:
+    lifecycle.step(now, signals, directive)
+    if lifecycle.phase is SitePhase.RETURNING and signals.pressure:
+        lifecycle.moved_share += 0.4
 
 
 PLANTED = [_ignoring_the_cut, _lost_unasked, _whole_at_once, _evacuated_early, _steady_too_soon, _over_one]
 
 
 @pytest.mark.parametrize("bug", PLANTED, ids=lambda bug: bug.__name__)
-def test_every_planted_bug_is_found_with_the_way_to_it(
+def test_every_planted_bug_is_found_with_the_steps_to_it(
     bug: Callable[[SiteLifecycle, int, SiteHealthSignals, SiteDirective], None],
 ) -> None:
     _, breach = explore(bug, 7)
@@ -203,15 +219,17 @@
 
 
 @pytest.mark.parametrize("depth", [4])
-def test_from_every_state_a_site_that_is_well_comes_home_in_bounded_time(depth: int) -> None:
+def test_from_every_state_a_healthy_site_becomes_steady_in_bounded_time(depth: int) -> None:
     """And one that stays dark is left; whatever came before."""
-    for life, now in _all(depth):
-        home, lost = copy.copy(life), copy.copy(life)
+    for lifecycle, now in _all(depth):
+        home, lost = copy.copy(lifecycle), copy.copy(lifecycle)
         for n in range(1, 400):
-            signs = replace(WELL, healthy_since_us=now, answered_us=now + n * TICK)
-            home.step(now + n * TICK, signs)
-            dark = replace(WORLD["dark"], unreachable_since_us=now, outside_heard_us=now + n * TICK)
-            lost.step(now + n * TICK, dark)
+            signals = replace(HEALTHY, healthy_since_us=now, answered_us=now + n * TICK)
+            home.step(now + n * TICK, signals)
+            unreachable_signals = replace(
+                SIGNALS["dark"], unreachable_since_us=now, outside_heard_us=now + n * TICK
+            )
+            lost.step(now + n * TICK, unreachable_signals)
         assert home.phase is SitePhase.STEADY, (home.phase, home.reason)
         assert lost.phase is SitePhase.EVACUATED, (lost.phase, lost.reason)
 
@@ -219,9 +237,11 @@
 def _all(depth: int) -> Iterator[tuple[SiteLifecycle, int]]:
     found: dict[tuple[object, ...], tuple[SiteLifecycle, int]] = {}
 
-    def step(life: SiteLifecycle, now: int, signs: SiteHealthSignals, word: SiteDirective) -> None:
-        life.step(now, signs, word)
-        found.setdefault(_key(life, now), (life, now))
+    def step(
+        lifecycle: SiteLifecycle, now: int, signals: SiteHealthSignals, directive: SiteDirective
+    ) -> None:
+        lifecycle.step(now, signals, directive)
+        found.setdefault(_key(lifecycle, now), (lifecycle, now))
 
     explore(step, depth, (SiteDirective.NONE, SiteDirective.EVACUATE))
     yield from found.values()
@@ -231,112 +251,119 @@
 
 
 def _run(
-    life: SiteLifecycle,
+    lifecycle: SiteLifecycle,
     start: int,
     ticks: int,
-    signs: SiteHealthSignals,
-    word: SiteDirective = SiteDirective.NONE,
+    signals: SiteHealthSignals,
+    directive: SiteDirective = SiteDirective.NONE,
 ) -> int:
     for n in range(ticks):
-        life.step(start + (n + 1) * TICK, signs, word)
+        lifecycle.step(start + (n + 1) * TICK, signals, directive)
     return start + ticks * TICK
 
 
 def test_a_flapping_site_is_returned_to_more_and_more_slowly() -> None:
     """Twenty minutes of 10 s up and 5 s down: far fewer moves than flaps."""
-    life, now, holds = SiteLifecycle("north", 0, POLICY), 0, []
+    lifecycle, now, holds = SiteLifecycle("north", 0, POLICY), 0, []
     for _ in range(80):
-        now = _run(life, now, 10, replace(WORLD["dark"], unreachable_since_us=now, outside_heard_us=1 << 60))
-        now = _run(life, now, 20, replace(WELL, healthy_since_us=now))
-        holds.append(life.hold_us)
-    assert holds[-1] >= 16 * POLICY.hold_us and life.transition_count < 60
-
-
-def test_a_paused_process_looks_again_before_it_acts() -> None:
-    life, now = SiteLifecycle("north", 0, POLICY), 0
-    now = _run(life, now, 1, WORLD["dark"])
-    assert str(life.phase.value) == "suspect"
-    life.step(now + 20 * S, WORLD["dark"])
-    assert str(life.phase.value) == "steady" and "process was paused" in life.reason
+        now = _run(
+            lifecycle, now, 10, replace(SIGNALS["dark"], unreachable_since_us=now, outside_heard_us=1 << 60)
+        )
+        now = _run(lifecycle, now, 20, replace(HEALTHY, healthy_since_us=now))
+        holds.append(lifecycle.hold_us)
+    assert holds[-1] >= 16 * POLICY.hold_us and lifecycle.transition_count < 60
+
+
+def test_a_paused_process_observes_again_before_it_acts() -> None:
+    lifecycle, now = SiteLifecycle("north", 0, POLICY), 0
+    now = _run(lifecycle, now, 1, SIGNALS["dark"])
+    assert str(lifecycle.phase.value) == "suspect"
+    lifecycle.step(now + 20 * S, SIGNALS["dark"])
+    assert str(lifecycle.phase.value) == "steady" and "process was paused" in lifecycle.reason
     gone = SiteLifecycle("north", 0, POLICY)
-    now = _run(gone, 0, 12, WORLD["dark"])
+    now = _run(gone, 0, 12, SIGNALS["dark"])
     share, phase = gone.moved_share, gone.phase
-    gone.step(now + 20 * S, replace(WELL, healthy_since_us=1))
+    gone.step(now + 20 * S, replace(HEALTHY, healthy_since_us=1))
     assert (gone.moved_share, gone.phase) == (share, phase), "nothing moves on beliefs of before the pause"
 
 
 def test_a_director_that_starts_beside_a_cold_site_leaves_its_objects_where_they_are() -> None:
-    life = SiteLifecycle("north", 0, POLICY)
-    life.start(0, SiteHealthSignals(warm_share=0.2))
-    assert life.phase is SitePhase.RETURNING and life.moved_share == pytest.approx(0.8)
+    lifecycle = SiteLifecycle("north", 0, POLICY)
+    lifecycle.start(0, SiteHealthSignals(warm_share=0.2))
+    assert lifecycle.phase is SitePhase.RETURNING and lifecycle.moved_share == pytest.approx(0.8)
     fresh = SiteLifecycle("north", 0, POLICY)
     fresh.start(0, SiteHealthSignals(warm_share=0.9))
     assert fresh.phase is SitePhase.STEADY
 
 
-def test_a_site_that_comes_back_smaller_keeps_a_part_away_and_says_so() -> None:
-    life = SiteLifecycle("north", 0, POLICY)
-    now = _run(life, 0, 12, WORLD["dark"])
-    _run(life, now, 60, WORLD["smaller"])
+def test_a_site_that_returns_smaller_keeps_a_share_elsewhere_with_a_reason() -> None:
+    lifecycle = SiteLifecycle("north", 0, POLICY)
+    now = _run(lifecycle, 0, 12, SIGNALS["dark"])
+    _run(lifecycle, now, 60, SIGNALS["smaller"])
     assert (
-        life.phase is SitePhase.RETURNING
-        and life.moved_share == pytest.approx(0.5)
-        and "returned with less capacity" in life.reason
+        lifecycle.phase is SitePhase.RETURNING
+        and lifecycle.moved_share == pytest.approx(0.5)
+        and "returned with less capacity" in lifecycle.reason
     )
 
 
-def test_an_order_goes_before_evidence_and_ordered_installations_wait_for_it() -> None:
-    life = SiteLifecycle("north", 0, POLICY)
-    now = _run(life, 0, 6, WELL, SiteDirective.EVACUATE)
-    assert str(life.phase.value) == "evacuated" and not life.was_unreachable
-    now = _run(life, now, 20, WELL, SiteDirective.EVACUATE)
-    assert str(life.phase.value) == "evacuated", "evidence does not bring back what an order has left"
-    _run(life, now, 20, WELL)
-    assert str(life.phase.value) == "steady"
+def test_a_command_goes_before_evidence_and_manual_installations_wait_for_it() -> None:
+    lifecycle = SiteLifecycle("north", 0, POLICY)
+    now = _run(lifecycle, 0, 6, HEALTHY, SiteDirective.EVACUATE)
+    assert str(lifecycle.phase.value) == "evacuated" and not lifecycle.was_unreachable
+    now = _run(lifecycle, now, 20, HEALTHY, SiteDirective.EVACUATE)
+    assert str(lifecycle.phase.value) == "evacuated", "evidence does not bring back what an order has left"
+    _run(lifecycle, now, 20, HEALTHY)
+    assert str(lifecycle.phase.value) == "steady"
     waits = SiteLifecycle("north", 0, replace(POLICY, automatic=False))
-    now = _run(waits, 0, 20, WORLD["dark"])
+    now = _run(waits, 0, 20, SIGNALS["dark"])
     assert waits.phase.value == "lost" and waits.moved_share == 0.0
-    _run(waits, now, 6, WORLD["dark"], SiteDirective.EVACUATE)
+    _run(waits, now, 6, SIGNALS["dark"], SiteDirective.EVACUATE)
     assert waits.phase is SitePhase.EVACUATED
 
 
-def test_a_drill_stays_away_for_its_time_and_gives_way_to_a_real_loss() -> None:
-    orders, drilled, other = (
+def test_an_exercise_stays_away_for_its_time_and_yields_to_an_actual_loss() -> None:
+    commands, exercised, other = (
         SiteCommands(),
         SiteLifecycle("north", 0, POLICY),
         SiteLifecycle("west", 0, POLICY),
     )
-    orders.apply(SiteCommand("north", SiteDirective.EVACUATE, "drill", issued_at_us=0, exercise_us=3 * S))
-    lives, now, ended = {"north": drilled, "west": other}, 0, []
+    commands.apply(SiteCommand("north", SiteDirective.EVACUATE, "drill", issued_at_us=0, exercise_us=3 * S))
+    lifecycles, now, ended = {"north": exercised, "west": other}, 0, []
     for n in range(40):
         now = (n + 1) * TICK
-        drilled.step(now, WELL, orders.directive_for("north"))
-        ended += orders.step_exercises(now, lives, 0.0)
-    assert ended == ["north"] and drilled.phase is SitePhase.STEADY and not orders.active
-    orders.apply(SiteCommand("north", SiteDirective.EVACUATE, "drill", issued_at_us=now, exercise_us=300 * S))
+        exercised.step(now, HEALTHY, commands.directive_for("north"))
+        ended += commands.step_exercises(now, lifecycles, 0.0)
+    assert ended == ["north"] and exercised.phase is SitePhase.STEADY and not commands.active
+    commands.apply(
+        SiteCommand("north", SiteDirective.EVACUATE, "drill", issued_at_us=now, exercise_us=300 * S)
+    )
     for n in range(6):
-        drilled.step(now + n * TICK, WELL, orders.directive_for("north"))
+        exercised.step(now + n * TICK, HEALTHY, commands.directive_for("north"))
     other.phase = SitePhase.SUSPECT
-    orders.step_exercises(now + 7 * TICK, lives, 0.0)
-    assert orders.directive_for("north") is SiteDirective.RETURN and "west" in orders.turned_back["north"]
+    commands.step_exercises(now + 7 * TICK, lifecycles, 0.0)
+    assert commands.directive_for("north") is SiteDirective.RETURN and "west" in commands.turned_back["north"]
 
 
-def test_a_drill_whose_gate_fails_turns_back_and_one_overtaken_by_the_loss_ends() -> None:
-    orders, life = SiteCommands(), SiteLifecycle("north", 0, POLICY)
-    orders.apply(SiteCommand("north", SiteDirective.EVACUATE, "drill", exercise_us=300 * S))
+def test_an_exercise_ends_under_overload_and_when_overtaken_by_an_actual_loss() -> None:
+    commands, lifecycle = SiteCommands(), SiteLifecycle("north", 0, POLICY)
+    commands.apply(SiteCommand("north", SiteDirective.EVACUATE, "drill", exercise_us=300 * S))
     for now in (S, S + ABORT_AFTER_US // 2, S + ABORT_AFTER_US):
-        orders.step_exercises(now, {"north": life}, 0.9)
-    assert orders.directive_for("north") is SiteDirective.RETURN and "overload" in orders.turned_back["north"]
-    life.was_unreachable, life.phase = True, SitePhase.EVACUATING
+        commands.step_exercises(now, {"north": lifecycle}, 0.9)
+    assert (
+        commands.directive_for("north") is SiteDirective.RETURN
+        and "overload" in commands.turned_back["north"]
+    )
+    lifecycle.was_unreachable, lifecycle.phase = True, SitePhase.EVACUATING
     assert (
-        orders.step_exercises(9 * S, {"north": life}, 0.0) == ["north"]
-        and orders.directive_for("north") is SiteDirective.NONE
+        commands.step_exercises(9 * S, {"north": lifecycle}, 0.0) == ["north"]
+        and commands.directive_for("north") is SiteDirective.NONE
     )
 
 
-def test_orders_are_read_whole_and_kept_as_rows() -> None:
-    order = parse_command("north", {"word": "evacuate", "reason": "flood", "stay_s": 30}, 7)
-    assert command_from_row(command_to_row(order)) == order and order.is_exercise
+def test_commands_are_parsed_completely_and_stored_as_rows() -> None:
+    command = parse_command("north", {"word": "evacuate", "reason": "flood", "stay_s": 30}, 7)
+    assert command_from_row(command_to_row(command)) == command and command.is_exercise
     for data, wanted in (
         ({"word": "leave"}, "one of auto, evacuate"),
         ({"word": "return", "stay_s": 5}, "belongs to a drill"),
@@ -394,13 +421,13 @@
         (AttemptStatus.NOT_SENT, 0, None),
     ],
 )
-def test_each_end_of_an_attempt_says_what_it_says(
+def test_each_end_of_an_attempt_is_classified(
     status: AttemptStatus, latency: int, kind: AttemptEvidence | None
 ) -> None:
     assert classify_attempt(_ended("n0", status, latency), 400_000) is kind
 
 
-def test_a_site_is_dark_when_most_of_it_is_and_nobody_answers() -> None:
+def test_a_site_is_unreachable_when_most_of_it_is_and_no_cache_answers() -> None:
     evidence = _evidence()
     for member in ("n0", "n1", "n2"):
         evidence.record_sent(S, member)
@@ -415,7 +442,7 @@
     assert not evidence.observe(60 * S, "north").unreachable, "nothing is believed for long"
 
 
-def test_silence_alone_counts_once_it_is_overdue_and_one_box_is_not_a_site() -> None:
+def test_silence_alone_counts_once_it_is_overdue_and_one_cache_is_not_a_site() -> None:
     evidence = _evidence()
     for member in ("n0", "n1", "n2"):
         evidence.record_sent(S, member)
@@ -426,7 +453,7 @@
     assert not one.observe(3 * S, "north").is_mostly_unreachable
 
 
-def test_what_a_client_takes_back_at_once_leaves_no_silence_behind() -> None:
+def test_an_attempt_cancelled_at_once_leaves_no_silence_behind() -> None:
     evidence = _evidence()
     for member in ("n0", "n1", "n2"):
         evidence.record_sent(S, member)
@@ -434,7 +461,7 @@
     assert not evidence.observe(20 * S, "north").unreachable
 
 
-def test_our_own_cut_is_told_from_the_loss_of_another() -> None:
+def test_isolation_of_this_director_is_distinguished_from_the_loss_of_another_site() -> None:
     evidence = _evidence()
     evidence.record_feed(S)
     for member in ("n0", "n1", "n2", "p0"):
@@ -451,7 +478,7 @@
     assert not evidence.observe(4 * S, "hub").unreachable, "it was asked before the cut ended"
 
 
-def test_attempts_out_at_the_cut_do_not_hide_it() -> None:
+def test_attempts_in_flight_at_the_isolation_do_not_hide_it() -> None:
     """They wait since before the last word from outside, and fail after it."""
     evidence = _evidence()
     for member in ("n0", "n1", "n2", "p0"):
@@ -463,7 +490,7 @@
     assert evidence.is_cut_off(S + 200_000 + MAX_FEED_INTERVAL_US + 1, "west")
 
 
-def test_a_busy_place_that_falls_silent_is_seen_and_one_silent_store_is_no_lost_hub() -> None:
+def test_a_busy_place_that_falls_silent_is_detected_and_one_silent_parent_is_no_lost_hub() -> None:
     """At a busy place some attempts wait since before its last answer: it is dark all the same."""
     evidence = _evidence()
     for member in ("n0", "n1", "n2"):
@@ -482,7 +509,7 @@
     )
 
 
-def test_another_process_under_a_name_starts_with_a_clean_slate() -> None:
+def test_another_process_under_an_address_starts_without_observations() -> None:
     evidence = _evidence()
     evidence.record_attempt_ended(S, _ended("n0", AttemptStatus.CONNECT_FAILED, 1000))
     evidence.forget_member("n0")
--- a/tests/test_sites_plan.py
+++ b/tests/test_sites_plan.py
@@ -61,7 +61,7 @@
     return check_topology(replace(top, **changes))  # type: ignore[arg-type]
 
 
-def test_a_loss_that_can_be_borne_goes_to_the_others_within_their_headroom() -> None:
+def test_a_feasible_loss_is_served_by_the_others_within_their_headroom() -> None:
     """By hand: a site's work is 100 requests a second of 0.1 and 100 of 0.05 s, 15 transfers over both."""
     top = top_of(capacity=30.0)
     steady, lost = solve_loss(top, SiteLoss()), solve_loss(top, SiteLoss(frozenset(["s0"])))
@@ -79,7 +79,7 @@
     assert sum(lost.serving_shares[("s0", "video")].values()) == pytest.approx(1.0)
 
 
-def test_what_fits_nowhere_is_refused_by_worth_for_its_work_and_evenly() -> None:
+def test_what_fits_nowhere_is_rejected_by_value_for_its_work_and_evenly() -> None:
     """Two sites of 18 with 0.9 usable bear 32.4 of 45: the sheets, worth as much for their work, share it."""
     top = top_of(capacity=18.0)
     lost = solve_loss(top, SiteLoss(frozenset(["s0"])))
@@ -103,7 +103,7 @@
     assert solve_loss(wider, SiteLoss(frozenset(["s0"]))).is_feasible, "with that much more it is borne"
 
 
-def test_a_reserve_is_kept_before_worth() -> None:
+def test_a_tenants_reserve_is_served_before_value() -> None:
     base = top_of(capacity=13.0)
     cheap = PlannedClass("video", 100_000, 40_000, 0.3, 0.5, priority_weight=0.1)
     top = replace(base, classes={**base.classes, "video": cheap})
@@ -113,7 +113,7 @@
     assert all(v >= 0.2 - 1e-3 for (_, k, t), v in kept.served_shares.items() if (k, t) == ("video", "a"))
 
 
-def test_stores_links_and_archive_bind_too() -> None:
+def test_parents_links_and_origin_limit_too() -> None:
     thin = top_of(capacity=60.0, hubs={"h0": Hub("h0", "h0", 5.0)})
     out = solve_loss(thin, SiteLoss(frozenset(["s0"])))
     assert out.bottleneck == ("stores", "h0") and not out.is_feasible
@@ -126,14 +126,14 @@
     assert linked.resource_use[("link", "s1", "s2")].used <= 1.8 + 1e-6
 
 
-def test_objects_that_others_want_too_stay_where_their_clients_come() -> None:
+def test_shared_objects_are_served_where_their_clients_connect() -> None:
     kinds = {k.name: replace(k, shared_object_share=0.8) for k in (VIDEO, SHEET)} | {"save": SAVE}
     lost = solve_loss(top_of(capacity=30.0, classes=kinds), SiteLoss(frozenset(["s0"])))
     used = [lost.resource_use[("boxes", s)].used for s in ("s1", "s2")]
     assert sum(used) == pytest.approx(45.0, rel=0.01) and max(used) - min(used) < 3.1
 
 
-def test_all_losses_of_a_topology_and_what_cannot_be_borne_in_words() -> None:
+def test_all_losses_of_a_topology_and_findings_for_infeasible_ones() -> None:
     done = study_losses(top_of(capacity=27.0))
     assert len(done.outcomes) == 1 + 3 + 2 + 3 + 3
     texts = done.findings()
@@ -147,7 +147,7 @@
         plan_from_json(plan.topology, {"rows": []})
 
 
-def test_many_sites_are_solved_in_parts_and_apart_pairs_are_no_rows() -> None:
+def test_many_sites_are_solved_in_parts_and_independent_pairs_have_no_rows() -> None:
     top = top_of(
         sites=30, capacity=30.0, hubs={"h0": Hub("h0", "h0", 90.0)}, origin=Hub(ORIGIN_PLACE, "h0", 90.0)
     )
@@ -158,7 +158,7 @@
     )
 
 
-def test_a_loss_that_was_not_planned_is_put_together_from_those_that_were() -> None:
+def test_a_loss_without_a_row_is_composed_of_planned_ones() -> None:
     top = top_of(sites=4, capacity=22.0)
     plan = study_losses(top, pairs=False).plan()
     row = plan.row(["s0", "s1"])
@@ -234,7 +234,7 @@
     return found[0] if found else None
 
 
-def test_a_topology_is_read_whole_or_not_at_all() -> None:
+def test_a_topology_is_read_completely_or_not_at_all() -> None:
     top = _read(GOOD)
     assert (
         top is not None and top.tenant_reserves == {"yards": 0.2} and top.delay_us("hub-a", "north") == 6000
@@ -249,7 +249,9 @@
 
 
 @pytest.mark.parametrize(("good", "bad", "wanted"), WRONG, ids=[w[2][:30] for w in WRONG])
-def test_every_slip_is_told_with_file_line_and_what_was_meant(good: str, bad: str, wanted: str) -> None:
+def test_every_mistake_is_reported_with_file_line_and_what_was_meant(
+    good: str, bad: str, wanted: str
+) -> None:
     assert good in GOOD
     with pytest.raises(ConfigError, match=r"service\.hcl:[0-9]+: ") as caught:
         _read(GOOD.replace(good, bad, 1))
@@ -270,7 +272,7 @@
         read_plan(top, tmp_path / "none.json")
 
 
-def test_the_command_tells_what_breaks_first_and_writes_what_directors_read(tmp_path: Path) -> None:
+def test_the_command_reports_the_bottleneck_and_writes_what_directors_read(tmp_path: Path) -> None:
     file, out = tmp_path / "service.hcl", tmp_path / "plan.json"
     file.write_text(GOOD)
     words = [sys.executable, "-m", "onyxwick", "sites", "plan", str(file), "--out", str(out)]
@@ -290,7 +292,7 @@
     assert done.returncode == 1 and "boxes of west" in json.loads(done.stdout)["findings"][0]
 
 
-def test_policy_has_room_for_both_kinds_of_directors() -> None:
+def test_the_policy_allows_for_both_kinds_of_directors() -> None:
     assert 0 < SitePolicy().remote_share < 1
 
 
