--- a/onyxwick/cells/router.py
+++ b/onyxwick/cells/router.py
@@ -303,17 +303,7 @@
             target_in_flight=self.admission.in_flight_of(tenant, target_names, inside=True),
         )
 
-    # ---- for the trace and operators -----------------------------------------------------------------------
-
-    def router_of(self, request_id: str) -> Router | None:
-        """The router that decides for a request now; None for one that is not in progress."""
-        owner = self.requests.get(request_id)
-        return self.cells[owner.assigned_to].router if owner is not None else None
-
-    def cell_of(self, request_id: str) -> str:
-        """The cell that a request belongs to; empty for one that is not in progress."""
-        owner = self.requests.get(request_id)
-        return owner.assigned_to if owner is not None else ""
+    # ---- operators -----------------------------------------------------------------------
 
     def abort_migration(self, now: int, name: str) -> bool:
         """Abort a migration; False where it has ended. KeyError for an unknown one."""
--- a/onyxwick/sites/router.py
+++ b/onyxwick/sites/router.py
@@ -361,22 +361,3 @@
         self.now = now
         self.monitor.replace_plan(plan)
         self._dispatch_fleet_shares({})
-
-    # ---- for the trace -------------------------------------------------------------------------------------
-
-    def router_of(self, request_id: str) -> Router | None:
-        """The router that decides for a request now; None for one that is not in progress."""
-        owner = self.requests.get(request_id)
-        site = self.sites.get(owner.assigned_to) if owner is not None else None
-        if site is None or isinstance(site.router, Router):
-            return site.router if site is not None else None  # type: ignore[return-value]
-        return site.router.router_of(request_id)  # type: ignore[attr-defined, no-any-return]
-
-    def cell_of(self, request_id: str) -> str:
-        """What a request is assigned to, as `site` or `site/cell`; empty for one that is not in progress."""
-        owner = self.requests.get(request_id)
-        if owner is None:
-            return ""
-        router = self.sites[owner.assigned_to].router
-        cell = "" if isinstance(router, Router) else router.cell_of(request_id)  # type: ignore[attr-defined]
-        return f"{owner.assigned_to}/{cell}" if cell else owner.assigned_to
--- a/onyxwick/subrouters/dispatcher.py
+++ b/onyxwick/subrouters/dispatcher.py
@@ -238,3 +238,27 @@
     def _count(self, name: str) -> None:
         if name in self.counts or len(self.counts) < MAX_COUNTER_NAMES:
             self.counts[name] = self.counts.get(name, 0) + 1
+
+    # ---- for the trace -------------------------------------------------------------------------------------
+
+    def router_of(self, request_id: str) -> RequestRouter | None:
+        """The innermost router that decides for a request now; None for one that is not in progress."""
+        router = self._assigned_router(request_id)
+        if isinstance(router, SubrouterDispatcher):
+            return router.router_of(request_id)
+        return router
+
+    def cell_of(self, request_id: str) -> str:
+        """What a request is assigned to, by name, with the names of nested routers after a slash; empty for
+        one that is not in progress."""
+        router = self._assigned_router(request_id)
+        if router is None:
+            return ""
+        name = self.requests[request_id].assigned_to
+        nested = router.cell_of(request_id) if isinstance(router, SubrouterDispatcher) else ""
+        return f"{name}/{nested}" if nested else name
+
+    def _assigned_router(self, request_id: str) -> RequestRouter | None:
+        owner = self.requests.get(request_id)
+        subrouter = self._subrouters.get(owner.assigned_to) if owner is not None else None
+        return subrouter.router if subrouter is not None else None
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -15,6 +15,7 @@
 from onyxwick.admin.durable_api import DurableApi
 from onyxwick.admin.http import HttpError, HttpRequest
 from onyxwick.admin.sites import SitesApi
+from onyxwick.cells import Cell, CellPlan, CellRouter, TenantSpec
 from onyxwick.core import RequestEngine
 from onyxwick.core.endpoints import EndpointTable
 from onyxwick.counters import Counters
@@ -24,6 +25,8 @@
     AttemptStatus,
     ClientDisconnected,
     EndpointFeedReceived,
+    EndpointListKind,
+    EndpointsChanged,
     ForwardRequest,
     ForwardWithFill,
     RejectRequest,
@@ -37,6 +40,7 @@
 from onyxwick.lab.faults.model import FleetScenario, InjectedFault, When
 from onyxwick.lab.faults.script import read
 from onyxwick.lab.faults.simulate import Simulation, planned, topology_of
+from onyxwick.routing import Router
 from onyxwick.sites import SitePlan, SiteRouter
 from onyxwick.sites.lifecycle import SiteDirective, SitePhase
 from onyxwick.sites.load_shedding import LEVEL_THRESHOLDS, SheddingLevels
@@ -294,6 +298,26 @@
     )
 
 
+def test_with_cells_in_a_site_a_request_is_found_at_its_cells_router() -> None:
+    plain = _decider()
+    assert plain.router_of("a") is None and plain.cell_of("a") == ""
+    cell_plan = CellPlan({"only": Cell("only")}, {"depot": TenantSpec("depot", cells=("only",))})
+    nested = SiteRouter(
+        plain.settings,
+        1,
+        1_000 * S,
+        plain.topology,
+        plain.monitor.serving_sites.plan,
+        lambda settings, seed, now: CellRouter(settings, seed, now, cell_plan, 400),
+    )
+    for decider, expected in ((plain, "north"), (nested, "north/only")):
+        members = tuple(plain.monitor.membership.members.values())
+        snapshot = EndpointsChanged(EndpointListKind.SNAPSHOT, members)
+        decider.handle(1_001 * S, [snapshot, _ask("a")])
+        assert decider.cell_of("a") == expected
+        assert isinstance(decider.router_of("a"), Router)
+
+
 def test_while_all_sites_are_steady_everything_passes_through_unchanged() -> None:
     decider, now = _decider(), 1_001 * S
     out = decider.handle(now, [_ask("a"), _ask("b", site="north"), _ask("c", site="nowhere")])
--- a/tests/test_subrouters.py
+++ b/tests/test_subrouters.py
@@ -144,10 +144,12 @@
     dispatcher = FirstNameDispatcher()
     dispatcher.handle(0, [_request("r", "a"), ClientDisconnected("r"), ClientDisconnected("unknown")])
     owner = dispatcher.requests["r"]
+    assert dispatcher.router_of("r") is dispatcher.inner["a"].router and dispatcher.cell_of("r") == "a"
     assert owner.answered and owner.attempts_in_flight == 1 and not dispatcher.released
     assert dispatcher.inner["a"].router.events[-1] == ClientDisconnected("r")
     dispatcher.handle(1, [AttemptEnded("r", 0, "cache-1", AttemptStatus.CANCELLED, 1, False)])
     assert not dispatcher.requests and dispatcher.released == [owner]
+    assert dispatcher.router_of("r") is None and dispatcher.cell_of("r") == ""
 
 
 def test_inner_routers_receive_changes_of_their_lists_alone() -> None:
