--- a/onyxwick/cells/membership.py
+++ b/onyxwick/cells/membership.py
@@ -43,7 +43,7 @@
         self.placement = compute_placement(plan, [], self.upstream_kinds, self.cell_orders)
         self.placed_caches: list[Member] = []
 
-    # ---- what comes in -------------------------------------------------------------------------------------
+    # ---- input ---------------------------------------------------------------------------------------
 
     def placement_for(self, plan: CellPlan) -> Placement:
         """The placement that a plan would give now; CellPlanError where a cell would have no cache here."""
@@ -101,7 +101,7 @@
             plan = self.placement.plan
             self.placement = compute_placement(plan, caches, self.upstream_kinds, self.cell_orders)
 
-    # ---- what it says --------------------------------------------------------------------------------------
+    # ---- results -------------------------------------------------------------------------------------
 
     def members_of(self, cell: str) -> dict[str, Member]:
         """The list for a cell's router: its caches in all zones, the parents and the origin."""
--- a/onyxwick/cells/model.py
+++ b/onyxwick/cells/model.py
@@ -78,9 +78,7 @@
     first: int = 0
     last: int = KEY_PREFIX_COUNT - 1
     starts_at_us: int = 0  # Unix time; 0: at once
-    warm_up_us: int = (
-        DEFAULT_WARM_UP_US  # in which the share of the target cells grows to all, at the fastest
-    )
+    warm_up_us: int = DEFAULT_WARM_UP_US  # the least time for the target cells' share to grow to all
     soak_us: int = DEFAULT_SOAK_US  # after the cut-over, before the source cells are released
 
     def overlaps(self, other: KeyRange | MigrationSpec) -> bool:
@@ -94,9 +92,7 @@
 
     tenant_field: str = DEFAULT_TENANT_FIELD  # the request field that names the tenant
     default_tenant: str | None = None  # the tenant of a request that names none
-    seat_retention_us: int = (
-        DEFAULT_SEAT_RETENTION_US  # for which a departed cache stays assigned to its cell
-    )
+    seat_retention_us: int = DEFAULT_SEAT_RETENTION_US  # a departed cache stays assigned this long
     reserved_share: float = DEFAULT_RESERVED_SHARE  # of each bound, divided among cells for good
 
 
--- a/onyxwick/cells/placement.py
+++ b/onyxwick/cells/placement.py
@@ -53,7 +53,7 @@
     return -math.log((mix_hashes(one, other) + 1) / (MAX_HASH + 2)) / weight
 
 
-# ---- caches to cells --------------------------------------------------------------------
+# ---- caches to cells ---------------------------------------------------------------------------------
 
 
 def assign_caches(
@@ -112,7 +112,7 @@
     return quotas
 
 
-# ---- tenants to cells --------------------------------------------------------------------
+# ---- tenants to cells --------------------------------------------------------------------------------
 
 
 class CellOrderCache:
@@ -181,7 +181,7 @@
     return (chosen + [index for index in order if index not in chosen])[:span]
 
 
-# ---- the placement --------------------------------------------------------------------
+# ---- the placement -----------------------------------------------------------------------------------
 
 
 @dataclass(frozen=True, slots=True)
--- a/onyxwick/cells/router.py
+++ b/onyxwick/cells/router.py
@@ -42,6 +42,7 @@
 from onyxwick.routing import Router
 from onyxwick.subrouters import SubrouterDispatcher
 from onyxwick.subrouters.dispatcher import REBALANCE_TICKS, TICK_INTERVAL_US
+from onyxwick.subrouters.rejection import RejectionReason
 from onyxwick.subrouters.share_arbiter import ShareArbiter
 
 INITIAL_PARENT_SHARE = 1e-3  # of the parents' budget: a new cell's, until its own share is available
@@ -81,7 +82,7 @@
         self._dispatch_shares(self.arbiter.shares)
         self._schedule_tick()
 
-    # ---- events --------------------------------------------------------------------------------------------
+    # ---- events --------------------------------------------------------------------------------------
 
     def handle(self, now: int, events: list[Event]) -> list[Action]:
         """Dispatch the events of the instant `now` (us) to the cells concerned and return their actions."""
@@ -130,7 +131,7 @@
             if share > 0:  # a new cell keeps its initial share until its own is available
                 self._dispatch(self.cells[name], [FleetShareChanged(share)])
 
-    # ---- requests ------------------------------------------------------------------------------------------
+    # ---- requests ------------------------------------------------------------------------------------
 
     def _on_request_arrived(self, request: RequestArrived) -> None:
         tenant = self.plan.tenants.get(request.tenant or self.plan.policy.default_tenant or "")
@@ -139,7 +140,7 @@
             self._count("unknown_tenant" if tenant is None else "unknown_class")
             self._pending_actions.append(RejectRequest(request.request_id))
         elif wait_us := self.admission.tenant_rates.wait_us(tenant.name):
-            self._shed(request, tenant, "rate", wait_us)
+            self._shed(request, tenant, RejectionReason.TENANT_RATE, wait_us)
         else:
             self._admit(request, tenant, request_class)
 
@@ -147,7 +148,7 @@
         selection = self._select_cell(tenant, request.object_id, request_class)
         if selection is None:
             wait_us = self.admission.expected_wait_us(None, request_class)
-            self._shed(request, tenant, "no_boxes", wait_us)
+            self._shed(request, tenant, RejectionReason.NO_READY_CACHE, wait_us)
             return
         cell = selection.cell
         reason = self.admission.rejection_reason(cell, tenant, request_class, selection.is_fallback)
@@ -159,10 +160,12 @@
         self.admission.admit(cell, tenant, owner)
         self._dispatch(cell, [request])
 
-    def _shed(self, request: RequestArrived, tenant: TenantSpec, reason: str, wait_us: int) -> None:
+    def _shed(
+        self, request: RequestArrived, tenant: TenantSpec, reason: RejectionReason, wait_us: int
+    ) -> None:
         """Reject a request at once, before any cell's router receives it."""
         self._count(f"shed.{reason}.{tenant.name}")
-        self.shed_now[request.request_id] = reason
+        self.shed_now[request.request_id] = reason.value
         retry_after_us = self.admission.retry_after_us(wait_us)
         self._pending_actions.append(RejectRequest(request.request_id, retry_after_us))
 
@@ -223,7 +226,7 @@
         if cell.retired and not cell.in_flight:
             del self.cells[cell.name]
 
-    # ---- the plan ------------------------------------------------------------------------------------------
+    # ---- the plan ------------------------------------------------------------------------------------
 
     def apply_plan(self, now: int, plan: CellPlan) -> None:
         """Run another plan from this instant on; CellPlanError and no change where it does not fit.
@@ -271,7 +274,7 @@
             self._dispatch(cell, [FleetShareChanged(INITIAL_PARENT_SHARE)])
         return cell
 
-    # ---- the tick ------------------------------------------------------------------------------------------
+    # ---- the tick ------------------------------------------------------------------------------------
 
     def _on_tick(self) -> None:
         for transition in self.migrations.step(self.now, self.plan, self._health_signals):
@@ -303,7 +306,7 @@
             target_in_flight=self.admission.in_flight_of(tenant, target_names, inside=True),
         )
 
-    # ---- operators -----------------------------------------------------------------------
+    # ---- operators -----------------------------------------------------------------------------------
 
     def abort_migration(self, now: int, name: str) -> bool:
         """Abort a migration; False where it has ended. KeyError for an unknown one."""
--- a/onyxwick/sites/evidence.py
+++ b/onyxwick/sites/evidence.py
@@ -33,7 +33,7 @@
         self.feed_received_us = 0  # when the endpoint list's source last sent something
         self.recovered_us = 0  # when a pause of this process or its isolation last ended
 
-    # ---- what comes in -------------------------------------------------------------------------------------
+    # ---- input ---------------------------------------------------------------------------------------
 
     def set_members(self, rows: Iterable[tuple[str, str]]) -> None:
         """The members known now, each with its place; what was observed of all others is forgotten."""
@@ -118,7 +118,7 @@
         observation.record_answer(now)
         self.places[self.place_of[member]].answered_us = now
 
-    # ---- what it says --------------------------------------------------------------------------------------
+    # ---- results -------------------------------------------------------------------------------------
 
     def rules_out_loss(self, now: int, name: str) -> bool:
         """Whether a place cannot be lost (`PlaceEvidence.rules_out_loss`); true for an unknown one."""
--- a/onyxwick/sites/lifecycle.py
+++ b/onyxwick/sites/lifecycle.py
@@ -192,7 +192,7 @@
             case SitePhase.RETURNING:
                 self._step_returning(now, signals, directive)
 
-    # ---- steady, suspect, lost -----------------------------------------------------------------------------
+    # ---- steady, suspect, lost -----------------------------------------------------------------------
 
     def _step_steady(self, now: int, signals: SiteHealthSignals, directive: SiteDirective) -> None:
         if directive is SiteDirective.EVACUATE:
@@ -261,7 +261,7 @@
             if answers and not self._is_unlisted(signals):
                 self._transition(SitePhase.STEADY, now, "its caches answer, and nothing has been moved")
 
-    # ---- evacuating, evacuated -----------------------------------------------------------------------------
+    # ---- evacuating, evacuated -----------------------------------------------------------------------
 
     def _is_recalled(self, signals: SiteHealthSignals, directive: SiteDirective) -> bool:
         """Whether a command asks for the return, or no longer for the absence, to caches that are listed."""
@@ -305,7 +305,7 @@
         if signals.listed_share >= MIN_LISTED_SHARE and is_healthy:
             self._transition(SitePhase.RETURNING, now, "its caches are listed and answer")
 
-    # ---- returning -----------------------------------------------------------------------------------------
+    # ---- returning -----------------------------------------------------------------------------------
 
     def _step_returning(self, now: int, signals: SiteHealthSignals, directive: SiteDirective) -> None:
         if directive is SiteDirective.EVACUATE:
--- a/onyxwick/sites/linear_program.py
+++ b/onyxwick/sites/linear_program.py
@@ -81,7 +81,7 @@
         constraints.add([Block(self.demand_matrix)], self.rates)
         return constraints
 
-    # ---- highest value -------------------------------------------------------------------------------------
+    # ---- highest value -------------------------------------------------------------------------------
 
     def highest_value(self) -> np.ndarray:
         """Rates of the choices: reserves first, then value; little congestion and short paths."""
@@ -129,7 +129,7 @@
         above_start = Block(negative_identity(piece_count), first_piece)
         constraints.add([Block(spread @ self.use_matrix), above_start], starts)
 
-    # ---- missing capacity ----------------------------------------------------------------------------------
+    # ---- missing capacity ----------------------------------------------------------------------------
 
     def missing_capacity(self) -> dict[Resource, float]:
         """Transfers more of each resource, the fewest in sum, with which nothing would be rejected."""
--- a/onyxwick/sites/model.py
+++ b/onyxwick/sites/model.py
@@ -43,9 +43,7 @@
     capacity: float  # of all its caches
     directors: int = 1
     caches: int = 1
-    failover: Mapping[str, float] = field(
-        default_factory=dict
-    )  # where its clients connect instead, by weight
+    failover: Mapping[str, float] = field(default_factory=dict)  # its clients' other sites, by weight
 
 
 @dataclass(frozen=True, slots=True)
@@ -126,9 +124,7 @@
     classes: Mapping[str, PlannedClass]
     loads: tuple[OfferedLoad, ...]
     links: Mapping[frozenset[str], NetworkLink] = field(default_factory=dict)
-    tenant_reserves: Mapping[str, float] = field(
-        default_factory=dict
-    )  # share of a tenant's load that is kept
+    tenant_reserves: Mapping[str, float] = field(default_factory=dict)  # share of its load that is reserved
     policy: SitePolicy = field(default_factory=SitePolicy)
 
     @property
--- a/onyxwick/sites/monitor.py
+++ b/onyxwick/sites/monitor.py
@@ -26,6 +26,7 @@
 from onyxwick.sites.operator_commands import SiteCommand, SiteCommands
 from onyxwick.sites.plan import SitePlan
 from onyxwick.sites.serving_sites import ServingSites, SiteRoute, is_evacuated
+from onyxwick.subrouters.rejection import RejectionReason
 
 TRIAL_INTERVAL_US = 150_000  # between two trials of a site that was left
 DEMAND_WINDOW_US = 5 * MICROSECONDS_PER_SECOND  # for which a client's request counts as demand
@@ -59,9 +60,7 @@
         self.lifecycles = {
             name: SiteLifecycle(name, now, topology.policy) for name in (*topology.sites, *topology.hubs)
         }
-        self.last_request_us: dict[str, int] = {
-            local_site: now
-        }  # by site: when a client of it last asked here
+        self.last_request_us: dict[str, int] = {local_site: now}  # of each site's clients at this director
         self.last_trial_us: dict[str, int] = {}
         self.trials_in_flight: dict[str, int] = {}
         self.healthy_since_us: dict[str, int] = {}  # since when trials are answered; 0: they are not
@@ -71,7 +70,7 @@
         self.started = False  # the first endpoint list has been received
         self.last_tick_us = now
 
-    # ---- what comes in -------------------------------------------------------------------------------------
+    # ---- input ---------------------------------------------------------------------------------------
 
     def on_endpoints_changed(self, now: int, event: EndpointsChanged) -> list[SiteTransition]:
         """Take in a changed endpoint list; the phases entered by the first one after a start."""
@@ -124,7 +123,7 @@
         elif evidence is not None:
             self.healthy_since_us[site] = 0
 
-    # ---- where a request goes ------------------------------------------------------------------------------
+    # ---- where a request goes ------------------------------------------------------------------------
 
     def route(
         self,
@@ -133,12 +132,13 @@
         request_class: RequestClass,
         client_site: str,
         plan_strictness: SiteMeasure,
-    ) -> SiteRoute:
-        """Where a request of one site's client goes. If the site `lacks_observation`, step it first.
+    ) -> SiteRoute | RejectionReason:
+        """Where a request of one site's client goes, or why it is rejected. If the site `lacks_observation`,
+        step it first.
 
         `plan_strictness`: of what the plan may reject, the share that a site's caches have to reject now."""
         route = self._route(now, request, request_class, client_site)
-        if route.site is None or route.is_trial:
+        if isinstance(route, RejectionReason) or route.is_trial:
             return route
         is_served = self.serving_sites.is_served(
             client_site,
@@ -147,11 +147,11 @@
             request.object_id,
             plan_strictness(route.site),
         )
-        return route if is_served else SiteRoute(None, reason="plan")
+        return route if is_served else RejectionReason.SHED_BY_PLAN
 
     def _route(
         self, now: int, request: RequestArrived, request_class: RequestClass, client_site: str
-    ) -> SiteRoute:
+    ) -> SiteRoute | RejectionReason:
         lifecycle = self.lifecycles[client_site]
         is_local = client_site == self.local_site
         is_doubtful = not is_local and lifecycle.phase in (SitePhase.SUSPECT, *AWAY_PHASES)
@@ -160,8 +160,8 @@
             return SiteRoute(self.local_site)  # it is cached here already, whichever site is to serve it
         may_try = self._may_try(now, client_site, request_class)
         route = self.serving_sites.route(lifecycle, request_class.name, request.object_id, is_local, may_try)
-        if self.is_cut_off and route.site is not None and route.site != self.local_site:
-            return SiteRoute(None, reason="cut_off")
+        if self.is_cut_off and isinstance(route, SiteRoute) and route.site != self.local_site:
+            return RejectionReason.DIRECTOR_ISOLATED
         return route
 
     def lacks_observation(self, now: int, site: str) -> bool:
@@ -188,7 +188,7 @@
             return False
         return now - self.last_trial_us.get(site, 0) >= TRIAL_INTERVAL_US
 
-    # ---- the tick ------------------------------------------------------------------------------------------
+    # ---- the tick ------------------------------------------------------------------------------------
 
     def tick(self, now: int, pressure: SiteMeasure) -> list[SiteTransition]:
         """Periodic; the phases that were entered. `pressure`: share of late and rejected answers of a
@@ -291,7 +291,7 @@
         }
         return max(map(pressure, targets), default=0.0)
 
-    # ---- operators -----------------------------------------------------------------------------------------
+    # ---- operators -----------------------------------------------------------------------------------
 
     def restore_commands(self, commands: list[SiteCommand]) -> None:
         """Apply the commands that were stored before a restart; those for unknown sites are ignored."""
--- a/onyxwick/sites/operator_commands.py
+++ b/onyxwick/sites/operator_commands.py
@@ -46,7 +46,7 @@
         return self.exercise_us > 0
 
 
-# ---- the API's form and the store's form ------------------------------------------------------
+# ---- the API's form and the store's form -------------------------------------------------------------
 
 
 def parse_command(site: str, document: Mapping[str, Any], now: int) -> SiteCommand:
@@ -105,7 +105,7 @@
         raise SiteCommandError(f"no order: {error!r}") from None
 
 
-# ---- the commands in force ------------------------------------------------------
+# ---- the commands in force ---------------------------------------------------------------------------
 
 
 class SiteCommands:
--- a/onyxwick/sites/router.py
+++ b/onyxwick/sites/router.py
@@ -46,6 +46,7 @@
 from onyxwick.sites.site_pool import DEFAULT_MAX_IN_FLIGHT, DEFAULT_TRANSFER_US, MakeRouter, SitePool
 from onyxwick.subrouters.admission_gate import class_priorities
 from onyxwick.subrouters.dispatcher import REBALANCE_TICKS
+from onyxwick.subrouters.rejection import RejectionReason
 
 MAX_RELOCATED_AT_ONCE = 32  # requests moved off a site at the instant it is found lost
 SOURCE_ANSWERED = (
@@ -78,7 +79,7 @@
         self.priority_of_class = class_priorities(settings.classes, work_us)
         super().__init__(settings, seed, now, topology, plan, make_router, max_in_flight)
 
-    # ---- events --------------------------------------------------------------------------------------------
+    # ---- events --------------------------------------------------------------------------------------
 
     def _on_other_event(self, event: Event) -> None:
         if isinstance(event, EndpointFeedReceived):
@@ -122,7 +123,7 @@
         if index is not None:
             self._pending_actions.append(CancelAttempt(request_id, index))
 
-    # ---- requests ------------------------------------------------------------------------------------------
+    # ---- requests ------------------------------------------------------------------------------------
 
     def _on_request_arrived(self, request: RequestArrived) -> None:
         request_class = self.classes.get(request.class_name)
@@ -147,8 +148,8 @@
         if self.monitor.lacks_observation(self.now, client_site):
             self._on_transition(self.monitor.step_site(self.now, client_site, self._pressure))
         route = self.monitor.route(self.now, request, request_class, client_site, self._plan_strictness)
-        if route.site is None:
-            self._shed(request, self.sites[self.local_site], route.reason)
+        if isinstance(route, RejectionReason):
+            self._shed(request, self.sites[self.local_site], route)
             return
         site = self._site(route.site)
         if not route.is_trial:
@@ -164,7 +165,6 @@
     def _admit(
         self, request: RequestArrived, request_class: RequestClass, client_site: str, route: SiteRoute
     ) -> None:
-        assert route.site is not None, "only a route to a site admits a request"
         site = self.sites[route.site]
         owner = SiteRequestOwner(
             site.name,
@@ -194,10 +194,10 @@
             site.shedding.gate.release(owner.tenant)
             owner.holds_admission = False
 
-    def _shed(self, request: RequestArrived, site: ActiveSite, reason: str) -> None:
+    def _shed(self, request: RequestArrived, site: ActiveSite, reason: RejectionReason) -> None:
         """Reject a request at once, before any site's router receives it."""
         self._count(f"refused.{reason}.{request.class_name}")
-        self.shed_now[request.request_id] = reason
+        self.shed_now[request.request_id] = reason.value
         limits = self.settings.limits
         retry_after_us = site.shedding.retry_after_us(limits.max_retry_after_us) if limits.retry_after else 0
         self._pending_actions.append(RejectRequest(request.request_id, retry_after_us))
@@ -302,7 +302,7 @@
         if site is not None:
             self._release_admission(site, owner)
 
-    # ---- the tick ------------------------------------------------------------------------------------------
+    # ---- the tick ------------------------------------------------------------------------------------
 
     def _on_tick(self) -> None:
         for transition in self.monitor.tick(self.now, self._pressure):
@@ -348,7 +348,7 @@
         for request_id in waiting[:MAX_RELOCATED_AT_ONCE]:
             self._relocate(request_id, self.requests[request_id])
 
-    # ---- operators -----------------------------------------------------------------------------------------
+    # ---- operators -----------------------------------------------------------------------------------
 
     def apply_command(self, now: int, command: SiteCommand) -> None:
         """Apply an operator's command from this instant on; the actions come from the next `handle`."""
--- a/onyxwick/sites/serving_sites.py
+++ b/onyxwick/sites/serving_sites.py
@@ -15,6 +15,7 @@
     shed_position,
     slice_of,
 )
+from onyxwick.subrouters.rejection import RejectionReason
 
 MAX_SLICE_TABLES = 1024  # kept at once, one for each loss, site and class
 NO_SITE = ""  # in a slice table: looked up, and no site serves it
@@ -23,12 +24,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SiteRoute:
-    """Where a request goes. `site` None: it is rejected, for `reason`. `is_trial`: the site may not
-    answer."""
+    """The site that a request goes to. `is_trial`: it is not known to answer."""
 
-    site: str | None
+    site: str
     is_trial: bool = False
-    reason: str = ""
 
 
 class ServingSites:
@@ -109,8 +108,9 @@
 
     def route(
         self, lifecycle: SiteLifecycle, class_name: str, object_name: str, is_local: bool, may_try: bool
-    ) -> SiteRoute:
-        """Where a request for an object of one site's clients goes, by that site's phase.
+    ) -> SiteRoute | RejectionReason:
+        """Where a request for an object of one site's clients goes, or why it is rejected, by that site's
+        phase.
 
         `is_local`: it is this director's site. `may_try`: one more request may be sent to a site that is not
         known to answer."""
@@ -121,7 +121,7 @@
             case SitePhase.SUSPECT | SitePhase.LOST:
                 if is_local or may_try:
                     return SiteRoute(site, is_trial=not is_local)
-                return SiteRoute(None, reason="in_doubt")
+                return RejectionReason.SITE_IN_DOUBT
             case SitePhase.EVACUATED:
                 if may_try:
                     return SiteRoute(site, is_trial=True)
@@ -130,13 +130,13 @@
             return self._moved_route(site, class_name, object_name)
         is_evacuating = lifecycle.phase is SitePhase.EVACUATING
         if is_evacuating and lifecycle.was_unreachable and not is_local:
-            return SiteRoute(None, reason="moving")
+            return RejectionReason.SITE_MOVING
         # Returned already; or not moved yet, from a site that answers or that is the own one.
         return SiteRoute(site)
 
-    def _moved_route(self, site: str, class_name: str, object_name: str) -> SiteRoute:
+    def _moved_route(self, site: str, class_name: str, object_name: str) -> SiteRoute | RejectionReason:
         serving_site = self.serving_site_for(site, class_name, object_name)
-        return SiteRoute(serving_site, reason="" if serving_site else "no_room")
+        return SiteRoute(serving_site) if serving_site else RejectionReason.NO_PLANNED_SITE
 
 
 def is_evacuated(lifecycle: SiteLifecycle) -> bool:
--- a/onyxwick/sites/site_pool.py
+++ b/onyxwick/sites/site_pool.py
@@ -22,9 +22,7 @@
 from onyxwick.subrouters.hashing import stable_hash
 from onyxwick.subrouters.share_arbiter import ShareArbiter
 
-DEFAULT_TRANSFER_US = (
-    1.0 * MICROSECONDS_PER_SECOND
-)  # of an answer of a class that the topology does not state
+DEFAULT_TRANSFER_US = 1.0 * MICROSECONDS_PER_SECOND  # of an answer, where the topology states none
 DEFAULT_MAX_IN_FLIGHT = 2000
 IDLE_SITE_US = 60 * MICROSECONDS_PER_SECOND  # an unused remote site's router is dropped after it
 RECENT_USE_US = 5 * MICROSECONDS_PER_SECOND
@@ -129,7 +127,7 @@
                 del self.sites[name]
                 self._rebalance_parents()
 
-    # ---- load shedding -------------------------------------------------------------------------------------
+    # ---- load shedding -------------------------------------------------------------------------------
 
     def _pressure(self, name: str) -> float:
         site = self.sites.get(name)
--- a/onyxwick/sites/status.py
+++ b/onyxwick/sites/status.py
@@ -10,6 +10,7 @@
 from onyxwick.sites.lifecycle import SitePhase
 from onyxwick.sites.model import MICROSECONDS_PER_SECOND
 from onyxwick.sites.router import SiteRouter
+from onyxwick.sites.serving_sites import SiteRoute
 from onyxwick.sites.traffic_slices import move_position, slice_of
 
 
@@ -106,5 +107,5 @@
     return [
         f"Its slice is {slice_of(object_name)}, whose new home is {destination}; its turn is"
         f" {position:.3f}, and {lifecycle.moved_share:.3f} of the objects are away.",
-        f"It goes to '{route.site}'." if route.site else f"It is refused at once: {route.reason}.",
+        f"It goes to '{route.site}'." if isinstance(route, SiteRoute) else f"It is refused at once: {route}.",
     ]
--- a/onyxwick/subrouters/dispatcher.py
+++ b/onyxwick/subrouters/dispatcher.py
@@ -84,7 +84,7 @@
         self._purges: deque[tuple[int, ObjectsPurged]] = deque(maxlen=MAX_REMEMBERED_PURGES)
         self._pending_actions: list[Action] = []
 
-    # ---- what a subclass decides -------------------------------------------------------------------------
+    # ---- what a subclass decides ---------------------------------------------------------------------
 
     @abstractmethod
     def _on_request_arrived(self, request: RequestArrived) -> None:
@@ -121,7 +121,7 @@
     def _on_answered(self, owner: OwnerType) -> None:
         """A request's final answer is decided; called again for each later end of one of its attempts."""
 
-    # ---- events --------------------------------------------------------------------------------------------
+    # ---- events --------------------------------------------------------------------------------------
 
     def ejected_count(self) -> int:
         """Members that an inner router has ejected, counted once for each inner router."""
@@ -162,7 +162,7 @@
             case _:
                 self._on_other_event(event)
 
-    # ---- timers --------------------------------------------------------------------------------------------
+    # ---- timers --------------------------------------------------------------------------------------
 
     def _schedule_tick(self) -> None:
         self._pending_actions.append(SetTimer(self.now + TICK_INTERVAL_US, self.TIMER_TOKEN))
@@ -178,7 +178,7 @@
         if separator and subrouter is not None:
             self._dispatch(subrouter, [TimerFired(inner_token)])
 
-    # ---- inner routers -------------------------------------------------------------------------------------
+    # ---- inner routers -------------------------------------------------------------------------------
 
     def _dispatch(self, subrouter: SubrouterType, events: list[Event]) -> None:
         """Events to one inner router; its actions are accounted for and emitted."""
@@ -220,7 +220,7 @@
                 change = EndpointsChanged(EndpointListKind.CHANGE, (*changed, *removed))
                 self._dispatch(subrouter, [change])
 
-    # ---- requests ------------------------------------------------------------------------------------------
+    # ---- requests ------------------------------------------------------------------------------------
 
     def _finish(self, request_id: str, owner: OwnerType) -> None:
         """Record that a request's final answer is decided."""
@@ -239,7 +239,7 @@
         if name in self.counts or len(self.counts) < MAX_COUNTER_NAMES:
             self.counts[name] = self.counts.get(name, 0) + 1
 
-    # ---- for the trace -------------------------------------------------------------------------------------
+    # ---- for the trace -------------------------------------------------------------------------------
 
     def router_of(self, request_id: str) -> RequestRouter | None:
         """The innermost router that decides for a request now; None for one that is not in progress."""
