--- a/tests/cells.py
+++ b/tests/cells.py
@@ -1,4 +1,4 @@
-"""A hand-held world of cells: one director's decider, a clock, and requests of tenants."""
+"""One director's cell router with a clock and requests of tenants, driven by hand."""
 
 from __future__ import annotations
 
@@ -43,14 +43,14 @@
 
 
 class CellWorld:
-    """Cells with eight boxes; every action since the last call is returned."""
+    """Cells with eight caches; every action since the last call is returned."""
 
     def __init__(
         self, plan: CellPlan | None = None, caches: tuple[Member, ...] = CACHES, max_in_flight: int = 400
     ) -> None:
         self.now = 100 * S
         self.request_count = 0
-        self.in_flight: dict[tuple[str, int], str] = {}  # attempts under way: where
+        self.in_flight: dict[tuple[str, int], str] = {}  # attempts: their cache
         self.attempts: dict[str, int] = {}  # attempts of each request
         self.cells = CellRouter(CELL_SETTINGS, 7, self.now, plan or plan_of(), max_in_flight)
         self.handle(EndpointsChanged(EndpointListKind.SNAPSHOT, (*caches, *PARENTS, ORIGIN)))
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -1,4 +1,4 @@
-"""Cells under failure: each hard case of containment and of moves, against the real module."""
+"""Cells under failure: each hard case of containment and of migrations, with real routers."""
 
 from __future__ import annotations
 
@@ -78,7 +78,7 @@
 
 
 def test_health_and_budgets_do_not_leak() -> None:
-    """All boxes of one cell fail and its retries run out: the other cell's router has seen nothing."""
+    """All caches of one cell fail and its retries run out: the other cell's router has observed nothing."""
     w = CellWorld()
     for _ in range(60):
         request = w.send_request("t1")
@@ -130,7 +130,7 @@
 
 @pytest.mark.parametrize("kind", ["chunk", "save"])
 def test_a_flood_in_one_cell_leaves_another_its_concurrency(kind: str) -> None:
-    """Ten times its rate, never answered, with reads or with bookings only: the neighbour's come through."""
+    """Ten times its rate, never answered, with reads or with writes only: the neighbour's are served."""
     w = CellWorld()
     for _ in range(1500):
         w.send_request("t1", kind)
@@ -166,7 +166,7 @@
 
 
 def test_departed_caches_stay_assigned_for_a_while() -> None:
-    """A cell whose boxes die is not given its neighbour's at once: what killed them would go on."""
+    """A cell whose caches fail is not given its neighbour's at once: what brought them down would go on."""
     w = CellWorld(plan_of(policy=CellPolicy(seat_retention_us=5 * S)))
     own = w.cells.membership.placement.members("b")
     for cache in CACHES:
@@ -293,7 +293,7 @@
 
 @pytest.mark.parametrize("step", range(0, 60, 4))
 def test_a_director_killed_at_any_step_of_a_migration_restarts_safely(step: int) -> None:
-    """It has no memory of the move: it serves from the old cell, and a purge told before binds both."""
+    """It does not remember the migration: it serves from the source cell, and earlier purges hold in both."""
     w = CellWorld(plan_of(migrations=(MIGRATION,)))
     for _ in range(step):
         _settle(w, 0.1)
@@ -341,7 +341,7 @@
     for wrong in (
         plan_of((Cell("a", ("b0",)), Cell("b", ("b0",)))),  # a member in two cells
         plan_of((Cell("a"), Cell("b", ("none-such",)))),  # a cell with no members
-        plan_of(tuple(Cell(f"c{n}") for n in range(9)), ()),  # more cells than boxes
+        plan_of(tuple(Cell(f"c{n}") for n in range(9)), ()),  # more cells than caches
         plan_of(migrations=(MigrationSpec("m", "who", ("a",)),)),  # an unknown tenant
     ):
         with pytest.raises(CellPlanError):
@@ -394,7 +394,7 @@
 
 
 def test_unread_answers_and_connections_of_one_cell_leave_the_others_their_share() -> None:
-    """Clients that never read fill their own cell's part of the front and no more."""
+    """Clients that never read fill their own cell's share of the front and no more."""
     w = CellWorld()
     reservation = ConnectionReservation(w.cells, max_bytes=1_000_000, max_clients=100)
     releases = []
@@ -417,8 +417,8 @@
 
 
 def test_a_client_that_never_reads_is_disconnected_within_its_cells_share_with_a_retry_after() -> None:
-    """On real sockets: answers that nobody reads fill the cell's part; then its requests are refused, while
-    another cell's client is served; and what is cut off gives its part back."""
+    """On real sockets: unread answers fill the cell's share; then its requests are rejected, while
+    another cell's client is served; and a closed connection gives its share back."""
 
     class Instant:
         async def run(self, order: AttemptSpec) -> AttemptOutcome:
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -1,4 +1,4 @@
-"""Directors with sites on a clock of their own: the hard cases, each a small fleet with its faults."""
+"""Directors with sites on a simulated clock: the hard cases, each a small fleet with its faults."""
 
 from __future__ import annotations
 
@@ -65,8 +65,8 @@
 
 @cache
 def _small() -> tuple[FleetScenario, Topology, SitePlan]:
-    """The example's fleet with a quarter of its load on a quarter of its room and more at the stores (a part
-    of few transfers comes in large pieces), for 42 s."""
+    """The example's fleet with a quarter of its load on a quarter of its capacity and more at the parents (a
+    share of few transfers comes in large pieces), for 42 s."""
     fleet = read(LOSS)
     sc = fleet.scenario
     loads = tuple(replace(load, rate_per_s=load.rate_per_s / 4) for load in sc.loads)
@@ -133,7 +133,7 @@
 
 
 def test_lost_caches_are_left_by_their_own_directors() -> None:
-    """Their own clients go on asking them: they send to the others' boxes, and no crowd asks the archive."""
+    """Their own clients stay: they send to the others' caches, and no burst reaches the origin."""
     history = sound(play(fault("lose", "north", how="boxes")))
     assert {"n0", "n1"} <= left_by(history, "north")
     plain = play(fault("lose", "north", how="boxes"), variant="plain")
@@ -143,7 +143,7 @@
 
 
 def test_lost_directors_with_their_caches_up_are_no_loss_of_the_site() -> None:
-    """Strangers come, their site is tried first, and its boxes go on serving them over the link."""
+    """Remote requests arrive, their site is tried first, and its caches go on serving them over the link."""
     history = sound(play(fault("lose", "north", how="directors")))
     assert not left_by(history, "north") and at(history, 13, 18) > 0.9
     boxes = {row.who for row in history.of("sent") if row.at_us > history.began_us + 13 * S}
@@ -205,9 +205,9 @@
 
 
 def test_a_failover_exercise_leaves_and_returns_and_yields_to_an_actual_loss() -> None:
-    calm = sound(play(fault("drill", "west", 6, 0, amount=4)))
-    assert left_by(calm, "west") == {f"n{n}" for n in range(6)} and at(calm, 6, 44) > 0.93
-    assert {row.data["now"] for row in c.states(calm, "west")} >= {"evacuated", "returning", "steady"}
+    undisturbed = sound(play(fault("drill", "west", 6, 0, amount=4)))
+    assert left_by(undisturbed, "west") == {f"n{n}" for n in range(6)} and at(undisturbed, 6, 44) > 0.93
+    assert {row.data["now"] for row in c.states(undisturbed, "west")} >= {"evacuated", "returning", "steady"}
     real = sound(play(fault("drill", "west", 6, 0, amount=30), fault("lose", "north", 9)))
     back = [r for r in c.states(real, "west") if r.data["now"] == "returning"]
     assert back and min(r.at_us for r in back) < real.began_us + 16 * S
@@ -276,16 +276,18 @@
 # ---- the decider by hand --------------------------------------------------------------------------------
 
 
-def _decider() -> SiteRouter:
+def _site_router() -> SiteRouter:
     fleet, top, plan = _small()
     sim = Simulation("hand", fleet, 1, "sites", top, plan)
     sim._build()
-    decider = sim.fronts[0].decider
-    assert isinstance(decider, SiteRouter)
-    return decider
+    router = sim.fronts[0].decider
+    assert isinstance(router, SiteRouter)
+    return router
 
 
-def _ask(name: str, kind: str = "job-sheet", site: str | None = None, again: bool = False) -> RequestArrived:
+def _request(
+    name: str, kind: str = "job-sheet", site: str | None = None, again: bool = False
+) -> RequestArrived:
     return RequestArrived(
         name,
         kind,
@@ -299,7 +301,7 @@
 
 
 def test_with_cells_in_a_site_a_request_is_found_at_its_cells_router() -> None:
-    plain = _decider()
+    plain = _site_router()
     assert plain.router_of("a") is None and plain.cell_of("a") == ""
     cell_plan = CellPlan({"only": Cell("only")}, {"depot": TenantSpec("depot", cells=("only",))})
     nested = SiteRouter(
@@ -310,44 +312,42 @@
         plain.monitor.serving_sites.plan,
         lambda settings, seed, now: CellRouter(settings, seed, now, cell_plan, 400),
     )
-    for decider, expected in ((plain, "north"), (nested, "north/only")):
+    for router, expected in ((plain, "north"), (nested, "north/only")):
         members = tuple(plain.monitor.membership.members.values())
         snapshot = EndpointsChanged(EndpointListKind.SNAPSHOT, members)
-        decider.handle(1_001 * S, [snapshot, _ask("a")])
-        assert decider.cell_of("a") == expected
-        assert isinstance(decider.router_of("a"), Router)
+        router.handle(1_001 * S, [snapshot, _request("a")])
+        assert router.cell_of("a") == expected
+        assert isinstance(router.router_of("a"), Router)
 
 
 def test_while_all_sites_are_steady_everything_passes_through_unchanged() -> None:
-    decider, now = _decider(), 1_001 * S
-    out = decider.handle(now, [_ask("a"), _ask("b", site="north"), _ask("c", site="nowhere")])
+    router, now = _site_router(), 1_001 * S
+    out = router.handle(now, [_request("a"), _request("b", site="north"), _request("c", site="nowhere")])
     assert [type(a) for a in out if not isinstance(a, SetTimer)] == [ForwardWithFill] * 3
-    assert set(decider.sites) == {"north"} and not decider.shed_now
+    assert set(router.sites) == {"north"} and not router.shed_now
     fetch = next(a for a in out if isinstance(a, ForwardWithFill))
-    out = decider.handle(
+    out = router.handle(
         now + 1000, [AttemptEnded("a", 0, fetch.member, AttemptStatus.OK, 1000, True, AnswerDetail.HIT)]
     )
-    assert "a" not in decider.requests and decider.sites["north"].in_flight == 2
-    decider.handle(now + 2000, [ClientDisconnected("b")])
-    assert decider.handle(now, [_ask("x", "no-class")]) == [RejectRequest("x")]
+    assert "a" not in router.requests and router.sites["north"].in_flight == 2
+    router.handle(now + 2000, [ClientDisconnected("b")])
+    assert router.handle(now, [_request("x", "no-class")]) == [RejectRequest("x")]
 
 
 def test_remote_requests_are_tried_at_their_site_and_relocated_with_their_attempts_counted() -> None:
-    """The first go to their own boxes; one that finds them dark goes on to its object's new home, its
+    """The first go to their own caches; one that finds them unreachable goes on to its serving site, its
     attempts numbered on, and no answer is held back."""
-    decider, now = _decider(), 1_001 * S
-    sent = [a for a in decider.handle(now, [_ask("a", site="west")]) if isinstance(a, ForwardWithFill)]
-    assert (
-        sent[0].member.startswith("west-") and decider.monitor.lifecycles["west"].phase is SitePhase.SUSPECT
-    )
+    router, now = _site_router(), 1_001 * S
+    sent = [a for a in router.handle(now, [_request("a", site="west")]) if isinstance(a, ForwardWithFill)]
+    assert sent[0].member.startswith("west-") and router.monitor.lifecycles["west"].phase is SitePhase.SUSPECT
     for number in range(4):
         now += 400_000
         end = AttemptEnded("a", number, sent[-1].member, AttemptStatus.CONNECT_FAILED, 400_000, False)
-        out = decider.handle(now, [EndpointFeedReceived(), end, TimerFired("sites")])
+        out = router.handle(now, [EndpointFeedReceived(), end, TimerFired("sites")])
         sent += [a for a in out if isinstance(a, ForwardWithFill | ForwardRequest)]  # type: ignore[misc]
         if any(isinstance(a, RejectRequest) for a in out):
             break
-    home = decider.requests.get("a")
+    home = router.requests.get("a")
     moved = home is not None and home.relocated
     assert moved or any(isinstance(a, RejectRequest) for a in out)
     if moved and home is not None:
@@ -357,35 +357,35 @@
 
 
 def test_a_command_is_reported_explained_and_withdrawn() -> None:
-    decider, now = _decider(), 1_001 * S
-    decider.apply_command(now, SiteCommand("north", SiteDirective.EVACUATE, "flood"))
+    router, now = _site_router(), 1_001 * S
+    router.apply_command(now, SiteCommand("north", SiteDirective.EVACUATE, "flood"))
     for n in range(40):
-        decider.handle(now + n * 100_000, [TimerFired("sites")])
-    told = router_status(decider, now + 4 * S)
+        router.handle(now + n * 100_000, [TimerFired("sites")])
+    told = router_status(router, now + 4 * S)
     assert told["sites"]["north"]["state"] == "evacuated" and told["orders"]["north"]["reason"] == "flood"
-    words = " ".join(explain(decider, "north", "job-sheet", "7f3a9c21e0b4d655"))
+    words = " ".join(explain(router, "north", "job-sheet", "7f3a9c21e0b4d655"))
     assert "is evacuated: operator command" in words and "It goes to '" in words
-    assert "archive" in " ".join(explain(decider, "north", "booking", "7f3a9c21e0b4d655"))
+    assert "archive" in " ".join(explain(router, "north", "booking", "7f3a9c21e0b4d655"))
     with pytest.raises(KeyError):
-        explain(decider, "east", "job-sheet", "x")
-    decider.apply_command(now + 5 * S, SiteCommand("north", SiteDirective.NONE))
+        explain(router, "east", "job-sheet", "x")
+    router.apply_command(now + 5 * S, SiteCommand("north", SiteDirective.NONE))
     for n in range(200):
-        decider.handle(now + 5 * S + n * 100_000, [TimerFired("sites")])
-    assert router_status(decider, now + 30 * S)["sites"]["north"]["state"] == "steady"
+        router.handle(now + 5 * S + n * 100_000, [TimerFired("sites")])
+    assert router_status(router, now + 30 * S)["sites"]["north"]["state"] == "steady"
 
 
 def test_an_operators_command_applies_once_durable_and_outlives_the_director() -> None:
-    """By the API, over a store that is read again; without a store an order is refused."""
+    """By the API, over a store that is read again; without a store a command is rejected."""
 
     async def play() -> None:
         files, orders = FaultyFiles(), []
         for start in range(2):
-            decider = _decider()
+            router = _site_router()
             durable = _durable(files)
             durable.start()
             orders.append([command_from_row(row) for row in durable.site_command_rows()])
             core = RequestEngine(SETTINGS, 7, Nothing(), EndpointTable(), Counters())
-            sites = SitesApi(decider, lambda: 1_002 * S, lambda: None)
+            sites = SitesApi(router, lambda: 1_002 * S, lambda: None)
             api = Api(Tenants(), Counters(), "operator-token-1", dict, {"sites": sites})
             body = json.dumps({"word": "evacuate", "reason": "flood"}).encode()
             head = {"authorization": "Bearer operator-token-1"}
@@ -394,7 +394,7 @@
                 with pytest.raises(HttpError, match="no block 'store'"):
                     api(request)
                 assert (await DurableApi(api, durable, core)(request))[0] == 200
-                assert decider.monitor.commands.directive_for("north") is SiteDirective.EVACUATE
+                assert router.monitor.commands.directive_for("north") is SiteDirective.EVACUATE
                 nowhere = HttpRequest("PUT", "/sites/orders/nowhere", head, body)
                 with pytest.raises(HttpError, match="no site 'nowhere'"):
                     await DurableApi(api, durable, core)(nowhere)
@@ -402,16 +402,16 @@
             assert told[0] == 200
             await durable.close()
         assert orders[0] == [] and [o.directive for o in orders[1]] == [SiteDirective.EVACUATE]
-        decider.monitor.restore_commands(orders[1])
+        router.monitor.restore_commands(orders[1])
         for n in range(30):
-            decider.handle(1_003 * S + n * 100_000, [TimerFired("sites")])
-        assert decider.monitor.lifecycles["north"].phase is SitePhase.EVACUATED
+            router.handle(1_003 * S + n * 100_000, [TimerFired("sites")])
+        assert router.monitor.lifecycles["north"].phase is SitePhase.EVACUATED
 
     asyncio.run(play())
 
 
 def test_a_phase_is_counted_logged_and_traced_with_its_cause(tmp_path: Path) -> None:
-    decider = _decider()
+    router = _site_router()
 
     async def play() -> list[tuple[int, int, dict[str, object]]]:
         core = RequestEngine(
@@ -421,10 +421,10 @@
             EndpointTable(),
             Counters(),
             lambda: 1_002 * S,
-            make_router=lambda *_: decider,
+            make_router=lambda *_: router,
         )
         core.context.tracer = DecisionTracer(SETTINGS, "n0", tmp_path, SinkLimits(), core.now(), lambda: 1)
-        decider.apply_command(1_002 * S, SiteCommand("north", SiteDirective.EVACUATE, "flood"))
+        router.apply_command(1_002 * S, SiteCommand("north", SiteDirective.EVACUATE, "flood"))
         core.handle()
         core.context.tracer.stop(core.now())
         assert core.counters.counts["sites.evacuating.north"] == 1
@@ -440,28 +440,28 @@
 
 
 def test_shedding_levels_rise_with_pressure_and_fall_more_slowly() -> None:
-    ladder, now = SheddingLevels(100, {"a": 0.5}, 1), 0
-    assert ladder.retry_reserve == 1.0
+    shedding, now = SheddingLevels(100, {"a": 0.5}, 1), 0
+    assert shedding.retry_reserve == 1.0
     levels = []
     for n in range(200):
-        ladder.record_answer(now, n % 10 < 7)
+        shedding.record_answer(now, n % 10 < 7)
         now += 10_000
-        ladder.step(now)
-        levels.append(ladder.level)
-    assert max(levels) == len(LEVEL_THRESHOLDS) and ladder.retry_reserve == 0.0
+        shedding.step(now)
+        levels.append(shedding.level)
+    assert max(levels) == len(LEVEL_THRESHOLDS) and shedding.retry_reserve == 0.0
     chunk, save = SETTINGS.classes[0], SETTINGS.classes[2]
-    assert ladder.rejection_reason(chunk, "b", True, 0.5) == "retry"
-    assert ladder.rejection_reason(save, "b", True, 1.0) is None, "bookings last"
-    ladder.gate.adaptive_limit.limit = 10.0
+    assert shedding.rejection_reason(chunk, "b", True, 0.5) == "retry"
+    assert shedding.rejection_reason(save, "b", True, 1.0) is None, "writes last"
+    shedding.gate.adaptive_limit.limit = 10.0
     for _ in range(9):
-        ladder.gate.admit("b", 1.0)
-    assert ladder.rejection_reason(chunk, "b", False, 0.0) == "full"
-    assert ladder.rejection_reason(chunk, "a", False, 0.0) is None, "no tenant under its reserve"
+        shedding.gate.admit("b", 1.0)
+    assert shedding.rejection_reason(chunk, "b", False, 0.0) == "full"
+    assert shedding.rejection_reason(chunk, "a", False, 0.0) is None, "no tenant under its reserve"
     for _ in range(400):
         now += 100_000
-        ladder.step(now)
-    assert ladder.level == 0 and ladder.pressure < 0.01
-    waits = {ladder.retry_after_us(500_000) for _ in range(50)}
+        shedding.step(now)
+    assert shedding.level == 0 and shedding.pressure < 0.01
+    waits = {shedding.retry_after_us(500_000) for _ in range(50)}
     assert len(waits) > 10 and max(waits) <= 500_000
 
 
