--- a/tests/test_sites_plan.py
+++ b/tests/test_sites_plan.py
@@ -303,3 +303,25 @@
     first = replace(top.sites["s0"], failover={"s1": 0.25, "s2": 0.75})
     other = replace(top, sites={**top.sites, "s0": first}, tenant_reserves={"a": 0.2})
     assert topology_digest(other) == "02325db0f2d2a508"
+
+
+def test_a_plan_that_earlier_versions_wrote_is_read_and_written_the_same() -> None:
+    """The document that version 24ddf6c wrote of these rows."""
+    document = {
+        "format": 1,
+        "topology": "c451da89685ac79f",
+        "rows": [
+            {"lost": ["boxes of s1", "hub h0"], "homes": [], "kept": [], "guests": {}},
+            {
+                "lost": ["s0"],
+                "homes": [["s0", "video", {"s1": 0.25, "s2": 0.75}]],
+                "kept": [["s0", "sheet", "a", 0.5]],
+                "guests": {"s1": 0.125},
+            },
+        ],
+    }
+    plan = plan_from_json(top_of(), document)
+    row = plan.row(["s0"])
+    assert row.serving_shares == {("s0", "video"): {"s1": 0.25, "s2": 0.75}}
+    assert row.served_shares == {("s0", "sheet", "a"): 0.5} and row.guest_shares == {"s1": 0.125}
+    assert json.dumps(plan_to_json(plan)) == json.dumps(document)
