--- a/onyxwick/operations/server.py
+++ b/onyxwick/operations/server.py
@@ -18,7 +18,8 @@
 import uvloop
 
 from onyxwick import logs
-from onyxwick.admin.http import HttpError, HttpRequest, HttpServer
+from onyxwick.admin.http_messages import HttpError, HttpRequest
+from onyxwick.admin.http_server import HttpServer
 from onyxwick.core.phase import Readiness
 from onyxwick.counters import Counters
 from onyxwick.operations.errors import CommandFileError, OperatorCallRejectedError, OperatorCommandError
@@ -106,9 +107,9 @@
             self.counters,
             MAX_CALLERS,
             CALL_TIMEOUT_S,
-            one_call=True,
+            one_call_per_connection=True,
             name="operations endpoint",
-            counted="door",
+            counter_prefix="door",
         )
         self.thread = threading.Thread(target=self._run, name="operations", daemon=True)
         self.loop: asyncio.AbstractEventLoop | None = None
@@ -156,7 +157,7 @@
             log.warning("operator call rejected", path=path, reason=error.reason)
             headers = {"Allow": error.allowed_method} if error.allowed_method else None
             raise HttpError(error.status, error.reason, headers) from None
-        answer = self._carry_out(call, time.monotonic() - request.waited_s)
+        answer = self._carry_out(call, time.monotonic() - request.queued_s)
         if call.kind not in READ_ONLY_CALLS:
             log.info(
                 "operator call answered",
@@ -165,7 +166,7 @@
                 status=answer.status,
                 version=self.commands.version,
                 drained=self.commands.is_drained,
-                waited_s=round(request.waited_s, 3),
+                waited_s=round(request.queued_s, 3),
             )
         return answer
 
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -11,9 +11,9 @@
 
 import pytest
 
-from onyxwick.admin.api import Api
+from onyxwick.admin.api import AdminApi
 from onyxwick.admin.durable_api import DurableApi
-from onyxwick.admin.http import HttpError, HttpRequest
+from onyxwick.admin.http_messages import HttpError, HttpRequest
 from onyxwick.admin.sites import SitesApi
 from onyxwick.cells import Cell, CellPlan, CellRouter, TenantSpec
 from onyxwick.core import RequestEngine
@@ -55,9 +55,9 @@
 from onyxwick.trace.reader import open_trace
 from onyxwick.trace.sink import SinkLimits
 from onyxwick.trace.table import Strings
+from tests.director_with_store import ImmediateTransport, open_state
 from tests.exchange import ROOT
 from tests.faulty_files import FaultyFiles
-from tests.test_recovery import Nothing, _durable
 from tests.world import SETTINGS, S
 
 LOSS = ROOT / "examples" / "lab" / "faults" / "site-loss.hcl"
@@ -381,12 +381,12 @@
         files, orders = FaultyFiles(), []
         for start in range(2):
             router = _site_router()
-            durable = _durable(files)
+            durable = open_state(files)
             durable.start()
             orders.append([command_from_row(row) for row in durable.site_command_rows()])
-            core = RequestEngine(SETTINGS, 7, Nothing(), EndpointTable(), Counters())
+            core = RequestEngine(SETTINGS, 7, ImmediateTransport(), EndpointTable(), Counters())
             sites = SitesApi(router, lambda: 1_002 * S, lambda: None)
-            api = Api(Tenants(), Counters(), "operator-token-1", dict, {"sites": sites})
+            api = AdminApi(Tenants(), Counters(), "operator-token-1", dict, {"sites": sites})
             body = json.dumps({"word": "evacuate", "reason": "flood"}).encode()
             head = {"authorization": "Bearer operator-token-1"}
             request = HttpRequest("PUT", "/sites/orders/north", head, body)
@@ -417,7 +417,7 @@
         core = RequestEngine(
             SETTINGS,
             7,
-            Nothing(),
+            ImmediateTransport(),
             EndpointTable(),
             Counters(),
             lambda: 1_002 * S,
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -12,7 +12,7 @@
 from onyxwick.config.cells import plan_of_json
 from onyxwick.core.clock import SteadyClock
 from onyxwick.distribution import codec
-from onyxwick.distribution.documents import Assembler, digest_of
+from onyxwick.distribution.documents import DocumentAssembler, document_digest
 from onyxwick.distribution.durable_feed import DurableFeed
 from onyxwick.distribution.model import (
     Announcement,
@@ -104,7 +104,7 @@
     assert acme.zones[read_name("static.example.")].routed is None
     globex = tenants.tenants["globex"]
     assert (globex.quota.per_s, globex.token, globex.keys, globex.zones) == (20.0, "", {}, {})
-    assert tenants.by_token("acme-token-0123456789") is acme
+    assert tenants.tenant_of_token("acme-token-0123456789") is acme
     assert state.tenant_operations("acme", acme) == [], "what was read is what is stored"
 
 
@@ -339,7 +339,7 @@
         "cache-1": {"id": "cache-1", "address": "10.0.0.1:8080", "state": "SERVING", "rack": "r1"},
         "cache-2": {"id": "cache-2", "address": "10.0.0.2:8080", "state": "DRAINING", "rack": "r1"},
     }
-    assert replica.state.purges.times == {
+    assert replica.state.purges.unix_ms_by_key == {
         PurgeKey("job/42", None): START_MS,
         PurgeKey(None, 17): START_MS + 5,
     }
@@ -347,7 +347,7 @@
     assert {name: document.version for name, document in documents.items()} == {"quotas": 2, "long": 1}
     assert documents["quotas"].text == '{"quotas": {"acme": 300}}'
     assert documents["long"].text == LONG_TEXT
-    assert documents["long"].digest == digest_of(LONG_TEXT)
+    assert documents["long"].digest == document_digest(LONG_TEXT)
 
 
 def test_a_publishers_store_is_read(folder: Path) -> None:
@@ -368,7 +368,7 @@
     digest = codec.LinesDigest()
     for line in lines[1:-1]:
         digest.add(line)
-    assert end == SnapshotEnd(Cursor(HISTORY, 9), digest.text())
+    assert end == SnapshotEnd(Cursor(HISTORY, 9), digest.hex_digest())
     payloads = tuple(event.payload for event in body if isinstance(event, FeedEvent))
     assert len(payloads) == 7
     replica = Replica()
@@ -400,7 +400,7 @@
     assert codec.encode_announcement(cursor) == lines[0]
     assert codec.decode(lines[1]) == Freshness(cursor, START_MS + 30_000)
     assert codec.encode_freshness(cursor, START_MS + 30_000) == lines[1]
-    assembler = Assembler()
+    assembler = DocumentAssembler()
     parts = [codec.decode(line) for line in lines[2:4]]
     documents = []
     for event in parts:
