--- a/tests/test_sites_processes.py
+++ b/tests/test_sites_processes.py
@@ -161,7 +161,7 @@
 
 
 def _sound(plays: dict[str, Future[History]], name: str) -> History:
-    """No rule is broken and nobody is held to be lost who was not; all is served once all has healed."""
+    """No rule is broken, and no site is taken to be lost that is not; everything is served in the end."""
     history = plays[name].result()
     assert not c.rules(history).counts and not c.ran_twice(history) and not c.false_alarms(history)
     if not c.late(history):
@@ -178,17 +178,17 @@
     assert _left(history, "north") >= {"n1", "n2"} and "n2" in _left(history, "west")
 
 
-def test_a_depots_directors_leave_its_dead_boxes_though_the_list_says_all_is_well(
+def test_a_sites_directors_leave_its_failed_caches_though_the_list_names_them_ready(
     plays: dict[str, Future[History]],
 ) -> None:
     history = _sound(plays, "boxes gone and the list well")
     assert "n0" in _left(history, "north")
     moved = [r for r in history.of("sent") if r.who.startswith(("west", "south"))]
     ours = {r.what for r in history.of("call") if r.who == "n0"}
-    assert any(row.what in ours for row in moved), "its clients are served by the others' boxes"
+    assert any(row.what in ours for row in moved), "its clients are served by the others' caches"
 
 
-def test_a_cut_one_way_and_our_own_cut_move_nothing(plays: dict[str, Future[History]]) -> None:
+def test_a_one_way_cut_and_an_isolated_director_move_nothing(plays: dict[str, Future[History]]) -> None:
     history = _sound(plays, "one link cut one way, then our own")
     assert not [row for row in c.states(history) if row.data["now"] in ("lost", "evacuating")]
 
@@ -199,17 +199,17 @@
     assert any(r.data["verdict"] == "served" for r in history.of("call") if r.data["site"] == "west")
 
 
-def test_a_director_stopped_through_loss_and_return_and_one_killed_as_it_leaves(
+def test_a_director_paused_through_loss_and_return_and_one_killed_as_it_leaves(
     plays: dict[str, Future[History]],
 ) -> None:
-    """The rules hold at the instant of the wake; who was killed leaves the lost site again."""
+    """The rules hold as the director resumes; the one that was killed leaves the lost site again."""
     history = _sound(plays, "stopped through it, killed as it leaves")
     kills = [row for row in history.of("fault") if row.what == "kill"]
     assert len(kills) == 2 and "n2" in _left(history, "north")
 
 
-def test_a_drill_gives_way_to_a_real_loss(plays: dict[str, Future[History]]) -> None:
+def test_an_exercise_yields_to_an_actual_loss(plays: dict[str, Future[History]]) -> None:
     history = _sound(plays, "a real loss as a drill begins")
     assert _left(history, "west") and _left(history, "north")
     back = [row for row in c.states(history, "west") if row.data["now"] in ("returning", "steady")]
-    assert back, "the drilled site is wanted now"
+    assert back, "the capacity of the exercised site is needed now"
