--- a/onyxwick/subrouters/dispatcher.py
+++ b/onyxwick/subrouters/dispatcher.py
@@ -13,7 +13,6 @@
 
 from abc import ABC, abstractmethod
 from collections import deque
-from collections.abc import Sequence
 from dataclasses import dataclass, replace
 from typing import Generic, Protocol, TypeVar
 
@@ -85,7 +84,7 @@
         self._purges: deque[tuple[int, ObjectsPurged]] = deque(maxlen=MAX_REMEMBERED_PURGES)
         self._pending_actions: list[Action] = []
 
-    # ---- what a subclass decides -------------------------------------------------------------------------
+    # ---- what a subclass decides ---------------------------------------------------------------------
 
     @abstractmethod
     def _on_request_arrived(self, request: RequestArrived) -> None:
@@ -122,7 +121,7 @@
     def _on_answered(self, owner: OwnerType) -> None:
         """A request's final answer is decided; called again for each later end of one of its attempts."""
 
-    # ---- events --------------------------------------------------------------------------------------------
+    # ---- events --------------------------------------------------------------------------------------
 
     def ejected_count(self) -> int:
         """Members that an inner router has ejected, counted once for each inner router."""
@@ -163,7 +162,7 @@
             case _:
                 self._on_other_event(event)
 
-    # ---- timers --------------------------------------------------------------------------------------------
+    # ---- timers --------------------------------------------------------------------------------------
 
     def _schedule_tick(self) -> None:
         self._pending_actions.append(SetTimer(self.now + TICK_INTERVAL_US, self.TIMER_TOKEN))
@@ -179,11 +178,11 @@
         if separator and subrouter is not None:
             self._dispatch(subrouter, [TimerFired(inner_token)])
 
-    # ---- inner routers -------------------------------------------------------------------------------------
+    # ---- inner routers -------------------------------------------------------------------------------
 
-    def _dispatch(self, subrouter: SubrouterType, events: Sequence[Event]) -> None:
+    def _dispatch(self, subrouter: SubrouterType, events: list[Event]) -> None:
         """Events to one inner router; its actions are accounted for and emitted."""
-        for action in subrouter.router.handle(self.now, list(events)):
+        for action in subrouter.router.handle(self.now, events):
             if isinstance(action, SetTimer):
                 token = f"{subrouter.name}{self.TOKEN_SEPARATOR}{action.token}"
                 self._pending_actions.append(SetTimer(action.at_us, token))
@@ -200,7 +199,9 @@
 
     def _replay_purges(self, subrouter: SubrouterType) -> None:
         """The remembered purges, aged by the time since they were received, to a router that starts now."""
-        aged = [replace(purge, age_us=purge.age_us + self.now - at) for at, purge in self._purges]
+        aged: list[Event] = [
+            replace(purge, age_us=purge.age_us + self.now - at) for at, purge in self._purges
+        ]
         self._dispatch(subrouter, aged)
 
     def _report_members(self) -> None:
@@ -219,7 +220,7 @@
                 change = EndpointsChanged(EndpointListKind.CHANGE, (*changed, *removed))
                 self._dispatch(subrouter, [change])
 
-    # ---- requests ------------------------------------------------------------------------------------------
+    # ---- requests ------------------------------------------------------------------------------------
 
     def _finish(self, request_id: str, owner: OwnerType) -> None:
         """Record that a request's final answer is decided."""
@@ -237,3 +238,27 @@
     def _count(self, name: str) -> None:
         if name in self.counts or len(self.counts) < MAX_COUNTER_NAMES:
             self.counts[name] = self.counts.get(name, 0) + 1
+
+    # ---- for the trace -------------------------------------------------------------------------------
+
+    def router_of(self, request_id: str) -> RequestRouter | None:
+        """The innermost router that decides for a request now; None for one that is not in progress."""
+        router = self._assigned_router(request_id)
+        if isinstance(router, SubrouterDispatcher):
+            return router.router_of(request_id)
+        return router
+
+    def cell_of(self, request_id: str) -> str:
+        """What a request is assigned to, by name, with the names of nested routers after a slash; empty for
+        one that is not in progress."""
+        router = self._assigned_router(request_id)
+        if router is None:
+            return ""
+        name = self.requests[request_id].assigned_to
+        nested = router.cell_of(request_id) if isinstance(router, SubrouterDispatcher) else ""
+        return f"{name}/{nested}" if nested else name
+
+    def _assigned_router(self, request_id: str) -> RequestRouter | None:
+        owner = self.requests.get(request_id)
+        subrouter = self._subrouters.get(owner.assigned_to) if owner is not None else None
+        return subrouter.router if subrouter is not None else None
