--- a/onyxwick/cli/trace.py
+++ b/onyxwick/cli/trace.py
@@ -14,11 +14,11 @@
 import click
 
 from onyxwick.cli import FINDING_EXIT_CODE, UnusableInputError
-from onyxwick.trace.model import RecordedVerdict, TraceError
+from onyxwick.trace.model import VERDICT_WORDS, TraceError
 
 if TYPE_CHECKING:
     from onyxwick.trace.filter import TraceFilter
-    from onyxwick.trace.reader import Trace
+    from onyxwick.trace.reader import TraceReader
     from onyxwick.trace.table import Table
 
 US_PER_S = 1_000_000
@@ -62,7 +62,7 @@
 
 def _with_filter(command: Command) -> Command:
     """Add the options that select requests; the command receives them as one `wanted`."""
-    verdicts = click.Choice([v.name.lower() for v in RecordedVerdict])
+    verdicts = {word: verdict for verdict, word in VERDICT_WORDS.items()}
     options = [
         click.option("--from", "begin", help="Arrived at this time or later."),
         click.option("--to", "end", help="Arrived before this time."),
@@ -71,7 +71,7 @@
         click.option("--cell"),
         click.option("--object"),
         click.option("--member", help="With an attempt at this member."),
-        click.option("--verdict", type=verdicts),
+        click.option("--verdict", type=click.Choice(list(verdicts))),
     ]
 
     @wraps(command)
@@ -82,9 +82,7 @@
         verdict = named.pop("verdict")
         begin = read_time(named.pop("begin"))
         end = read_time(named.pop("end"))
-        named["wanted"] = TraceFilter(
-            begin, end, **chosen, verdict=RecordedVerdict[verdict.upper()] if verdict else None
-        )
+        named["wanted"] = TraceFilter(begin, end, **chosen, verdict=verdicts[verdict] if verdict else None)
         command(**named)
 
     for option in reversed(options):
@@ -92,9 +90,9 @@
     return wrapped
 
 
-def _report_losses(traces: list[Trace]) -> list[str]:
+def _report_losses(traces: list[TraceReader]) -> list[str]:
     """Print what is lost in the files on standard error; the same as texts."""
-    texts = [f"{t.path.name}: {x.size} bytes at {x.offset} lost: {x.text}" for t in traces for x in t.losses]
+    texts = [f"{t.path.name}: {x.size} bytes at {x.offset} lost: {x.cause}" for t in traces for x in t.losses]
     for text in texts:
         click.echo(text, err=True)
     return texts
@@ -124,10 +122,10 @@
 def _describe(path: Path) -> dict[str, Any]:
     """What `info` prints of one file; all its blocks are read."""
     from onyxwick.trace.reader import open_trace
-    from onyxwick.trace.table import Strings
+    from onyxwick.trace.table import StringTable
 
     with open_trace(path) as opened:
-        for _ in opened.tables(Strings()):
+        for _ in opened.tables(StringTable()):
             pass
         heads = [entry.head for entry in opened.entries]
         return {
@@ -143,7 +141,7 @@
             "end_unix": max((head.last for head in heads), default=0) / US_PER_S,
             "bytes": opened.size,
             "clocks": opened.header.clocks,
-            "losses": [f"{loss.size} bytes at {loss.offset}: {loss.text}" for loss in opened.losses],
+            "losses": [f"{loss.size} bytes at {loss.offset}: {loss.cause}" for loss in opened.losses],
         }
 
 
@@ -155,18 +153,18 @@
 @_report_unusable
 def cut(file: Path, out: Path, wanted: TraceFilter, as_json: bool) -> None:
     """Write to OUT the requests that are wanted, and what was told in that time."""
-    from onyxwick.trace.filter import cut as chosen
-    from onyxwick.trace.merge import TraceWriter
+    from onyxwick.trace.filter import select_requests as chosen
+    from onyxwick.trace.merge import TraceFileWriter
     from onyxwick.trace.reader import open_trace
-    from onyxwick.trace.table import Strings
+    from onyxwick.trace.table import StringTable
 
     with open_trace(file) as opened:
-        writer = TraceWriter(out, opened.header)
-        for table in chosen(opened, wanted, Strings()):
+        writer = TraceFileWriter(out, opened.header)
+        for table in chosen(opened, wanted, StringTable()):
             writer.add(table)
         writer.close()
         result: dict[str, Any] = {
-            "requests": writer.lives,
+            "requests": writer.request_count,
             "read_bytes": opened.read_bytes,
             "file_bytes": opened.size,
             "losses": _report_losses([opened]),
@@ -182,7 +180,7 @@
 @_report_unusable
 def merge(out: Path, files: tuple[Path, ...], as_json: bool) -> None:
     """Write to OUT the FILES of several directors, in the order of what happened."""
-    from onyxwick.trace.merge import merge as merged
+    from onyxwick.trace.merge import merge_files as merged
 
     result = merged(list(files), out)
     if as_json:
@@ -206,19 +204,19 @@
 def anonymise(file: Path, out: Path, key: Path) -> None:
     """Write to OUT the same trace with every id and name hidden by the key."""
     from onyxwick.trace.anonymise import Anonymiser, read_key
-    from onyxwick.trace.merge import TraceWriter
+    from onyxwick.trace.merge import TraceFileWriter
     from onyxwick.trace.reader import open_trace
-    from onyxwick.trace.table import Strings
+    from onyxwick.trace.table import StringTable
 
     hide = Anonymiser(read_key(key))
     with open_trace(file) as opened:
-        writer = TraceWriter(out, hide.header(opened.header))
-        hidden = Strings()
-        for head, table in opened.tables(Strings()):
+        writer = TraceFileWriter(out, hide.header(opened.header))
+        hidden = StringTable()
+        for head, table in opened.tables(StringTable()):
             writer.add(hide.table(table, hidden), head.dropped)
         writer.close()
         _report_losses([opened])
-    click.echo(f"{writer.lives} requests")
+    click.echo(f"{writer.request_count} requests")
 
 
 @trace.command()
@@ -231,14 +229,14 @@
     """Worth, verdicts, latencies, retries and sources by class, tenant, cell and member."""
     from onyxwick.trace.reader import open_trace
     from onyxwick.trace.summary import Summary
-    from onyxwick.trace.table import Strings
+    from onyxwick.trace.table import StringTable
 
     summary = None
     for path in files:
         with open_trace(path) as opened:
             summary = summary or Summary(opened.header)
-            for head, table in opened.tables(Strings(), wanted.in_block):
-                rows = wanted.rows(table)
+            for head, table in opened.tables(StringTable(), wanted.may_match):
+                rows = wanted.matching_rows(table)
                 summary.add(table if rows.all() else table.take(rows.nonzero()[0]), head.dropped)
             _report_losses([opened])
     assert summary is not None
@@ -246,7 +244,7 @@
         from onyxwick.trace.plots import write
 
         write(summary, plots, ", ".join(path.name for path in files))
-    shown = summary.shown()
+    shown = summary.as_document()
     click.echo(json.dumps(shown)) if as_json else _print_summary(shown)
 
 
@@ -269,16 +267,16 @@
 @_report_unusable
 def explain(files: tuple[Path, ...], request: str) -> None:
     """Tell one request's story; exit 1 where no file has it."""
-    from onyxwick.trace.explain import explain as story
+    from onyxwick.trace.explain import explain_request as story
     from onyxwick.trace.filter import TraceFilter
-    from onyxwick.trace.filter import cut as chosen
+    from onyxwick.trace.filter import select_requests as chosen
     from onyxwick.trace.reader import open_trace
-    from onyxwick.trace.table import Strings
+    from onyxwick.trace.table import StringTable
 
     found = 0
     with ExitStack() as stack:
         for opened in [stack.enter_context(open_trace(path)) for path in files]:
-            for table in chosen(opened, TraceFilter(request=request), Strings(), told=False):
+            for table in chosen(opened, TraceFilter(request=request), StringTable(), notifications=False):
                 for row in range(len(table)):
                     click.echo("\n".join(story(table, row)))
                     found += 1
@@ -293,19 +291,19 @@
 @_report_unusable
 def audit(file: Path, as_json: bool) -> None:
     """Judge the rules from one file (of several directors: a merged one); exit 1 where one is broken."""
-    from onyxwick.trace.audit import Audit
+    from onyxwick.trace.audit import Auditor
     from onyxwick.trace.reader import open_trace
-    from onyxwick.trace.table import Strings
+    from onyxwick.trace.table import StringTable
 
     with open_trace(file) as opened:
-        strings = Strings()
+        strings = StringTable()
         tables = opened.tables(strings, lambda head: head.told > 0)
-        judge = Audit(opened.header, [notice for _, table in tables for notice in table.told])
+        judge = Auditor(opened.header, [notice for _, table in tables for notice in table.notifications])
         for _, table in opened.tables(strings):
             judge.add(table)
         report = judge.report()
         _report_losses([opened])
-    shown = report.shown()
+    shown = report.as_document()
     if as_json:
         click.echo(json.dumps(shown))
     else:
@@ -341,14 +339,14 @@
     from onyxwick.trace.compare import compare as compared
     from onyxwick.trace.compare import losses
     from onyxwick.trace.filter import TraceFilter
-    from onyxwick.trace.filter import cut as chosen
+    from onyxwick.trace.filter import select_requests as chosen
     from onyxwick.trace.reader import open_trace
-    from onyxwick.trace.table import Strings
+    from onyxwick.trace.table import StringTable
 
     def window(path: Path, begin: str | None, end: str | None) -> Any:
         with open_trace(path) as opened:
             wanted = TraceFilter(read_time(begin), read_time(end))
-            tables: Iterator[Table] = chosen(opened, wanted, Strings(), told=False)
+            tables: Iterator[Table] = chosen(opened, wanted, StringTable(), notifications=False)
             return losses(opened.header, tables)
 
     result = compared(window(a, a_from, a_to), window(b or a, b_from, b_to))
@@ -373,10 +371,10 @@
     """Write FILE to OUT as JSON lines or Parquet."""
     from onyxwick.trace import export as exports
     from onyxwick.trace.reader import open_trace
-    from onyxwick.trace.table import Strings
+    from onyxwick.trace.table import StringTable
 
     with open_trace(file) as opened:
-        tables = (table for _, table in opened.tables(Strings()) if len(table))
+        tables = (table for _, table in opened.tables(StringTable()) if len(table))
         write = exports.json_lines if kind == "json" else exports.parquet
         count = write(tables, out)
         _report_losses([opened])
--- a/onyxwick/core/attempt_runner.py
+++ b/onyxwick/core/attempt_runner.py
@@ -89,7 +89,7 @@
             load_report=outcome.load_report,
         )
         if context.tracer is not None:
-            context.tracer.ended(context.now(), event, finished.sent_us, outcome)
+            context.tracer.on_attempt_ended(context.now(), event, finished.sent_us, outcome)
         context.handle(event)
 
     def _spec(self, lifecycle: RequestLifecycle, decided: AttemptDecided, attempt_index: int) -> AttemptSpec:
--- a/onyxwick/core/engine.py
+++ b/onyxwick/core/engine.py
@@ -109,7 +109,7 @@
         now_us = self.now()
         actions = self.router.handle(now_us, list(events))
         if self.context.tracer is not None:
-            self.context.tracer.after(now_us, self.router, events, actions)
+            self.context.tracer.on_decisions(now_us, self.router, events, actions)
         for action in actions:
             self._carry_out(action)
 
--- a/onyxwick/core/request_runner.py
+++ b/onyxwick/core/request_runner.py
@@ -75,7 +75,7 @@
             context.invariants.answered(request.request_id, context.now())
             reply(answer)
         if context.tracer is not None:
-            context.tracer.answered(context.now(), request.request_id, answer)
+            context.tracer.on_final_answer(context.now(), request.request_id, answer)
 
     async def _final_answer(self, lifecycle: RequestLifecycle) -> FinalAnswer | None:
         """The answer to a request; None if its client has disconnected."""
--- a/onyxwick/hosting/trace_control.py
+++ b/onyxwick/hosting/trace_control.py
@@ -59,7 +59,7 @@
         now_us = engine.now()
         tracer = DecisionTracer(engine.settings, self.director_name, config.folder, limits, now_us)
         engine.context.tracer = tracer
-        tracer.listed(now_us, engine.endpoints.listed.values())
+        tracer.on_endpoints_known(now_us, engine.endpoints.listed.values())
         log.info("trace started", folder=str(config.folder))
 
 
--- a/onyxwick/lab/traces.py
+++ b/onyxwick/lab/traces.py
@@ -10,19 +10,19 @@
 import numpy as np
 
 from onyxwick.trace import format as f
-from onyxwick.trace.merge import TraceWriter
+from onyxwick.trace.merge import TraceFileWriter
 from onyxwick.trace.model import (
+    CLIENT_RETRY_FLAG,
     NEVER,
-    ONCE,
-    RETRY,
-    STATUSES,
-    WRITE,
+    NON_IDEMPOTENT_FLAG,
+    STATUS_WORDS,
+    US_PER_S,
+    WRITE_FLAG,
     DecisionReason,
     NotificationKind,
     RecordedVerdict,
-    S,
 )
-from onyxwick.trace.table import Column, Strings, Table
+from onyxwick.trace.table import Column, StringTable, Table
 
 CLASSES: list[dict[str, Any]] = [
     {"name": "site-video", "worth": 2.0, "late_worth": 0.1, "aim_us": 600_000, "sending_us": 60_000},
@@ -50,7 +50,7 @@
 }
 BOXES, PARENTS, TENANTS = 12, 3, 40
 CHUNK = 4096
-START = 1_772_434_800 * S  # a Monday in March
+START = 1_772_434_800 * US_PER_S  # a Monday in March
 BREACHES = ("one answer", "booking once", "drain", "not listed", "purge", "cold")
 
 
@@ -83,7 +83,7 @@
     some = [
         TraceClock(),
         TraceClock(800_000.0, 200.0),
-        TraceClock(-350_000.0, -40.0, START + 1200 * S, 2 * S),
+        TraceClock(-350_000.0, -40.0, START + 1200 * US_PER_S, 2 * US_PER_S),
     ]
     return (some * (count // len(some) + 1))[:count]
 
@@ -94,7 +94,7 @@
     rows += [[f"parent-{n}", "hub", "parent", "ready", 30.0, 0] for n in range(PARENTS)]
     rows.append(["origin", "hub", "origin", "ready", 60.0, 0])
     out: list[tuple[int, int, dict[str, Any]]] = [
-        (START - S // 2, NotificationKind.LIST, {"members": rows, "full": True, "version": 1})
+        (START - US_PER_S // 2, NotificationKind.LIST, {"members": rows, "full": True, "version": 1})
     ]
     changes: list[tuple[float, list[Any]]] = [
         (0.25, ["box-3", "depot-1", "box", "draining", 6.0, 0]),
@@ -121,10 +121,10 @@
         self.rng = np.random.default_rng((seed, n))
         self.name, self.clock, self.duration_us = f"n{n}", clock, duration_us
         self.rate = rate_per_s
-        self.strings = Strings()
+        self.strings = StringTable()
         header = f.FileHeader((1, 0), self.name, f"{n + 1:016x}", START, 0, CLASSES, RULES)
         self.path = folder / f"{self.name}-{header.run}-000001.owt"
-        self.writer = TraceWriter(self.path, header)
+        self.writer = TraceFileWriter(self.path, header)
         self.told = self._told()
         self.numbers = {
             "class": np.array([self.strings.number(c["name"]) for c in CLASSES]),
@@ -136,19 +136,21 @@
         self.origin = self.strings.number("origin")
         self.strings.number("box-99")
 
-    def _told(self) -> list[tuple[int, int, dict[str, Any]]]:
+    def _told(self) -> list[f.Notification]:
         """In this director's own clock, each some milliseconds late; with both clocks each second."""
-        out: list[tuple[int, int, dict[str, Any]]] = [
-            (int(NotificationKind.START), int(self.clock.of(np.array([START - S]))[0]), {})
+        out = [
+            f.Notification(
+                int(NotificationKind.START), int(self.clock.of(np.array([START - US_PER_S]))[0]), {}
+            )
         ]
         for at, kind, data in _events(self.duration_us):
             late = int(self.rng.exponential(15_000))
-            out.append((int(kind), int(self.clock.of(np.array([at + late]))[0]), data))
-        seconds = START + np.arange(0, self.duration_us, S)
+            out.append(f.Notification(int(kind), int(self.clock.of(np.array([at + late]))[0]), data))
+        seconds = START + np.arange(0, self.duration_us, US_PER_S)
         shown = np.maximum.accumulate(self.clock.of(seconds))  # a core's clock never goes back
         mono = (seconds - START) * (1 + self.clock.drift_ppm * 1e-6)
         out += [
-            (int(NotificationKind.CLOCK), int(u), {"mono_us": int(m)})
+            f.Notification(int(NotificationKind.CLOCK), int(u), {"mono_us": int(m)})
             for u, m in zip(shown, mono, strict=True)
         ]
         return sorted(out, key=lambda t: t[1])
@@ -157,14 +159,14 @@
 
     def chunk(self, begin_us: int, end_us: int) -> Table:
         """Requests that arrive in a span of true time."""
-        rng, count = self.rng, self.rng.poisson(self.rate * (end_us - begin_us) / S)
+        rng, count = self.rng, self.rng.poisson(self.rate * (end_us - begin_us) / US_PER_S)
         true = np.sort(rng.integers(begin_us, end_us, count))
         kind = rng.choice(3, count, p=SHARES)
         objects = rng.zipf(1.2, count) % 50_000
         tries = 1 + (rng.random(count) < 0.06).astype(np.int64)
         tries[kind == 2] = 1
-        verdict = np.where(rng.random(count) < 0.985, RecordedVerdict.SERVED, RecordedVerdict.REFUSED)
-        verdict[rng.random(count) < 0.004] = RecordedVerdict.LEFT
+        verdict = np.where(rng.random(count) < 0.985, RecordedVerdict.SERVED, RecordedVerdict.REJECTED)
+        verdict[rng.random(count) < 0.004] = RecordedVerdict.CLIENT_LEFT
         hit = rng.random(count) < 0.72
         took = (rng.lognormal(11.3, 0.5, count) + np.where(hit, 0, 90_000)).astype(np.int64)
         lives = {
@@ -177,13 +179,14 @@
             "object": (objects.astype(np.uint64) * np.uint64(0x9E3779B97F4A7C15)),
             "part": rng.integers(0, 14, count),
             "group": objects % 64,
-            "flags": np.where(rng.random(count) < 0.02, RETRY, 0) | np.where(kind == 2, WRITE | ONCE, 0),
+            "flags": np.where(rng.random(count) < 0.02, CLIENT_RETRY_FLAG, 0)
+            | np.where(kind == 2, WRITE_FLAG | NON_IDEMPOTENT_FLAG, 0),
             "verdict": verdict.astype(np.int64),
             "why": np.where(
-                verdict == RecordedVerdict.SERVED, DecisionReason.ANSWERED, DecisionReason.NO_BOX
+                verdict == RecordedVerdict.SERVED, DecisionReason.ANSWERED, DecisionReason.NO_CACHE
             ),
             "took": took,
-            "after": np.where(verdict == RecordedVerdict.REFUSED, 300_000, 0),
+            "after": np.where(verdict == RecordedVerdict.REJECTED, 300_000, 0),
             "bytes": np.where(verdict == RecordedVerdict.SERVED, rng.integers(2_000, 60_000, count), 0),
             "director": np.full(count, self.strings.number(self.name)),
             "attempts": tries,
@@ -203,7 +206,7 @@
         sent = decided + rng.integers(50, 900, count)
         ended = np.where(final, took, np.maximum(took // 3, sent + 1))
         well = final & (lives["verdict"][owner] == RecordedVerdict.SERVED)
-        status = np.where(well, 0, STATUSES.index("full"))
+        status = np.where(well, 0, STATUS_WORDS.index("full"))
         box = (objects[owner] + np.where(first, 0, 1)) % BOXES
         box = self._kept(box, true[owner] + sent)
         write = kind[owner] == 2
@@ -224,7 +227,7 @@
             "age": np.where(kind[owner] == 1, 12_000, 0),
             "status": status,
             "detail": detail,
-            "why": np.where(first, DecisionReason.HOME, DecisionReason.TRIED),
+            "why": np.where(first, DecisionReason.HOME_CACHE, DecisionReason.OTHERS_TRIED),
             "pending": rng.integers(0, 12, count),
             "room": rng.integers(30, 60, count),
             "failing": rng.integers(0, 12, count),
@@ -236,9 +239,9 @@
         """Boxes that drain or are gone get nothing, and one that has started little."""
         d = self.duration_us
         out = box.copy()
-        drained = (out == 3) & (true >= START + 0.25 * d) & (true < START + 0.35 * d + S)
+        drained = (out == 3) & (true >= START + 0.25 * d) & (true < START + 0.35 * d + US_PER_S)
         out[drained] = 4
-        away = (out == 7) & (true >= START + 0.5 * d) & (true < START + 0.55 * d + 18 * S)
+        away = (out == 7) & (true >= START + 0.5 * d) & (true < START + 0.55 * d + 18 * US_PER_S)
         out[away] = 8
         return out
 
@@ -247,7 +250,7 @@
     def write(self, plant: dict[str, int] | None = None) -> dict[str, list[str]]:
         """The whole file; the ids of what was planted."""
         planted: dict[str, list[str]] = {}
-        span = max(S, int(CHUNK / self.rate * S))
+        span = max(US_PER_S, int(CHUNK / self.rate * US_PER_S))
         begins = list(range(START, START + self.duration_us, span))
         at = 0
         for n, begin in enumerate(begins):
@@ -261,7 +264,7 @@
             until = at
             while until < len(self.told) and self.told[until][1] < limit:
                 until += 1
-            table.told, at = self.told[at:until], until
+            table.notifications, at = self.told[at:until], until
             self.writer.add(table)
         self.writer.close()
         return planted
@@ -269,11 +272,11 @@
     def _plant(self, table: Table, plant: dict[str, int]) -> dict[str, list[str]]:
         """Breaches of each rule that is asked for, in requests of their own, while box-3 drains."""
         out: dict[str, list[str]] = {}
-        lives, attempts, starts = table.lives, table.attempts, table.starts
+        lives, attempts, starts = table.requests, table.attempts, table.starts
         served = np.flatnonzero((lives["verdict"] == RecordedVerdict.SERVED) & (lives["attempts"] == 1))
         reads, bookings = (
-            served[lives["flags"][served] & ONCE == 0],
-            served[lives["flags"][served] & ONCE != 0],
+            served[lives["flags"][served] & NON_IDEMPOTENT_FLAG == 0],
+            served[lives["flags"][served] & NON_IDEMPOTENT_FLAG != 0],
         )
         used: set[int] = set()
         for rule, count in plant.items():
@@ -293,15 +296,15 @@
         at = table.starts[rows]
         for name, column in table.attempts.items():
             table.attempts[name] = np.insert(column, at + 1, column[at])
-        table.lives["attempts"][rows] += 1
+        table.requests["attempts"][rows] += 1
 
     def _push_over(self, table: Table, count: int) -> list[str]:
         """So many requests in a row go to box-7, which has just started."""
         since = float(self.clock.of(np.array([START + int(0.55 * self.duration_us)]))[0])
-        late = (table.lives["at"] > since + S) & (table.lives["attempts"] == 1)
-        rows = np.flatnonzero(late & (table.lives["flags"] & ONCE == 0))[:count]
+        late = (table.requests["at"] > since + US_PER_S) & (table.requests["attempts"] == 1)
+        rows = np.flatnonzero(late & (table.requests["flags"] & NON_IDEMPOTENT_FLAG == 0))[:count]
         table.attempts["member"][table.starts[rows]] = self.numbers["box"][7]
-        return [f"{int(table.lives['id'][row]):016x}" for row in rows]
+        return [f"{int(table.requests['id'][row]):016x}" for row in rows]
 
     def _fit(self, rule: str, table: Table, reads: Column, bookings: Column) -> Column:
         """Requests in which a rule can be broken."""
@@ -309,12 +312,12 @@
             return bookings
         if rule == "drain":
             edges = self.clock.of(START + np.array([0.26, 0.34]) * self.duration_us)
-            at = table.lives["at"][reads]
+            at = table.requests["at"][reads]
             inside: Column = reads[(at > edges[0]) & (at < edges[1])]
             return inside
         if rule != "purge":
             return reads
-        return np.array([row for row in reads.tolist() if self._purged(table.lives, row)], np.int64)
+        return np.array([row for row in reads.tolist() if self._purged(table.requests, row)], np.int64)
 
     def _purged(self, lives: dict[str, Column], row: int) -> int:
         """The newest purge of a request's group that binds it, or 0."""
@@ -337,7 +340,7 @@
             case "drain":
                 attempts["member"][at] = self.numbers["box"][3]  # it drains at that time
             case "purge":
-                attempts["dated"][at] = self._purged(lives, row) - 5 * S
+                attempts["dated"][at] = self._purged(lives, row) - 5 * US_PER_S
             case "booking once":
                 pass  # its second attempt is put in by `_twice`
             case _:
@@ -351,8 +354,8 @@
     folder.mkdir(parents=True, exist_ok=True)
     out = Stand()
     for n, clock in enumerate(clocks(directors)):
-        maker = Maker(folder, n, clock, rate_per_s, duration_s * S, seed)
+        maker = Maker(folder, n, clock, rate_per_s, duration_s * US_PER_S, seed)
         maker.write()
         out.paths.append(maker.path)
-        out.requests += maker.writer.lives
+        out.requests += maker.writer.request_count
     return out
--- a/onyxwick/trace/anonymise.py
+++ b/onyxwick/trace/anonymise.py
@@ -1,9 +1,8 @@
-"""Traces without names: every id and name is replaced by a keyed hash of it, the same in every file of one
-key.
+"""Anonymises traces: replaces every id and name by a keyed hash of it, the same in every file of one key.
 
-Keyed BLAKE3 (O'Connor, Aumasson, Neves and Wilcox-O'Hearn 2020, section 2.3), with another key derived for
-each kind of name, so that equal texts of two kinds have nothing in common. Times, classes, sizes and
-verdicts stay.
+Input: tables and a secret key. Output: tables in which no id or name is left; times, classes, sizes and
+verdicts stay. Keyed BLAKE3 (O'Connor, Aumasson, Neves and Wilcox-O'Hearn 2020, section 2.3), with another
+key derived for each kind of name, so that equal texts of two kinds are not linked.
 """
 
 from __future__ import annotations
@@ -17,15 +16,15 @@
 
 from onyxwick.trace import format as f
 from onyxwick.trace.model import NotificationKind, TraceError
-from onyxwick.trace.recorder import number
-from onyxwick.trace.table import NAMES, Column, Strings, Table
+from onyxwick.trace.recorder import id_number
+from onyxwick.trace.table import REQUEST_NAME_COLUMNS, Column, StringTable, Table
 
 KEY_BYTES = 32
 KINDS = ("request", "object", "tenant", "cell", "member", "director", "zone")
 
 
 def read_key(path: Path) -> bytes:
-    """32 bytes or more of secret; TraceError where there are fewer."""
+    """Read a secret of 32 bytes or more; TraceError if it is shorter or cannot be read."""
     try:
         data = path.read_bytes()
     except OSError as error:
@@ -36,7 +35,7 @@
 
 
 class Anonymiser:
-    """One key's view of all names."""
+    """Replaces ids and names by their hashes under one key."""
 
     def __init__(self, key: bytes) -> None:
         self.keys = {
@@ -50,63 +49,71 @@
         return f"{kind[0]}-{blake3(name.encode(), key=self.keys[kind]).hexdigest(8)}"
 
     def number(self, kind: str, value: int) -> int:
+        """The replacement of an id."""
         digest = blake3(value.to_bytes(8, "little"), key=self.keys[kind]).digest(8)
         return int.from_bytes(digest, "little")
 
     def numbers(self, kind: str, column: Column) -> Column:
-        """A column of ids, each different one hashed once."""
+        """The replacements of a column of ids; each different one is hashed once."""
         unique, back = np.unique(column, return_inverse=True)
         new = np.array([self.number(kind, value) for value in unique.tolist()], np.uint64)
         return new[back] if len(unique) else column
 
-    def table(self, table: Table, strings: Strings) -> Table:
-        """The same with no raw name in it, its names in `strings`, which holds no others."""
-        lives, attempts = dict(table.lives), dict(table.attempts)
+    def table(self, table: Table, strings: StringTable) -> Table:
+        """A table with the replacements; their names go to `strings`, which holds no others."""
+        lives, attempts = dict(table.requests), dict(table.attempts)
         lives["id"] = self.numbers("request", lives["id"])
         lives["object"] = self.numbers("object", lives["object"])
-        for column in NAMES:
-            # Classes are the installation's own words and are needed to read the rest.
+        for column in REQUEST_NAME_COLUMNS:
+            # Class names stay, as the figures by class need them.
             lives[column] = self._column(column, lives[column], table.strings, strings)
         for column in ("member", "source"):
             attempts[column] = self._column("member", attempts[column], table.strings, strings)
-        return Table(lives, attempts, strings, [self.told(*told) for told in table.told])
+        return Table(
+            lives,
+            attempts,
+            strings,
+            [self.notification(notification) for notification in table.notifications],
+        )
 
-    def _column(self, kind: str, column: Column, old: Strings, new: Strings) -> Column:
+    def _column(self, kind: str, column: Column, old: StringTable, new: StringTable) -> Column:
         unique, back = np.unique(column, return_inverse=True)
         names = [old[int(n)] for n in unique]
         hidden = names if kind == "class" else [self.name(kind, name) for name in names]
         numbers = np.array([new.number(name) for name in hidden], np.int64)
         return numbers[back] if len(unique) else column.astype(np.int64)
 
-    def told(self, kind: int, at: int, data: dict[str, Any]) -> tuple[int, int, dict[str, Any]]:
-        """What was told, with only fields that are known, each hidden in its way."""
-        out: dict[str, Any] = {}
+    def notification(self, notification: f.Notification) -> f.Notification:
+        """A notification with the replacements; fields that are not known are left out."""
+        kind, at_us, data = notification
+        hidden: dict[str, Any] = {}
         if "director" in data:
-            out["director"] = self.name("director", str(data["director"]))
+            hidden["director"] = self.name("director", str(data["director"]))
         match kind:
             case NotificationKind.LIST:
-                out |= {"version": data.get("version", 0), "full": bool(data.get("full"))}
-                out["members"] = [
+                hidden |= {"version": data.get("version", 0), "full": bool(data.get("full"))}
+                hidden["members"] = [
                     [self.name("member", str(m[0])), self.name("zone", str(m[1])), *m[2:6]]
                     for m in data.get("members", ())
                 ]
             case NotificationKind.PURGE:
-                held = data.get("object")
-                hidden = None if held is None else self.number("object", _as_number(held))
-                out |= {"group": data.get("group"), "object": hidden, "unix_us": data.get("unix_us")}
+                raw_id = data.get("object")
+                object_id = None if raw_id is None else self.number("object", _as_number(raw_id))
+                hidden |= {"group": data.get("group"), "object": object_id, "unix_us": data.get("unix_us")}
             case NotificationKind.SENT:
-                out |= {
+                hidden |= {
                     "id": self.number("request", int(data["id"])),
                     "member": self.name("member", str(data.get("member", ""))),
                     "class": data.get("class", ""),
                 }
             case NotificationKind.CLOCK:
-                out["mono_us"] = data.get("mono_us", 0)
+                hidden["mono_us"] = data.get("mono_us", 0)
             case NotificationKind.CONFIG:
-                out["version"] = data.get("version", 0)
-        return kind, at, out
+                hidden["version"] = data.get("version", 0)
+        return f.Notification(kind, at_us, hidden)
 
     def header(self, header: f.FileHeader) -> f.FileHeader:
+        """A header with the replacements."""
         director = "+".join(self.name("director", name) for name in header.director.split("+"))
         run = self.name("director", f"run {header.run}")
         clocks = {self.name("director", name): row for name, row in header.clocks.items()}
@@ -123,4 +130,4 @@
 
 
 def _as_number(value: object) -> int:
-    return value if isinstance(value, int) else number(str(value))
+    return value if isinstance(value, int) else id_number(str(value))
--- a/onyxwick/trace/clocks.py
+++ b/onyxwick/trace/clocks.py
@@ -1,11 +1,13 @@
-"""How directors' clocks differ, estimated from what they all were told and from clients that retried
-elsewhere.
-
-Each director's times are first put on its own monotonic clock, by the pairs of both clocks that it records:
-a clock that stepped back is undone there. Against the first director the rest is an offset and a drift,
-fitted to the events that both were told (Theil 1950 and Sen 1968: the median of slopes, which a few late
-tellings do not move), and bounded by retries: a client that was refused by one director asks another one
-later, never before.
+"""Estimates how the clocks of directors differ, from notifications that all received and from client
+retries.
+
+Input: times in microseconds. Output: for each director an offset and a drift against the first one, with
+their uncertainty.
+
+Each director's times are first put on its own monotonic clock, by the pairs of both clocks that it records,
+which undoes steps of the Unix clock. The rest is an offset and a drift, fitted to the notifications that
+both received (Theil 1950 and Sen 1968: the median of slopes, which a few late notifications do not move),
+and bounded by retries: a client that one director rejected comes to another one later, never earlier.
 """
 
 from __future__ import annotations
@@ -17,25 +19,31 @@
 
 from onyxwick.trace.table import Column
 
-PAIRS = 2000  # slopes looked at
-LEAST_EVENTS = 3
-UNKNOWN_US = 1e9  # doubt where two directors have nothing in common
-DRIFT_MOST = 1e-3  # a slope over it is noise of few events, no clock
+SAMPLED_SLOPES = 2000
+MIN_EVENTS = 3
+UNKNOWN_DOUBT_US = 1e9
+"""Uncertainty where two directors have nothing in common."""
+MAX_DRIFT = 1e-3
+"""A larger slope is noise of few events."""
+MIN_SLOPE_SPAN = 0.2
+"""Of the whole time: pairs of events that are closer give no useful slope."""
+DOUBT_QUANTILE = 0.9
+DOUBT_FACTOR = 3
+MIN_DOUBT_US = 1000.0
 
 
-class OwnClock:
+class MonotonicClock:
     """One director's recorded Unix times on its own monotonic clock."""
 
     def __init__(self, samples: Sequence[tuple[int, int]]) -> None:
-        """`samples`: (Unix us as recorded, monotonic us) at instants, in order. None: the clock is taken as
-        steady."""
+        """`samples`: (Unix, monotonic) microseconds at the same instants; none: the clock is trusted."""
         ordered = sorted(samples)
         self.unix = np.array([u for u, _ in ordered], np.float64)
         self.mono = np.array([m for _, m in ordered], np.float64)
         self.base = float(self.unix[0] - self.mono[0]) if len(ordered) else 0.0
 
-    def steady(self, times: Column) -> Column:
-        """Times in us that run with the monotonic clock, still near Unix time."""
+    def to_monotonic(self, times: Column) -> Column:
+        """Unix times moved to where the monotonic clock puts them."""
         times = np.asarray(times, np.float64)
         if len(self.unix) < 2:
             return times
@@ -48,7 +56,7 @@
 
     @property
     def steps_us(self) -> float:
-        """How far the Unix clock fell behind the monotonic one, from where it had been furthest ahead."""
+        """How far the Unix clock stepped back against the monotonic one, at most."""
         if len(self.unix) < 2:
             return 0.0
         ahead = self.unix - self.mono
@@ -57,46 +65,52 @@
 
 @dataclass(frozen=True, slots=True)
 class ClockFit:
-    """From a director's steady time to the first director's: t - offset - drift * (t - origin)."""
+    """A director's clock: t - offset - drift * (t - origin) is the time on the first director's."""
 
     offset_us: float = 0.0
     drift: float = 0.0
     origin_us: float = 0.0
-    doubt_us: float = 0.0  # how far off it may be
+    doubt_us: float = 0.0
+    """How far off the result may be."""
     events: int = 0
-    retries: int = 0  # bounds from retries that were looked at
-    against: int = 0  # of them, those that the fit breaks
+    retries: int = 0
+    """Bounds from retries that were checked."""
+    violated_retries: int = 0  # of them, those that the fit contradicts
 
     def to_first(self, times: Column) -> Column:
+        """Times of this director on the first one's clock."""
         times = np.asarray(times, np.float64)
         out: Column = times - self.offset_us - self.drift * (times - self.origin_us)
         return out
 
 
-def fit(
+def fit_clock(
     first: Column, other: Column, earlier: Column | None = None, later: Column | None = None, seed: int = 1
 ) -> ClockFit:
     """The other director's clock against the first one's.
 
-    `first` and `other`: steady times at which each was told of the same events. `earlier` (on the first's
-    clock) and `later` (on the other's): a retry that came to the other after a refusal by the first.
+    `first` and `other`: when each received the same notifications, on its monotonic clock. `earlier` and
+    `later`: when the first rejected a request, and when its retry came to the other.
     """
     events = len(first)
     bounds = 0 if earlier is None else len(earlier)
-    if events < LEAST_EVENTS:
+    if events < MIN_EVENTS:
         if not bounds or earlier is None or later is None:
-            return ClockFit(doubt_us=UNKNOWN_US)
-        # The retries alone: the other's clock is at least so far behind as makes each come later.
+            return ClockFit(doubt_us=UNKNOWN_DOUBT_US)
+        # Retries alone: the other's clock is at least so far behind that each comes after its rejection.
         gap = float(np.min(np.asarray(later, float) - np.asarray(earlier, float)))
-        return ClockFit(min(0.0, gap), doubt_us=abs(gap) + UNKNOWN_US / 1e3, events=events, retries=bounds)
+        return ClockFit(
+            min(0.0, gap), doubt_us=abs(gap) + UNKNOWN_DOUBT_US / 1e3, events=events, retries=bounds
+        )
     gaps = np.asarray(other, np.float64) - np.asarray(first, np.float64)
     origin = float(np.median(other))
     slope = _slope(np.asarray(other, np.float64), gaps, seed)
     rest = gaps - slope * (np.asarray(other, np.float64) - origin)
     offset = float(np.median(rest))
-    # The events are told late by chance, to both alike: what is left over is this lateness and the doubt.
+    # Notifications are delayed at random, for both alike: the rest is this delay and the uncertainty.
     spread = np.abs(rest - offset)
-    doubt = float(np.quantile(spread, 0.9)) / max(1.0, events**0.5) * 3 + 1000.0
+    doubt = float(np.quantile(spread, DOUBT_QUANTILE)) / max(1.0, events**0.5)
+    doubt = doubt * DOUBT_FACTOR + MIN_DOUBT_US
     out = ClockFit(offset, slope, origin, doubt, events, bounds)
     if earlier is None or later is None or not bounds:
         return out
@@ -109,10 +123,10 @@
 
 def _slope(times: Column, gaps: Column, seed: int) -> float:
     rng = np.random.default_rng(seed)
-    a, b = rng.integers(0, len(times), PAIRS), rng.integers(0, len(times), PAIRS)
+    a, b = rng.integers(0, len(times), SAMPLED_SLOPES), rng.integers(0, len(times), SAMPLED_SLOPES)
     span = times[b] - times[a]
-    far = np.abs(span) > 0.2 * (times.max() - times.min() + 1)
+    far = np.abs(span) > MIN_SLOPE_SPAN * (times.max() - times.min() + 1)
     if not far.any():
         return 0.0
     slope = float(np.median((gaps[b] - gaps[a])[far] / span[far]))
-    return slope if abs(slope) <= DRIFT_MOST else 0.0
+    return slope if abs(slope) <= MAX_DRIFT else 0.0
--- a/onyxwick/trace/compare.py
+++ b/onyxwick/trace/compare.py
@@ -1,5 +1,9 @@
-"""What differs most between two traces, or two windows of one: which class, member, source or cause
-accounts for the worth that was lost more."""
+"""Compares two traces, or two windows of one: under which names was more priority weight lost.
+
+Input: the losses of both. Output: rows by class, tenant, cell, member, source, outcome and reason, the
+largest difference first. The lost weight is what the requests would have earned if all had been answered
+within their objectives.
+"""
 
 from __future__ import annotations
 
@@ -10,96 +14,120 @@
 import numpy as np
 
 from onyxwick.trace import format as f
-from onyxwick.trace.model import OPEN_STATUS, STATUSES, DecisionReason, RecordedVerdict
+from onyxwick.trace.model import (
+    NOT_ENDED_STATUS,
+    REASON_WORDS,
+    STATUS_WORDS,
+    VERDICT_WORDS,
+    DecisionReason,
+)
 from onyxwick.trace.summary import PriorityWeights
 from onyxwick.trace.table import Column, Table
 
-KINDS = ("class", "tenant", "cell", "member", "source", "outcome", "cause", "choice", "verdict")
-LEAST = 0.0005  # of all worth: a smaller difference is not listed
+MIN_DIFFERENCE = 0.0005
+"""Of all weight: a smaller difference is not listed."""
+REASON_COUNT = 256
+DETAIL_COUNT = 16
+"""Answer details told apart; higher ones count as the last."""
 
 
 @dataclass(slots=True)
 class Losses:
-    """Worth asked for and lost, by every kind of name."""
+    """Priority weight requested and lost, in all and by (kind, name)."""
 
-    asked: float = 0.0
+    requested: float = 0.0
     lost: float = 0.0
-    by: dict[tuple[str, str], list[float]] = field(default_factory=dict)  # (kind, name): [asked, lost]
+    by_name: dict[tuple[str, str], list[float]] = field(default_factory=dict)
+    """[requested, lost]"""
 
     def add(self, header: f.FileHeader, table: Table) -> None:
+        """Add the requests of a table."""
         if not len(table):
             return
-        asked, _, served = PriorityWeights(header).of(table)
-        lost = asked - served
-        self.asked += float(asked.sum())
+        weights = PriorityWeights(header).of(table)
+        requested = weights.requested
+        lost = requested - weights.served
+        self.requested += float(requested.sum())
         self.lost += float(lost.sum())
-        for kind, names in _names(table).items():
-            self._by(kind, names, asked, lost)
+        for kind, (numbers, names) in _names(table).items():
+            requested_sums = np.bincount(numbers, requested, len(names))
+            lost_sums = np.bincount(numbers, lost, len(names))
+            for number in np.unique(numbers).tolist():
+                row = self.by_name.setdefault((kind, names[number]), [0.0, 0.0])
+                row[0] += float(requested_sums[number])
+                row[1] += float(lost_sums[number])
 
-    def _by(self, kind: str, names: tuple[Column, list[str]], asked: Column, lost: Column) -> None:
-        numbers, texts = names
-        sums = np.bincount(numbers, asked, len(texts)), np.bincount(numbers, lost, len(texts))
-        for n in np.unique(numbers).tolist():
-            row = self.by.setdefault((kind, texts[n]), [0.0, 0.0])
-            row[0] += float(sums[0][n])
-            row[1] += float(sums[1][n])
+    @property
+    def service(self) -> float:
+        """Share of the requested weight that was earned."""
+        return round(1 - self.lost / self.requested, 4) if self.requested else 1.0
 
 
 def _names(table: Table) -> dict[str, tuple[Column, list[str]]]:
-    """For each request a number in a list of names, by every kind."""
-    texts, lives = table.strings.names, table.lives
-    out = {k: (lives[k].astype(np.int64), texts) for k in ("class", "tenant", "cell")}
-    out["member"] = (table.last("member"), texts)
-    out["source"] = (table.last("source"), texts)
-    status, detail = table.last("status", OPEN_STATUS), table.last("detail")
-    ends = [f"{s} / {d}" for s in (*STATUSES, "none") for d in range(16)]
-    out["outcome"] = (np.minimum(status, len(STATUSES)) * 16 + np.minimum(detail, 15), ends)
-    whys = [
-        w.name.lower() if w in DecisionReason._value2member_map_ else str(w) for w in map(_why, range(256))
-    ]
-    out["cause"] = (lives["why"].astype(np.int64), whys)
-    out["choice"] = (table.last("why"), whys)
-    out["verdict"] = (lives["verdict"].astype(np.int64), [v.name.lower() for v in RecordedVerdict])
-    return out
-
-
-def _why(number: int) -> DecisionReason:
-    return DecisionReason(number) if number in DecisionReason._value2member_map_ else DecisionReason.UNKNOWN
+    """By kind: for each request a number, and the list of names that it is a place in."""
+    strings = table.strings.names
+    requests = table.requests
+    names = {kind: (requests[kind].astype(np.int64), strings) for kind in ("class", "tenant", "cell")}
+    names["member"] = (table.last_attempt("member"), strings)
+    names["source"] = (table.last_attempt("source"), strings)
+    names["outcome"] = _outcomes(table)
+    unknown = REASON_WORDS[DecisionReason.UNKNOWN]
+    words_by_number = {int(reason): word for reason, word in REASON_WORDS.items()}
+    reasons = [words_by_number.get(number, unknown) for number in range(REASON_COUNT)]
+    names["cause"] = (requests["why"].astype(np.int64), reasons)
+    names["choice"] = (table.last_attempt("why"), reasons)
+    names["verdict"] = (requests["verdict"].astype(np.int64), list(VERDICT_WORDS.values()))
+    return names
+
+
+def _outcomes(table: Table) -> tuple[Column, list[str]]:
+    """Status and detail of the last attempt, as one name."""
+    status = np.minimum(table.last_attempt("status", NOT_ENDED_STATUS), len(STATUS_WORDS))
+    detail = np.minimum(table.last_attempt("detail"), DETAIL_COUNT - 1)
+    names = [f"{word} / {number}" for word in (*STATUS_WORDS, "none") for number in range(DETAIL_COUNT)]
+    return status * DETAIL_COUNT + detail, names
 
 
 def losses(header: f.FileHeader, tables: Iterable[Table]) -> Losses:
-    out = Losses()
+    """The losses of all tables."""
+    total = Losses()
     for table in tables:
-        out.add(header, table)
-    return out
+        total.add(header, table)
+    return total
+
+
+def _share(part: float, total: float) -> float:
+    return part / total if total else 0.0
 
 
 def compare(a: Losses, b: Losses) -> dict[str, Any]:
-    """B against A. Each row: how much of all worth was lost more under that name, which part of it by more of
-    such requests and which by more loss on each; the largest first."""
-    rows = []
-    for kind, name in sorted(set(a.by) | set(b.by)):
-        asked_a, lost_a = a.by.get((kind, name), [0.0, 0.0])
-        asked_b, lost_b = b.by.get((kind, name), [0.0, 0.0])
-        share_a, share_b = (lost_a / a.asked if a.asked else 0.0), (lost_b / b.asked if b.asked else 0.0)
-        if abs(share_b - share_a) < LEAST:
-            continue
-        rate_a, rate_b = lost_a / asked_a if asked_a else 0.0, lost_b / asked_b if asked_b else 0.0
-        part_a, part_b = asked_a / a.asked if a.asked else 0.0, asked_b / b.asked if b.asked else 0.0
-        rows.append(
-            {
-                "kind": kind,
-                "name": name,
-                "lost_more": round(share_b - share_a, 4),
-                "by_more_of_it": round((part_b - part_a) * (rate_a + rate_b) / 2, 4),
-                "by_worse_service": round((rate_b - rate_a) * (part_a + part_b) / 2, 4),
-                "loss_a": round(rate_a, 4),
-                "loss_b": round(rate_b, 4),
-            }
-        )
-    rows.sort(key=lambda row: -abs(row["lost_more"]))  # type: ignore[arg-type]
+    """B against A, as a document for JSON.
+
+    Each row: how much more of all weight was lost under a name, and which part of it is due to more of such
+    requests (`by_more_of_it`) and which to more loss on each (`by_worse_service`).
+    """
+    rows = [_row(kind, name, a, b) for kind, name in sorted(set(a.by_name) | set(b.by_name))]
+    listed = [row for row in rows if row is not None]
+    listed.sort(key=lambda row: -abs(row["lost_more"]))
+    return {"service_a": a.service, "service_b": b.service, "rows": listed}
+
+
+def _row(kind: str, name: str, a: Losses, b: Losses) -> dict[str, Any] | None:
+    requested_a, lost_a = a.by_name.get((kind, name), [0.0, 0.0])
+    requested_b, lost_b = b.by_name.get((kind, name), [0.0, 0.0])
+    lost_more = _share(lost_b, b.requested) - _share(lost_a, a.requested)
+    if abs(lost_more) < MIN_DIFFERENCE:
+        return None
+    rate_a = _share(lost_a, requested_a)
+    rate_b = _share(lost_b, requested_b)
+    part_a = _share(requested_a, a.requested)
+    part_b = _share(requested_b, b.requested)
     return {
-        "service_a": round(1 - a.lost / a.asked, 4) if a.asked else 1.0,
-        "service_b": round(1 - b.lost / b.asked, 4) if b.asked else 1.0,
-        "rows": rows,
+        "kind": kind,
+        "name": name,
+        "lost_more": round(lost_more, 4),
+        "by_more_of_it": round((part_b - part_a) * (rate_a + rate_b) / 2, 4),
+        "by_worse_service": round((rate_b - rate_a) * (part_a + part_b) / 2, 4),
+        "loss_a": round(rate_a, 4),
+        "loss_b": round(rate_b, 4),
     }
--- a/onyxwick/trace/decision_tracer.py
+++ b/onyxwick/trace/decision_tracer.py
@@ -1,5 +1,9 @@
-"""Between a core and its recorder: what the core tells and is told, as records. A fault here ends the trace
-and nothing else."""
+"""Writes a trace of what a director decides: hands the core's events and actions to the recorder.
+
+Input: calls of the core, around its router and around its attempts; times in microseconds of the core's
+clock. Output: records. Every call is bounded and none raises: an error in the trace ends the trace, never a
+request.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +12,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import replace
 from pathlib import Path
-from typing import Any
+from typing import Any, Protocol, cast
 
 from onyxwick import logs
 from onyxwick.core.model import AnswerStatus, AttemptOutcome, FinalAnswer
@@ -27,225 +31,277 @@
     ObjectsPurged,
     RejectRequest,
     RequestArrived,
+    RequestClass,
     RequestRouter,
     RouterSettings,
+    ServiceRules,
     SiteStateChanged,
 )
 from onyxwick.routing import Router
-from onyxwick.trace import decision_reason as why
+from onyxwick.trace import decision_reason
 from onyxwick.trace import format as f
-from onyxwick.trace.model import MAJOR, MINOR, DecisionReason, NotificationKind
-from onyxwick.trace.model import RecordedVerdict as Final
-from onyxwick.trace.recorder import Recorder, number
-from onyxwick.trace.sink import Sink, SinkLimits
+from onyxwick.trace.model import (
+    FORMAT_MAJOR,
+    FORMAT_MINOR,
+    DecisionReason,
+    NotificationKind,
+    RecordedVerdict,
+)
+from onyxwick.trace.recorder import Recorder, id_number
+from onyxwick.trace.sink import SinkLimits, TraceWriterThread
 
 log = logs.get()
-CLOCK_US = 1_000_000  # between two records of both clocks
-LEAST_LEFT_US = 1000  # under it a request had no time for an attempt
-FINALS = {
-    AnswerStatus.SERVED: Final.SERVED,
-    AnswerStatus.REJECTED: Final.REFUSED,
-    AnswerStatus.FAILED: Final.FAILED,
+CLOCK_INTERVAL_US = 1_000_000
+"""Between two records of both clocks."""
+MIN_ATTEMPT_TIME_US = 1000
+"""A request that expires sooner had no time for an attempt."""
+NS_PER_US = 1000
+RUN_ID_BYTES = 8
+VERDICTS = {
+    AnswerStatus.SERVED: RecordedVerdict.SERVED,
+    AnswerStatus.REJECTED: RecordedVerdict.REJECTED,
+    AnswerStatus.FAILED: RecordedVerdict.FAILED,
 }
 
 
-def header_of(settings: RouterSettings, director: str, unix_us: int, mono_us: int) -> f.FileHeader:
-    """What a reader must know to judge: classes with worth and aims, the rules' figures."""
-    r = settings.rules
-    classes: list[dict[str, Any]] = [
-        {
-            "name": c.name,
-            "worth": c.priority_weight,
-            "late_worth": c.late_priority_weight,
-            "aim_us": c.latency_objective_us,
-            "stretch": c.latency_objective_stretch,
-            "deadline_us": c.deadline_us,
-            "once": c.idempotency is Idempotency.NON_IDEMPOTENT,
-            "write": c.is_write,
-            "fresh_us": c.freshness_lifetime_us,
-        }
-        for c in settings.classes
-    ]
-    rules = {
-        "drain_grace_us": r.drain_grace_us,
-        "purge_grace_us": r.purge_grace_us,
-        "cold_start": r.warm_up_start_share,
-        "cold_us": r.warm_up_us,
-        "overload_multiple": r.overload_multiple,
-        "overload_window_us": r.overload_window_us,
-        "parent_cold_start": r.parent_warm_up_start_share,
-        "parent_cold_us": r.parent_warm_up_us,
-        "parent_overload_multiple": r.parent_overload_multiple,
+def file_header(settings: RouterSettings, director: str, unix_us: int, mono_us: int) -> f.FileHeader:
+    """What an audit needs beside the records: the classes and the rules' figures. The keys are stored."""
+    return f.FileHeader(
+        version=(FORMAT_MAJOR, FORMAT_MINOR),
+        director=director,
+        run=secrets.token_hex(RUN_ID_BYTES),
+        unix_us=unix_us,
+        mono_us=mono_us,
+        classes=[_class_fields(request_class) for request_class in settings.classes],
+        rules=_rule_fields(settings.rules),
+    )
+
+
+def _class_fields(request_class: RequestClass) -> dict[str, Any]:
+    return {
+        "name": request_class.name,
+        "worth": request_class.priority_weight,
+        "late_worth": request_class.late_priority_weight,
+        "aim_us": request_class.latency_objective_us,
+        "stretch": request_class.latency_objective_stretch,
+        "deadline_us": request_class.deadline_us,
+        "once": request_class.idempotency is Idempotency.NON_IDEMPOTENT,
+        "write": request_class.is_write,
+        "fresh_us": request_class.freshness_lifetime_us,
     }
-    figures = {name: float(value) for name, value in rules.items()}
-    return f.FileHeader((MAJOR, MINOR), director, secrets.token_hex(8), unix_us, mono_us, classes, figures)
 
 
-def _mono_us() -> int:
-    return time.monotonic_ns() // 1000
+def _rule_fields(rules: ServiceRules) -> dict[str, float]:
+    return {
+        "drain_grace_us": float(rules.drain_grace_us),
+        "purge_grace_us": float(rules.purge_grace_us),
+        "cold_start": float(rules.warm_up_start_share),
+        "cold_us": float(rules.warm_up_us),
+        "overload_multiple": float(rules.overload_multiple),
+        "overload_window_us": float(rules.overload_window_us),
+        "parent_cold_start": float(rules.parent_warm_up_start_share),
+        "parent_cold_us": float(rules.parent_warm_up_us),
+        "parent_overload_multiple": float(rules.parent_overload_multiple),
+    }
+
+
+def monotonic_us() -> int:
+    """The machine's monotonic clock."""
+    return time.monotonic_ns() // NS_PER_US
+
+
+class DelegatingRouter(Protocol):
+    """A router that distributes requests among others: `CellRouter`, `SiteRouter`."""
+
+    shed_now: dict[str, str]
+    """Requests that its last `handle` rejected before any router decided on them, and why."""
+
+    def router_of(self, request: str) -> Router | None:
+        """The router that decides on a request now; None if there is none."""
+        ...
+
+    def cell_of(self, request: str) -> str:
+        """The name of the cell that a request belongs to; empty if there is none."""
+        ...
 
 
 class DecisionTracer:
-    """What a core calls while a trace is written. Every call is bounded and none raises."""
+    """What a core calls while a trace is written."""
 
     def __init__(
         self,
         settings: RouterSettings,
         director: str,
         folder: Path,
-        bounds: SinkLimits,
-        now: int,
-        mono: Callable[[], int] = _mono_us,
+        limits: SinkLimits,
+        now_us: int,
+        monotonic_clock: Callable[[], int] = monotonic_us,
     ) -> None:
-        self.mono = mono
-        self.sink = Sink(folder, header_of(settings, director, now, mono()), bounds)
-        once = frozenset(c.name for c in settings.classes if c.idempotency is Idempotency.NON_IDEMPOTENT)
-        self.recorder = Recorder(now, self.sink.take, once)
-        self.broken = False
-        self.clock_at = now
-        self.sink.start()
-        self.recorder.told(now, NotificationKind.START, {})
-        self._clock(now)
-
-    def _clock(self, now: int) -> None:
-        self.clock_at = now
-        self.recorder.told(now, NotificationKind.CLOCK, {"mono_us": self.mono()})
-
-    def listed(self, now: int, members: Iterable[Member]) -> None:
-        """The list as it is known when the trace begins."""
-        self._event(now, None, EndpointsChanged(EndpointListKind.RESTORED, tuple(members)))
-
-    def _fault(self) -> None:
-        """An error of the trace is the trace's alone: it ends, the director goes on."""
-        self.broken = True
-        log.exception("the trace ends for an error of its own")
-
-    # ---- around the module ------------------------------------------------------------------------------
-
-    def after(
-        self, now: int, decider: RequestRouter, events: tuple[Event, ...], actions: list[Action]
+        self.monotonic_clock = monotonic_clock
+        header = file_header(settings, director, now_us, monotonic_clock())
+        self.writer = TraceWriterThread(folder, header, limits)
+        non_idempotent = frozenset(
+            c.name for c in settings.classes if c.idempotency is Idempotency.NON_IDEMPOTENT
+        )
+        self.recorder = Recorder(now_us, self.writer.enqueue, non_idempotent)
+        self.failed = False
+        self.clock_recorded_us = now_us
+        self.writer.start()
+        self.recorder.record_notification(now_us, NotificationKind.START, {})
+        self._record_clock(now_us)
+
+    def _record_clock(self, now_us: int) -> None:
+        self.clock_recorded_us = now_us
+        data = {"mono_us": self.monotonic_clock()}
+        self.recorder.record_notification(now_us, NotificationKind.CLOCK, data)
+
+    def _fail(self) -> None:
+        """End the trace after an error of its own."""
+        self.failed = True
+        log.exception("trace stopped after an internal error")
+
+    def on_endpoints_known(self, now_us: int, members: Iterable[Member]) -> None:
+        """Record the endpoint list as it is when the trace starts."""
+        self._record_event(now_us, None, EndpointsChanged(EndpointListKind.RESTORED, tuple(members)))
+
+    # ---- around the router ------------------------------------------------------------------------------
+
+    def on_decisions(
+        self, now_us: int, router: RequestRouter, events: tuple[Event, ...], actions: list[Action]
     ) -> None:
-        if self.broken:
+        """Record the events that a router was given and the actions that it returned."""
+        if self.failed:
             return
         try:
             for event in events:
-                self._event(now, decider, event)
+                self._record_event(now_us, router, event)
             for action in actions:
-                self._action(now, decider, action)
-        except Exception:
-            self._fault()
+                self._record_action(now_us, router, action)
+        except Exception:  # a fault of the trace must not reach the request that it records
+            self._fail()
 
-    def _event(self, now: int, decider: RequestRouter | None, event: Event) -> None:
+    def _record_event(self, now_us: int, router: RequestRouter | None, event: Event) -> None:
         match event:
             case RequestArrived():
-                self.recorder.arrived(now, event, _cell_of(decider, event.request_id))
+                cell = _cell_of(router, event.request_id)
+                self.recorder.on_request_arrived(now_us, event, cell)
             case EndpointsChanged() if event.kind is not EndpointListKind.UNAVAILABLE:
-                rows = [
-                    [m.address, m.zone, m.kind, m.state.value, m.weight, m.started_at_us]
-                    for m in event.members
-                ]
-                full = event.kind is not EndpointListKind.CHANGE
-                self.recorder.told(
-                    now, NotificationKind.LIST, {"members": rows, "full": full, "version": event.version}
-                )
-            case ObjectsPurged(group, name, age):
-                told = {
+                self.recorder.record_notification(now_us, NotificationKind.LIST, _list_fields(event))
+            case ObjectsPurged(group, object_id, age_us):
+                data = {
                     "group": group,
-                    "object": None if name is None else number(name),
-                    "unix_us": now - age,
+                    "object": None if object_id is None else id_number(object_id),
+                    "unix_us": now_us - age_us,
                 }
-                self.recorder.told(now, NotificationKind.PURGE, told)
+                self.recorder.record_notification(now_us, NotificationKind.PURGE, data)
 
-    def _action(self, now: int, decider: RequestRouter, action: Action) -> None:
+    def _record_action(self, now_us: int, router: RequestRouter, action: Action) -> None:
         match action:
             case ForwardRequest() | ForwardWithFill():
-                router = _router_of(decider, action.request_id)
-                story = self.recorder.stories.get(action.request_id)
-                if router is not None and story is not None:
-                    # Kept, as the module forgets it with its last word, which is when it is wanted.
-                    story.job = router.requests.get(action.request_id)
-                    self.recorder.decided(now, action, why.member_belief(router, action))
-                    if story.once:
-                        self.recorder.note_once(now, action.request_id, action.member)
-            case CancelAttempt(request, attempt):
-                self.recorder.cancelled(now, request, attempt)
-            case RejectRequest(request_id=request) | FailRequest(request_id=request):
-                self._ending(now, decider, request)
+                self._record_attempt(now_us, router, action)
+            case CancelAttempt(request_id, index):
+                self.recorder.on_attempt_cancelled(now_us, request_id, index)
+            case RejectRequest(request_id=request_id) | FailRequest(request_id=request_id):
+                self._note_reason(now_us, router, request_id)
             case SiteStateChanged():
-                told = {
+                data = {
                     "site": action.site,
                     "was": action.previous_state,
                     "now": action.state,
                     "why": action.reason,
+                    "share": action.share_away,
                 }
-                self.recorder.told(now, NotificationKind.SITE, told | {"share": action.share_away})
+                self.recorder.record_notification(now_us, NotificationKind.SITE, data)
+
+    def _record_attempt(
+        self, now_us: int, router: RequestRouter, action: ForwardRequest | ForwardWithFill
+    ) -> None:
+        deciding = _deciding_router(router, action.request_id)
+        recorded = self.recorder.open_requests.get(action.request_id)
+        if deciding is None or recorded is None:
+            return
+        # Kept, as the router forgets the request with its final answer, when the reason is needed.
+        recorded.state = deciding.requests.get(action.request_id)
+        estimate = decision_reason.member_estimate(deciding, action)
+        self.recorder.on_attempt_started(now_us, action, estimate)
+        if recorded.non_idempotent:
+            self.recorder.record_non_idempotent_send(now_us, action.request_id, action.member)
 
-    def _ending(self, now: int, decider: RequestRouter, request: str) -> None:
-        """The cause of a refusal is noted where it was decided; the answer itself comes by `answered`."""
-        story = self.recorder.stories.get(request)
-        if story is None:
+    def _note_reason(self, now_us: int, router: RequestRouter, request_id: str) -> None:
+        """Note why a request is rejected or failed; the answer itself follows in `on_final_answer`."""
+        recorded = self.recorder.open_requests.get(request_id)
+        if recorded is None:
             return
-        router = _router_of(decider, request)
-        if request in getattr(decider, "shed_now", ()):
-            story.why = DecisionReason.SHED
-        elif router is None or story.job is None:
-            story.why = (
-                DecisionReason.NO_TIME if story.ask.expires_in_us <= LEAST_LEFT_US else DecisionReason.NO_BOX
-            )
+        deciding = _deciding_router(router, request_id)
+        if _is_shed(router, request_id):
+            recorded.reason = DecisionReason.LOAD_SHED
+        elif deciding is not None and recorded.state is not None:
+            recorded.reason = decision_reason.final_answer_reason(deciding, recorded.state, now_us)
+        elif recorded.arrival.expires_in_us <= MIN_ATTEMPT_TIME_US:
+            recorded.reason = DecisionReason.NO_TIME
         else:
-            story.why = why.final_answer_reason(router, story.job, now)
+            recorded.reason = DecisionReason.NO_CACHE
 
     # ---- around attempts and answers --------------------------------------------------------------------
 
-    def ended(self, now: int, event: AttemptEnded, sent_us: int, outcome: AttemptOutcome) -> None:
-        if self.broken:
+    def on_attempt_ended(
+        self, now_us: int, event: AttemptEnded, sent_us: int, outcome: AttemptOutcome
+    ) -> None:
+        """Record the end of an attempt. `sent_us`: when its first byte was sent; 0: never."""
+        if self.failed:
             return
         try:
             if sent_us:
-                self.recorder.sent(event.request_id, event.attempt_index, sent_us)
-            status = outcome.status
-            told = event if event.status is status else replace(event, status=status)
-            self.recorder.ended(now, told, outcome.origin_date_us)
-        except Exception:
-            self._fault()
-
-    def answered(self, now: int, request: str, answer: FinalAnswer | None) -> None:
-        """The one final answer, or None where the client left before it."""
-        if self.broken:
+                self.recorder.on_attempt_sent(event.request_id, event.attempt_index, sent_us)
+            if event.status is not outcome.status:
+                event = replace(event, status=outcome.status)
+            self.recorder.on_attempt_ended(now_us, event, outcome.origin_date_us)
+        except Exception:  # as in `on_decisions`
+            self._fail()
+
+    def on_final_answer(self, now_us: int, request_id: str, answer: FinalAnswer | None) -> None:
+        """Record the final answer; None: the client has left before it."""
+        if self.failed:
             return
         try:
-            if answer is None:
-                return self.recorder.finished(now, request, Final.LEFT, DecisionReason.CLIENT_LEFT, 0, 0)
-            served = answer.status is AnswerStatus.SERVED
-            story = self.recorder.stories.get(request)
-            cause = (
-                DecisionReason.ANSWERED
-                if served
-                else DecisionReason(story.why)
-                if story is not None
-                else DecisionReason.UNKNOWN
-            )
-            final, size = FINALS[answer.status], len(answer.body)
-            self.recorder.finished(now, request, final, cause, answer.retry_after_us, size)
-        except Exception:
-            self._fault()
-
-    def tick(self, now: int) -> None:
-        """Some times a second."""
-        if self.broken:
+            self._record_final_answer(now_us, request_id, answer)
+        except Exception:  # as in `on_decisions`
+            self._fail()
+
+    def _record_final_answer(self, now_us: int, request_id: str, answer: FinalAnswer | None) -> None:
+        if answer is None:
+            left = RecordedVerdict.CLIENT_LEFT
+            self.recorder.on_final_answer(now_us, request_id, left, DecisionReason.CLIENT_LEFT, 0, 0)
+            return
+        recorded = self.recorder.open_requests.get(request_id)
+        reason = DecisionReason.UNKNOWN
+        if answer.status is AnswerStatus.SERVED:
+            reason = DecisionReason.ANSWERED
+        elif recorded is not None:
+            reason = DecisionReason(recorded.reason)
+        verdict = VERDICTS[answer.status]
+        size = len(answer.body)
+        self.recorder.on_final_answer(now_us, request_id, verdict, reason, answer.retry_after_us, size)
+
+    # ---- time -------------------------------------------------------------------------------------------
+
+    def tick(self, now_us: int) -> None:
+        """Record the clocks and close old blocks; to be called several times a second."""
+        if self.failed:
             return
         try:
-            if now - self.clock_at >= CLOCK_US:
-                self._clock(now)
-            self.recorder.tick(now)
-        except Exception:
-            self._fault()
-
-    def stop(self, now: int) -> None:
-        if not self.broken:
-            self.recorder.finish(now)
-        self.sink.stop()
-        counts = self.sink.counts
+            if now_us - self.clock_recorded_us >= CLOCK_INTERVAL_US:
+                self._record_clock(now_us)
+            self.recorder.tick(now_us)
+        except Exception:  # as in `on_decisions`
+            self._fail()
+
+    def stop(self, now_us: int) -> None:
+        """Write what is recorded and close the file."""
+        if not self.failed:
+            self.recorder.finish(now_us)
+        self.writer.stop()
+        counts = self.writer.counts
         log.info(
             "trace ended",
             blocks=counts.blocks,
@@ -256,15 +312,25 @@
         )
 
 
-def _router_of(decider: RequestRouter, request: str) -> Router | None:
-    if isinstance(decider, Router):
-        return decider
-    found = decider.router_of(request)  # type: ignore[attr-defined]
-    assert found is None or isinstance(found, Router)
-    return found
+def _list_fields(event: EndpointsChanged) -> dict[str, Any]:
+    rows = [[m.address, m.zone, m.kind, m.state.value, m.weight, m.started_at_us] for m in event.members]
+    is_complete = event.kind is not EndpointListKind.CHANGE
+    return {"members": rows, "full": is_complete, "version": event.version}
 
 
-def _cell_of(decider: RequestRouter | None, request: str) -> str:
-    if decider is None or isinstance(decider, Router):
+def _deciding_router(router: RequestRouter, request_id: str) -> Router | None:
+    if isinstance(router, Router):
+        return router
+    return cast(DelegatingRouter, router).router_of(request_id)
+
+
+def _cell_of(router: RequestRouter | None, request_id: str) -> str:
+    if router is None or isinstance(router, Router):
         return ""
-    return str(decider.cell_of(request))  # type: ignore[attr-defined]
+    return cast(DelegatingRouter, router).cell_of(request_id)
+
+
+def _is_shed(router: RequestRouter, request_id: str) -> bool:
+    if isinstance(router, Router):
+        return False
+    return request_id in cast(DelegatingRouter, router).shed_now
--- a/onyxwick/trace/export.py
+++ b/onyxwick/trace/export.py
@@ -1,5 +1,9 @@
-"""Traces for other programs: JSON lines, one request each, and Parquet with the attempts nested in the
-requests."""
+"""Exports traces for other programs: JSON lines, and Parquet.
+
+Input: tables. Output: one JSON object a request, or one row a request; its attempts are nested in it. The
+names of the fields are those of the format's columns, and the words those of `model.VERDICT_WORDS` and
+`REASON_WORDS`.
+"""
 
 from __future__ import annotations
 
@@ -11,59 +15,66 @@
 import numpy as np
 
 from onyxwick.trace.model import (
-    ATTEMPTS,
-    LIVES,
+    ATTEMPT_COLUMNS,
     NEVER,
-    OPEN_STATUS,
-    STATUSES,
-    DecisionReason,
-    RecordedVerdict,
+    NOT_ENDED_STATUS,
+    REQUEST_COLUMNS,
+    STATUS_WORDS,
+    reason_word,
+    verdict_word,
 )
-from onyxwick.trace.table import MEMBERS, NAMES, Table
+from onyxwick.trace.table import ATTEMPT_NAME_COLUMNS, REQUEST_NAME_COLUMNS, Table
 
-TIMES = ("decided", "sent", "ended", "cancel")
+TIME_COLUMNS = ("decided", "sent", "ended", "cancel")
+"""Null where it did not happen."""
 
 
 def rows(table: Table) -> Iterator[dict[str, Any]]:
-    """Each request as plain values."""
+    """Each request as plain values, ready for JSON."""
     starts = table.starts
-    lives = {name: column.tolist() for name, column in table.lives.items()}
+    requests = {name: column.tolist() for name, column in table.requests.items()}
     attempts = {name: column.tolist() for name, column in table.attempts.items()}
     for row in range(len(table)):
-        out = {name: _life(name, lives[name][row], table) for name in LIVES if name != "attempts"}
-        span = range(int(starts[row]), int(starts[row]) + lives["attempts"][row])
-        out["attempts"] = [{n: _attempt(n, attempts[n][at], table) for n in ATTEMPTS} for at in span]
+        out: dict[str, Any] = {
+            name: _request_value(name, requests[name][row], table)
+            for name in REQUEST_COLUMNS
+            if name != "attempts"
+        }
+        span = range(int(starts[row]), int(starts[row]) + requests["attempts"][row])
+        out["attempts"] = [
+            {name: _attempt_value(name, attempts[name][at], table) for name in ATTEMPT_COLUMNS} for at in span
+        ]
         yield out
 
 
-def _life(name: str, value: int, table: Table) -> Any:
-    if name in NAMES:
+def _request_value(name: str, value: int, table: Table) -> str | int:
+    if name in REQUEST_NAME_COLUMNS:
         return table.strings[value]
     if name in ("id", "object"):
         return f"{value:016x}"
     if name == "verdict":
-        return (
-            RecordedVerdict(value).name.lower() if value in RecordedVerdict._value2member_map_ else str(value)
-        )
-    return _cause(value) if name == "why" else value
+        return verdict_word(value)
+    return reason_word(value) if name == "why" else value
 
 
-def _attempt(name: str, value: int, table: Table) -> Any:
-    if name in MEMBERS:
+def _attempt_value(name: str, value: int, table: Table) -> str | int | None:
+    if name in ATTEMPT_NAME_COLUMNS:
         return table.strings[value]
     if name == "status":
-        return STATUSES[value] if value < len(STATUSES) else ("open" if value == OPEN_STATUS else str(value))
-    if name in TIMES:
+        return _status_word(value)
+    if name in TIME_COLUMNS:
         return None if value == NEVER else value
-    return _cause(value) if name == "why" else value
+    return reason_word(value) if name == "why" else value
 
 
-def _cause(value: int) -> str:
-    return DecisionReason(value).name.lower() if value in DecisionReason._value2member_map_ else str(value)
+def _status_word(value: int) -> str:
+    if value < len(STATUS_WORDS):
+        return STATUS_WORDS[value]
+    return "open" if value == NOT_ENDED_STATUS else str(value)
 
 
 def json_lines(tables: Iterable[Table], path: Path) -> int:
-    """How many requests were written."""
+    """Write JSON lines; returns how many requests were written."""
     count = 0
     with path.open("w", encoding="utf-8") as out:
         for table in tables:
@@ -74,11 +85,12 @@
 
 
 def parquet(tables: Iterable[Table], path: Path) -> int:
-    """The same as Parquet, column by column; a row group a block."""
+    """Write Parquet, one row group for each block; returns how many requests were written."""
     import pyarrow as pa
     import pyarrow.parquet as pq
 
-    writer, count = None, 0
+    writer = None
+    count = 0
     try:
         for table in tables:
             batch = _arrow(table, pa)
@@ -94,19 +106,20 @@
 
 def _arrow(table: Table, pa: Any) -> Any:
     names = pa.array(table.strings.names)
-    fields, arrays = [], []
-    for name in LIVES:
+    fields = []
+    arrays = []
+    for name in REQUEST_COLUMNS:
         if name == "attempts":
             continue
-        column = table.lives[name]
-        array = names.take(pa.array(column)) if name in NAMES else pa.array(column)
+        column = table.requests[name]
+        array = names.take(pa.array(column)) if name in REQUEST_NAME_COLUMNS else pa.array(column)
         fields.append(name)
         arrays.append(array)
     inner = {
-        name: names.take(pa.array(column)) if name in MEMBERS else pa.array(column)
+        name: names.take(pa.array(column)) if name in ATTEMPT_NAME_COLUMNS else pa.array(column)
         for name, column in table.attempts.items()
     }
-    offsets = np.concatenate(([0], np.cumsum(table.lives["attempts"], dtype=np.int64))).astype(np.int32)
+    offsets = np.concatenate(([0], np.cumsum(table.requests["attempts"], dtype=np.int64))).astype(np.int32)
     struct = pa.StructArray.from_arrays(list(inner.values()), list(inner))
     fields.append("attempts")
     arrays.append(pa.ListArray.from_arrays(pa.array(offsets), struct))
--- a/onyxwick/trace/filter.py
+++ b/onyxwick/trace/filter.py
@@ -1,5 +1,8 @@
-"""Parts of a trace: by time, class, tenant, cell, object, member, verdict. Only blocks that can match are
-read."""
+"""Selects requests of a trace by time, class, tenant, cell, object, request, member and verdict.
+
+Input: a filter and a trace. Output: tables with the requests that match. Only blocks that may hold a match
+are read, by their heads and Bloom filters. Times are Unix microseconds.
+"""
 
 from __future__ import annotations
 
@@ -10,14 +13,17 @@
 
 from onyxwick.trace import format as f
 from onyxwick.trace.model import RecordedVerdict
-from onyxwick.trace.reader import Trace
-from onyxwick.trace.recorder import number
-from onyxwick.trace.table import Column, Strings, Table
+from onyxwick.trace.reader import TraceReader
+from onyxwick.trace.recorder import id_number
+from onyxwick.trace.table import Column, StringTable, Table
+
+NO_NUMBER = -1
+"""In place of the number of a name that the table does not have."""
 
 
 @dataclass(frozen=True, slots=True)
 class TraceFilter:
-    """None: any. Times are Unix us, of the arrival; `end` is not part of it."""
+    """What requests must match; None: anything. `begin` and `end` are of the arrival, `end` is exclusive."""
 
     begin: int | None = None
     end: int | None = None
@@ -29,11 +35,9 @@
     member: str | None = None
     verdict: RecordedVerdict | None = None
 
-    def in_block(self, head: f.BlockHead) -> bool:
-        """Can the block hold a request that is wanted?"""
-        if self.begin is not None and head.last < self.begin:
-            return False
-        if self.end is not None and head.first >= self.end:
+    def may_match(self, head: f.BlockHead) -> bool:
+        """Whether a block may hold a request that matches."""
+        if not self.overlaps(head):
             return False
         named = (
             (self.class_name, head.classes),
@@ -45,55 +49,59 @@
             return False
         if self.verdict is not None and not head.verdicts >> self.verdict & 1:
             return False
-        keys = [number(name) for name in (self.object, self.request) if name is not None]
+        keys = [id_number(name) for name in (self.object, self.request) if name is not None]
         return not keys or all(key in f.Bloom(head.bloom) for key in keys)
 
-    def rows(self, table: Table) -> Column:
-        """Which requests of a table are wanted."""
-        lives = table.lives
-        out = np.ones(len(table), bool)
+    def overlaps(self, head: f.BlockHead) -> bool:
+        """Whether a block overlaps the time of the filter."""
+        if self.begin is not None and head.last < self.begin:
+            return False
+        return self.end is None or head.first < self.end
+
+    def contains(self, at_us: int) -> bool:
+        """Whether a time is within the filter's."""
+        if self.begin is not None and at_us < self.begin:
+            return False
+        return self.end is None or at_us < self.end
+
+    def matching_rows(self, table: Table) -> Column:
+        """For each request of a table whether it matches."""
+        requests = table.requests
+        matching = np.ones(len(table), bool)
         if self.begin is not None:
-            out &= lives["at"] >= self.begin
+            matching &= requests["at"] >= self.begin
         if self.end is not None:
-            out &= lives["at"] < self.end
+            matching &= requests["at"] < self.end
         for name, column in ((self.class_name, "class"), (self.tenant, "tenant"), (self.cell, "cell")):
             if name is not None:
-                out &= lives[column] == table.strings.numbers.get(name, -1)
+                matching &= requests[column] == table.strings.numbers.get(name, NO_NUMBER)
         if self.verdict is not None:
-            out &= lives["verdict"] == self.verdict
+            matching &= requests["verdict"] == self.verdict
         for name, column in ((self.object, "object"), (self.request, "id")):
             if name is not None:
-                out &= lives[column] == np.uint64(number(name))
+                matching &= requests[column] == np.uint64(id_number(name))
         if self.member is not None:
-            at = table.attempts["member"] == table.strings.numbers.get(self.member, -1)
-            met = np.zeros(len(table), bool)
-            met[table.owner[at]] = True
-            out &= met
-        return out
-
-
-def cut(trace: Trace, wanted: TraceFilter, strings: Strings, told: bool = True) -> Iterator[Table]:
-    """The wanted requests, block by block, with what was told in the time that is wanted."""
-    for head, table in trace.tables(strings, lambda h: wanted.in_block(h) or (told and _told_in(h, wanted))):
-        out = (
-            table.take(np.flatnonzero(wanted.rows(table)))
-            if wanted.in_block(head)
-            else table.take(np.zeros(0, np.int64))
-        )
-        if told:
-            out.told = [t for t in table.told if _in_time(t[1], wanted)]
-        if len(out) or out.told:
-            yield out
+            at_member = table.attempts["member"] == table.strings.numbers.get(self.member, NO_NUMBER)
+            used_member = np.zeros(len(table), bool)
+            used_member[table.owner[at_member]] = True
+            matching &= used_member
+        return matching
 
 
-def _in_time(at: int, wanted: TraceFilter) -> bool:
-    return (wanted.begin is None or at >= wanted.begin) and (wanted.end is None or at < wanted.end)
+def select_requests(
+    trace: TraceReader, wanted: TraceFilter, strings: StringTable, notifications: bool = True
+) -> Iterator[Table]:
+    """The requests that match, block by block, and the notifications of the filter's time."""
 
+    def is_needed(head: f.BlockHead) -> bool:
+        return wanted.may_match(head) or (notifications and head.told > 0 and wanted.overlaps(head))
 
-def _told_in(head: f.BlockHead, wanted: TraceFilter) -> bool:
-    if not head.told:
-        return False
-    return not (
-        (wanted.begin is not None and head.last < wanted.begin)
-        or (wanted.end is not None and head.first >= wanted.end)
-    )
+    for head, table in trace.tables(strings, is_needed):
+        rows = np.zeros(0, np.int64)
+        if wanted.may_match(head):
+            rows = np.flatnonzero(wanted.matching_rows(table))
+        selected = table.take(rows)
+        if notifications:
+            selected.notifications = [n for n in table.notifications if wanted.contains(n.at_us)]
+        if len(selected) or selected.notifications:
+            yield selected
--- a/onyxwick/trace/merge.py
+++ b/onyxwick/trace/merge.py
@@ -1,78 +1,105 @@
-"""Several directors' traces as one, in the order in which things happened, with the doubt about it."""
+"""Merges the traces of several directors into one, in the order of arrival on one clock.
+
+Input: files of one or more directors. Output: one file, whose header tells how far each director's clock is
+off and how certain that is. Each file is read twice: for its clock (`clocks`), then for its requests.
+Memory is bounded by the requests that arrive within `MAX_REQUEST_DURATION_US`.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Generator, Iterator
 from dataclasses import dataclass, field
 from pathlib import Path
-from typing import Any
+from typing import Any, BinaryIO
 
 import numpy as np
 
 from onyxwick.trace import format as f
-from onyxwick.trace.clocks import ClockFit, OwnClock, fit
-from onyxwick.trace.model import RETRY, NotificationKind, RecordedVerdict, TraceError
-from onyxwick.trace.reader import Trace, open_trace
-from onyxwick.trace.table import Column, Strings, Table, join, sealed
-
-BLOCK = 16_384  # requests in one block of what is written
-REACH_US = 30_000_000  # a request is recorded at most so long after it arrived
-RETRIED_US = 10_000_000  # a client comes back within this time
+from onyxwick.trace.clocks import ClockFit, MonotonicClock, fit_clock
+from onyxwick.trace.model import CLIENT_RETRY_FLAG, NotificationKind, RecordedVerdict, TraceError
+from onyxwick.trace.reader import TraceReader, open_trace
+from onyxwick.trace.table import Column, StringTable, Table, concatenate, encode_block
+
+BLOCK_REQUESTS = 16_384
+"""In one block of the merged file."""
+BUFFERED_BLOCKS = 4
+MAX_REQUEST_DURATION_US = 30_000_000
+"""A request is recorded within this time after its arrival."""
+MAX_RETRY_DELAY_US = 10_000_000
+"""A client retries within this time after a rejection."""
+NOT_SERVED = (RecordedVerdict.REJECTED, RecordedVerdict.FAILED)
+
+EventKey = tuple[Any, ...]
+"""What tells that two directors received the same notification."""
+PartKey = tuple[int, int]
+"""Object id and part."""
 
 
 @dataclass(slots=True)
-class MergeSource:
+class DirectorTraces:
     """All files of one director, over its restarts."""
 
     director: str
-    traces: list[Trace] = field(default_factory=list)
-    clock: dict[str, OwnClock] = field(default_factory=dict)  # by run
+    traces: list[TraceReader] = field(default_factory=list)
+    clocks: dict[str, MonotonicClock] = field(default_factory=dict)
+    """By run, which is a start of the director."""
     fit: ClockFit = field(default_factory=ClockFit)
 
-    def steady(self, trace: Trace, times: Column) -> Column:
-        return self.clock[trace.header.run].steady(times)
+    def to_monotonic(self, trace: TraceReader, times: Column) -> Column:
+        """Times of a file on the monotonic clock of its run."""
+        return self.clocks[trace.header.run].to_monotonic(times)
+
+    def to_first(self, trace: TraceReader, times: Column) -> Column:
+        """Times of a file on the first director's clock."""
+        return self.fit.to_first(self.to_monotonic(trace, times))
+
+    def notifications(self) -> Iterator[tuple[TraceReader, f.Notification]]:
+        """All notifications with their files."""
+        strings = StringTable()
+        for trace in self.traces:
+            for _, table in trace.tables(strings, lambda head: head.told > 0):
+                for notification in table.notifications:
+                    yield trace, notification
 
 
 @dataclass(slots=True)
-class MergeNotes:
-    """What a first pass over a director's files finds for its clock."""
+class ClockEvidence:
+    """What a director's files tell of its clock. Times are on its monotonic clock."""
 
-    events: dict[tuple[Any, ...], float] = field(default_factory=dict)  # what was told: when
-    refused: dict[tuple[int, int], float] = field(default_factory=dict)  # object and part: when
-    retried: list[tuple[tuple[int, int], float]] = field(default_factory=list)
+    events: dict[EventKey, float] = field(default_factory=dict)
+    """When it first received each notification."""
+    rejected: dict[PartKey, float] = field(default_factory=dict)
+    retried: list[tuple[PartKey, float]] = field(default_factory=list)
 
 
-def sources(paths: list[Path]) -> list[MergeSource]:
-    """The files by director; TraceError where one cannot be read."""
-    out: dict[str, MergeSource] = {}
+def open_sources(paths: list[Path]) -> list[DirectorTraces]:
+    """The files by director, in the order of the first file of each; TraceError if one cannot be read."""
+    sources: dict[str, DirectorTraces] = {}
     for path in paths:
         trace = open_trace(path)
-        out.setdefault(trace.header.director, MergeSource(trace.header.director)).traces.append(trace)
-    if not out:
+        director = trace.header.director
+        sources.setdefault(director, DirectorTraces(director)).traces.append(trace)
+    if not sources:
         raise TraceError("no trace is named")
-    for source in out.values():
-        source.traces.sort(key=lambda t: (t.header.unix_us, t.path.name))
-    return list(out.values())
+    for source in sources.values():
+        source.traces.sort(key=lambda trace: (trace.header.unix_us, trace.path.name))
+    return list(sources.values())
 
 
-def _told(source: MergeSource) -> Iterator[tuple[Trace, int, int, dict[str, Any]]]:
-    strings = Strings()
-    for trace in source.traces:
-        for _, table in trace.tables(strings, lambda head: head.told > 0):
-            for kind, at, data in table.told:
-                yield trace, kind, at, data
+# ---- clocks ---------------------------------------------------------------------------------------------
 
 
-def _own_clocks(source: MergeSource) -> None:
-    samples: dict[str, list[tuple[int, int]]] = {t.header.run: [] for t in source.traces}
-    for trace, kind, at, data in _told(source):
-        if kind == NotificationKind.CLOCK:
-            samples[trace.header.run].append((at, int(data["mono_us"])))
-    source.clock = {run: OwnClock(pairs) for run, pairs in samples.items()}
+def _read_clocks(source: DirectorTraces) -> None:
+    samples: dict[str, list[tuple[int, int]]] = {trace.header.run: [] for trace in source.traces}
+    for trace, notification in source.notifications():
+        if notification.kind == NotificationKind.CLOCK:
+            samples[trace.header.run].append((notification.at_us, int(notification.data["mono_us"])))
+    source.clocks = {run: MonotonicClock(pairs) for run, pairs in samples.items()}
 
 
-def _event_key(kind: int, data: dict[str, Any]) -> tuple[Any, ...] | None:
-    """What makes a telling the same event for all directors; None where it is a director's own."""
+def _event_key(notification: f.Notification) -> EventKey | None:
+    """The key of a notification that all directors receive; None for a director's own."""
+    kind, _, data = notification
     if kind == NotificationKind.PURGE:
         return (kind, data.get("group"), data.get("object"), data.get("unix_us"))
     if kind == NotificationKind.LIST and data.get("version"):
@@ -80,172 +107,196 @@
     return None
 
 
-def _notes(source: MergeSource) -> MergeNotes:
-    out, strings = MergeNotes(), Strings()
+def _clock_evidence(source: DirectorTraces) -> ClockEvidence:
+    evidence = ClockEvidence()
+    strings = StringTable()
     for trace in source.traces:
         for _, table in trace.tables(strings):
-            times = source.steady(trace, np.array([at for _, at, _ in table.told], np.float64))
-            for (kind, _, data), at in zip(table.told, times, strict=True):
-                if (key := _event_key(kind, data)) is not None:
-                    out.events.setdefault(key, float(at))
-            _note_retries(table, source.steady(trace, table.lives["at"]), out)
-    return out
+            times = np.array([notification.at_us for notification in table.notifications], np.float64)
+            received = source.to_monotonic(trace, times)
+            for notification, at_us in zip(table.notifications, received, strict=True):
+                key = _event_key(notification)
+                if key is not None:
+                    evidence.events.setdefault(key, float(at_us))
+            _add_retries(evidence, table, source.to_monotonic(trace, table.requests["at"]))
+    return evidence
 
 
-def _note_retries(table: Table, at: Column, out: MergeNotes) -> None:
-    lives = table.lives
-    refused = np.flatnonzero(np.isin(lives["verdict"], (RecordedVerdict.REFUSED, RecordedVerdict.FAILED)))
-    for row in refused:
-        key = (int(lives["object"][row]), int(lives["part"][row]))
-        out.refused[key] = float(at[row] + lives["took"][row])
-    for row in np.flatnonzero(lives["flags"] & RETRY):
-        out.retried.append(((int(lives["object"][row]), int(lives["part"][row])), float(at[row])))
+def _add_retries(evidence: ClockEvidence, table: Table, arrived: Column) -> None:
+    requests = table.requests
 
+    def part_key(row: int) -> PartKey:
+        return int(requests["object"][row]), int(requests["part"][row])
 
-def align(found: list[MergeSource]) -> None:
+    for row in np.flatnonzero(np.isin(requests["verdict"], NOT_SERVED)).tolist():
+        evidence.rejected[part_key(row)] = float(arrived[row] + requests["took"][row])
+    for row in np.flatnonzero(requests["flags"] & CLIENT_RETRY_FLAG).tolist():
+        evidence.retried.append((part_key(row), float(arrived[row])))
+
+
+def align_clocks(sources: list[DirectorTraces]) -> None:
     """Fit every director's clock to the first one's."""
-    for source in found:
-        _own_clocks(source)
-    if len(found) < 2:
+    for source in sources:
+        _read_clocks(source)
+    if len(sources) < 2:
         return
-    notes = [_notes(source) for source in found]
-    first = notes[0]
-    for source, note in zip(found[1:], notes[1:], strict=True):
-        common = sorted(set(first.events) & set(note.events), key=repr)
-        a = np.array([first.events[key] for key in common])
-        b = np.array([note.events[key] for key in common])
-        rough = fit(a, b)
-        pairs = [
-            (first.refused[key], at)
-            for key, at in note.retried
-            if key in first.refused
-            and 0
-            <= float(rough.to_first(np.array([at]))[0]) - first.refused[key] + rough.doubt_us
-            < RETRIED_US
-        ]
-        earlier, later = np.array([p[0] for p in pairs]), np.array([p[1] for p in pairs])
-        source.fit = fit(a, b, earlier, later)
-
-
-def _aligned(source: MergeSource, strings: Strings) -> Iterator[tuple[float, Table]]:
-    """A director's tables in order, on the first one's clock, each with the least arrival still to come."""
+    evidence = [_clock_evidence(source) for source in sources]
+    for source, own in zip(sources[1:], evidence[1:], strict=True):
+        source.fit = _fit_source(evidence[0], own)
+
+
+def _fit_source(first: ClockEvidence, other: ClockEvidence) -> ClockFit:
+    common = sorted(set(first.events) & set(other.events), key=repr)
+    first_times = np.array([first.events[key] for key in common])
+    other_times = np.array([other.events[key] for key in common])
+    by_events = fit_clock(first_times, other_times)
+    rejected = []
+    retried = []
+    for key, at_us in other.retried:
+        if key not in first.rejected:
+            continue
+        on_first = float(by_events.to_first(np.array([at_us]))[0])
+        if 0 <= on_first - first.rejected[key] + by_events.doubt_us < MAX_RETRY_DELAY_US:
+            rejected.append(first.rejected[key])
+            retried.append(at_us)
+    return fit_clock(first_times, other_times, np.array(rejected), np.array(retried))
+
+
+# ---- requests -------------------------------------------------------------------------------------------
+
+
+def _aligned_tables(source: DirectorTraces, strings: StringTable) -> Iterator[tuple[float, Table]]:
+    """A director's tables on the first one's clock, each with the earliest arrival that may still follow."""
     for trace in source.traces:
         for head, table in trace.tables(strings):
-            lives = dict(table.lives)
-            lives["at"] = source.fit.to_first(source.steady(trace, lives["at"])).astype(np.int64)
-            times = np.array([at for _, at, _ in table.told], np.float64)
-            moved = source.fit.to_first(source.steady(trace, times)).astype(np.int64)
-            told = [
-                (kind, int(at), {**data, "director": data.get("director", source.director)})
-                for (kind, _, data), at in zip(table.told, moved, strict=True)
+            requests = dict(table.requests)
+            requests["at"] = source.to_first(trace, requests["at"]).astype(np.int64)
+            times = np.array([notification.at_us for notification in table.notifications], np.float64)
+            received = source.to_first(trace, times).astype(np.int64)
+            notifications = [
+                f.Notification(kind, int(at), {**data, "director": data.get("director", source.director)})
+                for (kind, _, data), at in zip(table.notifications, received, strict=True)
             ]
-            last = source.fit.to_first(source.steady(trace, np.array([head.last], np.float64)))[0]
-            yield float(last) - REACH_US, Table(lives, table.attempts, strings, told)
+            last = source.to_first(trace, np.array([head.last], np.float64))[0]
+            earliest = float(last) - MAX_REQUEST_DURATION_US
+            yield earliest, Table(requests, table.attempts, strings, notifications)
 
 
-def merged(found: list[MergeSource], strings: Strings) -> Generator[Table, None, None]:
-    """Tables of all directors in order of arrival. Holds what `REACH_US` can still overtake, and no more."""
-    feeds = [_aligned(source, strings) for source in found]
-    marks = [-np.inf] * len(feeds)
-    held: list[Table] = []
+def merge_tables(sources: list[DirectorTraces], strings: StringTable) -> Generator[Table, None, None]:
+    """Tables of all directors, in the order of arrival."""
+    feeds = [_aligned_tables(source, strings) for source in sources]
+    earliest = [-np.inf] * len(feeds)
+    buffered: list[Table] = []
     while True:
-        behind = int(np.argmin(marks))
-        if marks[behind] == np.inf:
+        behind = int(np.argmin(earliest))
+        if earliest[behind] == np.inf:
             break
         try:
-            marks[behind], table = next(feeds[behind])
-            held.append(table)
+            earliest[behind], table = next(feeds[behind])
+            buffered.append(table)
         except StopIteration:
-            marks[behind] = np.inf
-        if sum(len(t) for t in held) >= 4 * BLOCK:
-            held = yield from _release(held, min(marks), strings)
-    yield from _release(held, np.inf, strings)
-
-
-def _release(held: list[Table], mark: float, strings: Strings) -> Generator[Table, None, list[Table]]:
-    """Give out what nothing can overtake any more; returns the rest."""
-    whole = join(held, strings)
-    order = np.argsort(whole.lives["at"], kind="stable")
-    ready = order[whole.lives["at"][order] < mark]
-    told = sorted(whole.told, key=lambda t: t[1])
-    now = [t for t in told if t[1] < mark]
-    for at in range(0, max(1, len(ready)), BLOCK):
-        out = whole.take(ready[at : at + BLOCK])
+            earliest[behind] = np.inf
+        if sum(len(table) for table in buffered) >= BUFFERED_BLOCKS * BLOCK_REQUESTS:
+            buffered = yield from _release(buffered, min(earliest), strings)
+    yield from _release(buffered, np.inf, strings)
+
+
+def _release(
+    buffered: list[Table], before: float, strings: StringTable
+) -> Generator[Table, None, list[Table]]:
+    """Yield what arrived before a time, which nothing can precede any more; return the rest."""
+    table = concatenate(buffered, strings)
+    order = np.argsort(table.requests["at"], kind="stable")
+    ready = order[table.requests["at"][order] < before]
+    notifications = sorted(table.notifications, key=lambda notification: notification.at_us)
+    ready_notifications = [n for n in notifications if n.at_us < before]
+    for at in range(0, max(1, len(ready)), BLOCK_REQUESTS):
+        block = table.take(ready[at : at + BLOCK_REQUESTS])
         if at == 0:
-            out.told = now
-        if len(out) or out.told:
-            yield out
-    rest = whole.take(order[len(ready) :])
-    rest.told = told[len(now) :]
+            block.notifications = ready_notifications
+        if len(block) or block.notifications:
+            yield block
+    rest = table.take(order[len(ready) :])
+    rest.notifications = notifications[len(ready_notifications) :]
     return [rest]
 
 
-class TraceWriter:
-    """A new trace from tables."""
+# ---- files ----------------------------------------------------------------------------------------------
+
+
+class TraceFileWriter:
+    """Writes a trace from tables."""
 
     def __init__(self, path: Path, header: f.FileHeader) -> None:
-        self.file = path.open("wb")
-        data = f.opening(header)
+        self.file: BinaryIO = path.open("wb")
+        data = f.encode_opening(header)
         self.file.write(data)
-        self.offset, self.entries = len(data), list[f.BlockIndexEntry]()
-        self.lives = 0
+        self.offset = len(data)
+        self.entries: list[f.BlockIndexEntry] = []
+        self.request_count = 0
 
     def add(self, table: Table, dropped: int = 0) -> None:
-        head, data = sealed(table, dropped)
+        """Write a table as a block. `dropped`: requests left out before it."""
+        head, data = encode_block(table, dropped)
         self.file.write(data)
         self.entries.append(f.BlockIndexEntry(self.offset, len(data), head))
         self.offset += len(data)
-        self.lives += len(table)
+        self.request_count += len(table)
 
     def close(self) -> None:
-        self.file.write(f.index_frame(self.entries, self.offset))
+        """Write the index and close the file."""
+        self.file.write(f.encode_index(self.entries, self.offset))
         self.file.close()
 
 
-def merged_header(found: list[MergeSource]) -> f.FileHeader:
-    first = found[0].traces[0].header
-    clocks = {
-        s.director: {
-            "offset_us": round(s.fit.offset_us, 1),
-            "drift_ppm": round(s.fit.drift * 1e6, 3),
-            "doubt_us": round(s.fit.doubt_us, 1),
-            "events": float(s.fit.events),
-            "retries": float(s.fit.retries),
-            "steps_us": round(max((c.steps_us for c in s.clock.values()), default=0.0), 1),
-        }
-        for s in found
-    }
+def merged_header(sources: list[DirectorTraces]) -> f.FileHeader:
+    """The first director's header, with the names and the clocks of all."""
+    first = sources[0].traces[0].header
     return f.FileHeader(
         first.version,
-        "+".join(s.director for s in found),
+        "+".join(source.director for source in sources),
         first.run,
         first.unix_us,
         first.mono_us,
         first.classes,
         first.rules,
-        clocks,
+        {source.director: _clock_fields(source) for source in sources},
     )
 
 
-def merge(paths: list[Path], out: Path) -> dict[str, Any]:
-    """Merge files into `out`; what was found of the clocks, and the losses."""
-    found = sources(paths)
-    align(found)
-    header = merged_header(found)
-    writer = TraceWriter(out, header)
-    strings = Strings()
-    dropped = sum(e.head.dropped for s in found for t in s.traces for e in t.entries)
-    for table in merged(found, strings):
+def _clock_fields(source: DirectorTraces) -> dict[str, float]:
+    return {
+        "offset_us": round(source.fit.offset_us, 1),
+        "drift_ppm": round(source.fit.drift * 1e6, 3),
+        "doubt_us": round(source.fit.doubt_us, 1),
+        "events": float(source.fit.events),
+        "retries": float(source.fit.retries),
+        "steps_us": round(max((clock.steps_us for clock in source.clocks.values()), default=0.0), 1),
+    }
+
+
+def merge_files(paths: list[Path], out: Path) -> dict[str, Any]:
+    """Merge files into `out`; returns the clocks and the losses, as a document for JSON."""
+    sources = open_sources(paths)
+    align_clocks(sources)
+    header = merged_header(sources)
+    writer = TraceFileWriter(out, header)
+    traces = [trace for source in sources for trace in source.traces]
+    dropped = sum(entry.head.dropped for trace in traces for entry in trace.entries)
+    for table in merge_tables(sources, StringTable()):
         writer.add(table, dropped)
         dropped = 0
     writer.close()
     losses = [
-        f"{t.path.name}: {x.size} bytes at {x.offset}: {x.text}"
-        for s in found
-        for t in s.traces
-        for x in t.losses
+        f"{trace.path.name}: {loss.size} bytes at {loss.offset}: {loss.cause}"
+        for trace in traces
+        for loss in trace.losses
     ]
-    for source in found:
-        for trace in source.traces:
-            trace.file.close()
-    return {"requests": writer.lives, "clocks": header.clocks, "losses": losses, "bytes": writer.offset}
+    for trace in traces:
+        trace.file.close()
+    return {
+        "requests": writer.request_count,
+        "clocks": header.clocks,
+        "losses": losses,
+        "bytes": writer.offset,
+    }
--- a/onyxwick/trace/model.py
+++ b/onyxwick/trace/model.py
@@ -1,110 +1,183 @@
-"""What a trace holds: numbers with a meaning, and the columns of a block. See docs/trace-format.md.
+"""The trace format's numbers and columns. See docs/trace-format.md.
 
-The numbers are part of the format: they are never reused, and new ones are added at the end.
+The numbers, the names of the columns and the printed words are part of the format: they are never reused or
+changed, and new ones are added at the end. Times are microseconds: Unix time where a column says so, else
+from the arrival of the request.
 """
 
 from __future__ import annotations
 
 from enum import IntEnum
 
-MAJOR, MINOR = 1, 0
-NEVER = 0xFFFFFFFF  # of a time within a life: it did not happen
-S = 1_000_000
+from onyxwick.errors import OnyxwickError
 
+FORMAT_MAJOR = 1
+FORMAT_MINOR = 0
+NEVER = 0xFFFFFFFF
+"""In place of a time: it did not happen."""
+US_PER_S = 1_000_000
 
-class TraceError(Exception):
-    """A file that is no trace, or one of a format that this reader does not know; the text says which."""
+
+class TraceError(OnyxwickError):
+    """A file is not a trace, or has a format that this reader does not know. The message says which."""
 
 
 class TraceDamagedError(TraceError):
-    """A part of a trace that cannot be read; what is before and behind it can."""
+    """A part of a trace cannot be read; the parts before and after it can."""
 
 
 class RecordedVerdict(IntEnum):
-    """How a request ended for its client. OPEN: the file ends before it did."""
+    """How a request ended for its client."""
 
     OPEN = 0
+    """It had not ended when the file was closed."""
     SERVED = 1
-    REFUSED = 2
+    REJECTED = 2
     FAILED = 3
-    LEFT = 4
+    CLIENT_LEFT = 4
 
 
 class DecisionReason(IntEnum):
-    """Why an attempt went where it went, or why the final answer is what it is."""
+    """Why an attempt went to its member, or why the final answer is what it is."""
 
     UNKNOWN = 0
-    HOME = 1  # the first box in the object's order
-    TURN = 2  # the second one, as two take turns over a hot part
-    EJECTED = 3  # boxes before it are ejected
-    COLD = 4  # boxes before it are cold and their budget is spent
-    FULL = 5  # boxes before it have no room
-    TRIED = 6  # boxes before it were tried
-    DIRECT = 7  # past the boxes: a write, or no box to be had
-    SECOND_COPY = 8  # a copy elsewhere of what is overdue
-    ANSWERED = 20  # an attempt's answer
-    NO_TIME = 21  # its time was over
-    NO_ATTEMPTS = 22  # as many attempts as are allowed
-    NO_BOX = 23  # no box could take it
-    NO_SOURCE = 24  # no source could fill it, and the box lacks it
-    MAY_HAVE_RUN = 25  # it may have run, and must not run twice
-    NO_RETRIES = 26  # the retry budget is spent
-    SHED = 27  # not let in by its cell
+    HOME_CACHE = 1
+    """The cache is the first in the object's rendezvous order."""
+    ALTERNATED = 2
+    """The second one, as a hot part alternates between two."""
+    OTHERS_EJECTED = 3
+    """Caches before it in the order are ejected."""
+    OTHERS_WARMING_UP = 4
+    """Caches before it are warming up and have used their budget."""
+    OTHERS_AT_LIMIT = 5
+    """Caches before it are at their concurrency limit."""
+    OTHERS_TRIED = 6
+    """Caches before it were tried."""
+    CACHES_BYPASSED = 7
+    """The member is no cache: the request is a write, or no cache is healthy."""
+    HEDGED = 8
+    """A hedged request, beside an attempt that is overdue."""
+    ANSWERED = 20
+    """An attempt's answer."""
+    NO_TIME = 21
+    """There was no time for an attempt before the client's deadline."""
+    ATTEMPTS_EXHAUSTED = 22
+    NO_CACHE = 23
+    """No cache could take it."""
+    NO_FILL_SOURCE = 24
+    """The cache lacks the object and no member could fill it."""
+    POSSIBLY_EXECUTED = 25
+    """It may have been executed, and must not be twice."""
+    RETRY_BUDGET_EMPTY = 26
+    LOAD_SHED = 27
+    """Its cell or site did not admit it."""
     CLIENT_LEFT = 28
 
 
+VERDICT_WORDS = {
+    RecordedVerdict.OPEN: "open",
+    RecordedVerdict.SERVED: "served",
+    RecordedVerdict.REJECTED: "refused",
+    RecordedVerdict.FAILED: "failed",
+    RecordedVerdict.CLIENT_LEFT: "left",
+}
+"""As commands and exports print them."""
+REASON_WORDS = {
+    DecisionReason.UNKNOWN: "unknown",
+    DecisionReason.HOME_CACHE: "home",
+    DecisionReason.ALTERNATED: "turn",
+    DecisionReason.OTHERS_EJECTED: "ejected",
+    DecisionReason.OTHERS_WARMING_UP: "cold",
+    DecisionReason.OTHERS_AT_LIMIT: "full",
+    DecisionReason.OTHERS_TRIED: "tried",
+    DecisionReason.CACHES_BYPASSED: "direct",
+    DecisionReason.HEDGED: "second_copy",
+    DecisionReason.ANSWERED: "answered",
+    DecisionReason.NO_TIME: "no_time",
+    DecisionReason.ATTEMPTS_EXHAUSTED: "no_attempts",
+    DecisionReason.NO_CACHE: "no_box",
+    DecisionReason.NO_FILL_SOURCE: "no_source",
+    DecisionReason.POSSIBLY_EXECUTED: "may_have_run",
+    DecisionReason.RETRY_BUDGET_EMPTY: "no_retries",
+    DecisionReason.LOAD_SHED: "shed",
+    DecisionReason.CLIENT_LEFT: "client_left",
+}
+"""As commands and exports print them."""
+_VERDICT_WORD_BY_NUMBER = {int(verdict): word for verdict, word in VERDICT_WORDS.items()}
+_REASON_WORD_BY_NUMBER = {int(reason): word for reason, word in REASON_WORDS.items()}
+
+
+def verdict_word(number: int) -> str:
+    """The printed word of a verdict; the number itself if a newer version has written it."""
+    return _VERDICT_WORD_BY_NUMBER.get(number, str(number))
+
+
+def reason_word(number: int) -> str:
+    """The printed word of a reason; the number itself if a newer version has written it."""
+    return _REASON_WORD_BY_NUMBER.get(number, str(number))
+
+
 class NotificationKind(IntEnum):
-    """What a director was told, or tells of itself."""
+    """What a director was notified of, or reports of itself."""
 
     START = 1
     STOP = 2
-    LIST = 3  # members: [id, zone, kind, state, weight, since_us]
+    LIST = 3
+    """`members`: [id, zone, kind, state, weight, since_us]."""
     PURGE = 4
     CONFIG = 5
-    SENT = 6  # a write that must not run twice, told at once: it is known even if the director dies
-    CLOCK = 7  # both clocks at an instant
-    SITE = 8  # a site or hub held to be in another state: site, was, now, share, why
+    SENT = 6
+    """A non-idempotent write is sent: recorded at once, so that it is known even if the director crashes."""
+    CLOCK = 7
+    """Both clocks at one instant."""
+    SITE = 8
+    """A site or hub is taken to be in another state: site, was, now, share, why."""
 
 
-LIVES: dict[str, str] = {  # column: array type code; one value a request, in order of the final answer
+# Columns of the requests: type code of `array`; one value a request, in the order of the final answers.
+REQUEST_COLUMNS: dict[str, str] = {
     "id": "Q",
-    "at": "q",  # Unix us of arrival
-    "left": "I",  # us that the client would wait
-    "class": "B",  # index into the block's strings, as are tenant and cell
+    "at": "q",  # arrival, Unix time
+    "left": "I",  # time that the client would wait
+    "class": "B",  # number of a string of the block, as are tenant and cell
     "tenant": "H",
     "cell": "H",
     "object": "Q",
     "part": "H",
     "group": "h",  # -1: none
-    "flags": "B",  # 1 a client's retry, 2 a write, 4 must not run twice
+    "flags": "B",  # CLIENT_RETRY_FLAG, WRITE_FLAG, NON_IDEMPOTENT_FLAG
     "verdict": "B",
-    "why": "B",
-    "took": "I",  # us from arrival to the final answer
-    "after": "I",  # us that the client was told to stay away
+    "why": "B",  # DecisionReason
+    "took": "I",  # time to the final answer
+    "after": "I",  # Retry-After that the client was given
     "bytes": "I",
-    "director": "H",  # index into the block's strings; 0, the empty one, for the file's own
+    "director": "H",  # number of a string; 0, the empty one: the director of the file
     "attempts": "B",  # rows of this request among the attempts
 }
-ATTEMPTS: dict[str, str] = {  # one value an attempt, in the order of the lives and of their decisions
-    "decided": "I",  # us from arrival, as are sent, ended and cancel
+# Columns of the attempts: one value an attempt, in the order of the requests and of their decisions.
+ATTEMPT_COLUMNS: dict[str, str] = {
+    "decided": "I",
     "sent": "I",
     "ended": "I",
     "cancel": "I",
-    "member": "H",  # index into the block's strings; 0, the empty one, for none
+    "member": "H",  # number of a string, as is source; 0, the empty one: none
     "source": "H",
     "rank": "B",
-    "flags": "B",  # share 1, peek 2, pass 4, swr 8
-    "age": "I",  # ms: the oldest copy that would do
-    "status": "B",
+    "flags": "B",  # FillOption
+    "age": "I",  # ms: age of the oldest copy that may answer
+    "status": "B",  # place in STATUS_WORDS
     "detail": "B",
-    "why": "B",
-    "pending": "H",  # what was believed of the member: attempts under way there
-    "room": "B",  # its learned room, in fiftieths
-    "failing": "B",  # its failing share, in 255ths
-    "warm": "B",  # its warmth, in 255ths
-    "dated": "q",  # Unix us at which the origin gave out the copy; 0: unknown
+    "why": "B",  # DecisionReason
+    "pending": "H",  # the router's estimates of the member: attempts in flight
+    "room": "B",  # factor on its concurrency limit, in fiftieths
+    "failing": "B",  # failure score, in 255ths
+    "warm": "B",  # share of its capacity while it is warming up, in 255ths
+    "dated": "q",  # when the origin gave out the copy, Unix time; 0: not known
 }
-SIZES = {"B": 1, "H": 2, "h": 2, "I": 4, "Q": 8, "q": 8}
-RETRY, WRITE, ONCE = 1, 2, 4
-STATUSES = ("ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "not_sent", "miss")
-OPEN_STATUS = 255  # an attempt that had not ended
+COLUMN_BYTES = {"B": 1, "H": 2, "h": 2, "I": 4, "Q": 8, "q": 8}
+CLIENT_RETRY_FLAG = 1
+WRITE_FLAG = 2
+NON_IDEMPOTENT_FLAG = 4
+STATUS_WORDS = ("ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "not_sent", "miss")
+NOT_ENDED_STATUS = 255
+"""In place of a status: the attempt had not ended when the file was closed."""
--- a/onyxwick/trace/plots.py
+++ b/onyxwick/trace/plots.py
@@ -1,4 +1,4 @@
-"""A summary as pictures: PNG files, and one HTML page that needs nothing beside it."""
+"""Plots a summary: PNG files, and one HTML page that has them and the tables embedded."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 import matplotlib
 
-matplotlib.use("Agg")  # no display is wanted
+matplotlib.use("Agg")  # there may be no display
 import matplotlib.pyplot as plt
 import numpy as np
 from matplotlib.figure import Figure
@@ -28,17 +28,17 @@
 
 
 def _service(summary: Summary) -> Figure:
-    """Worth asked for and served by the second, with the worst ten seconds marked."""
+    """Requested and served weight by the second, with the worst ten seconds marked."""
     figure, axis = plt.subplots(figsize=(9, 3.2))
     begin = min(summary.seconds, default=0)
     times = np.array(sorted(summary.seconds)) - begin
     rows = np.array([summary.seconds[t + begin] for t in times]) if len(times) else np.zeros((0, 2))
-    width = max(1, len(times) // 600)  # no more points than a picture shows
+    width = max(1, len(times) // 600)  # at most 600 points
     if len(times):
         cut = len(times) // width * width
-        shown = rows[:cut].reshape(-1, width, 2).mean(axis=1)
-        axis.plot(times[:cut:width], shown[:, 0], color="#9aa5b1", label="asked for")
-        axis.plot(times[:cut:width], shown[:, 1], color=COLOURS["served"], label="served")
+        means = rows[:cut].reshape(-1, width, 2).mean(axis=1)
+        axis.plot(times[:cut:width], means[:, 0], color="#9aa5b1", label="asked for")
+        axis.plot(times[:cut:width], means[:, 1], color=COLOURS["served"], label="served")
     if worst := summary.worst():
         at = worst["begin_unix"] - begin
         axis.axvspan(at, at + worst["seconds"], color=COLOURS["failed"], alpha=0.2, label="worst ten seconds")
@@ -48,8 +48,8 @@
 
 
 def _verdicts(summary: Summary, kind: str) -> Figure:
-    """What became of the requests, by class, tenant, cell or member."""
-    groups = {n or "(none)": g.shown() for n, g in sorted(summary.groups[kind].items())}
+    """Share of each verdict, by class, tenant, cell or member."""
+    groups = {n or "(none)": g.as_document() for n, g in sorted(summary.groups[kind].items())}
     names = sorted(groups, key=lambda n: -groups[n]["requests"])[:20]
     figure, axis = plt.subplots(figsize=(9, 0.9 + 0.32 * max(1, len(names))))
     left = np.zeros(len(names))
@@ -77,11 +77,12 @@
 
 
 def figures(summary: Summary) -> dict[str, Figure]:
-    out = {"service": _service(summary), "latency": _latency(summary)}
+    """The pictures by name."""
+    pictures = {"service": _service(summary), "latency": _latency(summary)}
     for kind in summary.groups:
         if summary.groups[kind]:
-            out[kind] = _verdicts(summary, kind)
-    return out
+            pictures[kind] = _verdicts(summary, kind)
+    return pictures
 
 
 def _png(figure: Figure) -> bytes:
@@ -93,16 +94,17 @@
 
 
 def write(summary: Summary, folder: Path, title: str) -> list[Path]:
-    """PNG files and `summary.html` in a folder."""
+    """Write PNG files and `summary.html` to a folder; returns their paths."""
     folder.mkdir(parents=True, exist_ok=True)
     pictures = {name: _png(figure) for name, figure in figures(summary).items()}
-    out = []
+    written = []
     for name, data in pictures.items():
-        (folder / f"{name}.png").write_bytes(data)
-        out.append(folder / f"{name}.png")
+        path = folder / f"{name}.png"
+        path.write_bytes(data)
+        written.append(path)
     page = folder / "summary.html"
-    page.write_text(_page(title, summary.shown(), pictures), encoding="utf-8")
-    return [*out, page]
+    page.write_text(_page(title, summary.as_document(), pictures), encoding="utf-8")
+    return [*written, page]
 
 
 def _table(rows: dict[str, dict[str, Any]]) -> str:
@@ -119,18 +121,18 @@
     return f"<table><tr>{head}</tr>{''.join(lines)}</table>"
 
 
-def _page(title: str, told: dict[str, Any], pictures: dict[str, bytes]) -> str:
+def _page(title: str, summary: dict[str, Any], pictures: dict[str, bytes]) -> str:
     images = "".join(
         f'<h2>{html.escape(name)}</h2><img alt="{html.escape(name)}" '
         f'src="data:image/png;base64,{base64.b64encode(data).decode()}">'
         for name, data in pictures.items()
     )
-    tables = "".join(f"<h2>by {k}</h2>{_table(told[k])}" for k in ("class", "tenant", "cell", "member"))
-    head = {k: told[k] for k in ("requests", "dropped", "worst", "answers", "fill_bytes")}
+    tables = "".join(f"<h2>by {k}</h2>{_table(summary[k])}" for k in ("class", "tenant", "cell", "member"))
+    head = {k: summary[k] for k in ("requests", "dropped", "worst", "answers", "fill_bytes")}
     style = "body{font-family:sans-serif;max-width:70em}td,th{padding:2px 8px;text-align:right}"
     style += "img{max-width:100%}"
     return (
         f'<!doctype html><meta charset="utf-8"><title>{html.escape(title)}</title><style>{style}</style>'
         f"<h1>{html.escape(title)}</h1><pre>{html.escape(json.dumps(head, indent=1))}</pre>"
-        f"{_table({'all': told['all']})}{images}{tables}"
+        f"{_table({'all': summary['all']})}{images}{tables}"
     )
--- a/onyxwick/trace/reader.py
+++ b/onyxwick/trace/reader.py
@@ -1,4 +1,9 @@
-"""Traces read a block at a time: by the index where there is one, else by a scan that passes damage over."""
+"""Reads traces a block at a time, also damaged ones.
+
+Input: a file. Output: its header and the tables of its blocks. Blocks are found by the index at the end,
+or, after a crash, by scanning for frames; what is damaged is skipped and noted in `losses`. Memory is
+bounded by one block and the heads of all.
+"""
 
 from __future__ import annotations
 
@@ -9,10 +14,12 @@
 
 from onyxwick.trace import format as f
 from onyxwick.trace.model import TraceDamagedError, TraceError
-from onyxwick.trace.table import Strings, Table, of_body
+from onyxwick.trace.table import StringTable, Table, from_body
 
-SCAN = 1 << 20  # bytes looked through at a time for the next frame
-Wanted = Callable[[f.BlockHead], bool]
+SCAN_BYTES = 1 << 20
+"""Searched at a time for the next frame."""
+BlockFilter = Callable[[f.BlockHead], bool]
+"""Whether a block is needed, by its head."""
 
 
 @dataclass(slots=True)
@@ -21,12 +28,12 @@
 
     offset: int
     size: int
-    text: str
+    cause: str
 
 
 @dataclass(slots=True)
-class Trace:
-    """One open file. Memory is bounded by a block and by the heads of all blocks."""
+class TraceReader:
+    """One open file."""
 
     path: Path
     file: BinaryIO
@@ -38,44 +45,47 @@
     indexed: bool = False
     read_bytes: int = 0
 
-    def __enter__(self) -> Trace:
+    def __enter__(self) -> TraceReader:
         return self
 
     def __exit__(self, *_: object) -> None:
         self.file.close()
 
     def read(self, offset: int, size: int) -> bytes:
+        """Bytes of the file; fewer at its end."""
         self.file.seek(offset)
         data = self.file.read(size)
         self.read_bytes += len(data)
         return data
 
     def head(self, entry: f.BlockIndexEntry) -> f.BlockHead:
-        """A block's own head, without its body: a hint and no more, as its checksum covers both."""
+        """A block's own head, without its body. Not verified, as the checksum covers both."""
         _, size, _, _, _ = f.read_frame_sizes(self.read(entry.offset, f.FRAME.size))
         return f.read_head(self.read(entry.offset + f.FRAME.size, size))
 
-    def block(self, entry: f.BlockIndexEntry, strings: Strings) -> Table:
-        """One block's table; Damaged where it cannot be read."""
+    def block(self, entry: f.BlockIndexEntry, strings: StringTable) -> Table:
+        """One block as a table; TraceDamagedError if it cannot be read."""
         data = self.read(entry.offset, entry.size)
         magic, head, body, raw, check = f.read_frame_sizes(data)
         if magic != f.BLOCK or f.FRAME.size + head + body > len(data):
             raise TraceDamagedError("a block is cut")
         head_bytes = data[f.FRAME.size : f.FRAME.size + head]
         body_bytes = data[f.FRAME.size + head : f.FRAME.size + head + body]
-        f.checked(head_bytes, body_bytes, check)
-        # The head in the frame, not the one in the index: only this one is under the block's checksum.
-        parsed = f.read_body(f.unpack(body_bytes, raw), f.read_head(head_bytes))
-        return of_body(parsed, strings, self.header.director)
-
-    def tables(self, strings: Strings, wanted: Wanted | None = None) -> Iterator[tuple[f.BlockHead, Table]]:
-        """Blocks that can hold what is wanted. A damaged one is noted among the losses and passed over."""
+        f.verify_checksum(head_bytes, body_bytes, check)
+        # The head in the frame, not the one in the index: only the former is covered by the checksum.
+        parsed = f.read_body(f.decompress(body_bytes, raw), f.read_head(head_bytes))
+        return from_body(parsed, strings, self.header.director)
+
+    def tables(
+        self, strings: StringTable, wanted: BlockFilter | None = None
+    ) -> Iterator[tuple[f.BlockHead, Table]]:
+        """The blocks that are needed, all if `wanted` is None; damaged ones are noted and skipped."""
         for entry in self.entries:
             if wanted is not None and not wanted(entry.head):
                 continue
             try:
                 if wanted is not None and not entry.head.bloom and not wanted(self.head(entry)):
-                    continue  # the index has no filters: the block's own head says more
+                    continue  # the index has no Bloom filters, the block's own head has one
                 table = self.block(entry, strings)
             except TraceDamagedError as error:
                 self.losses.append(ReadLoss(entry.offset, entry.size, str(error)))
@@ -83,8 +93,8 @@
             yield entry.head, table
 
 
-def open_trace(path: Path) -> Trace:
-    """A trace ready to be read; TraceError where it is none. What is damaged in it stands in `losses`."""
+def open_trace(path: Path) -> TraceReader:
+    """Open a trace; TraceError if the file is none. Damaged parts are noted in `losses`."""
     try:
         file = path.open("rb")
     except OSError as error:
@@ -95,14 +105,14 @@
     except TraceError as error:
         file.close()
         raise TraceError(f"{path.name}: {error}") from None
-    trace = Trace(path, file, header, begin, size)
-    if not _indexed(trace):
+    trace = TraceReader(path, file, header, begin, size)
+    if not _use_index(trace):
         _scan(trace)
     return trace
 
 
-def _indexed(trace: Trace) -> bool:
-    """Take the index at the end; False where there is none that holds."""
+def _use_index(trace: TraceReader) -> bool:
+    """Use the index at the end of the file; False if there is no valid one."""
     if trace.size < trace.begin + f.CLOSING.size + f.FRAME.size:
         return False
     offset, magic = f.CLOSING.unpack(trace.read(trace.size - f.CLOSING.size, f.CLOSING.size))
@@ -113,18 +123,19 @@
         kind, head, body, raw, check = f.read_frame_sizes(data)
         if kind != f.INDEX or f.FRAME.size + head + body != len(data):
             return False
-        f.checked(data[f.FRAME.size : f.FRAME.size + head], data[f.FRAME.size + head :], check)
-        entries = f.read_index(f.unpack(data[f.FRAME.size + head :], raw))
+        f.verify_checksum(data[f.FRAME.size : f.FRAME.size + head], data[f.FRAME.size + head :], check)
+        entries = f.read_index(f.decompress(data[f.FRAME.size + head :], raw))
     except TraceDamagedError:
         return False
     if any(e.offset < trace.begin or e.size < 0 or e.offset + e.size > offset for e in entries):
         return False
-    trace.entries, trace.indexed = entries, True
+    trace.entries = entries
+    trace.indexed = True
     return True
 
 
-def _scan(trace: Trace) -> None:
-    """Make the index anew from the frames; what does not hold is noted, and the next frame is looked for."""
+def _scan(trace: TraceReader) -> None:
+    """Rebuild the index from the frames; skip to the next one where a frame is damaged."""
     at = trace.begin
     while at < trace.size:
         try:
@@ -139,7 +150,8 @@
         at += size
 
 
-def _frame_at(trace: Trace, at: int) -> tuple[int, f.BlockIndexEntry | None]:
+def _frame_at(trace: TraceReader, at: int) -> tuple[int, f.BlockIndexEntry | None]:
+    """Size of the frame at an offset, and its index entry if it is a block."""
     start = trace.read(at, f.FRAME.size)
     if start[-f.CLOSING.size :].endswith(f.END) or (len(start) == f.CLOSING.size and start.endswith(f.END)):
         return len(start), None
@@ -147,17 +159,17 @@
     data = trace.read(at + f.FRAME.size, head + body)
     if len(data) < head + body:
         raise TraceDamagedError("the file ends inside a frame")
-    f.checked(data[:head], data[head:], check)
+    f.verify_checksum(data[:head], data[head:], check)
     size = f.FRAME.size + head + body
     if magic == f.INDEX:
         return size, None
     return size, f.BlockIndexEntry(at, size, f.read_head(data[:head]))
 
 
-def _next_magic(trace: Trace, at: int) -> int:
-    """Where the next frame could begin, or the end of the file."""
+def _next_magic(trace: TraceReader, at: int) -> int:
+    """Offset of the next frame's magic number, or the end of the file."""
     while at < trace.size:
-        data = trace.read(at, SCAN)
+        data = trace.read(at, SCAN_BYTES)
         places = [place for magic in (f.BLOCK, f.INDEX) if (place := data.find(magic)) >= 0]
         if places:
             return at + min(places)
--- a/onyxwick/trace/recorder.py
+++ b/onyxwick/trace/recorder.py
@@ -1,6 +1,8 @@
-"""The lives of requests as they go on, and blocks of those that have ended. No I/O, no clock of its own.
+"""Records requests while they are open, and collects those that have ended in blocks.
 
-A request is recorded whole, when its last attempt has ended, or not at all. What cannot be taken is counted.
+Input: what a director decides and sees of each request; times in microseconds of its clock. Output: blocks
+of columns that are ready to be written. It does no I/O and has no clock. A request is recorded completely,
+when its last attempt has ended, or not at all; requests that are left out are counted.
 """
 
 from __future__ import annotations
@@ -11,184 +13,229 @@
 from typing import Any
 
 from onyxwick.interface import AttemptEnded, AttemptStatus, ForwardRequest, ForwardWithFill, RequestArrived
+from onyxwick.routing.state import RequestState
 from onyxwick.trace import format as f
 from onyxwick.trace.model import (
-    ATTEMPTS,
-    LIVES,
+    ATTEMPT_COLUMNS,
+    CLIENT_RETRY_FLAG,
     NEVER,
-    ONCE,
-    OPEN_STATUS,
-    RETRY,
-    STATUSES,
-    WRITE,
+    NON_IDEMPOTENT_FLAG,
+    NOT_ENDED_STATUS,
+    REQUEST_COLUMNS,
+    STATUS_WORDS,
+    WRITE_FLAG,
     DecisionReason,
     NotificationKind,
     RecordedVerdict,
 )
 
-BLOCK_LIVES = 4096  # in one block
-BLOCK_US = 1_000_000  # a block is closed after so long, so that little is lost in a crash
-MOST_OPEN = 8192  # requests under way that are recorded
-MOST_ATTEMPTS = 64  # of one request
-MOST_TOLD = 4096  # events of one block
-STRINGS_FULL = 60_000
-STATUS_NUMBER = {status: STATUSES.index(status.value) for status in AttemptStatus}
-U16, U32 = 0xFFFF, 0xFFFFFFFF
+MAX_BLOCK_REQUESTS = 4096
+MAX_BLOCK_AGE_US = 1_000_000
+"""A block is closed after this time, so that a crash loses little."""
+MAX_OPEN_REQUESTS = 8192
+MAX_ATTEMPTS = 64
+"""Of one request; one with more is left out."""
+MAX_NOTIFICATIONS = 4096
+"""In one block."""
+MAX_BLOCK_STRINGS = 60_000
+STATUS_NUMBER = {status: STATUS_WORDS.index(status.value) for status in AttemptStatus}
+MAX_U16 = 0xFFFF
+MAX_U32 = 0xFFFFFFFF
+MAX_I16 = 0x7FFF
+MAX_U64 = 0xFFFFFFFFFFFFFFFF
+MAX_BYTE = 255
+LIMIT_FACTOR_STEPS = 50
+"""The limit factor is recorded in fiftieths."""
+MS_US = 1000
+FNV_OFFSET = 0xCBF29CE484222325
+FNV_PRIME = 0x100000001B3
 
 
 @dataclass(slots=True)
-class MemberBelief:
-    """What was believed of a member when it was chosen."""
+class MemberEstimate:
+    """What the router estimated of a member when it chose it, and why it chose it."""
 
-    why: int = DecisionReason.UNKNOWN
-    pending: int = 0
-    room: float = 0.0
-    failing: float = 0.0
-    warm: float = 1.0
+    reason: int = DecisionReason.UNKNOWN
+    in_flight: int = 0
+    limit_factor: float = 0.0
+    failure_score: float = 0.0
+    warm_share: float = 1.0
 
 
 @dataclass(slots=True)
 class RecordedAttempt:
-    """One attempt."""
+    """One attempt. Times are from the arrival of its request; NEVER: it did not happen."""
 
     member: str
-    source: str
-    rank: int
-    flags: int
-    age_ms: int
-    decided: int
-    belief: MemberBelief
-    sent: int = NEVER
-    ended: int = NEVER
-    cancel: int = NEVER
-    status: int = OPEN_STATUS
+    fill_source: str
+    retention_rank: int
+    fill_options: int
+    max_age_ms: int
+    decided_us: int
+    estimate: MemberEstimate
+    sent_us: int = NEVER
+    ended_us: int = NEVER
+    cancelled_us: int = NEVER
+    status: int = NOT_ENDED_STATUS
     detail: int = 0
-    dated: int = 0
+    origin_date_us: int = 0
 
 
 @dataclass(slots=True)
 class RecordedRequest:
-    """One request under way."""
+    """One open request."""
 
-    ask: RequestArrived
-    at: int
+    arrival: RequestArrived
+    arrived_us: int
     cell: str
-    once: bool
-    tries: list[RecordedAttempt] = field(default_factory=list)
+    non_idempotent: bool
+    attempts: list[RecordedAttempt] = field(default_factory=list)
     verdict: int = RecordedVerdict.OPEN
-    why: int = DecisionReason.UNKNOWN
-    took: int = 0
-    after: int = 0
-    bytes: int = 0
-    job: Any = None  # the module's own, for the cause of the end
+    reason: int = DecisionReason.UNKNOWN
+    answered_after_us: int = 0
+    retry_after_us: int = 0
+    answer_bytes: int = 0
+    state: RequestState | None = None
+    """The router's own record, from which the reason of a final answer is derived."""
 
+    def elapsed_us(self, now_us: int) -> int:
+        """Time since its arrival, as a column can hold it."""
+        return min(now_us - self.arrived_us, NEVER - 1)
 
-def number(name: str) -> int:
-    """16 hex digits as a number; any other name by its hash, as all names here are made of such digits."""
+
+def id_number(name: str) -> int:
+    """16 hex digits as a number; any other name by a hash of it."""
     try:
-        return int(name, 16) & 0xFFFFFFFFFFFFFFFF
+        return int(name, 16) & MAX_U64
     except ValueError:
-        return f.mix64(hash_text(name))
+        return f.mix64(fnv1a(name))
 
 
-def hash_text(text: str) -> int:
-    out = 0xCBF29CE484222325
-    for byte in text.encode():  # FNV-1a: the same on every machine, unlike hash()
-        out = ((out ^ byte) * 0x100000001B3) & 0xFFFFFFFFFFFFFFFF
-    return out
+def fnv1a(text: str) -> int:
+    """The 64-bit FNV-1a hash of a text: the same on every machine."""
+    value = FNV_OFFSET
+    for byte in text.encode():
+        value = ((value ^ byte) * FNV_PRIME) & MAX_U64
+    return value
 
 
 class RecordedBlock:
-    """Columns as they fill."""
+    """The columns of a block while it fills."""
 
-    def __init__(self, now: int) -> None:
-        self.begun = now
-        self.lives, self.attempts = f.columns(LIVES), f.columns(ATTEMPTS)
+    def __init__(self, now_us: int) -> None:
+        self.started_us = now_us
+        self.requests = f.empty_columns(REQUEST_COLUMNS)
+        self.attempts = f.empty_columns(ATTEMPT_COLUMNS)
         self.strings: dict[str, int] = {"": 0}
-        self.told: list[tuple[int, int, dict[str, Any]]] = []
+        self.notifications: list[f.Notification] = []
         self.head = f.BlockHead()
-        self.seen: tuple[set[str], set[str], set[str], set[str]] = (set(), set(), set(), set())
-
-    def text(self, value: str) -> int:
-        place = self.strings.get(value)
-        if place is None:
-            place = self.strings[value] = len(self.strings)
-        return place
-
-    def add(self, story: RecordedRequest) -> None:
-        ask, head = story.ask, self.head
-        request, name = number(ask.request_id), number(ask.object_id)
-        head.first = min(head.first or story.at, story.at)
-        head.last = max(head.last, story.at + story.took)
-        head.verdicts |= 1 << story.verdict
-        classes, tenants, cells, members = self.seen
-        classes.add(ask.class_name)
-        tenants.add(ask.tenant or "")
-        cells.add(story.cell)
-        flags = RETRY * ask.is_retry | WRITE * ask.is_write | ONCE * story.once
-        row = (
-            request,
-            story.at,
-            min(U32, ask.expires_in_us),
-            self.text(ask.class_name),
-            self.text(ask.tenant or ""),
-            self.text(story.cell),
-            name,
-            min(U16, ask.part),
-            -1 if ask.object_group is None else min(32767, ask.object_group),
+        self.classes: set[str] = set()
+        self.tenants: set[str] = set()
+        self.cells: set[str] = set()
+        self.members: set[str] = set()
+
+    @property
+    def is_full(self) -> bool:
+        """Whether no further request is to be added."""
+        return len(self.requests["id"]) >= MAX_BLOCK_REQUESTS or len(self.strings) >= MAX_BLOCK_STRINGS
+
+    @property
+    def is_empty(self) -> bool:
+        """Whether it holds neither requests nor notifications."""
+        return not self.requests["id"] and not self.notifications
+
+    def string_number(self, value: str) -> int:
+        """The number of a string in this block."""
+        number = self.strings.get(value)
+        if number is None:
+            number = self.strings[value] = len(self.strings)
+        return number
+
+    def add(self, request: RecordedRequest) -> None:
+        """Add a request that has ended, with its attempts."""
+        arrival = request.arrival
+        head = self.head
+        head.first = min(head.first or request.arrived_us, request.arrived_us)
+        head.last = max(head.last, request.arrived_us + request.answered_after_us)
+        head.verdicts |= 1 << request.verdict
+        self.classes.add(arrival.class_name)
+        self.tenants.add(arrival.tenant or "")
+        self.cells.add(request.cell)
+        for column, value in zip(self.requests.values(), self._request_row(request), strict=True):
+            column.append(value)
+        for attempt in request.attempts:
+            self.members.add(attempt.member)
+            for column, value in zip(self.attempts.values(), self._attempt_row(attempt), strict=True):
+                column.append(value)
+
+    def _request_row(self, request: RecordedRequest) -> tuple[int, ...]:
+        """The values of a request in the order of REQUEST_COLUMNS."""
+        arrival = request.arrival
+        flags = CLIENT_RETRY_FLAG * arrival.is_retry
+        flags |= WRITE_FLAG * arrival.is_write
+        flags |= NON_IDEMPOTENT_FLAG * request.non_idempotent
+        return (
+            id_number(arrival.request_id),
+            request.arrived_us,
+            min(MAX_U32, arrival.expires_in_us),
+            self.string_number(arrival.class_name),
+            self.string_number(arrival.tenant or ""),
+            self.string_number(request.cell),
+            id_number(arrival.object_id),
+            min(MAX_U16, arrival.part),
+            -1 if arrival.object_group is None else min(MAX_I16, arrival.object_group),
             flags,
-            story.verdict,
-            story.why,
-            min(U32, story.took),
-            min(U32, story.after),
-            min(U32, story.bytes),
+            request.verdict,
+            request.reason,
+            min(MAX_U32, request.answered_after_us),
+            min(MAX_U32, request.retry_after_us),
+            min(MAX_U32, request.answer_bytes),
             0,
-            len(story.tries),
+            len(request.attempts),
         )
-        for column, value in zip(self.lives.values(), row, strict=True):
-            column.append(value)
-        for one in story.tries:
-            members.add(one.member)
-            self._add_try(one)
-
-    def _add_try(self, one: RecordedAttempt) -> None:
-        belief = one.belief
-        row = (
-            one.decided,
-            one.sent,
-            one.ended,
-            one.cancel,
-            self.text(one.member),
-            self.text(one.source),
-            one.rank,
-            one.flags,
-            min(U32, one.age_ms),
-            one.status,
-            one.detail,
-            belief.why,
-            min(U16, belief.pending),
-            min(255, int(belief.room * 50)),
-            min(255, int(belief.failing * 255)),
-            min(255, int(belief.warm * 255)),
-            one.dated,
-        )
-        for column, value in zip(self.attempts.values(), row, strict=True):
-            column.append(value)
 
-    def _bloom(self) -> bytes:
-        return f.bloom_of([*self.lives["id"], *self.lives["object"]]) if self.lives["id"] else b""
+    def _attempt_row(self, attempt: RecordedAttempt) -> tuple[int, ...]:
+        """The values of an attempt in the order of ATTEMPT_COLUMNS."""
+        estimate = attempt.estimate
+        return (
+            attempt.decided_us,
+            attempt.sent_us,
+            attempt.ended_us,
+            attempt.cancelled_us,
+            self.string_number(attempt.member),
+            self.string_number(attempt.fill_source),
+            attempt.retention_rank,
+            attempt.fill_options,
+            min(MAX_U32, attempt.max_age_ms),
+            attempt.status,
+            attempt.detail,
+            estimate.reason,
+            min(MAX_U16, estimate.in_flight),
+            min(MAX_BYTE, int(estimate.limit_factor * LIMIT_FACTOR_STEPS)),
+            min(MAX_BYTE, int(estimate.failure_score * MAX_BYTE)),
+            min(MAX_BYTE, int(estimate.warm_share * MAX_BYTE)),
+            attempt.origin_date_us,
+        )
 
-    def sealed(self) -> tuple[f.BlockHead, bytes]:
-        """Head and frame. What this costs is the writer's, not the request's."""
+    def encode(self) -> tuple[f.BlockHead, bytes]:
+        """Its head and its frame. Runs in the writer's thread, so that it delays no request."""
         head = self.head
-        head.lives, head.attempts = len(self.lives["id"]), len(self.attempts["sent"])
-        head.classes, head.tenants, head.cells, head.members = (sorted(names) for names in self.seen)
-        head.bloom, head.told = self._bloom(), len(self.told)
-        if self.told:
-            head.first = min([head.first or self.told[0][1], *(at for _, at, _ in self.told)])
-            head.last = max([head.last, *(at for _, at, _ in self.told)])
-        body = f.BlockBody(list(self.strings), _bytes(self.lives), _bytes(self.attempts), self.told)
-        return head, f.frame(f.BLOCK, f.encode(head), f.encode(body))
+        head.lives = len(self.requests["id"])
+        head.attempts = len(self.attempts["sent"])
+        head.classes = sorted(self.classes)
+        head.tenants = sorted(self.tenants)
+        head.cells = sorted(self.cells)
+        head.members = sorted(self.members)
+        if head.lives:
+            head.bloom = f.bloom_of([*self.requests["id"], *self.requests["object"]])
+        head.told = len(self.notifications)
+        times = [notification.at_us for notification in self.notifications]
+        if times:
+            head.first = min([head.first or times[0], *times])
+            head.last = max([head.last, *times])
+        columns = (_bytes(self.requests), _bytes(self.attempts))
+        body = f.BlockBody(list(self.strings), *columns, self.notifications)
+        return head, f.encode_frame(f.BLOCK, f.encode(head), f.encode(body))
 
 
 def _bytes(columns: dict[str, array[int]]) -> dict[str, bytes]:
@@ -196,125 +243,155 @@
 
 
 class Recorder:
-    """Takes note of what a core does. `full` gets blocks that are to be written; False: it has no room."""
+    """Records what a director does. `write_block` takes a finished block; False: it cannot take it now."""
 
     def __init__(
-        self, now: int, full: Callable[[RecordedBlock], bool], once: frozenset[str] = frozenset()
+        self,
+        now_us: int,
+        write_block: Callable[[RecordedBlock], bool],
+        non_idempotent_classes: frozenset[str] = frozenset(),
     ) -> None:
-        self.full, self.once = full, once
-        self.stories: dict[str, RecordedRequest] = {}
-        self.block = RecordedBlock(now)
+        self.write_block = write_block
+        self.non_idempotent_classes = non_idempotent_classes
+        self.open_requests: dict[str, RecordedRequest] = {}
+        self.block = RecordedBlock(now_us)
         self.dropped = 0
+        """Requests left out since the last block that was written."""
 
-    # ---- what happens -----------------------------------------------------------------------------------
+    # ---- events -----------------------------------------------------------------------------------------
 
-    def arrived(self, now: int, ask: RequestArrived, cell: str = "") -> None:
-        if len(self.stories) >= MOST_OPEN or ask.request_id in self.stories:
+    def on_request_arrived(self, now_us: int, arrival: RequestArrived, cell: str = "") -> None:
+        """Record a request from now on, unless too many are open."""
+        if len(self.open_requests) >= MAX_OPEN_REQUESTS or arrival.request_id in self.open_requests:
             self.dropped += 1
             return
-        self.stories[ask.request_id] = RecordedRequest(ask, now, cell, ask.class_name in self.once)
+        non_idempotent = arrival.class_name in self.non_idempotent_classes
+        self.open_requests[arrival.request_id] = RecordedRequest(arrival, now_us, cell, non_idempotent)
 
-    def decided(self, now: int, action: ForwardRequest | ForwardWithFill, belief: MemberBelief) -> None:
-        story = self.stories.get(action.request_id)
-        if story is None:
+    def on_attempt_started(
+        self, now_us: int, action: ForwardRequest | ForwardWithFill, estimate: MemberEstimate
+    ) -> None:
+        """Record the decision to start an attempt."""
+        request = self.open_requests.get(action.request_id)
+        if request is None:
             return
-        if len(story.tries) >= MOST_ATTEMPTS:
-            del self.stories[action.request_id]  # whole or not at all
+        if len(request.attempts) >= MAX_ATTEMPTS:
+            del self.open_requests[action.request_id]
             self.dropped += 1
             return
-        after = min(now - story.at, NEVER - 1)
+        decided_us = request.elapsed_us(now_us)
         if isinstance(action, ForwardRequest):
-            story.tries.append(RecordedAttempt(action.member, "", 0, 0, 0, after, belief))
+            request.attempts.append(RecordedAttempt(action.member, "", 0, 0, 0, decided_us, estimate))
             return
-        source = "" if action.fill_source == action.member else action.fill_source
-        age = action.max_age_us // 1000
-        story.tries.append(
-            RecordedAttempt(
-                action.member, source, action.retention_rank, int(action.fill_options), age, after, belief
-            )
+        attempt = RecordedAttempt(
+            member=action.member,
+            fill_source="" if action.fill_source == action.member else action.fill_source,
+            retention_rank=action.retention_rank,
+            fill_options=int(action.fill_options),
+            max_age_ms=action.max_age_us // MS_US,
+            decided_us=decided_us,
+            estimate=estimate,
         )
-
-    def sent(self, request: str, attempt: int, at: int) -> None:
-        """The first byte of an attempt has gone out."""
-        story = self.stories.get(request)
-        if story is None or not 0 <= attempt < len(story.tries):
+        request.attempts.append(attempt)
+
+    def on_attempt_sent(self, request_id: str, index: int, sent_us: int) -> None:
+        """Record when the first byte of an attempt was sent."""
+        request = self.open_requests.get(request_id)
+        if request is not None and 0 <= index < len(request.attempts):
+            request.attempts[index].sent_us = max(0, request.elapsed_us(sent_us))
+
+    def record_non_idempotent_send(self, now_us: int, request_id: str, member: str) -> None:
+        """Record at once that a non-idempotent write is about to be sent, in case the director crashes."""
+        request = self.open_requests.get(request_id)
+        if request is None or not request.non_idempotent:
             return
-        story.tries[attempt].sent = max(0, min(at - story.at, NEVER - 1))
-
-    def note_once(self, now: int, request: str, member: str) -> None:
-        """A write that must not run twice is about to be sent: told at once, for the case of a crash."""
-        story = self.stories.get(request)
-        if story is not None and story.once:
-            self.told(
-                now,
-                NotificationKind.SENT,
-                {"id": number(request), "member": member, "class": story.ask.class_name},
-            )
-
-    def cancelled(self, now: int, request: str, attempt: int) -> None:
-        story = self.stories.get(request)
-        if story is not None and 0 <= attempt < len(story.tries):
-            story.tries[attempt].cancel = min(now - story.at, NEVER - 1)
-
-    def ended(self, now: int, event: AttemptEnded, dated_us: int) -> None:
-        story = self.stories.get(event.request_id)
-        if story is None or not 0 <= event.attempt_index < len(story.tries):
+        class_name = request.arrival.class_name
+        data = {"id": id_number(request_id), "member": member, "class": class_name}
+        self.record_notification(now_us, NotificationKind.SENT, data)
+
+    def on_attempt_cancelled(self, now_us: int, request_id: str, index: int) -> None:
+        """Record that an attempt is cancelled."""
+        request = self.open_requests.get(request_id)
+        if request is not None and 0 <= index < len(request.attempts):
+            request.attempts[index].cancelled_us = request.elapsed_us(now_us)
+
+    def on_attempt_ended(self, now_us: int, event: AttemptEnded, origin_date_us: int) -> None:
+        """Record how an attempt ended. `origin_date_us`: when the origin gave out the copy, Unix time."""
+        request = self.open_requests.get(event.request_id)
+        if request is None or not 0 <= event.attempt_index < len(request.attempts):
             return
-        one = story.tries[event.attempt_index]
-        one.ended, one.status = min(now - story.at, NEVER - 1), STATUS_NUMBER[event.status]
-        one.detail, one.dated = event.detail.value, dated_us
-        self._close(now, event.request_id, story)
-
-    def finished(
-        self, now: int, request: str, verdict: RecordedVerdict, why: DecisionReason, after: int, size: int
+        attempt = request.attempts[event.attempt_index]
+        attempt.ended_us = request.elapsed_us(now_us)
+        attempt.status = STATUS_NUMBER[event.status]
+        attempt.detail = event.detail.value
+        attempt.origin_date_us = origin_date_us
+        self._close_if_ended(now_us, event.request_id, request)
+
+    def on_final_answer(
+        self,
+        now_us: int,
+        request_id: str,
+        verdict: RecordedVerdict,
+        reason: DecisionReason,
+        retry_after_us: int,
+        answer_bytes: int,
     ) -> None:
-        """The final answer, or the client's leaving; only the first of them counts."""
-        story = self.stories.get(request)
-        if story is None or story.verdict:
+        """Record the final answer, or that the client has left; only the first of them counts."""
+        request = self.open_requests.get(request_id)
+        if request is None or request.verdict:
             return
-        story.verdict, story.why, story.took = verdict, why, max(0, now - story.at)
-        story.after, story.bytes = after, size
-        self._close(now, request, story)
-
-    def told(self, now: int, kind: NotificationKind, data: dict[str, Any]) -> None:
-        if len(self.block.told) >= MOST_TOLD:
-            self.flush(now)
-        if len(self.block.told) < MOST_TOLD:
-            self.block.told.append((int(kind), now, data))
+        request.verdict = verdict
+        request.reason = reason
+        request.answered_after_us = max(0, now_us - request.arrived_us)
+        request.retry_after_us = retry_after_us
+        request.answer_bytes = answer_bytes
+        self._close_if_ended(now_us, request_id, request)
+
+    def record_notification(self, now_us: int, kind: NotificationKind, data: dict[str, Any]) -> None:
+        """Record what the director was notified of; left out where the block is full and not taken."""
+        if len(self.block.notifications) >= MAX_NOTIFICATIONS:
+            self.flush(now_us)
+        if len(self.block.notifications) < MAX_NOTIFICATIONS:
+            self.block.notifications.append(f.Notification(int(kind), now_us, data))
 
     # ---- blocks -----------------------------------------------------------------------------------------
 
-    def _close(self, now: int, request: str, story: RecordedRequest) -> None:
-        if story.verdict and all(one.status != OPEN_STATUS for one in story.tries):
-            del self.stories[request]
-            self.block.add(story)
-            if len(self.block.lives["id"]) >= BLOCK_LIVES or len(self.block.strings) >= STRINGS_FULL:
-                self.flush(now)
-
-    def tick(self, now: int) -> None:
-        """Called from time to time: closes a block that is old enough."""
-        if now - self.block.begun >= BLOCK_US:
-            self.flush(now)
-
-    def flush(self, now: int) -> None:
+    def _close_if_ended(self, now_us: int, request_id: str, request: RecordedRequest) -> None:
+        """Move a request into the block once it is answered and its attempts have ended."""
+        ended = all(attempt.status != NOT_ENDED_STATUS for attempt in request.attempts)
+        if not request.verdict or not ended:
+            return
+        del self.open_requests[request_id]
+        self.block.add(request)
+        if self.block.is_full:
+            self.flush(now_us)
+
+    def tick(self, now_us: int) -> None:
+        """Close a block that is old enough; to be called several times a second."""
+        if now_us - self.block.started_us >= MAX_BLOCK_AGE_US:
+            self.flush(now_us)
+
+    def flush(self, now_us: int) -> None:
+        """Hand the block over and start a new one. If it is not taken its requests are left out."""
         block = self.block
-        if not block.lives["id"] and not block.told and not self.dropped:
-            block.begun = now
+        if block.is_empty and not self.dropped:
+            block.started_us = now_us
             return
-        block.head.open, block.head.dropped = len(self.stories), self.dropped
-        if self.full(block):
-            self.dropped, self.block = 0, RecordedBlock(now)
-        else:  # the writer is behind: these are left out whole, and the next block says how many
-            self.dropped += len(block.lives["id"])
-            told = block.told
-            self.block = RecordedBlock(now)
-            self.block.told = told[-MOST_TOLD:]
-
-    def finish(self, now: int) -> None:
-        """At the end, what is under way is recorded as open."""
-        for request, story in list(self.stories.items()):
-            story.took = story.took or max(0, now - story.at)
-            del self.stories[request]
-            self.block.add(story)
-        self.told(now, NotificationKind.STOP, {})
-        self.flush(now)
+        block.head.open = len(self.open_requests)
+        block.head.dropped = self.dropped
+        self.block = RecordedBlock(now_us)
+        if self.write_block(block):
+            self.dropped = 0
+        else:
+            self.dropped += len(block.requests["id"])
+            self.block.notifications = block.notifications[-MAX_NOTIFICATIONS:]
+
+    def finish(self, now_us: int) -> None:
+        """Record the requests that are still open as such, and hand over the last block."""
+        for request_id, request in list(self.open_requests.items()):
+            if not request.answered_after_us:
+                request.answered_after_us = max(0, now_us - request.arrived_us)
+            del self.open_requests[request_id]
+            self.block.add(request)
+        self.record_notification(now_us, NotificationKind.STOP, {})
+        self.flush(now_us)
--- a/onyxwick/trace/sink.py
+++ b/onyxwick/trace/sink.py
@@ -1,6 +1,8 @@
-"""Blocks to files, in a thread of its own: bounded in memory and on disk, and never the cause of a wait.
+"""Writes blocks to files in a thread of its own, with bounds on memory, file size, age and disk usage.
 
-What the disk refuses is lost and counted; the director goes on, and a new file is tried after a while.
+Input: blocks. Output: files NAME-RUN-NUMBER.owt. It never makes the director wait: a block that finds the
+queue full is refused at once. What the disk refuses is lost and counted, and a new file is tried after a
+while.
 """
 
 from __future__ import annotations
@@ -17,171 +19,197 @@
 from onyxwick.trace.model import TraceError
 from onyxwick.trace.recorder import RecordedBlock
 
-WAITING = 4  # blocks that wait to be written; over it whole requests are left out
-AGAIN_S = 5.0  # after the disk refused
-SUFFIX = ".owt"
+MAX_QUEUED_BLOCKS = 4
+REOPEN_DELAY_S = 5.0
+"""After an error of the disk, before a new file is tried."""
+STOP_TIMEOUT_S = 5.0
+KEPT_ERRORS = 8
+FILE_SUFFIX = ".owt"
 
 
 @dataclass(frozen=True, slots=True)
 class SinkLimits:
-    """Of one file and of all: whichever comes first begins a new file; the oldest go."""
+    """Limits of one file, by size and age, and of all files; the oldest files are removed."""
 
     file_bytes: int = 64 << 20
     file_s: float = 3600.0
     total_bytes: int = 1 << 30
 
 
-class SinkFolder:
-    """The file calls that a sink makes; tests put their own in its place."""
+class TraceFiles:
+    """The file calls that the writer makes; tests replace them. All may raise OSError."""
 
     def open(self, path: Path) -> BinaryIO:
+        """Create a file, and its folder if need be."""
         path.parent.mkdir(parents=True, exist_ok=True)
         return path.open("xb", buffering=0)
 
     def write(self, file: BinaryIO, data: bytes) -> None:
+        """Write all bytes; an unbuffered file may take them in several parts."""
         at = 0
-        while at < len(data):  # a raw file may take a part
+        while at < len(data):
             at += file.write(data[at:]) or 0
 
     def sizes(self, folder: Path, prefix: str) -> list[tuple[Path, int]]:
-        """A director's files, oldest first by name."""
-        found = sorted(p for p in folder.glob(f"{prefix}-*{SUFFIX}"))
-        return [(p, p.stat().st_size) for p in found]
+        """A director's files with their sizes, in the order of their names, which is their age."""
+        found = sorted(folder.glob(f"{prefix}-*{FILE_SUFFIX}"))
+        return [(path, path.stat().st_size) for path in found]
 
     def remove(self, path: Path) -> None:
+        """Remove a file."""
         path.unlink()
 
 
 @dataclass(slots=True)
 class SinkCounts:
+    """What was written and lost since the start."""
+
     blocks: int = 0
     bytes: int = 0
     lost_blocks: int = 0
     lost_requests: int = 0
     files: int = 0
-    errors: list[str] = field(default_factory=list)  # the last few
+    errors: list[str] = field(default_factory=list)
+    """The last few errors of the disk."""
+
+    def add_error(self, error: Exception) -> None:
+        """Keep an error's message."""
+        self.errors = [*self.errors, str(error)][-KEPT_ERRORS:]
 
 
-class Sink:
-    """Files of one director's run: NAME-RUN-NUMBER.owt."""
+class TraceWriterThread:
+    """Writes the files of one run of a director."""
 
     def __init__(
         self,
         folder: Path,
         header: f.FileHeader,
-        bounds: SinkLimits | None = None,
-        disk: SinkFolder | None = None,
+        limits: SinkLimits | None = None,
+        files: TraceFiles | None = None,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        self.folder, self.header = folder, header
-        self.bounds, self.disk, self.clock = bounds or SinkLimits(), disk or SinkFolder(), clock
+        """`clock`: monotonic seconds."""
+        self.folder = folder
+        self.header = header
+        self.limits = limits or SinkLimits()
+        self.files = files or TraceFiles()
+        self.clock = clock
         self.counts = SinkCounts()
-        self.waiting: queue.Queue[RecordedBlock | None] = queue.Queue(WAITING)
+        self.queue: queue.Queue[RecordedBlock | None] = queue.Queue(MAX_QUEUED_BLOCKS)
         self.file: BinaryIO | None = None
         self.entries: list[f.BlockIndexEntry] = []
-        self.offset, self.opened, self.number, self.again_at = 0, 0.0, 0, 0.0
-        self.lost = 0  # requests lost since the last block that was written
+        self.offset = 0
+        self.opened_s = 0.0
+        self.file_count = 0
+        self.reopen_s = 0.0
+        self.unreported_lost_requests = 0
+        """Requests lost since the last block that was written; the next block reports them."""
         self.thread: threading.Thread | None = None
 
-    # ---- from the director's side -----------------------------------------------------------------------
+    # ---- called by the director -------------------------------------------------------------------------
 
     def start(self) -> None:
+        """Start the thread."""
         self.thread = threading.Thread(target=self._run, name="trace", daemon=True)
         self.thread.start()
 
-    def take(self, block: RecordedBlock) -> bool:
-        """A block to be written; False at once where too many wait."""
+    def enqueue(self, block: RecordedBlock) -> bool:
+        """Have a block written; False at once if too many are queued."""
         try:
-            self.waiting.put_nowait(block)
+            self.queue.put_nowait(block)
         except queue.Full:
             return False
         return True
 
-    def stop(self, wait_s: float = 5.0) -> None:
-        """Write what waits and close the file with its index."""
-        if self.thread is not None:
-            try:
-                self.waiting.put(None, timeout=wait_s)
-            except queue.Full:
-                return  # the disk hangs: the file is left without an index, which a reader makes anew
-            self.thread.join(wait_s)
+    def stop(self, timeout_s: float = STOP_TIMEOUT_S) -> None:
+        """Write what is queued and close the file; without its index if the disk does not respond in time."""
+        if self.thread is None:
+            return
+        try:
+            self.queue.put(None, timeout=timeout_s)
+        except queue.Full:
+            return
+        self.thread.join(timeout_s)
 
     # ---- in the thread ----------------------------------------------------------------------------------
 
     def _run(self) -> None:
-        while (block := self.waiting.get()) is not None:
+        while (block := self.queue.get()) is not None:
             self.write(block)
         self.close()
 
     def write(self, block: RecordedBlock) -> None:
-        """One block, or its loss counted."""
-        block.head.dropped += self.lost
-        head, data = block.sealed()
+        """Write one block, or count its loss."""
+        block.head.dropped += self.unreported_lost_requests
+        head, data = block.encode()
         try:
-            self._ready(len(data))
+            self._ensure_file(len(data))
             assert self.file is not None
-            self.disk.write(self.file, data)
+            self.files.write(self.file, data)
         except OSError as error:
-            self._failed(error, head)
+            self._record_loss(error, head)
             return
-        self.lost = 0
+        self.unreported_lost_requests = 0
         self.entries.append(f.BlockIndexEntry(self.offset, len(data), head))
         self.offset += len(data)
         self.counts.blocks += 1
         self.counts.bytes += len(data)
 
-    def _failed(self, error: OSError, head: f.BlockHead) -> None:
+    def _record_loss(self, error: OSError, head: f.BlockHead) -> None:
         self.counts.lost_blocks += 1
         self.counts.lost_requests += head.lives
-        self.counts.errors = [*self.counts.errors[-7:], str(error)]
-        self.lost = head.dropped + head.lives
-        self.again_at = self.clock() + AGAIN_S
-        if self.file is not None:  # half a block may be in it: the reader passes that over
-            self._drop_file()
+        self.counts.add_error(error)
+        self.unreported_lost_requests = head.dropped + head.lives
+        self.reopen_s = self.clock() + REOPEN_DELAY_S
+        if self.file is not None:  # it may end with part of a block, which a reader skips
+            self._close_file()
 
-    def _drop_file(self) -> None:
+    def _close_file(self) -> None:
         assert self.file is not None
         try:
             self.file.close()
         except OSError as error:
-            self.counts.errors.append(str(error))
+            self.counts.add_error(error)
         self.file = None
 
-    def _ready(self, size: int) -> None:
-        """A file that the next block goes to; OSError where there is none."""
-        bounds = self.bounds
-        old = self.file is not None and self.clock() - self.opened >= bounds.file_s
-        if self.file is not None and (old or self.offset + size > bounds.file_bytes):
-            self.close()
+    def _ensure_file(self, size: int) -> None:
+        """Have a file open that takes a block of this size; OSError if that is not possible now."""
+        limits = self.limits
+        if self.file is not None:
+            is_old = self.clock() - self.opened_s >= limits.file_s
+            if is_old or self.offset + size > limits.file_bytes:
+                self.close()
         if self.file is not None:
             return
-        if self.clock() < self.again_at:
+        if self.clock() < self.reopen_s:
             raise OSError("the disk refused a while ago")
-        self._make_room()
-        data = f.opening(self.header)
-        self.number += 1
-        name = f"{self.header.director}-{self.header.run}-{self.number:06d}{SUFFIX}"
-        self.file = self.disk.open(self.folder / name)
-        self.disk.write(self.file, data)
-        self.entries, self.offset, self.opened = [], len(data), self.clock()
+        self._remove_old_files()
+        data = f.encode_opening(self.header)
+        self.file_count += 1
+        name = f"{self.header.director}-{self.header.run}-{self.file_count:06d}{FILE_SUFFIX}"
+        self.file = self.files.open(self.folder / name)
+        self.files.write(self.file, data)
+        self.entries = []
+        self.offset = len(data)
+        self.opened_s = self.clock()
         self.counts.files += 1
 
-    def _make_room(self) -> None:
-        """The oldest files of this director go, until one more fits."""
-        held = self.disk.sizes(self.folder, self.header.director) if self.folder.exists() else []
-        total = sum(size for _, size in held)
-        for path, size in held:
-            if total + self.bounds.file_bytes <= self.bounds.total_bytes:
+    def _remove_old_files(self) -> None:
+        """Remove this director's oldest files until one more fits into the limit of all files."""
+        existing = self.files.sizes(self.folder, self.header.director) if self.folder.exists() else []
+        total = sum(size for _, size in existing)
+        for path, size in existing:
+            if total + self.limits.file_bytes <= self.limits.total_bytes:
                 return
-            self.disk.remove(path)
+            self.files.remove(path)
             total -= size
 
     def close(self) -> None:
-        """End the file with its index."""
+        """Write the index and close the file."""
         if self.file is None:
             return
         try:
-            self.disk.write(self.file, f.index_frame(self.entries, self.offset))
+            self.files.write(self.file, f.encode_index(self.entries, self.offset))
         except (OSError, TraceError) as error:
-            self.counts.errors.append(str(error))
-        self._drop_file()
+            self.counts.add_error(error)
+        self._close_file()
--- a/onyxwick/trace/summary.py
+++ b/onyxwick/trace/summary.py
@@ -1,58 +1,90 @@
-"""Figures of a trace by class, tenant, cell, member and time: one pass, memory bounded by the names and
-windows."""
+"""Summarises a trace: weights, verdicts, latencies, retries and fill sources, by name and by time.
+
+Input: tables in any order. Output: a document for JSON. One pass; memory is bounded by the number of names
+and of seconds. `Weight` is the priority weight of a request's class: what its answer within the objective
+earns.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
-from typing import Any
+from typing import Any, NamedTuple
 
 import numpy as np
 from hdrh.histogram import HdrHistogram
 
+from onyxwick.interface import AnswerDetail
 from onyxwick.trace import format as f
-from onyxwick.trace.model import RETRY, RecordedVerdict
+from onyxwick.trace.model import CLIENT_RETRY_FLAG, US_PER_S, VERDICT_WORDS, RecordedVerdict
 from onyxwick.trace.table import Column, Table
 
-SECOND = 1_000_000
 WORST_S = 10
-DIGITS = 1000  # latencies are kept to three digits before they are counted
-HIT, FILLED, ORIGIN, JOINED, STALE = 1, 2, 3, 4, 5  # details of an answer
-SOURCES = {HIT: "hit", FILLED: "filled", ORIGIN: "from the origin", JOINED: "joined", STALE: "stale"}
+"""Length of the worst window."""
+MS_US = 1000
+MAX_LATENCY_US = 3_600_000_000
+LATENCY_DIGITS = 3
+SOURCE_TEXTS = {
+    AnswerDetail.HIT: "hit",
+    AnswerDetail.FILLED: "filled",
+    AnswerDetail.FILLED_FROM_ORIGIN: "from the origin",
+    AnswerDetail.COALESCED: "joined",
+    AnswerDetail.STALE: "stale",
+}
+FILLS = (AnswerDetail.FILLED.value, AnswerDetail.FILLED_FROM_ORIGIN.value)
+
+
+class Weights(NamedTuple):
+    """Priority weight of each request: requested, earned within the objective, and earned in all."""
+
+    requested: Column
+    in_time: Column
+    served: Column
+
+
+def _share(part: float, total: float) -> float:
+    return round(part / total, 4) if total else 1.0
+
+
+def _latency_histogram() -> HdrHistogram:
+    return HdrHistogram(1, MAX_LATENCY_US, LATENCY_DIGITS)
 
 
 @dataclass(slots=True)
 class SummaryGroup:
-    """One class, tenant, cell or member."""
+    """The requests of one class, tenant, cell or member."""
 
     counts: Column = field(default_factory=lambda: np.zeros(len(RecordedVerdict), np.int64))
-    asked: float = 0.0  # worth, as are in_time and served
-    in_time: float = 0.0
-    served: float = 0.0
+    """Requests by verdict."""
+    requested_weight: float = 0.0
+    in_time_weight: float = 0.0
+    served_weight: float = 0.0
     retries: int = 0
     attempts: int = 0
     bytes: int = 0
-    latency: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, 3_600_000_000, 3))
+    latency: HdrHistogram = field(default_factory=_latency_histogram)
+    """Microseconds from arrival to answer, of what was served."""
 
-    def shown(self) -> dict[str, Any]:
+    def as_document(self) -> dict[str, Any]:
+        """Its figures for JSON."""
         quantile = self.latency.get_value_at_percentile
         return {
             "requests": int(self.counts.sum()),
-            **{v.name.lower(): int(self.counts[v]) for v in RecordedVerdict},
-            "worth": round(self.asked, 1),
-            "service": round(self.served / self.asked, 4) if self.asked else 1.0,
-            "in_time": round(self.in_time / self.asked, 4) if self.asked else 1.0,
+            **{word: int(self.counts[verdict]) for verdict, word in VERDICT_WORDS.items()},
+            "worth": round(self.requested_weight, 1),
+            "service": _share(self.served_weight, self.requested_weight),
+            "in_time": _share(self.in_time_weight, self.requested_weight),
             "retries": self.retries,
             "attempts": self.attempts,
             "bytes": self.bytes,
-            "p50_ms": round(quantile(50) / 1000, 1),
-            "p99_ms": round(quantile(99) / 1000, 1),
-            "p999_ms": round(quantile(99.9) / 1000, 1),
+            "p50_ms": round(quantile(50) / MS_US, 1),
+            "p99_ms": round(quantile(99) / MS_US, 1),
+            "p999_ms": round(quantile(99.9) / MS_US, 1),
         }
 
 
-def record(histogram: HdrHistogram, values: Column) -> None:
-    """Many values at once: each kept to three digits, each different one told with its count."""
+def record_values(histogram: HdrHistogram, values: Column) -> None:
+    """Record many values, each rounded down to three digits, each different one once with its count."""
     if not len(values):
         return
     scale = np.maximum(1, 10 ** np.maximum(0, np.floor(np.log10(np.maximum(values, 1))) - 3)).astype(np.int64)
@@ -62,138 +94,144 @@
 
 
 class PriorityWeights:
-    """What requests are worth, by class; the header says it."""
+    """Priority weights by class, from the header of a trace."""
 
     def __init__(self, header: f.FileHeader) -> None:
-        self.classes = {str(c["name"]): c for c in header.classes}
+        self.classes = {str(fields["name"]): fields for fields in header.classes}
 
     def column(self, table: Table, name: str, default: float) -> Column:
-        """A class's figure for each request."""
-        numbers = table.lives["class"]
-        out = np.full(len(table), default)
+        """A figure of its class for each request."""
+        numbers = table.requests["class"]
+        figures = np.full(len(table), default)
         for number in np.unique(numbers):
-            told = self.classes.get(table.strings[int(number)], {})
-            out[numbers == number] = float(told.get(name, default))
-        return out
+            fields = self.classes.get(table.strings[int(number)], {})
+            figures[numbers == number] = float(fields.get(name, default))
+        return figures
 
-    def of(self, table: Table) -> tuple[Column, Column, Column]:
-        """Worth asked for, in time and served, each by request. What comes late earns the class's late
-        part."""
-        worth, late = self.column(table, "worth", 1.0), self.column(table, "late_worth", 0.0)
-        limit = self.column(table, "aim_us", np.inf) + self.column(table, "grace_us", 0.0)
-        served = table.lives["verdict"] == RecordedVerdict.SERVED
-        in_time = served & (table.lives["took"] <= limit)
-        return worth, worth * in_time, worth * (in_time + late * (served & ~in_time))
+    def of(self, table: Table) -> Weights:
+        """The weights of each request; an answer after the objective earns the class's late share."""
+        weight = self.column(table, "worth", 1.0)
+        late_share = self.column(table, "late_worth", 0.0)
+        limit_us = self.column(table, "aim_us", np.inf) + self.column(table, "grace_us", 0.0)
+        served = table.requests["verdict"] == RecordedVerdict.SERVED
+        in_time = served & (table.requests["took"] <= limit_us)
+        return Weights(weight, weight * in_time, weight * (in_time + late_share * (served & ~in_time)))
 
 
 class Summary:
-    """Add tables in any order, then ask for `shown`."""
+    """Add tables in any order, then ask for the document."""
 
     def __init__(self, header: f.FileHeader) -> None:
-        self.worths = PriorityWeights(header)
+        self.weights = PriorityWeights(header)
         self.groups: dict[str, dict[str, SummaryGroup]] = {
-            k: {} for k in ("class", "tenant", "cell", "member")
+            kind: {} for kind in ("class", "tenant", "cell", "member")
         }
-        self.seconds: dict[int, list[float]] = {}  # second: [asked, served]
+        self.seconds: dict[int, list[float]] = {}
+        """[requested, served] weight by Unix second."""
         self.sources: dict[str, int] = {}
+        """Served requests by where the answer came from."""
         self.origin_bytes: dict[str, int] = {}
-        self.whole = SummaryGroup()
-        self.dropped = self.lives = 0
+        """Bytes filled, by fill source."""
+        self.total = SummaryGroup()
+        self.dropped = 0
+        self.request_count = 0
 
     def add(self, table: Table, dropped: int = 0) -> None:
+        """Add a table. `dropped`: requests that its block reports as left out."""
         self.dropped += dropped
-        self.lives += len(table)
+        self.request_count += len(table)
         if not len(table):
             return
-        worths = self.worths.of(table)
-        everything = np.ones(len(table), bool)
-        self._group(self.whole, table, everything, worths)
+        weights = self.weights.of(table)
+        self._add_rows(self.total, table, np.ones(len(table), bool), weights)
         for kind in ("class", "tenant", "cell"):
-            self._groups(kind, table, table.lives[kind], worths)
-        self._groups("member", table, table.last("member"), worths)
-        self._seconds(table, worths)
-        self._sources(table)
-
-    def _groups(
-        self, kind: str, table: Table, numbers: Column, worths: tuple[Column, Column, Column]
-    ) -> None:
+            self._add_groups(kind, table, table.requests[kind], weights)
+        self._add_groups("member", table, table.last_attempt("member"), weights)
+        self._add_seconds(table, weights)
+        self._add_sources(table)
+
+    def _add_groups(self, kind: str, table: Table, numbers: Column, weights: Weights) -> None:
         groups = self.groups[kind]
         for number in np.unique(numbers):
             name = table.strings[int(number)]
             if name or kind == "class":
-                self._group(groups.setdefault(name, SummaryGroup()), table, numbers == number, worths)
-
-    def _group(
-        self, group: SummaryGroup, table: Table, rows: Column, worths: tuple[Column, Column, Column]
-    ) -> None:
-        lives = table.lives
-        group.counts += np.bincount(lives["verdict"][rows], minlength=len(RecordedVerdict))[
-            : len(RecordedVerdict)
-        ]
-        asked, in_time, served = (float(w[rows].sum()) for w in worths)
-        group.asked, group.in_time, group.served = (
-            group.asked + asked,
-            group.in_time + in_time,
-            group.served + served,
-        )
-        group.retries += int((lives["flags"][rows] & RETRY != 0).sum())
-        group.attempts += int(lives["attempts"][rows].sum(dtype=np.int64))
-        group.bytes += int(lives["bytes"][rows].sum(dtype=np.int64))
-        record(
-            group.latency, lives["took"][rows & (lives["verdict"] == RecordedVerdict.SERVED)].astype(np.int64)
-        )
-
-    def _seconds(self, table: Table, worths: tuple[Column, Column, Column]) -> None:
-        seconds = table.lives["at"] // SECOND
-        unique, back = np.unique(seconds, return_inverse=True)
-        asked = np.bincount(back, worths[0])
-        served = np.bincount(back, worths[2])
-        for second, a, s in zip(unique.tolist(), asked.tolist(), served.tolist(), strict=True):
+                group = groups.setdefault(name, SummaryGroup())
+                self._add_rows(group, table, numbers == number, weights)
+
+    @staticmethod
+    def _add_rows(group: SummaryGroup, table: Table, rows: Column, weights: Weights) -> None:
+        requests = table.requests
+        verdicts = len(RecordedVerdict)
+        group.counts += np.bincount(requests["verdict"][rows], minlength=verdicts)[:verdicts]
+        group.requested_weight += float(weights.requested[rows].sum())
+        group.in_time_weight += float(weights.in_time[rows].sum())
+        group.served_weight += float(weights.served[rows].sum())
+        group.retries += int((requests["flags"][rows] & CLIENT_RETRY_FLAG != 0).sum())
+        group.attempts += int(requests["attempts"][rows].sum(dtype=np.int64))
+        group.bytes += int(requests["bytes"][rows].sum(dtype=np.int64))
+        served = rows & (requests["verdict"] == RecordedVerdict.SERVED)
+        record_values(group.latency, requests["took"][served].astype(np.int64))
+
+    def _add_seconds(self, table: Table, weights: Weights) -> None:
+        seconds, places = np.unique(table.requests["at"] // US_PER_S, return_inverse=True)
+        requested = np.bincount(places, weights.requested)
+        served = np.bincount(places, weights.served)
+        for second, requested_sum, served_sum in zip(
+            seconds.tolist(), requested.tolist(), served.tolist(), strict=True
+        ):
             row = self.seconds.setdefault(second, [0.0, 0.0])
-            row[0] += a
-            row[1] += s
-
-    def _sources(self, table: Table) -> None:
-        detail = table.serving("detail")
-        served = table.lives["verdict"] == RecordedVerdict.SERVED
-        for number, name in SOURCES.items():
-            rows = served & (detail == number)
+            row[0] += requested_sum
+            row[1] += served_sum
+
+    def _add_sources(self, table: Table) -> None:
+        detail = table.serving_attempt("detail")
+        served = table.requests["verdict"] == RecordedVerdict.SERVED
+        for answer_detail, text in SOURCE_TEXTS.items():
+            rows = served & (detail == answer_detail.value)
             if rows.any():
-                self.sources[name] = self.sources.get(name, 0) + int(rows.sum())
-        filled = served & np.isin(detail, (FILLED, ORIGIN))
-        source = table.serving("source")
+                self.sources[text] = self.sources.get(text, 0) + int(rows.sum())
+        filled = served & np.isin(detail, FILLS)
+        source = table.serving_attempt("source")
         for number in np.unique(source[filled]):
-            name, rows = table.strings[int(number)] or "unknown", filled & (source == number)
-            size = int(table.lives["bytes"][rows].sum(dtype=np.int64))
+            name = table.strings[int(number)] or "unknown"
+            rows = filled & (source == number)
+            size = int(table.requests["bytes"][rows].sum(dtype=np.int64))
             self.origin_bytes[name] = self.origin_bytes.get(name, 0) + size
 
     def worst(self) -> dict[str, Any]:
-        """The ten seconds with the least service."""
+        """The ten seconds in which the least share of the requested weight was served."""
         if not self.seconds:
             return {}
-        begin, end = min(self.seconds), max(self.seconds)
-        rows = np.array([self.seconds.get(s, [0.0, 0.0]) for s in range(begin, end + 1)])
-        span = min(WORST_S, len(rows))
-        asked = np.convolve(rows[:, 0], np.ones(span), "valid")
-        served = np.convolve(rows[:, 1], np.ones(span), "valid")
-        share = np.where(asked > 0, served / np.maximum(asked, 1e-9), 1.0)
+        begin = min(self.seconds)
+        end = max(self.seconds)
+        rows = np.array([self.seconds.get(second, [0.0, 0.0]) for second in range(begin, end + 1)])
+        length = min(WORST_S, len(rows))
+        requested = np.convolve(rows[:, 0], np.ones(length), "valid")
+        served = np.convolve(rows[:, 1], np.ones(length), "valid")
+        share = np.where(requested > 0, served / np.maximum(requested, 1e-9), 1.0)
         at = int(share.argmin())
-        return {"begin_unix": begin + at, "seconds": span, "service": round(float(share[at]), 4)}
+        return {"begin_unix": begin + at, "seconds": length, "service": round(float(share[at]), 4)}
 
-    def shown(self) -> dict[str, Any]:
+    def as_document(self) -> dict[str, Any]:
+        """All figures for JSON."""
+        groups = {
+            kind: {name: group.as_document() for name, group in sorted(rows.items())}
+            for kind, rows in self.groups.items()
+        }
         return {
-            "requests": self.lives,
+            "requests": self.request_count,
             "dropped": self.dropped,
-            "all": self.whole.shown(),
+            "all": self.total.as_document(),
             "worst": self.worst(),
             "answers": self.sources,
             "fill_bytes": dict(sorted(self.origin_bytes.items())),
-            **{kind: {n: g.shown() for n, g in sorted(rows.items())} for kind, rows in self.groups.items()},
+            **groups,
         }
 
 
 def summarise(header: f.FileHeader, tables: Iterable[tuple[f.BlockHead, Table]]) -> Summary:
-    out = Summary(header)
+    """The summary of all blocks."""
+    summary = Summary(header)
     for head, table in tables:
-        out.add(table, head.dropped)
-    return out
+        summary.add(table, head.dropped)
+    return summary
