--- a/onyxwick/trace/warm_up_audit.py
+++ b/onyxwick/trace/warm_up_audit.py
@@ -64,7 +64,7 @@
         self.transfer_is_known = any(fields.get("sending_us") for fields in header.classes)
 
     def add(self, table: Table, owner: Column, sent_at: Column, sent: Column) -> None:
-        """Collect a table. By attempt: `owner`, its request's row, `sent_at`, when, `sent`, whether at all."""
+        """Collect a table. By attempt: `owner`, row of its request; `sent_at`, when; `sent`, if at all."""
         classes = table.requests["class"][owner]
         if self.starts and not self.transfer_is_known:
             self._add_hits(table, classes, sent)
