--- a/onyxwick/admin/durable_api.py
+++ b/onyxwick/admin/durable_api.py
@@ -12,14 +12,14 @@
 import time
 from dataclasses import dataclass, field
 
-from onyxwick.admin.api import Answer, Api
+from onyxwick.admin.api import AdminApi, Answer
 from onyxwick.admin.cells import CellsApi
-from onyxwick.admin.http import HttpError, HttpRequest
+from onyxwick.admin.http_messages import HttpError, HttpRequest
 from onyxwick.admin.sites import SitesApi
 from onyxwick.cells.plan_control import CellPlanControl
 from onyxwick.config.cells import json_of_plan
 from onyxwick.core import RequestEngine
-from onyxwick.sites import kept
+from onyxwick.sites import command_to_row
 from onyxwick.store import StoreError, WriteOperation
 from onyxwick.store.durable_state import DurableState
 from onyxwick.store.recovery import DrainSource, MemberDrain
@@ -61,7 +61,7 @@
 class DurableApi:
     """Wraps the API's calls, one change at a time."""
 
-    def __init__(self, api: Api, durable: DurableState, core: RequestEngine) -> None:
+    def __init__(self, api: AdminApi, durable: DurableState, core: RequestEngine) -> None:
         self.api = api
         self.durable = durable
         self.core = core
@@ -72,7 +72,7 @@
         durable."""
         path = [part for part in request.path.split("/") if part]
         if path[:1] == ["drains"]:
-            self.api.operator_of(request)
+            self.api.require_operator(request)
         elif request.method == "GET":
             return self.api(request)
         async with self.lock:
@@ -85,10 +85,10 @@
             if done is not None:
                 if done.fingerprint != identity.fingerprint:
                     raise HttpError(409, "Idempotency-Key was used for another call")
-                return done.status, done.data
+                return Answer(done.status, done.data)
         if path[:1] == ["drains"]:
             return await self._drains(request, path[1:], identity)
-        sites = self.api.parts.get("sites")
+        sites = self.api.sections.get("sites")
         if path[:2] == ["sites", "orders"] and len(path) == 3 and isinstance(sites, SitesApi):
             return await self._site_command(request, sites, path[2], identity)
         return await self._change(request, path, identity)
@@ -96,8 +96,7 @@
     async def _commit(self, operations: list[WriteOperation], identity: CallIdentity, answer: Answer) -> None:
         now = time.time_ns() // 1000
         if identity.key and operations:
-            status, data = answer
-            call = IdempotentCall(identity.fingerprint, status, data, now)
+            call = IdempotentCall(identity.fingerprint, answer.status, answer.data, now)
             operations = operations + self.durable.idempotent_call_operations(identity.key, call, now)
         try:
             await self.durable.commit(operations, AUTHOR)
@@ -124,12 +123,12 @@
             if name:
                 backup.restore(tenants, self.durable)
             if control is not None and plan is not None and control.plan is not plan:
-                control.change(plan)
+                control.replace_plan(plan)
             raise
         return answer
 
     def _plan_control(self) -> CellPlanControl | None:
-        cells = self.api.parts.get("cells")
+        cells = self.api.sections.get("cells")
         return cells.control if isinstance(cells, CellsApi) else None
 
     # ---- site commands ----------------------------------------------------------------------------------
@@ -138,13 +137,15 @@
         self, request: HttpRequest, sites: SitesApi, site: str, identity: CallIdentity
     ) -> Answer:
         """An operator's command for a site: durable before it takes effect."""
-        self.api.operator_of(request)
+        self.api.require_operator(request)
         if request.method != "PUT":
             raise HttpError(405, "method not allowed", {"Allow": "PUT"})
-        command = sites.order(request, site)
-        answer = 200, {"site": site, "word": command.word.value, "drill": command.drill}
-        await self._commit([self.durable.site_command_operation(site, kept(command))], identity, answer)
-        sites.take(command)
+        command = sites.read_command(request, site)
+        answer = Answer(200, {"site": site, "word": command.directive.value, "drill": command.is_exercise})
+        await self._commit(
+            [self.durable.site_command_operation(site, command_to_row(command))], identity, answer
+        )
+        sites.apply_command(command)
         return answer
 
     # ---- drains -----------------------------------------------------------------------------------------
@@ -169,7 +170,7 @@
             drain.member: {"by": drain.by.value, "reason": drain.reason, "at_us": drain.at_us}
             for drain in recovery.drains.values()
         }
-        return 200, {"recovery": recovery.status(), "drains": drains}
+        return Answer(200, {"recovery": recovery.status(), "drains": drains})
 
     async def _add_drain(self, request: HttpRequest, member: str, identity: CallIdentity) -> Answer:
         listed = self.core.endpoints.listed
@@ -178,7 +179,7 @@
         reason = str(request.json().get("reason", ""))[:MAX_REASON]
         started_at_us = listed[member].started_at_us
         drain = MemberDrain(member, DrainSource.OPERATOR, started_at_us, reason, self.core.now())
-        answer = 200, {"member": member, "draining": True}
+        answer = Answer(200, {"member": member, "draining": True})
         await self._commit([self.durable.drain_operation(drain)], identity, answer)
         self.durable.recovery.add_drain(drain)
         self.core.feed.reapply_members(member)
@@ -186,7 +187,7 @@
 
     async def _lift_drain(self, member: str, identity: CallIdentity) -> Answer:
         operations = self.durable.lift_operations(member)
-        answer = 200, {"member": member, "lifted": bool(operations)}
+        answer = Answer(200, {"member": member, "lifted": bool(operations)})
         await self._commit(operations, identity, answer)
         self.durable.recovery.lift_drain(member)
         self.core.feed.reapply_members(member)
--- a/onyxwick/hosting/durable_state.py
+++ b/onyxwick/hosting/durable_state.py
@@ -37,9 +37,9 @@
     durable.load_tenants(service_config.tenants)
     _restore_cell_plan(engine, durable, routers)
     if routers.sites is not None:
-        from onyxwick.sites.operator_commands import of_row
+        from onyxwick.sites.operator_commands import command_from_row
 
-        routers.sites.watch.recalled([of_row(row) for row in durable.site_command_rows()])
+        routers.sites.monitor.restore_commands([command_from_row(row) for row in durable.site_command_rows()])
     return durable
 
 
@@ -50,5 +50,5 @@
         return
     from onyxwick.config.cells import plan_of_json
 
-    routers.cells.apply(engine.now(), plan_of_json(stored.plan, stored.version))
+    routers.cells.apply_plan(engine.now(), plan_of_json(stored.plan, stored.version))
     log.info("plan of cells restored from store", version=routers.cells.plan.version)
--- a/onyxwick/hosting/fronts.py
+++ b/onyxwick/hosting/fronts.py
@@ -9,9 +9,9 @@
 from onyxwick.hosting.routers import RouterFactory
 
 if TYPE_CHECKING:
-    from onyxwick.admin.api import Api
+    from onyxwick.admin.api import AdminApi
     from onyxwick.admin.cells import CellsApi
-    from onyxwick.admin.http import Handler, HttpServer
+    from onyxwick.admin.http_server import Handler, HttpServer
     from onyxwick.admin.sites import SitesApi
     from onyxwick.core import RequestEngine
     from onyxwick.dns.server import DnsFront
@@ -41,21 +41,21 @@
 
             fronts.append(DnsFront(self.engine, self.engine.counters, self.service_config, self.durable))
         if self.service_config.admin_address:
-            from onyxwick.admin.http import HttpServer
+            from onyxwick.admin.http_server import HttpServer
 
             handler = self._admin_handler(health)
             fronts.append(HttpServer(self.service_config.admin_address, handler, self.engine.counters))
         return fronts
 
     def _admin_handler(self, health: Callable[[], dict[str, object]]) -> Handler:
-        from onyxwick.admin.api import Api
+        from onyxwick.admin.api import AdminApi
 
         config = self.service_config
         parts = {"cells": self._cells_api(), "sites": self._sites_api()}
-        api = Api(config.tenants, self.engine.counters, config.admin_token, health, parts)
+        api = AdminApi(config.tenants, self.engine.counters, config.admin_token, health, parts)
         return self._durable_handler(api)
 
-    def _durable_handler(self, api: Api) -> Handler:
+    def _durable_handler(self, api: AdminApi) -> Handler:
         if self.durable is None:
             return api
         from onyxwick.admin.durable_api import DurableApi
--- a/onyxwick/net/call_intake.py
+++ b/onyxwick/net/call_intake.py
@@ -18,7 +18,7 @@
 from onyxwick.net import fastcgi
 from onyxwick.net.errors import BadCallError
 from onyxwick.net.fastcgi_calls import (
-    CALL_PATH,
+    CALL_PATH_PREFIX,
     PATH,
     REQUEST_ID,
     OwnerFields,
@@ -31,7 +31,6 @@
     from onyxwick.cells.reservation import ConnectionReservation
 
 PING_PATH = b"/ping"
-CALL_PATH_PREFIX = CALL_PATH.encode()
 READY_STATUS = "200 OK"
 NOT_READY_STATUS = "503 Not Ready"
 LOGGED_PATH_BYTES = 64
@@ -52,7 +51,7 @@
     closing_retry_us: int
     overload_retry_us: int
 
-    def stage_at(self, now: float) -> ShutdownStage:
+    def stage_at(self, now_s: float) -> ShutdownStage:
         """The shutdown stage at a monotonic time in seconds."""
         ...
 
@@ -160,7 +159,7 @@
                 connection.begin_closing(ConnectionCloseReason.SLOT_NEEDED)
                 return False
             connection.cell = cell
-        return not reservation.full(connection.cell)
+        return not reservation.bytes_exhausted(connection.cell)
 
     # ---- rejections --------------------------------------------------------------------------------------
 
--- a/onyxwick/service.py
+++ b/onyxwick/service.py
@@ -98,7 +98,7 @@
             self.config.settings.router_count,
         )
         if sites is not None:
-            sites.share = backoff.ramp_share
+            sites.startup_share = backoff.ramp_share
         if self.durable is not None:
             coordinator.initial_delay_us = backoff.initial_delay_us
             cache_pool.warm_up_share = lambda: backoff.ramp_share(self.engine.now())
@@ -114,13 +114,14 @@
         return self.subscription.run(coordinator.initial_delay_us)
 
     def _subscribe(self, feed_config: FeedConfig) -> Subscription:
-        from onyxwick.distribution.follower import Follower, FollowerLimits
+        from onyxwick.distribution.follower import Follower
+        from onyxwick.distribution.follower_actions import FollowerLimits
         from onyxwick.net.director_feed import DirectorFeed
         from onyxwick.net.subscription import ReconnectDelays, Subscription
 
         engine = self.engine
         delays = ReconnectDelays(self.config.seed ^ SUBSCRIPTION_SEED, engine.now())
-        limits = FollowerLimits(stale_us=feed_config.stale_after_us)
+        limits = FollowerLimits(stale_after_us=feed_config.stale_after_us)
         follower = Follower(len(feed_config.parents), delays, limits=limits)
         documents = {QUOTAS_DOCUMENT: self.service_config.tenants.apply_quotas}
         sink = DirectorFeed(engine, engine.counters, documents)
@@ -131,7 +132,7 @@
         if self.subscription is None:
             return {}
         follower = self.subscription.follower
-        age_us = follower.age_us(self.engine.now())
+        age_us = follower.staleness_us(self.engine.now())
         return {"feed": follower.state.value, "feed_age_ms": None if age_us is None else age_us // 1000}
 
     def _on_feed_line(self) -> None:
@@ -149,11 +150,11 @@
             if (cells is None) is not (plan is None):
                 log.warning("cells are switched on and off at a restart only")
             return
-        from onyxwick.cells import CellPlanControl, PlanError
+        from onyxwick.cells import CellPlanControl, CellPlanError
 
         try:
-            changed = CellPlanControl(cells, self.engine.now, self.engine.handle).change(plan)
-        except PlanError as error:
+            changed = CellPlanControl(cells, self.engine.now, self.engine.handle).replace_plan(plan)
+        except CellPlanError as error:
             raise ConfigError(str(error)) from None
         if changed:
             log.info("plan of cells changed", version=cells.plan.version)
