--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -11,8 +11,7 @@
 from hypothesis import strategies as st
 
 from onyxwick.cells import Cell, CellPlan, CellPolicy, KeyRange, MigrationSpec, TenantSpec
-from onyxwick.config import ConfigError, hcl, service
-from onyxwick.config import director as relay
+from onyxwick.config import ConfigError, director, hcl, service
 from onyxwick.config.cells import json_of_plan, plan_of_json, read_plan
 from onyxwick.config.fields import Fields
 from onyxwick.net.cache_pool import MAX_EXCESS_CONNECTIONS
@@ -47,7 +46,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "wanted"),
+    ("text", "expected"),
     [
         ("a = 1\na = 2", "x.hcl:2: field 'a' is set twice, first on line 1"),
         ("a {\n b = 1", "x.hcl:2: the file ends inside a block"),
@@ -63,10 +62,10 @@
         ("a = { b = 1, b = 2 }", "x.hcl:1: key 'b' stands twice"),
     ],
 )
-def test_syntax_errors_name_line_and_intent(text: str, wanted: str) -> None:
+def test_syntax_errors_name_line_and_intent(text: str, expected: str) -> None:
     with pytest.raises(ConfigError) as error:
         hcl.parse(text, "x.hcl")
-    assert str(error.value).startswith(wanted)
+    assert str(error.value).startswith(expected)
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
@@ -79,7 +78,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "wanted"),
+    ("text", "expected"),
     [
         ("wait = 500", "x.hcl:1: field 'wait': 500 has no unit; did you mean \"500ms\""),
         ('wait = "500s"', "x.hcl:1: field 'wait': 500s is not between 1ms and 1min; did you mean \"500ms\"?"),
@@ -96,7 +95,7 @@
         ('wait = "1s"\ncount = 1.5', "x.hcl:2: field 'count': 1.5 is no whole number"),
     ],
 )
-def test_field_errors_name_the_likely_intent(text: str, wanted: str) -> None:
+def test_field_errors_name_the_likely_intent(text: str, expected: str) -> None:
     fields = Fields(hcl.parse(text, "x.hcl"), "x.hcl")
     with pytest.raises(ConfigError) as error:
         fields.duration("wait", 1_000, 60_000_000)
@@ -106,14 +105,14 @@
         fields.integer("count", 0, 9, 1)
         fields.blocks("box", labels=1)
         fields.reject_unknown()
-    assert str(error.value).startswith(wanted)
+    assert str(error.value).startswith(expected)
 
 
 def test_the_service_file_is_read_or_rejected(tmp_path: Path) -> None:
-    told = service.load(FOLDER / "service.hcl")
-    assert told.dns_address == ("127.77.0.1", 15353) and list(told.tenants.tenants) == ["depot"]
+    config = service.load(FOLDER / "service.hcl")
+    assert config.dns_address == ("127.77.0.1", 15353) and list(config.tenants.tenants) == ["depot"]
     text = (FOLDER / "service.hcl").read_text()
-    for wrong, wanted in (
+    for wrong, expected in (
         (
             text.replace("depot.zone", "depot.zoen"),
             "service.hcl:20: field 'tenant depot.zone depot.test..file'",
@@ -133,7 +132,7 @@
         (tmp_path / "service.hcl").write_text(wrong)
         with pytest.raises(ConfigError) as error:
             service.load(tmp_path / "service.hcl")
-        assert str(error.value).startswith(wanted)
+        assert str(error.value).startswith(expected)
 
 
 def test_the_command_line(capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch) -> None:
@@ -158,7 +157,7 @@
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(CELLS, st.data())
 def test_a_plan_is_the_same_after_its_json(cells: dict[str, float], data: st.DataObject) -> None:
-    """What the API shows is what it reads back: an operator edits one row and sends the whole."""
+    """The API reads back what it shows: an operator edits one row and sends the complete plan."""
     some = st.lists(st.sampled_from(sorted(cells)), min_size=1, max_size=3, unique=True).map(tuple)
     tenants = {
         name: TenantSpec(
@@ -188,7 +187,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "wanted"),
+    ("text", "expected"),
     [
         (
             'cell "a" {}\ncell "b" { fallback = "c" }',
@@ -215,25 +214,34 @@
         ('cell "a" {}\ncells { default_tenant = "x" }', "x.hcl:2: field 'cells.default_tenant': there is no"),
     ],
 )
-def test_an_error_in_a_plan_names_its_line(text: str, wanted: str) -> None:
+def test_an_error_in_a_plan_names_its_line(text: str, expected: str) -> None:
     with pytest.raises(ConfigError) as error:
         read_plan(Fields(hcl.parse(text, "x.hcl"), "x.hcl"))
-    assert str(error.value).startswith(wanted)
+    assert str(error.value).startswith(expected)
 
 
 @pytest.mark.parametrize("sockets", [96, 256, 512, 672, 1024, 4096])
 @pytest.mark.parametrize("admin", [None, ("127.0.0.1", 9600)])
-@pytest.mark.parametrize("handed", [None, 7])
+@pytest.mark.parametrize("inherited_fd", [None, 7])
 def test_all_descriptors_fit_under_the_limit(
-    sockets: int, admin: tuple[str, int] | None, handed: int | None
+    sockets: int, admin: tuple[str, int] | None, inherited_fd: int | None
 ) -> None:
-    """Every place taken at once: links, also about to close, clients, written ends, the door, fixed parts."""
+    """All connections at once: caches, also about to close, clients, half-closed, operations, fixed parts."""
     data = json.loads((FOLDER / "config.json").read_text())
     config = replace(
-        relay.read({**data, "limits": {"sockets": sockets}}), operations_address=admin, listen_fd=handed
+        director.read({**data, "limits": {"sockets": sockets}}),
+        operations_address=admin,
+        listen_fd=inherited_fd,
     )
-    door = min(relay.OPERATIONS_SOCKETS, sockets // config.process_count // 8) if admin else 0
-    shut = max(relay.MIN_HALF_CLOSED, config.max_clients // relay.CLIENTS_PER_HALF_CLOSED)
+    operations = min(director.OPERATIONS_SOCKETS, sockets // config.process_count // 8) if admin else 0
+    half_closed = max(director.MIN_HALF_CLOSED, config.max_clients // director.CLIENTS_PER_HALF_CLOSED)
     fixed = 14  # streams, the event loop, the listening socket, the feed, a file read anew, one just accepted
-    held = config.max_cache_connections + MAX_EXCESS_CONNECTIONS + config.max_clients + shut + door + fixed
+    held = (
+        config.max_cache_connections
+        + MAX_EXCESS_CONNECTIONS
+        + config.max_clients
+        + half_closed
+        + operations
+        + fixed
+    )
     assert held <= sockets // config.process_count
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -12,7 +12,7 @@
 import uvloop
 
 from onyxwick import lifecycle
-from onyxwick.config import director as relay
+from onyxwick.config import director as director_config
 from tests.exchange import FOLDER
 from tests.ground import PATIENCE_S
 
@@ -20,7 +20,7 @@
 def test_a_reload_is_retried_while_its_file_cannot_be_read(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    config = relay.load({"RELAY_CONFIG": str(FOLDER / "config.json")})
+    config = director_config.load({"RELAY_CONFIG": str(FOLDER / "config.json")})
     moved, left = replace(config, coordinator=("127.77.200.2", 17070)), [3]
     real = Path.read_text
 
