--- a/onyxwick/net/relay_node.py
+++ b/onyxwick/net/relay_node.py
@@ -10,7 +10,8 @@
 from onyxwick.core.clock import steady_us
 from onyxwick.counters import Counters
 from onyxwick.distribution.fanout import FanOut, FanOutLimits
-from onyxwick.distribution.follower import Follower, FollowerLimits
+from onyxwick.distribution.follower import Follower
+from onyxwick.distribution.follower_actions import FollowerLimits
 from onyxwick.distribution.model import FeedEvent, Freshness
 from onyxwick.distribution.replica import FeedSnapshot, Replica
 from onyxwick.net.fanout_server import FanOutServer
@@ -28,7 +29,9 @@
         self.config = config
         self.counters = Counters()
         self.replica = Replica(retention_ms=config.retention_ms)
-        self.fanout = FanOut(self.replica, FanOutLimits(width=config.width, admission=config.admission))
+        self.fanout = FanOut(
+            self.replica, FanOutLimits(max_subscribers=config.width, admission=config.admission)
+        )
         self.server = FanOutServer(self.fanout, config.listen, self.counters)
         delays = ReconnectDelays(config.seed, steady_us())
         follower = Follower(len(config.parents), delays, limits=FollowerLimits())
@@ -48,7 +51,7 @@
 
     def refresh(self, freshness: Freshness) -> None:
         """Pass on that the publisher was reached."""
-        self.fanout.fresh(freshness)
+        self.fanout.on_freshness(freshness)
 
     async def run(self) -> None:
         """Serve until cancelled; OSError where the address cannot be listened on."""
@@ -64,7 +67,7 @@
     def status(self) -> dict[str, Any]:
         """The status as a JSON object."""
         follower = self.subscription.follower
-        age_us = follower.age_us(steady_us())
+        age_us = follower.staleness_us(steady_us())
         return {
             **node_status(self.config, self.replica, self.fanout, self.server, self.counters),
             "parent": follower.parent,
--- a/onyxwick/net/subscription.py
+++ b/onyxwick/net/subscription.py
@@ -14,13 +14,13 @@
 from onyxwick.core.backoff import BackoffPolicy, ReconnectBackoff
 from onyxwick.core.clock import steady_us
 from onyxwick.counters import Counters
-from onyxwick.distribution.codec import HEAD_BYTES, stub_of
-from onyxwick.distribution.follower import (
+from onyxwick.distribution.codec import OVERSIZED_HEAD_BYTES, oversized_line_stub
+from onyxwick.distribution.follower import Follower
+from onyxwick.distribution.follower_actions import (
     Action,
     ConnectToParent,
     DeliverEvent,
     DisconnectFromParent,
-    Follower,
     InstallSnapshot,
     RefreshFreshness,
     SendLine,
@@ -90,7 +90,7 @@
         lines = bytes(self._partial_line[:end]).split(b"\n")
         del self._partial_line[: end + 1]
         if self._oversized:
-            lines[0] = stub_of(self._oversized)
+            lines[0] = oversized_line_stub(self._oversized)
             self._oversized = b""
         self.owner.on_lines(self, lines)
 
@@ -99,7 +99,7 @@
         if self._oversized:
             self._partial_line.clear()
         elif len(self._partial_line) > MAX_LINE_BYTES:
-            self._oversized = bytes(self._partial_line[:HEAD_BYTES])
+            self._oversized = bytes(self._partial_line[:OVERSIZED_HEAD_BYTES])
             self._partial_line.clear()
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -134,12 +134,12 @@
         try:
             while True:
                 await self._wait_for_deadline()
-                self._perform(self.follower.tick(self.clock()))
+                self._perform(self.follower.on_tick(self.clock()))
         finally:
             self._perform(self.follower.stop())
 
     async def _wait_for_deadline(self) -> None:
-        deadline = self.follower.deadline
+        deadline = self.follower.deadline_us
         wait_s = None if deadline is None else max(0.0, (deadline - self.clock()) / US_PER_S)
         self._changed.clear()
         try:
@@ -186,7 +186,7 @@
             self.on_connection_failed(connection, repr(error))
             return
         if self._connection is connection:
-            self._perform(self.follower.connected(self.clock()))
+            self._perform(self.follower.on_connected(self.clock()))
             self._changed.set()
 
     def on_connection_failed(self, connection: _Connection, reason: str) -> None:
@@ -199,7 +199,7 @@
         self.counters.add("distribution.lost")
         address = self.parents[self.follower.parent]
         log.info("feed parent lost", parent=format_address(address), reason=reason)
-        self._perform(self.follower.lost(self.clock(), reason))
+        self._perform(self.follower.on_connection_lost(self.clock(), reason))
         self._changed.set()
 
     def _disconnect(self, reason: str) -> None:
@@ -218,6 +218,6 @@
             if connection is not self._connection:
                 return
             if line:
-                self._perform(self.follower.line(self.clock(), line))
+                self._perform(self.follower.on_line(self.clock(), line))
         if self.on_line is not None:
             self.on_line()
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -12,7 +12,7 @@
 from onyxwick.config.cells import plan_of_json
 from onyxwick.core.clock import SteadyClock
 from onyxwick.distribution import codec
-from onyxwick.distribution.documents import Assembler, digest_of
+from onyxwick.distribution.documents import DocumentAssembler, document_digest
 from onyxwick.distribution.durable_feed import DurableFeed
 from onyxwick.distribution.model import (
     Announcement,
@@ -31,7 +31,7 @@
 from onyxwick.operations.operator_commands import KnownCaches
 from onyxwick.operations.persisted_commands import PersistedCommands
 from onyxwick.sites.lifecycle import SiteDirective
-from onyxwick.sites.operator_commands import SiteCommand, of_row, to_row
+from onyxwick.sites.operator_commands import SiteCommand, command_from_row, command_to_row
 from onyxwick.store import records
 from onyxwick.store.durable_state import DurableState
 from onyxwick.store.encryption import SecretCipher
@@ -104,7 +104,7 @@
     assert acme.zones[read_name("static.example.")].routed is None
     globex = tenants.tenants["globex"]
     assert (globex.quota.per_s, globex.token, globex.keys, globex.zones) == (20.0, "", {}, {})
-    assert tenants.by_token("acme-token-0123456789") is acme
+    assert tenants.tenant_of_token("acme-token-0123456789") is acme
     assert state.tenant_operations("acme", acme) == [], "what was read is what is stored"
 
 
@@ -124,7 +124,7 @@
     assert plan.cells["cell-a"].weight == 2.0
     assert plan.cells["cell-b"].members == ("box-3",)
     assert plan.tenants["acme"].cells == ("cell-a",)
-    assert plan.policy.reserved == 0.25
+    assert plan.policy.reserved_share == 0.25
 
 
 def test_drains_purges_intents_and_the_feed_are_read(state: DurableState) -> None:
@@ -145,12 +145,12 @@
 
 
 def test_site_commands_are_read(state: DurableState) -> None:
-    commands = [of_row(row) for row in state.site_command_rows()]
+    commands = [command_from_row(row) for row in state.site_command_rows()]
     assert commands == [
         SiteCommand("site-north", SiteDirective.EVACUATE, "exercise", "operator", START_US + 12 * S, 120 * S),
         SiteCommand("site-south", SiteDirective.HOLD, "", "operator", START_US + 13 * S, 0),
     ]
-    assert [to_row(command) for command in commands] == state.site_command_rows()
+    assert [command_to_row(command) for command in commands] == state.site_command_rows()
 
 
 def test_the_outcome_of_an_idempotent_call_is_read(state: DurableState) -> None:
@@ -339,7 +339,7 @@
         "cache-1": {"id": "cache-1", "address": "10.0.0.1:8080", "state": "SERVING", "rack": "r1"},
         "cache-2": {"id": "cache-2", "address": "10.0.0.2:8080", "state": "DRAINING", "rack": "r1"},
     }
-    assert replica.state.purges.times == {
+    assert replica.state.purges.unix_ms_by_key == {
         PurgeKey("job/42", None): START_MS,
         PurgeKey(None, 17): START_MS + 5,
     }
@@ -347,7 +347,7 @@
     assert {name: document.version for name, document in documents.items()} == {"quotas": 2, "long": 1}
     assert documents["quotas"].text == '{"quotas": {"acme": 300}}'
     assert documents["long"].text == LONG_TEXT
-    assert documents["long"].digest == digest_of(LONG_TEXT)
+    assert documents["long"].digest == document_digest(LONG_TEXT)
 
 
 def test_a_publishers_store_is_read(folder: Path) -> None:
@@ -368,7 +368,7 @@
     digest = codec.LinesDigest()
     for line in lines[1:-1]:
         digest.add(line)
-    assert end == SnapshotEnd(Cursor(HISTORY, 9), digest.text())
+    assert end == SnapshotEnd(Cursor(HISTORY, 9), digest.hex_digest())
     payloads = tuple(event.payload for event in body if isinstance(event, FeedEvent))
     assert len(payloads) == 7
     replica = Replica()
@@ -400,7 +400,7 @@
     assert codec.encode_announcement(cursor) == lines[0]
     assert codec.decode(lines[1]) == Freshness(cursor, START_MS + 30_000)
     assert codec.encode_freshness(cursor, START_MS + 30_000) == lines[1]
-    assembler = Assembler()
+    assembler = DocumentAssembler()
     parts = [codec.decode(line) for line in lines[2:4]]
     documents = []
     for event in parts:
