--- a/onyxwick/lab/faults/fleet.py
+++ b/onyxwick/lab/faults/fleet.py
@@ -31,6 +31,8 @@
 OUTSIDE = "outside"
 TOKEN = "operator-token-of-the-lab"
 SITE_FIELD = "HTTP_X_SITE"
+SITE_STATE_EVENT = "site state changed"
+"""The event of a director's log line that names a new state of a site."""
 
 
 class Placed(Protocol):
@@ -205,9 +207,11 @@
 
     def said(self, director: FleetDirector, line: str) -> None:
         """A line of a director's log: what it holds a site to be goes into the history."""
-        if '"event":"site"' not in line and '"event": "site"' not in line:
+        if SITE_STATE_EVENT not in line:
             return
         told = json.loads(line)
+        if told.get("event") != SITE_STATE_EVENT:
+            return
         data = {k: told.get(k) for k in ("was", "now", "share", "why")}
         self.rows.append(Row("state", self.clock(), director.name, told["site"], data))
 
