--- a/onyxwick/lab/faults/fleet.py
+++ b/onyxwick/lab/faults/fleet.py
@@ -4,6 +4,7 @@
 
 import asyncio
 import json
+import re
 import random
 import tempfile
 import time
@@ -32,6 +33,9 @@
 TOKEN = "operator-token-of-the-lab"
 SITE_FIELD = "HTTP_X_SITE"
 
+SITE_EVENT = re.compile(r'"event": ?"site state changed"')
+"""The event of a director's log line (core/engine.py) that is taken into the history."""
+
 
 class Placed(Protocol):
     """A machine, real or simulated."""
@@ -205,7 +209,7 @@
 
     def said(self, director: FleetDirector, line: str) -> None:
         """A line of a director's log: what it holds a site to be goes into the history."""
-        if '"event":"site"' not in line and '"event": "site"' not in line:
+        if not SITE_EVENT.search(line):
             return
         told = json.loads(line)
         data = {k: told.get(k) for k in ("was", "now", "share", "why")}
