--- a/onyxwick/lab/faults/fleet.py
+++ b/onyxwick/lab/faults/fleet.py
@@ -4,8 +4,8 @@
 
 import asyncio
 import json
-import re
 import random
+import re
 import tempfile
 import time
 from collections import defaultdict
