--- a/onyxwick/lab/faults/fleet.py
+++ b/onyxwick/lab/faults/fleet.py
@@ -5,6 +5,7 @@
 import asyncio
 import json
 import random
+import re
 import tempfile
 import time
 from collections import defaultdict
@@ -34,6 +35,9 @@
 SITE_STATE_EVENT = "site state changed"
 """The event of a director's log line that names a new state of a site."""
 
+SITE_EVENT = re.compile(r'"event": ?"site state changed"')
+"""The event of a director's log line (core/engine.py) that is taken into the history."""
+
 
 class Placed(Protocol):
     """A machine, real or simulated."""
--- a/onyxwick/trace/decision_tracer.py
+++ b/onyxwick/trace/decision_tracer.py
@@ -116,11 +116,11 @@
     shed_now: dict[str, str]
     """Requests that its last `handle` rejected before any router decided on them, and why."""
 
-    def router_of(self, request: str) -> Router | None:
-        """The router that decides on a request now; None if there is none."""
+    def router_of(self, request_id: str) -> RequestRouter | None:
+        """The innermost router that decides on a request now; None if there is none."""
         ...
 
-    def cell_of(self, request: str) -> str:
+    def cell_of(self, request_id: str) -> str:
         """The name of the cell that a request belongs to; empty if there is none."""
         ...
 
@@ -321,7 +321,8 @@
 def _deciding_router(router: RequestRouter, request_id: str) -> Router | None:
     if isinstance(router, Router):
         return router
-    return cast(DelegatingRouter, router).router_of(request_id)
+    innermost = cast(DelegatingRouter, router).router_of(request_id)
+    return innermost if isinstance(innermost, Router) else None
 
 
 def _cell_of(router: RequestRouter | None, request_id: str) -> str:
