--- a/tests/test_lint_exceptions.py
+++ b/tests/test_lint_exceptions.py
@@ -9,7 +9,7 @@
 
 from tests.exchange import ROOT
 
-MOST = 63  # file and rule; lower it with each one that is mended, never raise it
+MOST = 41  # file and rule; lower it with each one that is mended, never raise it
 RULES = "N,D100,D101,D102,D103,D104,C901"
 NEVER = ("onyxwick/core/", "onyxwick/distribution/", "onyxwick/lab/scale/")
 
