--- a/onyxwick/cells/admission.py
+++ b/onyxwick/cells/admission.py
@@ -15,13 +15,13 @@
 from onyxwick.cells.model import CellPlan, TenantSpec
 from onyxwick.interface import RequestClass, RouterSettings
 from onyxwick.subrouters.admission_gate import AdmissionGate, class_priorities
-from onyxwick.subrouters.rejection import RejectionReason
+from onyxwick.subrouters.rejection import AdmissionRejection
 
 FALLBACK_LIMIT_SHARE = 0.5  # of a cell's limit, up to which it admits requests of a cell that fell back on it
 MIN_RETRY_AFTER_US = 50_000
 WRITE_REASONS = {
-    RejectionReason.LIMIT_REACHED: RejectionReason.WRITE_LIMIT_REACHED,
-    RejectionReason.FAIR_SHARE_EXCEEDED: RejectionReason.WRITE_FAIR_SHARE_EXCEEDED,
+    AdmissionRejection.LIMIT_REACHED: AdmissionRejection.WRITE_LIMIT_REACHED,
+    AdmissionRejection.FAIR_SHARE_EXCEEDED: AdmissionRejection.WRITE_FAIR_SHARE_EXCEEDED,
 }
 RETRY_AFTER_JITTER = (0.5, 1.5)  # factors between which a Retry-After is drawn
 
@@ -57,16 +57,16 @@
 
     def rejection_reason(
         self, cell: ActiveCell, tenant: TenantSpec, request_class: RequestClass, is_fallback: bool
-    ) -> RejectionReason | None:
+    ) -> AdmissionRejection | None:
         """Why a request is not admitted, or None. `is_fallback`: the tenant's own cells have no ready
         cache."""
         gate = cell.gate
         if is_fallback and gate.in_flight >= FALLBACK_LIMIT_SHARE * gate.adaptive_limit.limit:
-            return RejectionReason.FALLBACK_LIMIT
+            return AdmissionRejection.FALLBACK_LIMIT
         if tenant.max_in_flight and self.in_flight_by_tenant.get(tenant.name, 0) >= tenant.max_in_flight:
-            return RejectionReason.TENANT_LIMIT
+            return AdmissionRejection.TENANT_LIMIT
         if cell.name in self.cell_weights and not self.concurrency_pool.has_capacity(cell.name):
-            return RejectionReason.CELL_LIMIT
+            return AdmissionRejection.CELL_LIMIT
         if request_class.is_write and (reason := self.write_gate.rejection_reason(cell.name, 1.0)):
             return WRITE_REASONS[reason]
         return gate.rejection_reason(tenant.name, self.priority_of_class[request_class.name])
--- a/onyxwick/cells/router.py
+++ b/onyxwick/cells/router.py
@@ -42,7 +42,7 @@
 from onyxwick.routing import Router
 from onyxwick.subrouters import SubrouterDispatcher
 from onyxwick.subrouters.dispatcher import REBALANCE_TICKS, TICK_INTERVAL_US
-from onyxwick.subrouters.rejection import RejectionReason
+from onyxwick.subrouters.rejection import AdmissionRejection
 from onyxwick.subrouters.share_arbiter import ShareArbiter
 
 INITIAL_PARENT_SHARE = 1e-3  # of the parents' budget: a new cell's, until its own share is available
@@ -140,7 +140,7 @@
             self._count("unknown_tenant" if tenant is None else "unknown_class")
             self._pending_actions.append(RejectRequest(request.request_id))
         elif wait_us := self.admission.tenant_rates.wait_us(tenant.name):
-            self._shed(request, tenant, RejectionReason.TENANT_RATE, wait_us)
+            self._shed(request, tenant, AdmissionRejection.TENANT_RATE, wait_us)
         else:
             self._admit(request, tenant, request_class)
 
@@ -148,7 +148,7 @@
         selection = self._select_cell(tenant, request.object_id, request_class)
         if selection is None:
             wait_us = self.admission.expected_wait_us(None, request_class)
-            self._shed(request, tenant, RejectionReason.NO_READY_CACHE, wait_us)
+            self._shed(request, tenant, AdmissionRejection.NO_READY_CACHE, wait_us)
             return
         cell = selection.cell
         reason = self.admission.rejection_reason(cell, tenant, request_class, selection.is_fallback)
@@ -161,7 +161,7 @@
         self._dispatch(cell, [request])
 
     def _shed(
-        self, request: RequestArrived, tenant: TenantSpec, reason: RejectionReason, wait_us: int
+        self, request: RequestArrived, tenant: TenantSpec, reason: AdmissionRejection, wait_us: int
     ) -> None:
         """Reject a request at once, before any cell's router receives it."""
         self._count(f"shed.{reason}.{tenant.name}")
--- a/onyxwick/lab/changes.py
+++ b/onyxwick/lab/changes.py
@@ -38,7 +38,7 @@
 WORKERS = 32
 
 
-class Host:
+class ChangesHost:
     """One director with the administration API and the DNS front, with or without a store, on loopback."""
 
     def __init__(self, scenario: Scenario, store: bool, slot: int) -> None:
@@ -109,7 +109,7 @@
         shutil.rmtree(self.folder, ignore_errors=True)
 
 
-def _change(host: Host, n: int) -> tuple[str, int]:
+def _change(host: ChangesHost, n: int) -> tuple[str, int]:
     if n % 2:
         return "dns", host.update(n)
     if n % 4:
@@ -118,7 +118,7 @@
     return "api", host.call("PUT", f"/tenants/depot/zones/{ZONE_NAME}", {"text": ZONE.format(1000 + 10 * n)})
 
 
-def _play(host: Host, rate: float, seconds: float) -> dict[str, Any]:
+def _play(host: ChangesHost, rate: float, seconds: float) -> dict[str, Any]:
     counts = {"api": HdrHistogram(1, 60_000_000, 3), "dns": HdrHistogram(1, 60_000_000, 3)}
     failed, total = {"api": 0, "dns": 0}, int(rate * seconds)
     begun = time.monotonic()
@@ -152,7 +152,7 @@
     rows = []
     for number in range(rounds):
         for store in (False, True):
-            host = Host(scenario, store, number % 8)
+            host = ChangesHost(scenario, store, number % 8)
             try:
                 host.start()
                 rows.append({"store": store, "round": number, **_play(host, rate, seconds)})
--- a/onyxwick/lab/scale/hollow.py
+++ b/onyxwick/lab/scale/hollow.py
@@ -214,7 +214,7 @@
     requests_per_s: float
 
 
-class Host:
+class HollowHost:
     """One process full of hollow directors, commanded through a pipe."""
 
     def __init__(self, spec: HostSpec, pipe: Pipe) -> None:
@@ -306,7 +306,7 @@
     gc.set_threshold(20_000, 20, 100)  # as a director has it
 
     async def main() -> None:
-        await Host(spec, pipe).run()
+        await HollowHost(spec, pipe).run()
 
     uvloop.run(main())
 
--- a/onyxwick/lab/soak/model.py
+++ b/onyxwick/lab/soak/model.py
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Termination:
+class SoakTermination:
     """A director was told to end. `killed`: it still ran at the platform's SIGKILL, at `ended_us`."""
 
     director: int
@@ -131,7 +131,7 @@
     down: list[Down] = field(default_factory=list)
     connections: list[ClientConnection] = field(default_factory=list)
     drained: list[DirectorDrained] = field(default_factory=list)
-    terminations: list[Termination] = field(default_factory=list)
+    terminations: list[SoakTermination] = field(default_factory=list)
     lab_errors: list[str] = field(default_factory=list)  # what the lab's own tasks raised
     stopped: list[Down] = field(default_factory=list)  # SIGSTOP
     cut: list[tuple[int, int]] = field(default_factory=list)  # director, when: ended in the middle of a call
--- a/onyxwick/lab/soak/oracle.py
+++ b/onyxwick/lab/soak/oracle.py
@@ -14,7 +14,7 @@
 
 from onyxwick.core.attempt_invariants import slow_start_limit
 from onyxwick.lab.model import Tier
-from onyxwick.lab.soak.model import ClientConnection, Down, SoakCall, SoakRecords, Termination
+from onyxwick.lab.soak.model import ClientConnection, Down, SoakCall, SoakRecords, SoakTermination
 
 S = 1_000_000
 SLACK_US, DRAIN_US, PURGE_US = 50_000, 500_000, 1_000_000
@@ -83,7 +83,7 @@
             return True  # what its end owed is judged by itself
         return self._within(self.records.down, call.director, call.sent_us - S // 2, end)
 
-    def _ends(self, call: SoakCall) -> list[Termination]:
+    def _ends(self, call: SoakCall) -> list[SoakTermination]:
         return [t for t in self.records.terminations if t.director == call.director]
 
     def _stopped_us(self, director: int, begin: int, end: int) -> int:
--- a/onyxwick/lab/soak/process.py
+++ b/onyxwick/lab/soak/process.py
@@ -17,7 +17,7 @@
 from onyxwick.lab.faults.relay import LinkRelay
 from onyxwick.lab.feed import Feed
 from onyxwick.lab.machines import CoordinatorEmulator
-from onyxwick.lab.soak.model import SoakRecords, Termination
+from onyxwick.lab.soak.model import SoakRecords, SoakTermination
 from onyxwick.lab.soak.shim import Control
 from onyxwick.net import fastcgi
 from onyxwick.net.listening import ACCEPT_BACKLOG
@@ -212,7 +212,7 @@
             await process.wait(END_S)
         elif code != 0:
             self.records.ended.append(f"{process.name} ended with {code} after SIGTERM")
-        end = Termination(self.number, told, ended, code is None, self.held is not None)
+        end = SoakTermination(self.number, told, ended, code is None, self.held is not None)
         self.records.terminations.append(end)
         return code is None
 
--- a/onyxwick/routing/cache_selection.py
+++ b/onyxwick/routing/cache_selection.py
@@ -16,7 +16,7 @@
 from onyxwick.interface import Idempotency, RequestArrived, RequestClass, RouterSettings
 from onyxwick.routing.capacity import CapacityModel
 from onyxwick.routing.concurrency_limit import ConcurrencyLimit
-from onyxwick.routing.endpoints import EndpointTable
+from onyxwick.routing.endpoints import MemberRoles
 from onyxwick.routing.latency import LatencyTracker
 from onyxwick.routing.outlier_detection import is_usable
 from onyxwick.routing.popularity import HALF_LIFE_US, Popularity
@@ -34,7 +34,7 @@
     def __init__(
         self,
         settings: RouterSettings,
-        endpoints: EndpointTable,
+        endpoints: MemberRoles,
         capacity: CapacityModel,
         latency: LatencyTracker,
         popularity: Popularity,
--- a/onyxwick/routing/capacity.py
+++ b/onyxwick/routing/capacity.py
@@ -16,7 +16,7 @@
 import math
 
 from onyxwick.interface import FleetShareChanged, RouterSettings, WeightSource
-from onyxwick.routing.endpoints import EndpointTable
+from onyxwick.routing.endpoints import MemberRoles
 from onyxwick.routing.state import MemberRecord
 from onyxwick.routing.units import US_PER_S
 
@@ -36,7 +36,7 @@
 class CapacityModel:
     """Capacities as one router sees them."""
 
-    def __init__(self, settings: RouterSettings, endpoints: EndpointTable, now_us: int) -> None:
+    def __init__(self, settings: RouterSettings, endpoints: MemberRoles, now_us: int) -> None:
         self.endpoints = endpoints
         self.parent_kind = settings.parent_kind
         self.router_count = settings.router_count
--- a/onyxwick/routing/concurrency_limit.py
+++ b/onyxwick/routing/concurrency_limit.py
@@ -18,7 +18,7 @@
 
 from onyxwick.interface import RequestClass, RouterSettings
 from onyxwick.routing.capacity import CapacityModel
-from onyxwick.routing.endpoints import EndpointTable
+from onyxwick.routing.endpoints import MemberRoles
 from onyxwick.routing.latency import LatencyTracker
 from onyxwick.routing.slow_start import SlowStart
 from onyxwick.routing.state import MemberRecord
@@ -64,7 +64,7 @@
     def __init__(
         self,
         settings: RouterSettings,
-        endpoints: EndpointTable,
+        endpoints: MemberRoles,
         capacity: CapacityModel,
         slow_start: SlowStart,
         latency: LatencyTracker,
--- a/onyxwick/routing/endpoints.py
+++ b/onyxwick/routing/endpoints.py
@@ -14,7 +14,7 @@
 from onyxwick.routing.state import MemberRecord
 
 
-class EndpointTable:
+class MemberRoles:
     """The listed members of one router."""
 
     def __init__(self, settings: RouterSettings) -> None:
--- a/onyxwick/routing/fill_source.py
+++ b/onyxwick/routing/fill_source.py
@@ -13,7 +13,7 @@
 
 from onyxwick.interface import RouterSettings, SiblingFills
 from onyxwick.routing.concurrency_limit import ConcurrencyLimit
-from onyxwick.routing.endpoints import EndpointTable
+from onyxwick.routing.endpoints import MemberRoles
 from onyxwick.routing.latency import LatencyTracker
 from onyxwick.routing.outlier_detection import is_usable
 from onyxwick.routing.rendezvous import RendezvousHash, exponential_draw
@@ -27,7 +27,7 @@
     def __init__(
         self,
         settings: RouterSettings,
-        endpoints: EndpointTable,
+        endpoints: MemberRoles,
         latency: LatencyTracker,
         rendezvous: RendezvousHash,
         slow_start: SlowStart,
--- a/onyxwick/routing/forwarding.py
+++ b/onyxwick/routing/forwarding.py
@@ -11,7 +11,7 @@
 from __future__ import annotations
 
 from onyxwick.interface import FillOption, ForwardRequest, ForwardWithFill, RouterSettings
-from onyxwick.routing.endpoints import EndpointTable
+from onyxwick.routing.endpoints import MemberRoles
 from onyxwick.routing.popularity import BRONZE_RANK
 from onyxwick.routing.purge import PurgeTimes
 from onyxwick.routing.retry import RetryBudget
@@ -25,7 +25,7 @@
     def __init__(
         self,
         settings: RouterSettings,
-        endpoints: EndpointTable,
+        endpoints: MemberRoles,
         purges: PurgeTimes,
         slow_start: SlowStart,
         retry_budget: RetryBudget,
--- a/onyxwick/routing/hedging.py
+++ b/onyxwick/routing/hedging.py
@@ -13,7 +13,7 @@
 
 from onyxwick.interface import Idempotency, RouterSettings
 from onyxwick.routing.concurrency_limit import is_overloaded
-from onyxwick.routing.endpoints import EndpointTable
+from onyxwick.routing.endpoints import MemberRoles
 from onyxwick.routing.latency import LatencyTracker
 from onyxwick.routing.retry import RetryBudget
 from onyxwick.routing.state import Attempt, RequestState
@@ -25,7 +25,7 @@
     def __init__(
         self,
         settings: RouterSettings,
-        endpoints: EndpointTable,
+        endpoints: MemberRoles,
         latency: LatencyTracker,
         budget: RetryBudget,
     ) -> None:
--- a/onyxwick/routing/outcomes.py
+++ b/onyxwick/routing/outcomes.py
@@ -19,7 +19,7 @@
     RouterSettings,
 )
 from onyxwick.routing.concurrency_limit import ConcurrencyLimit, is_overloaded
-from onyxwick.routing.endpoints import EndpointTable
+from onyxwick.routing.endpoints import MemberRoles
 from onyxwick.routing.latency import LatencyTracker
 from onyxwick.routing.outlier_detection import OutlierDetector
 from onyxwick.routing.popularity import Popularity
@@ -44,7 +44,7 @@
     def __init__(
         self,
         settings: RouterSettings,
-        endpoints: EndpointTable,
+        endpoints: MemberRoles,
         latency: LatencyTracker,
         popularity: Popularity,
         outliers: OutlierDetector,
--- a/onyxwick/routing/outlier_detection.py
+++ b/onyxwick/routing/outlier_detection.py
@@ -15,7 +15,7 @@
 import math
 
 from onyxwick.routing.concurrency_limit import ANSWER_WINDOW_US
-from onyxwick.routing.endpoints import EndpointTable
+from onyxwick.routing.endpoints import MemberRoles
 from onyxwick.routing.slow_start import SlowStart
 from onyxwick.routing.state import Attempt, MemberRecord
 from onyxwick.routing.units import US_PER_S
@@ -46,7 +46,7 @@
 class OutlierDetector:
     """The health of the members as one router sees it."""
 
-    def __init__(self, endpoints: EndpointTable, slow_start: SlowStart) -> None:
+    def __init__(self, endpoints: MemberRoles, slow_start: SlowStart) -> None:
         self.endpoints = endpoints
         self.slow_start = slow_start
 
--- a/onyxwick/routing/router.py
+++ b/onyxwick/routing/router.py
@@ -42,7 +42,7 @@
 from onyxwick.routing.cache_selection import CacheSelector
 from onyxwick.routing.capacity import CapacityModel
 from onyxwick.routing.concurrency_limit import ConcurrencyLimit
-from onyxwick.routing.endpoints import EndpointTable
+from onyxwick.routing.endpoints import MemberRoles
 from onyxwick.routing.fill_source import FillSourceSelector
 from onyxwick.routing.forwarding import ForwardActionBuilder
 from onyxwick.routing.hedging import HedgingPolicy
@@ -84,7 +84,7 @@
             self._actions.append(SubscribeToEndpoints())
 
     def _build_rules(self, settings: RouterSettings, now: int) -> None:
-        self.endpoints = EndpointTable(settings)
+        self.endpoints = MemberRoles(settings)
         self.latency = LatencyTracker(settings)
         self.purges = PurgeTimes(settings)
         self.popularity = Popularity(settings, now)
--- a/onyxwick/routing/slow_start.py
+++ b/onyxwick/routing/slow_start.py
@@ -17,7 +17,7 @@
 
 from onyxwick.interface import RouterSettings, WeightSource
 from onyxwick.routing.capacity import INFERRED_CAPACITY_MARGIN, CapacityModel
-from onyxwick.routing.endpoints import EndpointTable
+from onyxwick.routing.endpoints import MemberRoles
 from onyxwick.routing.latency import LatencyTracker
 from onyxwick.routing.rendezvous import exponential_draw
 from onyxwick.routing.state import MemberRecord, WarmUpSend
@@ -54,7 +54,7 @@
     def __init__(
         self,
         settings: RouterSettings,
-        endpoints: EndpointTable,
+        endpoints: MemberRoles,
         capacity: CapacityModel,
         latency: LatencyTracker,
     ) -> None:
--- a/onyxwick/sites/constraints.py
+++ b/onyxwick/sites/constraints.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Block:
+class ConstraintBlock:
     """A matrix that stands in the constraints from a column on."""
 
     matrix: csr_matrix
@@ -39,12 +39,12 @@
         self.coefficients = csr_matrix((0, variable_count))
         self.limits = np.zeros(0)
 
-    def add(self, blocks: list[Block], limits: np.ndarray) -> None:
+    def add(self, blocks: list[ConstraintBlock], limits: np.ndarray) -> None:
         """Add rows: the blocks side by side are at most `limits`."""
         self.coefficients = vstack([self.coefficients, self._widen(blocks)], format="csr")
         self.limits = np.concatenate([self.limits, limits])
 
-    def _widen(self, blocks: list[Block]) -> csr_matrix:
+    def _widen(self, blocks: list[ConstraintBlock]) -> csr_matrix:
         rows, columns, values = [], [], []
         for block in blocks:
             entries = block.matrix.tocoo()
--- a/onyxwick/sites/fairness.py
+++ b/onyxwick/sites/fairness.py
@@ -12,7 +12,7 @@
 import numpy as np
 from scipy.sparse import csr_matrix
 
-from onyxwick.sites.constraints import Block
+from onyxwick.sites.constraints import ConstraintBlock
 from onyxwick.sites.linear_program import LossProgram
 from onyxwick.sites.loss_demand import Choice
 
@@ -58,16 +58,16 @@
     value = csr_matrix(program.values.reshape(1, -1))
     total_value = float(program.values @ served)
     least_value = np.array([-total_value * (1 - VALUE_GIVEN_UP)])
-    constraints.add([Block(-(value @ program.demand_matrix))], least_value)
+    constraints.add([ConstraintBlock(-(value @ program.demand_matrix))], least_value)
     floors = np.minimum(served, program.reserves * program.rates)
     for index, rate in fixed.items():
         floors[index] = max(floors[index], rate * FLOOR_TOLERANCE)
-    constraints.add([Block(-program.demand_matrix)], -floors * FLOOR_TOLERANCE)
+    constraints.add([ConstraintBlock(-program.demand_matrix)], -floors * FLOOR_TOLERANCE)
     selected = csr_matrix(
         (np.ones(len(free)), (range(len(free)), free)), shape=(len(free), len(program.demands))
     )
-    wanted = Block(csr_matrix(program.rates[free].reshape(-1, 1)), program.choice_count)
-    constraints.add([Block(-(selected @ program.demand_matrix)), wanted], np.zeros(len(free)))
+    wanted = ConstraintBlock(csr_matrix(program.rates[free].reshape(-1, 1)), program.choice_count)
+    constraints.add([ConstraintBlock(-(selected @ program.demand_matrix)), wanted], np.zeros(len(free)))
     cost = np.zeros(constraints.variable_count)
     cost[: program.choice_count] = [
         -program.values[choice.demand] * VALUE_TIE_WEIGHT / max(NEGLIGIBLE, total_value)
--- a/onyxwick/sites/linear_program.py
+++ b/onyxwick/sites/linear_program.py
@@ -11,7 +11,7 @@
 import numpy as np
 from scipy.sparse import csr_matrix
 
-from onyxwick.sites.constraints import Block, Constraints, negative_identity
+from onyxwick.sites.constraints import ConstraintBlock, Constraints, negative_identity
 from onyxwick.sites.loss_demand import OpenDemands, RemainingResources
 from onyxwick.sites.loss_outcome import Resource
 
@@ -77,8 +77,8 @@
     def base_constraints(self, variable_count: int) -> Constraints:
         """No resource above its limit, no demand above its rate."""
         constraints = Constraints(variable_count)
-        constraints.add([Block(self.use_matrix)], self.limits)
-        constraints.add([Block(self.demand_matrix)], self.rates)
+        constraints.add([ConstraintBlock(self.use_matrix)], self.limits)
+        constraints.add([ConstraintBlock(self.demand_matrix)], self.rates)
         return constraints
 
     # ---- highest value -------------------------------------------------------------------------------
@@ -89,8 +89,8 @@
         piece_count = len(self.resources) * len(CONGESTION_COST)
         first_piece = self.choice_count + demand_count
         constraints = self.base_constraints(first_piece + piece_count)
-        unserved_reserve = Block(negative_identity(demand_count), self.choice_count)
-        constraints.add([Block(-self.demand_matrix), unserved_reserve], -self.reserves * self.rates)
+        unserved_reserve = ConstraintBlock(negative_identity(demand_count), self.choice_count)
+        constraints.add([ConstraintBlock(-self.demand_matrix), unserved_reserve], -self.reserves * self.rates)
         self._add_congestion(constraints, first_piece)
         solution = constraints.minimize(self._value_cost(constraints.variable_count, first_piece))
         return np.asarray(solution[: self.choice_count])
@@ -126,8 +126,8 @@
         fixed = np.array([self.fixed_use.get(resource, 0.0) for resource in self.resources])
         starts = np.tile([start for start, _ in CONGESTION_COST], resource_count)
         starts = starts - np.repeat(fixed * scale, pieces_each)
-        above_start = Block(negative_identity(piece_count), first_piece)
-        constraints.add([Block(spread @ self.use_matrix), above_start], starts)
+        above_start = ConstraintBlock(negative_identity(piece_count), first_piece)
+        constraints.add([ConstraintBlock(spread @ self.use_matrix), above_start], starts)
 
     # ---- missing capacity ----------------------------------------------------------------------------
 
@@ -135,10 +135,10 @@
         """Transfers more of each resource, the fewest in sum, with which nothing would be rejected."""
         resource_count = len(self.resources)
         constraints = Constraints(self.choice_count + resource_count)
-        added = Block(negative_identity(resource_count), self.choice_count)
-        constraints.add([Block(self.use_matrix), added], self.limits)
+        added = ConstraintBlock(negative_identity(resource_count), self.choice_count)
+        constraints.add([ConstraintBlock(self.use_matrix), added], self.limits)
         can_be_served = np.asarray(self.demand_matrix.sum(axis=1)).ravel() > 0
-        constraints.add([Block(-self.demand_matrix)], -np.where(can_be_served, self.rates, 0.0))
+        constraints.add([ConstraintBlock(-self.demand_matrix)], -np.where(can_be_served, self.rates, 0.0))
         cost = np.concatenate([np.zeros(self.choice_count), np.ones(resource_count)])
         solution = constraints.minimize(cost)
         missing = solution[self.choice_count :] / (1 - self.topology.policy.headroom)
--- a/onyxwick/sites/load_shedding.py
+++ b/onyxwick/sites/load_shedding.py
@@ -19,7 +19,7 @@
 from onyxwick.interface import Idempotency, RequestClass
 from onyxwick.sites.model import MICROSECONDS_PER_SECOND
 from onyxwick.subrouters.admission_gate import AdmissionGate
-from onyxwick.subrouters.rejection import RejectionReason
+from onyxwick.subrouters.rejection import AdmissionRejection
 
 PRESSURE_WEIGHT = 0.04  # of one answer in the pressure
 PRESSURE_HALVING_US = 500_000  # without an answer the pressure halves in this time
@@ -102,14 +102,14 @@
 
     def rejection_reason(
         self, request_class: RequestClass, tenant: str, is_retry: bool, priority: float
-    ) -> RejectionReason | None:
+    ) -> AdmissionRejection | None:
         """Why a request is not admitted, or None. `priority`: of its class, 0 to 1."""
         if request_class.is_write or request_class.idempotency is Idempotency.NON_IDEMPOTENT:
             return None  # shed last of all: the origin's own limits apply
         if self.level < RETRY_SHEDDING_LEVEL:
             return None  # the router's own limits are enough
         if is_retry:
-            return RejectionReason.CLIENT_RETRY
+            return AdmissionRejection.CLIENT_RETRY
         reserve = self.tenant_reserves.get(tenant, 0.0)
         if reserve and self.gate.in_flight_of(tenant) < reserve * self.gate.adaptive_limit.limit:
             return None
--- a/onyxwick/sites/monitor.py
+++ b/onyxwick/sites/monitor.py
@@ -26,7 +26,7 @@
 from onyxwick.sites.operator_commands import SiteCommand, SiteCommands
 from onyxwick.sites.plan import SitePlan
 from onyxwick.sites.serving_sites import ServingSites, SiteRoute, is_evacuated
-from onyxwick.subrouters.rejection import RejectionReason
+from onyxwick.subrouters.rejection import AdmissionRejection
 
 TRIAL_INTERVAL_US = 150_000  # between two trials of a site that was left
 DEMAND_WINDOW_US = 5 * MICROSECONDS_PER_SECOND  # for which a client's request counts as demand
@@ -132,13 +132,13 @@
         request_class: RequestClass,
         client_site: str,
         plan_strictness: SiteMeasure,
-    ) -> SiteRoute | RejectionReason:
+    ) -> SiteRoute | AdmissionRejection:
         """Where a request of one site's client goes, or why it is rejected. If the site `lacks_observation`,
         step it first.
 
         `plan_strictness`: of what the plan may reject, the share that a site's caches have to reject now."""
         route = self._route(now, request, request_class, client_site)
-        if isinstance(route, RejectionReason) or route.is_trial:
+        if isinstance(route, AdmissionRejection) or route.is_trial:
             return route
         is_served = self.serving_sites.is_served(
             client_site,
@@ -147,11 +147,11 @@
             request.object_id,
             plan_strictness(route.site),
         )
-        return route if is_served else RejectionReason.SHED_BY_PLAN
+        return route if is_served else AdmissionRejection.SHED_BY_PLAN
 
     def _route(
         self, now: int, request: RequestArrived, request_class: RequestClass, client_site: str
-    ) -> SiteRoute | RejectionReason:
+    ) -> SiteRoute | AdmissionRejection:
         lifecycle = self.lifecycles[client_site]
         is_local = client_site == self.local_site
         is_doubtful = not is_local and lifecycle.phase in (SitePhase.SUSPECT, *AWAY_PHASES)
@@ -161,7 +161,7 @@
         may_try = self._may_try(now, client_site, request_class)
         route = self.serving_sites.route(lifecycle, request_class.name, request.object_id, is_local, may_try)
         if self.is_cut_off and isinstance(route, SiteRoute) and route.site != self.local_site:
-            return RejectionReason.DIRECTOR_ISOLATED
+            return AdmissionRejection.DIRECTOR_ISOLATED
         return route
 
     def lacks_observation(self, now: int, site: str) -> bool:
--- a/onyxwick/sites/router.py
+++ b/onyxwick/sites/router.py
@@ -46,7 +46,7 @@
 from onyxwick.sites.site_pool import DEFAULT_MAX_IN_FLIGHT, DEFAULT_TRANSFER_US, MakeRouter, SitePool
 from onyxwick.subrouters.admission_gate import class_priorities
 from onyxwick.subrouters.dispatcher import REBALANCE_TICKS
-from onyxwick.subrouters.rejection import RejectionReason
+from onyxwick.subrouters.rejection import AdmissionRejection
 
 MAX_RELOCATED_AT_ONCE = 32  # requests moved off a site at the instant it is found lost
 SOURCE_ANSWERED = (
@@ -148,7 +148,7 @@
         if self.monitor.lacks_observation(self.now, client_site):
             self._on_transition(self.monitor.step_site(self.now, client_site, self._pressure))
         route = self.monitor.route(self.now, request, request_class, client_site, self._plan_strictness)
-        if isinstance(route, RejectionReason):
+        if isinstance(route, AdmissionRejection):
             self._shed(request, self.sites[self.local_site], route)
             return
         site = self._site(route.site)
@@ -194,7 +194,7 @@
             site.shedding.gate.release(owner.tenant)
             owner.holds_admission = False
 
-    def _shed(self, request: RequestArrived, site: ActiveSite, reason: RejectionReason) -> None:
+    def _shed(self, request: RequestArrived, site: ActiveSite, reason: AdmissionRejection) -> None:
         """Reject a request at once, before any site's router receives it."""
         self._count(f"refused.{reason}.{request.class_name}")
         self.shed_now[request.request_id] = reason.value
--- a/onyxwick/sites/serving_sites.py
+++ b/onyxwick/sites/serving_sites.py
@@ -15,7 +15,7 @@
     shed_position,
     slice_of,
 )
-from onyxwick.subrouters.rejection import RejectionReason
+from onyxwick.subrouters.rejection import AdmissionRejection
 
 MAX_SLICE_TABLES = 1024  # kept at once, one for each loss, site and class
 NO_SITE = ""  # in a slice table: looked up, and no site serves it
@@ -108,7 +108,7 @@
 
     def route(
         self, lifecycle: SiteLifecycle, class_name: str, object_name: str, is_local: bool, may_try: bool
-    ) -> SiteRoute | RejectionReason:
+    ) -> SiteRoute | AdmissionRejection:
         """Where a request for an object of one site's clients goes, or why it is rejected, by that site's
         phase.
 
@@ -121,7 +121,7 @@
             case SitePhase.SUSPECT | SitePhase.LOST:
                 if is_local or may_try:
                     return SiteRoute(site, is_trial=not is_local)
-                return RejectionReason.SITE_IN_DOUBT
+                return AdmissionRejection.SITE_IN_DOUBT
             case SitePhase.EVACUATED:
                 if may_try:
                     return SiteRoute(site, is_trial=True)
@@ -130,13 +130,13 @@
             return self._moved_route(site, class_name, object_name)
         is_evacuating = lifecycle.phase is SitePhase.EVACUATING
         if is_evacuating and lifecycle.was_unreachable and not is_local:
-            return RejectionReason.SITE_MOVING
+            return AdmissionRejection.SITE_MOVING
         # Returned already; or not moved yet, from a site that answers or that is the own one.
         return SiteRoute(site)
 
-    def _moved_route(self, site: str, class_name: str, object_name: str) -> SiteRoute | RejectionReason:
+    def _moved_route(self, site: str, class_name: str, object_name: str) -> SiteRoute | AdmissionRejection:
         serving_site = self.serving_site_for(site, class_name, object_name)
-        return SiteRoute(serving_site) if serving_site else RejectionReason.NO_PLANNED_SITE
+        return SiteRoute(serving_site) if serving_site else AdmissionRejection.NO_PLANNED_SITE
 
 
 def is_evacuated(lifecycle: SiteLifecycle) -> bool:
--- a/onyxwick/subrouters/admission_gate.py
+++ b/onyxwick/subrouters/admission_gate.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from onyxwick.interface import Idempotency, RequestClass
-from onyxwick.subrouters.rejection import RejectionReason
+from onyxwick.subrouters.rejection import AdmissionRejection
 
 MAX_LATE_SHARE = 0.2  # of the latest answers; above it the limit falls
 LATENESS_WEIGHT = 0.06  # of one answer in that share
@@ -103,17 +103,17 @@
         self.in_flight = 0
         self.active_weight = 0.0  # of the owners in `accounts`
 
-    def rejection_reason(self, owner: str, priority: float) -> RejectionReason | None:
+    def rejection_reason(self, owner: str, priority: float) -> AdmissionRejection | None:
         """Why one more request of `owner` is not admitted, or None. `priority`: 0 to 1."""
         limit = self.adaptive_limit.limit * (1 - HIGH_PRIORITY_RESERVE * (1 - priority))
         if self.in_flight >= limit:
-            return RejectionReason.LIMIT_REACHED
+            return AdmissionRejection.LIMIT_REACHED
         account = self.accounts.get(owner)
         if self.in_flight < FAIRNESS_UTILISATION * limit or account is None:
             return None
         sharing_weight = self.total_weight or self.active_weight + self.active_weight / len(self.accounts)
         exceeds_fair_share = account.in_flight + 1 > limit * account.weight / sharing_weight
-        return RejectionReason.FAIR_SHARE_EXCEEDED if exceeds_fair_share else None
+        return AdmissionRejection.FAIR_SHARE_EXCEEDED if exceeds_fair_share else None
 
     def admit(self, owner: str, weight: float) -> None:
         """Count one more request of an owner."""
--- a/onyxwick/subrouters/rejection.py
+++ b/onyxwick/subrouters/rejection.py
@@ -10,7 +10,7 @@
 from enum import StrEnum
 
 
-class RejectionReason(StrEnum):
+class AdmissionRejection(StrEnum):
     """The rule that rejected a request."""
 
     # Cells and sites: the admission gate.
--- a/onyxwick/trace/audit.py
+++ b/onyxwick/trace/audit.py
@@ -48,7 +48,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ReceivedPurge:
+class AuditedPurge:
     """A purge as one director was notified of it."""
 
     received_us: int
@@ -101,14 +101,14 @@
             if kind == NotificationKind.SENT:
                 self.announced_sends.setdefault(int(data["id"]), []).append(at_us)
 
-    def _read_purges(self, notifications: list[f.Notification]) -> dict[PurgeKey, list[ReceivedPurge]]:
-        purges: dict[PurgeKey, list[ReceivedPurge]] = {}
+    def _read_purges(self, notifications: list[f.Notification]) -> dict[PurgeKey, list[AuditedPurge]]:
+        purges: dict[PurgeKey, list[AuditedPurge]] = {}
         for kind, at_us, data in notifications:
             if kind != NotificationKind.PURGE:
                 continue
             director = str(data.get("director", self.header.director))
             scope = "group" if data.get("object") is None else "object"
-            purge = ReceivedPurge(at_us, int(data["unix_us"]))
+            purge = AuditedPurge(at_us, int(data["unix_us"]))
             purges.setdefault((director, scope, data[scope]), []).append(purge)
         return purges
 
--- a/tests/cells.py
+++ b/tests/cells.py
@@ -21,7 +21,7 @@
     RequestLimits,
     TimerFired,
 )
-from tests.world import ORIGIN, PARENTS, SETTINGS, S, forwards, member
+from tests.router_harness import ORIGIN, PARENTS, SETTINGS, S, forwards, member
 
 CACHES = tuple(member(f"b{n}") for n in range(8))
 LIMITS = RequestLimits(max_attempts=6, cancellation=True, retry_after=True, max_retry_after_us=500_000)
--- a/tests/director_with_store.py
+++ b/tests/director_with_store.py
@@ -20,7 +20,7 @@
 from onyxwick.store.encryption import SecretCipher, generate_key
 from onyxwick.tenants import Tenants
 from tests.faulty_files import FaultyFiles
-from tests.world import CACHES, ORIGIN, PARENTS, SETTINGS, S
+from tests.router_harness import CACHES, ORIGIN, PARENTS, SETTINGS, S
 
 KEY = generate_key()
 ROWS = (*CACHES, *PARENTS, ORIGIN)
--- a/tests/ground.py
+++ b/tests/ground.py
@@ -36,7 +36,7 @@
 from onyxwick.net.coordinator_feed import CoordinatorFeed
 from onyxwick.net.front import FastCgiFront
 from onyxwick.net.listening import listen
-from tests.world import SETTINGS, member
+from tests.router_harness import SETTINGS, member
 
 PATIENCE_S = 10.0
 FOUND = b"digest=4be0c1927d55a6f3,note=HIT"
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -45,7 +45,7 @@
 from onyxwick.net.front import FastCgiFront
 from onyxwick.net.front_connection import FrontConnection
 from tests.cells import CACHES, CELL_SETTINGS, CellWorld, plan_of, rejections
-from tests.world import ORIGIN, PARENTS, S, forwards
+from tests.router_harness import ORIGIN, PARENTS, S, forwards
 
 HEALTHY = CellHealthSignals(
     target_caches=4,
--- a/tests/test_cells_placement.py
+++ b/tests/test_cells_placement.py
@@ -14,7 +14,7 @@
 from onyxwick.cells.plan_check import check_plan
 from onyxwick.interface import Member
 from tests.cells import plan_of
-from tests.world import member
+from tests.router_harness import member
 
 KINDS = ("parent", "origin")
 
--- a/tests/test_connection_slots.py
+++ b/tests/test_connection_slots.py
@@ -17,7 +17,7 @@
 )
 from onyxwick.net.front import FastCgiFront
 from onyxwick.net.front_connection import FrontConnection
-from tests.world import SETTINGS
+from tests.router_harness import SETTINGS
 
 
 def test_eviction_takes_answered_then_silent_then_stuck_connections_and_never_one_with_open_calls() -> None:
--- a/tests/test_coordinator_feed.py
+++ b/tests/test_coordinator_feed.py
@@ -19,7 +19,7 @@
 from onyxwick.net.coordinator_feed import FIRST_RETRY_US, MAX_RETRY_US, CoordinatorFeed
 from onyxwick.net.listening import listen
 from tests.ground import FOUND, PATIENCE_S, Ground, ask, call, played
-from tests.world import SETTINGS
+from tests.router_harness import SETTINGS
 
 ROW = {"addr": "127.0.0.1:1", "zone": "edge-1", "kind": "box", "state": "SERVING", "weight": 6}
 
--- a/tests/test_dns_routing.py
+++ b/tests/test_dns_routing.py
@@ -30,7 +30,7 @@
     RouterSettings,
 )
 from tests.exchange import DNS, FOLDER
-from tests.world import SETTINGS, member
+from tests.router_harness import SETTINGS, member
 
 CACHE_ADDRESSES = {f"c{n}": (f"127.77.2.{n + 1}", 15071) for n in range(3)}
 GRACE_S = 0.5
--- a/tests/test_durable_api.py
+++ b/tests/test_durable_api.py
@@ -19,7 +19,7 @@
 from onyxwick.store import StoreFailedError, StoreFullError
 from tests.director_with_store import ADDRESSES, DirectorWithStore, open_state
 from tests.faulty_files import FaultyFiles
-from tests.world import CACHES, S
+from tests.router_harness import CACHES, S
 
 ZONE = "@ 60 IN SOA ns. a. {} 1 1 1 60\n@ 60 IN NS ns.\n"
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -47,7 +47,7 @@
 from onyxwick.net.front_connection import LINGER_S
 from onyxwick.net.write_queue import ByteBudget, PendingWrite, WriteQueue
 from tests.ground import FOUND, PATIENCE_S, Ground, ask, call, played
-from tests.world import SETTINGS
+from tests.router_harness import SETTINGS
 
 
 def _answer(life_id: str, word: bytes = b"data", fields: bytes = FOUND, body: bytes = b"walk") -> bytes:
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -22,7 +22,7 @@
 from onyxwick.lab.faults.script import read as read_fleet
 from onyxwick.lab.faults.sweep import paired
 from tests.exchange import ROOT
-from tests.world import S
+from tests.router_harness import S
 
 EXAMPLES = ROOT / "examples" / "lab" / "faults"
 LOSS = EXAMPLES / "site-loss.hcl"
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -13,7 +13,7 @@
 from onyxwick.core.invariants import Invariants
 from onyxwick.interface import EndpointListKind, EndpointsChanged, Member, MemberState
 from tests.ground import FOUND, Ground, ask, call, played
-from tests.world import SETTINGS, member
+from tests.router_harness import SETTINGS, member
 
 S = 1_000_000
 NOW = 1_000 * S
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -18,7 +18,7 @@
 from onyxwick.lab.link import EmulatedLink
 from onyxwick.lab.model import Tier
 from tests.exchange import ROOT
-from tests.world import S
+from tests.router_harness import S
 
 EXAMPLES = ROOT / "examples" / "lab"
 BOX = Tier(1, 2.0, 0.18, 17 * S, 4.0)
--- a/tests/test_largest.py
+++ b/tests/test_largest.py
@@ -8,7 +8,7 @@
 import pytest
 
 from onyxwick.interface import Action, AnswerDetail, AttemptStatus, CancelAttempt, TimerFired
-from tests.world import SETTINGS, RouterHarness, S, final_answers, forwards
+from tests.router_harness import SETTINGS, RouterHarness, S, final_answers, forwards
 
 SHORT_TRANSFER_S = 0.25
 LONG_TRANSFER_S = 4.2
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -14,7 +14,7 @@
 from onyxwick.operations.metrics import MetricsSnapshot, metrics_document
 from onyxwick.operations.persisted_commands import PersistedCommands
 from onyxwick.operations.routes import OperatorCall, OperatorCallKind, parse_call
-from tests.world import member
+from tests.router_harness import member
 
 S = 1_000_000
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -22,7 +22,7 @@
     Recovery,
     RecoveryPhase,
 )
-from tests.world import CACHES, ORIGIN, PARENTS, S, member
+from tests.router_harness import CACHES, ORIGIN, PARENTS, S, member
 
 ROWS = (*CACHES, *PARENTS, ORIGIN)
 
--- a/tests/test_routing_event_orders.py
+++ b/tests/test_routing_event_orders.py
@@ -27,7 +27,7 @@
     RouterSettings,
     TimerFired,
 )
-from tests.world import ALL, HOLD, RULES, SETTINGS, S
+from tests.router_harness import ALL, HOLD, RULES, SETTINGS, S
 
 NOT_EXECUTED = {
     AttemptStatus.OVERLOADED,
--- a/tests/test_routing_failures.py
+++ b/tests/test_routing_failures.py
@@ -19,7 +19,7 @@
     SubscribeToEndpoints,
     WeightSource,
 )
-from tests.world import (
+from tests.router_harness import (
     ALL,
     CACHES,
     ORIGIN,
--- a/tests/test_routing_fleet.py
+++ b/tests/test_routing_fleet.py
@@ -20,7 +20,7 @@
     RejectRequest,
     RequestArrived,
 )
-from tests.world import (
+from tests.router_harness import (
     CACHES,
     ORIGIN,
     PARENTS,
--- a/tests/test_routing_modules.py
+++ b/tests/test_routing_modules.py
@@ -18,7 +18,7 @@
     WeightSource,
 )
 from onyxwick.routing.capacity import PARENT_PER_LINK, CapacityModel
-from onyxwick.routing.endpoints import EndpointTable
+from onyxwick.routing.endpoints import MemberRoles
 from onyxwick.routing.latency import OVERDUE_DEVIATIONS, LatencyEstimate
 from onyxwick.routing.outlier_detection import MAX_EJECTION_US, MIN_EJECTION_US, OutlierDetector, is_usable
 from onyxwick.routing.purge import PurgeTimes
@@ -27,13 +27,25 @@
 from onyxwick.routing.slow_start import SlowStart
 from onyxwick.routing.state import Attempt, MemberRecord, RequestState
 from onyxwick.routing.timers import TimerQueue
-from tests.world import ALL, CACHES, HOLD, ORIGIN, PARENTS, RULES, SAVE, SETTINGS, THUMB, RouterHarness, S
+from tests.router_harness import (
+    ALL,
+    CACHES,
+    HOLD,
+    ORIGIN,
+    PARENTS,
+    RULES,
+    SAVE,
+    SETTINGS,
+    THUMB,
+    RouterHarness,
+    S,
+)
 
 NOW_US = 1_000 * S
 
 
-def _endpoints(*members: Member) -> EndpointTable:
-    table = EndpointTable(SETTINGS)
+def _endpoints(*members: Member) -> MemberRoles:
+    table = MemberRoles(SETTINGS)
     table.apply(EndpointsChanged(EndpointListKind.SNAPSHOT, members), NOW_US)
     return table
 
--- a/tests/test_routing_popularity.py
+++ b/tests/test_routing_popularity.py
@@ -21,7 +21,7 @@
 )
 from onyxwick.routing import popularity
 from onyxwick.routing.popularity import Popularity
-from tests.world import CACHES, ORIGIN, PARENTS, SETTINGS, S
+from tests.router_harness import CACHES, ORIGIN, PARENTS, SETTINGS, S
 
 START_US = 1_000 * S
 
--- a/tests/test_routing_rules.py
+++ b/tests/test_routing_rules.py
@@ -17,7 +17,7 @@
     RejectRequest,
     TimerFired,
 )
-from tests.world import (
+from tests.router_harness import (
     ALL,
     CACHES,
     CHUNK,
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -58,7 +58,7 @@
 from tests.director_with_store import ImmediateTransport, open_state
 from tests.exchange import ROOT
 from tests.faulty_files import FaultyFiles
-from tests.world import SETTINGS, S
+from tests.router_harness import SETTINGS, S
 
 LOSS = ROOT / "examples" / "lab" / "faults" / "site-loss.hcl"
 
@@ -485,7 +485,7 @@
 
 
 def test_a_router_retries_less_as_its_reserve_falls() -> None:
-    from tests.world import RouterHarness, final_answers, forwards
+    from tests.router_harness import RouterHarness, final_answers, forwards
 
     tries = {}
     for reserve in (1.0, 0.5, 0.0):
--- a/tests/test_sites_plan.py
+++ b/tests/test_sites_plan.py
@@ -39,7 +39,7 @@
     slice_of,
 )
 from tests.exchange import ROOT
-from tests.world import SETTINGS
+from tests.router_harness import SETTINGS
 
 VIDEO = PlannedClass("video", 100_000, 40_000, 0.3, 0.5, priority_weight=2.0)
 SHEET = PlannedClass("sheet", 50_000, 20_000, 0.3, 0.5, priority_weight=1.0)
--- a/tests/test_sites_processes.py
+++ b/tests/test_sites_processes.py
@@ -18,7 +18,7 @@
 from onyxwick.lab.faults import checkers as c
 from onyxwick.lab.faults.history import History, read
 from tests.exchange import ROOT
-from tests.world import S
+from tests.router_harness import S
 
 LOSS = ROOT / "examples" / "lab" / "faults" / "site-loss.hcl"
 AT_ONCE, FIRST_SLOT = 3, 40
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -24,8 +24,8 @@
     SoakCall,
     SoakPurge,
     SoakRecords,
+    SoakTermination,
     Started,
-    Termination,
     Unready,
 )
 from onyxwick.lab.soak.oracle import Oracle
@@ -218,11 +218,11 @@
 
 def _lost_at_a_kill(r: SoakRecords) -> None:
     _lost(r)
-    r.terminations.append(Termination(0, NOW - S, NOW + S, True))
+    r.terminations.append(SoakTermination(0, NOW - S, NOW + S, True))
 
 
 def _open_at_a_kill(r: SoakRecords) -> None:
-    r.terminations.append(Termination(0, NOW - 9 * S, NOW - 8 * S, True))
+    r.terminations.append(SoakTermination(0, NOW - 9 * S, NOW - 8 * S, True))
     r.connections.append(ClientConnection(0, "resting", NOW - 10 * S))
 
 
--- a/tests/test_subrouters.py
+++ b/tests/test_subrouters.py
@@ -28,7 +28,7 @@
 from onyxwick.subrouters.admission_gate import AdaptiveLimit, AdmissionGate
 from onyxwick.subrouters.dispatcher import MAX_COUNTER_NAMES, TICK_INTERVAL_US
 from onyxwick.subrouters.share_arbiter import ShareArbiter
-from tests.world import SETTINGS, S, member
+from tests.router_harness import SETTINGS, S, member
 
 # ---- dispatch -------------------------------------------------------------------------------------------
 
