--- a/onyxwick/logs.py
+++ b/onyxwick/logs.py
@@ -18,6 +18,8 @@
 import structlog
 import ujson
 
+from onyxwick.former_log_events import add_former_event
+
 MAX_LINES_PER_S = 10
 """Of one kind: a level and an event."""
 MAX_TRACEBACK_CHARS = 2500
@@ -154,6 +156,7 @@
     structlog.configure(
         processors=[
             LineRateLimit(),
+            add_former_event,
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso", utc=True),
             *tracebacks,
--- a/onyxwick/settings.py
+++ b/onyxwick/settings.py
@@ -45,6 +45,10 @@
         self.path = path
 
 
+class EmptyNameError(OnyxwickError, ValueError):
+    """A name is empty."""
+
+
 class Pairs:
     """The settings of one router as `path=value`."""
 
@@ -107,9 +111,9 @@
 
 
 def name(text: str) -> str:
-    """A name as it stands; ValueError where it is empty."""
+    """A name as it stands; EmptyNameError where it is empty."""
     if not text:
-        raise ValueError("empty name")
+        raise EmptyNameError("empty name")
     return text
 
 
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -13,6 +13,8 @@
 import ujson
 
 from onyxwick import logs
+from onyxwick.former_log_events import FORMER_EVENTS
+from tests.exchange import ROOT
 
 
 def test_a_flood_of_lines_is_limited_and_counted() -> None:
@@ -60,6 +62,8 @@
 LOGGING = """
 import sys
 from onyxwick import logs
+from onyxwick.former_log_events import FORMER_EVENTS
+from tests.exchange import ROOT
 logs.set_up()
 for n in range(2000):
     logs.get().warning(f"line {n}", text="x" * 200)
@@ -85,3 +89,28 @@
             assert (done.returncode, done.stdout) == (0, "went on\n"), stderr
     for end in (read_end, write_end, closed_write):
         os.close(end)
+
+
+def test_a_renamed_event_carries_its_former_text() -> None:
+    stream = io.StringIO()
+    try:
+        logs.set_up(stream)
+        logs.get().warning("site state changed", site="north")
+        logs.get().info("serving")
+    finally:
+        structlog.reset_defaults()
+    renamed, unchanged = map(ujson.loads, stream.getvalue().splitlines())
+    assert (renamed["event"], renamed["former_event"], renamed["site"]) == (
+        "site state changed",
+        "site",
+        "north",
+    )
+    assert "former_event" not in unchanged
+
+
+def test_each_event_of_the_table_is_logged_somewhere() -> None:
+    """A later rename must not leave a stale row behind."""
+    sources = "".join(path.read_text() for path in (ROOT / "onyxwick").rglob("*.py"))
+    composed = {"operations endpoint on", "bad input to the operations endpoint"}  # by the HTTP server
+    for event in FORMER_EVENTS.keys() - composed:
+        assert sources.count(f'"{event}"') >= 2, event
--- a/tests/test_off.py
+++ b/tests/test_off.py
@@ -44,6 +44,7 @@
     "onyxwick.core.stall_detector",
     "onyxwick.counters",
     "onyxwick.errors",
+    "onyxwick.former_log_events",
     "onyxwick.interface",
     "onyxwick.interface.actions",
     "onyxwick.interface.endpoints",
