--- a/onyxwick/cells/admission.py
+++ b/onyxwick/cells/admission.py
@@ -37,7 +37,9 @@
         self.priority_of_class = class_priorities(settings.classes)
         self.tenant_rates = TenantRates(lambda: self.now_us / MICROSECONDS_PER_SECOND)
         self.concurrency_pool = ReservedPool(max_in_flight, 0.0, {})
-        self.write_gate = AdmissionGate(max_in_flight)  # at the origin, shared by all cells; its owners
+        self.write_gate = AdmissionGate(
+            max_in_flight
+        )  # at the origin, for all cells together; its owners are cells
         self.cell_weights: dict[str, float] = {}
         self.in_flight_by_tenant_cell: dict[tuple[str, str], int] = {}
         self.in_flight_by_tenant: dict[str, int] = {}
--- a/onyxwick/cells/limits.py
+++ b/onyxwick/cells/limits.py
@@ -14,7 +14,7 @@
     is shared, and one cell may take at most half of it."""
 
     def __init__(self, total: float, reserved_share: float, weights: Mapping[str, float]) -> None:
-        """`reserved_share`: of `total` that is divided for good, by weight."""
+        """`reserved_share`: of `total` that is permanently divided, by weight."""
         total_weight = sum(weights.values()) or 1.0
         self.reserved = {
             name: reserved_share * total * weight / total_weight for name, weight in weights.items()
--- a/onyxwick/cells/placement.py
+++ b/onyxwick/cells/placement.py
@@ -22,7 +22,8 @@
 from onyxwick.interface import Member
 from onyxwick.subrouters.hashing import HASH_RANGE, stable_hash
 
-MAX_LOAD_FACTOR = 1.25  # times its fair share of the tenants' weight that a cell takes before it is passed by
+MAX_LOAD_FACTOR = 1.25
+"""Of its fair share of the tenants' weight: above it a cell is skipped while others have capacity."""
 MAX_HASH = HASH_RANGE - 1
 CACHED_NAMES = 1 << 14
 NAMESPACE = b"cells"
--- a/onyxwick/cli/store.py
+++ b/onyxwick/cli/store.py
@@ -98,7 +98,7 @@
 @store.command()
 @folder_argument
 def compact(folder: Path) -> None:
-    """Write a checkpoint and drop the log that it makes needless. The director must not run."""
+    """Write a checkpoint and remove the log that it makes redundant. The director must not run."""
     engine = _open(folder)
     bytes_before = engine.total_bytes()
     engine.compact()
@@ -112,7 +112,7 @@
 def backup(folder: Path, out: Path) -> None:
     """Copy the store to the new folder OUT, also while a director runs: the copy is checked by opening it.
 
-    The mark is copied first: what it promises is in the log that is copied after it.
+    The commit mark is copied first: the records that it acknowledges are in the log that is copied after it.
     """
     from onyxwick.store.backup import BackupError, copy_store
 
--- a/onyxwick/config/service.py
+++ b/onyxwick/config/service.py
@@ -81,7 +81,7 @@
     key_file: Path
     installation: str
     persists_bookings: bool
-    """The intent of each booking is durable before it is sent."""
+    """The intent of each non-idempotent request is durable before it is sent (field `bookings`)."""
     max_log_bytes: int
     max_total_bytes: int
 
--- a/onyxwick/core/context.py
+++ b/onyxwick/core/context.py
@@ -11,7 +11,7 @@
 from onyxwick.core.invariant_model import Violation
 from onyxwick.core.invariants import Invariants
 from onyxwick.core.model import CacheTransport
-from onyxwick.core.reasons import RejectionReason
+from onyxwick.core.reasons import UnservedReason
 from onyxwick.core.send_guard import SendGuard
 from onyxwick.counters import Counters
 from onyxwick.interface import Event, RouterSettings
@@ -63,10 +63,10 @@
     durable: DurableState | None = None
     """What outlasts a restart, where the installation has a disk."""
 
-    def record_rejection(self, reason: RejectionReason, request: str, connection: int = -1) -> None:
-        """Count and log that a request gets no answer of a cache, for this reason."""
+    def record_unserved(self, reason: UnservedReason, request: str, connection: int = -1) -> None:
+        """Count and log that a request is rejected or failed without a cache's answer, for this reason."""
         self.counters.add(f"refused.{reason.value}")
-        log.info("request rejected", reason=reason.value, request=request, connection=connection)
+        log.info("request not served", reason=reason.value, request=request, connection=connection)
 
 
 def report_violation(counters: Counters, violation: Violation) -> None:
--- a/onyxwick/core/engine.py
+++ b/onyxwick/core/engine.py
@@ -92,7 +92,7 @@
             max_open_requests,
             _non_idempotent_classes(settings),
         )
-        self.record_rejection = self.context.record_rejection
+        self.record_unserved = self.context.record_unserved
         self.feed = FeedIntake(self.context)
         self.timers = RouterTimers(self.now, self.handle, counters)
         self.table = RequestTable(self.context)
--- a/onyxwick/core/reasons.py
+++ b/onyxwick/core/reasons.py
@@ -8,8 +8,8 @@
 from enum import Enum
 
 
-class RejectionReason(Enum):
-    """Why a request got no answer of a cache. Counted as `refused.VALUE`."""
+class UnservedReason(Enum):
+    """Why a request was rejected or failed without a cache's answer. Counted as `refused.VALUE`."""
 
     BAD_INPUT = "bad_input"
     CELL_FULL = "cell_full"
@@ -19,9 +19,10 @@
     DUPLICATE_ID = "duplicate_id"
     INTERNAL_ERROR = "error"
     POSSIBLY_EXECUTED = "may_have_run"
-    NO_CACHE_AVAILABLE = "no_server"
-    """The router rejected it: no cache can take it, or it may be retried elsewhere."""
-    FAILED = "failed"
+    REJECTED_BY_ROUTER = "no_server"
+    """The router, or a cell or site before it, rejected it, for whatever cause: a trace names it
+    (docs/design/routing.md, "Why a request was rejected or failed")."""
+    FAILED_BY_ROUTER = "failed"
     """The router failed it: it may have been executed."""
     DEADLINE_EXCEEDED = "overdue"
     REJECTED_IN_SHUTDOWN = "passed_on"
--- a/onyxwick/core/request_lifecycle.py
+++ b/onyxwick/core/request_lifecycle.py
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True)
 class ClientDeparted:
-    """The client has disconnected, or (`deadline_exceeded`) the request has outlived its time unanswered."""
+    """The client has disconnected, or (`deadline_exceeded`) waits no longer, as its deadline has passed."""
 
     deadline_exceeded: bool = False
 
--- a/onyxwick/core/request_runner.py
+++ b/onyxwick/core/request_runner.py
@@ -14,7 +14,7 @@
 from onyxwick.core.attempt_runner import AttemptRunner
 from onyxwick.core.context import EngineContext
 from onyxwick.core.model import AnswerStatus, ClientRequest, FinalAnswer
-from onyxwick.core.reasons import RejectionReason
+from onyxwick.core.reasons import UnservedReason
 from onyxwick.core.request_lifecycle import (
     AttemptDecided,
     AttemptFinished,
@@ -88,7 +88,7 @@
             request = lifecycle.request
             self.context.counters.add("error.request")
             log.exception("error in a request", request=request.request_id)
-            self._reject(request, RejectionReason.INTERNAL_ERROR)
+            self._reject(request, UnservedReason.INTERNAL_ERROR)
             self._forget(request.request_id)
             return FinalAnswer(AnswerStatus.FAILED)
 
@@ -143,10 +143,10 @@
         context = self.context
         match end:
             case RejectRequest(_, retry_after_us):
-                self._reject(request, RejectionReason.NO_CACHE_AVAILABLE)
+                self._reject(request, UnservedReason.REJECTED_BY_ROUTER)
                 return FinalAnswer(AnswerStatus.REJECTED, retry_after_us=retry_after_us)
             case FailRequest():
-                self._reject(request, RejectionReason.FAILED)
+                self._reject(request, UnservedReason.FAILED_BY_ROUTER)
                 return FinalAnswer(AnswerStatus.FAILED)
             case ClientDeparted(deadline_exceeded=False):
                 context.counters.add("request.left")
@@ -154,15 +154,15 @@
                 return None
             case RequestReleased(is_retry_safe):
                 context.handle(ClientDisconnected(request.request_id))
-                self._reject(request, RejectionReason.RELEASED_IN_SHUTDOWN)
+                self._reject(request, UnservedReason.RELEASED_IN_SHUTDOWN)
                 return FinalAnswer(AnswerStatus.REJECTED if is_retry_safe else AnswerStatus.FAILED)
         context.counters.add("request.overdue")
         context.handle(ClientDisconnected(request.request_id))
-        self._reject(request, RejectionReason.DEADLINE_EXCEEDED)
+        self._reject(request, UnservedReason.DEADLINE_EXCEEDED)
         return FinalAnswer(AnswerStatus.FAILED)
 
-    def _reject(self, request: ClientRequest, reason: RejectionReason) -> None:
-        self.context.record_rejection(reason, request.request_id, request.connection_id)
+    def _reject(self, request: ClientRequest, reason: UnservedReason) -> None:
+        self.context.record_unserved(reason, request.request_id, request.connection_id)
 
     def _forget(self, request_id: str) -> None:
         """After an error: the router has got the request's arrival and would wait for its end."""
--- a/onyxwick/core/request_table.py
+++ b/onyxwick/core/request_table.py
@@ -11,7 +11,7 @@
 
 from onyxwick.core.context import EngineContext
 from onyxwick.core.model import AnswerStatus, CacheTransport, ClientRequest, FinalAnswer
-from onyxwick.core.reasons import RejectionReason
+from onyxwick.core.reasons import UnservedReason
 from onyxwick.core.request_lifecycle import RequestLifecycle
 
 
@@ -29,15 +29,15 @@
     ) -> RequestLifecycle | None:
         """Open a request; None if it was not admitted and `reply` has got its final answer."""
         if request.request_id in self.lifecycles:
-            self._reject(request, RejectionReason.DUPLICATE_ID, "answer.duplicate")
+            self._reject(request, UnservedReason.DUPLICATE_ID, "answer.duplicate")
             reply(FinalAnswer(AnswerStatus.FAILED))
             return None
         if len(self.lifecycles) >= self.context.max_open_requests:
-            self._reject(request, RejectionReason.TOO_MANY_REQUESTS, "answer.overloaded")
+            self._reject(request, UnservedReason.TOO_MANY_REQUESTS, "answer.overloaded")
             reply(FinalAnswer(AnswerStatus.REJECTED))
             return None
         if self._possibly_executed(request):
-            self._reject(request, RejectionReason.POSSIBLY_EXECUTED, "answer.may_have_run")
+            self._reject(request, UnservedReason.POSSIBLY_EXECUTED, "answer.may_have_run")
             reply(FinalAnswer(AnswerStatus.FAILED))
             return None
         lifecycle = RequestLifecycle(request, transport=transport)
@@ -75,6 +75,6 @@
             return False
         return not durable.recovery.may_send(request.request_id)
 
-    def _reject(self, request: ClientRequest, reason: RejectionReason, counter: str) -> None:
+    def _reject(self, request: ClientRequest, reason: UnservedReason, counter: str) -> None:
         self.context.counters.add(counter)
-        self.context.record_rejection(reason, request.request_id, request.connection_id)
+        self.context.record_unserved(reason, request.request_id, request.connection_id)
--- a/onyxwick/core/send_guard.py
+++ b/onyxwick/core/send_guard.py
@@ -52,7 +52,11 @@
     ) -> bool:
         """Whether the client still waits, a retry is safe, and the member and its source still take it."""
         self._read_feed_after_stall()
-        if lifecycle.client_departed or lifecycle.answered or not self.may_retry(lifecycle, attempt_index):
+        if (
+            lifecycle.client_departed
+            or lifecycle.answered
+            or not self.is_retry_permitted(lifecycle, attempt_index)
+        ):
             return False
         if not lifecycle.request.is_wanted():
             self.on_client_departed(lifecycle)
@@ -74,7 +78,7 @@
             return True
         return not any(lifecycle.started_at_us)
 
-    def may_retry(self, lifecycle: RequestLifecycle, attempt_index: int) -> bool:
+    def is_retry_permitted(self, lifecycle: RequestLifecycle, attempt_index: int) -> bool:
         """Whether an attempt may be sent beside or after earlier ones that may have been executed."""
         request_class = self.classes.get(lifecycle.request.class_name)
         if request_class is None or request_class.idempotency is Idempotency.IDEMPOTENT:
--- a/onyxwick/core/shutdown.py
+++ b/onyxwick/core/shutdown.py
@@ -34,7 +34,7 @@
 PARTIAL_REQUESTS_BEFORE_KILL_S = 0.6
 MIN_ACCEPT_S = 0.45
 MAX_ACCEPT_S = 0.75
-"""For how long after SIGTERM new connections are accepted. They arrive for up to 0.4 s."""
+"""For how long after SIGTERM new connections are accepted; clients may still connect for 0.4 s."""
 GUARANTEED_UNTIL_S = 0.7
 """A request that arrives later than this after SIGTERM must be answered before SIGKILL."""
 FINAL_FLUSH_S = 0.1
--- a/onyxwick/core/stall_detector.py
+++ b/onyxwick/core/stall_detector.py
@@ -11,7 +11,8 @@
 from dataclasses import dataclass
 
 STALL_S = 0.1
-"""The shortest gap between two turns that counts as a stall; well under the slack of timeouts of attempts."""
+"""The shortest gap between two turns that counts as a stall; well under the
+slack that the run-time check of attempts' timeouts allows."""
 AFTERMATH_TICKS = 5
 """Ticks after a stall during which bytes that are read may have arrived in it: a socket that was readable at
 the end of the stall is read two turns of the loop later, and each turn has one tick at most."""
--- a/onyxwick/distribution/admission.py
+++ b/onyxwick/distribution/admission.py
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass
 
-from onyxwick.distribution.model import SECOND_US
+from onyxwick.distribution.model import US_PER_S
 
 
 @dataclass(frozen=True, slots=True)
@@ -19,7 +19,7 @@
 
     per_s: float = 100.0
     burst: int = 32
-    max_wait_us: int = 2 * SECOND_US
+    max_wait_us: int = 2 * US_PER_S
 
 
 class SubscriberAdmission:
@@ -31,7 +31,7 @@
 
     def wait_us(self, now: int) -> int | None:
         """How long a subscriber that arrives now has to wait; None: rejected, without using up the rate."""
-        interval_us = SECOND_US / self.limits.per_s
+        interval_us = US_PER_S / self.limits.per_s
         backlog_us = max(0.0, self._bucket_empty_at_us - now)
         wait_us = max(0, int(backlog_us - (self.limits.burst - 1) * interval_us))
         if wait_us > self.limits.max_wait_us:
--- a/onyxwick/distribution/fanout.py
+++ b/onyxwick/distribution/fanout.py
@@ -12,7 +12,7 @@
 
 from onyxwick.distribution.admission import AdmissionLimits, SubscriberAdmission
 from onyxwick.distribution.codec import encode_announcement, encode_freshness
-from onyxwick.distribution.model import ORIGIN, SECOND_US, Cursor, Freshness
+from onyxwick.distribution.model import ORIGIN, US_PER_S, Cursor, Freshness
 from onyxwick.distribution.replica import Replica, lines_within
 from onyxwick.distribution.transitions import check_transition
 
@@ -45,8 +45,8 @@
     max_subscribers: int = 256
     high_water_bytes: int = 65_536
     heartbeat_interval_us: int = 200_000
-    follow_timeout_us: int = 2 * SECOND_US
-    stalled_timeout_us: int = 10 * SECOND_US
+    follow_timeout_us: int = 2 * US_PER_S
+    stalled_timeout_us: int = 10 * US_PER_S
     admission: AdmissionLimits = field(default_factory=AdmissionLimits)
 
 
--- a/onyxwick/distribution/follower_actions.py
+++ b/onyxwick/distribution/follower_actions.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from onyxwick.distribution.model import SECOND_US, FeedEvent, Freshness
+from onyxwick.distribution.model import US_PER_S, FeedEvent, Freshness
 from onyxwick.distribution.replica import FeedSnapshot
 
 
@@ -19,11 +19,11 @@
     """
 
     connect_timeout_us: int = 500_000
-    first_line_timeout_us: int = 3 * SECOND_US
+    first_line_timeout_us: int = 3 * US_PER_S
     silence_timeout_us: int = 700_000
-    stale_after_us: int | None = 3 * SECOND_US
-    max_stale_after_us: int = 30 * SECOND_US
-    return_to_first_after_us: int = 60 * SECOND_US
+    stale_after_us: int | None = 3 * US_PER_S
+    max_stale_after_us: int = 30 * US_PER_S
+    return_to_first_after_us: int = 60 * US_PER_S
     late_tick_us: int = 100_000
     grace_us: int = 300_000
     max_malformed_lines: int = 16
--- a/onyxwick/distribution/model.py
+++ b/onyxwick/distribution/model.py
@@ -15,8 +15,7 @@
 """Packed cursors stay below 2^63, which every JSON reader in use here reads as an integer."""
 MAX_LINE_BYTES = 4_194_304
 """Longest line of a feed, the same bound as the coordinator's feed has."""
-SECOND_US = 1_000_000
-"""Microseconds."""
+US_PER_S = 1_000_000
 MAX_DOCUMENT_BYTES = 1_048_576
 """Longest configuration document, in bytes of UTF-8."""
 MAX_DOCUMENTS = 256
--- a/onyxwick/distribution/publisher.py
+++ b/onyxwick/distribution/publisher.py
@@ -17,7 +17,7 @@
     MAX_DOCUMENTS,
     MAX_LINE_BYTES,
     MAX_PART_BYTES,
-    SECOND_US,
+    US_PER_S,
     CacheListChange,
     Cursor,
     DocumentPart,
@@ -106,7 +106,7 @@
         if not self.document_queue:
             return None
         missing_bytes = _part_bytes(self.document_queue[0]) - self._allowed_bytes(now)
-        return max(0, int(missing_bytes / self.limits.bulk_bytes_per_s * SECOND_US) + 1)
+        return max(0, int(missing_bytes / self.limits.bulk_bytes_per_s * US_PER_S) + 1)
 
     def _check_purge(self, purge: PurgeEvent, now_ms: int) -> None:
         if purge.unix_ms > now_ms + self.limits.max_future_ms:
@@ -151,7 +151,7 @@
 
     def _allowed_bytes(self, now: int) -> float:
         """Bytes of documents that may be sent now: a token bucket."""
-        earned_bytes = (now - self._refilled_at_us) / SECOND_US * self.limits.bulk_bytes_per_s
+        earned_bytes = (now - self._refilled_at_us) / US_PER_S * self.limits.bulk_bytes_per_s
         return min(self.limits.bulk_burst_bytes, self._allowance_bytes + earned_bytes)
 
 
--- a/onyxwick/distribution/replica.py
+++ b/onyxwick/distribution/replica.py
@@ -35,7 +35,7 @@
 PURGE_RETENTION_MS = 60_000
 """How long a purge is part of snapshots; longer than caches need to carry a purge out."""
 MAX_PURGES = 131_072
-"""Purges kept at once: 36 minutes of 60 a second, were they all retained. The publisher admits half of it."""
+"""Purges kept at once, a bound on memory; the publisher rejects purges above half of it."""
 
 
 class PurgeTable:
--- a/onyxwick/former_log_events.py
+++ b/onyxwick/former_log_events.py
@@ -21,7 +21,6 @@
     "distribution event failed": "error in an event of the distribution feed",
     "document applied": "document in force",
     "document queued": "document",
-    "dropped incomplete events": "events never came whole and are given up",
     "error in a background task": "error in a task of the director",
     "error in operator command file check": "error in the door's look at its file",
     "feed connection closed": "the feed's connection is given up",
@@ -44,6 +43,7 @@
     "listening socket closed with connections waiting": (
         "the listening socket closes before all who wait are taken in"
     ),
+    "missing feed events skipped": "events never came whole and are given up",
     "no connection slot for attempt": "no place for a connection",
     "no feasible plan for site loss": "a loss that cannot be borne",
     "no plan for site losses": "no plan for the loss of sites",
@@ -62,7 +62,7 @@
     "plan of cells restored from store": "plan of cells from the store",
     "reload failed, documents unchanged": "documents kept as they were",
     "reload ignored, a relay reads no documents": "a relay has nothing to read again",
-    "request rejected": "request refused",
+    "request not served": "request refused",
     "router message": "module",
     "shutdown cancelled": "ending taken back",
     "shutdown stage": "ending",
--- a/onyxwick/interface/events.py
+++ b/onyxwick/interface/events.py
@@ -153,7 +153,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ObjectsPurged:
-    """One object, or with `object_id` None every object of `object_group`, was purged `age_us` ago."""
+    """One object, or with `object_id` None every object of `object_group`, was purged `age_us` ago.
+
+    `object_group` is ignored where an object is named.
+    """
 
     object_group: int
     object_id: str | None
--- a/onyxwick/interface/settings.py
+++ b/onyxwick/interface/settings.py
@@ -158,7 +158,7 @@
     """A fill may join one of the same object that is under way."""
     answer_detail: AnswerDetailLevel = AnswerDetailLevel.NONE
     transfer_kb_per_s: float = 0.0
-    """Rate of one transfer to a client at full speed; a weight counts such transfers. 0: not known."""
+    """Rate of one transfer to a client at full speed; listed weights count such transfers. 0: not known."""
     zone_link_kb_per_s: float = 0.0
     """What the zone's one link for fills carries; 0: not known."""
     report_names: tuple[str, ...] = ()
--- a/onyxwick/lifecycle.py
+++ b/onyxwick/lifecycle.py
@@ -166,7 +166,7 @@
     async def run(
         self, inherited_socket: socket.socket | None = None, early_signals: Sequence[int] = ()
     ) -> None:
-        """From STARTING to STOPPED; returns when all admitted requests are answered.
+        """From STARTING to STOPPED; returns when all requests are answered or the last stage is over.
 
         `inherited_socket`: the listening socket that the platform holds; else the program binds its own.
         `early_signals`: signals to reload that came while the program was starting.
@@ -214,7 +214,7 @@
             start("collect", _collect_garbage),
         ]
         gc.set_threshold(*GC_THRESHOLDS)
-        gc.collect()  # else what imports have left is kept for good
+        gc.collect()  # otherwise garbage left by imports would be frozen too
         gc.freeze()  # what exists from the start need not be examined again
         if self.operations is not None:
             self.operations.start()
@@ -264,7 +264,7 @@
         await self.front.finish_shutdown(schedule)
 
     async def _stop(self, tasks: Sequence[asyncio.Task[None]]) -> None:
-        """All requests are answered: stop the other parts, within the time before SIGKILL."""
+        """The front is shut down: stop the other parts, within the time before SIGKILL."""
         if self.operations is not None:
             await self.operations.stop(self.termination.kill_at_s - FINAL_FLUSH_S)
         for task in tasks:
--- a/onyxwick/net/call_intake.py
+++ b/onyxwick/net/call_intake.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING, Protocol
 
 from onyxwick.core import AnswerStatus, ClientRequest, FinalAnswer, RequestEngine
-from onyxwick.core.reasons import ConnectionCloseReason, RejectionReason
+from onyxwick.core.reasons import ConnectionCloseReason, UnservedReason
 from onyxwick.core.shutdown import ShutdownStage
 from onyxwick.counters import Counters
 from onyxwick.interface import RequestClass
@@ -101,7 +101,7 @@
             self.policy.counters.add("client.crossed")  # it crossed the close: the client sends it again
             return
         if connection.is_closing:  # received before the close is written: it is owed a final answer
-            self._reject_overloaded(call, RejectionReason.CONNECTION_CLOSING, "answer.ending")
+            self._reject_overloaded(call, UnservedReason.CONNECTION_CLOSING, "answer.ending")
             return
         if not call.keep_connection:
             connection.begin_closing(ConnectionCloseReason.NO_KEEP_ALIVE)
@@ -136,12 +136,12 @@
         if policy.stage_at(time.monotonic()) >= ShutdownStage.REJECT_NEW:
             # The connection is about to close and would never become idle: the client retries on a new one.
             self._reject(
-                call, RejectionReason.REJECTED_IN_SHUTDOWN, "answer.passed_on", policy.closing_retry_us
+                call, UnservedReason.REJECTED_IN_SHUTDOWN, "answer.passed_on", policy.closing_retry_us
             )
         elif policy.budget.held_bytes > policy.max_held_bytes:
-            self._reject_overloaded(call, RejectionReason.UNREAD_ANSWER_LIMIT, "answer.overloaded")
+            self._reject_overloaded(call, UnservedReason.UNREAD_ANSWER_LIMIT, "answer.overloaded")
         elif policy.reservation is not None and not self._reserve_in_cell(policy.reservation, request.tenant):
-            self._reject(call, RejectionReason.CELL_FULL, "answer.cell_full", policy.overload_retry_us)
+            self._reject(call, UnservedReason.CELL_FULL, "answer.cell_full", policy.overload_retry_us)
         else:
             self.connection.start(call.request_number, request)
 
@@ -164,7 +164,7 @@
     # ---- rejections --------------------------------------------------------------------------------------
 
     def _reject(
-        self, call: fastcgi.FastCgiCall, reason: RejectionReason, counter: str, retry_after_us: int
+        self, call: fastcgi.FastCgiCall, reason: UnservedReason, counter: str, retry_after_us: int
     ) -> None:
         """Answer with a rejection and a Retry-After."""
         self.policy.counters.add(counter)
@@ -172,7 +172,7 @@
         answer = FinalAnswer(AnswerStatus.REJECTED, retry_after_us=retry_after_us)
         self.connection.send(call.request_number, encode_answer(call.request_number, answer))
 
-    def _reject_overloaded(self, call: fastcgi.FastCgiCall, reason: RejectionReason, counter: str) -> None:
+    def _reject_overloaded(self, call: fastcgi.FastCgiCall, reason: UnservedReason, counter: str) -> None:
         """Answer with FastCGI's own protocol status, which holds no memory for a response."""
         self.policy.counters.add(counter)
         self._report_rejection(call, reason)
@@ -181,11 +181,11 @@
 
     def _reject_bad(self, call: fastcgi.FastCgiCall, text: str, status: str) -> None:
         """Answer a call that cannot be read."""
-        self._report_rejection(call, RejectionReason.BAD_INPUT)
+        self._report_rejection(call, UnservedReason.BAD_INPUT)
         self.connection.protocol_error(text)
         response = fastcgi.encode_response(call.request_number, status, {}, b"")
         self.connection.send(call.request_number, response)
 
-    def _report_rejection(self, call: fastcgi.FastCgiCall, reason: RejectionReason) -> None:
+    def _report_rejection(self, call: fastcgi.FastCgiCall, reason: UnservedReason) -> None:
         request_id = call.params.get(REQUEST_ID, b"")[:LOGGED_ID_BYTES].decode("latin-1")
-        self.policy.core.record_rejection(reason, request_id, self.connection.number)
+        self.policy.core.record_unserved(reason, request_id, self.connection.number)
--- a/onyxwick/net/coordinator_feed.py
+++ b/onyxwick/net/coordinator_feed.py
@@ -39,7 +39,7 @@
 """For a line whose bytes arrive without a pause: a complete list on a slow connection."""
 MAX_LINE_LIMIT_DOUBLINGS = 4
 MAX_GAP_CONNECTIONS = 4
-"""Connections on which an event is missing before it is dropped."""
+"""An event that is missing on this many connections in a row is skipped."""
 MAX_APPLY_ATTEMPTS = 3
 """Of an event that cannot be applied; then it is skipped, as the feed must progress."""
 FIRST_RETRY_US = 100_000
@@ -168,7 +168,7 @@
         if self.gap_connections < MAX_GAP_CONNECTIONS:
             raise FeedConnectionError(f"found event {index}, expected {self.last_index + 1}")
         self.counters.add("error.gap")
-        log.error("dropped incomplete events", first=self.last_index + 1, next=index)
+        log.error("missing feed events skipped", first=self.last_index + 1, next=index)
         self.gap_connections = 0
         self.last_index = index - 1
 
--- a/onyxwick/net/director_feed.py
+++ b/onyxwick/net/director_feed.py
@@ -25,7 +25,7 @@
 )
 from onyxwick.distribution.replica import FeedSnapshot, PurgeTable
 from onyxwick.net.errors import UnknownEventError
-from onyxwick.net.feed_wire import ALL_GROUPS, IS_SNAPSHOT, LIST_VERSION, ROWS, US_PER_MS, read_members
+from onyxwick.net.feed_wire import IS_SNAPSHOT, LIST_VERSION, NO_GROUP, ROWS, US_PER_MS, read_members
 
 log = logs.get()
 ApplyDocument = Callable[[str], None]
@@ -103,7 +103,7 @@
 
     def _apply_purge(self, purge: PurgeEvent) -> None:
         if self.purges.add(purge):
-            group = ALL_GROUPS if purge.key.object_group is None else purge.key.object_group
+            group = NO_GROUP if purge.key.object_group is None else purge.key.object_group
             made_at_us = self.stamps.purge_time_us(purge.unix_ms * US_PER_MS, self.core.now())
             self.core.feed.apply_purge(group, purge.key.object_id, made_at_us)
 
--- a/onyxwick/net/feed_race.py
+++ b/onyxwick/net/feed_race.py
@@ -22,7 +22,7 @@
 CONNECT_LIMIT_S = 0.8
 """After so long another connection is tried beside one that is not established."""
 SILENCE_LIMIT_S = 2.2
-"""The same beside one that is established: a line is sent each second."""
+"""After so long without a byte on an established one another is tried: a line is sent each second."""
 CHECK_INTERVAL_S = 0.05
 """Between two checks whether another connection is due."""
 
--- a/onyxwick/net/feed_wire.py
+++ b/onyxwick/net/feed_wire.py
@@ -45,7 +45,8 @@
 PURGED_GROUP = "shard"
 PURGED_AT_MS = "unix_ms"
 
-ALL_GROUPS = -1
+NO_GROUP = -1
+"""Of a purge that names an object."""
 US_PER_MS = 1000
 QUOTED_ROW_CHARACTERS = 64
 MALFORMED = (KeyError, ValueError, TypeError, AttributeError)
@@ -95,7 +96,7 @@
     group = document.get(PURGED_GROUP)
     return Purge(
         name=None if name is None else str(name),
-        group=ALL_GROUPS if group is None else int(group),
+        group=NO_GROUP if group is None else int(group),
         made_at_us=stamps.purge_time_us(int(document[PURGED_AT_MS]) * US_PER_MS, now_us),
     )
 
--- a/onyxwick/net/front.py
+++ b/onyxwick/net/front.py
@@ -37,7 +37,7 @@
 
 log = logs.get()
 MAX_OVERLOAD_RETRY_US = 500_000
-"""The longest Retry-After of an overload: unread answers are cut off within seconds."""
+"""The longest Retry-After of an overload: a client that reads nothing is closed within seconds."""
 CLOSING_RETRY_US = 100_000
 """The Retry-After of a new call on a connection that is about to close."""
 SWEEP_INTERVAL_S = 0.25
@@ -179,7 +179,7 @@
     async def finish_shutdown(self, schedule: ShutdownSchedule) -> None:
         """Carry a termination through.
 
-        Returns once all connections are closed and nothing is open, `LAST_WORDS_S` after its last stage at
+        Returns once all connections are closed and nothing is open, `FINAL_FLUSH_S` after its last stage at
         the latest.
         """
         if self.shutdown is None:
--- a/onyxwick/operations/errors.py
+++ b/onyxwick/operations/errors.py
@@ -14,7 +14,7 @@
 
     def __init__(self, cache: str, limit: int) -> None:
         # The text is part of the answer to the caller.
-        super().__init__(f"{limit} caches are left out already")
+        super().__init__(f"{limit} caches are disabled already")
         self.cache = cache
         self.limit = limit
 
--- a/onyxwick/operations/server.py
+++ b/onyxwick/operations/server.py
@@ -47,7 +47,7 @@
 """The longest wait for the thread's end."""
 MAX_LOGGED_PATH_CHARS = 64
 DRAIN_TARGET = ""
-"""Stands for the director itself among the targets of commands, which are cache ids else."""
+"""Stands for the director itself among the targets of commands, which are otherwise cache ids."""
 READ_ONLY_CALLS = frozenset({OperatorCallKind.READY, OperatorCallKind.METRICS})
 """Calls that change nothing; they come some ten times a second and are not logged."""
 
--- a/onyxwick/quota.py
+++ b/onyxwick/quota.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 BURST_S = 1.0
-"""A bucket holds the tokens of so long a time."""
+"""Burst size: seconds of the rate that a full bucket holds."""
 
 
 class TokenBucket:
--- a/onyxwick/routing/capacity.py
+++ b/onyxwick/routing/capacity.py
@@ -21,11 +21,11 @@
 from onyxwick.routing.units import US_PER_S
 
 LINK_PER_CACHES = 0.38
-"""A zone's link over its caches' capacity: at full load a quarter is filled, with headroom."""
+"""Ratio of a zone's link to its caches' capacity: a quarter of the answers are fills, with headroom."""
 REFERENCE_CACHES = 6
 """A zone of fewer caches has a wider link, by the root of this over their number."""
 PARENT_PER_LINK = 3.9
-"""A parent's capacity over a zone's link: it serves the fills of four zones at full load."""
+"""Ratio of a parent's capacity to a zone's link: it serves the fills of four zones at full load."""
 INFERRED_CAPACITY_MARGIN = 0.6
 """Of an inferred capacity: what a member that is warming up is trusted to have."""
 DEMAND_WINDOW_US = 10 * US_PER_S
--- a/onyxwick/routing/forwarding.py
+++ b/onyxwick/routing/forwarding.py
@@ -39,7 +39,11 @@
     def build(
         self, request: RequestState, attempt: Attempt, source: MemberRecord | None, now_us: int
     ) -> ForwardRequest | ForwardWithFill:
-        """The action of a request's last attempt; `source` as in `Router._start_attempt`."""
+        """The action of a request's last attempt.
+
+        `source`: where a miss is filled from; None: a cached copy only; the member itself: sent straight
+        to a parent.
+        """
         member = attempt.member
         request_id = request.arrival.request_id
         address = member.info.address
--- a/onyxwick/routing/hedging.py
+++ b/onyxwick/routing/hedging.py
@@ -1,5 +1,5 @@
-"""Hedged requests (Dean and Barroso 2013, "The Tail at Scale"): a second attempt beside one that is
-overdue.
+"""Overdue attempts: hedged requests beside them (Dean and Barroso 2013, "The Tail at Scale"), and the
+cancellation of attempts at silent members.
 
 Input: an overdue attempt of a request. Output: whether another may be sent elsewhere, and which attempts at
 a member that has stopped answering are cancelled and retried.
--- a/onyxwick/routing/outcomes.py
+++ b/onyxwick/routing/outcomes.py
@@ -28,7 +28,7 @@
 UNDECIDED_AMOUNT = 0.5
 """Of a failure, at each of two members that may have caused it."""
 HITS = (AnswerDetail.HIT, AnswerDetail.STALE)
-NOT_THE_MEMBERS = (AttemptStatus.CANCELLED, AttemptStatus.NOT_SENT)
+UNRELATED_TO_MEMBER = (AttemptStatus.CANCELLED, AttemptStatus.NOT_SENT)
 NOT_FILLED = (AnswerDetail.SOURCE_MISS, AnswerDetail.NO_FILL_SLOT)
 SOURCE_FAILED = (
     AnswerDetail.SOURCE_REJECTED,
@@ -65,7 +65,7 @@
             self.outliers.record_success(attempt.member, now_us)
             if attempt.fill_source and attempt.cached_only and event.detail is AnswerDetail.SOURCE_MISS:
                 self.outliers.record_success(attempt.fill_source, now_us)
-        elif event.status not in NOT_THE_MEMBERS:
+        elif event.status not in UNRELATED_TO_MEMBER:
             if self._is_delay(request, attempt, event):
                 self._record_delay(attempt, event, now_us)
             else:
--- a/onyxwick/routing/outlier_detection.py
+++ b/onyxwick/routing/outlier_detection.py
@@ -23,6 +23,7 @@
 SAMPLE_WEIGHT = 0.2
 """Of one answer in the failure score: two failures in a row eject, one does not."""
 EJECTION_SCORE = 0.3
+"""Failure score, 0 to 1, at which a member is ejected."""
 HEALTHY_SCORE = 0.01
 """Under it the backoff starts anew."""
 MIN_EJECTION_US = 1 * US_PER_S
--- a/onyxwick/routing/popularity.py
+++ b/onyxwick/routing/popularity.py
@@ -1,4 +1,5 @@
-"""Popularity: at which rank a cache keeps an object (Adapt-L, its online part).
+"""Popularity: at which rank a cache keeps an object (the online part of Adapt-L, see
+DESIGN of the deployment).
 
 Input: client reads, one per object and visit; hits and answers of the caches; the mean fill latency
 (microseconds). Output: the retention rank of an object: gold (kept, evicted last), silver (kept, evicted
@@ -21,6 +22,7 @@
 BRONZE_RANK = 0
 SILVER_RANK = 1
 GOLD_RANK = 3
+"""The ranks are the wire's; its rank 2 is not used."""
 
 HALF_LIFE_US = 10 * US_PER_S
 """Counts halve in this time; hits of the same time are taken for a cache's content."""
--- a/onyxwick/routing/retry.py
+++ b/onyxwick/routing/retry.py
@@ -69,7 +69,10 @@
         return request.deadline_us - now_us > self.tick_us
 
     def has_attempts_left(self, request: RequestState) -> bool:
-        """Whether the limits allow one more attempt. A lookup that missed is the first half of one."""
+        """Whether the limits allow one more attempt.
+
+        A lookup, an attempt without a fill, that missed does not count against the retry reserve.
+        """
         max_attempts = self.limits.max_attempts
         if len(request.attempts) >= max_attempts:
             return False
--- a/onyxwick/routing/router.py
+++ b/onyxwick/routing/router.py
@@ -153,6 +153,7 @@
         return actions
 
     def _dispatch(self, event: Event) -> None:
+        """Events that are not named here need no action; due timers are handled in `handle`."""
         match event:
             case RequestArrived():
                 self._on_request_arrived(event)
@@ -244,7 +245,11 @@
     def _start_attempt(
         self, request: RequestState, member: MemberRecord, source: MemberRecord | None
     ) -> None:
-        """Send a request to a member; a miss is filled from `source`."""
+        """Send a request to a member.
+
+        `source`: where a miss is filled from; None: a cached copy only; the member itself: sent straight
+        to a parent.
+        """
         now_us = self.now_us
         cached_only = source is not member and (
             self.fill_source_selector.is_remote_cache(source)
--- a/onyxwick/routing/slow_start.py
+++ b/onyxwick/routing/slow_start.py
@@ -27,7 +27,7 @@
 """Of what the rule allows: weights are approximate and routers are loaded unevenly."""
 GOLDEN_RATIO_FRACTION = 0.6180339887
 SEND_PHASE_KEY = "turn"
-"""Hashed with a member's address; the same at every router."""
+"""Hashed with a member's address: a phase for each member, equal at all routers."""
 RESTART_NOTICE_US = 5 * US_PER_S
 """The endpoint list announces a restart within this time."""
 
@@ -116,7 +116,7 @@
     def _has_single_send(
         self, member: MemberRecord, full_budget: float, transfer_us: float, now_us: int
     ) -> bool:
-        """Whether a single send of this router came up within the last overload window."""
+        """Whether this router's next single send fell due within the last overload window."""
         curve = self._curve(member)
         draw = exponential_draw(SEND_PHASE_KEY, member.info.address)
         phase = (self.router_index * GOLDEN_RATIO_FRACTION + draw) % 1.0
--- a/onyxwick/service.py
+++ b/onyxwick/service.py
@@ -159,10 +159,10 @@
         if changed:
             log.info("plan of cells changed", version=cells.plan.version)
 
-    # ---- what runs beside the director --------------------------------------------------------------------
+    # ---- background tasks ---------------------------------------------------------------------------------
 
     def start(self, health: Callable[[], dict[str, object]]) -> list[asyncio.Task[None]]:
-        """Restore the stored state, and start all that runs beside; the tasks, to be cancelled at the end."""
+        """Restore the stored state and start the background tasks; returns them, for their cancellation."""
         loop = asyncio.get_running_loop()
         tasks: list[asyncio.Task[None]] = []
         if self.durable is not None:
--- a/onyxwick/settings.py
+++ b/onyxwick/settings.py
@@ -57,7 +57,7 @@
 
     @classmethod
     def of_words(cls, words: Iterable[str]) -> Pairs:
-        """From the simulator's words; words without `=` are passed over."""
+        """From the simulator's words; words without `=` are ignored."""
         return cls(dict(word.split("=", 1) for word in words if "=" in word))
 
     @classmethod
@@ -78,7 +78,7 @@
             raise SettingError(path) from None
 
     def column(self, path: str, read: Callable[[str], Value], at: int, default: Value) -> Value:
-        """One value of a list that runs along the classes or the zones."""
+        """The entry `at` of a list with one entry for each class or zone."""
         values = self.values.get(path, "").split(",")
         if at >= len(values) or not values[at]:
             return default
--- a/onyxwick/sites/evidence.py
+++ b/onyxwick/sites/evidence.py
@@ -26,7 +26,7 @@
     """All places of one director's topology."""
 
     def __init__(self, connect_timeout_us: int) -> None:
-        """`connect_timeout_us`: for which a connection may take to be established; 0 for the default."""
+        """`connect_timeout_us`: microseconds that establishing a connection may take; 0 for the default."""
         self.connect_timeout_us = connect_timeout_us
         self.places: dict[str, PlaceEvidence] = {}
         self.place_of: dict[str, str] = {}
--- a/onyxwick/sites/lifecycle.py
+++ b/onyxwick/sites/lifecycle.py
@@ -17,7 +17,7 @@
 SILENT_CONFIRMATION_FACTOR = 4  # times `confirm_us`, where caches accept connections and do not answer
 SUSPICION_EXPIRY_US = 10 * MICROSECONDS_PER_SECOND  # without a further failure
 PAUSE_PRESSURE = 0.35  # share of late and rejected answers at which a move pauses
-RESUME_PRESSURE = 0.2  # below which it goes on
+RESUME_PRESSURE = 0.2  # share below which a return goes on, or begins early
 MIN_LISTED_SHARE = 0.5  # of a site's caches that must be listed before it is returned to
 FULL_CAPACITY_SHARE = 0.95  # of its planned capacity, from which a site counts as complete
 MAX_FLAPS = 5  # doublings of the hold time
@@ -78,7 +78,9 @@
 class SiteHealthSignals:
     """The health of a site at one step. Times are in microseconds, 0 for never; shares are 0 to 1."""
 
-    unreachable: bool = False  # most recently tried caches are unreachable and none has answered since
+    unreachable: bool = (
+        False  # at least two thirds of the caches tried lately are, and none has answered since
+    )
     unreachable_since_us: int = 0
     is_only_silent: bool = False  # unreachable caches accept connections and do not answer
     answered_us: int = 0
--- a/onyxwick/sites/load_shedding.py
+++ b/onyxwick/sites/load_shedding.py
@@ -5,10 +5,10 @@
 to reject a request, and a Retry-After. The levels are entered by the share of late and rejected answers at
 one site, and left more slowly: (1) fewer hedged requests, renewals and further attempts; (2) clients' retries
 are rejected; (3) the classes of the lowest priority weight for their work are rejected first. Within the
-site's learned limit no tenant of a class is preferred: one over its max-min fair share waits, one under its
-reserve does not. This prevents load that sustains itself: further attempts and clients' retries are work that
-an earlier rejection has caused, so they are rejected before all other work (Bronson, Aghayev, Charapko and
-Zhu, "Metastable failures in distributed systems", 2021).
+site's learned limit no tenant of a class is preferred: one over its max-min fair share is rejected, one
+under its reserve is admitted. This prevents load that sustains itself: further attempts and clients' retries
+are work that an earlier rejection has caused, so they are rejected before all other work (Bronson, Aghayev,
+Charapko and Zhu, "Metastable failures in distributed systems", 2021).
 """
 
 from __future__ import annotations
--- a/onyxwick/sites/monitor.py
+++ b/onyxwick/sites/monitor.py
@@ -30,7 +30,9 @@
 
 TRIAL_INTERVAL_US = 150_000  # between two trials of a site that was left
 DEMAND_WINDOW_US = 5 * MICROSECONDS_PER_SECOND  # for which a client's request counts as demand
-NO_DEMAND_US = 10 * MICROSECONDS_PER_SECOND  # without it a site is returned to by the endpoint list alone
+NO_DEMAND_US = (
+    10 * MICROSECONDS_PER_SECOND
+)  # after this without demand there are no trials: the list alone decides the return
 TRIAL_PHASES = (SitePhase.SUSPECT, SitePhase.LOST, SitePhase.EVACUATED)
 SiteMeasure = Callable[[str], float]  # of a site's caches as used from here, 0 to 1
 
--- a/onyxwick/sites/shares.py
+++ b/onyxwick/sites/shares.py
@@ -5,8 +5,8 @@
 have all of its budget but `remote_share`, divided by their number; all others have `remote_share`, divided by
 theirs. Of a director's share of a parent that is warming up its own site's router has all but `remote_share`,
 the routers for other sites' caches the rest, a fixed amount each. That holds at every instant and in every
-state, so it is also right while some directors detect a loss seconds later, and when some are down (then it
-is less than all).
+state, so it is also right while some directors detect a loss seconds later, and when some are down (the
+sum is below 1 then).
 
 What is warm has no such limit: a cache's own directors keep their whole share and others add what the plan
 has for them, and parents are divided by demand. A director whose clients connect elsewhere serves nobody, so
--- a/onyxwick/sites/site_pool.py
+++ b/onyxwick/sites/site_pool.py
@@ -58,7 +58,7 @@
         self.local_site = local_site
         self.make_router = make_router
         self.max_in_flight = max_in_flight
-        # Where set: of its usual limits, the share that a director allows itself at a time after its start.
+        # If set: the share, 0 to 1, of its usual limits that the director may use at a time after its start.
         self.startup_share: Callable[[int], float] | None = None
         self.random = random.Random(seed ^ stable_hash("sites"))
         self.monitor = SiteMonitor(settings, topology, plan, local_site, now)
--- a/onyxwick/store/durable_state.py
+++ b/onyxwick/store/durable_state.py
@@ -152,7 +152,8 @@
     # ---- commits ----------------------------------------------------------------------------------------
 
     async def commit(self, operations: list[WriteOperation], author: str) -> None:
-        """Returns once the operations are durable; StoreError: none of them holds."""
+        """Returns once the operations are durable. StoreError: they are not acknowledged; after a
+        StoreFailedError they may still be found when the store is opened again."""
         if not operations:
             return
         if self.committer is None:
--- a/onyxwick/subrouters/dispatcher.py
+++ b/onyxwick/subrouters/dispatcher.py
@@ -79,7 +79,9 @@
         self._subrouters = subrouters
         self.requests: dict[str, OwnerType] = {}
         self.counts: dict[str, int] = {}
-        self.shed_now: dict[str, str] = {}  # request id: why the last `handle` rejected it before any router
+        self.shed_now: dict[
+            str, str
+        ] = {}  # by request id: why the last `handle` rejected it without asking a router
         self.ticks = 0
         self._purges: deque[tuple[int, ObjectsPurged]] = deque(maxlen=MAX_REMEMBERED_PURGES)
         self._pending_actions: list[Action] = []
--- a/onyxwick/tenants.py
+++ b/onyxwick/tenants.py
@@ -155,9 +155,8 @@
 
     def __init__(self) -> None:
         self.tenants: dict[str, Tenant] = {}
-        self.zones: dict[
-            dns.name.Name, TenantZone
-        ] = {}  # of all tenants: a lookup takes one step for each label
+        self.zones: dict[dns.name.Name, TenantZone] = {}
+        """Of all tenants; a lookup takes one step for each label."""
 
     def add(self, tenant: Tenant) -> None:
         """Add a tenant; AlreadyExistsError for a known name, TenantError over the bound."""
--- a/onyxwick/trace/recorder.py
+++ b/onyxwick/trace/recorder.py
@@ -301,7 +301,7 @@
             request.attempts[index].sent_us = max(0, request.elapsed_us(sent_us))
 
     def record_non_idempotent_send(self, now_us: int, request_id: str, member: str) -> None:
-        """Record at once that a non-idempotent write is about to be sent, in case the director crashes."""
+        """Record that a non-idempotent write is about to be sent; it reaches the disk with the next block."""
         request = self.open_requests.get(request_id)
         if request is None or not request.non_idempotent:
             return
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -129,7 +129,7 @@
 
     async def play(ground: Ground) -> None:
         ground.script.arrived = lambda request: [RejectRequest(request)]
-        monkeypatch.setattr(EngineContext, "record_rejection", lambda _, *line: told.append(line[2]))
+        monkeypatch.setattr(EngineContext, "record_unserved", lambda _, *line: told.append(line[2]))
         sock = await ground.client()
         sock.send(call(1))
         await ground.read(sock, b"503")
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -205,7 +205,7 @@
     async def play(ground: Ground) -> None:
         cache = ground.cache("c0")
         ground.script.arrived = lambda request: ask(request, "c0", "c0")
-        ground.core.guard.may_retry = lambda lifecycle, attempt_index: True  # type: ignore[method-assign]  # planted
+        ground.core.guard.is_retry_permitted = lambda lifecycle, attempt_index: True  # type: ignore[method-assign]  # planted
         lifecycle = ground.start("save")
         conn = await ground.accepted(cache)
         await ground.read(conn, lifecycle.request.request_id.encode())
