--- a/onyxwick/net/front_connection.py
+++ b/onyxwick/net/front_connection.py
@@ -46,12 +46,10 @@
 """The most bytes taken by one read while the connection closes."""
 MAX_LOGGED_REQUESTS = 8
 US_PER_S = 1e6
-CLOSED_BY_CLIENT_REASONS = frozenset(
-    {
-        ConnectionCloseReason.CLOSED_BY_PEER,
-        ConnectionCloseReason.CONNECTION_ERROR,
-        ConnectionCloseReason.WRITE_STALLED,
-    }
+CLOSED_BY_CLIENT_REASONS = (
+    ConnectionCloseReason.CLOSED_BY_PEER,
+    ConnectionCloseReason.CONNECTION_ERROR,
+    ConnectionCloseReason.WRITE_STALLED,
 )
 PEER_GONE_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
