--- a/onyxwick/net/front_connection.py
+++ b/onyxwick/net/front_connection.py
@@ -28,7 +28,7 @@
 from onyxwick.net.fastcgi_calls import encode_answer
 from onyxwick.net.fastcgi_parser import FastCgiParser
 from onyxwick.net.lingering import PEER_CHECK_INTERVAL_S, discard_unread, linger, wait_unless_closed
-from onyxwick.net.socket_state import is_closed_by_peer, unread_bytes
+from onyxwick.net.socket_state import PEER_GONE_EVENTS, is_closed_by_peer, unread_bytes
 from onyxwick.net.write_queue import PendingWrite, WriteQueue
 
 log = logs.get()
@@ -53,7 +53,6 @@
         ConnectionCloseReason.WRITE_STALLED,
     }
 )
-PEER_GONE_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
 
 class ConnectionOwner(IntakePolicy, Protocol):
@@ -329,9 +328,7 @@
     def is_lingering(self, now_s: float) -> bool:
         """Whether a half-closed connection still waits for the client's end or for bytes in flight."""
         since_s = now_s - self.half_closed_at_s
-        if since_s <= LINGER_S:
-            return True
-        return since_s <= MAX_LINGER_S and self.delivery.in_flight_bytes(now_s) > 0
+        return since_s <= LINGER_S or (since_s <= MAX_LINGER_S and self.delivery.in_flight_bytes(now_s) > 0)
 
     def _close(self) -> None:
         self.is_closing = True  # from now on nobody looks at its socket or evicts it
--- a/onyxwick/net/socket_state.py
+++ b/onyxwick/net/socket_state.py
@@ -18,6 +18,8 @@
 """tcpi_last_data_sent, in milliseconds."""
 LAST_DATA_RECEIVED = slice(52, 56)
 """tcpi_last_data_recv, in milliseconds."""
+PEER_GONE_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
+"""Poll events of a socket whose peer has closed or reset."""
 INT_BYTES = 4
 MS_PER_S = 1000
 
