--- a/onyxwick/cli/sites.py
+++ b/onyxwick/cli/sites.py
@@ -20,8 +20,6 @@
 
 POLL_INTERVAL_S = 0.5
 """Between two polls of a failover exercise."""
-EXERCISE_COMPLETED = "it has stayed away for its time"
-"""How a director ends the order of an exercise that no gate stopped."""
 file_argument = click.argument("file", type=click.Path(path_type=Path))
 pairs_option = click.option("--pairs/--no-pairs", default=True, help="The losses of two sites at once, too.")
 
@@ -214,6 +212,8 @@
 @click.pass_context
 def drill(ctx: click.Context, site: str, stay_s: float, reason: str, follow: bool, as_json: bool) -> None:
     """Leave a SITE by steps and return to it; exit 1 where a gate turned it back."""
+    from onyxwick.sites.operator_commands import EXERCISE_COMPLETED
+
     remote = remote_of(ctx, "sites")
     row = {"word": "evacuate", "reason": reason, "stay_s": stay_s}
     remote.call("PUT", f"/sites/orders/{quote(site, '')}", row)
--- a/tests/test_callers_on_time.py
+++ b/tests/test_callers_on_time.py
@@ -14,7 +14,7 @@
 
 from onyxwick.admin.http_messages import HttpRequest
 from onyxwick.admin.http_server import HttpServer
-from onyxwick.config import director as relay
+from onyxwick.config import director as director_config
 from onyxwick.core.phase import DirectorPhase
 from onyxwick.counters import Counters
 from onyxwick.dns import server as dns_server
@@ -102,7 +102,7 @@
     """The loop comes round to it once the director has started drained already."""
 
     async def play() -> None:
-        director = Director(relay.read(json.loads((FOLDER / "config.json").read_text())))
+        director = Director(director_config.read(json.loads((FOLDER / "config.json").read_text())))
         director.phase = DirectorPhase.DRAINED
         director._on_drain_changed(OperatorCommands(1, True, drain_requested_at_s=time.monotonic()))
         assert director.phase is DirectorPhase.DRAINED and director.front.shutdown is not None
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from onyxwick.config import director as relay
+from onyxwick.config import director as director_config
 from onyxwick.core import AnswerStatus, FinalAnswer
 from onyxwick.core.clock import steady_us
 from onyxwick.core.model import AttemptOutcome, AttemptSpec
@@ -779,7 +779,7 @@
             await ground.front.accept_remaining(ground.listener)
         await ground.until(lambda: len(taken) == 4 * places)
         assert ground.front.counters.counts["client.displaced"] >= places
-        lingering = max(relay.MIN_HALF_CLOSED, places // relay.CLIENTS_PER_HALF_CLOSED)
+        lingering = max(director_config.MIN_HALF_CLOSED, places // director_config.CLIENTS_PER_HALF_CLOSED)
         assert most <= places + lingering + front.MAX_PENDING_CLOSES
         assert first
 
