--- a/onyxwick/routing/__init__.py
+++ b/onyxwick/routing/__init__.py
@@ -1,6 +1,6 @@
-"""Routing decisions: which cache, which fill source, whether again, what is rejected. No clock and no I/O.
+"""Routing decisions: the cache and the fill source of a request, retries and rejections. No clock, no I/O.
 
-`Router` (router.py) takes events and returns actions; each rule is a module of its own, listed there.
+`Router` (router.py) takes events and returns actions. Each rule has its own module; router.py lists them.
 """
 
 from onyxwick.routing.router import Router
--- a/onyxwick/routing/cache_selection.py
+++ b/onyxwick/routing/cache_selection.py
@@ -1,12 +1,13 @@
 """Cache selection: which cache of the zone a request is sent to.
 
 Input: the requested part of an object, its class, and the attempts made so far. Output: a cache, or None if
-none may take the request now.
+no cache may take the request now.
 
-Rule: rendezvous order of the part's key, so that all routers find a copy at the same cache; a part so hot
-that it takes much of one cache's link is served by the first two in alternation. The others are fallbacks,
-those that were tried already last. The first is taken that is healthy, within its warm-up budget and under
-its concurrency limit.
+Rule: the candidates are the zone's caches in the rendezvous order of the part's key, so that all routers
+look for a copy at the same cache. A part that is so hot that it takes much of one cache's link is served by
+the first two caches in alternation. The other caches are fallbacks, and caches that were already tried come
+last. The rule selects the first cache that is healthy, within its warm-up budget and under its concurrency
+limit.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 from onyxwick.routing.state import MemberRecord, RequestState
 
 HOT_LINK_SHARE = 0.1
-"""Of one cache's link taken by one part, over which the part is split between two caches."""
+"""Share of one cache's link taken by one part, above which the part is split between two caches."""
 
 
 class CacheSelector:
@@ -53,11 +54,11 @@
         self._second_is_next = False
 
     def order(self, arrival: RequestArrived) -> list[MemberRecord]:
-        """The zone's caches in the rendezvous order of a part; the first is its home."""
+        """Return the zone's caches in the rendezvous order of a part; the first is the part's home."""
         return self.rendezvous.order(f"{arrival.object_id}/{arrival.part}", self.endpoints.caches)
 
     def choose(self, request: RequestState, now_us: int) -> MemberRecord | None:
-        """The cache for the next attempt of a request; None if none may take it now."""
+        """Return the cache for the next attempt of a request; None if no cache may take it now."""
         request_class = request.request_class
         transfer_us = self.latency.transfer[request_class.name].mean_us
         candidates = self.order(request.arrival)
@@ -76,7 +77,7 @@
     def _admits(
         self, cache: MemberRecord, request_class: RequestClass, transfer_us: float, now_us: int
     ) -> bool:
-        """Whether a cache may take one more request of a class now."""
+        """Return whether a cache may take one more request of a class now."""
         return (
             is_usable(cache, now_us)
             and self.slow_start.admits(cache, transfer_us, now_us)
--- a/onyxwick/routing/capacity.py
+++ b/onyxwick/routing/capacity.py
@@ -1,14 +1,14 @@
-"""The capacity of members, in concurrent transfers at full speed, and over how many routers it is divided.
+"""Capacity model: the concurrent transfers a member serves at full speed, and the routers that share them.
 
 Input: listed weights, the capacity of the zone's link, arriving requests, and this router's share of
-members that it has in common with others. Output: the capacity of a member and the number of routers that
-use it.
+the members that it uses in common with other routers. Output: the capacity of a member and the number of
+routers that use it.
 
-A listed weight that is nominal is the capacity. Where weights stand for nothing it is inferred from the
-link that fills the zone's caches: the link is planned for a fixed part of what its caches serve, and a
-parent for several such links. Where the link's capacity is not known either, the zone is taken to be sized
-for what its clients request, by Little's law (Little 1961): concurrent transfers = arrival rate x transfer
-time.
+A nominal listed weight is the capacity. Where the weights carry no information, the capacity is inferred
+from the link that fills the zone's caches: the link is planned for a fixed part of what its caches serve,
+and a parent for several such links. Where the link's capacity is not known either, the model assumes that
+the zone is sized for what its clients request, by Little's law (Little 1961): concurrent transfers =
+arrival rate x transfer time.
 """
 
 from __future__ import annotations
@@ -21,20 +21,20 @@
 from onyxwick.routing.units import US_PER_S
 
 LINK_PER_CACHES = 0.38
-"""Ratio of a zone's link to its caches' capacity: a quarter of the answers are fills, with headroom."""
-REFERENCE_CACHES = 6
-"""A zone of fewer caches has a wider link, by the root of this over their number."""
+"""Ratio of a zone's link capacity to that of its caches: a quarter of answers are fills, plus headroom."""
+REFERENCE_CACHE_COUNT = 6
+"""A zone with fewer caches has a wider link, by the square root of this number over its cache count."""
 PARENT_PER_LINK = 3.9
-"""Ratio of a parent's capacity to a zone's link: it serves the fills of four zones at full load."""
+"""Ratio of a parent's capacity to a zone link's: it serves the fills of four zones at full load."""
 INFERRED_CAPACITY_MARGIN = 0.6
-"""Of an inferred capacity: what a member that is warming up is trusted to have."""
+"""Share of an inferred capacity that a member is assumed to have while it is warming up."""
 DEMAND_WINDOW_US = 10 * US_PER_S
 MIN_OBSERVED_SHARE = 0.01
-"""Of the demand window: the least that a request rate is computed from."""
+"""Smallest observed share of the demand window that a request rate is computed from."""
 
 
 class CapacityModel:
-    """Capacities as one router sees them."""
+    """Estimates the capacities of members from the data of one router."""
 
     def __init__(self, settings: RouterSettings, endpoints: MemberRoles, now_us: int) -> None:
         self.endpoints = endpoints
@@ -46,39 +46,39 @@
         self.weights_are_unset = settings.weight_source is WeightSource.NONE
         self.fleet_share = FleetShareChanged(parent_share=1.0)
         self.zone_link_transfers = 0.0
-        """Capacity of the zone's link; 0: capacities are the listed weights."""
+        """Capacity of the zone's link in concurrent transfers; 0 if capacities are the listed weights."""
         self.started_us = now_us
         self.demand_transfers = 0.0
-        """Concurrent transfers that this router's clients request, as of `demand_at_us`."""
+        """Concurrent transfers requested by this router's clients, as of `demand_at_us`."""
         self.demand_at_us = now_us
 
     def on_endpoints_changed(self) -> None:
         """Infer the capacity of the zone's link from the number of its caches."""
         if self.weights_are_unset and self.transfer_kb_per_s:
-            width = max(1.0, math.sqrt(REFERENCE_CACHES / self.endpoints.most_caches))
-            self.zone_link_transfers = self.zone_link_kb_per_s / self.transfer_kb_per_s / width
+            width_factor = max(1.0, math.sqrt(REFERENCE_CACHE_COUNT / self.endpoints.max_ready_cache_count))
+            self.zone_link_transfers = self.zone_link_kb_per_s / self.transfer_kb_per_s / width_factor
 
     def observe_request(self, mean_transfer_us: float, now_us: int) -> None:
-        """Infer the capacity of the zone's link from a read request, where nothing else tells it."""
+        """Infer the capacity of the zone's link from a read request, if no weight or setting gives it."""
         if not self.weights_are_unset or self.zone_link_kb_per_s:
             return
         self.demand_transfers *= math.exp((self.demand_at_us - now_us) / DEMAND_WINDOW_US)
         self.demand_transfers += mean_transfer_us / DEMAND_WINDOW_US
         self.demand_at_us = now_us
-        observed = max(MIN_OBSERVED_SHARE, 1 - math.exp((self.started_us - now_us) / DEMAND_WINDOW_US))
-        demand = LINK_PER_CACHES * self.demand_transfers / observed
+        observed_share = max(MIN_OBSERVED_SHARE, 1 - math.exp((self.started_us - now_us) / DEMAND_WINDOW_US))
+        demand = LINK_PER_CACHES * self.demand_transfers / observed_share
         self.zone_link_transfers = demand * self.zone_router_count
 
     def transfers(self, member: MemberRecord) -> float:
-        """A member's capacity, in concurrent transfers, once it has warmed up."""
+        """Return a member's capacity after warm-up, in concurrent transfers."""
         if not self.zone_link_transfers:
             return member.info.weight if member.info.weight > 0 else 1.0
         if member.info.kind == self.parent_kind:
             return self.zone_link_transfers * PARENT_PER_LINK
-        return self.zone_link_transfers / LINK_PER_CACHES / self.endpoints.most_caches
+        return self.zone_link_transfers / LINK_PER_CACHES / self.endpoints.max_ready_cache_count
 
     def sharing_routers(self, member: MemberRecord) -> float:
-        """Over how many routers a member's capacity is divided; fewer where others are known to be idle."""
+        """Return how many routers share a member's capacity; routers known to be idle reduce the number."""
         if member.info.kind == self.parent_kind:
             return self.router_count / self.fleet_share.parent_share
         if member in self.endpoints.caches:
@@ -87,7 +87,7 @@
         return self.router_count / share
 
     def sharing_routers_while_warming(self, member: MemberRecord) -> float:
-        """Over how many routers the capacity of a member is divided while it is warming up."""
+        """Return how many routers share the capacity of a member while it is warming up."""
         share = self.fleet_share
         if member.info.kind == self.parent_kind:
             return self.router_count / (share.parent_share * share.warming_parent_share)
--- a/onyxwick/routing/endpoints.py
+++ b/onyxwick/routing/endpoints.py
@@ -1,9 +1,9 @@
-"""The members that may be sent requests, from the endpoint list.
+"""Member roles: the members that may be sent requests, taken from the endpoint list.
 
-Input: lists and changes of them (`EndpointsChanged`). Output: the record of each listed member, and the
-ready ones by role, each role sorted by address: caches of this router's zone, caches of other zones,
-parents, origin. A member that restarts loses its health record, for its failures were those of the process
-before.
+Input: endpoint lists and changes to them (`EndpointsChanged`). Output: the record of each listed member, and
+the ready members by role, each role sorted by address: caches of this router's zone, caches of other zones,
+parents, origin. A member that restarts loses its health record, because its failures were those of the
+previous process.
 """
 
 from __future__ import annotations
@@ -15,26 +15,26 @@
 
 
 class MemberRoles:
-    """The listed members of one router."""
+    """Holds the members that are listed for one router."""
 
     def __init__(self, settings: RouterSettings) -> None:
         self.zone = settings.zone
         self.parent_kind = settings.parent_kind
         self.origin_kind = settings.origin_kind
         self.members: dict[str, MemberRecord] = {}
-        """Everything listed, by address, in the order it was first listed."""
+        """All listed members by address, in the order in which they were first listed."""
         self.caches: list[MemberRecord] = []
         """Ready caches of this router's zone."""
-        self.most_caches = 1
-        """Most caches that were ready at once."""
+        self.max_ready_cache_count = 1
+        """Largest number of this zone's caches that were ready at the same time."""
         self.remote_caches: dict[str, list[MemberRecord]] = {}
-        """Ready caches of each other zone."""
+        """Ready caches of the other zones, by zone."""
         self.parents: list[MemberRecord] = []
         self.origin: MemberRecord | None = None
 
     def apply(self, event: EndpointsChanged, now_us: int) -> list[str]:
-        """Take in a list or a change; return the addresses whose copies are lost (restarted or removed)."""
-        emptied = [member.address for member in event.members if self._update(member, now_us)]
+        """Apply a list or a change; return the addresses whose copies are lost (restarted or removed)."""
+        restarted_addresses = [member.address for member in event.members if self._update(member, now_us)]
         if event.kind is not EndpointListKind.CHANGE:
             listed = {member.address: None for member in event.members}
             for address, record in self.members.items():
@@ -44,10 +44,10 @@
         for address in removed:
             del self.members[address]
         self._group_by_role()
-        return emptied + removed
+        return restarted_addresses + removed
 
     def _update(self, member: Member, now_us: int) -> bool:
-        """Take in one member; return whether it has restarted."""
+        """Add or update one member; return whether it has restarted."""
         record = self.members.get(member.address)
         if record is None:
             if member.state is not MemberState.REMOVED:
@@ -69,7 +69,7 @@
         behind_caches = (self.parent_kind, self.origin_kind)
         caches = [m for m in ready if m.info.kind not in behind_caches]
         self.caches = [m for m in caches if m.info.zone == self.zone]
-        self.most_caches = max(self.most_caches, len(self.caches))
+        self.max_ready_cache_count = max(self.max_ready_cache_count, len(self.caches))
         self.parents = [m for m in ready if m.info.kind == self.parent_kind]
         self.remote_caches = {}
         for cache in caches:
--- a/onyxwick/routing/fill_source.py
+++ b/onyxwick/routing/fill_source.py
@@ -1,12 +1,12 @@
-"""Fill sources: where a cache fetches an object that it does not hold.
+"""Fill sources: the member from which a cache fetches an object that it has not cached.
 
 Input: a request, its class and the attempts made so far. Output: the member that a miss is filled from
-(None: not to be filled now), and whether a parent may go on to the origin.
+(None means that it is not to be filled now), and whether a parent may fetch from the origin in turn.
 
-Rule: the parents in the rendezvous order of the object, so that all zones share one copy; then the origin;
-then a cache of another zone, for what it holds itself. A parent that is merely at its concurrency limit is
-not passed over: what fills it may be the link that all fills share, and the origin is the last to be
-loaded.
+Rule: the parents are considered in the rendezvous order of the object, so that all zones share one copy;
+then the origin; then a cache of another zone, for objects that it has cached itself. A parent that is only
+at its concurrency limit is not skipped: the limit may be reached because of the link that all fills share,
+and the origin is the last member to be loaded.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
         self.concurrency_limit = concurrency_limit
 
     def choose(self, request: RequestState, now_us: int) -> MemberRecord | None:
-        """The member that a miss is filled from; None: a miss is not to be filled now."""
+        """Return the member that a miss is filled from; None means that a miss is not to be filled now."""
         request_class = request.request_class
         if not request_class.is_write:
             transfer_us = self.latency.transfer[request_class.name].mean_us
@@ -58,7 +58,10 @@
         return self.choose_remote_cache(request, now_us)
 
     def choose_remote_cache(self, request: RequestState, now_us: int) -> MemberRecord | None:
-        """The part's home cache in another zone, where settings allow such fills; asked once a request."""
+        """Return the part's home cache in another zone, if settings allow such fills.
+
+        A cache of another zone is asked once per request. None means that none may fill the request now.
+        """
         if not self.remote_fills or request.request_class.is_write or not self.endpoints.remote_caches:
             return None
         parents = self.endpoints.parents
@@ -74,15 +77,15 @@
         return cache if admitted else None
 
     def is_remote_cache(self, source: MemberRecord | None) -> bool:
-        """Whether a fill source is neither a parent nor the origin."""
+        """Return whether a fill source is neither a parent nor the origin."""
         if source is None or source is self.endpoints.origin:
             return False
         return source not in self.endpoints.parents
 
     def origin_is_full(self, request: RequestState, source: MemberRecord | None, now_us: int) -> bool:
-        """Whether `source` is a parent and the origin behind it is at its concurrency limit.
+        """Return whether `source` is a parent and the origin behind it is at its concurrency limit.
 
-        Such a parent is asked only for what it holds itself.
+        Such a parent is asked only for objects that it has cached itself.
         """
         origin = self.endpoints.origin
         if origin is None or source not in self.endpoints.parents:
--- a/tests/test_routing_modules.py
+++ b/tests/test_routing_modules.py
@@ -91,7 +91,7 @@
     draining = replace(CACHES[1], state=MemberState.DRAINING)
     table.apply(EndpointsChanged(EndpointListKind.CHANGE, (draining,)), NOW_US)
     assert [record.info.address for record in table.caches] == ["c0", "c2"]
-    assert "c1" in table.members and table.most_caches == 3
+    assert "c1" in table.members and table.max_ready_cache_count == 3
 
 
 def test_a_restart_clears_the_health_record_and_reports_the_lost_copies() -> None:
