--- a/onyxwick/routing/forwarding.py
+++ b/onyxwick/routing/forwarding.py
@@ -1,11 +1,12 @@
-"""Forwarding: the action that carries out an attempt, with the conditions a cache must keep.
+"""Forwarding: the action that carries out an attempt, with the conditions that a cache must observe.
 
-Input: a request, its attempt and the chosen fill source. Output: the action with the addresses, the time left
-(microseconds), the rank at which the cache keeps a copy, the age of the oldest copy that may answer, and the
-options of the fill.
+Input: a request, its attempt and the chosen fill source. Output: the action, with the addresses, the
+remaining time (microseconds), the rank at which the cache keeps a copy, the maximum age of a copy that may
+answer (microseconds), and the options of the fill.
 
-Rule: a fill may join another one (coalescing) unless a purge binds the object, as the other may have begun
-before the purge; a stale copy may be served while it is revalidated where the source has capacity to spare.
+Rule: a fill may join another fill of the object (coalescing) unless a purge of the object is remembered,
+because the other fill may have started before the purge. A stale copy may be served while it is revalidated
+if the source has spare capacity.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 
 
 class ForwardActionBuilder:
-    """Builds the action of an attempt."""
+    """Builds the action that carries out an attempt."""
 
     def __init__(
         self,
@@ -39,10 +40,10 @@
     def build(
         self, request: RequestState, attempt: Attempt, source: MemberRecord | None, now_us: int
     ) -> ForwardRequest | ForwardWithFill:
-        """The action of a request's last attempt.
+        """Build the action for a request's last attempt.
 
-        `source`: where a miss is filled from; None: a cached copy only; the member itself: sent straight
-        to a parent.
+        `source` is the member that a miss is filled from. None means that only a cached copy may answer;
+        the attempt's own member means that the request is sent directly to a parent.
         """
         member = attempt.member
         request_id = request.arrival.request_id
@@ -52,7 +53,7 @@
             return ForwardRequest(request_id, address, timeout_us)
         fill_from = source or member
         if source is member and self.endpoints.origin:
-            fill_from = self.endpoints.origin  # straight to a parent, which fills from the origin
+            fill_from = self.endpoints.origin  # A parent that is asked directly fills from the origin.
         rank = request.retention_rank if member in self.endpoints.caches else BRONZE_RANK
         allow_stale = len(request.attempts) > 1 or source is None or attempt.cached_only
         max_age_us = self.purges.max_age_us(request, allow_stale, now_us)
--- a/onyxwick/routing/hedging.py
+++ b/onyxwick/routing/hedging.py
@@ -1,12 +1,12 @@
-"""Overdue attempts: hedged requests beside them (Dean and Barroso 2013, "The Tail at Scale"), and the
-cancellation of attempts at silent members.
+"""Overdue attempts: hedged requests (Dean and Barroso 2013, "The Tail at Scale"), and the cancellation of
+attempts at unresponsive members.
 
-Input: an overdue attempt of a request. Output: whether another may be sent elsewhere, and which attempts at
-a member that has stopped answering are cancelled and retried.
+Input: an overdue attempt of a request. Output: whether a hedged request may be sent to another cache, and
+which attempts at a member that has stopped answering are cancelled and retried.
 
-Rule: an answer that is overdue where others come in time is probably lost. Only idempotent requests are
-hedged, once for each attempt, paid for from the retry budget; not where answers are late, as hedging adds
-to an overload.
+Rule: an overdue answer from a member whose other answers arrive in time is probably lost. Only idempotent
+requests are hedged, once per attempt, at the expense of the retry budget. Attempts at members whose answers
+are late are not hedged, because hedging adds to an overload.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class HedgingPolicy:
-    """Decides on overdue attempts."""
+    """Decides whether overdue attempts are hedged or cancelled."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         self.budget = budget
 
     def may_hedge(self, request: RequestState, attempt: Attempt) -> bool:
-        """Whether an overdue attempt, the only one in flight, may be hedged."""
+        """Return whether an overdue attempt, the only one of its request in flight, may be hedged."""
         if not self.limits.hedging or attempt.hedged:
             return False
         if request.request_class.idempotency is not Idempotency.IDEMPOTENT:
@@ -51,7 +51,7 @@
         return attempt.member in self.endpoints.caches
 
     def should_cancel(self, request: RequestState, attempt: Attempt, now_us: int) -> bool:
-        """Whether an attempt at an unresponsive member is cancelled, so that it can be retried elsewhere."""
+        """Return whether to cancel an attempt at an unresponsive member and retry it elsewhere."""
         if request.request_class.idempotency is not Idempotency.IDEMPOTENT or attempt.cancelled:
             return False
         mean_us = self.latency.answer[request.request_class.name].mean_us
--- a/onyxwick/routing/outcomes.py
+++ b/onyxwick/routing/outcomes.py
@@ -1,12 +1,13 @@
-"""Attribution: which member an attempt's outcome counts for, and how much.
+"""Attribution: the members to which an attempt's outcome is attributed, and with what weight.
 
 Input: an ended attempt with its status, detail and latency (microseconds). Output: successes, failures and
-late answers recorded at the members that caused them (`outlier_detection`, `concurrency_limit`), latencies
-and hits at `latency` and `popularity`.
+late answers, recorded for the members that caused them (`outlier_detection`, `concurrency_limit`);
+latencies and hits, recorded in `latency` and `popularity`.
 
-Rule: a fill passes a cache, a parent and maybe the origin. Where the answer names the side that failed,
-that side bears it; where it does not, cache and source bear half each: the cache's hits clear the cache,
-only completed fills clear the source. A timeout at a member that answers others is overload, not silence.
+Rule: a fill involves a cache, a parent and sometimes the origin. If the answer names the side that failed,
+the failure is attributed to that side; if not, half of it is attributed to the cache and half to the
+source: the cache's score recovers with its hits, the source's only with completed fills. A timeout at a
+member that answers other requests means overload, not unresponsiveness.
 """
 
 from __future__ import annotations
@@ -25,8 +26,8 @@
 from onyxwick.routing.popularity import Popularity
 from onyxwick.routing.state import Attempt, RequestState
 
-UNDECIDED_AMOUNT = 0.5
-"""Of a failure, at each of two members that may have caused it."""
+UNATTRIBUTED_FAILURE_SHARE = 0.5
+"""Share of a failure that is attributed to each of the two members that may have caused it."""
 HITS = (AnswerDetail.HIT, AnswerDetail.STALE)
 UNRELATED_TO_MEMBER = (AttemptStatus.CANCELLED, AttemptStatus.NOT_SENT)
 NOT_FILLED = (AnswerDetail.SOURCE_MISS, AnswerDetail.NO_FILL_SLOT)
@@ -39,7 +40,7 @@
 
 
 class OutcomeRecorder:
-    """Records the outcomes of attempts at the rules that learn from them."""
+    """Passes the outcomes of attempts to the rules that learn from them."""
 
     def __init__(
         self,
@@ -58,7 +59,7 @@
         self.concurrency_limit = concurrency_limit
 
     def record(self, request: RequestState, attempt: Attempt, event: AttemptEnded, now_us: int) -> None:
-        """Learn from an attempt that has ended."""
+        """Record the outcome of an attempt that has ended."""
         if event.status is AttemptStatus.OK:
             self._record_answer(request, attempt, event, now_us)
         elif event.status is AttemptStatus.MISS:
@@ -83,7 +84,7 @@
         if attempt.fill_source and not hit and event.detail is not AnswerDetail.COALESCED:
             self._record_fill(attempt, event, late, now_us)
         elif attempt.fill_source and attempt.fill_source_send:
-            attempt.fill_source_send.transfer_us = 0.0  # answered without the source
+            attempt.fill_source_send.transfer_us = 0.0  # The cache answered without using the source.
         if hit or request_class.is_write:
             self.latency.observe_local_answer(request, event.latency_us)
             self.concurrency_limit.record_outcome(cache, late)
@@ -101,11 +102,11 @@
             self.outliers.record_success(origin, now_us)
             self.concurrency_limit.record_outcome(origin, late)
             if late and self.full_detail:
-                return  # the origin was slow, not the parent before it
+                return  # The origin was slow, not the parent that filled from it.
         self.concurrency_limit.record_outcome(source, late)
 
     def _is_delay(self, request: RequestState, attempt: Attempt, event: AttemptEnded) -> bool:
-        """Whether an attempt failed as time ran out in its fill, or at a cache that answers others."""
+        """Return whether an attempt ran out of time in its fill, or at a cache that answers others."""
         source = attempt.fill_source
         late = event.latency_us > request.request_class.latency_objective_us
         if source and late and not self.outliers.is_unresponsive(source, attempt.started_us):
@@ -114,13 +115,13 @@
         return timeout and attempt.member.last_answer_us > attempt.started_us
 
     def _record_delay(self, attempt: Attempt, event: AttemptEnded, now_us: int) -> None:
-        """Time ran out: overload, unless it was a timeout among answers in time, which is a lost answer."""
-        delayed = attempt.origin or attempt.fill_source or attempt.member
+        """Record a delay as overload, unless it was a timeout among answers in time: a lost answer."""
+        delayed_member = attempt.origin or attempt.fill_source or attempt.member
         started_us = attempt.started_us
-        answered_since = delayed.last_answer_us > started_us
-        silent = not answered_since and self.outliers.expected_answers(delayed, started_us, now_us) > 1
-        if event.status is not AttemptStatus.TIMEOUT or silent or is_overloaded(delayed):
-            self.concurrency_limit.record_outcome(delayed, True, attempt.fill_source is not None)
+        answered_since = delayed_member.last_answer_us > started_us
+        silent = not answered_since and self.outliers.expected_answers(delayed_member, started_us, now_us) > 1
+        if event.status is not AttemptStatus.TIMEOUT or silent or is_overloaded(delayed_member):
+            self.concurrency_limit.record_outcome(delayed_member, True, attempt.fill_source is not None)
 
     def _record_failure(self, attempt: Attempt, event: AttemptEnded, now_us: int) -> None:
         cache = attempt.member
@@ -136,7 +137,7 @@
         elif event.status in CONNECTION_LOST or source is None:
             self._record_cache_failure(attempt, event, now_us)
         else:
-            self._record_undecided_failure(attempt, event, now_us)
+            self._record_unattributed_failure(attempt, event, now_us)
 
     def _record_cache_failure(self, attempt: Attempt, event: AttemptEnded, now_us: int) -> None:
         if event.status is AttemptStatus.OVERLOADED:
@@ -147,15 +148,15 @@
             lost = event.status in CONNECTION_LOST
             self.outliers.record_failure(attempt.member, 1.0, lost, now_us)
 
-    def _record_undecided_failure(self, attempt: Attempt, event: AttemptEnded, now_us: int) -> None:
-        """Cache or source may have failed.
+    def _record_unattributed_failure(self, attempt: Attempt, event: AttemptEnded, now_us: int) -> None:
+        """Record a failure that may have been caused by the cache or by its fill source.
 
-        Where answers give full detail, an error that names no side is the cache's own.
+        If answers give full detail, an error that names no side was caused by the cache itself.
         """
         source = attempt.fill_source
         assert source is not None
-        self.outliers.record_failure(attempt.member, UNDECIDED_AMOUNT, False, now_us)
+        self.outliers.record_failure(attempt.member, UNATTRIBUTED_FAILURE_SHARE, False, now_us)
         if event.status is not AttemptStatus.ERROR or not self.full_detail:
             overloaded = event.status is AttemptStatus.OVERLOADED
             self.concurrency_limit.record_outcome(attempt.origin or source, True, overloaded)
-            self.outliers.record_failure(source, UNDECIDED_AMOUNT, False, now_us)
+            self.outliers.record_failure(source, UNATTRIBUTED_FAILURE_SHARE, False, now_us)
--- a/onyxwick/routing/outlier_detection.py
+++ b/onyxwick/routing/outlier_detection.py
@@ -1,13 +1,14 @@
-"""Outlier detection: which members are ejected, for how long, and what readmits them.
+"""Outlier detection: which members are ejected, for how long, and how they are readmitted.
 
-Input: successes, failures and silences of members (times in microseconds). Output: whether a member may be
-sent requests.
+Input: successes, failures and missing answers of members (times in microseconds). Output: whether a member
+may be sent requests.
 
-Rule: a failure score, the moving share of failures among a member's last answers, ejects it over a
-threshold. The ejection lasts a backoff that doubles with each consecutive ejection; then one trial request
-at a time goes to it, and the first success readmits it. No more than half of a tier is ejected for errors,
-so that a common cause does not empty it; a member that gives no answer at all is always ejected. One that
-comes back from silence may have restarted, and is warmed up as if it had (`slow_start`).
+Rule: a member is ejected when its failure score, the moving share of failures among its last answers,
+reaches a threshold. The ejection lasts for a backoff that doubles with each consecutive ejection. After it,
+the member is sent one trial request at a time, and the first success readmits it. At most half of a tier is
+ejected for errors, so that a common cause does not empty the tier; a member that gives no answer at all is
+always ejected. A member that answers again after it was unresponsive may have restarted, and is warmed up
+as if it had (`slow_start`).
 """
 
 from __future__ import annotations
@@ -21,38 +22,38 @@
 from onyxwick.routing.units import US_PER_S
 
 SAMPLE_WEIGHT = 0.2
-"""Of one answer in the failure score: two failures in a row eject, one does not."""
+"""Weight of one answer in the failure score: two failures in a row eject a member, one does not."""
 EJECTION_SCORE = 0.3
 """Failure score, 0 to 1, at which a member is ejected."""
 HEALTHY_SCORE = 0.01
-"""Under it the backoff starts anew."""
+"""Failure score below which the backoff is reset."""
 MIN_EJECTION_US = 1 * US_PER_S
 MAX_EJECTION_US = 8 * US_PER_S
 MAX_DOUBLINGS = 10
 MAX_EJECTED_SHARE = 0.5
-"""Of a tier, for errors."""
-RESET_AMOUNT = 0.5
-"""Of a failure: a connection that was reset is weak evidence against the member behind it."""
+"""Largest share of a tier that is ejected for errors."""
+RESET_FAILURE_SHARE = 0.5
+"""Share of a failure that a reset counts for: it is weak evidence against the member."""
 RESET_WINDOW_US = 50_000
-"""Attempts reset within this time were on one connection and count once."""
-CERTAIN_ANSWERS = 3.0
-"""Expected answers over which a silence counts as two failures."""
+"""Attempts that are reset within this time were on one connection and count once."""
+CERTAIN_EXPECTED_ANSWERS = 3.0
+"""Number of expected answers above which the absence of any answer counts as two failures."""
 
 
 def is_usable(member: MemberRecord, now_us: int) -> bool:
-    """Whether a member is not ejected, or its ejection is over and no trial request is in flight."""
+    """Return whether a member is not ejected, or its ejection is over and no trial request is in flight."""
     return not member.ejected or (now_us >= member.ejected_until_us and not member.in_flight)
 
 
 class OutlierDetector:
-    """The health of the members as one router sees it."""
+    """Tracks the health of the members from the outcomes at one router."""
 
     def __init__(self, endpoints: MemberRoles, slow_start: SlowStart) -> None:
         self.endpoints = endpoints
         self.slow_start = slow_start
 
     def record_success(self, member: MemberRecord, now_us: int) -> None:
-        """A member has answered; it is readmitted if it was ejected."""
+        """Record an answer of a member, and readmit the member if it was ejected."""
         member.failure_score *= 1 - SAMPLE_WEIGHT
         decay = math.exp((member.last_answer_us - now_us) / ANSWER_WINDOW_US)
         member.recent_answers = member.recent_answers * decay + 1
@@ -70,9 +71,10 @@
     def record_failure(
         self, member: MemberRecord | None, amount: float, unresponsive: bool, now_us: int
     ) -> None:
-        """A member has failed. `amount`: how much of the failure is attributed to it, 0 to 1.
+        """Record a failure of a member, and eject the member if its failure score is too high.
 
-        The origin is never ejected, as nothing can take its place.
+        `amount` is the share of the failure that is attributed to it, 0 to 1. The origin is never ejected,
+        because no other member can replace it.
         """
         if member is None or member is self.endpoints.origin:
             return
@@ -98,23 +100,24 @@
         member.ejected = True
 
     def record_reset(self, member: MemberRecord, now_us: int) -> None:
-        """An attempt at a member was reset; resets of one connection count once."""
+        """Record the reset of an attempt at a member; resets of one connection count once."""
         if now_us - member.last_reset_us >= RESET_WINDOW_US:
-            self.record_failure(member, RESET_AMOUNT, False, now_us)
+            self.record_failure(member, RESET_FAILURE_SHARE, False, now_us)
             member.last_reset_us = now_us
 
     def record_silence(self, member: MemberRecord, since_us: int, now_us: int) -> None:
-        """A member has not answered since then; weighs as much as answers were to be expected."""
+        """Record that a member has not answered since `since_us`, weighted by the expected answers."""
         expected = self.expected_answers(member, since_us, now_us)
-        failures = 2 if expected > CERTAIN_ANSWERS else 1
+        failures = 2 if expected > CERTAIN_EXPECTED_ANSWERS else 1
         for _ in range(failures):
             self.record_failure(member, min(1.0, expected / 2), True, now_us)
 
     def is_unresponsive(self, member: MemberRecord, since_us: int) -> bool:
-        """Whether a member has not answered since then.
+        """Return whether a member has not answered since `since_us`.
 
-        Of parents and the origin: only if another of them has. If none has, the origin is slow; to eject the
-        parents would make what they hold unavailable until long after the origin has recovered.
+        A parent or the origin counts as unresponsive only if another of them has answered. If none has, the
+        origin is slow; ejecting the parents would make the objects that they have cached unavailable until
+        long after the origin has recovered.
         """
         if member.last_answer_us >= since_us:
             return False
@@ -126,13 +129,13 @@
         )
 
     def unresponsive_member(self, attempt: Attempt) -> MemberRecord | None:
-        """The member or fill source of an attempt that has not answered since it was started, if any."""
+        """Return an attempt's member or fill source if unresponsive since the attempt's start, else None."""
         if self.is_unresponsive(attempt.member, attempt.started_us):
             return attempt.member
         source = attempt.fill_source
         return source if source and self.is_unresponsive(source, attempt.started_us) else None
 
     def expected_answers(self, member: MemberRecord, since_us: int, now_us: int) -> float:
-        """How many answers a healthy member would have given since then, by its recent rate."""
+        """Return how many answers a healthy member would have given since `since_us`, at its recent rate."""
         expected = member.recent_answers / ANSWER_WINDOW_US * (now_us - since_us)
         return expected or len(member.in_flight) / 2
