--- a/onyxwick/routing/popularity.py
+++ b/onyxwick/routing/popularity.py
@@ -1,13 +1,14 @@
-"""Popularity: at which rank a cache keeps an object (the online part of Adapt-L, see
+"""Popularity: the rank at which a cache keeps an object (the online part of Adapt-L, see
 DESIGN of the deployment).
 
 Input: client reads, one per object and visit; hits and answers of the caches; the mean fill latency
-(microseconds). Output: the retention rank of an object: gold (kept, evicted last), silver (kept, evicted
-first) or bronze (forwarded without being kept).
+(microseconds). Output: the retention rank of an object: gold (cached, evicted last), silver (cached, evicted
+first) or bronze (forwarded without being cached).
 
 Rule: reads are counted with exponential decay. Every two seconds the two thresholds are set from the sorted
-counts: gold takes as many objects as fill a fixed share of one cache; bronze starts at the objects read
-once, moved up or down in small steps by feedback: fewer hits, or fills that grow slower, keep more.
+counts. The gold threshold admits as many objects as fill a fixed share of one cache. The bronze threshold
+starts at the objects that were read once, and feedback moves it up or down in small steps: when the share
+of hits falls, or fills become slower, more objects are cached.
 """
 
 from __future__ import annotations
@@ -22,32 +23,33 @@
 BRONZE_RANK = 0
 SILVER_RANK = 1
 GOLD_RANK = 3
-"""The ranks are the wire's; its rank 2 is not used."""
+"""The ranks have the values of the wire protocol, whose rank 2 is not used."""
 
 HALF_LIFE_US = 10 * US_PER_S
-"""Counts halve in this time; hits of the same time are taken for a cache's content."""
+"""Counts halve in this time; the objects hit within it are taken as the content of a cache."""
 RECOMPUTE_INTERVAL_US = 2 * US_PER_S
 GOLD_SHARE = 0.2
-"""Of the objects that fit into one cache."""
+"""Share of the objects that fit into one cache."""
 MIN_GOLD_COUNT = 1.001
-"""An object read once is never gold."""
+"""Lowest count of a gold object: an object that was read once is never gold."""
 BRONZE_STEP = 0.02
-"""Of the counted objects: how far one step of the feedback moves the bronze threshold."""
+"""Share of the counted objects by which one step of the feedback moves the bronze threshold."""
 SLOWER_FILL_RATIO = 1.2
-"""Fill latency over that of the step before, from which fills count as slower."""
+"""Ratio of the fill latency to that of the previous step, above which fills count as slower."""
 MAX_COUNTED_OBJECTS = 50_000
 MIN_COUNT = 0.1
-"""An object with a lower count is forgotten."""
+"""Objects with a lower count are dropped."""
 COMPACTION_SHARE = 0.75
-MAX_SCALE = 1e100
-"""Of the counts' unit, far below the largest float."""
+MAX_COUNT_UNIT = 1e100
+"""Largest unit of the stored counts, far below the largest float."""
 
 
 class Popularity:
-    """Read counts of one router and the thresholds between its ranks.
+    """Holds the read counts of one router and the thresholds between the ranks.
 
-    All counts decay alike, so none is rewritten for it: a count is stored in the unit of the time at which it
-    was last raised, and that unit grows.
+    All counts decay at the same rate, so no stored count is rewritten when it decays. A count is stored
+    multiplied by the unit of the time at which it was last raised. The unit grows with time, and a stored
+    count is divided by the current unit when it is read.
     """
 
     def __init__(self, settings: RouterSettings, now_us: int) -> None:
@@ -56,16 +58,16 @@
         self.started_us = now_us
         self.counts: dict[str, float] = {}
         self.unit_since_us = now_us
-        self.forgotten_below = 0.0
-        """Stored counts under this are void and are removed now and then."""
+        self.dropped_below = 0.0
+        """Stored counts below this value count as 0; they are removed at intervals."""
         self.gold_threshold = math.inf
         self.bronze_threshold = 1.0
         self.bronze_shift = 0.0
-        """Distance of the bronze threshold from `read once`, as a share of the counted objects."""
+        """Distance of the bronze threshold from the objects read once, as a share of the counted objects."""
         self.recent_hits: dict[str, dict[str, int]] = {}
-        """Time of the last hit, by cache and object."""
+        """Time of the last hit in microseconds, by cache and object."""
         self.hits = 0
-        """Since the last step, as `answers`."""
+        """Hits since the last step; `answers` counts over the same time."""
         self.answers = 0
         self.previous_hit_share = 0.0
         self.previous_fill_us = 0.0
@@ -74,21 +76,21 @@
         return math.exp2((now_us - self.unit_since_us) / HALF_LIFE_US)
 
     def count(self, object_id: str, now_us: int) -> float:
-        """The decayed number of reads of an object."""
+        """Return the decayed number of reads of an object."""
         stored = self.counts.get(object_id, 0.0)
-        return stored / self._unit(now_us) if stored >= self.forgotten_below else 0.0
+        return stored / self._unit(now_us) if stored >= self.dropped_below else 0.0
 
     def record_read(self, object_id: str, now_us: int, reads: float = 1.0) -> float:
-        """Count reads of an object and return its new count. A full table takes in no new object."""
+        """Count reads of an object and return its new count. A full table accepts no new object."""
         unit = self._unit(now_us)
         stored = self.counts.get(object_id, 0.0)
-        count = stored / unit + reads if stored >= self.forgotten_below else reads
+        count = stored / unit + reads if stored >= self.dropped_below else reads
         if object_id in self.counts or len(self.counts) < MAX_COUNTED_OBJECTS:
             self.counts[object_id] = count * unit
         return count
 
     def retention_rank(self, arrival: RequestArrived, request_class: RequestClass, now_us: int) -> int:
-        """Count one client's read of an object, its first part only, and return its rank."""
+        """Count a client's read of an object, at its first part only, and return the object's rank."""
         if arrival.part == 0 and not arrival.is_retry:
             count = self.record_read(arrival.object_id, now_us)
         else:
@@ -98,36 +100,36 @@
         if count >= self.gold_threshold:
             return GOLD_RANK
         if count > self.bronze_threshold or now_us - self.started_us < HALF_LIFE_US:
-            return SILVER_RANK  # just after the start nothing has been counted: nothing is bronze yet
-        # Read once here, an object was likely read through the zone's other routers too: it is silver with
-        # a probability that grows with their number, decided by its hash so that all its parts agree.
+            return SILVER_RANK  # Just after the start nothing has been counted, so no object is bronze yet.
+        # An object that was read once here was probably read through the zone's other routers too. It is
+        # silver with a probability that grows with their number; its hash decides, so that all parts agree.
         others_share = 1 - 1 / self.zone_router_count
         likely_read = math.exp(-exponential_draw(self.router_key, arrival.object_id)) < others_share
         return SILVER_RANK if likely_read else BRONZE_RANK
 
     def record_answer(self, cache: str, object_id: str, hit: bool, now_us: int) -> None:
-        """A cache has answered a read, with a hit or not."""
+        """Record that a cache has answered a read, with a hit or without."""
         self.answers += 1
         if hit:
             self.hits += 1
             self.recent_hits.setdefault(cache, {})[object_id] = now_us
 
     def forget_cache(self, cache: str) -> None:
-        """A cache has lost its copies."""
+        """Drop the hits of a cache that has lost its copies."""
         self.recent_hits.pop(cache, None)
 
     def recompute_ranks(self, now_us: int, mean_fill_us: float) -> None:
-        """Set both thresholds anew and drop what has expired."""
+        """Recompute both thresholds and drop expired hits and counts."""
         self._drop_old_hits(now_us)
         unit = self._unit(now_us)
         ranked = self._ranked_counts(unit)
         self._set_gold_threshold(ranked, unit)
         self._adjust_bronze_shift(mean_fill_us)
         self._set_bronze_threshold(ranked, unit)
-        if unit > MAX_SCALE:
+        if unit > MAX_COUNT_UNIT:
             self.counts = {object_id: count / unit for object_id, count in self.counts.items()}
             self.unit_since_us = now_us
-            self.forgotten_below /= unit
+            self.dropped_below /= unit
 
     def _drop_old_hits(self, now_us: int) -> None:
         oldest_us = now_us - HALF_LIFE_US
@@ -136,24 +138,22 @@
                 del hits[object_id]
 
     def _ranked_counts(self, unit: float) -> list[float]:
-        """The stored counts in rising order, without the forgotten; of a full table its greater half."""
+        """Return the counts that are kept, in ascending order; of a full table only the upper half."""
         ranked = sorted(self.counts.values())
-        self.forgotten_below = MIN_COUNT * unit
-        ranked = ranked[bisect_left(ranked, self.forgotten_below) :]
+        self.dropped_below = MIN_COUNT * unit
+        ranked = ranked[bisect_left(ranked, self.dropped_below) :]
         if len(ranked) >= MAX_COUNTED_OBJECTS:
             half = MAX_COUNTED_OBJECTS // 2
-            self.forgotten_below = ranked[half]
+            self.dropped_below = ranked[half]
             ranked = ranked[half:]
         stored = len(self.counts)
         if len(ranked) < COMPACTION_SHARE * stored or stored > COMPACTION_SHARE * MAX_COUNTED_OBJECTS:
-            self.counts = {
-                name: count for name, count in self.counts.items() if count >= self.forgotten_below
-            }
+            self.counts = {name: count for name, count in self.counts.items() if count >= self.dropped_below}
         return ranked
 
     def _set_gold_threshold(self, ranked: list[float], unit: float) -> None:
         cached = sum(len(hits) for hits in self.recent_hits.values()) / max(1, len(self.recent_hits))
-        # A router sees part of the zone's hits, and the parts overlap: hence the root.
+        # A router sees part of the zone's hits, and these parts overlap: hence the square root.
         gold = int(GOLD_SHARE * cached * math.sqrt(self.zone_router_count))
         self.gold_threshold = math.inf
         if 0 < gold <= len(ranked):
@@ -161,8 +161,8 @@
 
     def _adjust_bronze_shift(self, mean_fill_us: float) -> None:
         hit_share = self.hits / max(1, self.answers)
-        faster = mean_fill_us <= SLOWER_FILL_RATIO * self.previous_fill_us
-        keep_less = hit_share >= self.previous_hit_share and faster
+        fills_not_slower = mean_fill_us <= SLOWER_FILL_RATIO * self.previous_fill_us
+        keep_less = hit_share >= self.previous_hit_share and fills_not_slower
         self.bronze_shift += -BRONZE_STEP if keep_less else BRONZE_STEP
         self.previous_hit_share = hit_share
         self.previous_fill_us = mean_fill_us
@@ -172,8 +172,8 @@
     def _set_bronze_threshold(self, ranked: list[float], unit: float) -> None:
         total = len(ranked)
         over_once = total - bisect_right(ranked, 1 * unit)
-        over_twice = total - bisect_right(ranked, 2 * unit)  # read more than twice is never bronze
+        over_twice = total - bisect_right(ranked, 2 * unit)  # Objects read more than twice are never bronze.
         kept = min(max(over_once + int(self.bronze_shift * total), over_twice), total)
-        if kept in (over_twice, total):  # at a bound: the shift does not wind up beyond it
+        if kept in (over_twice, total):  # At a bound, the shift must not wind up beyond it.
             self.bronze_shift = (kept - over_once) / max(1, total)
         self.bronze_threshold = ranked[-1 - kept] / unit if kept < total else 0.0
--- a/onyxwick/routing/purge.py
+++ b/onyxwick/routing/purge.py
@@ -1,8 +1,8 @@
-"""Purges: the age of the oldest copy that may answer a request.
+"""Purges: the maximum age of a copy that may answer a request.
 
-Input: purges of an object or a group of objects, with their age. Output: a maximum age (microseconds) for
-each attempt, cut so that no copy made before a purge may answer. A purge is remembered until no older copy
-is left anywhere.
+Input: purges of an object or a group of objects, with their age (microseconds). Output: a maximum age
+(microseconds) for each attempt, limited so that no copy made before a purge may answer. A purge is
+remembered until no copy older than it is left at any member.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class PurgeTimes:
-    """When objects and groups were last purged."""
+    """Holds the times (microseconds) at which objects and groups were last purged."""
 
     def __init__(self, settings: RouterSettings) -> None:
         self.retention_us = settings.rules.purge_retention_us + RETENTION_MARGIN_US
@@ -26,7 +26,7 @@
         return len(self.objects) + len(self.groups)
 
     def record(self, event: ObjectsPurged, now_us: int) -> None:
-        """Take in a purge; an older one of the same object or group changes nothing."""
+        """Record a purge; a purge older than the last one of the same object or group changes nothing."""
         purged_us = now_us - event.age_us
         if event.object_id is None:
             group = event.object_group
@@ -36,13 +36,13 @@
             self.objects[name] = max(purged_us, self.objects.get(name, 0))
 
     def drop_expired(self, now_us: int) -> None:
-        """Forget purges of which no older copy is left."""
+        """Drop purges that are so old that no copy made before them is left."""
         oldest_us = now_us - self.retention_us
         self.objects = {name: at for name, at in self.objects.items() if at > oldest_us}
         self.groups = {group: at for group, at in self.groups.items() if at > oldest_us}
 
     def purged_at_us(self, arrival: RequestArrived) -> int | None:
-        """The last purge that a request's object was part of; None if none is remembered."""
+        """Return the time of the last purge that covered a request's object; None if none is remembered."""
         object_us = self.objects.get(arrival.object_id)
         group_us = None if arrival.object_group is None else self.groups.get(arrival.object_group)
         if object_us is None or group_us is None:
@@ -50,9 +50,9 @@
         return max(object_us, group_us)
 
     def max_age_us(self, request: RequestState, allow_stale: bool, now_us: int) -> int:
-        """Age of the oldest copy that may answer; 0: the class's freshness lifetime.
+        """Return the maximum age of a copy that may answer; 0 stands for the class's freshness lifetime.
 
-        `allow_stale`: a copy may be stale by the class's grace.
+        `allow_stale` means that a copy may be stale by up to the class's grace period.
         """
         request_class = request.request_class
         lifetime_us = request_class.freshness_lifetime_us
--- a/onyxwick/routing/retry.py
+++ b/onyxwick/routing/retry.py
@@ -1,11 +1,11 @@
-"""Retries: whether a request is attempted again, and how it ends otherwise.
+"""Retries: whether a request is attempted again, and its final answer if it is not.
 
-Input: a request with its attempts, its class's idempotency, the limits. Output: retry or not; the final
-answer, rejected with a Retry-After (microseconds) or failed.
+Input: a request with its attempts, the idempotency of its class, and the limits. Output: whether to retry;
+otherwise the final answer, which is a rejection with a Retry-After (microseconds) or a failure.
 
-Rule: a request that may have been executed is repeated only if its class allows it; a request is rejected
-only if its client may safely repeat it, else it has failed. A retry budget (Google SRE book, "Handling
-Overload") bounds all retries and hedged requests to a share of the requests, so that retries cannot amplify
+Rule: a request that may have been executed is repeated only if its class allows it. A request is rejected
+only if its client may safely repeat it; otherwise it fails. A retry budget (Google SRE book, "Handling
+Overload") limits all retries and hedged requests to a share of the requests, so that retries cannot amplify
 an overload.
 """
 
@@ -17,37 +17,37 @@
 from onyxwick.routing.state import RequestState
 
 RETRIES_PER_REQUEST = 0.2
-FLEET_BURST = 60.0
-"""Retries that all routers together may save up."""
-MIN_BURST = 4.0
-"""Retries that one router may save up, however many there are."""
+FLEET_BURST_TOKENS = 60.0
+"""Retry tokens that all routers together may accumulate."""
+MIN_BURST_TOKENS = 4.0
+"""Retry tokens that one router may accumulate, whatever the number of routers."""
 KEY_WINDOW_MARGIN_TICKS = 2
 
 
 class RetryBudget:
-    """Tokens for retries: each request adds part of one, each retry or hedged request takes one."""
+    """Token bucket for retries: each request adds part of a token, each retry or hedged request takes one."""
 
     def __init__(self, router_count: int) -> None:
-        self.max_tokens = max(MIN_BURST, FLEET_BURST / router_count)
+        self.max_tokens = max(MIN_BURST_TOKENS, FLEET_BURST_TOKENS / router_count)
         self.tokens = self.max_tokens
         self.reserve = 1.0
-        """How much may be spent beyond one attempt a request, 0 to 1 (`RetryReserveChanged`)."""
+        """Share of the attempts beyond a request's first that may be used, 0 to 1 (`RetryReserveChanged`)."""
 
     def scale(self, share: float) -> None:
-        """Cut a new budget to a share of the director's, where several routers divide it."""
-        self.max_tokens = max(MIN_BURST, self.max_tokens * share)
+        """Reduce a new budget to a share of the director's budget, if several routers divide it."""
+        self.max_tokens = max(MIN_BURST_TOKENS, self.max_tokens * share)
         self.tokens = self.max_tokens
 
     def add_request(self) -> None:
-        """Earn part of a token."""
+        """Add the part of a token that one request contributes."""
         self.tokens = min(self.max_tokens, self.tokens + RETRIES_PER_REQUEST * self.reserve)
 
     def has_token(self) -> bool:
-        """Whether a retry can be paid for."""
+        """Return whether a token is left for a retry or a hedged request."""
         return self.tokens >= 1.0
 
     def take_token(self) -> None:
-        """Pay for a retry."""
+        """Take the token of a retry or a hedged request."""
         self.tokens -= 1.0
 
     @property
@@ -57,7 +57,7 @@
 
 
 class RetryPolicy:
-    """Retry or final answer."""
+    """Decides between a retry and the final answer of a request."""
 
     def __init__(self, settings: RouterSettings, budget: RetryBudget) -> None:
         self.limits = settings.limits
@@ -65,13 +65,13 @@
         self.budget = budget
 
     def has_time(self, request: RequestState, now_us: int) -> bool:
-        """Whether there is time for an attempt before the client's deadline."""
+        """Return whether there is time for an attempt before the client's deadline."""
         return request.deadline_us - now_us > self.tick_us
 
     def has_attempts_left(self, request: RequestState) -> bool:
-        """Whether the limits allow one more attempt.
+        """Return whether the limits allow one more attempt.
 
-        A lookup, an attempt without a fill, that missed does not count against the retry reserve.
+        A lookup (an attempt without a fill) that missed does not count against the retry reserve.
         """
         max_attempts = self.limits.max_attempts
         if len(request.attempts) >= max_attempts:
@@ -80,7 +80,7 @@
         return sum(not attempt.missed for attempt in request.attempts) < reserved
 
     def may_retry(self, request: RequestState, now_us: int) -> bool:
-        """Whether a request whose attempts have failed may be attempted again, and can be paid for."""
+        """Return whether a request whose attempts have failed may be retried, and a token is left for it."""
         executed = request.possibly_executed
         request_class = request.request_class
         if executed is not None and request_class.idempotency is not Idempotency.IDEMPOTENT:
@@ -92,14 +92,17 @@
         return self.budget.has_token()
 
     def may_reject(self, request: RequestState) -> bool:
-        """Whether a request may be rejected: its client may repeat it with no harm."""
+        """Return whether a request may be rejected, that is, whether its client may safely repeat it."""
         request_class = request.request_class
         if request_class.idempotency is Idempotency.IDEMPOTENT or _has_fleet_wide_key(request_class):
             return True
         return request.possibly_executed is None and not request.any_in_flight
 
     def retry_after_us(self, request_class: RequestClass, rng: random.Random) -> int:
-        """When a rejected client is to come again, with jitter so that not all come at once; 0: no time."""
+        """Return a rejected client's retry delay, with jitter so that clients do not all retry at once.
+
+        The delay is in microseconds; 0 means that no delay is given.
+        """
         delay_us = 0
         if self.limits.retry_after:
             delay_us = min(self.limits.max_retry_after_us, request_class.latency_objective_us)
@@ -107,6 +110,6 @@
 
 
 def _has_fleet_wide_key(request_class: RequestClass) -> bool:
-    """Whether every cache recognises the retry of a request by its idempotency key."""
+    """Return whether every cache recognises the retry of a request by its idempotency key."""
     keyed = request_class.idempotency is Idempotency.WITH_KEY
     return keyed and request_class.key_scope is KeyScope.ALL
--- a/onyxwick/routing/slow_start.py
+++ b/onyxwick/routing/slow_start.py
@@ -1,14 +1,14 @@
-"""Slow start: how much a member that has just started may be sent.
+"""Slow start: how much work a member that has just started may be sent.
 
-Input: the time since its start, the work sent to it within the overload window (transfer time,
+Input: the time since the member's start, the work sent to it within the overload window (transfer time,
 microseconds), its capacity and the number of routers that share it. Output: the share of its capacity that
-it has (0 to 1), and whether it may be sent one more request.
+is available (0 to 1), and whether it may be sent one more request.
 
-Rule: its capacity rises linearly from a start share to 1, and it fails when it is sent more than a multiple
-of that over a window, bursts included. Each router keeps to its part of a safe fraction of that budget. A
-part under one request cannot be kept by sending less; it comes as single sends, one each time the router's
-part adds up to one. The routers' phases are spread by the golden ratio's multiples (Kronecker sequence), so
-that they do not coincide.
+Rule: the available capacity rises linearly from a start share to 1. The member fails when it is sent more
+than a multiple of that capacity over a window, bursts included. Each router stays within its part of a safe
+fraction of that budget. A part of less than one request cannot be met by sending less; instead the router
+makes single sends, one each time its accumulated part reaches one request. The phases of the routers are
+spread by multiples of the golden ratio (Kronecker sequence), so that their single sends do not coincide.
 """
 
 from __future__ import annotations
@@ -24,32 +24,32 @@
 from onyxwick.routing.units import US_PER_S
 
 BUDGET_MARGIN = 0.5
-"""Of what the rule allows: weights are approximate and routers are loaded unevenly."""
+"""Share of the allowed work that is used: weights are approximate and routers are loaded unevenly."""
 GOLDEN_RATIO_FRACTION = 0.6180339887
 SEND_PHASE_KEY = "turn"
-"""Hashed with a member's address: a phase for each member, equal at all routers."""
+"""Hashed with a member's address to give each member a phase that is the same at all routers."""
 RESTART_NOTICE_US = 5 * US_PER_S
 """The endpoint list announces a restart within this time."""
 
 
 @dataclass(frozen=True, slots=True)
 class WarmUpCurve:
-    """How members of one tier warm up."""
+    """Describes how members of one tier warm up."""
 
     start_share: float
-    """Share of its capacity that a member has at its start."""
+    """Share of its capacity that a member has when it starts."""
     duration_us: int
     overload_multiple: float
-    """It fails when it is sent more than this multiple of its capacity over the overload window."""
+    """A member fails when it is sent more than this multiple of its capacity over the overload window."""
 
     def sends_until(self, age_us: int, full_budget: float, transfer_us: float) -> float:
-        """How many sends of `transfer_us` the budget has allowed since the start, as a real number."""
+        """Return how many sends of `transfer_us` the budget has allowed since the start, with fractions."""
         start, duration = self.start_share, self.duration_us
         return full_budget / transfer_us * (start * age_us + (1 - start) * age_us * age_us / (2 * duration))
 
 
 class SlowStart:
-    """The warm-up rule of one router."""
+    """Applies the warm-up rule of one router."""
 
     def __init__(
         self,
@@ -76,11 +76,11 @@
         return self.parent_curve if member.info.kind == self.parent_kind else self.cache_curve
 
     def warm_share(self, member: MemberRecord, now_us: int) -> float:
-        """Share of its capacity that a member surely has now; 1: it has warmed up."""
+        """Return the share of its capacity that a member has at least now; 1 means that it has warmed up."""
         if not member.warming_since_us:
             return 1.0
         if member.assumed_restarted and now_us - member.warming_since_us > RESTART_NOTICE_US:
-            # The list would have announced a restart by now: it was unresponsive for another reason.
+            # The list would have announced a restart by now: the member was unresponsive for another reason.
             member.warming_since_us = member.info.started_at_us
             member.assumed_restarted = False
         curve = self._curve(member)
@@ -90,7 +90,7 @@
         return curve.start_share + (1 - curve.start_share) * max(0, age_us) / curve.duration_us
 
     def admits(self, member: MemberRecord, transfer_us: float, now_us: int) -> bool:
-        """Whether this router may send a member one more request of this mean transfer time."""
+        """Return whether this router may send a member one more request of this mean transfer time."""
         share = self.warm_share(member, now_us)
         if share >= 1.0:
             return True
@@ -111,12 +111,12 @@
         longest_us = self.latency.longest_transfer_us()
         if budget_us >= longest_us or used_us > longest_us:
             return False
-        return self._has_single_send(member, full_budget, longest_us, now_us)
+        return self._single_send_is_due(member, full_budget, longest_us, now_us)
 
-    def _has_single_send(
+    def _single_send_is_due(
         self, member: MemberRecord, full_budget: float, transfer_us: float, now_us: int
     ) -> bool:
-        """Whether this router's next single send fell due within the last overload window."""
+        """Return whether this router's next single send became due within the last overload window."""
         curve = self._curve(member)
         draw = exponential_draw(SEND_PHASE_KEY, member.info.address)
         phase = (self.router_index * GOLDEN_RATIO_FRACTION + draw) % 1.0
@@ -126,7 +126,7 @@
         return sends > int(phase + curve.sends_until(before_us, full_budget, transfer_us))
 
     def charge(self, member: MemberRecord, transfer_us: float, now_us: int) -> WarmUpSend | None:
-        """Count a request that is sent to a member; None if the member has warmed up."""
+        """Record a request that is sent to a member that is warming up; return None if it has warmed up."""
         if self.warm_share(member, now_us) >= 1.0:
             return None
         send = WarmUpSend(now_us, transfer_us)
--- a/onyxwick/routing/state.py
+++ b/onyxwick/routing/state.py
@@ -1,7 +1,7 @@
-"""Records of the router: what it knows of each member, each request and each attempt.
+"""Records of the router: the state of each member, each request and each attempt.
 
-They hold state and no rules. A member is a cache, a parent (the tier behind the caches) or the origin.
-Times are microseconds of the caller's clock. Records are compared by identity.
+The records contain no rules. A member is a cache, a parent (the tier behind the caches) or the origin.
+Times are in microseconds of the caller's clock. Records are compared by identity.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 """Request id and attempt index."""
 
 NEVER_US = -1_000_000_000
-"""Before any time of a clock."""
+"""Earlier than any time that a clock gives."""
 
 
 @dataclass(slots=True, eq=False)
 class WarmUpSend:
-    """Work that was sent to a member while it was warming up."""
+    """Records work that was sent to a member while it was warming up."""
 
     sent_us: int
     transfer_us: float
@@ -28,85 +28,85 @@
 
 @dataclass(slots=True, eq=False)
 class MemberRecord:
-    """What is known of one member, from the endpoint list and from its answers."""
+    """Holds the state of one member, from the endpoint list and from its answers."""
 
     info: Member
     warming_since_us: int
-    """Its last start, as announced or assumed; 0: not known, or long ago."""
+    """Time of the member's last start, announced or assumed; 0 if it is not known or long past."""
     assumed_restarted: bool = False
-    """`warming_since_us` is an assumption: it was unresponsive, and the list has not announced a restart."""
+    """`warming_since_us` is assumed: the member was unresponsive, and the list has announced no restart."""
     last_answer_us: int = 0
-    """Its last answer; of a fill source, its last completed fill."""
+    """Time of the member's last answer; for a fill source, of its last completed fill."""
     recent_answers: float = 0.0
-    """Answers up to `last_answer_us`, decayed."""
+    """Number of answers up to `last_answer_us`, with exponential decay."""
     in_flight: dict[AttemptKey, None] = field(default_factory=dict)
-    """Attempts that use it, in the order they were started."""
+    """Attempts that use the member, in the order in which they were started."""
     last_attempt_ended_us: int = 0
     last_attempt_latency_us: int = 0
 
     failure_score: float = 0.0
-    """Share of failures among its last answers, 0 to 1."""
+    """Share of failures among the member's last answers, 0 to 1."""
     ejected: bool = False
     ejected_until_us: int = 0
     consecutive_ejections: int = 0
     unresponsive: bool = False
-    """Ejected as it gave no answer; it may have restarted."""
+    """Whether it was ejected because it gave no answer; it may have restarted."""
     last_reset_us: int = NEVER_US
-    """When an attempt at it was last reset."""
+    """Time at which an attempt at the member was last reset."""
 
     limit_factor: float = 1.0
-    """Learned factor on its concurrency limit."""
+    """Learned factor on the member's concurrency limit."""
     concurrency_limit: float = 0.0
     """The limit that the last admission decision used, in transfers."""
     late_share: float = 0.0
-    """Share of late answers among its last ones, 0 to 1."""
+    """Share of late answers among the member's last answers, 0 to 1."""
     mean_in_flight: float = 0.0
-    """Attempts in flight, a moving average over the admission decisions."""
+    """Moving average of the attempts in flight, updated at each admission decision."""
     mean_in_flight_at_us: int = 0
 
     warm_up_sends: deque[WarmUpSend] = field(default_factory=deque)
-    """What it was sent within the last overload window while warming up."""
+    """Work sent to the member within the last overload window while it is warming up."""
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt of a request."""
+    """Holds the state of one attempt of a request."""
 
     member: MemberRecord
     """The member that the request was sent to."""
     fill_source: MemberRecord | None
-    """The member that a miss is filled from; None: it is not filled from another member."""
+    """The member that a miss is filled from; None if a miss is not filled from another member."""
     started_us: int
     cached_only: bool = False
-    """The fill source serves only what it holds itself."""
+    """Whether the fill source serves only objects that it has cached itself."""
     origin: MemberRecord | None = None
-    """The origin, where the fill source may go on to it."""
+    """The origin, if the fill source may fetch from it; otherwise None."""
     fill_source_send: WarmUpSend | None = None
-    """What a fill source that is warming up was charged for this attempt."""
+    """Work recorded for this attempt at a fill source that is warming up."""
     in_flight: bool = True
     cancelled: bool = False
     hedged: bool = False
-    """A hedged request was sent, as this attempt was overdue."""
+    """Whether a hedged request was sent because this attempt was overdue."""
     missed: bool = False
-    """It found that the object is not cached, which is no failure."""
+    """Whether the attempt found that the object is not cached, which does not count as a failure."""
 
 
 @dataclass(slots=True, eq=False)
 class RequestState:
-    """One client request and its attempts."""
+    """Holds the state of one client request and its attempts."""
 
     arrival: RequestArrived
     request_class: RequestClass
     deadline_us: int
     retention_rank: int
-    """Rank at which a cache keeps its copy; 0: it keeps none."""
+    """Rank at which a cache keeps its copy; 0 means that it keeps none."""
     closed: bool = False
-    """The final answer is decided, or the client has left."""
+    """Whether the final answer is decided or the client has disconnected."""
     attempts: list[Attempt] = field(default_factory=list)
     possibly_executed: Attempt | None = None
-    """The first ended attempt that may have been executed."""
+    """The first ended attempt that may have been executed; None if there is none."""
 
     @property
     def any_in_flight(self) -> bool:
-        """Whether an attempt has not ended."""
+        """Whether at least one attempt has not ended."""
         return any(attempt.in_flight for attempt in self.attempts)
