--- a/onyxwick/routing/router.py
+++ b/onyxwick/routing/router.py
@@ -1,19 +1,19 @@
-"""The router: takes the events of one instant and returns the actions on them.
-
-Input: events (`onyxwick.interface.events`) and the time, microseconds of the caller's clock. Output:
-actions (`onyxwick.interface.actions`). It owns the table of open requests and the order in which the rules
-are asked; each rule, with its figures, is in its own module:
-
-    endpoints, capacity              which members there are, and how much they take
-    popularity                       at which rank a copy is kept
-    cache_selection, fill_source     where a request is sent, and where a miss is filled from
-    slow_start, concurrency_limit    whether a member may take one more
-    outlier_detection, outcomes      what is learned from an attempt's end
-    retry, hedging                   whether there is another attempt, and the final answer otherwise
-    purge, forwarding                how old a copy may be, and the action that is sent
-
-It has no clock, does no I/O, and draws random numbers from its seed alone: the same events give the same
-actions.
+"""The router: takes the events of one instant and returns the actions that they require.
+
+Input: events (`onyxwick.interface.events`) and the time, in microseconds of the caller's clock. Output:
+actions (`onyxwick.interface.actions`). The router owns the table of open requests and the order in which
+the rules are applied. Each rule, with its constants, is in its own module:
+
+    endpoints, capacity              the listed members and their capacities
+    popularity                       the rank at which a cache keeps a copy
+    cache_selection, fill_source     the member a request is sent to, and the one a miss is filled from
+    slow_start, concurrency_limit    whether a member may take one more request
+    outlier_detection, outcomes      the effect of an ended attempt on the state of members
+    retry, hedging                   whether there is another attempt, and the final answer if not
+    purge, forwarding                the maximum age of a copy, and the action that is sent
+
+The router has no clock, does no I/O, and draws random numbers only from its seed: the same events give the
+same actions.
 """
 
 from __future__ import annotations
@@ -61,24 +61,24 @@
 
 
 class Router:
-    """The decisions of one director.
+    """Makes the decisions of one director.
 
-    Its rules and `requests` may be read by a trace or a metric between two calls of `handle`, at `now_us`.
+    A trace or a metric may read the rules and `requests` between two calls of `handle`, as of `now_us`.
     """
 
     def __init__(self, settings: RouterSettings, seed: int, now: int) -> None:
-        """`seed` of its random draws; `now` in microseconds."""
+        """Start the router at `now` (microseconds); `seed` determines all random draws."""
         self.settings = settings
         self.now_us = now
         self.requests: dict[str, RequestState] = {}
-        """Open requests by id: not yet answered, or with attempts in flight."""
+        """Open requests by id: those not yet answered, or with attempts in flight."""
         self._random = random.Random(seed)
         self._actions: list[Action] = []
         self._subscription_failed = False
         self._request_classes = {c.name: c for c in settings.classes}
         self._build_rules(settings, now)
         self.timers = TimerQueue()
-        # The first step comes at random, so that not all routers of a fleet recompute at once.
+        # The first recomputation is at a random time, so that not all routers of a fleet recompute at once.
         self.timers.schedule(now + int(RECOMPUTE_INTERVAL_US * self._random.random()), now)
         if settings.subscribe:
             self._actions.append(SubscribeToEndpoints())
@@ -126,17 +126,17 @@
     # ---- for metrics and the core --------------------------------------------------------------------------
 
     def ejected_count(self) -> int:
-        """Number of members that are ejected at present."""
+        """Return the number of members that are ejected at present."""
         return sum(member.ejected for member in self.endpoints.members.values())
 
     def mean_transfer_us(self) -> dict[str, float]:
-        """Mean transfer time (microseconds) by name of the request class."""
+        """Return the mean transfer times (microseconds) by name of the request class."""
         return {name: estimate.mean_us for name, estimate in self.latency.transfer.items()}
 
     # ---- events -----------------------------------------------------------------------------------------
 
     def handle(self, now: int, events: list[Event]) -> list[Action]:
-        """Take the events of the instant `now` (microseconds) and return the actions on them."""
+        """Process the events of the instant `now` (microseconds) and return the resulting actions."""
         self.now_us = now
         for event in events:
             self._dispatch(event)
@@ -153,7 +153,7 @@
         return actions
 
     def _dispatch(self, event: Event) -> None:
-        """Events that are not named here need no action; due timers are handled in `handle`."""
+        """Process one event. Other kinds of event need no action; `handle` processes the timers due."""
         match event:
             case RequestArrived():
                 self._on_request_arrived(event)
@@ -172,7 +172,7 @@
 
     def _on_endpoints_changed(self, event: EndpointsChanged) -> None:
         if event.kind is EndpointListKind.UNAVAILABLE:
-            # Renewed at the next step, so that a failing list is not asked in a tight loop.
+            # The next rank recomputation subscribes again, so that a failing list is not requested in a loop.
             self._subscription_failed = self.settings.subscribe
             return
         for address in self.endpoints.apply(event, self.now_us):
@@ -191,7 +191,7 @@
         request = self.requests.get(request_id)
         if request is None:
             return
-        # Nobody waits for the answer; an attempt that is nearly done may finish and leave a copy.
+        # No client waits for the answer, but an attempt that is almost complete may finish and leave a copy.
         mean_us = self.latency.answer[request.request_class.name].mean_us
         self._cancel_attempts(request, int(self.now_us - mean_us))
         self._close(request)
@@ -214,7 +214,7 @@
         self._forward(request)
 
     def _forward(self, request: RequestState) -> None:
-        """Start one more attempt, or give the final answer where none is possible."""
+        """Start one more attempt, or give the final answer if no attempt is possible."""
         now_us = self.now_us
         if not self.retry_policy.has_attempts_left(request):
             return self._give_final_answer(request)
@@ -228,14 +228,14 @@
         looked_up = any(attempt.missed for attempt in request.attempts)
         parent_missed = any(attempt.missed and attempt.cached_only for attempt in request.attempts)
         if parent_missed and self.fill_source_selector.origin_is_full(request, source, now_us):
-            # Neither the cache nor its parent holds the object, and the origin has no capacity left.
+            # Neither the cache nor its parent has a copy of the object, and the origin has no capacity left.
             source = self.fill_source_selector.choose_remote_cache(request, now_us)
         if cache is None or (source is None and (is_write or looked_up)):
             return self._give_final_answer(request)
         self._start_attempt(request, cache, source)
 
     def _may_bypass_caches(self, request: RequestState, source: MemberRecord) -> bool:
-        """Whether a request goes straight to its source: a write, or one with no healthy cache at all."""
+        """Return whether a request is sent directly to its source: a write, or any if no cache is healthy."""
         if not self.settings.cache_bypass or self.fill_source_selector.is_remote_cache(source):
             return False
         if request.request_class.is_write:
@@ -247,8 +247,8 @@
     ) -> None:
         """Send a request to a member.
 
-        `source`: where a miss is filled from; None: a cached copy only; the member itself: sent straight
-        to a parent.
+        `source` is the member that a miss is filled from. None means that only a cached copy may answer;
+        `member` itself means that the request is sent directly to a parent.
         """
         now_us = self.now_us
         cached_only = source is not member and (
@@ -268,7 +268,7 @@
     def _reserve_members(
         self, request: RequestState, attempt: Attempt, source: MemberRecord | None, index: int
     ) -> None:
-        """Count an attempt at every member that it may use."""
+        """Record an attempt as in flight at every member that it may use."""
         key = (request.arrival.request_id, index)
         transfer_us = self.latency.transfer[request.request_class.name].mean_us
         for member in (attempt.member, source, attempt.origin):
@@ -280,7 +280,7 @@
                 attempt.fill_source_send = send
 
     def _give_final_answer(self, request: RequestState) -> None:
-        """Reject the request where its class allows it, else fail it."""
+        """Reject the request if its class and attempts allow it; otherwise fail it."""
         self._cancel_attempts(request)
         request_id = request.arrival.request_id
         if self.retry_policy.may_reject(request):
@@ -299,7 +299,7 @@
                 self._actions.append(CancelAttempt(request.arrival.request_id, index))
 
     def _close(self, request: RequestState) -> None:
-        """End a request; it is kept until its last attempt has ended."""
+        """Close a request; it stays in the table until its last attempt has ended."""
         request.closed = True
         if not request.any_in_flight:
             self.requests.pop(request.arrival.request_id, None)
@@ -324,7 +324,7 @@
             self._cancel_attempts(request)
             self._close(request)
         elif not request.any_in_flight:
-            self._continue(request, attempt, event.status)
+            self._retry_or_finish(request, attempt, event.status)
 
     def _release_members(self, attempt: Attempt, event: AttemptEnded) -> None:
         key = (event.request_id, event.attempt_index)
@@ -334,8 +334,8 @@
                 member.last_attempt_ended_us = self.now_us
                 member.last_attempt_latency_us = event.latency_us
 
-    def _continue(self, request: RequestState, attempt: Attempt, status: AttemptStatus) -> None:
-        """Go on after an attempt that gave no answer."""
+    def _retry_or_finish(self, request: RequestState, attempt: Attempt, status: AttemptStatus) -> None:
+        """Retry a request, or give its final answer, after an attempt that gave no answer."""
         is_lookup = attempt.fill_source is None or attempt.cached_only
         if status is AttemptStatus.MISS and is_lookup and not request.request_class.is_write:
             attempt.missed = True
@@ -349,9 +349,9 @@
     # ---- overdue attempts -------------------------------------------------------------------------------
 
     def _on_overdue(self, request: RequestState, index: int) -> None:
-        """An attempt is overdue: hedge it, or act on the member that has stopped answering."""
+        """Hedge an overdue attempt, or record the silence of a member that has stopped answering."""
         if index >= len(request.attempts):
-            return  # of an earlier request with the same id
+            return  # The timer belongs to an earlier request with the same id.
         attempt = request.attempts[index]
         if not attempt.in_flight or request.closed:
             return
@@ -370,7 +370,7 @@
             self.timers.schedule(check_again_us, now_us, request.arrival.request_id, index)
 
     def _hedge(self, request: RequestState, attempt: Attempt) -> None:
-        """Send a second attempt to another cache, if the rules allow it."""
+        """Send a hedged request to another cache, if the rules allow it."""
         if not self.hedging.may_hedge(request, attempt):
             return
         cache = self.cache_selector.choose(request, self.now_us)
@@ -381,7 +381,7 @@
             self._start_attempt(request, cache, source)
 
     def _cancel_attempts_at(self, member: MemberRecord) -> None:
-        """Cancel what an ejected member has in flight; the requests go on as their attempts end."""
+        """Cancel the attempts in flight at an ejected member; requests continue when their attempts end."""
         for request_id, index in list(member.in_flight):
             request = self.requests.get(request_id)
             if request is None:
