--- a/tests/router_harness.py
+++ b/tests/router_harness.py
@@ -1,4 +1,4 @@
-"""A router driven by hand: its settings, members, clock, and the actions it returns."""
+"""Test harness for a router: settings, members, a manual clock, and filters for the returned actions."""
 
 from __future__ import annotations
 
@@ -94,7 +94,7 @@
 
 
 class RouterHarness:
-    """A router and its clock. Each method feeds it events and returns its actions."""
+    """Runs a router with a manual clock. Methods that send it events return its actions."""
 
     def __init__(
         self, settings: RouterSettings = SETTINGS, members: tuple[Member, ...] = ALL, age_us: int = 0
@@ -106,11 +106,11 @@
         self.advance(age_us)
 
     def handle(self, *events: Event) -> list[Action]:
-        """Feed events to the router at the present time."""
+        """Send events to the router at the current time."""
         return self.router.handle(self.now, list(events))
 
     def advance(self, us: int) -> list[Action]:
-        """Let time pass in steps of 100 ms, with the timer fired at each."""
+        """Advance the clock by `us` microseconds in steps of 100 ms, and fire the timer at each step."""
         actions: list[Action] = []
         end = self.now + us
         while self.now < end:
@@ -119,24 +119,24 @@
         return actions
 
     def announce(self, kind: EndpointListKind, *members: Member) -> list[Action]:
-        """Give the router an endpoint list or a change of it."""
+        """Send the router an endpoint list or a change to it."""
         return self.handle(EndpointsChanged(kind, members))
 
     def change_state(
         self, member: Member, state: MemberState, started_at_us: int | None = None
     ) -> list[Action]:
-        """Announce a member's new state, and its restart at `started_at_us` if that is given."""
+        """Announce a member's new state, and its restart at `started_at_us` if not None."""
         if started_at_us is None:
             started_at_us = member.started_at_us
         changed = replace(member, state=state, started_at_us=started_at_us)
         return self.announce(EndpointListKind.CHANGE, changed)
 
     def record(self, address: str) -> MemberRecord:
-        """What the router knows of a listed member."""
+        """Return the router's record of a listed member."""
         return self.router.endpoints.members[address]
 
     def warm_share(self, address: str) -> float:
-        """Share of its capacity that the router grants a member now."""
+        """Return the share of its capacity that the router assumes a member to have now."""
         return self.router.slow_start.warm_share(self.record(address), self.now)
 
     def request(
@@ -148,7 +148,7 @@
         expires_in_us: int = 3 * S,
         is_retry: bool = False,
     ) -> list[Action]:
-        """Send the next request, whose id is `r` and its number, counted from 1."""
+        """Send the next request; its id is `r` followed by its number, counted from 1."""
         self.request_count += 1
         return self.handle(
             RequestArrived(
@@ -172,7 +172,7 @@
         detail: AnswerDetail = AnswerDetail.NONE,
         is_final: bool | None = None,
     ) -> list[Action]:
-        """End an attempt, of the last request unless another is named."""
+        """End an attempt, by default of the last request; by default only an OK answer is final."""
         done = status is AttemptStatus.OK if is_final is None else is_final
         return self.handle(
             AttemptEnded(
@@ -182,16 +182,16 @@
 
 
 def forwards(actions: list[Action]) -> list[ForwardRequest | ForwardWithFill]:
-    """The actions that start an attempt."""
+    """Return the actions that start an attempt."""
     return [a for a in actions if isinstance(a, ForwardRequest | ForwardWithFill)]
 
 
 def single_forward(actions: list[Action]) -> ForwardWithFill:
-    """The one action that starts an attempt at a cache; fails if there is none or another."""
+    """Return the only action that starts an attempt at a cache; fail if there is not exactly one."""
     (only,) = [a for a in actions if isinstance(a, ForwardWithFill)]
     return only
 
 
 def final_answers(actions: list[Action]) -> list[FailRequest | RejectRequest]:
-    """The actions that end a request without an answer from a member."""
+    """Return the actions that end a request without an answer from a member."""
     return [a for a in actions if isinstance(a, FailRequest | RejectRequest)]
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -1,4 +1,4 @@
-"""The ramp of a whole fleet: what all directors together send to a member that has just started."""
+"""Load ramp of a complete fleet: the load that all directors send to a member that has just started."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 CASES = (Case(3), Case(20, **HARD), Case(30, told_us=7_000_000), Case(12, parent=True))  # type: ignore[arg-type]
 
 
-def ignore_warm_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A planted fault: each director takes every member for a warm and very large one."""
+def inject_ignored_warm_up(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Inject a fault: each director treats every member as warmed up and very large."""
     monkeypatch.setattr(SlowStart, "admits", lambda *_: True)
     monkeypatch.setattr(SlowStart, "warm_share", lambda *_: 1.0)
     monkeypatch.setattr(CapacityModel, "transfers", lambda *_: 100.0)
@@ -26,8 +26,8 @@
     assert figures["worst_over_bound"] <= 0.6 and figures["least_used"] >= 0.2
 
 
-def test_a_fleet_that_does_not_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
-    ignore_warm_up(monkeypatch)
+def test_a_fleet_over_the_budget_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
+    inject_ignored_warm_up(monkeypatch)
     assert measure(Case(12, parent=True, load=1.0), range(1, 3))["worst_over_bound"] > 1
 
 
--- a/tests/test_routing_event_orders.py
+++ b/tests/test_routing_event_orders.py
@@ -1,4 +1,4 @@
-"""Any order of events: rules 1, 2, 3 and 5 hold on the actions, and equal runs give equal actions."""
+"""Random orders of events: the actions obey rules 1, 2, 3 and 5, and equal runs give equal actions."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 
 
 class RuleChecker:
-    """Carries out the actions as caches would, and asserts the rules on each."""
+    """Simulates caches that carry out the actions, and asserts the rules on each action."""
 
     def __init__(self, how: RouterSettings) -> None:
         self.settings, self.now = how, 50 * S
@@ -82,18 +82,22 @@
     def check_forward(
         self, request: str, member: str, source: str, how: tuple[int, FillOption] | None
     ) -> None:
-        assert request not in self.final_answers  # rule 1: nothing after the final answer
+        assert request not in self.final_answers  # rule 1: no attempt after the final answer
         assert self.states[member] is MemberState.READY and self.states[source] is MemberState.READY  # rule 3
-        ask, ran = self.arrivals[request], self.possibly_executed_at(request)
-        if ask.class_name == "save":
-            assert not ran  # rule 2
-        elif ask.class_name == "hold" and ran:
-            assert self.now - min(ran) < HOLD.key_window_us
+        arrival, executed_at_us = self.arrivals[request], self.possibly_executed_at(request)
+        if arrival.class_name == "save":
+            assert not executed_at_us  # rule 2
+        elif arrival.class_name == "hold" and executed_at_us:
+            assert self.now - min(executed_at_us) < HOLD.key_window_us
         sends = self.attempts.setdefault(request, [])
-        assert not [n for n in range(len(sends)) if (request, n) not in self.ended]  # no second copy
+        assert not [n for n in range(len(sends)) if (request, n) not in self.ended]  # no concurrent attempts
         sends.append((self.now, member))
         purged_at = max(
-            (at for k in (ask.object_id, ask.object_group or 0) if (at := self.purged.get(k)) is not None),
+            (
+                at
+                for k in (arrival.object_id, arrival.object_group or 0)
+                if (at := self.purged.get(k)) is not None
+            ),
             default=None,
         )
         if how is not None and purged_at is not None and self.now - purged_at < RULES.purge_retention_us:
@@ -144,7 +148,7 @@
                 self._advance(number, pending)
 
     def _advance(self, duration_us: int, in_flight: list[tuple[str, int]]) -> None:
-        """Let time pass; an attempt for which the client's time has run out ends with a timeout."""
+        """Advance the clock; an attempt whose client's deadline has passed ends with a timeout."""
         self.now += duration_us
         for request, n in in_flight:
             at, member = self.attempts[request][n]
--- a/tests/test_routing_failures.py
+++ b/tests/test_routing_failures.py
@@ -1,4 +1,4 @@
-"""How a router behaves in faults and overload: one small test for each failure it once had."""
+"""Behavior of a router in faults and overload: each test guards against one former failure."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def test_a_timeout_behind_a_slow_fill_is_not_unresponsiveness() -> None:
-    """An overloaded cache is neither ejected nor taken for one that has restarted."""
+    """An overloaded cache is neither ejected nor assumed to have restarted."""
     harness = RouterHarness(members=(CACHES[0], *PARENTS, ORIGIN))
     for _ in range(10):
         harness.request(object_id=f"slow{harness.request_count}")
@@ -50,7 +50,7 @@
 
 
 def test_a_rejection_that_names_no_side_counts_at_the_fill_source() -> None:
-    """A parent that rejects is ejected; the caches, whose hits go on, keep their concurrency limit."""
+    """A parent that rejects is ejected; the caches still answer hits and keep their concurrency limits."""
     harness = RouterHarness(replace(SETTINGS, answer_detail=AnswerDetailLevel.HIT_ONLY))
     for n in range(60):
         forward = single_forward(harness.request(object_id=f"o{n}"))
@@ -74,7 +74,7 @@
 
 
 def test_a_fill_source_at_its_limit_leaves_lookups() -> None:
-    """With the source at its limit a cache serves what it holds; a miss is answered at once."""
+    """With the fill source at its limit a cache serves only cached objects; a miss is answered at once."""
     harness = RouterHarness()
     for p in ("p0", "p1"):
         harness.record(p).in_flight.update({(f"x{n}", 0): None for n in range(500)})
@@ -84,9 +84,9 @@
 
 
 def test_rejected_fills_decrease_a_limit_more_than_late_ones() -> None:
-    """An overloaded origin is relieved by what fails, not only by what is late."""
+    """Failed fills, and not only late answers, reduce the load on an overloaded origin."""
     harness = RouterHarness(replace(SETTINGS, answer_detail=AnswerDetailLevel.HIT_ONLY))
-    harness.record("origin").recent_answers = 100.0  # it answers often: single steps
+    harness.record("origin").recent_answers = 100.0  # The origin answers often, so each outcome is one step.
     forward = single_forward(harness.request())
     harness.end_attempt(AttemptStatus.OVERLOADED, member=forward.member)
     rejected = harness.record("origin").limit_factor
@@ -101,7 +101,7 @@
 
 
 def test_a_slow_origin_does_not_make_parents_unresponsive() -> None:
-    """When all fills are slow the origin is: the parents are not ejected, nor warmed up later."""
+    """If all fills are slow, the origin is slow: the parents are not ejected, nor warmed up later."""
     harness = RouterHarness()
     for n in range(12):
         forward = single_forward(harness.request(object_id=f"o{n}", expires_in_us=6 * S))
@@ -158,7 +158,7 @@
 
 
 def test_lost_answers_eject_no_member_and_decrease_no_limit() -> None:
-    """A quarter of the answers is lost, the others come in time."""
+    """A quarter of the answers are lost, and the others arrive in time."""
     harness = RouterHarness(replace(SETTINGS, limits=replace(SETTINGS.limits, cancellation=False)))
     lost: list[tuple[int, str, str]] = []
     for n in range(120):
@@ -182,7 +182,7 @@
 
 
 def test_an_origin_that_fails_behind_a_parent_does_not_eject_the_parent() -> None:
-    """Fills of what a parent holds go on while the origin rejects; the parents are not ejected."""
+    """Fills of objects that a parent has cached continue while the origin rejects; no parent is ejected."""
     harness = RouterHarness()
     for n in range(20):
         forward = single_forward(harness.request(object_id=f"o{n}"))
@@ -196,7 +196,7 @@
                 AttemptStatus.MISS, attempt=1 + _, member=forward.member, detail=AnswerDetail.SOURCE_MISS
             )
     assert not any(harness.record(p.address).ejected for p in PARENTS)
-    for n in range(3):  # a few full fills at a time try the origin
+    for n in range(3):  # A few fills at a time may still use the origin.
         harness.request(object_id=f"a{n}")
     assert single_forward(harness.request(object_id="b")).fill_options & FillOption.ONLY_IF_CACHED
     actions = harness.end_attempt(AttemptStatus.MISS, member="c0", detail=AnswerDetail.SOURCE_MISS)
@@ -204,13 +204,13 @@
 
 
 def test_without_a_parent_the_home_cache_in_another_zone_is_the_source() -> None:
-    """With the parents warming up or removed a cache of another zone is the source, where settings allow it.
+    """With the parents warming up or removed a cache of another zone is the source, if settings allow it.
 
-    A zone without caches whose requests may go straight to parents never sends to a remote cache.
+    A zone without caches whose requests may be sent directly to parents never sends to a remote cache.
     """
-    abroad = (member("x0", zone="edge-2"), member("x1", zone="edge-2"))
-    free = replace(SETTINGS, sibling_fills=SiblingFills.ANY)
-    harness = RouterHarness(free, members=(*CACHES, *abroad))
+    remote_caches = (member("x0", zone="edge-2"), member("x1", zone="edge-2"))
+    any_zone_fills = replace(SETTINGS, sibling_fills=SiblingFills.ANY)
+    harness = RouterHarness(any_zone_fills, members=(*CACHES, *remote_caches))
     forward = single_forward(harness.request())
     assert (
         forward.fill_source in {"x0", "x1"}
@@ -227,15 +227,15 @@
         )
         == 1
     )
-    assert single_forward(RouterHarness(members=(*CACHES, *abroad)).request()).fill_source in {
+    assert single_forward(RouterHarness(members=(*CACHES, *remote_caches)).request()).fill_source in {
         "c0",
         "c1",
         "c2",
     }
-    harness = RouterHarness(replace(free, cache_bypass=True), members=abroad)
+    harness = RouterHarness(replace(any_zone_fills, cache_bypass=True), members=remote_caches)
     assert not forwards(harness.request()) and len(final_answers(harness.request())) == 1
-    for m in abroad:  # the rule on drains holds for any source
-        harness = RouterHarness(free, members=(*CACHES, *abroad))
+    for m in remote_caches:  # The rule on drains applies to every fill source.
+        harness = RouterHarness(any_zone_fills, members=(*CACHES, *remote_caches))
         harness.change_state(m, MemberState.DRAINING)
         assert all(
             single_forward(harness.request(object_id=f"o{n}")).fill_source != m.address for n in range(30)
@@ -243,7 +243,7 @@
 
 
 def test_one_failure_halves_the_limit_of_a_rarely_used_origin_at_most() -> None:
-    """A single failed fill halves a limit at most; one lost answer leaves it."""
+    """A single failed fill at most halves a limit; a single lost answer does not change it."""
     harness = RouterHarness()
     forward = single_forward(harness.request())
     harness.end_attempt(AttemptStatus.OVERLOADED, member=forward.member, detail=AnswerDetail.ORIGIN_FAILED)
@@ -256,11 +256,11 @@
 
 
 def test_timeouts_are_overload_among_late_answers_only() -> None:
-    """The share of late answers tells a slow origin from lost answers."""
+    """The share of late answers distinguishes a slow origin from lost answers."""
 
-    def room(latency: int) -> float:
+    def limit_factor_after_timeout(latency: int) -> float:
         harness = RouterHarness()
-        harness.record("origin").limit_factor = 0.9  # already low, which by itself proves no overload
+        harness.record("origin").limit_factor = 0.9  # A low limit alone is no evidence of overload.
         for n in range(12):
             forward = single_forward(harness.request(object_id=f"a{n}"))
             harness.end_attempt(
@@ -281,11 +281,11 @@
         )
         return record.limit_factor
 
-    assert room(50_000) == 0.9 > room(2 * S)
+    assert limit_factor_after_timeout(50_000) == 0.9 > limit_factor_after_timeout(2 * S)
 
 
 def test_resets_of_one_connection_count_once() -> None:
-    """One corrupt answer resets all others on its connection, which is no reason to eject the cache."""
+    """A corrupt answer resets all attempts on its connection, which is no reason to eject the cache."""
     harness = RouterHarness(members=(CACHES[0], *PARENTS, ORIGIN))
     for _ in range(6):
         harness.request(object_id=f"o{harness.request_count}")
@@ -296,7 +296,7 @@
 
 
 def test_an_overdue_attempt_is_hedged_at_another_cache() -> None:
-    """An answer that never comes, from a cache that answers others: a hedged request is sent."""
+    """If one answer of a cache never arrives while others do, a hedged request is sent."""
     harness = RouterHarness(replace(SETTINGS, limits=replace(SETTINGS.limits, hedging=True)))
     first = single_forward(harness.request(object_id="lost", expires_in_us=6 * S))
     copies = []
@@ -311,7 +311,7 @@
 
 
 def test_attempts_of_a_disconnected_client_are_cancelled_if_young() -> None:
-    """A fill that must be nearly done may leave its copy."""
+    """An old attempt is not cancelled, because its fill is almost complete and may leave a copy."""
     harness = RouterHarness()
     harness.request()
     assert any(isinstance(a, CancelAttempt) for a in harness.handle(ClientDisconnected("r1")))
@@ -321,7 +321,7 @@
 
 
 def test_an_error_that_names_no_side_does_not_count_at_the_source() -> None:
-    """With full answer detail, a cache's own error decreases no parent's limit and ejects none."""
+    """With full answer detail, a cache's own error decreases no parent's limit and ejects no parent."""
     harness = RouterHarness()
     for n in range(30):
         forward = single_forward(harness.request(object_id=f"o{n}"))
@@ -332,12 +332,12 @@
 
 @pytest.mark.parametrize("routers", [12, 40])
 def test_capacity_is_inferred_from_demand_where_nothing_else_is_known(routers: int) -> None:
-    """Neither weights nor link capacities are known, and all answers come in time: few are rejected."""
+    """Neither weights nor link capacity are known and all answers arrive in time: few are rejected."""
     unsized = replace(
         SETTINGS, weight_source=WeightSource.NONE, router_count=routers, zone_router_count=routers
     )
     harness = RouterHarness(unsized, members=tuple(replace(m, weight=1.0) for m in ALL))
-    in_flight: list[tuple[int, str, str]] = []  # when it ends, request, member
+    in_flight: list[tuple[int, str, str]] = []  # end time, request id, member
     rejected = 0
     per_s = 8
     for n in range(40 * per_s):
--- a/tests/test_routing_fleet.py
+++ b/tests/test_routing_fleet.py
@@ -1,4 +1,4 @@
-"""Limits and budgets in sum: many routers, each on its own, against one member."""
+"""Combined limits and budgets: many independent routers that use one member."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
 def _drive(
     fleet: list[Router], start: int, seconds: float, address: str, rate: int
 ) -> list[tuple[int, float]]:
-    """Send each router `rate` requests a second; return when a member was sent how much work."""
+    """Send each router `rate` requests per second; return the times and work (us) sent to a member."""
     load: list[tuple[int, float]] = []
     open_: list[tuple[int, Router, ForwardWithFill]] = []
     for n in range(int(seconds * rate)):
@@ -71,8 +71,8 @@
             )
             router.handle(at, [done])
         for k, router in enumerate(fleet):
-            ask = RequestArrived(f"r{n}-{k}", "chunk", f"o{(n * 31 + k * 7) % 211}", 3 * S)
-            for a in forwards(router.handle(now, [ask])):
+            arrival = RequestArrived(f"r{n}-{k}", "chunk", f"o{(n * 31 + k * 7) % 211}", 3 * S)
+            for a in forwards(router.handle(now, [arrival])):
                 if isinstance(a, ForwardWithFill) and address in (a.member, a.fill_source):
                     load.append((now, router.mean_transfer_us()["chunk"]))
                 if isinstance(a, ForwardWithFill):
@@ -81,7 +81,7 @@
 
 
 def test_no_number_of_routers_overloads_a_warming_parent() -> None:
-    """A share under one fill is neither zero nor one fill for each router: the sum keeps the rule."""
+    """A share under one fill is neither zero nor one fill per router: the total stays within the budget."""
     now, window = 1000 * S, RULES.overload_window_us
     warming = replace(PARENTS[0], started_at_us=now)
     for routers in (3, 30, 180):
@@ -114,16 +114,16 @@
 
 
 def test_no_number_of_routers_keeps_a_failing_origin_busy() -> None:
-    """Limits under one attempt are kept by pauses."""
+    """Limits under one attempt are enforced by pauses between attempts."""
     now = 1000 * S
     fleet = _fleet(60, 6, (*CACHES, *PARENTS, ORIGIN), now)
-    full = 0
+    origin_fills = 0
     pending: list[tuple[int, Router, str, int, str, bool]] = []
     for n in range(60):
         now += S // 5
         for k, router in enumerate(fleet):
-            ask = RequestArrived(f"r{n}-{k}", "chunk", f"o{n}-{k}", 3 * S)
-            for a in forwards(router.handle(now, [ask])):
+            arrival = RequestArrived(f"r{n}-{k}", "chunk", f"o{n}-{k}", 3 * S)
+            for a in forwards(router.handle(now, [arrival])):
                 if isinstance(a, ForwardWithFill) and a.fill_source != a.member:
                     pending.append(
                         (
@@ -135,35 +135,35 @@
                             bool(a.fill_options & FillOption.ONLY_IF_CACHED),
                         )
                     )
-                    full += n >= 40 and not a.fill_options & FillOption.ONLY_IF_CACHED
+                    origin_fills += n >= 40 and not a.fill_options & FillOption.ONLY_IF_CACHED
         for _, router, request, attempt, address, cached_only in pending:
             detail = AnswerDetail.SOURCE_MISS if cached_only else AnswerDetail.ORIGIN_FAILED
             status = AttemptStatus.MISS if cached_only else AttemptStatus.OVERLOADED
             end = AttemptEnded(request, attempt, address, status, 1_500_000, True, detail)
             router.handle(now, [end])
         pending = []
-    assert full < 60 * 20 / 4  # of 1,200 requests in the last four seconds
+    assert origin_fills < 60 * 20 / 4  # 1,200 requests are sent in the last four seconds.
 
 
 def test_objects_read_once_are_kept_by_some_routers_of_a_zone() -> None:
-    """With 14 routers in a zone nearly every object is read once by each; a single router keeps none."""
-    for in_zone, least, most in ((1, 0, 0), (14, 150, 199)):
+    """With 14 routers in a zone most objects read once by each are cached; a single router caches none."""
+    for in_zone, min_kept, max_kept in ((1, 0, 0), (14, 150, 199)):
         harness = RouterHarness(
             replace(SETTINGS, router_count=3 * in_zone, zone_router_count=in_zone), age_us=12 * S
         )
-        harness.router.popularity.bronze_threshold, kept = 1.0, 0  # seen once is the tail
+        harness.router.popularity.bronze_threshold, kept = 1.0, 0  # Objects read once are bronze.
         for n in range(200):
             forward = single_forward(harness.request(object_id=f"o{n}"))
             kept += forward.retention_rank > 0
             harness.end_attempt(AttemptStatus.OK, member=forward.member, detail=AnswerDetail.FILLED)
             later = single_forward(harness.request(object_id=f"o{n}", part=1))
-            assert (later.retention_rank > 0) == (forward.retention_rank > 0)  # all parts alike
+            assert (later.retention_rank > 0) == (forward.retention_rank > 0)  # All parts have the same rank.
             harness.end_attempt(AttemptStatus.OK, member=later.member, detail=AnswerDetail.FILLED)
-        assert least <= kept <= most
+        assert min_kept <= kept <= max_kept
 
 
 def test_an_assumed_restart_lapses_unless_the_list_announces_it() -> None:
-    """A parent that was unresponsive from overload is not held to a whole warm-up."""
+    """A parent that was unresponsive because of overload does not go through a complete warm-up."""
     for announced in (False, True):
         harness = RouterHarness()
         record = harness.record("p0")
@@ -194,7 +194,7 @@
 
 
 def test_a_low_limit_tolerates_no_more_lateness_than_a_high_one() -> None:
-    """One late answer in ten decreases a limit at a factor of a half as at one."""
+    """One late answer in ten decreases a limit both at a factor of 0.5 and at a factor of 1."""
     harness = RouterHarness()
     record = harness.record("c0")
     for start in (1.0, 0.5):
@@ -205,15 +205,17 @@
 
 
 def test_a_limit_grows_only_while_it_is_in_use() -> None:
-    """Answers in time one by one leave a limit of many as it was; at the limit they raise it.
+    """Answers in time, one at a time, do not change a limit of many; answers at the limit raise it.
 
-    Routers that each raised theirs on a quiet day would together use far more than was learned.
+    If each router raised its limit under low load, all together would use far more than was learned.
     """
-    for at_once, grows in ((1, False), (12, True)):
+    for concurrent_requests, grows in ((1, False), (12, True)):
         harness = RouterHarness(replace(SETTINGS, router_count=40, zone_router_count=1))
         parent = harness.record("p0")
         for n in range(60):
-            forwarded = [single_forward(harness.request(object_id=f"o{n}-{k}")) for k in range(at_once)]
+            forwarded = [
+                single_forward(harness.request(object_id=f"o{n}-{k}")) for k in range(concurrent_requests)
+            ]
             for forward in forwarded:
                 harness.end_attempt(
                     AttemptStatus.OK, forward.request_id, member=forward.member, detail=AnswerDetail.FILLED
@@ -223,7 +225,7 @@
 
 
 def test_the_burst_allowance_shrinks_while_the_share_is_in_use() -> None:
-    """A burst may use more than a router's share of a parent; use that lasts may not.
+    """A burst may use more than a router's share of a parent; sustained use may not.
 
     When all routers exceed their shares at once, their allowances together would overload the parent.
     """
@@ -235,14 +237,14 @@
         for _ in range(40):
             object_id = f"o{harness.request_count + 1}"
             open_.extend(forwards(harness.request(object_id=object_id)))
-        # Its part and the burst allowance, without the learned factor.
+        # The router's part and the burst allowance, without the learned factor.
         return parent.concurrency_limit / parent.limit_factor
 
     burst = send_forty()
     for _ in range(30):
         harness.advance(100_000)
         ending, open_[:] = list(open_), []
-        lasting = send_forty()  # the fills of the step before are still in flight
+        lasting = send_forty()  # The fills of the previous step are still in flight.
         for forward in ending:
             harness.end_attempt(
                 AttemptStatus.OK,
--- a/tests/test_routing_modules.py
+++ b/tests/test_routing_modules.py
@@ -1,4 +1,4 @@
-"""Single rules of the routing package, each called directly."""
+"""Unit tests of single rules of the routing package, called directly."""
 
 from __future__ import annotations
 
@@ -45,9 +45,9 @@
 
 
 def _endpoints(*members: Member) -> MemberRoles:
-    table = MemberRoles(SETTINGS)
-    table.apply(EndpointsChanged(EndpointListKind.SNAPSHOT, members), NOW_US)
-    return table
+    roles = MemberRoles(SETTINGS)
+    roles.apply(EndpointsChanged(EndpointListKind.SNAPSHOT, members), NOW_US)
+    return roles
 
 
 def _request(request_class_name: str = "chunk", **fields: object) -> RequestState:
@@ -73,37 +73,37 @@
     timers.schedule(NOW_US + 10, NOW_US, "first", 0)
     timers.schedule(NOW_US + 10, NOW_US, "second", 1)
     assert timers.next_wake_up_us(NOW_US) == NOW_US + 10
-    assert timers.next_wake_up_us(NOW_US) is None, "the timer is set"
+    assert timers.next_wake_up_us(NOW_US) is None, "the timer is already set"
     assert timers.pop_due(NOW_US + 9) is None
     due = [timers.pop_due(NOW_US + 30) for _ in range(3)]
     assert [deadline.request_id for deadline in due if deadline] == ["first", "second", "late"]
     timers.schedule(0, NOW_US)
-    assert timers.next_wake_up_us(NOW_US) == NOW_US + 1, "never in the past, or the router would not rest"
+    assert timers.next_wake_up_us(NOW_US) == NOW_US + 1, "a wake-up in the past would cause a loop"
 
 
 def test_the_endpoint_table_groups_ready_members_by_role() -> None:
     remote = replace(CACHES[0], address="x0", zone="edge-2")
-    table = _endpoints(*ALL, remote)
-    assert [record.info for record in table.caches] == list(CACHES)
-    assert [record.info for record in table.parents] == list(PARENTS)
-    assert table.origin is not None and table.origin.info is ORIGIN
-    assert list(table.remote_caches) == ["edge-2"]
+    roles = _endpoints(*ALL, remote)
+    assert [record.info for record in roles.caches] == list(CACHES)
+    assert [record.info for record in roles.parents] == list(PARENTS)
+    assert roles.origin is not None and roles.origin.info is ORIGIN
+    assert list(roles.remote_caches) == ["edge-2"]
     draining = replace(CACHES[1], state=MemberState.DRAINING)
-    table.apply(EndpointsChanged(EndpointListKind.CHANGE, (draining,)), NOW_US)
-    assert [record.info.address for record in table.caches] == ["c0", "c2"]
-    assert "c1" in table.members and table.max_ready_cache_count == 3
+    roles.apply(EndpointsChanged(EndpointListKind.CHANGE, (draining,)), NOW_US)
+    assert [record.info.address for record in roles.caches] == ["c0", "c2"]
+    assert "c1" in roles.members and roles.max_ready_cache_count == 3
 
 
 def test_a_restart_clears_the_health_record_and_reports_the_lost_copies() -> None:
-    table = _endpoints(*ALL)
-    record = table.members["c0"]
+    roles = _endpoints(*ALL)
+    record = roles.members["c0"]
     record.failure_score = 0.5
     record.ejected = True
     restarted = replace(CACHES[0], started_at_us=NOW_US)
-    lost = table.apply(EndpointsChanged(EndpointListKind.CHANGE, (restarted,)), NOW_US + 1)
+    lost = roles.apply(EndpointsChanged(EndpointListKind.CHANGE, (restarted,)), NOW_US + 1)
     assert lost == ["c0"] and record.failure_score == 0.0 and not record.ejected
     assert record.warming_since_us == NOW_US
-    assert table.apply(EndpointsChanged(EndpointListKind.SNAPSHOT, ALL[1:]), NOW_US + 2) == ["c0"]
+    assert roles.apply(EndpointsChanged(EndpointListKind.SNAPSHOT, ALL[1:]), NOW_US + 2) == ["c0"]
 
 
 def test_capacity_is_the_nominal_weight_or_inferred_from_the_link() -> None:
@@ -116,7 +116,7 @@
     inferred = CapacityModel(unset, endpoints, NOW_US)
     inferred.on_endpoints_changed()
     assert inferred.transfers(endpoints.parents[0]) == inferred.zone_link_transfers * PARENT_PER_LINK
-    assert 0 < inferred.zone_link_transfers < 200.0 / 10.0, "three caches have a wider link each"
+    assert 0 < inferred.zone_link_transfers < 200.0 / 10.0, "a zone of three caches has a wider link"
 
 
 def test_a_share_of_the_fleet_changes_the_number_of_sharing_routers() -> None:
@@ -131,12 +131,12 @@
 
 def test_rendezvous_moves_only_what_a_removed_member_had() -> None:
     endpoints = _endpoints(*ALL)
-    ring = RendezvousHash(SETTINGS, CapacityModel(SETTINGS, endpoints, NOW_US))
+    rendezvous_hash = RendezvousHash(SETTINGS, CapacityModel(SETTINGS, endpoints, NOW_US))
     keys = [f"o{n}/0" for n in range(400)]
-    before = {key: ring.order(key, endpoints.caches)[0].info.address for key in keys}
-    rest = endpoints.caches[1:]
+    before = {key: rendezvous_hash.order(key, endpoints.caches)[0].info.address for key in keys}
+    remaining_caches = endpoints.caches[1:]
     for key in keys:
-        after = ring.order(key, rest)[0].info.address
+        after = rendezvous_hash.order(key, remaining_caches)[0].info.address
         assert before[key] in ("c0", after)
     assert 80 < sum(address == "c0" for address in before.values()) < 190
 
@@ -144,9 +144,9 @@
 def test_a_larger_weight_draws_more_keys() -> None:
     large = replace(CACHES[0], weight=18.0)
     endpoints = _endpoints(large, *CACHES[1:])
-    ring = RendezvousHash(SETTINGS, CapacityModel(SETTINGS, endpoints, NOW_US))
-    first = [ring.order(f"o{n}", endpoints.caches)[0].info.address for n in range(1000)]
-    assert 0.5 < first.count("c0") / len(first) < 0.7, "18 of 30"
+    rendezvous_hash = RendezvousHash(SETTINGS, CapacityModel(SETTINGS, endpoints, NOW_US))
+    first = [rendezvous_hash.order(f"o{n}", endpoints.caches)[0].info.address for n in range(1000)]
+    assert 0.5 < first.count("c0") / len(first) < 0.7, "the weight of c0 is 18 of 30"
     assert exponential_draw("key", "c0") == exponential_draw("key", "c0") > 0
 
 
@@ -174,7 +174,7 @@
         lengths.append(record.ejected_until_us - now_us)
         assert not is_usable(record, record.ejected_until_us - 1)
         now_us = record.ejected_until_us
-        assert is_usable(record, now_us), "a trial request"
+        assert is_usable(record, now_us), "one trial request may be sent"
     assert lengths[:3] == [MIN_EJECTION_US, 2 * MIN_EJECTION_US, 4 * MIN_EJECTION_US]
     assert lengths[-1] == MAX_EJECTION_US
     outliers.record_success(record, now_us)
@@ -194,7 +194,7 @@
     budget.reserve = 0.0
     budget.take_token()
     budget.add_request()
-    assert budget.tokens == budget.max_tokens - 1.0, "without a reserve nothing is earned"
+    assert budget.tokens == budget.max_tokens - 1.0, "without a reserve a request adds no part of a token"
 
 
 def test_a_possibly_executed_request_is_retried_only_if_its_class_allows_it() -> None:
@@ -212,7 +212,7 @@
         assert policy.may_reject(request) is rejected
     keyed = _request(HOLD.name)
     keyed.possibly_executed = attempt
-    assert not policy.may_retry(keyed, NOW_US + HOLD.key_window_us), "its key is forgotten by then"
+    assert not policy.may_retry(keyed, NOW_US + HOLD.key_window_us), "the cache has dropped its key by then"
 
 
 def test_retry_after_has_jitter_and_is_off_without_the_setting() -> None:
@@ -227,7 +227,7 @@
 def test_the_newest_purge_of_object_and_group_bounds_the_age() -> None:
     purges = PurgeTimes(SETTINGS)
     request = _request(THUMB.name)
-    assert purges.max_age_us(request, False, NOW_US) == 0, "the class's freshness lifetime"
+    assert purges.max_age_us(request, False, NOW_US) == 0, "0 stands for the class's freshness lifetime"
     purges.record(ObjectsPurged(1, None, 2 * S), NOW_US)
     assert purges.max_age_us(request, False, NOW_US) == 2 * S
     purges.record(ObjectsPurged(1, "o1", S), NOW_US)
--- a/tests/test_routing_popularity.py
+++ b/tests/test_routing_popularity.py
@@ -1,4 +1,4 @@
-"""The popularity step gives the ranks that recomputing every count would give, for far less work."""
+"""Popularity gives the same ranks as a reference that recomputes every count, with far less work."""
 
 from __future__ import annotations
 
@@ -27,31 +27,31 @@
 
 
 class RecomputedPopularity(Popularity):
-    """The reference: each object's count with its time, every one recomputed at each step."""
+    """Reference implementation: stores each count with its time and recomputes all counts at each step."""
 
     def __init__(self, settings: RouterSettings, now_us: int) -> None:
         super().__init__(settings, now_us)
-        self.recount: dict[str, tuple[float, int]] = {}
+        self.timed_counts: dict[str, tuple[float, int]] = {}
 
     def count(self, object_id: str, now_us: int) -> float:
-        count, at_us = self.recount.get(object_id, (0.0, now_us))
+        count, at_us = self.timed_counts.get(object_id, (0.0, now_us))
         return count * math.exp2((at_us - now_us) / popularity.HALF_LIFE_US)
 
     def record_read(self, object_id: str, now_us: int, reads: float = 1.0) -> float:
         count = self.count(object_id, now_us) + reads
-        if object_id in self.recount or len(self.recount) < popularity.MAX_COUNTED_OBJECTS:
-            self.recount[object_id] = (count, now_us)
+        if object_id in self.timed_counts or len(self.timed_counts) < popularity.MAX_COUNTED_OBJECTS:
+            self.timed_counts[object_id] = (count, now_us)
         return count
 
     def recompute_ranks(self, now_us: int, mean_fill_us: float) -> None:
-        self._drop_forgotten(now_us)
+        self._drop_low_counts(now_us)
         shift = self.bronze_shift
         hit_share = self.hits / max(1, self.answers)
         keep_less = hit_share >= self.previous_hit_share
         keep_less = keep_less and mean_fill_us <= popularity.SLOWER_FILL_RATIO * self.previous_fill_us
-        # Everything of the step but the thresholds, then these from counts in falling order.
+        # The base class does the step; its thresholds are then replaced, from counts in descending order.
         super().recompute_ranks(now_us, mean_fill_us)
-        ranked = sorted((self.count(name, now_us) for name in self.recount), reverse=True)
+        ranked = sorted((self.count(name, now_us) for name in self.timed_counts), reverse=True)
         cached = sum(len(hits) for hits in self.recent_hits.values()) / max(1, len(self.recent_hits))
         gold = int(popularity.GOLD_SHARE * cached * math.sqrt(self.zone_router_count))
         self.gold_threshold = max(ranked[gold - 1], 1.001) if 0 < gold <= len(ranked) else math.inf
@@ -62,13 +62,13 @@
         self.bronze_shift = (kept - once) / max(1, len(ranked)) if at_bound else shift
         self.bronze_threshold = ranked[kept] if kept < len(ranked) else 0.0
 
-    def _drop_forgotten(self, now_us: int) -> None:
-        for name in [name for name in self.recount if self.count(name, now_us) < 0.1]:
-            del self.recount[name]
-        if len(self.recount) >= popularity.MAX_COUNTED_OBJECTS:
-            rising = sorted(self.recount, key=lambda name: self.count(name, now_us))
-            for name in rising[: popularity.MAX_COUNTED_OBJECTS // 2]:
-                del self.recount[name]
+    def _drop_low_counts(self, now_us: int) -> None:
+        for name in [name for name in self.timed_counts if self.count(name, now_us) < 0.1]:
+            del self.timed_counts[name]
+        if len(self.timed_counts) >= popularity.MAX_COUNTED_OBJECTS:
+            ascending = sorted(self.timed_counts, key=lambda name: self.count(name, now_us))
+            for name in ascending[: popularity.MAX_COUNTED_OBJECTS // 2]:
+                del self.timed_counts[name]
 
 
 def _router(popularity_class: type[Popularity]) -> Router:
@@ -78,8 +78,8 @@
     return router
 
 
-def _play(router: Router, seed: int, requests: int, objects: int) -> list[object]:
-    """Send reads of a skewed stream; return the rank and the cache of each, and the thresholds after it."""
+def _run_stream(router: Router, seed: int, requests: int, objects: int) -> list[object]:
+    """Send a skewed stream of reads; return each read's rank and cache, and the thresholds after it."""
     rng = random.Random(seed)
     now = START_US
     decisions: list[object] = []
@@ -101,16 +101,16 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_the_ranks_are_those_of_recomputed_counts(seed: int) -> None:
-    played = [_play(_router(kind), seed, 5_000, 4_000) for kind in (Popularity, RecomputedPopularity)]
-    assert played[0] == played[1]
-    ranks = {row[0] for row in played[0] if isinstance(row, tuple) and isinstance(row[0], int)}
+    runs = [_run_stream(_router(kind), seed, 5_000, 4_000) for kind in (Popularity, RecomputedPopularity)]
+    assert runs[0] == runs[1]
+    ranks = {row[0] for row in runs[0] if isinstance(row, tuple) and isinstance(row[0], int)}
     assert len(ranks) == 3, "gold, silver and bronze all occur"
 
 
 def test_the_bound_on_the_table_drops_the_same_objects(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(popularity, "MAX_COUNTED_OBJECTS", 300)
-    played = [_play(_router(kind), 9, 4_000, 100_000) for kind in (Popularity, RecomputedPopularity)]
-    assert played[0] == played[1]
+    runs = [_run_stream(_router(kind), 9, 4_000, 100_000) for kind in (Popularity, RecomputedPopularity)]
+    assert runs[0] == runs[1]
 
 
 def test_counts_hold_over_days_without_an_overflow() -> None:
--- a/tests/test_routing_rules.py
+++ b/tests/test_routing_rules.py
@@ -1,4 +1,4 @@
-"""The rules that no decision may break: answers, effects, drains, warm-up and purges."""
+"""Rules that every decision must obey: final answers, single execution, drains, warm-up and purges."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 )
 
 
-# Rule 1: one final answer, in time.
+# Rule 1: each request gets one final answer, in time.
 def test_without_members_each_request_is_answered_at_once() -> None:
     for members in ((), CACHES[:0] + PARENTS, (ORIGIN,)):
         for kind in ("chunk", "thumb", "save", "hold"):
@@ -79,7 +79,7 @@
     assert not harness.handle(TimerFired("stray"))[1:]
 
 
-# Rule 2: no effect twice.
+# Rule 2: no request takes effect twice.
 def test_non_idempotent_is_never_retried_without_proof() -> None:
     for status in (AttemptStatus.ERROR, AttemptStatus.RESET, AttemptStatus.CANCELLED):
         harness = RouterHarness()
@@ -105,7 +105,7 @@
     assert not forwards(harness.end_attempt(AttemptStatus.ERROR, attempt=1, latency_us=S))
 
 
-# Rule 3: drains kept, fill sources too.
+# Rule 3: drains are respected, for fill sources too.
 def test_drained_members_get_nothing_new() -> None:
     for state in (MemberState.DRAINING, MemberState.REMOVED):
         harness = RouterHarness()
@@ -123,9 +123,9 @@
     assert all(single_forward(harness.request(object_id=f"o{n}")).member != "c0" for n in range(20))
 
 
-# Rule 4: members that warm up are not overloaded.
+# Rule 4: members that are warming up are not overloaded.
 def _warm_up_load(harness: RouterHarness, address: str, seconds: float, rate: int) -> float:
-    """Most requests given to a member, as cache or source, in any overload window."""
+    """Return the most requests sent to a member, as cache or source, within any overload window."""
     times: list[int] = []
     for n in range(int(seconds * rate)):
         harness.now += S // rate
@@ -139,17 +139,17 @@
 def test_a_warming_cache_gets_no_more_than_its_budget() -> None:
     harness = RouterHarness()
     harness.change_state(CACHES[0], MemberState.READY, started_at_us=harness.now)
-    most = _warm_up_load(harness, "c0", 3, 200)
+    max_requests = _warm_up_load(harness, "c0", 3, 200)
     start = RULES.overload_multiple * RULES.warm_up_start_share * 6.0 * RULES.overload_window_us
     rise = 1 + 3 / 16 / RULES.warm_up_start_share
     work = harness.router.mean_transfer_us()["chunk"]
-    assert 0 < most * work <= start * rise
+    assert 0 < max_requests * work <= start * rise
 
 
 def test_a_warming_parent_gets_no_more_than_its_share() -> None:
     harness = RouterHarness()
     harness.change_state(PARENTS[0], MemberState.READY, started_at_us=harness.now)
-    most = _warm_up_load(harness, "p0", 2, 200)
+    max_requests = _warm_up_load(harness, "p0", 2, 200)
     start = (
         RULES.parent_overload_multiple
         * RULES.parent_warm_up_start_share
@@ -159,14 +159,14 @@
     )
     assert (
         0
-        < most * harness.router.mean_transfer_us()["chunk"]
+        < max_requests * harness.router.mean_transfer_us()["chunk"]
         <= start * (1 + 2 / 20 / RULES.parent_warm_up_start_share)
     )
 
 
 def test_a_member_back_from_unresponsiveness_is_assumed_restarted() -> None:
     harness = RouterHarness()
-    for n in range(40):  # every connection to c0 fails
+    for n in range(40):  # Every connection to c0 fails.
         for forward in forwards(harness.request(object_id=f"o{n}")):
             ok = forward.member != "c0"
             harness.end_attempt(
@@ -182,7 +182,7 @@
     assert not harness.record("c0").ejected and harness.warm_share("c0") < 0.5
 
 
-# Rule 5: purges kept.
+# Rule 5: purges are respected.
 def test_purges_bind_every_later_attempt() -> None:
     for name in ("o1", None):
         harness = RouterHarness()
--- a/tests/test_routing_structure.py
+++ b/tests/test_routing_structure.py
@@ -1,4 +1,4 @@
-"""The form of the routing package: its size, its documentation, its imports; the README's example."""
+"""Checks of the routing package's size, documentation and imports, and of the README's example."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def _statement_lines(text: str) -> int:
-    """Lines with code: without blank lines, comments and docstrings, and without imports."""
+    """Count the lines of code, without blank lines, comments, docstrings and imports."""
     skipped: set[int] = set()
     for node in ast.walk(ast.parse(text)):
         if not isinstance(node, ast.Expr | ast.Import | ast.ImportFrom):
@@ -45,7 +45,7 @@
 
 
 def test_each_module_opens_with_its_rule() -> None:
-    """Inputs and outputs come first; the package page, the records and the constants state what they hold."""
+    """Module docstrings state inputs and outputs, except in `__init__`, `state` and `units`."""
     for path in FILES:
         text = ast.get_docstring(ast.parse(path.read_text())) or ""
         assert text, path.name
@@ -62,7 +62,7 @@
 
 
 def test_imports_the_interface_alone() -> None:
-    """The decisions stand on the shared types and on each other, and only the router on all of them."""
+    """The rules import only the shared types and each other; only the package imports the router."""
     for path in FILES:
         for node in ast.walk(ast.parse(path.read_text())):
             if isinstance(node, ast.ImportFrom) and (node.module or "").startswith("onyxwick"):
