--- a/onyxwick/routing/concurrency_limit.py
+++ b/onyxwick/routing/concurrency_limit.py
@@ -26,7 +26,7 @@
 from onyxwick.routing.units import US_PER_S
 
 USABLE_SHARE = 0.9
-"""Share used of the transfers that can share a link and still meet the objective."""
+"""The limit is this share of the transfers that can share a link and still meet the objective."""
 INCREASE_PER_ANSWER = 0.005
 LATE_MULTIPLIER = 0.93
 """Multiplies the factor after a late answer; with the increase it sets the tolerated late share."""
@@ -98,7 +98,7 @@
         member.concurrency_limit = limit
         if limit >= 1:
             return len(member.in_flight) < limit
-        # A limit under one attempt admits one at a time, with pauses that make the mean in flight the limit.
+        # Below a limit of 1, attempts run one at a time, with pauses that make the mean in flight the limit.
         pause_us = member.last_attempt_latency_us * (1 / limit - 1)
         return not member.in_flight and now_us >= member.last_attempt_ended_us + pause_us
 
--- a/onyxwick/routing/forwarding.py
+++ b/onyxwick/routing/forwarding.py
@@ -4,9 +4,9 @@
 remaining time (microseconds), the rank at which the cache keeps a copy, the maximum age of a copy that may
 answer (microseconds), and the options of the fill.
 
-Rule: a fill may join another fill of the object (coalescing) unless a purge covers the object,
-because the other fill may have started before the purge. A stale copy may be served while it is revalidated
-if the source has spare capacity.
+Rule: a fill may join another fill of the object (coalescing) unless a purge covers the object, because
+the other fill may have started before the purge. A stale copy may be served while it is revalidated if the
+source has spare capacity.
 """
 
 from __future__ import annotations
--- a/onyxwick/routing/outlier_detection.py
+++ b/onyxwick/routing/outlier_detection.py
@@ -33,7 +33,7 @@
 MAX_EJECTED_SHARE = 0.5
 """Largest share of a tier that is ejected for errors."""
 RESET_FAILURE_SHARE = 0.5
-"""Share of a failure that a reset counts for: it is weak evidence against the member."""
+"""Share of a failure that a reset connection counts for, as weak evidence against the member behind it."""
 RESET_WINDOW_US = 50_000
 """Attempts that are reset within this time were on one connection and count once."""
 CERTAIN_EXPECTED_ANSWERS = 3.0
--- a/onyxwick/routing/router.py
+++ b/onyxwick/routing/router.py
@@ -172,7 +172,7 @@
 
     def _on_endpoints_changed(self, event: EndpointsChanged) -> None:
         if event.kind is EndpointListKind.UNAVAILABLE:
-            # The next rank recomputation subscribes again, so that a failing list is not requested in a loop.
+            # The next rank recomputation subscribes again; a failing list is not requested in a tight loop.
             self._subscription_failed = self.settings.subscribe
             return
         for address in self.endpoints.apply(event, self.now_us):
--- a/onyxwick/routing/slow_start.py
+++ b/onyxwick/routing/slow_start.py
@@ -76,7 +76,7 @@
         return self.parent_curve if member.info.kind == self.parent_kind else self.cache_curve
 
     def warm_share(self, member: MemberRecord, now_us: int) -> float:
-        """Return the share of its capacity that a member has at least now; 1 means that it has warmed up."""
+        """Return the least share of its capacity that a member has now; 1 means that it has warmed up."""
         if not member.warming_since_us:
             return 1.0
         if member.assumed_restarted and now_us - member.warming_since_us > RESTART_NOTICE_US:
