--- a/onyxwick/cells/__init__.py
+++ b/onyxwick/cells/__init__.py
@@ -1,5 +1,7 @@
-"""Cells: each tenant or key range is confined to a part of the fleet, and migrates while it serves. No I/O
-here."""
+"""Cells confine each tenant or key range to a part of the fleet, and migrate it while requests are served.
+
+This package does no I/O.
+"""
 
 from onyxwick.cells.model import (
     Cell,
--- a/onyxwick/cells/admission.py
+++ b/onyxwick/cells/admission.py
@@ -1,8 +1,9 @@
-"""Which requests the cells of one director admit, and when a rejected client should return.
+"""Admission control for the cells of one director.
 
-In: requests, with their tenant and class, and how each ended. Out: a reason to reject, and a Retry-After in
-microseconds. No cell's overload can use up what is reserved for another: neither concurrency nor, for writes,
-the origin that all cells share. All counts are of requests in flight.
+Takes each request's tenant and class, and later its outcome, and returns the reason to reject a request and a
+Retry-After in microseconds. An overloaded cell cannot use up what is reserved for another cell: neither
+concurrency nor, for writes, the capacity of the origin that all cells share. All counts are of requests in
+flight.
 """
 
 from __future__ import annotations
@@ -17,17 +18,17 @@
 from onyxwick.subrouters.admission_gate import AdmissionGate, class_priorities
 from onyxwick.subrouters.rejection import AdmissionRejection
 
-FALLBACK_LIMIT_SHARE = 0.5  # of a cell's limit, up to which it admits requests of a cell that fell back on it
+FALLBACK_LIMIT_SHARE = 0.5  # share of a cell's limit up to which it admits requests that fell back on it
 MIN_RETRY_AFTER_US = 50_000
 WRITE_REASONS = {
     AdmissionRejection.LIMIT_REACHED: AdmissionRejection.WRITE_LIMIT_REACHED,
     AdmissionRejection.FAIR_SHARE_EXCEEDED: AdmissionRejection.WRITE_FAIR_SHARE_EXCEEDED,
 }
-RETRY_AFTER_JITTER = (0.5, 1.5)  # factors between which a Retry-After is drawn
+RETRY_AFTER_JITTER = (0.5, 1.5)  # range of the random factor of a Retry-After
 
 
 class CellAdmission:
-    """The limits of one director's cells."""
+    """Applies the limits of one director's cells and tenants and counts the admitted requests."""
 
     def __init__(self, settings: RouterSettings, max_in_flight: int, seed: int) -> None:
         self.request_limits = settings.limits
@@ -37,15 +38,14 @@
         self.priority_of_class = class_priorities(settings.classes)
         self.tenant_rates = TenantRates(lambda: self.now_us / MICROSECONDS_PER_SECOND)
         self.concurrency_pool = ReservedPool(max_in_flight, 0.0, {})
-        self.write_gate = AdmissionGate(
-            max_in_flight
-        )  # at the origin, for all cells together; its owners are cells
+        # Limits the writes of all cells together at the origin. The gate's owners are cells.
+        self.write_gate = AdmissionGate(max_in_flight)
         self.cell_weights: dict[str, float] = {}
         self.in_flight_by_tenant_cell: dict[tuple[str, str], int] = {}
         self.in_flight_by_tenant: dict[str, int] = {}
 
     def apply_plan(self, plan: CellPlan, cells: Mapping[str, ActiveCell]) -> None:
-        """Take over the limits of a plan; requests in flight stay counted."""
+        """Apply the limits of a plan. Requests in flight remain counted."""
         self.cell_weights = {cell.name: cell.weight for cell in plan.cells.values()}
         self.concurrency_pool = ReservedPool(
             self.max_in_flight, plan.policy.reserved_share, self.cell_weights
@@ -60,8 +60,9 @@
     def rejection_reason(
         self, cell: ActiveCell, tenant: TenantSpec, request_class: RequestClass, is_fallback: bool
     ) -> AdmissionRejection | None:
-        """Why a request is not admitted, or None. `is_fallback`: the tenant's own cells have no ready
-        cache."""
+        """Return the reason to reject a request, or None to admit it.
+
+        `is_fallback` says that `cell` is the fallback cell, as the tenant's own cells have no ready cache."""
         gate = cell.gate
         if is_fallback and gate.in_flight >= FALLBACK_LIMIT_SHARE * gate.adaptive_limit.limit:
             return AdmissionRejection.FALLBACK_LIMIT
@@ -74,23 +75,27 @@
         return gate.rejection_reason(tenant.name, self.priority_of_class[request_class.name])
 
     def expected_wait_us(self, cell: ActiveCell | None, request_class: RequestClass) -> int:
-        """When capacity is expected to be available: by Little's law a full gate completes one request each
-        `service_time_us / limit`, and all that are rejected meanwhile want one too."""
+        """Estimate the time until capacity is available.
+
+        By Little's law, a full gate completes one request every `service_time_us / limit`. The estimate is
+        longer than that, as all requests rejected in the meantime compete for the freed capacity. Without a
+        cell, the estimate is the latency objective of the class."""
         if cell is None:
             return request_class.latency_objective_us
         load = cell.gate.in_flight / max(1.0, cell.gate.adaptive_limit.limit)
         return int(cell.service_time_us * (1 + load))
 
     def retry_after_us(self, wait_us: int) -> int:
-        """The Retry-After for a rejected client, 0 where the settings allow none. Drawn at random, so that
-        clients rejected together do not return together."""
+        """Return the Retry-After for a rejected client; 0 if the settings disable it.
+
+        It is randomized so that clients rejected at the same time do not all retry at the same time."""
         if not self.request_limits.retry_after:
             return 0
         jittered_us = int(max(MIN_RETRY_AFTER_US, wait_us) * self.random.uniform(*RETRY_AFTER_JITTER))
         return min(self.request_limits.max_retry_after_us or jittered_us, jittered_us)
 
     def admit(self, cell: ActiveCell, tenant: TenantSpec, owner: CellRequestOwner) -> None:
-        """Count an admitted request."""
+        """Count an admitted request in every limit that applies to it."""
         cell.in_flight += 1
         cell.gate.admit(tenant.name, tenant.weight)
         if cell.name in self.cell_weights:
@@ -102,7 +107,7 @@
         self.in_flight_by_tenant[tenant.name] = self.in_flight_by_tenant.get(tenant.name, 0) + 1
 
     def release(self, cell: ActiveCell, owner: CellRequestOwner) -> None:
-        """An admitted request has ended."""
+        """Remove an ended request from every limit in which it was counted."""
         cell.in_flight -= 1
         cell.gate.release(owner.tenant)
         if owner.request_class.is_write:
@@ -118,12 +123,12 @@
             del self.in_flight_by_tenant[owner.tenant]
 
     def record_outcome(self, now: int, cell: ActiveCell, request_class: RequestClass, late: bool) -> None:
-        """An answer was late (or missing), or in time: adapts the limit that the request fell under."""
+        """Adapt the write limit or the cell's limit to an answer that was in time, or late (or missing)."""
         gate = self.write_gate if request_class.is_write else cell.gate
         gate.adaptive_limit.record_answer(now, late, request_class.latency_objective_us, gate.in_flight)
 
     def in_flight_of(self, tenant: str, cells: Iterable[str], inside: bool) -> int:
-        """A tenant's requests in flight in some cells, or with `inside` False outside of them."""
+        """Count a tenant's requests in flight in the given cells; in all others if `inside` is False."""
         selected = set(cells)
         return sum(
             count
--- a/onyxwick/cells/membership.py
+++ b/onyxwick/cells/membership.py
@@ -1,8 +1,8 @@
 """The endpoint list by cell: which cell each cache belongs to, and how much the caches of a cell can serve.
 
-In: changes of the endpoint list and the cell plan. Out: the placement, and the list for the router of one
-cell. A departed cache stays assigned to its cell for a while: a cell whose caches fail must not be given its
-neighbours' at once, or what brought down the one cell would bring down the next. Times are in microseconds.
+Takes changes of the endpoint list and the cell plan, and returns the placement and the endpoint list of each
+cell's router. A departed cache stays assigned to its cell for a while. If the caches of other cells replaced
+failed caches at once, a load that brings down one cell would bring down the next. Times are in microseconds.
 """
 
 from __future__ import annotations
@@ -25,14 +25,14 @@
 
 @dataclass(frozen=True, slots=True)
 class DepartedCache:
-    """A cache that has left the endpoint list and is still assigned to its cell."""
+    """A cache that is no longer in the endpoint list but is still assigned to its cell."""
 
     member: Member
     departed_us: int
 
 
 class CellMembership:
-    """All listed members, recently departed caches, and the placement that follows from them."""
+    """All listed members, the recently departed caches, and the placement computed from them."""
 
     def __init__(self, settings: RouterSettings, plan: CellPlan) -> None:
         self.settings = settings
@@ -46,7 +46,9 @@
     # ---- input ---------------------------------------------------------------------------------------
 
     def placement_for(self, plan: CellPlan) -> Placement:
-        """The placement that a plan would give now; CellPlanError where a cell would have no cache here."""
+        """Compute the placement for a plan and the current caches, without applying it.
+
+        Raises CellPlanError if a cell would have no cache in this director's zone."""
         caches = self._assigned_caches()
         placement = compute_placement(plan, caches, self.upstream_kinds, self.cell_orders)
         if caches:
@@ -54,7 +56,7 @@
         return placement
 
     def on_endpoints_changed(self, now: int, event: EndpointsChanged) -> None:
-        """Take in a changed endpoint list."""
+        """Apply a changed endpoint list."""
         if event.kind is not EndpointListKind.CHANGE:
             named = {member.address for member in event.members}
             for address in [address for address in self.members if address not in named]:
@@ -73,7 +75,7 @@
             self.departed[address] = DepartedCache(member, now)
 
     def expire_departed(self, now: int, seat_retention_us: int) -> bool:
-        """Unassign the caches that departed too long ago; whether there were any."""
+        """Unassign caches that departed over `seat_retention_us` ago and return whether there were any."""
         expired = [
             address
             for address, departed in self.departed.items()
@@ -86,7 +88,7 @@
         return bool(expired)
 
     def _assigned(self) -> dict[str, Member]:
-        """Members by address, departed caches included."""
+        """Return the members by address, including departed caches."""
         return {address: departed.member for address, departed in self.departed.items()} | self.members
 
     def _assigned_caches(self) -> list[Member]:
@@ -104,7 +106,7 @@
     # ---- results -------------------------------------------------------------------------------------
 
     def members_of(self, cell: str) -> dict[str, Member]:
-        """The list for a cell's router: its caches in all zones, the parents and the origin."""
+        """Return a cell's endpoint list: its caches in all zones, the parents and the origin."""
         cell_of_cache = self.placement.cell_of_cache
         return {
             address: self._with_weight(member)
@@ -113,8 +115,10 @@
         }
 
     def _with_weight(self, member: Member) -> Member:
-        """Where the list gives no weights: capacities estimated from the links of the whole zone. A cell's
-        router would estimate from its part of the caches, and get too much for each."""
+        """Return the member with an estimated weight if the endpoint list gives no weights.
+
+        The estimate is based on the links of the entire zone. A cell's router knows only its own caches and
+        would overestimate the capacity of each."""
         settings = self.settings
         has_weights = settings.weight_source != WeightSource.NONE
         if has_weights or not settings.transfer_kb_per_s or not settings.zone_link_kb_per_s:
@@ -131,7 +135,7 @@
         )
 
     def local_cache_count(self, cells: Iterable[str]) -> int:
-        """Caches in this zone that are assigned to the cells, ready or not."""
+        """Count the caches in this zone that are assigned to the cells, whether ready or not."""
         names = set(cells)
         cell_of_cache = self.placement.cell_of_cache
         return sum(
@@ -140,8 +144,9 @@
         )
 
     def warm_share(self, cells: Iterable[str], now: int) -> float:
-        """Of what the cells' ready caches in this zone can give when warm, the share that they can give now;
-        0 where none is ready."""
+        """Return the share of their warm capacity that the cells' ready caches in this zone have now.
+
+        The share is from 0 to 1, and 0 if no cache is ready."""
         names = set(cells)
         cell_of_cache = self.placement.cell_of_cache
         shares = [
--- a/onyxwick/cells/migration.py
+++ b/onyxwick/cells/migration.py
@@ -1,9 +1,9 @@
-"""One migration of a tenant between cells: a state machine, and the share of objects that the target cells
-serve.
+"""The state machine of one migration of a tenant between cells.
 
-In: the time (microseconds) and the health of both sides. Out: a phase and a share, 0 to 1. No director
-remembers a migration over a restart: it starts again with nothing moved, which is safe in every phase, as
-both sides may serve the tenant until the plan itself names the target alone.
+Takes the time (microseconds) and the health of both sides, and returns the phase and the share (0 to 1) of
+the objects that the target cells serve. A director does not store the state of a migration: after a restart
+the migration starts again with nothing moved. This is safe in every phase, as both sides may serve the tenant
+until the plan names only the target cells.
 """
 
 from __future__ import annotations
@@ -17,19 +17,19 @@
 HEALTHY_BEFORE_RESUME_US = 2 * MICROSECONDS_PER_SECOND
 MAX_PAUSE_US = 120 * MICROSECONDS_PER_SECOND  # then the migration is aborted
 MIN_REDUCTION_INTERVAL_US = MICROSECONDS_PER_SECOND // 2
-REDUCTION_FACTOR = 0.7  # what one reduction leaves of the share
-REDUCE_PRESSURE = 0.2  # share of rejected and late answers at the target, above which the share is reduced
-GROW_PRESSURE = 0.08  # up to which it grows
-ABORT_PRESSURE = 0.5  # above which a migration is aborted after the cut-over
-MIN_PACE = 0.25  # of the full pace: cold caches slow a migration down, but never stop it
-MIN_MOVED_SHARE = 0.02  # that cold caches may serve
-MIN_READY_SHARE = 0.5  # of the target's caches
-MAX_WARM_UP_FACTOR = 8  # times its warm-up time that a migration may take; then it is aborted
-KEY_PREFIX_SHIFT = 56  # to the first byte of a 64-bit hash
+REDUCTION_FACTOR = 0.7  # the share is multiplied by this in each reduction
+REDUCE_PRESSURE = 0.2  # share of rejected and late answers at the target above which less is moved
+GROW_PRESSURE = 0.08  # pressure at the target up to which the moved share grows
+ABORT_PRESSURE = 0.5  # pressure at the target above which a migration is aborted after the cut-over
+MIN_PACE = 0.25  # share of the full growth rate; cold caches slow a migration down but never stop it
+MIN_MOVED_SHARE = 0.02  # share of the objects that even entirely cold target caches may serve
+MIN_READY_SHARE = 0.5  # share of the target's caches that must be ready for the target to be healthy
+MAX_WARM_UP_FACTOR = 8  # a migration that takes this many times its warm-up time is aborted
+KEY_PREFIX_SHIFT = 56  # right shift that leaves the first byte of a 64-bit hash
 
 
 class MigrationPhase(Enum):
-    """The states of a migration. The values appear in logs and the administration API."""
+    """The phases of a migration. The values appear in logs and the administration API."""
 
     PLANNED = "planned"
     WARMING = "warming"
@@ -57,7 +57,7 @@
 
 
 class IllegalMigrationTransitionError(CellsError, RuntimeError):
-    """A transition between two phases that `LEGAL_TRANSITIONS` does not allow."""
+    """Raised for a transition between two phases that `LEGAL_TRANSITIONS` does not allow."""
 
     def __init__(self, migration: str, phase: MigrationPhase, requested: MigrationPhase) -> None:
         expected = ", ".join(sorted(legal.value for legal in LEGAL_TRANSITIONS[phase])) or "none"
@@ -71,45 +71,48 @@
 
 @dataclass(frozen=True, slots=True)
 class CellHealthSignals:
-    """The health of both sides of a migration at one instant; requests are the migrating tenant's."""
+    """The health of both sides of a migration at one instant.
 
-    target_caches: int  # of the target cells in this zone, ready or not
+    The requests in flight are those of the migrating tenant."""
+
+    target_caches: int  # caches of the target cells in this zone, including those that are not ready
     target_ready: int
-    target_warm_share: float  # of the ready ones' capacity that they can give now, 0 to 1
-    target_pressure: float  # share of rejected and late among the target's latest answers, 0 to 1
+    target_warm_share: float  # share of their warm capacity that the ready caches have now, 0 to 1
+    target_pressure: float  # share of rejected and late answers at the target, 0 to 1
     source_ready: int
     source_in_flight: int
     target_in_flight: int
 
 
 class Migration:
-    """The state of one migration at one director."""
+    """The phase of one migration at one director, and the share of the objects already migrated."""
 
     def __init__(self, spec: MigrationSpec, now: int) -> None:
         self.spec = spec
         self.phase = MigrationPhase.PLANNED
-        self.share = 0.0  # of the objects, served by the target cells
+        self.share = 0.0  # share of the objects that the target cells serve
         self.phase_started_us = now
-        self.stepped_us = now
+        self.last_step_us = now
         self.warm_up_started_us = 0
         self.healthy_since_us = 0
-        self.reduced_us = 0
+        self.last_reduction_us = 0
         self.reason = (
             "waits for its start time" if spec.starts_at_us else "waits for caches of the target cells"
         )
         self.salt = cells_hash(f"move {spec.name}")
 
     def covers(self, key: int) -> bool:
-        """Whether an object, by its 64-bit hash, is in the key range that migrates."""
+        """Return whether an object, given by its 64-bit hash, is in the key range that migrates."""
         return self.spec.first <= key >> KEY_PREFIX_SHIFT <= self.spec.last
 
     def is_migrated(self, key: int) -> bool:
-        """Whether the target cells serve an object now. Each object changes sides once as the share grows, so
-        that it is filled once."""
+        """Return whether the target cells serve an object now.
+
+        While the share grows, each object changes sides only once, so it is filled only once."""
         return self.share > 0 and mix_hashes(key, self.salt) <= self.share * MAX_HASH
 
     def status(self) -> dict[str, object]:
-        """The migration with the keys of the administration API."""
+        """Return the state of the migration with the keys of the administration API."""
         return {
             "tenant": self.spec.tenant,
             "to": list(self.spec.target_cells),
@@ -130,7 +133,7 @@
             self.share = 0.0
 
     def abort(self, now: int, reason: str) -> bool:
-        """Turn back from whatever phase; False where the migration has ended already."""
+        """Move all objects back to the source cells; False if the migration has already ended."""
         if self.phase in ENDED:
             return False
         if self.phase is MigrationPhase.PLANNED:
@@ -140,14 +143,14 @@
         return True
 
     def step(self, now: int, signals: CellHealthSignals) -> None:
-        """Apply the signals of one instant."""
-        passed_us = max(0, now - self.stepped_us)
-        self.stepped_us = now
+        """Advance the migration to the time `now` with the health signals of that instant."""
+        elapsed_us = max(0, now - self.last_step_us)
+        self.last_step_us = now
         match self.phase:
             case MigrationPhase.PLANNED:
                 self._step_planned(now, signals)
             case MigrationPhase.WARMING:
-                self._step_warm_up(now, signals, passed_us)
+                self._step_warm_up(now, signals, elapsed_us)
             case MigrationPhase.PAUSED:
                 self._step_paused(now, signals)
             case MigrationPhase.CUTTING:
@@ -167,7 +170,7 @@
             self.warm_up_started_us = now
             self._transition(MigrationPhase.WARMING, now, "the share of the target cells grows")
 
-    def _step_warm_up(self, now: int, signals: CellHealthSignals, passed_us: int) -> None:
+    def _step_warm_up(self, now: int, signals: CellHealthSignals, elapsed_us: int) -> None:
         if not self._target_is_healthy(signals):
             self.share *= signals.target_ready / max(1, signals.target_caches)
             self.healthy_since_us = 0
@@ -179,18 +182,19 @@
         elif signals.target_pressure > REDUCE_PRESSURE:
             self._reduce_share(now)
         else:
-            self._grow_share(now, signals, passed_us)
+            self._grow_share(now, signals, elapsed_us)
 
     def _reduce_share(self, now: int) -> None:
-        if now - self.reduced_us >= MIN_REDUCTION_INTERVAL_US:
+        if now - self.last_reduction_us >= MIN_REDUCTION_INTERVAL_US:
             self.share *= REDUCTION_FACTOR
-            self.reduced_us = now
+            self.last_reduction_us = now
 
-    def _grow_share(self, now: int, signals: CellHealthSignals, passed_us: int) -> None:
+    def _grow_share(self, now: int, signals: CellHealthSignals, elapsed_us: int) -> None:
         if signals.target_pressure <= GROW_PRESSURE:
-            pace = max(MIN_PACE, signals.target_warm_share)  # cold caches fill from afar
-            self.share += pace * passed_us / self.spec.warm_up_us
-        # Never more of the tenant than the caches can give of what they can give when warm.
+            # Growth is slower into cold caches, as they have to fill from parents or the origin.
+            pace = max(MIN_PACE, signals.target_warm_share)
+            self.share += pace * elapsed_us / self.spec.warm_up_us
+        # The moved share never exceeds the share of their warm capacity that the target caches have now.
         self.share = min(self.share, max(signals.target_warm_share, MIN_MOVED_SHARE))
         if self.share >= 1.0:
             self._transition(MigrationPhase.CUTTING, now, "all new requests go to the target cells")
@@ -209,7 +213,7 @@
             self._transition(MigrationPhase.WARMING, now, "the target cells have ready caches again")
 
     def _step_soak(self, now: int, signals: CellHealthSignals) -> None:
-        """After the cut-over: keep the source cells for a while, in case the target fails."""
+        """Keep the source cells for a while after the cut-over, in case the target cells fail."""
         lost_caches = signals.target_ready == 0
         fails = lost_caches or signals.target_pressure > ABORT_PRESSURE
         if fails and signals.source_ready:
--- a/onyxwick/cells/migrations.py
+++ b/onyxwick/cells/migrations.py
@@ -1,7 +1,7 @@
-"""The migrations of one director's plan: which are under way, and where each sends a tenant's objects.
+"""The migrations of one director's plan: which are in progress, and to which cells they move objects.
 
-In: plans, and the health of both sides at each tick. Out: the phases that were entered, and for an object of
-a tenant the cells that it has migrated to.
+Takes plans, and the health of both sides at each tick. Returns the phases that migrations entered, and the
+cells to which an object of a tenant has migrated.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MigrationTransition:
-    """A migration has entered another phase."""
+    """A change of a migration from one phase to another."""
 
     name: str
     previous_phase: MigrationPhase
@@ -27,15 +27,16 @@
 
 
 class Migrations:
-    """All migrations of a plan, and those that it has withdrawn until they have returned."""
+    """All migrations of a plan, and the withdrawn ones until their objects are back at the source cells."""
 
     def __init__(self) -> None:
         self.by_name: dict[str, Migration] = {}
         self.of_tenant: dict[str, list[Migration]] = {}
 
     def apply_plan(self, now: int, plan: CellPlan) -> None:
-        """Start the plan's migrations, and abort those that it no longer names or names differently. One that
-        has ended and is still named stays ended."""
+        """Start the plan's new migrations, and abort those that the plan no longer contains or has changed.
+
+        A migration that has ended and is unchanged in the plan stays ended."""
         for name, spec in plan.migrations.items():
             running = self.by_name.get(name)
             if running is None or (running.spec != spec and running.phase in ENDED):
@@ -56,7 +57,7 @@
     def step(
         self, now: int, plan: CellPlan, signals_of: Callable[[Migration], CellHealthSignals]
     ) -> list[MigrationTransition]:
-        """Advance every migration; the phases that were entered."""
+        """Advance every migration and return the transitions between phases."""
         transitions = []
         for name, migration in list(self.by_name.items()):
             previous_phase = migration.phase
@@ -73,8 +74,9 @@
         return transitions
 
     def target_cells(self, tenant: str, object_name: str) -> tuple[str, ...] | None:
-        """The cells that an object of a tenant has migrated to, the first choice first; None where it has
-        not."""
+        """Return the cells to which an object of a tenant has migrated, in order of preference.
+
+        None if the object has not migrated."""
         for migration in self.of_tenant.get(tenant, ()):
             key = cells_hash(object_name)
             if migration.covers(key) and migration.is_migrated(key):
@@ -84,5 +86,5 @@
         return None
 
     def abort(self, now: int, name: str) -> bool:
-        """Abort a migration; False where it has ended. KeyError for an unknown one."""
+        """Abort a migration; False if it has already ended. KeyError for an unknown migration."""
         return self.by_name[name].abort(now, ABORTED_BY_OPERATOR)
--- a/onyxwick/cells/model.py
+++ b/onyxwick/cells/model.py
@@ -1,5 +1,6 @@
-"""The cell plan that operators state: cells, tenants, migrations and policy. Types only; the check is
-`plan_check`."""
+"""The types of the cell plan that operators write: cells, tenants, migrations and policy.
+
+`plan_check` checks a plan."""
 
 from __future__ import annotations
 
@@ -14,15 +15,15 @@
 DEFAULT_SEAT_RETENTION_US = 120 * MICROSECONDS_PER_SECOND
 DEFAULT_TENANT_FIELD = "X-Tenant"
 DEFAULT_RESERVED_SHARE = 0.7
-KEY_PREFIX_COUNT = 256  # key ranges are stated by the first byte of an object's hash
+KEY_PREFIX_COUNT = 256  # number of values of the first byte of an object's hash, which key ranges refer to
 
 
 class CellsError(OnyxwickError):
-    """Base of the errors of this package."""
+    """Base class of the errors of this package."""
 
 
 class CellPlanError(CellsError, ValueError):
-    """A plan that cannot be used: `kind` and `name` of the row, its `field`, and the `reason`."""
+    """A plan that cannot be used, with the `kind` and `name` of the row, its `field` and the `reason`."""
 
     def __init__(self, kind: str, name: str, field_name: str, reason: str) -> None:
         super().__init__(f"{kind} '{name}': {field_name}: {reason}")
@@ -34,71 +35,73 @@
 
 @dataclass(frozen=True, slots=True)
 class Cell:
-    """A part of the fleet. Without members of its own it shares, by weight, those that no cell names."""
+    """A part of the fleet.
+
+    Cells without `members` divide among themselves, by weight, the caches that no cell names."""
 
     name: str
     members: tuple[str, ...] = ()
     weight: float = 1.0
-    fallback: str | None = None  # the cell that admits its requests, within limits, when no cache is ready
+    fallback: str | None = None  # the cell that admits its requests, up to a limit, if no cache is ready
 
 
 @dataclass(frozen=True, slots=True)
 class KeyRange:
-    """Objects of a tenant whose hash begins with a byte from `first` to `last`, and their cells."""
+    """The cells for objects of a tenant whose hash begins with a byte from `first` to `last` (inclusive)."""
 
     first: int
     last: int
     cells: tuple[str, ...]
 
     def overlaps(self, other: KeyRange | MigrationSpec) -> bool:
-        """Whether some key is in both ranges."""
+        """Return whether at least one key is in both ranges."""
         return self.first <= other.last and other.first <= self.last
 
 
 @dataclass(frozen=True, slots=True)
 class TenantSpec:
-    """A tenant. Its cells are named, or `span` of them are chosen by shuffle sharding."""
+    """A tenant. It uses the named `cells`, or else `span` cells chosen by shuffle sharding."""
 
     name: str
     weight: float = 1.0
     span: int = 1
     cells: tuple[str, ...] = ()
     ranges: tuple[KeyRange, ...] = ()
-    rate_per_s: float = 0.0  # requests a second at one director; 0: not limited
-    max_in_flight: int = 0  # requests at once at one director; 0: what its cell allows
+    rate_per_s: float = 0.0  # requests per second at one director; 0 means unlimited
+    max_in_flight: int = 0  # concurrent requests at one director; 0 means limited only by the cell
 
 
 @dataclass(frozen=True, slots=True)
 class MigrationSpec:
-    """A tenant, or a key range of it, is to be served by other cells."""
+    """A planned migration of a tenant, or of one of its key ranges, to other cells."""
 
     name: str
     tenant: str
     target_cells: tuple[str, ...]
     first: int = 0
     last: int = KEY_PREFIX_COUNT - 1
-    starts_at_us: int = 0  # Unix time; 0: at once
-    warm_up_us: int = DEFAULT_WARM_UP_US  # the least time for the target cells' share to grow to all
-    soak_us: int = DEFAULT_SOAK_US  # after the cut-over, before the source cells are released
+    starts_at_us: int = 0  # Unix time; 0 means immediately
+    warm_up_us: int = DEFAULT_WARM_UP_US  # minimum time for the target cells' share to grow to 1
+    soak_us: int = DEFAULT_SOAK_US  # time from the cut-over until the source cells are released
 
     def overlaps(self, other: KeyRange | MigrationSpec) -> bool:
-        """Whether some key is in both ranges."""
+        """Return whether at least one key is in both ranges."""
         return self.first <= other.last and other.first <= self.last
 
 
 @dataclass(frozen=True, slots=True)
 class CellPolicy:
-    """What applies to all cells of a director."""
+    """The settings that apply to all cells of a director."""
 
     tenant_field: str = DEFAULT_TENANT_FIELD  # the request field that names the tenant
-    default_tenant: str | None = None  # the tenant of a request that names none
-    seat_retention_us: int = DEFAULT_SEAT_RETENTION_US  # a departed cache stays assigned this long
-    reserved_share: float = DEFAULT_RESERVED_SHARE  # of each bound, divided among cells for good
+    default_tenant: str | None = None  # the tenant of a request that names no tenant
+    seat_retention_us: int = DEFAULT_SEAT_RETENTION_US  # how long a departed cache stays assigned
+    reserved_share: float = DEFAULT_RESERVED_SHARE  # share of each limit permanently reserved for the cells
 
 
 @dataclass(frozen=True, slots=True)
 class CellPlan:
-    """The rows by name. Checked by `plan_check.check_plan`."""
+    """The cells, tenants and migrations by name. Checked by `plan_check.check_plan`."""
 
     cells: Mapping[str, Cell]
     tenants: Mapping[str, TenantSpec] = field(default_factory=dict)
@@ -107,6 +110,6 @@
     version: int = 1
 
     def equals_except_version(self, other: CellPlan) -> bool:
-        """Whether all rows are the same."""
+        """Return whether both plans have the same rows and policy, whatever their versions."""
         mine = (self.cells, self.tenants, self.migrations, self.policy)
         return mine == (other.cells, other.tenants, other.migrations, other.policy)
--- a/onyxwick/cells/offline.py
+++ b/onyxwick/cells/offline.py
@@ -1,4 +1,4 @@
-"""What a cell plan would do, from files alone: for operators before a change, and for measurements."""
+"""Evaluates a cell plan from files alone, for operators before a change and for measurements."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 @dataclass(frozen=True, slots=True)
 class KnownMembers:
-    """The members that a director's configuration names, the kinds that no cell owns, and its zone."""
+    """The members in a director's configuration, the kinds that no cell owns, and the director's zone."""
 
     members: list[Member]
     upstream_kinds: tuple[str | None, ...]
     zone: str
 
 
-NO_MEMBERS = KnownMembers([], (None,), "")
+NO_KNOWN_MEMBERS = KnownMembers([], (None,), "")
 
 
 def _read_plan(path: Path) -> CellPlan:
@@ -34,12 +34,12 @@
 
 
 def _ignore_unreadable_row(text: str) -> None:
-    """A row of the list that cannot be read has no place in a summary."""
+    """Ignore a row of the endpoint list that cannot be read: the summary leaves such rows out."""
 
 
 def _read_members(config: Path | None) -> KnownMembers:
     if config is None:
-        return NO_MEMBERS
+        return NO_KNOWN_MEMBERS
     from onyxwick.config import director
     from onyxwick.core.clock import FeedTimestamps, steady_us
     from onyxwick.net.feed_wire import read_members
@@ -60,7 +60,7 @@
 
 
 def moved_tenants(before: Placement, after: Placement) -> dict[str, dict[str, list[str]]]:
-    """Tenants whose cells differ between two placements, with their cells in both."""
+    """Return the tenants whose cells differ between two placements, with their cells in both."""
     moved = {}
     for tenant, cells in after.cells_of_tenant.items():
         previous = before.cells_of_tenant.get(tenant)
@@ -70,9 +70,9 @@
 
 
 def plan_summary(file: Path, config: Path | None, against: Path | None) -> dict[str, Any]:
-    """Cells with their caches and tenants, what would move against an earlier file, and findings.
+    """Return the cells with their caches and tenants, the tenants moved since an earlier file, and findings.
 
-    The keys are those of the command's JSON output. ConfigError where a file cannot be read."""
+    The keys are those of the command's JSON output. Raises ConfigError if a file cannot be read."""
     known = _read_members(config)
     placement = compute_placement(_read_plan(file), known.members, known.upstream_kinds)
     findings = []
--- a/onyxwick/cells/placement.py
+++ b/onyxwick/cells/placement.py
@@ -1,13 +1,14 @@
-"""Which cell a cache belongs to, which cells a tenant has, and which of them serves an object of it.
+"""The placement: the cell of each cache, the cells of each tenant, and the order of cells for each object.
 
-In: the plan and the endpoint list. Out: a placement. A pure function: every director that has both computes
-the same, without communication or memory. All choices are rendezvous hashing (Thaler and Ravishankar, "Using
-name-based mappings to increase hit rates", 1998, section 3), bounded so that no cell gets more than its
-share: a cache or tenant that is added or removed changes few others, and the bound only where a cell is full.
+Takes the plan and the endpoint list and returns a placement. The computation is a pure function: all
+directors with the same plan and list compute the same placement, without communication or stored state. All
+choices are rendezvous hashing (Thaler and Ravishankar, "Using name-based mappings to increase hit rates",
+1998, section 3), bounded so that no cell gets more than its share. A cache or tenant that is added or removed
+changes few other assignments, and the bound changes assignments only where a cell is full.
 
-Shuffle sharding: of N cells a tenant that spans k has one of C(N, k) sets. A lost cell affects k in N
-tenants, and entirely only those with k = 1; a tenant that brings down all its cells affects only tenants with
-the same set, one in C(N, k).
+Shuffle sharding: a tenant that spans k of N cells has one of C(N, k) sets of cells. A lost cell affects k in
+N tenants, and entirely only those with k = 1. A tenant that brings down all its cells affects only the
+tenants with the same set, one in C(N, k).
 """
 
 from __future__ import annotations
@@ -23,11 +24,13 @@
 from onyxwick.subrouters.hashing import HASH_RANGE, stable_hash
 
 MAX_LOAD_FACTOR = 1.25
-"""Of its fair share of the tenants' weight: above it a cell is skipped while others have capacity."""
+"""Maximum of a cell's load, as a multiple of its fair share of the tenants' weight.
+
+A cell is filled beyond it only if no other cell has capacity."""
 MAX_HASH = HASH_RANGE - 1
-CACHED_NAMES = 1 << 14
-NAMESPACE = b"cells"
-KEY_PREFIX_SHIFT = 56  # to the first byte of a hash
+CACHED_NAME_HASHES = 1 << 14
+HASH_NAMESPACE = b"cells"
+KEY_PREFIX_SHIFT = 56  # right shift that leaves the first byte of a 64-bit hash
 
 # Constants of SplitMix64 (Steele, Lea and Flood 2014, figure 17).
 MIX_INCREMENT = 0x9E3779B97F4A7C15
@@ -35,14 +38,14 @@
 MIX_SECOND = 0x94D049BB133111EB
 
 
-@lru_cache(maxsize=CACHED_NAMES)
+@lru_cache(maxsize=CACHED_NAME_HASHES)
 def cells_hash(text: str) -> int:
-    """64 bits for the name of an object, cell, cache or tenant."""
-    return stable_hash(text, NAMESPACE)
+    """Return a 64-bit hash of the name of an object, cell, cache or tenant."""
+    return stable_hash(text, HASH_NAMESPACE)
 
 
 def mix_hashes(one: int, other: int) -> int:
-    """64 bits from two hashes: the finaliser of SplitMix64."""
+    """Combine two 64-bit hashes into one with the finalizer of SplitMix64."""
     mixed = (one ^ (other * MIX_INCREMENT)) & MAX_HASH
     mixed = ((mixed ^ (mixed >> 30)) * MIX_FIRST) & MAX_HASH
     mixed = ((mixed ^ (mixed >> 27)) * MIX_SECOND) & MAX_HASH
@@ -50,7 +53,9 @@
 
 
 def rendezvous_score(one: int, other: int, weight: float = 1.0) -> float:
-    """An exponential draw for a pair of hashes; the least of a row is chosen, in proportion to weight."""
+    """Return a pseudorandom, exponentially distributed score for a pair of hashes.
+
+    If the candidate with the lowest score is chosen, each is chosen in proportion to its weight."""
     return -math.log((mix_hashes(one, other) + 1) / (MAX_HASH + 2)) / weight
 
 
@@ -60,10 +65,10 @@
 def assign_caches(
     plan: CellPlan, members: Iterable[Member], upstream_kinds: tuple[str | None, ...]
 ) -> dict[str, str]:
-    """The cell of each listed cache, by address, for each zone separately.
+    """Return the cell of each listed cache by address, computed for each zone separately.
 
-    `upstream_kinds`: those of parents and origin, which no cell owns. A cache that no cell names is not
-    assigned where all cells name their own."""
+    `upstream_kinds` are the kinds of parents and origin, which no cell owns. A cache that no cell names stays
+    unassigned if every cell names its members."""
     cell_of_member = {member: cell.name for cell in plan.cells.values() for member in cell.members}
     sharing_cells = [cell for cell in plan.cells.values() if not cell.members]
     unnamed_in_zone: dict[str, list[str]] = {}
@@ -81,8 +86,10 @@
 
 
 def _assign_in_zone(cells: Sequence[Cell], addresses: Sequence[str], zone_hash: int) -> dict[str, str]:
-    """Each cache's cell. The least scores of all pairs are matched first, a stable matching: it does not
-    depend on any order, and a cache that leaves changes few others."""
+    """Return the cell of each cache of one zone.
+
+    Pairs are matched in ascending order of score. This gives a stable matching, which does not depend on the
+    order of the arguments and changes for few other caches when a cache leaves."""
     remaining = _cache_quotas(cells, len(addresses), zone_hash)
     pairs = sorted(
         (rendezvous_score(cells_hash(address), cells_hash(cell.name)), address, cell.name)
@@ -98,13 +105,14 @@
 
 
 def _cache_quotas(cells: Sequence[Cell], cache_count: int, zone_hash: int) -> dict[str, int]:
-    """How many of a zone's caches each cell gets: in proportion to weight, by the largest remainder."""
+    """Divide a zone's caches among cells in proportion to weight, with the largest remainder method."""
     total_weight = sum(cell.weight for cell in cells)
     exact = {cell.name: cache_count * cell.weight / total_weight for cell in cells}
     quotas = {name: int(value) for name, value in exact.items()}
 
     def remainder_order(name: str) -> tuple[float, float]:
-        # Ties are decided by hash and not by name: else the same cells would lack a cache in every zone.
+        # Ties are broken by hash, as breaking them by name would leave the same cells a cache short in
+        # every zone.
         return quotas[name] - exact[name], rendezvous_score(zone_hash, cells_hash(name))
 
     by_remainder = sorted(exact, key=remainder_order)
@@ -117,7 +125,7 @@
 
 
 class CellOrderCache:
-    """Each tenant's order of the cells, kept: a changed endpoint list must not cost all hashes again."""
+    """Caches each tenant's order of the cells, so that a changed endpoint list needs no new hashes."""
 
     def __init__(self) -> None:
         self.cells: tuple[str, ...] = ()
@@ -125,7 +133,7 @@
         self.orders: dict[str, array[int]] = {}
 
     def order(self, tenant: str, cells: tuple[str, ...]) -> array[int]:
-        """Indexes into `cells`, first choice first."""
+        """Return a tenant's preference order as indexes into `cells`, the most preferred cell first."""
         if cells != self.cells:
             self.cells = cells
             self.cell_hashes = [cells_hash(name) for name in cells]
@@ -137,7 +145,7 @@
         return order
 
     def _compute_order(self, tenant: str) -> array[int]:
-        # One round of the mixer, written out: this dominates the cost of a placement.
+        # A single mixing round is inlined here, as this loop dominates the cost of a placement.
         tenant_hash = cells_hash(tenant)
         first = [((tenant_hash ^ cell) * MIX_FIRST) & MAX_HASH for cell in self.cell_hashes]
         scores = [((mixed ^ (mixed >> 29)) * MIX_SECOND) & MAX_HASH for mixed in first]
@@ -147,7 +155,7 @@
 def assign_tenants(
     plan: CellPlan, cell_capacity: Mapping[str, float], cell_orders: CellOrderCache
 ) -> dict[str, tuple[str, ...]]:
-    """Each tenant's cells. Heavy tenants choose first, as light ones fit in anywhere."""
+    """Return each tenant's cells. Heavy tenants are assigned first, as light ones fit anywhere."""
     cells = tuple(name for name in cell_capacity if cell_capacity[name] > 0) or tuple(cell_capacity)
     index_of = {name: index for index, name in enumerate(cells)}
     total_weight = sum(tenant.weight for tenant in plan.tenants.values()) or 1.0
@@ -172,7 +180,7 @@
 def _choose_cells(
     span: int, order: array[int], added_load: float, load: list[float], max_load: list[float]
 ) -> list[int]:
-    """A tenant's cells in its order, passing by full ones while others are left."""
+    """Choose a tenant's cells in its preference order, and full cells only if no others are left."""
     chosen: list[int] = []
     for index in order:
         if load[index] + added_load <= max_load[index]:
@@ -187,15 +195,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """The result for one plan and one endpoint list."""
+    """The assignment of caches and tenants to cells for one plan and one endpoint list."""
 
     plan: CellPlan
     cell_of_cache: Mapping[str, str]  # by address
-    cell_capacity: Mapping[str, float]  # sum of the caches' weights
+    cell_capacity: Mapping[str, float]  # sum of the weights of the cell's caches
     cells_of_tenant: Mapping[str, tuple[str, ...]]
 
     def candidates(self, tenant: str, object_name: str) -> tuple[str, ...]:
-        """The cells for an object of a tenant, the first choice first. KeyError for an unknown tenant."""
+        """Return the cells for an object of a tenant, by preference. KeyError for an unknown tenant."""
         cells = self.cells_of_tenant[tenant]
         key_range = self._key_range(tenant, object_name)
         if key_range is not None:
@@ -210,14 +218,14 @@
         if not ranges:
             return None
         prefix = cells_hash(object_name) >> KEY_PREFIX_SHIFT
-        return next((one for one in ranges if one.first <= prefix <= one.last), None)
+        return next((entry for entry in ranges if entry.first <= prefix <= entry.last), None)
 
     def members(self, cell: str) -> list[str]:
-        """The addresses of a cell's caches, sorted."""
+        """Return the addresses of a cell's caches, sorted."""
         return sorted(address for address, name in self.cell_of_cache.items() if name == cell)
 
     def explain(self, tenant: str, object_name: str) -> list[str]:
-        """Why an object of a tenant goes where it goes, a sentence a step. KeyError for an unknown tenant."""
+        """Explain the choice of cell for an object, one sentence per step. KeyError for an unknown tenant."""
         sentences = [self._explain_tenant(self.plan.tenants[tenant])]
         key_range = self._key_range(tenant, object_name)
         if key_range is not None:
@@ -250,7 +258,9 @@
     upstream_kinds: tuple[str | None, ...],
     cell_orders: CellOrderCache | None = None,
 ) -> Placement:
-    """The placement for a plan and the members of all zones."""
+    """Compute the placement for a plan and the members of all zones.
+
+    `cell_orders` may be passed to reuse the preference orders of earlier placements."""
     cell_of_cache = assign_caches(plan, members, upstream_kinds)
     cell_capacity = dict.fromkeys(plan.cells, 0.0)
     for member in members:
@@ -261,8 +271,9 @@
 
 
 def check_members(placement: Placement, members: Iterable[Member], zone: str) -> None:
-    """CellPlanError where a cell has no cache in this director's zone, so that its tenants could not be
-    served."""
+    """Check that every cell has a cache in this director's zone, without which its tenants cannot be served.
+
+    Raises CellPlanError for the first cell without a cache there."""
     local = [member.address for member in members if member.zone == zone]
     local_cells = {placement.cell_of_cache.get(address) for address in local}
     for cell in placement.plan.cells.values():
--- a/onyxwick/cells/plan_check.py
+++ b/onyxwick/cells/plan_check.py
@@ -1,10 +1,10 @@
-"""Checks that the rows of a cell plan fit together."""
+"""Checks that the rows of a cell plan are consistent with each other."""
 
 from __future__ import annotations
 
 from onyxwick.cells.model import Cell, CellPlan, CellPlanError, MigrationSpec, TenantSpec
 
-# Bounds on memory.
+# These maxima bound the memory that a plan uses.
 MAX_CELLS = 1024
 MAX_TENANTS = 100_000
 MAX_MIGRATIONS = 256
@@ -12,7 +12,7 @@
 
 
 def check_plan(plan: CellPlan) -> CellPlan:
-    """The plan, if all in it fits together; CellPlanError names the first row that does not."""
+    """Return the plan if it is consistent. Raises CellPlanError for the first row that is not."""
     _check_count("cell", len(plan.cells), MAX_CELLS)
     _check_count("tenant", len(plan.tenants), MAX_TENANTS)
     _check_count("move", len(plan.migrations), MAX_MIGRATIONS)
@@ -35,7 +35,7 @@
 
 def _check_count(kind: str, count: int, maximum: int) -> None:
     if count > maximum:
-        raise CellPlanError(kind, "", "count", f"{count} are over the bound of {maximum}")
+        raise CellPlanError(kind, "", "count", f"{count} rows exceed the maximum of {maximum}")
 
 
 def _check_known(plan: CellPlan, kind: str, name: str, field_name: str, cells: tuple[str, ...]) -> None:
--- a/onyxwick/cells/plan_control.py
+++ b/onyxwick/cells/plan_control.py
@@ -1,4 +1,4 @@
-"""Changes of the cell plan while it runs: complete or not at all, by version, and idempotent."""
+"""Atomic, versioned and idempotent changes of the running cell plan."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class PlanVersionConflictError(CellsError):
-    """A change was made for another version than the one that runs."""
+    """Raised for a change that was made for a version other than the running one."""
 
     def __init__(self, requested_version: int, running_version: int) -> None:
         super().__init__(f"made for version {requested_version}, and version {running_version} runs")
@@ -19,25 +19,26 @@
 
 
 class CellPlanControl:
-    """The only way to change a running plan."""
+    """The only interface for changes of a running plan."""
 
     def __init__(self, cells: CellRouter, clock: Callable[[], int], flush: Callable[[], None]) -> None:
-        """`clock`: the time in microseconds. `flush`: passes the router's resulting actions to the core."""
+        """`clock` returns the time in microseconds; `flush` passes the router's actions to the core."""
         self.cells = cells
         self.clock = clock
         self.flush = flush
 
     @property
     def plan(self) -> CellPlan:
-        """The plan that runs."""
+        """Return the running plan."""
         return self.cells.plan
 
     def replace_plan(self, plan: CellPlan, made_for: int | None = None) -> bool:
-        """Run another plan; whether anything changed.
+        """Replace the running plan and return whether anything changed.
 
-        The same plan again changes nothing and is no conflict: a call that is repeated because its answer was
-        lost succeeds. PlanVersionConflictError where another change came between; CellPlanError where the
-        plan does not fit."""
+        A plan equal to the running one changes nothing and is not a conflict, so that a call that is repeated
+        after a lost answer succeeds. `made_for` is the version that the change is based on; None skips the
+        version check. Raises PlanVersionConflictError if the plan has changed since that version, and
+        CellPlanError if the plan is not consistent or leaves a cell without caches."""
         if plan.equals_except_version(self.plan):
             return False
         if made_for is not None and made_for != self.plan.version:
@@ -47,7 +48,7 @@
         return True
 
     def abort_migration(self, name: str) -> bool:
-        """Abort a migration; False where it has ended. KeyError for an unknown one."""
+        """Abort a migration; False if it has already ended. KeyError for an unknown migration."""
         is_aborted = self.cells.abort_migration(self.clock(), name)
         self.flush()
         return is_aborted
--- a/onyxwick/cells/reservation.py
+++ b/onyxwick/cells/reservation.py
@@ -1,8 +1,7 @@
-"""What clients occupy at the front, divided among cells: connections, and bytes of answers that are not yet
-read.
+"""Reservation of client connections and unread answer bytes at the front, divided among cells.
 
-Clients of one cell's tenants that never read cannot use up what another cell's clients need. A tenant counts
-for the first of its cells, whichever serves its objects.
+Clients of one cell's tenants that never read their answers cannot use up the capacity reserved for another
+cell's clients. A tenant counts towards the first of its cells, whichever cell serves its objects.
 """
 
 from __future__ import annotations
@@ -14,7 +13,7 @@
 
 
 class ConnectionReservation:
-    """The connections and unread bytes of each cell's clients."""
+    """Counts and limits the connections and unread answer bytes of each cell's clients."""
 
     def __init__(self, cells: CellRouter, max_bytes: int, max_clients: int) -> None:
         self.cells = cells
@@ -29,7 +28,7 @@
         return ReservedPool(total, self.plan.policy.reserved_share, weights)
 
     def _follow_plan(self) -> None:
-        """After a change of the plan, what is occupied stays counted where its cell still exists."""
+        """Rebuild the pools after a change of the plan, with the use counted for cells that still exist."""
         if self.plan is self.cells.plan:
             return
         self.plan = self.cells.plan
@@ -43,18 +42,20 @@
         return pool
 
     def cell_of(self, tenant: str | None) -> str | None:
-        """The cell that a tenant counts for; None for an unknown one, whose requests are rejected anyway."""
+        """Return the cell that a tenant counts towards.
+
+        None for an unknown tenant, as its requests are rejected in any case."""
         self._follow_plan()
         name = tenant or self.plan.policy.default_tenant or ""
         cells = self.cells.membership.placement.cells_of_tenant.get(name)
         return cells[0] if cells else None
 
     def bytes_exhausted(self, cell: str) -> bool:
-        """Whether the unread answers of this cell's clients use all bytes that they may."""
+        """Return whether the unread answers of this cell's clients use all bytes available to the cell."""
         return not self.bytes.has_capacity(cell)
 
     def reserve_bytes(self, cell: str, size: int) -> Callable[[], None]:
-        """Count bytes for a cell; the function returned gives them back."""
+        """Count bytes for a cell and return a function that releases them."""
         if cell in self.bytes.used:
             self.bytes.adjust(cell, size)
         return lambda: self._release_bytes(cell, size)
@@ -65,14 +66,14 @@
             self.bytes.adjust(cell, -size)
 
     def connect(self, cell: str) -> bool:
-        """Count a connection; False where the cell's clients have all that they may."""
+        """Count a connection; False if the cell's clients have all connections available to the cell."""
         if not self.clients.has_capacity(cell):
             return False
         self.clients.adjust(cell, 1)
         return True
 
     def disconnect(self, cell: str) -> None:
-        """A connection has ended."""
+        """Release a connection that has ended."""
         self._follow_plan()
         if cell in self.clients.used:
             self.clients.adjust(cell, -1)
--- a/onyxwick/cells/router.py
+++ b/onyxwick/cells/router.py
@@ -1,9 +1,10 @@
 """The router of a director with cells: admits each request to one cell and lets that cell's router decide.
 
-In: events and the cell plan. Out: actions; rejections carry a Retry-After in microseconds where the settings
-allow one. Each cell has a router of its own over its own caches, so that health, slow-start budgets, retry
-budgets and learned limits cannot leak between cells. A request belongs to the cell that admitted it until its
-last attempt has ended, whatever migrates meanwhile: a write in flight at a cut-over ends where it began.
+Takes events and the cell plan and returns actions. Rejections carry a Retry-After in microseconds if the
+settings allow it. Each cell has a separate router for its own caches, so that health, slow-start budgets,
+retry budgets and learned limits cannot leak between cells. A request belongs to the cell that admitted it
+until its last attempt has ended, even if its tenant migrates meanwhile: a write in flight at a cut-over ends
+in the cell where it started.
 """
 
 from __future__ import annotations
@@ -45,12 +46,12 @@
 from onyxwick.subrouters.rejection import AdmissionRejection
 from onyxwick.subrouters.share_arbiter import ShareArbiter
 
-INITIAL_PARENT_SHARE = 1e-3  # of the parents' budget: a new cell's, until its own share is available
+INITIAL_PARENT_SHARE = 1e-3  # a new cell's share of the parents' budget until its own share is available
 
 
 @dataclass(frozen=True, slots=True)
 class CellSelection:
-    """The cell that is to serve a request; `is_fallback`: it is not one of the tenant's own."""
+    """The cell chosen for a request. `is_fallback` says that it is not one of the tenant's own cells."""
 
     cell: ActiveCell
     is_fallback: bool = False
@@ -65,8 +66,9 @@
     def __init__(
         self, settings: RouterSettings, seed: int, now: int, plan: CellPlan, max_in_flight: int
     ) -> None:
-        """`max_in_flight`: requests of all cells at once. CellPlanError where the plan does not fit
-        together."""
+        """`max_in_flight` limits the concurrent requests of all cells together.
+
+        Raises CellPlanError if the plan is not consistent."""
         self.cells: dict[str, ActiveCell] = {}
         super().__init__(now, self.cells)
         self.settings = settings
@@ -85,13 +87,14 @@
     # ---- events --------------------------------------------------------------------------------------
 
     def handle(self, now: int, events: list[Event]) -> list[Action]:
-        """Dispatch the events of the instant `now` (us) to the cells concerned and return their actions."""
+        """Dispatch the events of the instant `now` (us) to the affected cells and return their actions."""
         self.admission.now_us = now
         return super().handle(now, events)
 
     def _on_other_event(self, event: Event) -> None:
-        """Load reports go to the cells that use the member; directors with cells send each other no
-        messages."""
+        """Dispatch a load report to the cells that use the member.
+
+        Other events are ignored, as directors with cells do not send messages to each other."""
         if isinstance(event, LoadReportReceived):
             for cell in self.cells.values():
                 if event.member in cell.reported_members:
@@ -112,8 +115,8 @@
                 self._record_parent_demand(subrouter, source)
             case RejectRequest(request_id=request_id) | FailRequest(request_id=request_id):
                 if owner := self.requests.get(request_id):
-                    # The gate adapts as well, so that it holds each tenant to its share before the cell's
-                    # router has to reject whoever comes next.
+                    # The gate adapts as well, so that it holds each tenant to its fair share before the
+                    # cell's router has to reject requests regardless of their tenant.
                     subrouter.record_rejection()
                     self.admission.record_outcome(self.now, subrouter, owner.request_class, True)
                     self._finish(request_id, owner)
@@ -163,38 +166,40 @@
     def _shed(
         self, request: RequestArrived, tenant: TenantSpec, reason: AdmissionRejection, wait_us: int
     ) -> None:
-        """Reject a request at once, before any cell's router receives it."""
+        """Reject a request before any cell's router receives it, and count the reason."""
         self._count(f"shed.{reason}.{tenant.name}")
         self.shed_now[request.request_id] = reason.value
         retry_after_us = self.admission.retry_after_us(wait_us)
         self._pending_actions.append(RejectRequest(request.request_id, retry_after_us))
 
     def cells_for(self, tenant: str, object_name: str) -> tuple[str, ...]:
-        """The cells for an object at this instant, migrations included, the first choice first.
+        """Return the cells for an object now, by preference, with migrations taken into account.
 
-        KeyError for an unknown tenant."""
+        Raises KeyError for an unknown tenant."""
         migrated_to = self.migrations.target_cells(tenant, object_name)
         return migrated_to or self.membership.placement.candidates(tenant, object_name)
 
     def _select_cell(
         self, tenant: TenantSpec, object_name: str, request_class: RequestClass
     ) -> CellSelection | None:
-        """The cell that is to serve a request; None where none of the tenant's cells, nor the fallback that
-        the plan names, has a ready cache."""
+        """Choose the cell for a request.
+
+        None if neither the tenant's cells nor the fallback cell named in the plan has a ready cache."""
         names = self.cells_for(tenant.name, object_name)
         if request_class.is_write and self.settings.cache_bypass:
-            return CellSelection(self.cells[names[0]])  # executed at the origin, whatever caches are ready
+            return CellSelection(self.cells[names[0]])  # executed at the origin, even if no cache is ready
         for name in names:
             if self.has_ready_cache(name):
                 return CellSelection(self.cells[name])
-        # Only to a named fallback: a load that brought down one cell's caches would bring down the next.
+        # Only a cell that the plan names is a fallback, as a load that brought down one cell's caches could
+        # bring down those of any other cell that it moves to.
         fallback = self.plan.cells[names[0]].fallback
         if fallback is not None and self.has_ready_cache(fallback):
             return CellSelection(self.cells[fallback], is_fallback=True)
         return None
 
     def has_ready_cache(self, cell_name: str) -> bool:
-        """Whether a cell is in use and has a cache that it can send to."""
+        """Return whether a cell is in use and has a ready cache in this director's zone."""
         cell = self.cells.get(cell_name)
         return cell is not None and cell.ready_caches > 0
 
@@ -206,7 +211,8 @@
         cell = self.cells[owner.assigned_to]
         self._record_outcome(cell, owner, event)
         self._dispatch(cell, [event])
-        owner.answered |= event.is_final  # a final end may arrive without an answer of the cell's router
+        # The final attempt may end without an answer from the cell's router.
+        owner.answered |= event.is_final
         self._forget_if_ended(event.request_id, owner)
 
     def _record_outcome(self, cell: ActiveCell, owner: CellRequestOwner, event: AttemptEnded) -> None:
@@ -229,10 +235,11 @@
     # ---- the plan ------------------------------------------------------------------------------------
 
     def apply_plan(self, now: int, plan: CellPlan) -> None:
-        """Run another plan from this instant on; CellPlanError and no change where it does not fit.
+        """Replace the running plan.
 
-        Requests in flight stay with the cell that admitted them. The resulting actions come from the next
-        `handle`.
+        Requests in flight stay with the cell that admitted them. The next call of `handle` returns the
+        resulting actions. Raises CellPlanError, without any change, if the plan is not consistent or leaves
+        a cell without caches.
         """
         placement = self.membership.placement_for(check_plan(plan))
         self.now = now
@@ -246,7 +253,7 @@
         return {cell.name: cell.weight for cell in self.plan.cells.values()}
 
     def _update_cells(self) -> None:
-        """Create and retire cells, and take over the limits and migrations of the plan."""
+        """Create and retire cells, and apply the limits and migrations of the plan."""
         for index, spec in enumerate(self.plan.cells.values()):
             if spec.name not in self.cells:
                 self.cells[spec.name] = self._create_cell(index, spec.name, spec.weight)
@@ -259,8 +266,8 @@
         self.migrations.apply_plan(self.now, self.plan)
 
     def _create_cell(self, index: int, name: str, weight: float) -> ActiveCell:
-        """A new cell with a router of its own, whose retry budget is the cell's share of the director's."""
-        # Its own index among all directors' cells: cold members are tried in turns by that number.
+        """Create a cell and its router, with the cell's share of the director's retry budget."""
+        # The index is unique among the cells of all directors, which take turns by it to try cold members.
         router_index = self.settings.router_index * len(self.plan.cells) + index
         settings = replace(self.settings, router_index=router_index)
         if settings.weight_source == WeightSource.NONE and settings.zone_link_kb_per_s:
@@ -288,7 +295,7 @@
             self._report_members()
 
     def _health_signals(self, migration: Migration) -> CellHealthSignals:
-        """Both sides of a migration at this instant."""
+        """Return the health of both sides of a migration now."""
         tenant = migration.spec.tenant
         target_names = migration.spec.target_cells
         tenant_cells = self.membership.placement.cells_of_tenant.get(tenant, ())
@@ -309,5 +316,5 @@
     # ---- operators -----------------------------------------------------------------------------------
 
     def abort_migration(self, now: int, name: str) -> bool:
-        """Abort a migration; False where it has ended. KeyError for an unknown one."""
+        """Abort a migration; False if it has already ended. KeyError for an unknown migration."""
         return self.migrations.abort(now, name)
--- a/onyxwick/cells/status.py
+++ b/onyxwick/cells/status.py
@@ -1,4 +1,4 @@
-"""The state of a cell router as operators read it, and why an object goes where it goes.
+"""The state of a cell router for operators, and the explanation of the choice of cell for an object.
 
 The keys of `router_status` are those of the administration API.
 """
@@ -12,9 +12,9 @@
 
 
 def explain(router: CellRouter, tenant: str, object_name: str) -> list[str]:
-    """Why an object of a tenant goes where it goes at this instant, a sentence a step.
+    """Explain the current choice of cell for an object of a tenant, one sentence per step.
 
-    KeyError for an unknown tenant."""
+    Raises KeyError for an unknown tenant."""
     sentences = router.membership.placement.explain(tenant, object_name)
     sentences += _explain_migrations(router, tenant, object_name)
     cells = router.cells_for(tenant, object_name)
@@ -40,7 +40,7 @@
 
 
 def router_status(router: CellRouter) -> dict[str, object]:
-    """The administration API's document on cells."""
+    """Return the document on cells of the administration API."""
     write_gate = router.admission.write_gate
     migrations = router.migrations.by_name
     return {
--- a/onyxwick/subrouters/admission_gate.py
+++ b/onyxwick/subrouters/admission_gate.py
@@ -1,8 +1,7 @@
-"""How many requests are admitted at once, and from whom: an adaptive limit, fair between owners, by class
-priority.
+"""Admission control with an adaptive concurrency limit, fair shares between owners and class priorities.
 
-In: the end of each request (late or in time) and each request that asks for admission, with its owner and its
-class's priority (0 to 1). Out: a reason to reject it, or None.
+Takes the outcome of each request (late or in time) and each request to admit, with its owner and the priority
+of its class (0 to 1). Returns the reason to reject the request, or None.
 """
 
 from __future__ import annotations
@@ -13,24 +12,24 @@
 from onyxwick.interface import Idempotency, RequestClass
 from onyxwick.subrouters.rejection import AdmissionRejection
 
-MAX_LATE_SHARE = 0.2  # of the latest answers; above it the limit falls
-LATENESS_WEIGHT = 0.06  # of one answer in that share
+MAX_LATE_SHARE = 0.2  # share of late answers above which the limit decreases
+LATENESS_SMOOTHING = 0.06  # weight of one answer in the moving average of that share
 DECREASE_FACTOR = 0.85
-DECREASE_INTERVAL_OBJECTIVES = 1.0  # latency objectives that pass between two decreases
-MIN_LIMIT = 4.0  # answers must keep coming for a limit to grow again
-MIN_UTILISATION_TO_GROW = 0.5  # of the limit: answers in time at low load prove nothing
-INITIAL_LIMIT_SHARE = 0.5  # of the upper bound
-HIGH_PRIORITY_RESERVE = 0.2  # of the limit that the lowest class may not use, the highest all
-FAIRNESS_UTILISATION = 0.6  # of the limit in use from which each owner is held to its fair share
+DECREASE_INTERVAL_OBJECTIVES = 1.0  # minimum time between two decreases, in latency objectives
+MIN_LIMIT = 4.0  # without some answers, a limit could not grow again
+MIN_UTILISATION_TO_GROW = 0.5  # share of the limit in use; answers in time at low load prove nothing
+INITIAL_LIMIT_SHARE = 0.5  # share of the upper bound
+HIGH_PRIORITY_RESERVE = 0.2  # share of the limit closed to the lowest class; the highest may use all
+FAIRNESS_UTILISATION = 0.6  # share of the limit in use from which owners are held to their fair shares
 
 
 def class_priorities(
     classes: Iterable[RequestClass], work_us: Mapping[str, float] | None = None
 ) -> dict[str, float]:
-    """Each class's priority, 0 for the first to be shed and 1 for the last.
+    """Return each class's priority, from 0 for the class shed first to 1 for the class shed last.
 
-    What must not run twice is shed last, then by priority weight for each microsecond of `work_us` (without
-    it, by weight alone).
+    Writes and other classes that must not run twice are shed last. Otherwise the order is by priority weight
+    per microsecond of `work_us`, or by weight alone without `work_us`.
     """
     work = work_us or {}
     order = sorted(
@@ -51,7 +50,7 @@
     Additive increase, multiplicative decrease, which makes independent limits on one resource converge to
     efficient and equal shares (Chiu and Jain, "Analysis of the increase and decrease algorithms for
     congestion avoidance", 1989, section 3). By Little's law a limit of n at a mean latency of the objective
-    is n/objective answers a second: late answers at a full limit mean that the resource gives less.
+    is n/objective answers per second, so late answers at a full limit mean that the resource delivers less.
     """
 
     def __init__(self, upper_bound: float) -> None:
@@ -61,18 +60,19 @@
         self.decreased_at_us = 0
 
     def set_upper_bound(self, upper_bound: float) -> None:
-        """Never exceed this many requests; the limit falls to it at once."""
+        """Replace the maximum of the limit. A higher limit is lowered to it immediately."""
         self.upper_bound = max(MIN_LIMIT, upper_bound)
         self.limit = min(self.limit, self.upper_bound)
 
     def record_answer(self, now: int, late: bool, objective_us: int, in_flight: int) -> None:
-        """One answer at `now` (us), with `in_flight` other requests under way."""
-        self.late_share += LATENESS_WEIGHT * (late - self.late_share)
+        """Adapt the limit to an answer at `now` (us), with `in_flight` other requests in progress."""
+        self.late_share += LATENESS_SMOOTHING * (late - self.late_share)
         if late:
-            rested = now - self.decreased_at_us >= DECREASE_INTERVAL_OBJECTIVES * objective_us
-            if self.late_share > MAX_LATE_SHARE and rested:
+            interval_passed = now - self.decreased_at_us >= DECREASE_INTERVAL_OBJECTIVES * objective_us
+            if self.late_share > MAX_LATE_SHARE and interval_passed:
                 self.decreased_at_us = now
-                # From what is in use: a limit far above it would need many decreases to bind at all.
+                # The decrease starts from the use, as a limit far above it would take many decreases to have
+                # any effect.
                 in_use = max(in_flight + 1.0, MIN_LIMIT)
                 self.limit = max(MIN_LIMIT, DECREASE_FACTOR * min(self.limit, in_use))
         elif in_flight >= MIN_UTILISATION_TO_GROW * self.limit:
@@ -81,30 +81,30 @@
 
 @dataclass(slots=True)
 class OwnerAccount:
-    """One owner's requests in flight at a gate."""
+    """The weight and the requests in flight of one owner at a gate."""
 
     weight: float
     in_flight: int = 0
 
 
 class AdmissionGate:
-    """Admits up to an adaptive limit: low priorities are rejected earlier, and under load no owner may have
-    more than its fair share.
+    """Admits requests up to an adaptive limit.
 
-    A fair share is weighted max-min over the owners with requests in flight and one newcomer, so that an
-    owner with none is admitted and unused capacity can be used; or, with `total_weight`, over the weights of
-    all owners that could come.
+    Low priorities are rejected earlier, and under load no owner may have more than its fair share. Fair
+    shares are weighted max-min over the owners with requests in flight and one additional owner, so that an
+    owner without requests is admitted and unused capacity can be used. With `total_weight`, they are computed
+    over the weights of all possible owners instead.
     """
 
     def __init__(self, upper_bound: float, total_weight: float = 0.0) -> None:
         self.adaptive_limit = AdaptiveLimit(upper_bound)
         self.total_weight = total_weight
-        self.accounts: dict[str, OwnerAccount] = {}  # of owners with requests in flight
+        self.accounts: dict[str, OwnerAccount] = {}  # owners with requests in flight, by name
         self.in_flight = 0
-        self.active_weight = 0.0  # of the owners in `accounts`
+        self.active_weight = 0.0  # sum of the weights of the owners in `accounts`
 
     def rejection_reason(self, owner: str, priority: float) -> AdmissionRejection | None:
-        """Why one more request of `owner` is not admitted, or None. `priority`: 0 to 1."""
+        """Return the reason to reject one more request of `owner`, or None. `priority` is 0 to 1."""
         limit = self.adaptive_limit.limit * (1 - HIGH_PRIORITY_RESERVE * (1 - priority))
         if self.in_flight >= limit:
             return AdmissionRejection.LIMIT_REACHED
@@ -116,7 +116,7 @@
         return AdmissionRejection.FAIR_SHARE_EXCEEDED if exceeds_fair_share else None
 
     def admit(self, owner: str, weight: float) -> None:
-        """Count one more request of an owner."""
+        """Count an admitted request of an owner."""
         account = self.accounts.get(owner)
         if account is None:
             account = self.accounts[owner] = OwnerAccount(weight)
@@ -125,7 +125,7 @@
         self.in_flight += 1
 
     def release(self, owner: str) -> None:
-        """One of an owner's requests has ended. KeyError for an owner with none."""
+        """Remove an ended request of an owner. KeyError for an owner without requests in flight."""
         account = self.accounts[owner]
         account.in_flight -= 1
         self.in_flight -= 1
@@ -134,6 +134,6 @@
             self.active_weight = sum(other.weight for other in self.accounts.values())
 
     def in_flight_of(self, owner: str) -> int:
-        """An owner's requests in flight."""
+        """Return the number of an owner's requests in flight."""
         account = self.accounts.get(owner)
         return account.in_flight if account else 0
--- a/onyxwick/subrouters/dispatcher.py
+++ b/onyxwick/subrouters/dispatcher.py
@@ -1,10 +1,8 @@
-"""The event loop that routers of routers share: which inner router receives an event, and what its actions
-become.
+"""The base class that dispatches events to subrouters and collects their actions.
 
-In: the events of one instant (microseconds). Out: the actions of all inner routers, with timer tokens
-qualified by the inner router's name. A request belongs to one inner router at a time, until it is answered
-and its last attempt has ended. Purges are remembered, so that an inner router that starts later honours them
-too.
+Takes the events of one instant (microseconds) and returns the actions of all subrouters, with timer tokens
+prefixed by the name of the subrouter. A request belongs to one subrouter at a time, until it is answered and
+its last attempt has ended. Purges are stored, so that a subrouter that starts later applies them too.
 
 State is bounded: `MAX_REMEMBERED_PURGES`, `MAX_COUNTER_NAMES`, and one record for each request in progress.
 """
@@ -41,22 +39,22 @@
 
 
 class Subrouter(Protocol):
-    """An inner router and what the dispatcher keeps of it."""
+    """A router to which a dispatcher assigns requests, and the state that the dispatcher keeps for it."""
 
     name: str
-    reported_members: dict[str, Member]  # the endpoint list that the inner router has been given, by address
+    reported_members: dict[str, Member]  # the endpoint list last sent to the router, by address
 
     @property
     def router(self) -> RequestRouter:
-        """The inner router itself."""
+        """Return the router that handles the dispatched events."""
         ...
 
 
 @dataclass(slots=True)
 class RequestOwner:
-    """Which inner router decides for a request, from its arrival until its last attempt has ended."""
+    """The subrouter of a request, recorded from its arrival until its last attempt has ended."""
 
-    assigned_to: str  # name of the inner router
+    assigned_to: str  # name of the subrouter
     request_class: RequestClass
     arrived_at_us: int
     attempts_in_flight: int = 0
@@ -68,69 +66,70 @@
 
 
 class SubrouterDispatcher(ABC, Generic[SubrouterType, OwnerType]):
-    """Base of the routers that distribute requests among inner routers."""
+    """Base class of routers that distribute requests among subrouters."""
 
-    TIMER_TOKEN: str  # of the dispatcher's own tick
-    TOKEN_SEPARATOR: str  # between an inner router's name and its own timer token
+    TIMER_TOKEN: str  # token of the dispatcher's own tick
+    TOKEN_SEPARATOR: str  # separates a subrouter's name from its timer token
 
     def __init__(self, now: int, subrouters: dict[str, SubrouterType]) -> None:
-        """`subrouters`: those in use, by name; the subclass adds to it and removes from it."""
+        """`subrouters` are the active subrouters by name. The subclass adds and removes entries."""
         self.now = now
         self._subrouters = subrouters
         self.requests: dict[str, OwnerType] = {}
         self.counts: dict[str, int] = {}
-        self.shed_now: dict[
-            str, str
-        ] = {}  # by request id: why the last `handle` rejected it without asking a router
+        # By request id, the reason why the last `handle` rejected a request without asking a subrouter.
+        self.shed_now: dict[str, str] = {}
         self.ticks = 0
         self._purges: deque[tuple[int, ObjectsPurged]] = deque(maxlen=MAX_REMEMBERED_PURGES)
         self._pending_actions: list[Action] = []
 
-    # ---- what a subclass decides ---------------------------------------------------------------------
+    # ---- implemented by a subclass -------------------------------------------------------------------
 
     @abstractmethod
     def _on_request_arrived(self, request: RequestArrived) -> None:
-        """Reject a request, or assign it to an inner router and dispatch it there."""
+        """Reject a request, or assign it to a subrouter and dispatch it there."""
 
     @abstractmethod
     def _on_attempt_ended(self, event: AttemptEnded) -> None:
-        """Account for an ended attempt and dispatch the event to the router that ordered it."""
+        """Account for an ended attempt and dispatch the event to the subrouter that ordered the attempt."""
 
     @abstractmethod
     def _on_endpoints_changed(self, event: EndpointsChanged) -> None:
-        """Take in a changed endpoint list; the inner routers are informed afterwards."""
+        """Apply a changed endpoint list. The dispatcher notifies the subrouters afterwards."""
 
     @abstractmethod
     def _on_other_event(self, event: Event) -> None:
-        """Handle an event that this class does not distribute itself."""
+        """Handle an event of a type that this class does not dispatch itself."""
 
     @abstractmethod
     def _on_action(self, subrouter: SubrouterType, action: Action) -> None:
-        """Account for an inner router's action and emit what it becomes. Timers do not come here."""
+        """Account for a subrouter's action and emit the resulting actions. Not called for timers."""
 
     @abstractmethod
     def _on_tick(self) -> None:
-        """Periodic work, every `TICK_INTERVAL_US`."""
+        """Do periodic work, every `TICK_INTERVAL_US`."""
 
     @abstractmethod
     def _members_for(self, subrouter: SubrouterType) -> dict[str, Member]:
-        """The endpoint list of one inner router, by address."""
+        """Return the endpoint list of one subrouter, by address."""
 
     @abstractmethod
     def _release(self, owner: OwnerType) -> None:
-        """Give back what a finished request occupied."""
+        """Release the capacity that a finished request occupied."""
 
     def _on_answered(self, owner: OwnerType) -> None:
-        """A request's final answer is decided; called again for each later end of one of its attempts."""
+        """Handle a request whose final answer is decided.
+
+        Called again for each of its attempts that ends later."""
 
     # ---- events --------------------------------------------------------------------------------------
 
     def ejected_count(self) -> int:
-        """Members that an inner router has ejected, counted once for each inner router."""
+        """Count the members ejected by the subrouters. A member counts once per subrouter that ejected it."""
         return sum(subrouter.router.ejected_count() for subrouter in self._subrouters.values())
 
     def handle(self, now: int, events: list[Event]) -> list[Action]:
-        """Dispatch the events of the instant `now` (us) and return the actions on them."""
+        """Dispatch the events of the instant `now` (us) and return the resulting actions."""
         self.now = now
         self.shed_now.clear()
         for event in events:
@@ -180,10 +179,10 @@
         if separator and subrouter is not None:
             self._dispatch(subrouter, [TimerFired(inner_token)])
 
-    # ---- inner routers -------------------------------------------------------------------------------
+    # ---- subrouters ----------------------------------------------------------------------------------
 
     def _dispatch(self, subrouter: SubrouterType, events: list[Event]) -> None:
-        """Events to one inner router; its actions are accounted for and emitted."""
+        """Dispatch events to one subrouter, then account for its actions and emit them."""
         for action in subrouter.router.handle(self.now, events):
             if isinstance(action, SetTimer):
                 token = f"{subrouter.name}{self.TOKEN_SEPARATOR}{action.token}"
@@ -200,14 +199,14 @@
             self._dispatch(self._subrouters[owner.assigned_to], [event])
 
     def _replay_purges(self, subrouter: SubrouterType) -> None:
-        """The remembered purges, aged by the time since they were received, to a router that starts now."""
+        """Dispatch the stored purges to a new subrouter, with their ages increased to the present."""
         aged: list[Event] = [
             replace(purge, age_us=purge.age_us + self.now - at) for at, purge in self._purges
         ]
         self._dispatch(subrouter, aged)
 
     def _report_members(self) -> None:
-        """Each inner router's changes of its endpoint list since the last report."""
+        """Dispatch to each subrouter the changes of its endpoint list since the last report."""
         for subrouter in list(self._subrouters.values()):
             known = subrouter.reported_members
             members = self._members_for(subrouter)
@@ -244,15 +243,16 @@
     # ---- for the trace -------------------------------------------------------------------------------
 
     def router_of(self, request_id: str) -> RequestRouter | None:
-        """The innermost router that decides for a request now; None for one that is not in progress."""
+        """Return the innermost router that handles a request; None if the request is not in progress."""
         router = self._assigned_router(request_id)
         if isinstance(router, SubrouterDispatcher):
             return router.router_of(request_id)
         return router
 
     def cell_of(self, request_id: str) -> str:
-        """What a request is assigned to, by name, with the names of nested routers after a slash; empty for
-        one that is not in progress."""
+        """Return the name of a request's subrouter, with nested subrouters' names after a slash.
+
+        Empty if the request is not in progress."""
         router = self._assigned_router(request_id)
         if router is None:
             return ""
--- a/onyxwick/subrouters/hashing.py
+++ b/onyxwick/subrouters/hashing.py
@@ -1,5 +1,6 @@
-"""The hash that decides which cell or slice an object belongs to: equal at every director and after every
-restart."""
+"""The hash that decides to which cell or slice an object belongs.
+
+It is the same at every director and after every restart."""
 
 from __future__ import annotations
 
@@ -10,6 +11,6 @@
 
 
 def stable_hash(text: str, namespace: bytes = b"") -> int:
-    """64 bits for a name. Hashes of different namespaces (at most 16 bytes) are independent of each other."""
+    """Return a 64-bit hash of a name. Different namespaces (at most 16 bytes) give independent hashes."""
     digest = blake2b(text.encode(), digest_size=HASH_BYTES, person=namespace).digest()
     return int.from_bytes(digest, "big")
--- a/onyxwick/subrouters/share_arbiter.py
+++ b/onyxwick/subrouters/share_arbiter.py
@@ -1,10 +1,9 @@
-"""Divides one director's budget at the parents among its inner routers, so that all shares add up to one at
-most.
+"""Divides one director's budget at the parents among its subrouters, so that all shares add up to at most 1.
 
-In: each inner router's weight and the fills that it decided through a parent (its demand). Out: its share, 0
-to 1. A share that is taken from one router may have been used by it within the parents' overload window, so
-it is reserved for that long before another router gets it: over any window the largest shares add up to one
-at most.
+Takes each subrouter's weight and its demand, which is the number of fills through a parent that it decided,
+and returns its share, 0 to 1. A subrouter may have used a share within the parents' overload window before
+the share is taken from it. The share is therefore reserved for that long before another subrouter gets it:
+over any window, the largest shares add up to at most 1.
 """
 
 from __future__ import annotations
@@ -13,46 +12,48 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-GUARANTEED_SHARE = 0.5  # default: of the share by weight that a router keeps whatever the others demand
-MIN_SHARE_CHANGE = 0.02  # a smaller reduction is not worth an event
-DEMAND_DECAY = 0.6  # of the demand counted so far that remains after a rebalance
+GUARANTEED_SHARE = 0.5  # default part of its share by weight that a subrouter keeps whatever others demand
+MIN_SHARE_CHANGE = 0.02  # smaller reductions are skipped, as they are not worth an event
+DEMAND_DECAY = 0.6  # part of the accumulated demand that remains after a rebalance
 NEGLIGIBLE_SHARE = 1e-9
-SHARE_TOLERANCE = 1e-12  # a change below it is rounding
+SHARE_TOLERANCE = 1e-12  # smaller changes of a share are rounding errors
 
 
 @dataclass(slots=True)
-class QuotaReservation:
-    """A share taken from a router that no other may have before `available_at_us`."""
+class ShareReservation:
+    """A share taken from a subrouter, which no other subrouter may use before `available_at_us`."""
 
     amount: float
     available_at_us: int
 
 
 class ShareArbiter:
-    """The shares of all inner routers, by weight and demand."""
+    """Computes the shares of all subrouters from their weights and demand."""
 
     def __init__(
         self, weights: Mapping[str, float], window_us: int, guaranteed_share: float = GUARANTEED_SHARE
     ) -> None:
-        """`window_us`: for how long a share that was taken may have been used. `guaranteed_share`: of its
-        share by weight that a router keeps whatever the others demand."""
+        """`window_us` is how long a share is reserved after it is taken, as it may have been used.
+
+        `guaranteed_share` is the part of its share by weight that a subrouter keeps under any demand."""
         self.window_us = window_us
         self.guaranteed_share = guaranteed_share
         self.weights = dict(weights)
         total = sum(weights.values()) or 1.0
         self.shares: dict[str, float] = {name: weight / total for name, weight in weights.items()}
         self.demand: dict[str, float] = dict.fromkeys(weights, 0.0)
-        self.reservations: deque[QuotaReservation] = deque()
+        self.reservations: deque[ShareReservation] = deque()
 
     def record_demand(self, name: str) -> None:
-        """One more fill through a parent was decided by this router."""
+        """Count one more fill through a parent that this subrouter decided."""
         self.demand[name] += 1
 
     def set_weights(self, now: int, weights: Mapping[str, float]) -> dict[str, float]:
-        """Replace the routers; returns the shares that changed. A new one starts with none and receives its
-        share as reservations expire."""
+        """Replace the subrouters and return the shares that changed.
+
+        A new subrouter starts with a share of 0 and receives its share as reservations expire."""
         for name in [name for name in self.shares if name not in weights]:
-            self.reservations.append(QuotaReservation(self.shares.pop(name), now + self.window_us))
+            self.reservations.append(ShareReservation(self.shares.pop(name), now + self.window_us))
             del self.demand[name]
         for name in weights:
             self.shares.setdefault(name, 0.0)
@@ -61,8 +62,9 @@
         return self.rebalance(now)
 
     def rebalance(self, now: int) -> dict[str, float]:
-        """The shares that changed at this instant: reductions first, then what is available is
-        distributed."""
+        """Adapt the shares to the demand and return those that changed.
+
+        Shares above their target are reduced first, then the available amount is distributed."""
         targets = self._target_shares()
         before = dict(self.shares)
         self._reduce(now, targets)
@@ -89,7 +91,7 @@
         for name, target in targets.items():
             excess = self.shares[name] - target
             if excess > MIN_SHARE_CHANGE:
-                self.reservations.append(QuotaReservation(excess, now + self.window_us))
+                self.reservations.append(ShareReservation(excess, now + self.window_us))
                 self.shares[name] = target
 
     def _distribute(self, targets: Mapping[str, float]) -> None:
