--- a/tests/cells.py
+++ b/tests/cells.py
@@ -1,4 +1,4 @@
-"""One director's cell router with a clock and requests of tenants, driven by hand."""
+"""A test harness for one director's cell router, with a manual clock and requests of tenants."""
 
 from __future__ import annotations
 
@@ -42,16 +42,16 @@
     )
 
 
-class CellWorld:
-    """Cells with eight caches; every action since the last call is returned."""
+class CellHarness:
+    """A cell router with eight caches. Its methods return the actions that each call caused."""
 
     def __init__(
         self, plan: CellPlan | None = None, caches: tuple[Member, ...] = CACHES, max_in_flight: int = 400
     ) -> None:
         self.now = 100 * S
         self.request_count = 0
-        self.in_flight: dict[tuple[str, int], str] = {}  # attempts: their cache
-        self.attempts: dict[str, int] = {}  # attempts of each request
+        self.in_flight: dict[tuple[str, int], str] = {}  # cache address by request id and attempt number
+        self.attempts: dict[str, int] = {}  # number of attempts by request id
         self.cells = CellRouter(CELL_SETTINGS, 7, self.now, plan or plan_of(), max_in_flight)
         self.handle(EndpointsChanged(EndpointListKind.SNAPSHOT, (*caches, *PARENTS, ORIGIN)))
 
@@ -63,9 +63,9 @@
             self.in_flight[(action.request_id, number)] = action.member
         return out
 
-    def pass_time(self, us: int) -> list[Action]:
+    def pass_time(self, duration_us: int) -> list[Action]:
         out: list[Action] = []
-        end = self.now + us
+        end = self.now + duration_us
         while self.now < end:
             self.now = min(end, self.now + 100_000)
             timers = [f"{name}/due" for name in self.cells.cells]
@@ -73,31 +73,39 @@
         return out
 
     def send_request(
-        self, tenant: str | None = "t1", kind: str = "chunk", name: str = "", left: int = 3 * S
+        self, tenant: str | None = "t1", kind: str = "chunk", name: str = "", time_left_us: int = 3 * S
     ) -> str:
-        """One request; its id. What came of it stands in `last`."""
+        """Send a request and return its id. The resulting actions are in `last`."""
         self.request_count += 1
         request = f"r{self.request_count}"
         arrival = RequestArrived(
-            request, kind, name or f"o{self.request_count}", left, object_group=1, tenant=tenant
+            request, kind, name or f"o{self.request_count}", time_left_us, object_group=1, tenant=tenant
         )
         arrival.is_write = kind in ("save", "hold")
         self.last = self.handle(arrival)
         return request
 
     def end_attempt(
-        self, request: str, status: AttemptStatus = AttemptStatus.OK, attempt: int = 0, latency: int = 50_000
+        self,
+        request: str,
+        status: AttemptStatus = AttemptStatus.OK,
+        attempt: int = 0,
+        latency_us: int = 50_000,
     ) -> list[Action]:
-        where = self.in_flight.pop((request, attempt))
-        done = status is AttemptStatus.OK
-        return self.handle(AttemptEnded(request, attempt, where, status, latency, done, AnswerDetail.HIT))
+        cache_address = self.in_flight.pop((request, attempt))
+        is_final = status is AttemptStatus.OK
+        return self.handle(
+            AttemptEnded(request, attempt, cache_address, status, latency_us, is_final, AnswerDetail.HIT)
+        )
 
     def cell_of(self, request: str) -> str:
         return self.cells.requests[request].assigned_to
 
-    def change_member(self, cache: Member, state: MemberState, since: int = 0) -> list[Action]:
+    def change_member(self, cache: Member, state: MemberState, start_time_us: int = 0) -> list[Action]:
         return self.handle(
-            EndpointsChanged(EndpointListKind.CHANGE, (replace(cache, state=state, started_at_us=since),))
+            EndpointsChanged(
+                EndpointListKind.CHANGE, (replace(cache, state=state, started_at_us=start_time_us),)
+            )
         )
 
 
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -1,4 +1,4 @@
-"""Cells under failure: each hard case of containment and of migrations, with real routers."""
+"""Containment of failures within a cell, and migrations between cells, tested with real routers."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 from onyxwick.net import fastcgi
 from onyxwick.net.front import FastCgiFront
 from onyxwick.net.front_connection import FrontConnection
-from tests.cells import CACHES, CELL_SETTINGS, CellWorld, plan_of, rejections
+from tests.cells import CACHES, CELL_SETTINGS, CellHarness, plan_of, rejections
 from tests.router_harness import ORIGIN, PARENTS, S, forwards
 
 HEALTHY = CellHealthSignals(
@@ -59,32 +59,34 @@
 MIGRATION = MigrationSpec("m", "t1", ("b",), warm_up_us=2 * S, soak_us=S)
 
 
-def _settle(w: CellWorld, seconds: float) -> None:
-    w.pass_time(int(seconds * S))
+def _pass_seconds(harness: CellHarness, seconds: float) -> None:
+    harness.pass_time(int(seconds * S))
 
 
 def test_each_tenant_stays_in_its_cell() -> None:
-    w = CellWorld()
+    harness = CellHarness()
     for tenant, cell in (("t1", "a"), ("t2", "b")) * 40:
-        request = w.send_request(tenant)
-        (attempt,) = forwards(w.last)
-        assert attempt.member in w.cells.membership.placement.members(cell)
-        w.end_attempt(request)
+        request = harness.send_request(tenant)
+        (attempt,) = forwards(harness.last)
+        assert attempt.member in harness.cells.membership.placement.members(cell)
+        harness.end_attempt(request)
     assert (
-        not w.cells.requests
-        and not w.cells.admission.in_flight_by_tenant_cell
-        and w.cells.admission.write_gate.in_flight == 0
+        not harness.cells.requests
+        and not harness.cells.admission.in_flight_by_tenant_cell
+        and harness.cells.admission.write_gate.in_flight == 0
     )
 
 
 def test_health_and_budgets_do_not_leak() -> None:
-    """All caches of one cell fail and its retries run out: the other cell's router has observed nothing."""
-    w = CellWorld()
+    """If all caches of one cell fail and its retry budget runs out, the other cell's router is unaffected."""
+    harness = CellHarness()
     for _ in range(60):
-        request = w.send_request("t1")
-        while (out := [key for key in w.in_flight if key[0] == request]) and request in w.cells.requests:
-            w.end_attempt(request, AttemptStatus.CONNECT_FAILED, out[0][1])
-    a, b = (w.cells.cells[n].router for n in "ab")
+        request = harness.send_request("t1")
+        while (
+            out := [key for key in harness.in_flight if key[0] == request]
+        ) and request in harness.cells.requests:
+            harness.end_attempt(request, AttemptStatus.CONNECT_FAILED, out[0][1])
+    a, b = (harness.cells.cells[n].router for n in "ab")
     assert a.retry_budget.tokens < a.retry_budget.max_tokens
     assert any(p.ejected for p in a.endpoints.members.values())
     assert b.retry_budget.tokens == b.retry_budget.max_tokens
@@ -92,172 +94,178 @@
 
 
 def test_a_purge_reaches_every_cell_and_those_created_later() -> None:
-    w = CellWorld()
-    w.handle(ObjectsPurged(1, None, 10_000))
+    harness = CellHarness()
+    harness.handle(ObjectsPurged(1, None, 10_000))
     later = plan_of((Cell("a"), Cell("b"), Cell("c")))
-    w.cells.apply_plan(w.now, later)
-    w.handle()
-    w.now += S
-    purges = {name: unit.router.purges for name, unit in w.cells.cells.items()}
+    harness.cells.apply_plan(harness.now, later)
+    harness.handle()
+    harness.now += S
+    purges = {name: active_cell.router.purges for name, active_cell in harness.cells.cells.items()}
     assert set(purges) == {"a", "b", "c"} and len({tuple(p.groups.items()) for p in purges.values()}) == 1
     assert not any(p.objects for p in purges.values())
-    assert purges["c"].groups[1] == w.now - S - 10_000
+    assert purges["c"].groups[1] == harness.now - S - 10_000
 
 
 def test_an_unknown_tenant_is_rejected_and_the_default_one_used() -> None:
-    w = CellWorld()
-    w.send_request("nobody")
-    assert rejections(w.last) and w.cells.counts["unknown_tenant"] == 1
-    w = CellWorld(plan_of(policy=CellPolicy(default_tenant="t2")))
-    assert w.cell_of(w.send_request(None)) == "b"
+    harness = CellHarness()
+    harness.send_request("nobody")
+    assert rejections(harness.last) and harness.cells.counts["unknown_tenant"] == 1
+    harness = CellHarness(plan_of(policy=CellPolicy(default_tenant="t2")))
+    assert harness.cell_of(harness.send_request(None)) == "b"
 
 
 def test_a_tenants_rate_is_limited_with_a_retry_after() -> None:
-    w = CellWorld(
+    harness = CellHarness(
         plan_of(tenants=(TenantSpec("t1", cells=("a",), rate_per_s=10), TenantSpec("t2", cells=("b",))))
     )
     answers = []
     for _ in range(30):
-        w.send_request("t1")
-        answers += rejections(w.last)
+        harness.send_request("t1")
+        answers += rejections(harness.last)
     assert len(answers) == 20 and all(0 < a.retry_after_us <= 500_000 for a in answers)
-    w.send_request("t2")
-    assert not rejections(w.last)
-    w.now += S
-    w.send_request("t1")
-    assert not rejections(w.last)
+    harness.send_request("t2")
+    assert not rejections(harness.last)
+    harness.now += S
+    harness.send_request("t1")
+    assert not rejections(harness.last)
 
 
 @pytest.mark.parametrize("kind", ["chunk", "save"])
 def test_a_flood_in_one_cell_leaves_another_its_concurrency(kind: str) -> None:
-    """Ten times its rate, never answered, with reads or with writes only: the neighbour's are served."""
-    w = CellWorld()
+    """Unanswered reads or writes at ten times a cell's rate leave the other cell's requests unaffected."""
+    harness = CellHarness()
     for _ in range(1500):
-        w.send_request("t1", kind)
-    assert len(w.cells.requests) < 400, "what is over the cell's bounds was refused"
+        harness.send_request("t1", kind)
+    assert len(harness.cells.requests) < 400, "requests over the cell's limits must be rejected"
     for _ in range(20):
-        request = w.send_request("t2", kind)
-        assert forwards(w.last) and not rejections(w.last)
-        w.end_attempt(request)
-    assert w.cells.cells["a"].in_flight <= w.cells.admission.concurrency_pool.upper_bound("a")
+        request = harness.send_request("t2", kind)
+        assert forwards(harness.last) and not rejections(harness.last)
+        harness.end_attempt(request)
+    assert harness.cells.cells["a"].in_flight <= harness.cells.admission.concurrency_pool.upper_bound("a")
 
 
 def test_a_cell_without_caches_rejects_at_once_or_falls_back_within_spare_capacity() -> None:
     plan = plan_of((Cell("a"), Cell("b")))
     for fallback in (None, "b"):
-        w = CellWorld(replace(plan, cells={"a": Cell("a", fallback=fallback), "b": Cell("b")}))
+        harness = CellHarness(replace(plan, cells={"a": Cell("a", fallback=fallback), "b": Cell("b")}))
         for cache in CACHES:
-            if w.cells.membership.placement.cell_of_cache[cache.address] == "a":
-                w.change_member(cache, MemberState.REMOVED)
-        w.send_request("t1")
-        answer = next(iter(rejections(w.last)), None)
+            if harness.cells.membership.placement.cell_of_cache[cache.address] == "a":
+                harness.change_member(cache, MemberState.REMOVED)
+        harness.send_request("t1")
+        answer = next(iter(rejections(harness.last)), None)
         assert (answer is not None) == (fallback is None)
-        assert "No box of a" in explain(w.cells, "t1", "o")[-1]
+        assert "No box of a" in explain(harness.cells, "t1", "o")[-1]
         if answer is not None:
             assert answer.retry_after_us > 0
             continue
-        w.cells.cells["b"].gate.adaptive_limit.limit = 20.0
-        taken = sum(not rejections((w.send_request("t1"), w.last)[1]) for _ in range(300))
-        gate = w.cells.cells["b"].gate
-        assert 0 < taken <= 0.5 * gate.adaptive_limit.limit + 1
-        assert w.cells.counts["shed.no_spare.t1"] > 0
-        w.send_request("t2")
-        assert not rejections(w.last), "the cell's own tenants have the rest"
+        harness.cells.cells["b"].gate.adaptive_limit.limit = 20.0
+        admitted_count = sum(
+            not rejections((harness.send_request("t1"), harness.last)[1]) for _ in range(300)
+        )
+        gate = harness.cells.cells["b"].gate
+        assert 0 < admitted_count <= 0.5 * gate.adaptive_limit.limit + 1
+        assert harness.cells.counts["shed.no_spare.t1"] > 0
+        harness.send_request("t2")
+        assert not rejections(harness.last), "the rest of the capacity must be left to the cell's own tenants"
 
 
 def test_departed_caches_stay_assigned_for_a_while() -> None:
-    """A cell whose caches fail is not given its neighbour's at once: what brought them down would go on."""
-    w = CellWorld(plan_of(policy=CellPolicy(seat_retention_us=5 * S)))
-    own = w.cells.membership.placement.members("b")
+    """A cell whose caches fail does not get another cell's at once, as its load could fail those too."""
+    harness = CellHarness(plan_of(policy=CellPolicy(seat_retention_us=5 * S)))
+    caches_of_b = harness.cells.membership.placement.members("b")
     for cache in CACHES:
-        if cache.address not in own:
-            w.change_member(cache, MemberState.REMOVED)
-    assert w.cells.membership.placement.members("b") == own
-    _settle(w, 6)
-    assert len(w.cells.membership.placement.members("b")) < len(own)
+        if cache.address not in caches_of_b:
+            harness.change_member(cache, MemberState.REMOVED)
+    assert harness.cells.membership.placement.members("b") == caches_of_b
+    _pass_seconds(harness, 6)
+    assert len(harness.cells.membership.placement.members("b")) < len(caches_of_b)
 
 
-# ---- moves ----------------------------------------------------------------------------------------------
+# ---- migrations -----------------------------------------------------------------------------------------
 
 
 def test_a_migration_warms_up_cuts_over_and_ends_writes_in_flight_where_they_began() -> None:
-    w = CellWorld(plan_of(migrations=(MIGRATION,)))
-    booking = w.send_request("t1", "save")
-    assert w.cell_of(booking) == "a"
-    seen, shares = [], []
+    harness = CellHarness(plan_of(migrations=(MIGRATION,)))
+    write_request = harness.send_request("t1", "save")
+    assert harness.cell_of(write_request) == "a"
+    phases, shares = [], []
     for _ in range(60):
-        _settle(w, 0.1)
-        seen.append(w.cells.migrations.by_name["m"].phase)
-        shares.append(w.cells.migrations.by_name["m"].share)
-        request = w.send_request("t1")
-        w.end_attempt(request)
-    assert [p for n, p in enumerate(seen) if not n or seen[n - 1] is not p] == [
+        _pass_seconds(harness, 0.1)
+        phases.append(harness.cells.migrations.by_name["m"].phase)
+        shares.append(harness.cells.migrations.by_name["m"].share)
+        request = harness.send_request("t1")
+        harness.end_attempt(request)
+    assert [p for n, p in enumerate(phases) if not n or phases[n - 1] is not p] == [
         MigrationPhase.WARMING,
         MigrationPhase.CUTTING,
         MigrationPhase.DRAINING,
     ]
-    assert shares == sorted(shares), "the share only grows while all is well"
-    assert w.cell_of(booking) == "a", "the booking under way is the old cell's"
-    assert w.cell_of(w.send_request("t1", "save")) == "b", "a new one is the new cell's"
-    w.end_attempt(booking, AttemptStatus.RESET)  # its answer is lost during the cut
-    assert w.attempts[booking] == 1, "it may have run, so nobody sends it again"
-    w.pass_time(200_000)
-    assert w.cells.migrations.by_name["m"].phase is MigrationPhase.DONE
-    assert explain(w.cells, "t1", "x")[-1] == "It is served by cell 'b'."
+    assert shares == sorted(shares), "the share must only grow while the target is healthy"
+    assert harness.cell_of(write_request) == "a", "a write in flight must stay in the source cell"
+    assert harness.cell_of(harness.send_request("t1", "save")) == "b", (
+        "a new write must go to the target cell"
+    )
+    harness.end_attempt(write_request, AttemptStatus.RESET)  # its answer is lost during the cut-over
+    assert harness.attempts[write_request] == 1, "a write that may have run must not be retried"
+    harness.pass_time(200_000)
+    assert harness.cells.migrations.by_name["m"].phase is MigrationPhase.DONE
+    assert explain(harness.cells, "t1", "x")[-1] == "It is served by cell 'b'."
 
 
 def test_an_object_never_returns_while_a_migration_warms_up() -> None:
     migration = Migration(MIGRATION, 0)
-    took: set[int] = set()
+    migrated_before: set[int] = set()
     for n in range(1, 40):
         migration.step(n * 100_000, HEALTHY)
-        now = {key for key in range(0, 2**64, 2**56 + 12345) if migration.is_migrated(key)}
-        assert took <= now
-        took = now
-    assert migration.phase is MigrationPhase.DONE and len(took) == 256
+        migrated_now = {key for key in range(0, 2**64, 2**56 + 12345) if migration.is_migrated(key)}
+        assert migrated_before <= migrated_now
+        migrated_before = migrated_now
+    assert migration.phase is MigrationPhase.DONE and len(migrated_before) == 256
 
 
 def test_a_migration_into_cold_caches_never_exceeds_their_warm_share() -> None:
-    since = 100 * S
+    start_time_us = 100 * S
     plan = plan_of(
         (Cell("a", tuple(f"b{n}" for n in range(4))), Cell("b", tuple(f"b{n}" for n in range(4, 8))))
     )
-    caches = tuple(replace(b, started_at_us=since if n >= 4 else 0) for n, b in enumerate(CACHES))
-    w = CellWorld(replace(plan, migrations={"m": MIGRATION}), caches=caches)
+    caches = tuple(replace(b, started_at_us=start_time_us if n >= 4 else 0) for n, b in enumerate(CACHES))
+    harness = CellHarness(replace(plan, migrations={"m": MIGRATION}), caches=caches)
     for _ in range(150):
-        _settle(w, 0.1)
-        migration = w.cells.migrations.by_name["m"]
+        _pass_seconds(harness, 0.1)
+        migration = harness.cells.migrations.by_name["m"]
         assert (
-            migration.share <= w.cells.membership.warm_share(("b",), w.now) + 1e-9
+            migration.share <= harness.cells.membership.warm_share(("b",), harness.now) + 1e-9
             or migration.phase is not MigrationPhase.WARMING
         )
         if migration.phase is not MigrationPhase.WARMING:
-            assert w.now - since >= CELL_SETTINGS.rules.warm_up_us
-    assert migration.share < 1 and migration.phase is MigrationPhase.WARMING, "a box is warm only after 16 s"
-    _settle(w, 3)
+            assert harness.now - start_time_us >= CELL_SETTINGS.rules.warm_up_us
+    assert migration.share < 1 and migration.phase is MigrationPhase.WARMING, (
+        "a cache is warm only after 16 s"
+    )
+    _pass_seconds(harness, 3)
     assert migration.phase in (MigrationPhase.CUTTING, MigrationPhase.DRAINING, MigrationPhase.DONE)
 
 
 def test_a_drain_or_failure_in_the_target_pauses_a_migration_and_a_loss_after_the_cut_over_aborts_it() -> (
     None
 ):
-    w = CellWorld(plan_of(migrations=(MIGRATION,)))
-    _settle(w, 1)
-    target = [b for b in CACHES if w.cells.membership.placement.cell_of_cache[b.address] == "b"]
+    harness = CellHarness(plan_of(migrations=(MIGRATION,)))
+    _pass_seconds(harness, 1)
+    target = [b for b in CACHES if harness.cells.membership.placement.cell_of_cache[b.address] == "b"]
     for cache in target[:3]:
-        w.change_member(cache, MemberState.DRAINING)
-    _settle(w, 0.2)
-    migration = w.cells.migrations.by_name["m"]
+        harness.change_member(cache, MemberState.DRAINING)
+    _pass_seconds(harness, 0.2)
+    migration = harness.cells.migrations.by_name["m"]
     assert migration.phase is MigrationPhase.PAUSED and migration.share < 0.2
     for cache in target[:3]:
-        w.change_member(cache, MemberState.READY)
+        harness.change_member(cache, MemberState.READY)
     while migration.phase in (MigrationPhase.PAUSED, MigrationPhase.WARMING):
-        _settle(w, 0.1)
+        _pass_seconds(harness, 0.1)
     assert migration.phase is MigrationPhase.CUTTING
     for cache in target:
-        w.change_member(cache, MemberState.REMOVED)
-    _settle(w, 0.3)
-    assert migration.phase is MigrationPhase.ABORTED and w.cell_of(w.send_request("t1")) == "a"
+        harness.change_member(cache, MemberState.REMOVED)
+    _pass_seconds(harness, 0.3)
+    assert migration.phase is MigrationPhase.ABORTED and harness.cell_of(harness.send_request("t1")) == "a"
 
 
 @pytest.mark.parametrize("phase", [p for p in MigrationPhase if p is not MigrationPhase.DONE])
@@ -267,7 +275,7 @@
         phase,
         0.7 * (phase not in (MigrationPhase.RETURNING, MigrationPhase.ABORTED)),
     )
-    assert migration.abort(S, "taken back") is (phase is not MigrationPhase.ABORTED)
+    assert migration.abort(S, "aborted by a test") is (phase is not MigrationPhase.ABORTED)
     assert migration.share == 0
     migration.step(2 * S, replace(HEALTHY, target_in_flight=3))
     assert migration.phase is MigrationPhase.RETURNING or phase in (
@@ -282,155 +290,175 @@
 
 def test_only_legal_migration_transitions_are_possible() -> None:
     for phase in MigrationPhase:
-        for to in MigrationPhase:
+        for next_phase in MigrationPhase:
             migration = Migration(MIGRATION, 0)
             migration.phase = phase
-            if to not in LEGAL_TRANSITIONS[phase]:
+            if next_phase not in LEGAL_TRANSITIONS[phase]:
                 with pytest.raises(IllegalMigrationTransitionError):
-                    migration._transition(to, 1, "")
+                    migration._transition(next_phase, 1, "")
     assert not LEGAL_TRANSITIONS[MigrationPhase.DONE] and not LEGAL_TRANSITIONS[MigrationPhase.ABORTED]
 
 
 @pytest.mark.parametrize("step", range(0, 60, 4))
 def test_a_director_killed_at_any_step_of_a_migration_restarts_safely(step: int) -> None:
-    """It does not remember the migration: it serves from the source cell, and earlier purges hold in both."""
-    w = CellWorld(plan_of(migrations=(MIGRATION,)))
+    """After the restart, the source cell serves all objects, and earlier purges are applied in both cells."""
+    harness = CellHarness(plan_of(migrations=(MIGRATION,)))
     for _ in range(step):
-        _settle(w, 0.1)
-        w.end_attempt(w.send_request("t1"))
-    again = CellRouter(CELL_SETTINGS, 8, w.now, w.cells.plan, 400)
-    again.handle(
-        w.now,
+        _pass_seconds(harness, 0.1)
+        harness.end_attempt(harness.send_request("t1"))
+    restarted = CellRouter(CELL_SETTINGS, 8, harness.now, harness.cells.plan, 400)
+    restarted.handle(
+        harness.now,
         [EndpointsChanged(EndpointListKind.SNAPSHOT, (*CACHES, *PARENTS, ORIGIN)), ObjectsPurged(1, None, 5)],
     )
-    assert again.migrations.by_name["m"].share == 0 and again.cells_for("t1", "x") == ("a",)
-    assert all(unit.router.purges for unit in again.cells.values())
-    assert again.membership.placement.cell_of_cache == w.cells.membership.placement.cell_of_cache
+    assert restarted.migrations.by_name["m"].share == 0 and restarted.cells_for("t1", "x") == ("a",)
+    assert all(active_cell.router.purges for active_cell in restarted.cells.values())
+    assert restarted.membership.placement.cell_of_cache == harness.cells.membership.placement.cell_of_cache
 
 
 def test_two_crossing_migrations_and_a_tenant_deleted_while_it_migrates() -> None:
-    cross = (MIGRATION, MigrationSpec("n", "t2", ("a",), warm_up_us=2 * S, soak_us=S))
-    w = CellWorld(plan_of(migrations=cross))
-    _settle(w, 1)
-    booking = w.send_request("t1", "save")
-    old = w.cell_of(booking)
-    w.cells.apply_plan(w.now, plan_of(tenants=(TenantSpec("t2", cells=("b",)),), migrations=(cross[1],)))
-    w.send_request("t1")
-    assert rejections(w.last), "a deleted tenant's new requests are refused"
-    w.end_attempt(booking)
-    assert booking not in w.cells.requests and old in w.cells.cells
-    _settle(w, 6)
-    assert w.cell_of(w.send_request("t2")) == "a" and "m" not in w.cells.migrations.by_name
+    crossing = (MIGRATION, MigrationSpec("n", "t2", ("a",), warm_up_us=2 * S, soak_us=S))
+    harness = CellHarness(plan_of(migrations=crossing))
+    _pass_seconds(harness, 1)
+    write_request = harness.send_request("t1", "save")
+    source_cell = harness.cell_of(write_request)
+    harness.cells.apply_plan(
+        harness.now, plan_of(tenants=(TenantSpec("t2", cells=("b",)),), migrations=(crossing[1],))
+    )
+    harness.send_request("t1")
+    assert rejections(harness.last), "new requests of a deleted tenant must be rejected"
+    harness.end_attempt(write_request)
+    assert write_request not in harness.cells.requests and source_cell in harness.cells.cells
+    _pass_seconds(harness, 6)
+    assert harness.cell_of(harness.send_request("t2")) == "a" and "m" not in harness.cells.migrations.by_name
 
 
 def test_a_cell_removed_from_the_plan_completes_its_requests() -> None:
-    w = CellWorld()
-    request = w.send_request("t2")
-    w.cells.apply_plan(w.now, plan_of((Cell("a"),), (TenantSpec("t1", cells=("a",)),)))
-    assert w.cells.cells["b"].retired and w.cell_of(request) == "b"
-    w.end_attempt(request)
-    assert set(w.cells.cells) == {"a"} and len(w.cells.cells["a"].router.endpoints.caches) in (4, 8)
-    w.handle(TimerFired("b/due"))
+    harness = CellHarness()
+    request = harness.send_request("t2")
+    harness.cells.apply_plan(harness.now, plan_of((Cell("a"),), (TenantSpec("t1", cells=("a",)),)))
+    assert harness.cells.cells["b"].retired and harness.cell_of(request) == "b"
+    harness.end_attempt(request)
+    assert set(harness.cells.cells) == {"a"} and len(harness.cells.cells["a"].router.endpoints.caches) in (
+        4,
+        8,
+    )
+    harness.handle(TimerFired("b/due"))
 
 
 def test_plan_changes_are_atomic_and_by_version() -> None:
-    w = CellWorld()
+    harness = CellHarness()
     flushed: list[int] = []
-    control = CellPlanControl(w.cells, lambda: w.now, lambda: flushed.append(1))
+    control = CellPlanControl(harness.cells, lambda: harness.now, lambda: flushed.append(1))
     running = control.plan
-    for wrong in (
+    for invalid_plan in (
         plan_of((Cell("a", ("b0",)), Cell("b", ("b0",)))),  # a member in two cells
         plan_of((Cell("a"), Cell("b", ("none-such",)))),  # a cell with no members
         plan_of(tuple(Cell(f"c{n}") for n in range(9)), ()),  # more cells than caches
         plan_of(migrations=(MigrationSpec("m", "who", ("a",)),)),  # an unknown tenant
     ):
         with pytest.raises(CellPlanError):
-            control.replace_plan(wrong)
-        assert control.plan is running and set(w.cells.cells) == {"a", "b"} and not flushed
-    new = plan_of((Cell("a"), Cell("b"), Cell("c")))
-    assert control.replace_plan(new, made_for=1) and control.plan.version == 2 and len(flushed) == 1
-    assert not control.replace_plan(new, made_for=1), "the same call again changes nothing and is no conflict"
+            control.replace_plan(invalid_plan)
+        assert control.plan is running and set(harness.cells.cells) == {"a", "b"} and not flushed
+    changed_plan = plan_of((Cell("a"), Cell("b"), Cell("c")))
+    assert control.replace_plan(changed_plan, made_for=1) and control.plan.version == 2 and len(flushed) == 1
+    assert not control.replace_plan(changed_plan, made_for=1), (
+        "a repeated call must change nothing and not conflict"
+    )
     with pytest.raises(PlanVersionConflictError):
         control.replace_plan(plan_of(), made_for=1)
-    assert control.plan.version == 2 and router_status(w.cells)["version"] == 2
+    assert control.plan.version == 2 and router_status(harness.cells)["version"] == 2
 
 
 def test_the_shares_of_the_parents_reach_the_routers() -> None:
-    w = CellWorld()
-    assert {unit.router.capacity.fleet_share.parent_share for unit in w.cells.cells.values()} == {0.5}
-    w.cells.apply_plan(w.now, plan_of((Cell("a"), Cell("b"), Cell("c"))))
+    harness = CellHarness()
+    assert {
+        active_cell.router.capacity.fleet_share.parent_share for active_cell in harness.cells.cells.values()
+    } == {0.5}
+    harness.cells.apply_plan(harness.now, plan_of((Cell("a"), Cell("b"), Cell("c"))))
     for _ in range(80):
-        _settle(w, 0.1)
-        assert sum(u.router.capacity.fleet_share.parent_share for u in w.cells.cells.values()) <= 1 + 2e-3
-    assert all(0.3 < u.router.capacity.fleet_share.parent_share < 0.35 for u in w.cells.cells.values())
+        _pass_seconds(harness, 0.1)
+        assert (
+            sum(
+                cell_in_use.router.capacity.fleet_share.parent_share
+                for cell_in_use in harness.cells.cells.values()
+            )
+            <= 1 + 2e-3
+        )
+    assert all(
+        0.3 < cell_in_use.router.capacity.fleet_share.parent_share < 0.35
+        for cell_in_use in harness.cells.cells.values()
+    )
 
 
 def test_dns_requests_without_an_observed_end_leave_no_state_behind() -> None:
-    w = CellWorld()
+    harness = CellHarness()
     for _ in range(5):
-        request = w.send_request("t1")
-        where = w.in_flight.pop((request, 0))
-        w.handle(AttemptEnded(request, 0, where, AttemptStatus.CANCELLED, 0, is_final=True))
-    assert not w.cells.requests
+        request = harness.send_request("t1")
+        cache_address = harness.in_flight.pop((request, 0))
+        harness.handle(AttemptEnded(request, 0, cache_address, AttemptStatus.CANCELLED, 0, is_final=True))
+    assert not harness.cells.requests
 
 
 def test_lists_without_weights_divide_the_estimated_capacity_among_cells() -> None:
-    told = replace(
+    settings = replace(
         CELL_SETTINGS, weight_source=WeightSource.NONE, zone_link_kb_per_s=56_000.0, transfer_kb_per_s=6_900.0
     )
-    cells = CellRouter(told, 7, 0, plan_of(), 400)
+    cells = CellRouter(settings, 7, 0, plan_of(), 400)
     rows = tuple(replace(b, weight=0.0) for b in (*CACHES, *PARENTS, ORIGIN))
     cells.handle(0, [EndpointsChanged(EndpointListKind.SNAPSHOT, rows)])
-    routers = [unit.router for unit in cells.cells.values()]
+    routers = [active_cell.router for active_cell in cells.cells.values()]
     caches = sum(r.capacity.transfers(p) for r in routers for p in r.endpoints.caches)
-    whole = CellPlan({"one": Cell("one")}, {})
-    alone = CellRouter(told, 7, 0, whole, 400)
-    alone.handle(0, [EndpointsChanged(EndpointListKind.SNAPSHOT, rows)])
-    router = alone.cells["one"].router
+    single_cell_plan = CellPlan({"one": Cell("one")}, {})
+    single_cell_router = CellRouter(settings, 7, 0, single_cell_plan, 400)
+    single_cell_router.handle(0, [EndpointsChanged(EndpointListKind.SNAPSHOT, rows)])
+    router = single_cell_router.cells["one"].router
     assert caches == pytest.approx(sum(router.capacity.transfers(p) for p in router.endpoints.caches))
 
 
-# ---- the fronts -----------------------------------------------------------------------------------------
+# ---- the front ------------------------------------------------------------------------------------------
 
 
 def test_unread_answers_and_connections_of_one_cell_leave_the_others_their_share() -> None:
-    """Clients that never read fill their own cell's share of the front and no more."""
-    w = CellWorld()
-    reservation = ConnectionReservation(w.cells, max_bytes=1_000_000, max_clients=100)
+    """Clients that never read their answers use up only their own cell's share of the front."""
+    harness = CellHarness()
+    reservation = ConnectionReservation(harness.cells, max_bytes=1_000_000, max_clients=100)
     releases = []
     while not reservation.bytes_exhausted("a"):
         releases.append(reservation.reserve_bytes("a", 10_000))
     assert 490_000 <= sum(reservation.bytes.used.values()) <= 520_000 and not reservation.bytes_exhausted("b")
-    taken = 0
+    admitted_count = 0
     while reservation.connect("a"):
-        taken += 1
-    assert taken == 50 and all(reservation.connect("b") for _ in range(35))
-    w.cells.apply_plan(w.now, plan_of((Cell("a"), Cell("b"), Cell("c"))))
+        admitted_count += 1
+    assert admitted_count == 50 and all(reservation.connect("b") for _ in range(35))
+    harness.cells.apply_plan(harness.now, plan_of((Cell("a"), Cell("b"), Cell("c"))))
     assert reservation.cell_of("t1") == "a" and reservation.cell_of("nobody") is None
-    assert reservation.clients.used == {"a": 50.0, "b": 35.0, "c": 0.0}, "what is held stays counted"
+    assert reservation.clients.used == {"a": 50.0, "b": 35.0, "c": 0.0}, (
+        "connections in use must stay counted"
+    )
     for release in releases:
         release()
-    for cell in ["a"] * taken + ["b"] * 35:
+    for cell in ["a"] * admitted_count + ["b"] * 35:
         reservation.disconnect(cell)
     assert not any(reservation.bytes.used.values()) and not any(reservation.clients.used.values())
     assert reservation.clients.lent == pytest.approx(0) and reservation.bytes.lent == pytest.approx(0)
 
 
 def test_a_client_that_never_reads_is_disconnected_within_its_cells_share_with_a_retry_after() -> None:
-    """On real sockets: unread answers fill the cell's share; then its requests are rejected, while
-    another cell's client is served; and a closed connection gives its share back."""
+    """Tested on real sockets. Once unread answers fill the cell's share, its requests are rejected, while
+    another cell's client is served. A closed connection releases its share."""
 
-    class Instant:
+    class ImmediateExecutor:
         async def run(self, order: AttemptSpec) -> AttemptOutcome:
             return AttemptOutcome(AttemptStatus.OK, AnswerDetail.HIT, body=bytes(100_000), etag="t")
 
-    async def play() -> None:
+    async def serve_clients() -> None:
         plan = plan_of()
         members, counters = EndpointTable(), Counters()
         core = RequestEngine(
             CELL_SETTINGS,
             7,
-            Instant(),
+            ImmediateExecutor(),
             members,
             counters,
             make_router=lambda s, n, at: CellRouter(s, n, at, plan, 400),
@@ -445,36 +473,38 @@
         front = FastCgiFront(core, counters, lambda: True, 40, 50_000_000, reservation, "X-Tenant")
         clients = []
         for tenant, sizes in (("t1", 4096), ("t2", 4_000_000)):
-            ours, theirs = socket.socketpair()
-            for sock in (ours, theirs):
+            server_socket, client_socket = socket.socketpair()
+            for sock in (server_socket, client_socket):
                 sock.setblocking(False)
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, sizes)
-            client = FrontConnection(front, ours)
-            clients.append((tenant, client, theirs, asyncio.get_running_loop().create_task(client.run())))
+            client = FrontConnection(front, server_socket)
+            clients.append(
+                (tenant, client, client_socket, asyncio.get_running_loop().create_task(client.run()))
+            )
         loop = asyncio.get_running_loop()
         for n in range(1, 31):
-            await loop.sock_sendall(clients[0][2], call(n, "t1"))
+            await loop.sock_sendall(clients[0][2], _encode_call(n, "t1"))
             while clients[0][1].complete_calls < n or clients[0][1].open_calls:
                 await asyncio.sleep(0)
         assert counters.counts["answer.cell_full"] > 0 and reservation.bytes_exhausted("a")
-        await loop.sock_sendall(clients[1][2], call(1, "t2"))
-        got = b""
-        while b"Status: " not in got:
-            got += await loop.sock_recv(clients[1][2], 65_536)
-        assert b"Status: 200 OK" in got
-        for _, _, theirs, task in clients:
+        await loop.sock_sendall(clients[1][2], _encode_call(1, "t2"))
+        received = b""
+        while b"Status: " not in received:
+            received += await loop.sock_recv(clients[1][2], 65_536)
+        assert b"Status: 200 OK" in received
+        for _, _, client_socket, task in clients:
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
-            theirs.close()
+            client_socket.close()
         assert reservation.bytes.used == {"a": 0.0, "b": 0.0} and reservation.clients.used == {
             "a": 0.0,
             "b": 0.0,
         }
 
-    asyncio.run(asyncio.wait_for(play(), 20))
+    asyncio.run(asyncio.wait_for(serve_clients(), 20))
 
 
-def call(number: int, tenant: str) -> bytes:
+def _encode_call(number: int, tenant: str) -> bytes:
     params = {
         "SCRIPT_NAME": "/call/chunk",
         "HTTP_X_REQUEST_ID": f"{number:015x}{len(tenant) + ord(tenant[-1]) & 15:x}",
--- a/tests/test_cells_limits.py
+++ b/tests/test_cells_limits.py
@@ -1,4 +1,4 @@
-"""Pools that are divided among cells."""
+"""Tests of the pools that are divided among cells."""
 
 from __future__ import annotations
 
--- a/tests/test_cells_placement.py
+++ b/tests/test_cells_placement.py
@@ -1,4 +1,4 @@
-"""Placement and checks of cell plans: properties over generated fleets."""
+"""Tests of the placement and the checks of cell plans, with properties over generated fleets."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     return [member(f"box-{n:04d}", zone=f"depot-{n % zones}") for n in range(caches)]
 
 
-def _placed(cells: int, tenants: int, caches: list[Member], span: int = 1) -> Placement:
+def _place(cells: int, tenants: int, caches: list[Member], span: int = 1) -> Placement:
     rows = tuple(TenantSpec(f"tenant-{n}", span=span) for n in range(tenants))
     return compute_placement(plan_of(tuple(Cell(f"c{n}") for n in range(cells)), rows), caches, KINDS)
 
@@ -34,7 +34,7 @@
     cells: int, caches: int, order: random.Random
 ) -> None:
     fleet = _fleet(caches, 2)
-    first = _placed(cells, 0, fleet)
+    first = _place(cells, 0, fleet)
     for zone in ("depot-0", "depot-1"):
         counts = [0] * cells
         for m in fleet:
@@ -42,48 +42,54 @@
                 counts[int(first.cell_of_cache[m.address][1:])] += 1
         assert max(counts) - min(counts) <= 1
     order.shuffle(fleet)
-    assert _placed(cells, 0, fleet).cell_of_cache == first.cell_of_cache
+    assert _place(cells, 0, fleet).cell_of_cache == first.cell_of_cache
 
 
 def test_a_cache_that_leaves_moves_few_others() -> None:
     fleet = _fleet(120)
-    before = _placed(8, 0, fleet).cell_of_cache
+    before = _place(8, 0, fleet).cell_of_cache
     moved = []
-    for gone in range(0, 120, 5):
-        after = _placed(8, 0, [m for n, m in enumerate(fleet) if n != gone]).cell_of_cache
+    for removed_index in range(0, 120, 5):
+        after = _place(8, 0, [m for n, m in enumerate(fleet) if n != removed_index]).cell_of_cache
         moved.append(sum(after[a] != before[a] for a in after))
     assert sum(moved) / len(moved) < 3 and max(moved) <= 8
 
 
 def test_tenants_are_spread_and_few_move_when_one_cache_in_a_hundred_leaves() -> None:
     fleet = _fleet(200)
-    before = _placed(16, 1000, fleet)
-    counts = [sum(f"c{n}" in home for home in before.cells_of_tenant.values()) for n in range(16)]
+    before = _place(16, 1000, fleet)
+    counts = [
+        sum(f"c{n}" in tenant_cells for tenant_cells in before.cells_of_tenant.values()) for n in range(16)
+    ]
     assert max(counts) <= 1.25 * 1000 / 16 + 1
-    after = _placed(16, 1000, fleet[2:])
+    after = _place(16, 1000, fleet[2:])
     assert sum(after.cells_of_tenant[t] != before.cells_of_tenant[t] for t in after.cells_of_tenant) <= 50
 
 
-def test_shuffle_sharding_keeps_its_arithmetic() -> None:
-    placed = _placed(12, 3000, _fleet(96), span=2)
-    homes = list(placed.cells_of_tenant.values())
-    touched = [sum(f"c{n}" in home for home in homes) / 3000 for n in range(12)]
-    assert all(abs(share - 2 / 12) < 0.05 for share in touched)
-    same = sum(set(home) == set(homes[0]) for home in homes[1:]) / 2999
-    assert same < 3 / math.comb(12, 2)
+def test_shuffle_sharding_spreads_tenants_as_computed() -> None:
+    placement = _place(12, 3000, _fleet(96), span=2)
+    cells_by_tenant = list(placement.cells_of_tenant.values())
+    tenant_shares = [
+        sum(f"c{n}" in tenant_cells for tenant_cells in cells_by_tenant) / 3000 for n in range(12)
+    ]
+    assert all(abs(share - 2 / 12) < 0.05 for share in tenant_shares)
+    same_set_share = (
+        sum(set(tenant_cells) == set(cells_by_tenant[0]) for tenant_cells in cells_by_tenant[1:]) / 2999
+    )
+    assert same_set_share < 3 / math.comb(12, 2)
 
 
-def test_objects_of_a_tenant_go_by_range_and_by_rendezvous() -> None:
+def test_cells_of_an_object_are_chosen_by_range_and_rendezvous_hashing() -> None:
     cells = (Cell("a"), Cell("b"), Cell("c"))
     row = TenantSpec("t", cells=("a", "b"), ranges=(KeyRange(0, 0x3F, ("c",)),))
-    placed = compute_placement(plan_of(cells, (row,)), _fleet(12, 1), KINDS)
+    placement = compute_placement(plan_of(cells, (row,)), _fleet(12, 1), KINDS)
     for n in range(200):
         name = f"{n:016x}"
-        order = placed.candidates("t", name)
+        order = placement.candidates("t", name)
         assert (order == ("c",)) == (cells_hash(name) >> 56 <= 0x3F)
         assert set(order) in ({"c"}, {"a", "b"})
-        assert f"Cell '{order[0]}' has" in placed.explain("t", name)[-1]
-    first = [placed.candidates("t", f"{n:016x}")[0] for n in range(2000)]
+        assert f"Cell '{order[0]}' has" in placement.explain("t", name)[-1]
+    first = [placement.candidates("t", f"{n:016x}")[0] for n in range(2000)]
     assert 0.35 < first.count("a") / (first.count("a") + first.count("b")) < 0.65
 
 
@@ -112,7 +118,7 @@
         ((), (), (), "a plan has one cell at least"),
     ],
 )
-def test_a_row_that_does_not_fit_is_named(
+def test_an_inconsistent_row_is_reported_with_its_field(
     cells: tuple[Cell, ...],
     tenants: tuple[TenantSpec, ...],
     migrations: tuple[MigrationSpec, ...],
--- a/tests/test_subrouters.py
+++ b/tests/test_subrouters.py
@@ -1,4 +1,4 @@
-"""What routers of routers share: dispatch, shares of the parents, the admission gate and its limit."""
+"""Tests of the dispatch to subrouters, shares of the parents, the admission gate and its limit."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class RecordingRouter:
-    """An inner router that records its events, forwards each request and sets a timer for each."""
+    """A router that records its events, forwards each request and sets a timer for each."""
 
     def __init__(self) -> None:
         self.events: list[Event] = []
@@ -52,8 +52,8 @@
         return 1
 
 
-class Inner:
-    """A name, a router, a list."""
+class RecordingSubrouter:
+    """A subrouter with a recording router."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -61,22 +61,22 @@
         self.reported_members: dict[str, Member] = {}
 
 
-class FirstNameDispatcher(SubrouterDispatcher[Inner, RequestOwner]):
-    """Requests go to the inner router that their class names the tenant of."""
+class TenantNameDispatcher(SubrouterDispatcher[RecordingSubrouter, RequestOwner]):
+    """Assigns each request to the subrouter that has the name of the request's tenant."""
 
     TIMER_TOKEN = "own"
     TOKEN_SEPARATOR = "/"
 
     def __init__(self) -> None:
-        self.inner = {name: Inner(name) for name in "ab"}
+        self.inner = {name: RecordingSubrouter(name) for name in "ab"}
         super().__init__(0, self.inner)
         self.members: dict[str, Member] = {}
         self.released: list[RequestOwner] = []
         self.others: list[Event] = []
         self.tick_count = 0
 
-    def add(self, name: str) -> Inner:
-        self.inner[name] = Inner(name)
+    def add(self, name: str) -> RecordingSubrouter:
+        self.inner[name] = RecordingSubrouter(name)
         self._replay_purges(self.inner[name])
         return self.inner[name]
 
@@ -100,7 +100,7 @@
     def _on_other_event(self, event: Event) -> None:
         self.others.append(event)
 
-    def _on_action(self, subrouter: Inner, action: Action) -> None:
+    def _on_action(self, subrouter: RecordingSubrouter, action: Action) -> None:
         if isinstance(action, ForwardRequest):
             self.requests[action.request_id].attempts_in_flight += 1
         self._pending_actions.append(action)
@@ -108,7 +108,7 @@
     def _on_tick(self) -> None:
         self.tick_count += 1
 
-    def _members_for(self, subrouter: Inner) -> dict[str, Member]:
+    def _members_for(self, subrouter: RecordingSubrouter) -> dict[str, Member]:
         return dict(self.members)
 
     def _release(self, owner: RequestOwner) -> None:
@@ -119,8 +119,8 @@
     return RequestArrived(request_id, SETTINGS.classes[0].name, "o", S, object_group=1, tenant=tenant)
 
 
-def test_timers_of_inner_routers_come_back_to_the_router_that_set_them() -> None:
-    dispatcher = FirstNameDispatcher()
+def test_timers_return_to_the_subrouter_that_set_them() -> None:
+    dispatcher = TenantNameDispatcher()
     assert dispatcher.handle(5, [_request("r", "b")]) == [
         ForwardRequest("r", "cache-1"),
         SetTimer(5 + S, "b/due"),
@@ -133,7 +133,7 @@
 
 
 def test_a_router_that_starts_later_receives_earlier_purges_with_their_age() -> None:
-    dispatcher = FirstNameDispatcher()
+    dispatcher = TenantNameDispatcher()
     dispatcher.handle(100, [ObjectsPurged(1, None, 10)])
     assert all(inner.router.events == [ObjectsPurged(1, None, 10)] for inner in dispatcher.inner.values())
     dispatcher.handle(400, [])
@@ -141,7 +141,7 @@
 
 
 def test_a_request_is_released_once_answered_with_no_attempt_in_flight() -> None:
-    dispatcher = FirstNameDispatcher()
+    dispatcher = TenantNameDispatcher()
     dispatcher.handle(0, [_request("r", "a"), ClientDisconnected("r"), ClientDisconnected("unknown")])
     owner = dispatcher.requests["r"]
     assert dispatcher.router_of("r") is dispatcher.inner["a"].router and dispatcher.cell_of("r") == "a"
@@ -152,8 +152,8 @@
     assert dispatcher.router_of("r") is None and dispatcher.cell_of("r") == ""
 
 
-def test_inner_routers_receive_changes_of_their_lists_alone() -> None:
-    dispatcher = FirstNameDispatcher()
+def test_subrouters_receive_only_changes_of_their_endpoint_lists() -> None:
+    dispatcher = TenantNameDispatcher()
     one, two = member("one"), member("two")
     dispatcher.handle(0, [EndpointsChanged(EndpointListKind.SNAPSHOT, (one, two))])
     dispatcher.handle(1, [EndpointsChanged(EndpointListKind.SNAPSHOT, (one, two))])
@@ -168,8 +168,8 @@
     assert dispatcher.inner["a"].router.events[-1] == unavailable
 
 
-def test_counter_names_are_bounded_and_other_events_are_the_subclass_matter() -> None:
-    dispatcher = FirstNameDispatcher()
+def test_counter_names_are_bounded_and_other_events_are_passed_to_the_subclass() -> None:
+    dispatcher = TenantNameDispatcher()
     for number in range(MAX_COUNTER_NAMES + 10):
         dispatcher.count(f"name-{number}")
     dispatcher.count("name-0")
@@ -188,24 +188,24 @@
 def test_shares_of_the_parents_never_add_up_to_over_one_in_any_window(
     steps: list[tuple[int, int, bool]],
 ) -> None:
-    """Whatever is asked and whichever cells come and go: the greatest parts of any window sum to one."""
+    """The largest shares in any window add up to at most 1, under any demand and any change of the cells."""
     window = 3 * S
     arbiter, now, names = ShareArbiter(dict.fromkeys("abcd", 1.0), window), 0, set("abcd")
     history = [(now, dict(arbiter.shares))]
-    for cell, asked, leaves in steps:
+    for cell, added_demand, is_removed in steps:
         now += 500_000
         name = "abcd"[cell]
-        if leaves and len(names) > 1:
+        if is_removed and len(names) > 1:
             names ^= {name}
             arbiter.set_weights(now, dict.fromkeys(sorted(names) or ["a"], 1.0))
         if name in arbiter.demand:
-            arbiter.demand[name] += asked
+            arbiter.demand[name] += added_demand
         arbiter.rebalance(now)
         history.append((now, dict(arbiter.shares)))
-        recent = [parts for at, parts in history if at > now - window]
-        most = {n: max(parts.get(n, 0.0) for parts in recent) for n in "abcd"}
-        assert sum(most.values()) <= 1 + 1e-6
-        assert all(part >= 0 for part in arbiter.shares.values())
+        recent = [shares_at for at, shares_at in history if at > now - window]
+        largest_shares = {n: max(shares_at.get(n, 0.0) for shares_at in recent) for n in "abcd"}
+        assert sum(largest_shares.values()) <= 1 + 1e-6
+        assert all(share >= 0 for share in arbiter.shares.values())
 
 
 def test_a_flood_in_one_router_leaves_the_others_half_of_their_share() -> None:
@@ -217,7 +217,7 @@
     assert arbiter.shares["a"] > 0.55 and min(arbiter.shares[n] for n in "bcd") >= 0.125 - 1e-9
     for n in range(100, 130):
         arbiter.rebalance(n * 500_000)
-    assert arbiter.shares["a"] > 0.55, "it is not taken for want of any demand"
+    assert arbiter.shares["a"] > 0.55, "a share must not be taken away for lack of any demand"
 
 
 def test_a_gate_sheds_the_lowest_class_first_and_holds_each_owner_to_its_fair_share() -> None:
@@ -229,7 +229,7 @@
     while gate.rejection_reason("loud", 1.0) is None:
         gate.admit("loud", 1.0)
     assert gate.in_flight_of("loud") <= 60 and gate.rejection_reason("loud", 1.0) == "fair"
-    assert gate.rejection_reason("calm", 0.0) is None, "who holds little is let in"
+    assert gate.rejection_reason("calm", 0.0) is None, "an owner with few requests must be admitted"
     while gate.rejection_reason("calm", 0.0) is None:
         gate.admit("calm", 1.0)
     assert gate.rejection_reason("calm", 1.0) is None and gate.rejection_reason("new", 1.0) is None
@@ -240,17 +240,17 @@
 
 
 def test_an_adaptive_limit_falls_with_late_answers_and_recovers() -> None:
-    """A resource that serves 20 at once in time, under 60 that want it: the limit settles about there."""
-    limit, now, seen = AdaptiveLimit(200), 0, []
+    """The limit settles near 20 if the resource serves 20 concurrent requests in time and 60 are offered."""
+    limit, now, limits = AdaptiveLimit(200), 0, []
     for n in range(4000):
         now += 10_000
-        used = int(min(60.0, limit.limit))
-        limit.record_answer(now, used > 20, 300_000, used)
+        in_flight = int(min(60.0, limit.limit))
+        limit.record_answer(now, in_flight > 20, 300_000, in_flight)
         if n > 2000:
-            seen.append(limit.limit)
-    assert 10 < sum(seen) / len(seen) < 32
+            limits.append(limit.limit)
+    assert 10 < sum(limits) / len(limits) < 32
     for _ in range(4000):
         now += 10_000
         limit.record_answer(now, False, 300_000, int(limit.limit))
     assert limit.limit > 60
-    assert all(b <= limit.upper_bound for a, b in pairwise(seen))
+    assert all(b <= limit.upper_bound for a, b in pairwise(limits))
