--- a/onyxwick/cells/placement.py
+++ b/onyxwick/cells/placement.py
@@ -233,11 +233,11 @@
             sentences.append(
                 f"The object's hash begins with {prefix:02x}, in the range"
                 f" {key_range.first:02x}-{key_range.last:02x},"
-                f" which has cells of its own: {', '.join(key_range.cells)}."
+                f" which has its own cells: {', '.join(key_range.cells)}."
             )
         order = self.candidates(tenant, object_name)
         if len(order) > 1:
-            sentences.append(f"Of these the object draws {order[0]} first, then {', '.join(order[1:])}.")
+            sentences.append(f"By hash, the object prefers cell {order[0]}, then {', '.join(order[1:])}.")
         caches = self.members(order[0])
         sentences.append(f"Cell '{order[0]}' has {len(caches)} boxes: {', '.join(caches) or 'none'}.")
         return sentences
@@ -247,8 +247,8 @@
         if tenant.cells:
             return f"The plan names the cells of tenant '{tenant.name}': {cells}."
         return (
-            f"Tenant '{tenant.name}' spans {tenant.span} of {len(self.cell_capacity)} cells, chosen by draw,"
-            f" full ones passed by: {cells}."
+            f"Tenant '{tenant.name}' spans {tenant.span} of {len(self.cell_capacity)} cells, chosen by hash,"
+            f" with full cells skipped: {cells}."
         )
 
 
--- a/onyxwick/cells/plan_check.py
+++ b/onyxwick/cells/plan_check.py
@@ -17,7 +17,7 @@
     _check_count("tenant", len(plan.tenants), MAX_TENANTS)
     _check_count("move", len(plan.migrations), MAX_MIGRATIONS)
     if not plan.cells:
-        raise CellPlanError("cell", "", "count", "a plan has one cell at least")
+        raise CellPlanError("cell", "", "count", "a plan needs at least one cell")
     cell_of_member: dict[str, str] = {}
     for cell in plan.cells.values():
         _check_cell(plan, cell, cell_of_member)
@@ -47,7 +47,7 @@
 def _check_cell(plan: CellPlan, cell: Cell, cell_of_member: dict[str, str]) -> None:
     for member in cell.members:
         if member in cell_of_member:
-            reason = f"'{member}' is listed in cell '{cell_of_member[member]}' too; a box has one cell"
+            reason = f"'{member}' is listed in cell '{cell_of_member[member]}' too; a cache has only one cell"
             raise CellPlanError("cell", cell.name, "members", reason)
         cell_of_member[member] = cell.name
     if cell.fallback is None:
@@ -56,14 +56,14 @@
     if cell.fallback == cell.name:
         raise CellPlanError("cell", cell.name, "fallback", "a cell cannot fall back on itself")
     if plan.cells[cell.fallback].fallback is not None:
-        reason = f"cell '{cell.fallback}' falls back itself; chains could end in a circle"
+        reason = f"cell '{cell.fallback}' has a fallback itself; chains of fallbacks could form a loop"
         raise CellPlanError("cell", cell.name, "fallback", reason)
 
 
 def _check_tenant(plan: CellPlan, tenant: TenantSpec) -> None:
     _check_known(plan, "tenant", tenant.name, "cells", tenant.cells)
     if not tenant.cells and tenant.span > len(plan.cells):
-        reason = f"{tenant.span} cells are wanted and there are {len(plan.cells)}"
+        reason = f"{tenant.span} cells are requested, but the plan has only {len(plan.cells)}"
         raise CellPlanError("tenant", tenant.name, "span", reason)
     for index, key_range in enumerate(tenant.ranges):
         _check_known(plan, "tenant", tenant.name, "ranges", key_range.cells)
--- a/onyxwick/cells/status.py
+++ b/onyxwick/cells/status.py
@@ -22,8 +22,10 @@
     if serving is not None:
         return [*sentences, f"It is served by cell '{serving}'."]
     fallback = router.plan.cells[cells[0]].fallback
-    outcome = f"'{fallback}' takes it within its spare room" if fallback else "it is refused at once"
-    return [*sentences, f"No box of {', '.join(cells)} is ready: {outcome}."]
+    outcome = (
+        f"'{fallback}' serves it within its spare capacity" if fallback else "it is rejected immediately"
+    )
+    return [*sentences, f"No cache of {', '.join(cells)} is ready: {outcome}."]
 
 
 def _explain_migrations(router: CellRouter, tenant: str, object_name: str) -> list[str]:
@@ -33,7 +35,7 @@
         if migration.covers(key) and migration.phase is not MigrationPhase.ABORTED:
             side = "already goes" if migration.is_migrated(key) else "does not go yet"
             sentences.append(
-                f"Move '{migration.spec.name}' is {migration.phase.value} with {migration.share:.0%} over"
+                f"Move '{migration.spec.name}' is {migration.phase.value} with {migration.share:.0%} moved"
                 f" ({migration.reason}): the object {side} to {', '.join(migration.spec.target_cells)}."
             )
     return sentences
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -154,7 +154,7 @@
         harness.send_request("t1")
         answer = next(iter(rejections(harness.last)), None)
         assert (answer is not None) == (fallback is None)
-        assert "No box of a" in explain(harness.cells, "t1", "o")[-1]
+        assert "No cache of a" in explain(harness.cells, "t1", "o")[-1]
         if answer is not None:
             assert answer.retry_after_us > 0
             continue
--- a/tests/test_cells_placement.py
+++ b/tests/test_cells_placement.py
@@ -99,9 +99,14 @@
         ((Cell("a", ("b0",)), Cell("b", ("b0",))), (), (), "members: 'b0' is listed in cell 'a' too"),
         ((Cell("a", fallback="z"),), (), (), "fallback: there is no cell 'z'"),
         ((Cell("a", fallback="a"),), (), (), "fallback: a cell cannot fall back on itself"),
-        ((Cell("a", fallback="b"), Cell("b", fallback="a")), (), (), "chains could end in a circle"),
+        ((Cell("a", fallback="b"), Cell("b", fallback="a")), (), (), "chains of fallbacks could form a loop"),
         ((Cell("a"),), (TenantSpec("t", cells=("b",)),), (), "cells: there is no cell 'b'"),
-        ((Cell("a"),), (TenantSpec("t", span=2),), (), "span: 2 cells are wanted and there are 1"),
+        (
+            (Cell("a"),),
+            (TenantSpec("t", span=2),),
+            (),
+            "span: 2 cells are requested, but the plan has only 1",
+        ),
         (
             (Cell("a"),),
             (TenantSpec("t", ranges=(KeyRange(0, 9, ("a",)), KeyRange(9, 12, ("a",)))),),
@@ -115,7 +120,7 @@
             (MigrationSpec("m", "t", ("a",), 0, 9), MigrationSpec("n", "t", ("a",), 5, 20)),
             "move 'm' moves the same keys",
         ),
-        ((), (), (), "a plan has one cell at least"),
+        ((), (), (), "a plan needs at least one cell"),
     ],
 )
 def test_an_inconsistent_row_is_reported_with_its_field(
