--- a/onyxwick/cells/plan_check.py
+++ b/onyxwick/cells/plan_check.py
@@ -1,10 +1,10 @@
-"""Checks that the rows of a cell plan fit together."""
+"""Checks that the rows of a cell plan are consistent with each other."""
 
 from __future__ import annotations
 
 from onyxwick.cells.model import Cell, CellPlan, CellPlanError, MigrationSpec, TenantSpec
 
-# Bounds on memory.
+# These maxima bound the memory that a plan uses.
 MAX_CELLS = 1024
 MAX_TENANTS = 100_000
 MAX_MIGRATIONS = 256
@@ -12,12 +12,12 @@
 
 
 def check_plan(plan: CellPlan) -> CellPlan:
-    """The plan, if all in it fits together; CellPlanError names the first row that does not."""
+    """Return the plan if it is consistent. Raises CellPlanError for the first row that is not."""
     _check_count("cell", len(plan.cells), MAX_CELLS)
     _check_count("tenant", len(plan.tenants), MAX_TENANTS)
     _check_count("move", len(plan.migrations), MAX_MIGRATIONS)
     if not plan.cells:
-        raise CellPlanError("cell", "", "count", "a plan has one cell at least")
+        raise CellPlanError("cell", "", "count", "a plan needs at least one cell")
     cell_of_member: dict[str, str] = {}
     for cell in plan.cells.values():
         _check_cell(plan, cell, cell_of_member)
@@ -35,7 +35,7 @@
 
 def _check_count(kind: str, count: int, maximum: int) -> None:
     if count > maximum:
-        raise CellPlanError(kind, "", "count", f"{count} are over the bound of {maximum}")
+        raise CellPlanError(kind, "", "count", f"{count} rows exceed the maximum of {maximum}")
 
 
 def _check_known(plan: CellPlan, kind: str, name: str, field_name: str, cells: tuple[str, ...]) -> None:
@@ -47,7 +47,7 @@
 def _check_cell(plan: CellPlan, cell: Cell, cell_of_member: dict[str, str]) -> None:
     for member in cell.members:
         if member in cell_of_member:
-            reason = f"'{member}' is listed in cell '{cell_of_member[member]}' too; a box has one cell"
+            reason = f"'{member}' is listed in cell '{cell_of_member[member]}' too; a cache has only one cell"
             raise CellPlanError("cell", cell.name, "members", reason)
         cell_of_member[member] = cell.name
     if cell.fallback is None:
@@ -56,14 +56,14 @@
     if cell.fallback == cell.name:
         raise CellPlanError("cell", cell.name, "fallback", "a cell cannot fall back on itself")
     if plan.cells[cell.fallback].fallback is not None:
-        reason = f"cell '{cell.fallback}' falls back itself; chains could end in a circle"
+        reason = f"cell '{cell.fallback}' has a fallback itself; chains of fallbacks could form a loop"
         raise CellPlanError("cell", cell.name, "fallback", reason)
 
 
 def _check_tenant(plan: CellPlan, tenant: TenantSpec) -> None:
     _check_known(plan, "tenant", tenant.name, "cells", tenant.cells)
     if not tenant.cells and tenant.span > len(plan.cells):
-        reason = f"{tenant.span} cells are wanted and there are {len(plan.cells)}"
+        reason = f"{tenant.span} cells are requested, but the plan has only {len(plan.cells)}"
         raise CellPlanError("tenant", tenant.name, "span", reason)
     for index, key_range in enumerate(tenant.ranges):
         _check_known(plan, "tenant", tenant.name, "ranges", key_range.cells)
