--- a/onyxwick/core/__init__.py
+++ b/onyxwick/core/__init__.py
@@ -1,4 +1,7 @@
-"""Lifecycles of requests and attempts. No knowledge of a wire: fronts and transports are passed in."""
+"""Lifecycles of requests and attempts.
+
+This package knows no wire protocol: fronts and transports are passed in.
+"""
 
 from onyxwick.core.engine import RequestEngine
 from onyxwick.core.model import (
--- a/onyxwick/core/attempt_invariants.py
+++ b/onyxwick/core/attempt_invariants.py
@@ -1,9 +1,10 @@
-"""Run-time checks of each attempt at its first byte: client, member, purges, retry, timeout, slow start.
+"""Run-time checks of each attempt when its first byte is sent.
 
-Inputs: changes of the endpoint list, purges, and attempts as they start. Output: violations, passed to
-`report`. No I/O; times in steady microseconds. The checks keep tables of their own, independent of those of
-the code that enforces the rules. The tables are bounded by the members listed, and by the purges whose
-retention has not ended.
+The checks cover the client, the member, purges, retries, the timeout and slow start. They take changes of the
+endpoint list, purges, and attempts as they start, and pass violations to `report`. The module does no I/O;
+times are in steady microseconds. The checks keep their own tables, independent of the tables of the code that
+enforces the rules. The size of the tables is bounded by the members listed, and by the purges whose retention
+has not ended.
 """
 
 from __future__ import annotations
@@ -26,22 +27,22 @@
 )
 
 MAX_SEND_AFTER_DEPARTURE_US = 100_000
-"""An attempt that starts later than this after its client has disconnected is a violation."""
+"""An attempt that starts more than this long after its client disconnected is a violation."""
 TIMEOUT_SLACK_US = 150_000
-"""By how much the timeout sent to a member may exceed the time that the client still waits."""
+"""The timeout sent to a member may exceed the time that the client still waits by at most this much."""
 SOCKET_SLACK_US = 50_000
-"""By which each time limit is longer on sockets."""
-SMALL_LIMIT = 30
+"""Tolerance added to each time limit for sends over sockets."""
+SMALL_LIMIT_REQUESTS = 30
 SMALL_LIMIT_DEVIATIONS = 3
 LIMIT_DEVIATIONS = 2
-"""Slack of the slow-start limit N: N + 2 sqrt(N) + 2; with N under 30, N + 3 sqrt(N) + 3."""
-MAX_REMEMBERED_SENDS = 4096
-"""Sends to one recovering member that are remembered; also the number of removed members."""
+"""The slow-start limit N has slack: N + 2 sqrt(N) + 2 is tolerated, or N + 3 sqrt(N) + 3 if N is under 30."""
+MAX_REMEMBERED_ENTRIES = 4096
+"""Limit of the remembered sends to each recovering member, and of the remembered removed members."""
 
 
 def slow_start_limit(allowed: float) -> float:
-    """Requests that a recovering member may get where the settings allow it `allowed` on average."""
-    deviations = SMALL_LIMIT_DEVIATIONS if allowed < SMALL_LIMIT else LIMIT_DEVIATIONS
+    """Return how many requests a recovering member may get if the settings allow `allowed` on average."""
+    deviations = SMALL_LIMIT_DEVIATIONS if allowed < SMALL_LIMIT_REQUESTS else LIMIT_DEVIATIONS
     return allowed + deviations * math.sqrt(max(0.0, allowed)) + deviations
 
 
@@ -49,7 +50,7 @@
 class _Send:
     sent_at_us: int
     cost: float
-    """In requests of mean work."""
+    """Mean transfer time of the request's class, as a multiple of the mean over all classes."""
 
 
 @dataclass(slots=True)
@@ -57,13 +58,13 @@
     member: Member
     unavailable_since_us: int = 0
     sends: deque[_Send] | None = None
-    """While it is recovering."""
+    """Recent sends while the member is recovering; None otherwise."""
 
 
 class AttemptInvariants:
-    """The checks of attempts of one director.
+    """Checks the attempts of one director.
 
-    `mean_transfer_us`: mean transfer time by class, as far as known.
+    `mean_transfer_us` returns the mean transfer time of each class for which it is known.
     """
 
     def __init__(
@@ -82,12 +83,12 @@
         self.purges: dict[PurgeScope, PurgeRecord] = {}  # by receipt, oldest first
 
     def endpoints_changed(self, event: EndpointsChanged, now_us: int) -> None:
-        """The list or a change of it was received, as the router gets it."""
+        """Apply a complete endpoint list or a change of it, in the form that the router receives."""
         if event.kind is EndpointListKind.UNAVAILABLE:
             return
         if event.kind is not EndpointListKind.CHANGE:
-            named = {member.address for member in event.members}
-            for name in [name for name in self.members if name not in named]:
+            received_names = {member.address for member in event.members}
+            for name in [name for name in self.members if name not in received_names]:
                 self._remove(name, now_us)
         for member in event.members:
             if member.state is MemberState.REMOVED:
@@ -111,11 +112,11 @@
     def _remove(self, name: str, now_us: int) -> None:
         if self.members.pop(name, None) is not None:
             self.removed_at_us[name] = now_us
-            while len(self.removed_at_us) > MAX_REMEMBERED_SENDS:
+            while len(self.removed_at_us) > MAX_REMEMBERED_ENTRIES:
                 del self.removed_at_us[next(iter(self.removed_at_us))]
 
     def object_purged(self, object_group: int, object_id: str | None, purged_at_us: int, now_us: int) -> None:
-        """A purge of an object, or of a group (`object_id` None), was received."""
+        """Record a received purge of an object, or of a group if `object_id` is None."""
         scope = PurgeScope(object_group, None) if object_id is None else PurgeScope(None, object_id)
         previous = self.purges.pop(scope, PurgeRecord(0, 0))
         self.purges[scope] = PurgeRecord(max(purged_at_us, previous.purged_at_us), now_us)
@@ -125,7 +126,7 @@
             oldest = next(iter(self.purges))
 
     def check(self, record: RequestRecord, attempt: AttemptStarted, now_us: int) -> None:
-        """Check an attempt whose first bytes have been sent."""
+        """Check an attempt whose first bytes have been sent, and report each violated rule."""
         self._check_client_waits(record, attempt, now_us)
         self._check_members_available(attempt, now_us)
         self._check_purges(record, attempt, now_us)
@@ -168,7 +169,7 @@
             if purge is None or not purge.purged_at_us:
                 continue
             binding_from_us = purge.received_at_us + self.rules.purge_grace_us + SOCKET_SLACK_US
-            # Caches have applied it by themselves by then.
+            # After the retention time the caches have applied the purge themselves.
             binding_until_us = purge.purged_at_us + self.rules.purge_retention_us
             oldest_accepted_us = now_us - max_age_us
             if (
@@ -176,7 +177,7 @@
                 and oldest_accepted_us < purge.purged_at_us - SOCKET_SLACK_US
             ):
                 purged_ago_us = now_us - purge.purged_at_us
-                cause = f"accepts copies of {max_age_us} us, purged {purged_ago_us} us ago"
+                cause = f"accepts copies up to {max_age_us} us old of an object purged {purged_ago_us} us ago"
                 self._report(InvariantRule.PURGED_COPY_ACCEPTED, cause, attempt)
 
     def _check_retry(self, record: RequestRecord, attempt: AttemptStarted, now_us: int) -> None:
@@ -201,7 +202,7 @@
     def _check_timeout(self, record: RequestRecord, attempt: AttemptStarted, now_us: int) -> None:
         left_us = record.deadline_us - now_us
         if attempt.remaining_us > left_us + TIMEOUT_SLACK_US:
-            cause = f"sent a timeout of {attempt.remaining_us} us, the client waits for {left_us} us"
+            cause = f"sent a timeout of {attempt.remaining_us} us, but the client waits for only {left_us} us"
             self._report(InvariantRule.TIMEOUT_EXCEEDS_DEADLINE, cause, attempt)
 
     def _check_slow_start(self, record: RequestRecord, attempt: AttemptStarted, now_us: int) -> None:
@@ -230,7 +231,7 @@
         mean_us = sum(mean_transfer_us.values()) / len(mean_transfer_us)
         window_us = self.rules.overload_window_us
         if record.sends is None:
-            record.sends = deque(maxlen=MAX_REMEMBERED_SENDS)
+            record.sends = deque(maxlen=MAX_REMEMBERED_ENTRIES)
         sends = record.sends
         while sends and sends[0].sent_at_us <= now_us - window_us:
             sends.popleft()
@@ -238,7 +239,7 @@
         allowed = self._warm_capacity_share(member, age_us) * member.weight * window_us / mean_us
         sent = sum(send.cost for send in sends)
         if sent > slow_start_limit(allowed):
-            cause = f"{sent:.1f} requests of mean work in the window, {allowed:.1f} are allowed"
+            cause = f"{sent:.1f} requests of mean work sent in the window, {allowed:.1f} allowed on average"
             self._report(InvariantRule.SLOW_START_LIMIT_EXCEEDED, cause, attempt)
 
     def _ramp_us(self, member: Member) -> int:
@@ -246,7 +247,10 @@
         return self.rules.parent_warm_up_us if is_parent else self.rules.warm_up_us
 
     def _warm_capacity_share(self, member: Member, age_us: int) -> float:
-        """Share of its weight that a member may be sent at this age, with the multiple that overloads it."""
+        """Return the share of its weight that a member may be sent at this age.
+
+        It is the warm-up share at this age times the multiple of this load that overloads the member.
+        """
         rules = self.rules
         if member.kind == self.settings.parent_kind:
             start_share = rules.parent_warm_up_start_share
--- a/onyxwick/core/attempt_runner.py
+++ b/onyxwick/core/attempt_runner.py
@@ -1,7 +1,7 @@
 """Starts attempts on the transport, cancels them, and reports their ends to the router.
 
-Each attempt is one task. Its end goes through the request's mailbox, so that it is handled in order with the
-other events of its request. Times in steady microseconds.
+Each attempt is one task. Its end passes through the request's mailbox, so that it is handled in order with
+the other events of its request. Times are in steady microseconds.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 def fill_source(action: ForwardRequest | ForwardWithFill) -> str | None:
-    """Where the member is to fill a miss from; None: it is not filled."""
+    """Return the source from which the member fills a miss; None if it does not fill."""
     if isinstance(action, ForwardRequest) or action.fill_source == action.member:
         return None
     return action.fill_source
@@ -45,11 +45,12 @@
         lifecycle.attempts.append(task)
         lifecycle.statuses.append(None)
         self.context.counters.add("attempt.sent")
-        # Not an await around `run`: a task cancelled before its first step would leave no outcome.
+        # A callback, not a coroutine that awaits `run`: a task cancelled before its first step would leave
+        # no outcome.
         task.add_done_callback(partial(self._on_ended, lifecycle, spec, attempt_index, started_at_us))
 
     def withdraw(self, lifecycle: RequestLifecycle, decided: AttemptDecided) -> None:
-        """Report an attempt as not sent that was decided after the final answer."""
+        """Report an attempt that was decided after the final answer as not sent."""
         attempt_index = len(lifecycle.attempts)
         lifecycle.attempts.append(None)
         lifecycle.statuses.append(AttemptStatus.NOT_SENT)
@@ -58,7 +59,7 @@
         self.report(lifecycle, AttemptFinished(decided.action.member, attempt_index, outcome, 0))
 
     def cancel(self, lifecycle: RequestLifecycle, attempt_index: int) -> None:
-        """Cancel an attempt that is in flight; nothing where it has ended or never was."""
+        """Cancel an attempt if it is in flight. Do nothing if it has ended or never existed."""
         if not 0 <= attempt_index < len(lifecycle.attempts):
             return
         task = lifecycle.attempts[attempt_index]
@@ -66,10 +67,11 @@
             task.cancel()
 
     def report(self, lifecycle: RequestLifecycle, finished: AttemptFinished) -> None:
-        """Tell the router, the counters and the trace how an attempt ended."""
+        """Report the end of an attempt to the router, the counters and the trace."""
         context = self.context
         outcome = finished.outcome
-        # An end that was not observed is reported as cancelled: possibly executed, and nothing to learn from.
+        # An end that was not observed is reported as cancelled: the attempt may have been executed, and the
+        # router must learn nothing from it.
         status = AttemptStatus.CANCELLED if outcome.unobserved else outcome.status
         context.counters.add(f"outcome.{status.value}")
         event = AttemptEnded(
@@ -128,7 +130,7 @@
         self.context.invariants.attempt_started(started, self.context.now())
 
     def _record_retry(self, lifecycle: RequestLifecycle, attempt_index: int) -> None:
-        """Count and log why there is one more attempt: how the last one ended, or that it is overdue."""
+        """Count and log the reason of a retry: the last attempt's status, or "overdue" if it is in flight."""
         previous = lifecycle.statuses[attempt_index - 1]
         reason = "overdue" if previous is None else previous.value
         self.context.counters.add(f"again.{reason}")
--- a/onyxwick/core/clock.py
+++ b/onyxwick/core/clock.py
@@ -1,8 +1,8 @@
-"""The clock that decisions read, and how wall-clock timestamps from outside are converted to it.
+"""The clock that decisions use, and the conversion of wall-clock timestamps from outside to this clock.
 
-Deadlines, windows, delays and ages read `steady_us`: microseconds on the Unix scale as the wall clock stood
-when the process started, advanced by the monotonic clock alone, so that a step of the wall clock changes
-nothing. Timestamps that leave the process (files, logs, the distribution feed) read `wall_us`.
+Deadlines, windows, delays and ages use `steady_us`: the wall-clock time in Unix microseconds at the start of
+the process, advanced by the monotonic clock alone, so that a step of the wall clock has no effect. Timestamps
+that leave the process (files, logs, the distribution feed) use `wall_us`.
 
 See docs/design/clocks.md.
 """
@@ -15,25 +15,28 @@
 
 US_PER_S = 1_000_000
 MAX_FEED_DELAY_US = 7 * US_PER_S
-"""The feed announces every event within this time."""
+"""The feed announces every event within this time after it happens."""
 REMEMBERED_DELAYS = 8
-"""Number of purges whose delays are remembered."""
+"""Number of the most recent purges whose delays are remembered."""
 
 
 def wall_us() -> int:
-    """The system's wall clock in Unix microseconds; it may be stepped either way at any time."""
+    """Return the system's wall clock in Unix microseconds. It may be stepped forward or back at any time."""
     return time.time_ns() // 1000
 
 
 class SteadyClock:
-    """Unix microseconds that advance with the monotonic clock: spans between two readings are real time."""
+    """A clock in Unix microseconds that advances with the monotonic clock.
+
+    The difference of two readings is the real time between them.
+    """
 
     def __init__(self) -> None:
         self.offset_us = wall_us() - time.monotonic_ns() // 1000
-        """Steady minus monotonic time, for files that another process of the same machine reads."""
+        """Steady minus monotonic time, for files that another process on the same machine reads."""
 
     def __call__(self) -> int:
-        """The time now."""
+        """Return the current steady time in Unix microseconds."""
         return self.offset_us + time.monotonic_ns() // 1000
 
 
@@ -44,42 +47,43 @@
 @dataclass(slots=True)
 class _KnownStart:
     timestamp_us: int
-    """As the feed gave it."""
+    """Start time by the feed's clock."""
     started_at_us: int
-    """The steady time it was converted to."""
+    """The same start, converted to steady time."""
 
 
 @dataclass(slots=True)
 class FeedTimestamps:
-    """Converts the timestamps of one feed to steady time. No I/O; all times in microseconds.
+    """Converts the timestamps of one feed to steady time. Does no I/O; all times are in microseconds.
 
-    The feed's clock and this process's may differ, by a step before the start or by one at the feed. A
-    converted time may be too late, which costs freshness or a slower ramp, but never too early, which would
-    let an outdated copy or too many requests pass:
+    The feed's clock and the clock of this process may differ, because either was stepped: this one before the
+    start, the feed's at any time. A converted time may be too late, which costs freshness or slows a ramp. It
+    is never too early, which would admit an outdated copy or too many requests. The rules are:
 
-    - the newest timestamp known at the start counts as that moment: the clocks cannot differ by more;
-    - the least delay between a timestamp and its receipt, over the last few, is added to timestamps;
-    - an event of a live feed is no older than the last heartbeat that left nothing outstanding;
-    - nothing lies in the future.
+    - The newest timestamp known at the start is converted to the time of the start: the clocks cannot differ
+      by more.
+    - The least of the last few delays between a timestamp and its receipt is added to each timestamp.
+    - An event of a live feed is no older than the last heartbeat at which no event was outstanding.
+    - No event lies in the future.
     """
 
     caught_up_at_us: int | None = None
-    """When the feed last reported nothing outstanding; None before it is live."""
-    _initial_offset_us: int = 0  # upper bound of the offset from the feed's clock to this one
+    """Steady time at which the feed last reported that no event is outstanding; None before it is live."""
+    _initial_offset_us: int = 0  # upper bound of steady time minus feed time
     _delays_us: deque[int] = field(default_factory=lambda: deque(maxlen=REMEMBERED_DELAYS))
-    _starts: dict[str, _KnownStart] = field(default_factory=dict)  # by cache
+    _starts: dict[str, _KnownStart] = field(default_factory=dict)  # by cache id
 
     def anchor(self, newest_us: int, now_us: int) -> None:
-        """Take the newest timestamp of all known at the start; before any of them is converted."""
+        """Record the newest timestamp known at the start, before any timestamp is converted."""
         self._initial_offset_us = now_us - newest_us
         self._delays_us.append(now_us - newest_us)
 
     def mark_caught_up(self, now_us: int) -> None:
-        """The feed has nothing outstanding: what it announces next happens after this."""
+        """Record that the feed has no event outstanding: all events that it announces later happen later."""
         self.caught_up_at_us = now_us
 
     def purge_time_us(self, timestamp_us: int, now_us: int) -> int:
-        """When a purge that was just received was made."""
+        """Return the steady time at which a purge was made that has just been received."""
         if self.caught_up_at_us is None:
             return min(now_us, timestamp_us + self._offset_us())
         self._delays_us.append(now_us - timestamp_us)
@@ -87,7 +91,10 @@
         return max(purged_at_us, min(now_us, self.caught_up_at_us))
 
     def start_time_us(self, cache: str, timestamp_us: int, now_us: int) -> int:
-        """When a listed cache started; 0: long ago. The same timestamp always gives the same time."""
+        """Return the steady time at which a listed cache started, or 0 if it started long ago.
+
+        The same timestamp of a cache always gives the same time.
+        """
         if timestamp_us <= 0:
             return 0
         known = self._starts.get(cache)
@@ -96,28 +103,28 @@
         started_at_us = min(now_us, timestamp_us + self._offset_us())
         if self.caught_up_at_us is not None:
             if started_at_us < self.caught_up_at_us - MAX_FEED_DELAY_US:
-                # The list would have announced it long ago: the clocks differ.
+                # The feed would have announced such an old start long ago, so the clocks differ.
                 started_at_us = now_us
             elif not self._delays_us:
-                # Nothing shows by how much the clocks differ.
+                # No delay is known that would show by how much the clocks differ.
                 started_at_us = max(started_at_us, min(now_us, self.caught_up_at_us))
         self._starts[cache] = _KnownStart(timestamp_us, started_at_us)
         return started_at_us
 
     def forget(self, cache: str) -> None:
-        """A cache was removed from the list."""
+        """Forget the start of a cache that was removed from the list."""
         self._starts.pop(cache, None)
 
     def keep_only(self, caches: set[str]) -> None:
-        """A complete list was received: forget the caches that it does not name."""
+        """Forget the starts of all caches that a complete list, just received, does not contain."""
         for cache in [name for name in self._starts if name not in caches]:
             del self._starts[cache]
 
     def _offset_us(self) -> int:
-        """What is added to a timestamp.
+        """Return the offset that is added to each timestamp.
 
-        Before the feed is live, all timestamps come from the configuration of one moment. Later the feed's
-        clock may be stepped, and no event counts as earlier than its timestamp.
+        Before the feed is live, all timestamps come from the configuration, which was written at one moment.
+        Later the feed's clock may be stepped, and no event is taken as earlier than its timestamp.
         """
         if self.caught_up_at_us is None:
             return self._initial_offset_us
--- a/onyxwick/core/context.py
+++ b/onyxwick/core/context.py
@@ -1,4 +1,4 @@
-"""What the parts of the request engine share: clock, tables, checks, and where events are handed in."""
+"""The state that the parts of the request engine share: the clock, tables, checks and the event handler."""
 
 from __future__ import annotations
 
@@ -24,29 +24,29 @@
 
 
 class EventHandler(Protocol):
-    """Hands events to the router."""
+    """Passes events to the router."""
 
     def __call__(self, *events: Event) -> None:
-        """Hand over the events of one instant, and carry out the router's actions on them."""
+        """Pass on the events of one instant, and carry out the router's actions on them."""
         ...
 
 
 class MonotonicTime:
-    """Steady microseconds from a clock that may go back; the readings never do."""
+    """A clock in steady microseconds whose readings never decrease, even if the wrapped clock goes back."""
 
     def __init__(self, clock: Callable[[], int]) -> None:
         self.clock = clock
         self.latest_us = clock()
 
     def __call__(self) -> int:
-        """The time now."""
+        """Return the current time in steady microseconds."""
         self.latest_us = max(self.latest_us, self.clock())
         return self.latest_us
 
 
 @dataclass(slots=True, eq=False)
 class EngineContext:
-    """One director's shared state. `now`: steady microseconds on the Unix scale (core/clock.py)."""
+    """Shared state of one director. `now` returns steady Unix microseconds (see `core/clock.py`)."""
 
     settings: RouterSettings
     transport: CacheTransport
@@ -59,18 +59,18 @@
     max_open_requests: int
     non_idempotent_classes: frozenset[str]
     tracer: DecisionTracer | None = None
-    """Writes a trace, where one is configured."""
+    """Writes the trace; None if no trace is configured."""
     durable: DurableState | None = None
-    """What outlasts a restart, where the installation has a disk."""
+    """State that survives a restart; None if the installation has no disk."""
 
     def record_unserved(self, reason: UnservedReason, request: str, connection: int = -1) -> None:
-        """Count and log that a request is rejected or failed without a cache's answer, for this reason."""
+        """Count and log why a request was rejected or failed without an answer from a cache."""
         self.counters.add(f"refused.{reason.value}")
         log.info("request not served", reason=reason.value, request=request, connection=connection)
 
 
 def report_violation(counters: Counters, violation: Violation) -> None:
-    """Count and log a violated invariant; what is served goes on."""
+    """Count and log a violated invariant. Service continues unchanged."""
     counters.add(f"violation.{violation.rule.value}")
     log.error(
         "invariant violated",
--- a/onyxwick/core/endpoints.py
+++ b/onyxwick/core/endpoints.py
@@ -1,7 +1,7 @@
-"""The endpoint list as last received: member states and addresses, and recent purges. No I/O.
+"""The endpoint list as last received: member states and addresses, and recent purges.
 
-Input: changes of the list, purges, the operators' exclusions. Output: whether an attempt that was decided
-earlier may still be sent. Times in steady microseconds.
+The table takes changes of the list, purges and the operators' exclusions, and says whether an attempt that
+was decided earlier may still be sent. It does no I/O; times are in steady microseconds.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from onyxwick.interface import EndpointListKind, EndpointsChanged, Member, MemberState
 
 PURGE_RETENTION_US = 10_000_000
-"""No send waits that long, so an older purge invalidates none."""
+"""No attempt waits this long to be sent, so an older purge invalidates no attempt."""
 
 Address = tuple[str, int]
 """Host and port."""
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DecisionSnapshot:
-    """What an attempt was decided on: the purges received by then, and when the processes had started."""
+    """The state on which an attempt was decided: the number of purges received, and process start times."""
 
     purges_received: int
     member_started_at_us: int
@@ -30,42 +30,45 @@
 
 
 class PurgeScope(NamedTuple):
-    """What a purge covers: all objects of a group, or one object. The other field is None."""
+    """The objects that a purge covers: all objects of a group, or one object. The other field is None."""
 
     object_group: int | None
     object_id: str | None
 
 
 class ReceivedPurge(NamedTuple):
-    """When a purge was received, and in which order."""
+    """The time at which a purge was received, and its position in the order of receipt."""
 
     received_at_us: int
     sequence: int
-    """Times alone do not order two events within a microsecond."""
+    """Orders purges that were received within the same microsecond, which their times do not."""
 
 
 class EndpointTable:
-    """Members by id. The address is looked up for each send: another member may have had it before."""
+    """Listed members by id.
+
+    The address is looked up for each send, because an address may have belonged to another member before.
+    """
 
     def __init__(self) -> None:
         self.listed: dict[str, Member] = {}
         self.addresses: dict[str, Address] = {}
         self.loaded = False
         self.replacement_listeners: list[Callable[[str], None]] = []
-        """Called with the id of each member that was removed, restarted or moved."""
+        """Called with the id of each member that was removed, was restarted or changed its address."""
         self.purge_times: dict[PurgeScope, ReceivedPurge] = {}  # oldest first
         self.purges_received = 0
         self.excluded: frozenset[str] = frozenset()
-        """Disabled by the operators: nothing is sent to them once this is set, from any thread."""
+        """Members disabled by the operators. Once set, from any thread, no request is sent to them."""
 
     def apply(self, event: EndpointsChanged, addresses: dict[str, Address]) -> None:
         """Apply a change of the list, or a complete list.
 
-        `addresses`: of all members of `event` that are not removed.
+        `addresses` has the address of each member of `event` that is not removed.
         """
         if event.kind is not EndpointListKind.CHANGE:
-            named = {member.address for member in event.members}
-            for name in [name for name in self.listed if name not in named]:
+            received_names = {member.address for member in event.members}
+            for name in [name for name in self.listed if name not in received_names]:
                 self._remove(name)
             self.loaded = True
         for member in event.members:
@@ -77,10 +80,10 @@
     def _update(self, member: Member, address: Address) -> None:
         name = member.address
         previous = self.listed.get(name)
-        moved = self.addresses.get(name) != address
+        address_changed = self.addresses.get(name) != address
         self.listed[name] = member
         self.addresses[name] = address
-        if previous and (moved or previous.started_at_us != member.started_at_us):
+        if previous and (address_changed or previous.started_at_us != member.started_at_us):
             self._notify_listeners(name)
 
     def _remove(self, member: str) -> None:
@@ -93,10 +96,13 @@
             listener(member)
 
     def record_purge(self, object_group: int, object_id: str | None, now_us: int) -> None:
-        """A purge of an object, or of a group (`object_id` None), was received: earlier snapshots end."""
+        """Record a received purge of an object, or of a group if `object_id` is None.
+
+        Earlier snapshots are no longer valid for requests that the purge covers.
+        """
         scope = PurgeScope(object_group, None) if object_id is None else PurgeScope(None, object_id)
         self.purges_received += 1
-        self.purge_times.pop(scope, None)  # so that it moves to the end
+        self.purge_times.pop(scope, None)  # the entry is added again at the end
         self.purge_times[scope] = ReceivedPurge(now_us, self.purges_received)
         oldest = next(iter(self.purge_times))
         while self.purge_times[oldest].received_at_us <= now_us - PURGE_RETENTION_US:
@@ -104,12 +110,12 @@
             oldest = next(iter(self.purge_times))
 
     def is_ready(self, member: str) -> bool:
-        """Whether new requests may be sent to a member."""
+        """Return whether new requests may be sent to a member."""
         listed = self.listed.get(member)
         return listed is not None and listed.state is MemberState.READY and member not in self.excluded
 
     def snapshot(self, member: str, fill_source: str | None) -> DecisionSnapshot:
-        """What an attempt that is decided now is decided on."""
+        """Return the state on which an attempt is based that is decided now."""
         return DecisionSnapshot(
             self.purges_received, self._started_at_us(member), self._started_at_us(fill_source)
         )
@@ -121,14 +127,14 @@
     def is_still_valid(
         self, member: str, fill_source: str | None, request: ClientRequest, snapshot: DecisionSnapshot
     ) -> bool:
-        """Whether an attempt decided on `snapshot` may be sent now.
+        """Return whether an attempt decided on `snapshot` may still be sent.
 
-        A drain, a restart or a purge may have been received since.
+        A drain, a restart or a purge may have been received since the decision.
         """
         if not self.is_ready(member) or (fill_source is not None and not self.is_ready(fill_source)):
             return False
         if self._started_at_us(member) != snapshot.member_started_at_us:
-            return False  # what a warm cache can take may overload one that has just started
+            return False  # a load that a warm cache can take may overload one that just started
         if self._started_at_us(fill_source) != snapshot.source_started_at_us:
             return False
         if not self.purge_times:
--- a/onyxwick/core/engine.py
+++ b/onyxwick/core/engine.py
@@ -1,9 +1,9 @@
-"""The request engine of one director: hands events to its router and carries out the router's actions.
+"""The request engine of one director: passes events to its router and carries out the router's actions.
 
-Inputs: requests of the fronts, endpoint lists and purges of the feed, timers. Outputs: attempts on the
-transport, and one final answer to each admitted request. The parts: `request_table` (admission),
-`request_runner` (a request's coroutine), `attempt_runner`, `feed_intake`, `timers`. Times in steady
-microseconds.
+The engine takes requests from the fronts, endpoint lists and purges from the feed, and timers. It runs
+attempts on the transport, and gives each admitted request one final answer. Its parts are `request_table`
+(admission), `request_runner` (the coroutine of a request), `attempt_runner`, `feed_intake` and `timers`.
+Times are in steady microseconds.
 """
 
 from __future__ import annotations
@@ -52,14 +52,14 @@
 
 log = logs.get()
 MAX_OPEN_REQUESTS = 2048
-"""Default bound of requests that are open at once."""
+"""Default limit of requests that are open at the same time."""
 
 
 class RequestEngine:
-    """Owns the router of one director: the only place that hands it events and takes its actions.
+    """Owns the router of one director. Only the engine passes events to it and carries out its actions.
 
-    `make_router` makes the router from the settings, a seed and the time: a single one, or one that
-    distributes requests among the routers of cells or sites.
+    `make_router` makes the router from the settings, a seed and the current time: either a single router, or
+    one that distributes requests among the routers of cells or sites.
     """
 
     def __init__(
@@ -102,13 +102,13 @@
         self.handle()
 
     def _mean_transfer_us(self) -> dict[str, float]:
-        """Mean transfer time by class, as the router has learned it; empty where many routers decide."""
+        """Return the mean transfer time by class, as learned by the router; empty with several routers."""
         return self.router.mean_transfer_us() if isinstance(self.router, Router) else {}
 
     # ---- events in, actions out -------------------------------------------------------------------------
 
     def handle(self, *events: Event) -> None:
-        """Hand the router the events of one instant, and carry out or pass on its actions."""
+        """Pass the events of one instant to the router, and carry out or forward its actions."""
         now_us = self.now()
         actions = self.router.handle(now_us, list(events))
         if self.context.tracer is not None:
@@ -124,7 +124,7 @@
         elif isinstance(action, SiteStateChanged):
             self._record_site_state(action)
         elif isinstance(action, SubscribeToEndpoints | PollEndpoints):
-            pass  # the coordinator's feed sends its events without being asked
+            pass  # the coordinator's feed sends its events without a request
         elif lifecycle := self.lifecycles.get(action.request_id):
             lifecycle.mailbox.put(self._with_snapshot(action))
 
@@ -140,7 +140,7 @@
         )
 
     def _with_snapshot(self, action: Action) -> LifecycleMessage:
-        """An attempt is decided now, however late it is carried out: the feed may change in between."""
+        """Add the list's present state to an attempt, as the feed may change before it is carried out."""
         if isinstance(action, ForwardRequest | ForwardWithFill):
             return AttemptDecided(action, self.endpoints.snapshot(action.member, fill_source(action)))
         return action
@@ -153,33 +153,36 @@
         reply: Callable[[FinalAnswer], None],
         transport: CacheTransport | None = None,
     ) -> None:
-        """Run a request to its end. `reply` is called once, or never if the client has disconnected."""
+        """Run a request to its end. `reply` is called once, or never if the client disconnects before."""
         lifecycle = self.table.admit(request, reply, transport)
         if lifecycle is not None:
             await self.runner.run(lifecycle, reply)
 
     def start(self, request: ClientRequest, reply: Callable[[FinalAnswer], None]) -> RequestLifecycle | None:
-        """Run a request in a task of its own; None if it was not admitted and has its answer.
+        """Run a request in its own task. Return None if it was not admitted and was answered already.
 
-        The lifecycle is returned at once, so that a client may cancel its request in the same turn.
+        The lifecycle is returned at once, so that a client can cancel its request in the same turn of the
+        event loop.
         """
         lifecycle = self.table.admit(request, reply, None)
         if lifecycle is not None:
-            # No set of tasks: the lifecycle's mailbox, and through it the task, is referenced until its end.
+            # No set of tasks is needed: the lifecycle's mailbox is referenced until the request ends, and
+            # through it the task.
             asyncio.get_running_loop().create_task(self.runner.run(lifecycle, reply))
         return lifecycle
 
     def client_departed(self, lifecycle: RequestLifecycle) -> None:
-        """The client of a request has disconnected: no answer is due."""
+        """Record that the client of a request has disconnected, so that the request needs no answer."""
         if not lifecycle.client_departed:
             lifecycle.client_departed = True
             self.invariants.client_departed(lifecycle.request.request_id, self.now())
             lifecycle.mailbox.put(ClientDeparted())
 
     def release(self, lifecycle: RequestLifecycle, must_end: bool) -> None:
-        """The director is shutting down: reject a request where a retry is safe.
+        """Reject a request if a retry is safe, because the director is shutting down.
 
-        Else fail it if `must_end`, or let it run on. An answer that has arrived already is the answer.
+        Otherwise fail it if `must_end`, or let it run on. An answer that has already arrived remains the
+        final answer.
         """
         is_retry_safe = self.guard.is_retry_safe(lifecycle)
         if (is_retry_safe or must_end) and not (lifecycle.answered or lifecycle.client_departed):
--- a/onyxwick/core/errors.py
+++ b/onyxwick/core/errors.py
@@ -10,4 +10,4 @@
 
 
 class StartupError(CoreError):
-    """The program cannot start from what it was given; the text says why and is shown to the operator."""
+    """The program cannot start as configured. The text says why and is shown to the operator."""
--- a/onyxwick/core/feed_intake.py
+++ b/onyxwick/core/feed_intake.py
@@ -1,7 +1,7 @@
-"""Applies endpoint lists and purges, in this order: store, checks, send guard's table, router.
+"""Applies endpoint lists and purges to the store, the run-time checks, the send guard's table and the router.
 
-Inputs come from the coordinator's feed or the distribution tree, and from the store after a restart. Times in
-steady microseconds.
+They are applied in this order. They come from the coordinator's feed or the distribution tree, and after a
+restart from the store. Times are in steady microseconds.
 """
 
 from __future__ import annotations
@@ -23,16 +23,19 @@
 
 
 class FeedIntake:
-    """Passes what the feed announces to everything that must know it."""
+    """Passes the events of the feed to every part of the director that uses them."""
 
     def __init__(self, context: EngineContext) -> None:
         self.context = context
         self.adjust_endpoints: Callable[[EndpointsChanged, int], EndpointsChanged] | None = None
-        """Applies the operators' commands to the list (event, now) before the router gets it."""
-        self._received: dict[str, _ReceivedMember] = {}  # as received, before any adjustment
+        """Applies the operators' commands to a list event, given the time, before the router receives it."""
+        self._received: dict[str, _ReceivedMember] = {}  # by member id, before any adjustment
 
     def apply_endpoints(self, event: EndpointsChanged, addresses: dict[str, Address]) -> None:
-        """The list or a change of it was received; `addresses`: of all members that are not removed."""
+        """Apply a complete endpoint list or a change of it.
+
+        `addresses` has the address of each member that is not removed.
+        """
         context = self.context
         self._remember(event, addresses)
         if context.durable is not None:
@@ -54,7 +57,7 @@
                 self._received.pop(member.address, None)
 
     def reapply_members(self, *names: str) -> None:
-        """Apply some members of the list again, as the way it is adjusted has changed for them."""
+        """Apply listed members again, after the adjustment of the list has changed for them."""
         listed = self.context.endpoints.listed
         rows = [self._received[name] for name in names if name in self._received and name in listed]
         if rows:
@@ -63,7 +66,7 @@
             self.apply_endpoints(EndpointsChanged(EndpointListKind.CHANGE, members), addresses)
 
     def apply_purge(self, object_group: int, object_id: str | None, purged_at_us: int) -> None:
-        """A purge of an object, or of a group (`object_id` None), was received."""
+        """Apply a received purge of an object, or of a group if `object_id` is None."""
         context = self.context
         if context.durable is not None:
             context.durable.record_purge(object_group, object_id, purged_at_us, context.now())
@@ -73,15 +76,18 @@
         context.handle(ObjectsPurged(object_group, object_id, age_us))
 
     def record_feed_index(self, index: int) -> None:
-        """The coordinator's feed was received up to an event number."""
+        """Record that the coordinator's feed was received up to the event number `index`."""
         context = self.context
         if context.durable is not None:
-            held_back = list(context.durable.recovery.drains)
+            stored_drains = list(context.durable.recovery.drains)
             if context.durable.record_feed_number(index, context.now()):
-                self.reapply_members(*held_back)
+                self.reapply_members(*stored_drains)
 
     def restore(self, durable: DurableState) -> None:
-        """Take over the stored state: purges that a cache may not have applied bind the first request."""
+        """Take over the stored state, so that stored purges apply from the first request on.
+
+        These are the purges that a cache may not have applied yet.
+        """
         context = self.context
         context.durable = durable
         for purge in durable.recovery.purges_to_replay(context.now()):
--- a/onyxwick/core/invariant_model.py
+++ b/onyxwick/core/invariant_model.py
@@ -1,6 +1,6 @@
-"""The rules that are checked at run time, and the records that the checks go by. Types only.
+"""The types of the run-time checks: the rules, and the records that the checks use.
 
-Times in steady microseconds.
+Times are in steady microseconds.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class InvariantRule(Enum):
-    """What must never happen. Counted as `violation.VALUE`; the values stay as they are."""
+    """Rules that must never be violated. Counted as `violation.VALUE`, so the values must not change."""
 
     SENT_AFTER_CLIENT_DEPARTED = "sent_for_departed"
     SENT_AFTER_ANSWER = "sent_after_answer"
@@ -29,12 +29,12 @@
     ANSWER_TRUNCATED = "answer_cut"
     EXITED_AFTER_KILL_TIME = "outlived_kill"
     CHECK_FAILED = "check_failed"
-    """A check itself raised an error."""
+    """A check itself raised an exception."""
 
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """One violated rule: what it concerns, and in `cause` the facts that prove it."""
+    """One violation of a rule, and what it concerns. `cause` gives the facts that prove it."""
 
     rule: InvariantRule
     cause: str
@@ -46,21 +46,21 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptStarted:
-    """The first bytes of an attempt have been sent."""
+    """An attempt whose first bytes have been sent."""
 
     request: str
     attempt_index: int
     member: str
     fill_source: str | None
     max_age_us: int
-    """Age of the oldest copy that may answer; 0: the class's freshness lifetime."""
+    """Maximum age of a copy that may be the answer; 0 means the freshness lifetime of the class."""
     remaining_us: int
-    """The timeout that the member was sent."""
+    """The timeout that was sent to the member."""
 
 
 @dataclass(slots=True)
 class RequestRecord:
-    """What the checks know of an open request."""
+    """The data that the checks hold of an open request. A time of 0 means that it has not happened."""
 
     class_name: str
     object_group: int | None
@@ -70,11 +70,11 @@
     departed_at_us: int = 0
     answered_at_us: int = 0
     attempts_started_at_us: dict[int, int] = field(default_factory=dict)
-    """By attempt index; only attempts that may have been executed."""
+    """Start times of the attempts that may have been executed, by attempt index."""
 
 
 class PurgeRecord(NamedTuple):
-    """When a purge was made, and when it was received."""
+    """The times at which a purge was made and received."""
 
     purged_at_us: int
     received_at_us: int
--- a/onyxwick/core/model.py
+++ b/onyxwick/core/model.py
@@ -1,4 +1,4 @@
-"""The types that pass between the core, the fronts before it and the transport behind it. No I/O."""
+"""The types that are passed between the fronts, the core and the transport. No I/O."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class AnswerStatus(Enum):
-    """The final answer to a request, as the client sees it. The values are parts of metric names."""
+    """Kind of the final answer that a client receives. The values are parts of metric names."""
 
     SERVED = "served"
     REJECTED = "refused"
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class ClientRequest:
-    """One client request. Its timeout runs from `arrived_us` (steady), when its last byte arrived."""
+    """One client request. Its timeout runs from `arrived_us`, the steady time of arrival of its last byte."""
 
     request_id: str
     class_name: str
@@ -33,61 +33,64 @@
     is_retry: bool = False
     body: bytes = b""
     client_etag: str = ""
-    """Tag of the copy that the client holds."""
+    """Entity tag of the copy that the client holds."""
     idempotency_key: str = ""
-    """By which a cache recognises a retry of what it has executed; forwarded unchanged."""
+    """Key by which a cache recognises a retry of a request that it has executed; forwarded unchanged."""
     tenant: str | None = None
     client_site: str | None = None
     connection_id: int = -1
-    """Its number at the front, for the logs; -1: no connection of the front."""
+    """Number of the connection at the front, for the logs; -1 if the request has no connection there."""
     is_wanted: Callable[[], bool] = field(default=lambda: True, compare=False, repr=False)
-    """Asked right before an attempt's first byte: does the client still wait, as far as its socket shows?"""
+    """Returns whether the client still waits, as far as its socket shows.
+
+    Called right before an attempt's first byte is sent.
+    """
 
 
 @dataclass(slots=True)
 class FinalAnswer:
-    """The one final answer to a request; `member` gave it, if any did."""
+    """The one final answer to a request. `member` is the member that gave it, or empty."""
 
     status: AnswerStatus
     body: bytes = b""
     etag: str = ""
     not_modified: bool = False
-    """The client's own copy is the answer."""
+    """The client's copy is still current and serves as the answer."""
     retry_after_us: int = 0
     member: str = ""
 
 
 @dataclass(slots=True)
 class AttemptSpec:
-    """One attempt as the router decided it, for the transport to carry out."""
+    """One attempt that the router decided and the transport carries out."""
 
     request: ClientRequest
     member: str
     timeout_us: int
-    """From `created_at_s` on."""
+    """Counted from `created_at_s`."""
     fill_source: str | None = None
-    """Where a miss is filled from; None: it is not filled."""
+    """Source from which the member fills a miss; None if it does not fill."""
     retention_rank: int = 0
     max_age_us: int = 0
     fill_options: FillOption = FillOption.NONE
     needs_own_connection: bool = False
-    """It must not be executed twice, so that no other attempt may share its connection."""
+    """The attempt must not be executed twice, so no other attempt may share its connection."""
     is_still_valid: Callable[[], bool] = field(default=lambda: True, compare=False)
-    """Asked right before the first byte: drains and purges received since apply to this send too."""
+    """Called right before the first byte, so that drains and purges received since the decision apply too."""
     on_first_byte_sent: Callable[[AttemptSpec], None] = field(default=lambda spec: None, compare=False)
-    """Called once its first byte has been sent."""
+    """Called once the first byte of the attempt has been sent."""
     created_at_s: float = field(default_factory=time.monotonic, compare=False)
     sent_us: int = 0
-    """Steady time at which its first byte was sent, as soon as the transport knows; 0: not sent."""
+    """Steady time at which the first byte was sent; 0 until the transport knows it, or if it was not sent."""
 
     def remaining_us(self) -> int:
-        """What is left of its timeout now."""
+        """Return the microseconds left of the timeout; negative after it has passed."""
         return self.timeout_us - int((time.monotonic() - self.created_at_s) * 1e6)
 
 
 @dataclass(slots=True)
 class AttemptOutcome:
-    """How an attempt ended, with the answer's body and tag where there is one."""
+    """The end of an attempt, with the body and the entity tag of the answer if there is one."""
 
     status: AttemptStatus
     detail: AnswerDetail = AnswerDetail.NONE
@@ -97,14 +100,14 @@
     etag: str = ""
     not_modified: bool = False
     origin_date_us: int = 0
-    """Unix time at which the origin served the copy; 0: unknown."""
+    """Unix time in microseconds at which the origin served the copy; 0 if unknown."""
     unobserved: bool = False
-    """Its end was not observed: the router must learn nothing from it."""
+    """The end of the attempt was not observed, so the router must learn nothing from it."""
 
 
 class CacheTransport(Protocol):
     """Carries out attempts. Cancelling `run` cancels the attempt."""
 
     async def run(self, spec: AttemptSpec) -> AttemptOutcome:
-        """Carry out one attempt until its end or its timeout."""
+        """Carry out one attempt until it ends or times out, and return its outcome."""
         ...
--- a/onyxwick/core/phase.py
+++ b/onyxwick/core/phase.py
@@ -1,4 +1,4 @@
-"""The phases of a director's process with their legal transitions, and its readiness. No I/O."""
+"""The phases of a director's process, the legal transitions between them, and its readiness. No I/O."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 
 class DirectorPhase(Enum):
-    """What a director's process is doing. The values appear in log lines and in the health document."""
+    """Phase of a director's process. The values appear in log lines and in the health document."""
 
     STARTING = "starting"
     SERVING = "serving"
     DRAINED = "drained"
-    """Drained by the operators: not ready, its clients disconnect, the process goes on."""
+    """Drained by the operators: the director is not ready, its clients disconnect, and it keeps running."""
     DRAINING = "draining"
     """Graceful shutdown after SIGTERM."""
     STOPPED = "stopped"
@@ -29,17 +29,19 @@
 
 
 class IllegalPhaseChangeError(CoreError):
-    """A transition between phases that `PHASE_TRANSITIONS` does not have."""
+    """A transition between phases was requested that `PHASE_TRANSITIONS` does not allow."""
 
     def __init__(self, found: DirectorPhase, requested: DirectorPhase) -> None:
         legal = ", ".join(sorted(phase.value for phase in PHASE_TRANSITIONS[found])) or "none"
-        super().__init__(f"from phase {found.value} to {requested.value}; legal: {legal}")
+        super().__init__(
+            f"illegal phase change from {found.value} to {requested.value}; legal from there: {legal}"
+        )
         self.found = found
         self.requested = requested
 
 
 class Readiness(Enum):
-    """The answer of the operations endpoint's readiness call. The values are the platform's."""
+    """Answer to the readiness call of the operations endpoint. The platform defines the values."""
 
     READY = "YES"
     NOT_READY = "NO"
--- a/onyxwick/core/request_lifecycle.py
+++ b/onyxwick/core/request_lifecycle.py
@@ -1,7 +1,7 @@
-"""The state of one open request: its mailbox, its attempts, and the messages that reach it. No I/O.
+"""The state of one open request: its mailbox, its attempts, and the messages it receives. No I/O.
 
 All decisions on a request, ends of its attempts and events of its client pass through one mailbox with one
-reader, so that of two events in the same turn of the loop one comes first.
+reader. So events that occur in the same turn of the event loop are handled in a definite order.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True)
 class AttemptFinished:
-    """An attempt has ended at `member`. `sent_us`: steady time of its first byte; 0: not sent."""
+    """An attempt at `member` has ended. `sent_us` is the steady time of its first byte, or 0 if not sent."""
 
     member: str
     attempt_index: int
@@ -28,14 +28,14 @@
 
 @dataclass(slots=True)
 class ClientDeparted:
-    """The client has disconnected, or (`deadline_exceeded`) waits no longer, as its deadline has passed."""
+    """The client has disconnected, or (`deadline_exceeded`) no longer waits, as the deadline has passed."""
 
     deadline_exceeded: bool = False
 
 
 @dataclass(slots=True)
 class AttemptDecided:
-    """An attempt that the router has decided, and what it was decided on."""
+    """An attempt that the router has decided, and the state on which it was decided."""
 
     action: ForwardRequest | ForwardWithFill
     snapshot: DecisionSnapshot
@@ -43,17 +43,20 @@
 
 @dataclass(slots=True)
 class RequestReleased:
-    """The director is shutting down: the request gets its final answer now."""
+    """The request gets its final answer now, because the director is shutting down."""
 
     is_retry_safe: bool
-    """The client may send it again, so it is rejected; else it is failed."""
+    """The client may retry, so the request is rejected. Otherwise it is failed."""
 
 
 LifecycleMessage = Action | AttemptDecided | AttemptFinished | ClientDeparted | RequestReleased
 
 
 class Mailbox:
-    """Messages for the one coroutine that runs a request; lighter than a queue made for many readers."""
+    """Queue of messages for the one coroutine that runs a request.
+
+    It is lighter than a queue for many readers.
+    """
 
     __slots__ = ("_reader", "messages")
 
@@ -62,13 +65,13 @@
         self._reader: asyncio.Future[None] | None = None
 
     def put(self, message: LifecycleMessage) -> None:
-        """Add a message, and wake the reader."""
+        """Add a message and wake the reader."""
         self.messages.append(message)
         if self._reader is not None and not self._reader.done():
             self._reader.set_result(None)
 
     async def get(self) -> LifecycleMessage:
-        """Return the next message; wait until there is one."""
+        """Wait until there is a message, and return the oldest one."""
         while not self.messages:
             self._reader = asyncio.get_running_loop().create_future()
             await self._reader
@@ -77,19 +80,19 @@
 
 @dataclass(slots=True, eq=False)
 class RequestLifecycle:
-    """One open request. The lists are indexed by attempt."""
+    """State of one open request. The lists are indexed by attempt."""
 
     request: ClientRequest
     mailbox: Mailbox = field(default_factory=Mailbox)
     attempts: list[asyncio.Task[AttemptOutcome] | None] = field(default_factory=list)
-    """None: it has ended."""
+    """Task of each attempt; None if the attempt has ended."""
     started_at_us: list[int] = field(default_factory=list)
-    """When each attempt was started (steady); 0: it is certain that it was not executed."""
+    """Steady time at which each attempt was started; 0 if it was certainly not executed."""
     statuses: list[AttemptStatus | None] = field(default_factory=list)
-    """How each attempt ended; None: it is in flight."""
+    """Final status of each attempt; None while it is in flight."""
     client_departed: bool = False
     answered: bool = False
     intent_recorded: bool = False
-    """The store has durably recorded that it will be sent."""
+    """The store has durably recorded that the request will be sent."""
     transport: CacheTransport | None = None
-    """A front's own transport for this request; None: the engine's."""
+    """Transport that a front passed in for this request; None to use the engine's."""
--- a/onyxwick/core/request_runner.py
+++ b/onyxwick/core/request_runner.py
@@ -1,8 +1,8 @@
-"""Runs one request from its arrival to its final answer, and its attempts to their end.
+"""Runs one request from its arrival to its final answer, and its attempts until they end.
 
-One coroutine for each open request reads the request's mailbox: the router's decisions, ends of attempts, and
-events of the client. The first message that ends the request decides its one final answer. Times in steady
-microseconds.
+One coroutine for each open request reads the request's mailbox, which receives the router's decisions, ends
+of attempts and events of the client. The first message that ends the request determines its one final answer.
+Times are in steady microseconds.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 log = logs.get()
 DEADLINE_GRACE_US = 20_000
-"""Past its deadline by this much, a request is failed even if the router never ends it."""
+"""A request is failed this long after its deadline if the router has not ended it."""
 
 
 class RequestRunner:
@@ -49,7 +49,7 @@
         }
 
     async def run(self, lifecycle: RequestLifecycle, reply: Callable[[FinalAnswer], None]) -> None:
-        """Run an admitted request. `reply` is called once, or never if the client has disconnected."""
+        """Run an admitted request. `reply` is called once, or never if the client disconnects before."""
         try:
             answer = await self._final_answer(lifecycle)
             lifecycle.answered = True
@@ -78,13 +78,14 @@
             context.tracer.on_final_answer(context.now(), request.request_id, answer)
 
     async def _final_answer(self, lifecycle: RequestLifecycle) -> FinalAnswer | None:
-        """The answer to a request; None if its client has disconnected."""
+        """Return the final answer to a request, or None if its client has disconnected."""
         if lifecycle.client_departed:
-            # The router is not told of a request that was cancelled at once: it would count as popular.
+            # The router is not notified of a request that was cancelled at once, because it would count
+            # towards the popularity of its object.
             return None
         try:
             return await self._decide(lifecycle)
-        except Exception:  # an error fails this one request, never the process
+        except Exception:  # an error fails only this request, never the process
             request = lifecycle.request
             self.context.counters.add("error.request")
             log.exception("error in a request", request=request.request_id)
@@ -93,7 +94,10 @@
             return FinalAnswer(AnswerStatus.FAILED)
 
     async def _decide(self, lifecycle: RequestLifecycle) -> FinalAnswer | None:
-        """From arrival to the one final answer; None if the client disconnected before it."""
+        """Run a request from its arrival to its one final answer.
+
+        Returns None if the client disconnects before.
+        """
         context = self.context
         request = lifecycle.request
         deadline_us = request.arrived_us + request.timeout_us
@@ -139,7 +143,7 @@
     def _unserved(
         self, request: ClientRequest, end: RejectRequest | FailRequest | ClientDeparted | RequestReleased
     ) -> FinalAnswer | None:
-        """The final answer of a request that no cache answered; None if its client has disconnected."""
+        """Return the answer to a request that no cache answered, or None if its client has disconnected."""
         context = self.context
         match end:
             case RejectRequest(_, retry_after_us):
@@ -165,17 +169,17 @@
         self.context.record_unserved(reason, request.request_id, request.connection_id)
 
     def _forget(self, request_id: str) -> None:
-        """After an error: the router has got the request's arrival and would wait for its end."""
+        """End a request at the router after an error, as the router has its arrival and awaits its end."""
         try:
             self.context.handle(ClientDisconnected(request_id))
-        except Exception:  # the request is failed already
+        except Exception:  # the request has already failed
             self.context.counters.add("error.request")
             log.exception("error in forgetting a request", request=request_id)
 
     async def _record_intent(self, lifecycle: RequestLifecycle) -> None:
-        """Store durably that a non-idempotent request will be sent, before its first byte.
+        """Store durably, before the first byte of a non-idempotent request, that it will be sent.
 
-        An error of the store fails the request: it was not sent.
+        An error of the store fails the request, which has not been sent.
         """
         durable = self.context.durable
         if lifecycle.intent_recorded or durable is None:
@@ -184,7 +188,7 @@
         lifecycle.intent_recorded = True
 
     async def _finish_attempts(self, lifecycle: RequestLifecycle) -> None:
-        """After the final answer: wait for the attempts in flight, and report how each ended."""
+        """Wait, after the final answer, for the attempts in flight, and report the end of each."""
         while any(lifecycle.attempts) or lifecycle.mailbox.messages:
             match message := await lifecycle.mailbox.get():
                 case AttemptDecided():
@@ -194,7 +198,7 @@
                 case AttemptFinished():
                     self.attempts.report(lifecycle, message)
                 case _:
-                    pass  # the client's disconnect, or another final action: the answer has gone out
+                    pass  # the client disconnected, or another final action came: the answer has been sent
 
 
 def _served(finished: AttemptFinished) -> FinalAnswer:
--- a/onyxwick/core/request_table.py
+++ b/onyxwick/core/request_table.py
@@ -1,7 +1,7 @@
-"""The table of open requests, and which new requests are admitted to it.
+"""The table of open requests, and the admission of new requests to it.
 
-A request is admitted unless its id is open already, too many are open, or it may have been executed before a
-restart. Times in steady microseconds.
+A request is admitted unless a request with its id is open, too many requests are open, or the request may
+have been executed before a restart. Times are in steady microseconds.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class RequestTable:
-    """Open requests by id. `idle` is set while there are none."""
+    """Open requests by id. `idle` is set while no request is open."""
 
     def __init__(self, context: EngineContext) -> None:
         self.context = context
@@ -27,7 +27,7 @@
     def admit(
         self, request: ClientRequest, reply: Callable[[FinalAnswer], None], transport: CacheTransport | None
     ) -> RequestLifecycle | None:
-        """Open a request; None if it was not admitted and `reply` has got its final answer."""
+        """Admit a request, or call `reply` with a final answer and return None if it is not admitted."""
         if request.request_id in self.lifecycles:
             self._reject(request, UnservedReason.DUPLICATE_ID, "answer.duplicate")
             reply(FinalAnswer(AnswerStatus.FAILED))
@@ -54,7 +54,7 @@
         return lifecycle
 
     def remove(self, lifecycle: RequestLifecycle) -> None:
-        """A request is closed: it has its answer, and all its attempts have ended."""
+        """Remove a request that has its final answer and whose attempts have all ended."""
         request_id = lifecycle.request.request_id
         self.context.invariants.request_ended(request_id)
         del self.lifecycles[request_id]
@@ -62,14 +62,14 @@
             self.idle.set()
 
     def needs_intent(self, lifecycle: RequestLifecycle) -> bool:
-        """Whether the store must record a request's intent before its first attempt is sent."""
+        """Return whether the store must record a request's intent before its first attempt is sent."""
         durable = self.context.durable
         if durable is None or not durable.records_intents:
             return False
         return lifecycle.request.class_name in self.context.non_idempotent_classes
 
     def _possibly_executed(self, request: ClientRequest) -> bool:
-        """Whether an attempt of a non-idempotent request was in flight when this director was restarted."""
+        """Return whether an attempt of a non-idempotent request was in flight when the director restarted."""
         durable = self.context.durable
         if durable is None or request.class_name not in self.context.non_idempotent_classes:
             return False
--- a/onyxwick/core/send_guard.py
+++ b/onyxwick/core/send_guard.py
@@ -1,7 +1,7 @@
-"""The last check before an attempt's first byte, however long the attempt has waited. No I/O of its own.
+"""The last check before an attempt's first byte, however long the attempt has waited.
 
-Input: the request, its earlier attempts, and what the attempt was decided on. Output: whether it may be sent.
-Times in steady microseconds.
+The guard takes the request, its earlier attempts and the state on which the attempt was decided, and returns
+whether the attempt may be sent. It does no I/O itself. Times are in steady microseconds.
 """
 
 from __future__ import annotations
@@ -15,14 +15,15 @@
 from onyxwick.interface import Idempotency, RouterSettings
 
 KEY_WINDOW_MARGIN_TICKS = 2
-"""A retry with an idempotency key is sent so many ticks before its window ends, to arrive within it."""
+"""A retry with an idempotency key is sent at least this many ticks before the end of the key's window, so
+that it arrives within the window."""
 
 
 class SendGuard:
-    """Asked by the transport right before an attempt's first byte.
+    """Decides whether an attempt may be sent. The transport calls it right before an attempt's first byte.
 
-    `now`: steady microseconds. `on_client_departed`: called for a request whose client has disconnected
-    unnoticed. `read_pending_feed`: applies what the feed has sent and nobody has read yet; set by the feed.
+    `now` returns steady microseconds. `on_client_departed` is called for a request whose client disconnected
+    without an event. `read_pending_feed` applies the feed's events that are not read yet; the feed sets it.
     """
 
     def __init__(
@@ -50,7 +51,10 @@
         fill_source: str | None,
         snapshot: DecisionSnapshot,
     ) -> bool:
-        """Whether the client still waits, a retry is safe, and the member and its source still take it."""
+        """Return whether an attempt may be sent.
+
+        The client must still wait, a retry must be safe, and the member and its source must still accept it.
+        """
         self._read_feed_after_stall()
         if (
             lifecycle.client_departed
@@ -64,7 +68,7 @@
         return self.endpoints.is_still_valid(member, fill_source, lifecycle.request, snapshot)
 
     def _read_feed_after_stall(self) -> None:
-        """After a stall, drains and purges may be waiting in the feed's socket: apply them before sending."""
+        """After a stall, apply drains and purges that may be waiting in the feed's socket."""
         self.stalls.observe(time.monotonic())
         if self._handled_stalls != self.stalls.stall_count:
             self._handled_stalls = self.stalls.stall_count
@@ -72,14 +76,17 @@
                 self.read_pending_feed()
 
     def is_retry_safe(self, lifecycle: RequestLifecycle) -> bool:
-        """Whether the client may retry: its class is idempotent, or no attempt can have been executed."""
+        """Return whether the client may retry.
+
+        The request's class must be idempotent, or no attempt can have been executed.
+        """
         request_class = self.classes.get(lifecycle.request.class_name)
         if request_class is not None and request_class.idempotency is Idempotency.IDEMPOTENT:
             return True
         return not any(lifecycle.started_at_us)
 
     def is_retry_permitted(self, lifecycle: RequestLifecycle, attempt_index: int) -> bool:
-        """Whether an attempt may be sent beside or after earlier ones that may have been executed."""
+        """Return whether an attempt may be sent besides earlier ones that may have been executed."""
         request_class = self.classes.get(lifecycle.request.class_name)
         if request_class is None or request_class.idempotency is Idempotency.IDEMPOTENT:
             return True
--- a/onyxwick/core/shutdown.py
+++ b/onyxwick/core/shutdown.py
@@ -1,12 +1,12 @@
-"""Decides when each stage of a graceful shutdown starts, and what is done with each client connection in it.
+"""Decides when each stage of a graceful shutdown starts, and how it treats each client connection.
 
-Inputs: the time of a drain call or of SIGTERM, the present time, and the state of one connection. Outputs:
-a `ShutdownSchedule` with the absolute start of each stage, and a `ConnectionStep`. No I/O; all times are
-monotonic seconds.
+From the time of a drain call or of SIGTERM the module computes a `ShutdownSchedule` with the absolute start
+of each stage. From the stage and the state of one connection it computes a `ConnectionStep`. It does no I/O;
+all times are monotonic seconds.
 
-A limit that names a time is kept by the clock. No stage waits for a condition that a client could keep false:
-a connection that never becomes idle, a request that never ends, a peer that never closes. Nothing is closed
-before its stage either: an answer on its way to a slow reader has until the last one.
+Time limits are met by the clock alone. No stage waits for a condition that a client could keep false: a
+connection that never becomes idle, a request that never ends, a peer that never closes. No connection is
+closed before its stage either: an answer in transit to a slow reader has until the last stage.
 
 See docs/design/endings.md.
 """
@@ -18,66 +18,73 @@
 from enum import Enum, IntEnum
 
 DRAIN_LIMIT_S = 4.0
-"""This long after a drain call no connection may be open idle, or with a request of the last
-`RECENT_REQUEST_S`."""
+"""From this long after a drain call, no open connection may be idle, or have a request that arrived within
+the last `RECENT_REQUEST_S`."""
 RECENT_REQUEST_S = 2.0
+"""Age in seconds below which a request counts as recent for `DRAIN_LIMIT_S`."""
 DRAIN_STAGE_STARTS_S = (0.0, 1.0, 2.6, 3.0, 3.4)
-"""From a drain call to each stage. Requests are accepted for 1 s, half of `RECENT_REQUEST_S`: a long turn of
-the event loop, or a pause of the process, may pass before a request is read. The last stage leaves 0.6 s for
-the same, and for peers that do not close their side."""
+"""Time from a drain call to the start of each stage. Requests are accepted for 1 s, half of
+`RECENT_REQUEST_S`, because a long turn of the event loop or a pause of the process may delay the reading of a
+request. The last stage starts 0.6 s before `DRAIN_LIMIT_S` for the same reason, and for peers that do not
+close their side."""
 
 MAX_COUNTED_DEADLINE_S = 3.0
 KILL_GRACE_S = 0.7
-"""SIGKILL comes this long, plus the longest deadline (`MAX_COUNTED_DEADLINE_S` at most), after SIGTERM."""
+"""SIGKILL comes this long, plus the longest deadline (at most `MAX_COUNTED_DEADLINE_S`), after SIGTERM."""
 CLOSED_BEFORE_KILL_S = 0.25
+"""Time before SIGKILL at which all connections are closed."""
 RELEASE_BEFORE_KILL_S = 0.45
+"""Time before SIGKILL at which requests without a final answer get one."""
 PARTIAL_REQUESTS_BEFORE_KILL_S = 0.6
+"""Time before SIGKILL from which partly received requests are no longer waited for."""
 MIN_ACCEPT_S = 0.45
+"""Shortest time after SIGTERM for which new connections are accepted. Clients may still connect for 0.4 s."""
 MAX_ACCEPT_S = 0.75
-"""For how long after SIGTERM new connections are accepted; clients may still connect for 0.4 s."""
+"""Longest time after SIGTERM for which new connections are accepted."""
 GUARANTEED_UNTIL_S = 0.7
 """A request that arrives later than this after SIGTERM must be answered before SIGKILL."""
 FINAL_FLUSH_S = 0.1
-"""From the last stage to the exit of the process, for the last bytes written to go out."""
+"""Time from the last stage to the exit of the process, in which the last written bytes are sent."""
 
 PARTIAL_REQUEST_IDLE_S = 1.0
-"""A partly received request is waited for while its last byte is younger than this."""
+"""The rest of a partly received request is awaited while its last byte is younger than this."""
 FIRST_REQUEST_WAIT_S = 1.0
-"""A new connection is given this long for its first request."""
+"""A new connection has this long to send its first request."""
 IN_FLIGHT_BYTES = 32_768
-"""With more bytes on their way, the peer would see the end late and write requests that cross it."""
+"""With more answer bytes in flight than this, the peer would see the end of the connection late, and send
+requests that cross it."""
 DELIVERY_SETTLE_S = 0.2
-"""Waited after that many bytes were last on their way: a slow reader's own buffer holds as much again, which
-cannot be observed here."""
+"""Wait after more than `IN_FLIGHT_BYTES` were last in flight. A slow reader's own buffer holds as many bytes
+again, which cannot be observed here."""
 
 
 class ShutdownKind(Enum):
-    """What is being shut down, and why."""
+    """Kind of a shutdown: a drain by the operators, or the end of the process."""
 
     DRAIN = "drain"
     TERMINATION = "termination"
     HANDOVER = "handover"
-    """A termination while a successor serves on the same listening socket."""
+    """A termination while a successor process serves on the same listening socket."""
 
 
 class ShutdownStage(IntEnum):
-    """How far a shutdown has got, in this order. Each stage includes what the ones before it do."""
+    """Stages of a shutdown, in this order. Each stage also does what the earlier stages do."""
 
     SERVING = 0
     CLOSE_IDLE = 1
-    """A connection is closed as soon as it is idle."""
+    """Each connection is closed as soon as it is idle."""
     REJECT_NEW = 2
     """New requests are rejected, so that each connection becomes idle."""
     CLOSE_PARTIAL = 3
-    """Partly received requests, and first requests, are no longer waited for."""
+    """Partly received requests, and first requests on new connections, are no longer awaited."""
     RELEASE_REQUESTS = 4
-    """Requests without a final answer get one now."""
+    """Requests without a final answer get one."""
     CLOSE_ALL = 5
-    """Connections are closed, whatever still arrives."""
+    """All connections are closed, even if more input arrives."""
 
     @property
     def metric_key(self) -> str:
-        """The stage as counters and log lines name it."""
+        """Name of the stage in counters and log lines."""
         return _STAGE_METRIC_KEYS[self]
 
 
@@ -93,10 +100,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutdownSchedule:
-    """When each stage after `SERVING` starts, in their order.
+    """The start times of all stages after `SERVING`, in their order.
 
-    `accept_until_s`: after a termination, new connections are accepted until then. `fail_at_s`: from then on,
-    requests that may not be rejected are failed.
+    In a termination, new connections are accepted until `accept_until_s`. From `fail_at_s` on, requests that
+    may not be rejected are failed.
     """
 
     kind: ShutdownKind
@@ -106,37 +113,40 @@
     fail_at_s: float = math.inf
 
     def stage(self, now_s: float) -> ShutdownStage:
-        """The stage in force at this time, however late it is asked for."""
+        """Return the stage in force at `now_s`, even if the caller skipped earlier stages."""
         return ShutdownStage(sum(start_s <= now_s for start_s in self.stage_starts_s))
 
     def stage_start_s(self, stage: ShutdownStage) -> float:
-        """When a stage after `SERVING` starts."""
+        """Return the start time of a stage after `SERVING`."""
         return self.stage_starts_s[stage - 1]
 
     def earliest_of(self, other: ShutdownSchedule) -> ShutdownSchedule:
-        """This schedule, with each stage no later than in `other`, which is in force too."""
+        """Return this schedule with each stage no later than in `other`, which is also in force."""
         starts_s = tuple(min(pair) for pair in zip(self.stage_starts_s, other.stage_starts_s, strict=True))
         return replace(self, stage_starts_s=starts_s)
 
 
 def drain_schedule(requested_at_s: float) -> ShutdownSchedule:
-    """The schedule of a drain that the operators requested at this time."""
+    """Return the schedule of a drain that the operators requested at `requested_at_s`."""
     starts_s = tuple(requested_at_s + after_s for after_s in DRAIN_STAGE_STARTS_S)
     return ShutdownSchedule(ShutdownKind.DRAIN, requested_at_s, starts_s)
 
 
 def kill_after_s(max_deadline_s: float) -> float:
-    """Seconds from SIGTERM to the earliest SIGKILL, for the longest deadline of all request classes."""
+    """Return the seconds from SIGTERM to the earliest SIGKILL.
+
+    `max_deadline_s` is the longest deadline of all request classes.
+    """
     return min(MAX_COUNTED_DEADLINE_S, max_deadline_s) + KILL_GRACE_S
 
 
 def termination_schedule(
     sent_at_s: float, received_at_s: float, max_deadline_s: float, has_successor: bool
 ) -> ShutdownSchedule:
-    """The schedule of a SIGTERM that may have been sent as early as `sent_at_s`.
+    """Return the schedule after a SIGTERM that may have been sent as early as `sent_at_s`.
 
-    The process may have been paused between then and `received_at_s`. The time of SIGKILL is computed from
-    the first, the time for new connections from the second.
+    The process may have been paused between `sent_at_s` and `received_at_s`. The time of SIGKILL is computed
+    from `sent_at_s`, and the time until which new connections are accepted from `received_at_s`.
     """
     kill_s = kill_after_s(max_deadline_s)
     close_partial_s = kill_s - PARTIAL_REQUESTS_BEFORE_KILL_S
@@ -154,45 +164,49 @@
         starts_s = [sent_at_s + offset_s for offset_s in offsets_s]
         kind = ShutdownKind.TERMINATION
         accept_until_s = received_at_s + accept_s
-        # New connections are answered and closed, never reset.
+        # The last stage waits until no more connections are accepted: new connections are answered and
+        # closed, never reset.
         starts_s[-1] = max(starts_s[-1], accept_until_s)
     return ShutdownSchedule(kind, sent_at_s, tuple(starts_s), accept_until_s, sent_at_s + release_s)
 
 
 class ConnectionStep(Enum):
-    """What is done with a connection."""
+    """Action that a stage requires on a connection."""
 
     KEEP = "keep"
     RELEASE_REQUESTS = "give_back"
-    """Its requests get their final answers."""
+    """Give its requests their final answers."""
     READ_REMAINING = "hear_last"
-    """What has arrived is read, and nothing after it."""
+    """Read the input that has arrived, and none that arrives later."""
     CLOSE = "end"
-    """Its end is written."""
+    """Write the end of the connection."""
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionState:
-    """What is known of one connection. Spans in seconds, sizes in bytes."""
+    """Observed state of one connection. Times are in seconds, sizes in bytes."""
 
     request_count: int
-    """Requests received completely so far."""
+    """Number of requests received completely so far."""
     unanswered: int
-    """Requests that have no answer yet."""
+    """Number of requests that have no answer yet."""
     unwritten_bytes: int
-    """Bytes of answers that this process has not written yet."""
+    """Answer bytes that this process has not written yet."""
     since_delivered_s: float
-    """Time since more than `IN_FLIGHT_BYTES` were last on their way."""
+    """Time since more than `IN_FLIGHT_BYTES` were last in flight."""
     has_partial_request: bool
     has_unread_input: bool
-    """Something is waiting in its socket."""
+    """Input is waiting in the socket."""
     age_s: float
     idle_s: float
-    """Time since the last byte received, or the last answer written."""
+    """Time since the last byte was received or the last answer was written."""
 
 
 def next_step(stage: ShutdownStage, connection: ConnectionState) -> ConnectionStep:
-    """What a stage requires of a connection: one with nothing unanswered, unsent or expected is closed."""
+    """Return the step that a stage requires on a connection.
+
+    A connection is closed if it has no unanswered request, no unsent bytes and no expected request.
+    """
     if stage is ShutdownStage.SERVING:
         return ConnectionStep.KEEP
     if connection.unanswered:
--- a/onyxwick/core/supervision.py
+++ b/onyxwick/core/supervision.py
@@ -1,4 +1,4 @@
-"""Keeps the background tasks of a director running: after an error a task is started again."""
+"""Keeps the background tasks of a director running, by restarting a task after an error."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class TaskSupervisor:
-    """Starts tasks and restarts those that fail, counted as `error.NAME`."""
+    """Starts tasks and restarts failed ones. Failures are counted as `error.NAME`."""
 
     def __init__(self, counters: Counters) -> None:
         self.counters = counters
@@ -26,7 +26,7 @@
         while True:
             try:
                 return await work()
-            except Exception:  # a task that serves the whole director goes on after an error
+            except Exception:  # a task that serves the whole director must continue after an error
                 self.counters.add(f"error.{name}")
                 log.exception("error in a background task", task=name)
                 await asyncio.sleep(RESTART_DELAY_S)
--- a/onyxwick/core/termination.py
+++ b/onyxwick/core/termination.py
@@ -1,6 +1,6 @@
-"""The termination of a director's process: from SIGTERM to the time by which it must have exited.
+"""The termination of a director's process, from SIGTERM to the time by which it must have exited.
 
-Times in monotonic seconds.
+Times are in monotonic seconds.
 """
 
 from __future__ import annotations
@@ -13,18 +13,24 @@
 
 
 class Termination:
-    """One SIGTERM: a second one changes nothing. `max_deadline_s`: of all request classes."""
+    """State of a termination by SIGTERM.
+
+    `max_deadline_s` is the longest deadline of all request classes.
+    """
 
     def __init__(self, max_deadline_s: float) -> None:
         self.max_deadline_s = max_deadline_s
         self.requested = asyncio.Event()
         self.schedule: ShutdownSchedule | None = None
-        """Set when it is requested."""
+        """None until the termination is requested."""
         self.kill_at_s = 0.0
-        """When SIGKILL may come, computed from the receipt of SIGTERM."""
+        """Time at which SIGKILL may come, computed from the receipt of SIGTERM."""
 
     def request(self, sent_at_s: float, received_at_s: float, has_successor: bool) -> None:
-        """SIGTERM was received; it may have been sent as early as `sent_at_s`, before a stall."""
+        """Start the termination on receipt of SIGTERM. A second SIGTERM has no effect.
+
+        SIGTERM may have been sent as early as `sent_at_s`, before a stall.
+        """
         if self.schedule is not None:
             return
         self.kill_at_s = received_at_s + kill_after_s(self.max_deadline_s)
@@ -32,7 +38,7 @@
         self.requested.set()
 
     def check_exit(self, invariants: Invariants) -> None:
-        """The process is about to exit: check that it is in time."""
+        """Check that the process, which is about to exit, exits in time."""
         if self.schedule is None:
             return
         allowed_s = kill_after_s(self.max_deadline_s)
