--- a/onyxwick/core/endpoints.py
+++ b/onyxwick/core/endpoints.py
@@ -102,7 +102,7 @@
         """
         scope = PurgeScope(object_group, None) if object_id is None else PurgeScope(None, object_id)
         self.purges_received += 1
-        self.purge_times.pop(scope, None)  # the entry is added again at the end
+        self.purge_times.pop(scope, None)  # so that the entry is added again at the end
         self.purge_times[scope] = ReceivedPurge(now_us, self.purges_received)
         oldest = next(iter(self.purge_times))
         while self.purge_times[oldest].received_at_us <= now_us - PURGE_RETENTION_US:
--- a/onyxwick/core/engine.py
+++ b/onyxwick/core/engine.py
@@ -153,7 +153,7 @@
         reply: Callable[[FinalAnswer], None],
         transport: CacheTransport | None = None,
     ) -> None:
-        """Run a request to its end. `reply` is called once, or never if the client disconnects before."""
+        """Run a request to its end. `reply` is called once, or never if the client disconnects first."""
         lifecycle = self.table.admit(request, reply, transport)
         if lifecycle is not None:
             await self.runner.run(lifecycle, reply)
--- a/onyxwick/core/feed_intake.py
+++ b/onyxwick/core/feed_intake.py
@@ -29,7 +29,7 @@
         self.context = context
         self.adjust_endpoints: Callable[[EndpointsChanged, int], EndpointsChanged] | None = None
         """Applies the operators' commands to a list event, given the time, before the router receives it."""
-        self._received: dict[str, _ReceivedMember] = {}  # by member id, before any adjustment
+        self._received: dict[str, _ReceivedMember] = {}  # by member id, as received before any adjustment
 
     def apply_endpoints(self, event: EndpointsChanged, addresses: dict[str, Address]) -> None:
         """Apply a complete endpoint list or a change of it.
--- a/onyxwick/core/reasons.py
+++ b/onyxwick/core/reasons.py
@@ -23,7 +23,7 @@
     INTERNAL_ERROR = "error"
     POSSIBLY_EXECUTED = "may_have_run"
     REJECTED_BY_ROUTER = "no_server"
-    """The router, or a cell or site before it, rejected the request. A trace gives the cause
+    """The router, or a cell or site before it, rejected the request, for any cause. A trace gives the cause
     (docs/design/routing.md, "Why a request was rejected or failed")."""
     FAILED_BY_ROUTER = "failed"
     """The router failed the request, because it may have been executed."""
--- a/onyxwick/core/request_runner.py
+++ b/onyxwick/core/request_runner.py
@@ -49,7 +49,7 @@
         }
 
     async def run(self, lifecycle: RequestLifecycle, reply: Callable[[FinalAnswer], None]) -> None:
-        """Run an admitted request. `reply` is called once, or never if the client disconnects before."""
+        """Run an admitted request. `reply` is called once, or never if the client disconnects first."""
         try:
             answer = await self._final_answer(lifecycle)
             lifecycle.answered = True
@@ -96,7 +96,7 @@
     async def _decide(self, lifecycle: RequestLifecycle) -> FinalAnswer | None:
         """Run a request from its arrival to its one final answer.
 
-        Returns None if the client disconnects before.
+        Returns None if the client disconnects first.
         """
         context = self.context
         request = lifecycle.request
