--- a/onyxwick/core/engine.py
+++ b/onyxwick/core/engine.py
@@ -51,7 +51,7 @@
 from onyxwick.routing import Router
 
 log = logs.get()
-MAX_OPEN_REQUESTS = 2048
+DEFAULT_MAX_OPEN_REQUESTS = 2048
 """Default limit of requests that are open at the same time."""
 
 
@@ -70,7 +70,7 @@
         endpoints: EndpointTable,
         counters: Counters,
         clock: Callable[[], int] = steady_us,
-        max_open_requests: int = MAX_OPEN_REQUESTS,
+        max_open_requests: int = DEFAULT_MAX_OPEN_REQUESTS,
         make_router: Callable[[RouterSettings, int, int], RequestRouter] = Router,
     ) -> None:
         self.settings = settings
