--- a/onyxwick/__init__.py
+++ b/onyxwick/__init__.py
@@ -1,4 +1,4 @@
-"""onyxwick: the decisions of a request router, as a library without clock or I/O."""
+"""onyxwick: the decision logic of a request router, as a library without clock or I/O."""
 
 from onyxwick.routing import Router
 
--- a/onyxwick/__main__.py
+++ b/onyxwick/__main__.py
@@ -1,4 +1,7 @@
-"""`python -m onyxwick` runs one director; with arguments, a command, whose modules alone are loaded."""
+"""Entry point of `python -m onyxwick`: runs one director or, with arguments, a command.
+
+Only the modules that the command needs are loaded.
+"""
 
 from __future__ import annotations
 
@@ -7,9 +10,9 @@
 
 
 def main() -> int:
-    """Run the director or a command; the exit code."""
+    """Run the director or a command, and return the exit code."""
     if len(sys.argv) == 1 or sys.argv[1:] == ["run"]:
-        # The imports take a while, and a SIGHUP that is not handled ends a process.
+        # Installed before the imports, which take a while: an unhandled SIGHUP terminates the process.
         early_signals: list[int] = []
         signal.signal(signal.SIGHUP, lambda number, _: early_signals.append(number))
         from onyxwick.start import main as run
--- a/onyxwick/errors.py
+++ b/onyxwick/errors.py
@@ -1,7 +1,7 @@
-"""The base of all errors that this project raises itself."""
+"""The base class of all errors that this project raises itself."""
 
 from __future__ import annotations
 
 
 class OnyxwickError(Exception):
-    """Something is wrong that the program can name. Each package has its own errors below this one."""
+    """Base class of errors that the program can identify. Each package derives its own errors from it."""
--- a/onyxwick/former_log_events.py
+++ b/onyxwick/former_log_events.py
@@ -1,7 +1,7 @@
-"""Former texts of renamed log events; for one release each such line carries its own as `former_event`.
+"""Former texts of renamed log events, which are logged as `former_event` with each such line for one release.
 
-Dashboards and alerts that search for a former text can so be moved without a gap. The meaning of each line
-stands in `docs/operate/logs.md`.
+This gives time to move dashboards and alerts that search for a former text. `docs/operate/logs.md` describes
+the meaning of each line.
 """
 
 from __future__ import annotations
--- a/onyxwick/hosting/__init__.py
+++ b/onyxwick/hosting/__init__.py
@@ -1,4 +1,4 @@
-"""The parts that a service file adds to a director: routers of cells and sites, store, trace, fronts.
+"""The components that a service file adds to a director: routers for cells and sites, store, trace, fronts.
 
-Each module is loaded only where the file has a block for it: their libraries take memory.
+Each module is loaded only if the file has a block for it, because the modules' libraries take memory.
 """
--- a/onyxwick/hosting/durable_state.py
+++ b/onyxwick/hosting/durable_state.py
@@ -1,4 +1,4 @@
-"""Opens the store of a director and restores its tenants, plan of cells and site directives."""
+"""Opens the store of a director and restores its tenants, plan of cells and operator commands for sites."""
 
 from __future__ import annotations
 
@@ -23,7 +23,10 @@
 def open_durable_state(
     engine: RequestEngine, service_config: ServiceConfig, store_config: StoreConfig, routers: RouterFactory
 ) -> DurableState:
-    """Open the store before anything is decided; StoreError rather than a part of what was stored."""
+    """Open the store and restore its state; called before the first routing decision.
+
+    Raises StoreError if the store cannot be read completely, instead of restoring a part of the state.
+    """
     installation = store_config.installation.encode()
     durable = DurableState(
         DiskFiles(store_config.folder),
@@ -44,7 +47,11 @@
 
 
 def _restore_cell_plan(engine: RequestEngine, durable: DurableState, routers: RouterFactory) -> None:
-    """A plan that was changed by a call takes precedence over the file's, which it was made from."""
+    """Apply the stored plan of cells, if there is one.
+
+    A plan that was changed by an administration call takes precedence over the file's plan, on which it is
+    based.
+    """
     stored = durable.cell_plan()
     if stored is None or routers.cells is None:
         return
--- a/onyxwick/hosting/fronts.py
+++ b/onyxwick/hosting/fronts.py
@@ -1,4 +1,4 @@
-"""Makes the hosted service's fronts: DNS, and the administration API with the parts that are configured."""
+"""Creates the hosted service's fronts: DNS, and the administration API for the configured components."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class FrontFactory:
-    """Makes the fronts that a service file asks for."""
+    """Creates the fronts that a service file configures."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         self.durable = durable
 
     def make_fronts(self, health: Callable[[], dict[str, object]]) -> list[DnsFront | HttpServer]:
-        """All fronts; `health` gives the document of the health call."""
+        """Return all configured fronts. `health` returns the document for the health call."""
         fronts: list[DnsFront | HttpServer] = []
         if self.service_config.dns_address:
             from onyxwick.dns.server import DnsFront
--- a/onyxwick/hosting/routers.py
+++ b/onyxwick/hosting/routers.py
@@ -1,7 +1,7 @@
-"""Makes the router of a director from its service file: a single one, one of cells, or one of sites.
+"""Creates the router of a director from its service file: a plain router, or a router for cells or sites.
 
-Inputs: the settings, the plan of cells and the topology of sites. Outputs: the router, and what the front
-must know of it.
+The router is created from the settings, the plan of cells and the topology of sites. The module also provides
+the options that the front needs.
 """
 
 from __future__ import annotations
@@ -20,27 +20,28 @@
 DEFAULT_TENANT_FIELD = "X-Tenant"
 
 
-class FrontFields(NamedTuple):
-    """What the front must know: quotas of connections by cell, and the fields that name the owner."""
+class FrontOptions(NamedTuple):
+    """Information for the front: connection quotas by cell, and names of the tenant and site fields."""
 
     reservation: ConnectionReservation | None
     tenant_field: str
+    """Name of the request field that contains the tenant."""
     site_field: str
-    """Names the client's site."""
+    """Name of the request field that contains the client's site."""
 
 
 class RouterFactory:
-    """Makes the router, and keeps the routers of cells and sites that it is made of."""
+    """Creates a director's router, and keeps references to the routers of cells and sites in it."""
 
     def __init__(self, service_config: ServiceConfig, max_open_requests: int) -> None:
         self.service_config = service_config
         self.max_open_requests = max_open_requests
         self.cells: CellRouter | None = None
-        """Of the director's own site."""
+        """Router for the cells of the director's own site; None without a plan of cells."""
         self.sites: SiteRouter | None = None
 
     def make_router(self, settings: RouterSettings, seed: int, now_us: int) -> RequestRouter:
-        """The director's router."""
+        """Return a new router for the director."""
         if self.service_config.sites is None:
             return self._make_site_router(settings, seed, now_us)
         from onyxwick.sites import SitePlan, SiteRouter
@@ -58,7 +59,7 @@
         return self.sites
 
     def _make_site_router(self, settings: RouterSettings, seed: int, now_us: int) -> RequestRouter:
-        """The router of one site's caches; the first one made is the own site's."""
+        """Return a new router for one site's caches; the first call is for the director's own site."""
         if self.service_config.cell_plan is None:
             return Router(settings, seed, now_us)
         from onyxwick.cells import CellRouter
@@ -69,13 +70,13 @@
             self.cells = router
         return router
 
-    def front_fields(self, max_held_bytes: int, max_clients: int) -> FrontFields:
-        """What the front must know; the limits are its own."""
+    def front_options(self, max_held_bytes: int, max_clients: int) -> FrontOptions:
+        """Return the information for the front, whose limits are the two arguments."""
         site_field = self.sites.topology.policy.client_site_field if self.sites is not None else ""
         if self.cells is None:
             tenant_field = DEFAULT_TENANT_FIELD if self.sites is not None else ""
-            return FrontFields(None, tenant_field, site_field)
+            return FrontOptions(None, tenant_field, site_field)
         from onyxwick.cells.reservation import ConnectionReservation
 
         reservation = ConnectionReservation(self.cells, max_held_bytes, max_clients)
-        return FrontFields(reservation, self.cells.plan.policy.tenant_field, site_field)
+        return FrontOptions(reservation, self.cells.plan.policy.tenant_field, site_field)
--- a/onyxwick/hosting/trace_control.py
+++ b/onyxwick/hosting/trace_control.py
@@ -1,6 +1,6 @@
-"""Writes a trace of the director's decisions while it is requested: always, or for a time after SIGUSR2.
+"""Writes a trace of the director's decisions on request: always, or for a limited time after SIGUSR2.
 
-Times in seconds of the event loop's clock.
+Times are seconds of the event loop's clock.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
     from onyxwick.core import RequestEngine
 
 log = logs.get()
-TICK_S = 0.25
+TICK_INTERVAL_S = 0.25
 US_PER_S = 1e6
 
 
@@ -29,7 +29,7 @@
         self.requested_until_s = math.inf if config.starts_enabled else 0.0
 
     def request(self) -> None:
-        """Write a trace from now on, for as long as the service file says (SIGUSR2)."""
+        """Request a trace from now on, for the duration that the service file sets (handler of SIGUSR2)."""
         until_s = asyncio.get_running_loop().time() + self.config.signal_duration_us / US_PER_S
         self.requested_until_s = max(self.requested_until_s, until_s)
 
@@ -44,7 +44,7 @@
                     self._start(engine)
                 elif not is_requested and context.tracer is not None:
                     _stop(engine)
-                await asyncio.sleep(TICK_S)
+                await asyncio.sleep(TICK_INTERVAL_S)
                 if context.tracer is not None:
                     context.tracer.tick(engine.now())
         finally:
--- a/onyxwick/interface/__init__.py
+++ b/onyxwick/interface/__init__.py
@@ -1,7 +1,7 @@
-"""The types between the decisions and everything around them: settings, events in, actions out. Types only.
+"""The interface of the request routers: settings, input events and output actions. Contains types only.
 
-The terms of the platform's wire and settings are mapped to these types at the edge: `onyxwick.settings`,
-`onyxwick.net` and `onyxwick.simulator_adapter`. See `docs/glossary.md`.
+`onyxwick.settings`, `onyxwick.net` and `onyxwick.simulator_adapter` map the terms of the platform's wire
+protocols and settings to these types. See `docs/glossary.md`.
 """
 
 from onyxwick.interface.actions import (
--- a/onyxwick/interface/actions.py
+++ b/onyxwick/interface/actions.py
@@ -1,6 +1,7 @@
-"""Actions: what a router wants done. All times are whole microseconds of the caller's clock.
+"""Actions that a router requests from its caller. All times are integer microseconds of the caller's clock.
 
-What is made for each request is not frozen, as a frozen instance takes three times as long to make.
+Dataclasses that are created for each request are not frozen, because creating a frozen instance takes three
+times as long.
 """
 
 from __future__ import annotations
@@ -10,24 +11,24 @@
 
 
 class FillOption(IntFlag):
-    """How a cache is to fill a miss. The numbers are those of the wire and of traces."""
+    """How a cache fills a miss. The values are those of the wire protocol and of traces."""
 
     NONE = 0
     COALESCE = 1
-    """It may wait for a fill of the same object that is under way."""
+    """The cache may wait for a fill of the same object that is already in progress."""
     ONLY_IF_CACHED = 2
-    """The source gives only what it has itself."""
+    """The source answers only with an object that it has cached itself."""
     PARENT_NO_STORE = 4
-    """The parent that is the source keeps no copy."""
+    """The parent that serves as the source does not store a copy."""
     STALE_WHILE_REVALIDATE = 8
-    """A copy past its freshness is served at once and renewed behind the answer."""
+    """A stale copy is served immediately and revalidated in the background."""
 
 
 @dataclass(slots=True)
 class ForwardRequest:
-    """Send a request to a member for what it has (the origin: everything). No fill.
+    """Send a request to a member, which answers with its own objects (the origin has all) and fills nothing.
 
-    `timeout_us`: 0: until the client leaves.
+    `timeout_us` limits the attempt; 0 means no limit other than the client's disconnection.
     """
 
     request_id: str
@@ -37,23 +38,23 @@
 
 @dataclass(slots=True)
 class ForwardWithFill:
-    """Send a request to a cache, with what it is to do on a miss."""
+    """Send a request to a cache, with instructions for the case of a miss."""
 
     request_id: str
     member: str
     fill_source: str
-    """Where a miss is filled from; the member itself: it is not filled."""
+    """Address of the member from which a miss is filled; if equal to `member`, a miss is not filled."""
     retention_rank: int
-    """Rank at which the copy is kept; 0: not kept."""
+    """Rank at which the cache retains the copy; 0 means that it does not store the copy."""
     timeout_us: int = 0
     max_age_us: int = 0
-    """Age of the oldest copy that may answer; 0: the class's freshness lifetime."""
+    """Maximum age of a copy that may be served; 0 means the freshness lifetime of the request's class."""
     fill_options: FillOption = FillOption.NONE
 
 
 @dataclass(slots=True)
 class CancelAttempt:
-    """Stop an attempt that is in flight."""
+    """Cancel an attempt that is in flight."""
 
     request_id: str
     attempt_index: int
@@ -61,14 +62,17 @@
 
 @dataclass(slots=True)
 class FailRequest:
-    """Give the client its final answer: failed. The request may have been executed."""
+    """Answer the client finally that its request failed. The request may have been executed."""
 
     request_id: str
 
 
 @dataclass(slots=True)
 class RejectRequest:
-    """Give the client its final answer: rejected, with no effect. `retry_after_us`: 0: no time is told."""
+    """Answer the client finally that its request was rejected and had no effect.
+
+    `retry_after_us` is the delay after which the client may retry; 0 means that the answer gives no delay.
+    """
 
     request_id: str
     retry_after_us: int = 0
@@ -76,7 +80,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Call the router again at `at_us`."""
+    """Send the router a `TimerFired` event with this token at `at_us`."""
 
     at_us: int
     token: str
@@ -91,7 +95,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SiteStateChanged:
-    """A site or hub is taken to be in another state. `share_away`: of its objects, served elsewhere."""
+    """Report that the router's view of the state of a site or hub has changed.
+
+    `share_away` is the share of the site's objects that is served elsewhere.
+    """
 
     site: str
     previous_state: str
--- a/onyxwick/interface/endpoints.py
+++ b/onyxwick/interface/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoint list: members and their states, as the coordinator announces them."""
+"""The endpoint list: the members and their states, as announced by the coordinator."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class MemberState(Enum):
-    """Whether a listed member may be sent requests."""
+    """State of a listed member, which decides whether requests may be sent to it."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -15,29 +15,29 @@
 
 
 class EndpointListKind(Enum):
-    """What an announcement of the list is."""
+    """Kind of an announcement of the endpoint list."""
 
     CHANGE = "change"
-    """Some members; all others are as before."""
+    """Contains some members; all others are unchanged."""
     SNAPSHOT = "full"
-    """All members; what is not named is gone."""
+    """Contains all members; a member that it does not name is removed."""
     RESTORED = "cached"
-    """All members as they were before a restart of the router; may be outdated."""
+    """Contains all members as known before a restart of the router; may be outdated."""
     UNAVAILABLE = "failed"
-    """The list could not be had."""
+    """The list could not be retrieved."""
 
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """One member of the list: a cache, a parent (the tier behind the caches) or the origin."""
+    """A member of the endpoint list: a cache, a parent (the tier behind the caches) or the origin."""
 
     address: str
-    """Its identity; where it listens is known to the transport alone."""
+    """Identifies the member; only the transport knows the network address on which the member listens."""
     zone: str
     kind: str
     cell: int
     state: MemberState
     weight: float
-    """Relative capacity; what it stands for is told by `RouterSettings.weight_source`."""
+    """Relative capacity; `RouterSettings.weight_source` says how it is measured."""
     started_at_us: int
-    """Start of its process; 0: not known, or long ago."""
+    """Start time of the member's process; 0 means unknown or long ago."""
--- a/onyxwick/interface/events.py
+++ b/onyxwick/interface/events.py
@@ -1,6 +1,7 @@
-"""Events: what has happened, as told to a router. All times are whole microseconds of the caller's clock.
+"""Events that a router receives. All times are integer microseconds of the caller's clock.
 
-What is made for each request is not frozen, as a frozen instance takes three times as long to make.
+Dataclasses that are created for each request are not frozen, because creating a frozen instance takes three
+times as long.
 """
 
 from __future__ import annotations
@@ -17,19 +18,19 @@
     OK = "ok"
     ERROR = "error"
     OVERLOADED = "full"
-    """Rejected by the member, which had no capacity left."""
+    """The member rejected the attempt because it had no capacity left."""
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
     CANCELLED = "cancelled"
     NOT_SENT = "not_sent"
-    """Withdrawn before its first byte went out."""
+    """The attempt was withdrawn before its first byte was sent."""
     MISS = "miss"
-    """The member had no copy and was not to fill one."""
+    """The member had no copy and had been instructed not to fill a miss."""
 
     @property
     def proves_not_executed(self) -> bool:
-        """Whether an attempt that ended so cannot have been executed."""
+        """Whether an attempt that ended with this status cannot have been executed."""
         return self in _NOT_EXECUTED
 
 
@@ -42,27 +43,27 @@
 
 
 class AnswerDetail(Enum):
-    """What an answer tells of how it came about. The numbers are those of the wire and of traces."""
+    """How an answer was produced. The values are those of the wire protocol and of traces."""
 
     NONE = 0
     HIT = 1
     FILLED = 2
     FILLED_FROM_ORIGIN = 3
-    """Filled through a parent that lacked the object itself."""
+    """Filled through a parent that did not have the object itself."""
     COALESCED = 4
-    """Served by a fill that another request had begun."""
+    """Served by a fill that another request had started."""
     STALE = 5
     SOURCE_REJECTED = 6
     SOURCE_UNREACHABLE = 7
     SOURCE_MISS = 8
     NO_FILL_SLOT = 9
-    """The cache had as many fills under way as it runs."""
+    """The cache was already running its maximum number of concurrent fills."""
     ORIGIN_FAILED = 10
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointsChanged:
-    """The endpoint list or a change of it was received."""
+    """The endpoint list, or a change to the list, was received."""
 
     kind: EndpointListKind
     members: tuple[Member, ...]
@@ -71,57 +72,58 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointFeedReceived:
-    """The source of the list was heard from, whether or not anything has changed."""
+    """The source of the endpoint list sent data, whether or not the list has changed."""
 
 
 @dataclass(frozen=True, slots=True)
 class FleetShareChanged:
-    """Which share of the capacity of members this router may use, where others use them too. 1: all of it.
+    """The share of the members' capacity that this router may use; 1 means all of the capacity.
 
-    Under 1 where several routers of one director, or directors of other sites, share the members; over 1
-    where other directors are known to send nothing.
+    Below 1 if several routers of one director, or directors of other sites, share the members; above 1 if
+    other directors are known to send nothing.
     """
 
     parent_share: float
     cache_share: float = 1.0
     warming_parent_share: float = 1.0
-    """Multiplied with `parent_share`, of a parent that is warming up."""
+    """Factor applied to `parent_share` for a parent that is warming up."""
     warming_cache_share: float = 1.0
+    """Used instead of `cache_share` for a cache that is warming up."""
     origin_share: float = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class RetryReserveChanged:
-    """How much may be spent beyond one attempt a request: 1: as the limits say, 0: nothing."""
+    """The share, 0 to 1, of the limits on attempts beyond the first that a router may use."""
 
     retry_reserve: float
 
 
 @dataclass(slots=True)
 class RequestArrived:
-    """A client's request was read completely."""
+    """A client's request was received completely."""
 
     request_id: str
     class_name: str
     object_id: str
     expires_in_us: int
-    """How long the client still waits."""
+    """Time until the client stops waiting for the answer."""
     size_kb: float = 0.0
-    """Size of the answer; 0: not known."""
+    """Size of the answer; 0 means unknown."""
     object_group: int | None = None
-    """Group of objects that are purged together."""
+    """Group of objects that are purged together; None means that the object belongs to no group."""
     part: int = 0
     is_retry: bool = False
-    """The client's own retry of an earlier request."""
+    """Whether the client itself retries an earlier request."""
     is_write: bool = False
     tenant: str | None = None
     client_site: str | None = None
-    """Site of the client, where an installation distinguishes its sites."""
+    """Site of the client, if the installation distinguishes client sites."""
 
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """An attempt has ended. `is_final`: it gave the client its final answer."""
+    """An attempt has ended. `is_final` says whether it gave the client its final answer."""
 
     request_id: str
     attempt_index: int
@@ -136,7 +138,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamStarted:
-    """The first bytes of a streamed answer have gone to the client."""
+    """The first bytes of a streamed answer were sent to the client."""
 
     request_id: str
     attempt_index: int
@@ -146,16 +148,16 @@
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client has left, or has stopped waiting for this request."""
+    """The client has disconnected, or has stopped waiting for this request."""
 
     request_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class ObjectsPurged:
-    """One object, or with `object_id` None every object of `object_group`, was purged `age_us` ago.
+    """An object was purged `age_us` ago, or every object of `object_group` if `object_id` is None.
 
-    `object_group` is ignored where an object is named.
+    `object_group` is ignored if `object_id` names an object.
     """
 
     object_group: int
@@ -165,14 +167,14 @@
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer that the router has set has fired; `token` is the one it was set with."""
+    """A timer that the router has set has fired; `token` is the token of its `SetTimer` action."""
 
     token: str
 
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """Another router has sent a message (gossip)."""
+    """A message was received from another router (gossip)."""
 
     sender: int
     payload: bytes
@@ -180,7 +182,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReportReceived:
-    """A member has answered a health check. `report`: in the order of `RouterSettings.report_names`."""
+    """A member has answered a health check. `report` is in the order of `RouterSettings.report_names`."""
 
     member: str
     status: AttemptStatus
--- a/onyxwick/interface/router.py
+++ b/onyxwick/interface/router.py
@@ -1,4 +1,4 @@
-"""What every router offers, whether it decides alone or distributes requests among others."""
+"""The interface of all routers, whether they decide themselves or delegate requests to other routers."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 
 class RequestRouter(Protocol):
-    """Decides for one director. Has no clock and does no I/O."""
+    """Makes the routing decisions of one director. Has no clock and does no I/O."""
 
     def handle(self, now: int, events: list[Event]) -> list[Action]:
-        """Take the events of the instant `now` (microseconds) and return the actions on them."""
+        """Process the events of the time `now` (in microseconds) and return the resulting actions."""
         ...
 
     def ejected_count(self) -> int:
-        """Number of members that are ejected at present; a metric, not a decision."""
+        """Return the number of members that are currently ejected; used for metrics only."""
         ...
--- a/onyxwick/interface/settings.py
+++ b/onyxwick/interface/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one router: request classes, rules of service, limits, and facts of the deployment."""
+"""Settings of one router: request classes, service rules, limits and facts about the deployment."""
 
 from __future__ import annotations
 
@@ -10,11 +10,12 @@
     """Whether a request that may have been executed may be sent again."""
 
     IDEMPOTENT = "safe"
-    """Any number of times."""
+    """The request may be sent again any number of times."""
     WITH_KEY = "keyed"
-    """Within `RequestClass.key_window_us`, to caches that recognise its key (`KeyScope`)."""
+    """The request may be sent again within `RequestClass.key_window_us`, to caches that recognise its key
+    (`KeyScope`)."""
     NON_IDEMPOTENT = "unsafe"
-    """Never, unless it is proved that no earlier attempt was executed."""
+    """The request may not be sent again, unless it is certain that no earlier attempt was executed."""
 
 
 class KeyScope(Enum):
@@ -34,18 +35,18 @@
 
 
 class WeightSource(Enum):
-    """What the weight of a listed member stands for."""
+    """Meaning of the weight of a listed member."""
 
     NONE = "off"
-    """Nothing: every weight is 1, and a member's capacity is inferred from the links."""
+    """Weights have no meaning: every weight is 1, and a member's capacity is inferred from the links."""
     NOMINAL = "nominal"
-    """Its registered capacity in concurrent transfers, exactly or nearly."""
+    """The weight is the member's registered capacity in concurrent transfers, exactly or approximately."""
     LIVE = "live"
-    """Its capacity divided by its load some time ago; differs from list to list."""
+    """The weight is the member's capacity divided by its load some time ago; it differs from list to list."""
 
 
 class AnswerDetailLevel(Enum):
-    """How much an answer tells of how it came about (`events.AnswerDetail`)."""
+    """How much detail answers contain about how they were produced (`events.AnswerDetail`)."""
 
     NONE = "off"
     HIT_ONLY = "hit"
@@ -54,76 +55,77 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """What holds for all requests of one class. Weights are relative to those of the other classes."""
+    """Settings for all requests of one class. Weights are relative to those of the other classes."""
 
     name: str
     idempotency: Idempotency
     latency_objective_us: int
-    """An answer within this time earns the full weight."""
+    """An answer within this time counts with the full weight."""
     deadline_us: int
-    """A client waits this long in all, retries included."""
+    """The total time for which a client waits, including retries."""
     latency_objective_stretch: float = 0.0
-    """The objective grows by this multiple of the request's own transfer time."""
+    """The latency objective is extended by this multiple of the request's own transfer time."""
     priority_weight: float = 1.0
     late_priority_weight: float = 0.0
-    """Share of the weight that an answer between objective and deadline earns."""
+    """Share of the weight with which an answer between the latency objective and the deadline counts."""
     key_scope: KeyScope = KeyScope.ALL
     key_window_us: int = 0
-    """How long a cache recognises the retry, from the first attempt that may have been executed."""
+    """How long a cache recognises a retry, counted from the first attempt that may have been executed."""
     stream: bool = False
     is_write: bool = False
-    """Executed at the origin and never kept in a cache."""
+    """Requests are executed at the origin, and their answers are never cached."""
     segmented: bool = False
-    """Objects come in parts that clients request one after another."""
+    """Objects consist of parts that clients request one after another."""
     freshness_lifetime_us: int = 0
-    """How long a copy is fresh; 0: until it is purged."""
+    """How long a copy is fresh; 0 means until the object is purged."""
     stale_grace_us: int = 0
-    """How much older than fresh a copy may be and still be served."""
+    """How long after the end of its freshness lifetime a copy may still be served."""
     stale_priority_weight: float = 0.0
-    """Share of the weight that an answer from a stale copy earns."""
+    """Share of the weight with which an answer from a stale copy counts."""
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceRules:
-    """Figures of the rules that no decision may break. Shares are of a member's full capacity."""
+    """Parameters of the rules that no decision may violate. Shares refer to a member's full capacity."""
 
     answer_grace_us: int
-    """A final answer may come this much after the client's deadline."""
+    """A final answer may be sent up to this long after the client's deadline."""
     drain_grace_us: int
-    """After this much nothing new may be sent to a cache that drains or is gone."""
+    """After this time no new requests may be sent to a cache that is draining or removed."""
     warm_up_start_share: float
-    """A cache that has just started has at least this share."""
+    """A cache that has just started has at least this share of its capacity."""
     warm_up_us: int
-    """It has its full capacity after this time."""
+    """A cache has its full capacity this long after its start."""
     overload_multiple: float
-    """A cache that is warming up fails when it is sent more than this multiple of its capacity ..."""
+    """A cache that is warming up fails if the load sent to it exceeds this multiple of its capacity for
+    `overload_window_us`."""
     overload_window_us: int
-    """... for this long."""
+    """How long the load must exceed `overload_multiple` until the cache fails."""
     parent_warm_up_start_share: float
     parent_warm_up_us: int
     parent_overload_multiple: float
     purge_grace_us: int
-    """From this much after a purge no copy older than it may answer."""
+    """From this time after a purge on, no copy that is older than the purge may be served."""
     purge_retention_us: int
-    """After this much no copy older than a purge is left anywhere."""
+    """This long after a purge, no copy that is older than the purge exists anywhere."""
     origin_overload_multiple: float = 0.0
-    """The origin pauses when it is sent more than this multiple of its capacity; 0: never."""
+    """The origin pauses if the load sent to it exceeds this multiple of its capacity; 0 means never."""
     origin_overload_window_us: int = 0
     max_poll_interval_us: int = 0
-    """Without a subscription a router that has not polled for this long counts as notified of the list."""
+    """A router without a subscription counts as notified of the list if it has not polled for this long."""
 
 
 @dataclass(frozen=True, slots=True)
 class RequestLimits:
-    """What a router may do for one request."""
+    """The actions that a router may take for one request."""
 
     max_attempts: int
     cancellation: bool = False
     """Attempts may be cancelled."""
     hedging: bool = False
-    """Two attempts of one request may be in flight together."""
+    """Two attempts of one request may be in flight at the same time."""
     retry_after: bool = False
-    """A rejection may tell the client when to come again."""
+    """A rejection may tell the client when to retry."""
     max_retry_after_us: int = 0
     health_checks: bool = False
     gossip: bool = False
@@ -133,34 +135,35 @@
 
 @dataclass(frozen=True, slots=True)
 class RouterSettings:
-    """All that one router is told at its start."""
+    """All settings that a router receives when it starts."""
 
     zone: str
     classes: tuple[RequestClass, ...]
     rules: ServiceRules
     limits: RequestLimits
     parent_kind: str | None
-    """Kind of the members that are parents; None: there are none."""
+    """Kind of the members that are parents; None means that there are no parents."""
     origin_kind: str | None
+    """Kind of the member that is the origin; None means that there is no origin."""
     router_count: int = 1
     zone_router_count: int = 1
-    """Routers that serve the clients of the same zone, this one included."""
+    """Number of routers that serve the clients of the same zone, including this router."""
     router_index: int = 0
     tick_us: int = 1000
-    """Least time between two calls of the router."""
+    """Minimum time between two calls of the router."""
     weight_source: WeightSource = WeightSource.NOMINAL
     subscribe: bool = False
-    """List changes come only after a subscription."""
+    """Changes of the endpoint list are sent only to subscribers."""
     cache_bypass: bool = False
-    """Requests may go to a parent or the origin without a cache before it."""
+    """Requests may be sent directly to a parent or the origin, bypassing the caches."""
     sibling_fills: SiblingFills = SiblingFills.NONE
     coalesces_fills: bool = False
-    """A fill may join one of the same object that is under way."""
+    """A fill may join a fill of the same object that is already in progress."""
     answer_detail: AnswerDetailLevel = AnswerDetailLevel.NONE
     transfer_kb_per_s: float = 0.0
-    """Rate of one transfer to a client at full speed; listed weights count such transfers. 0: not known."""
+    """Full rate of one transfer to a client; listed weights count such transfers. 0 means unknown."""
     zone_link_kb_per_s: float = 0.0
-    """What the zone's one link for fills carries; 0: not known."""
+    """Capacity of the zone's only link for fills; 0 means unknown."""
     report_names: tuple[str, ...] = ()
-    """Names of the values of a load report, in their order."""
+    """Names of the values of a load report, in the order of the values."""
     clients_mark_retries: bool = False
--- a/onyxwick/lifecycle.py
+++ b/onyxwick/lifecycle.py
@@ -1,8 +1,8 @@
-"""One director from start to exit: makes its parts, and takes it through its phases.
+"""The life cycle of a director's process: creates its components and runs them from start to exit.
 
-Inputs: the platform's configuration, the service file if there is one, and signals (SIGTERM and SIGINT:
-graceful shutdown; SIGHUP: reload; SIGUSR1: print counters; SIGUSR2: trace). The phases and their transitions
-are in `core/phase.py`, the schedule of a shutdown in `core/shutdown.py`.
+A director is controlled by the platform's configuration, an optional service file, and signals (SIGTERM and
+SIGINT: graceful shutdown; SIGHUP: reload; SIGUSR1: print counters; SIGUSR2: trace). `core/phase.py` defines
+the phases and their transitions, `core/shutdown.py` the schedule of a shutdown.
 """
 
 from __future__ import annotations
@@ -46,26 +46,28 @@
 log = logs.get()
 SERVICE_FILE = Path(__file__).parents[1] / "deploy" / "service.hcl"
 FEED_SEED = 0xFEED
-"""Mixed into the director's seed, for random numbers of the feed's own."""
+"""Combined with the director's seed, so that the feed has a separate sequence of random numbers."""
 
 GC_THRESHOLDS = (20_000, 20, 100)
-"""Requests leave few reference cycles behind, so the young generation is collected rarely."""
+"""Garbage collection thresholds. Requests create few reference cycles, so the young generation is collected
+rarely."""
 FULL_GC_INTERVAL_S = 10.0
-"""Closed connections leave cycles that must not add up over a day."""
-RELOAD_RETRY_S = 0.2
-RELOAD_ATTEMPTS = 50
-"""A file that cannot be read at the moment is read again."""
+"""Interval of full garbage collections: closed connections leave reference cycles, which must not accumulate
+over a day."""
+RELOAD_RETRY_DELAY_S = 0.2
+MAX_RELOAD_RETRIES = 50
+"""Number of retries of a reload whose file is temporarily unreadable."""
 
 
 class Director:
-    """One director's process. Parts of a service file are loaded only where there is one."""
+    """The process of one director. Modules for a service file are loaded only if there is such a file."""
 
     def __init__(self, config: DirectorConfig, service_config: ServiceConfig | None = None) -> None:
         self.config = config
         self.service = _hosted_service(config, service_config)
         self.phase = DirectorPhase.STARTING
         self.has_inherited_socket = False
-        """The listening socket is the platform's: a successor accepts on it already."""
+        """Whether the platform holds the listening socket, on which a successor may already accept."""
         self.counters = Counters()
         self.supervisor = TaskSupervisor(self.counters)
         deadlines_us = [request_class.deadline_us for request_class in config.settings.classes]
@@ -90,28 +92,28 @@
         self.coordinator = CoordinatorFeed(
             self.engine, self.counters, config.seed ^ FEED_SEED, config.settings.router_count
         )
-        self.coordinator.set_address(config.coordinator)  # a reload while starting changes it
+        self.coordinator.set_address(config.coordinator)  # a reload during the start may change the address
         if self.service is not None:
             self.service.attach(self.engine)
             self.service.ramp_up(self.coordinator, self.cache_pool)
         self.front = self._make_front()
         self.operations = self._make_operations()
-        self._reload_retry: asyncio.TimerHandle | None = None
+        self._reload_timer: asyncio.TimerHandle | None = None
 
     def _make_front(self) -> FastCgiFront:
         config = self.config
-        front_fields = () if self.service is None else self.service.front_fields()
+        front_options = () if self.service is None else self.service.front_options()
         return FastCgiFront(
             self.engine,
             self.counters,
             self.is_ready,
             config.max_clients,
             config.max_held_bytes,
-            *front_fields,
+            *front_options,
         )
 
     def _make_operations(self) -> OperationsEndpoint | None:
-        """The operations endpoint, where the configuration gives it an address."""
+        """Return the operations endpoint, or None if the configuration contains no address for it."""
         if self.config.operations_address is None:
             return None
         from onyxwick.operations.command_executor import persisted_commands
@@ -128,21 +130,22 @@
     # ---- state ------------------------------------------------------------------------------------------
 
     def is_ready(self) -> bool:
-        """Whether new clients are welcome; may be called from the operations endpoint's thread.
+        """Return whether the director accepts new clients.
 
-        A drain is in force from the answer to its call on; the phase follows a turn of the loop later.
+        May be called from the operations endpoint's thread. A drain is effective from the moment its call is
+        answered; the phase changes one iteration of the event loop later.
         """
         is_serving = self.phase in (DirectorPhase.SERVING, DirectorPhase.DRAINED)
         return is_serving and self.endpoints.loaded and not self._is_drained()
 
     def readiness(self) -> Readiness:
-        """The answer to a readiness call; may be called from the operations endpoint's thread."""
+        """Return the answer to a readiness call; may be called from the operations endpoint's thread."""
         if self.phase in (DirectorPhase.DRAINING, DirectorPhase.STOPPED):
             return Readiness.STOPPING
         return Readiness.READY if self.is_ready() else Readiness.NOT_READY
 
     def health(self) -> dict[str, object]:
-        """The health document of the administration API."""
+        """Return the health document of the administration API."""
         listed = self.endpoints.listed
         ready_count = sum(self.endpoints.is_ready(member) for member in listed)
         return {
@@ -166,27 +169,28 @@
     async def run(
         self, inherited_socket: socket.socket | None = None, early_signals: Sequence[int] = ()
     ) -> None:
-        """From STARTING to STOPPED; returns when all requests are answered or the last stage is over.
+        """Run the director from STARTING to STOPPED.
 
-        `inherited_socket`: the listening socket that the platform holds; else the program binds its own.
-        `early_signals`: signals to reload that came while the program was starting.
+        Returns when all requests are answered or the last shutdown stage is over. `inherited_socket` is the
+        listening socket that the platform holds; if None, the program binds its own. `early_signals` are the
+        reload signals that were received while the program was starting.
         """
         self.has_inherited_socket = inherited_socket is not None
         self._install_signal_handlers()
         if early_signals:
             self.reload()
         if self.termination.requested.is_set() and self.service is None:
-            # Asked to stop before a client could connect.
+            # The stop was requested before any client could connect.
             self._enter(DirectorPhase.DRAINING)
             self._enter(DirectorPhase.STOPPED)
             return
         with self._listening_socket(inherited_socket) as sock:
             tasks = self._start_background_tasks()
-            accepting = self.supervisor.start("accept", lambda: self.front.accept(sock))
+            accept_task = self.supervisor.start("accept", lambda: self.front.accept(sock))
             self._begin_serving()
             await self.termination.requested.wait()
             assert self.termination.schedule is not None
-            await self._drain(accepting, sock, self.termination.schedule)
+            await self._drain(accept_task, sock, self.termination.schedule)
         await self._stop(tasks)
 
     def _listening_socket(
@@ -197,25 +201,25 @@
         return listening.listen(self.config.listen)
 
     def _start_background_tasks(self) -> list[asyncio.Task[None]]:
-        """Start all that runs beside the front; the tasks are cancelled at the end."""
+        """Start all background tasks and return them; `_stop` cancels them."""
         tasks: list[asyncio.Task[None]] = []
         if self.service is not None:
             tasks += self.service.start(self.health)
         self.coordinator.load_configured(self.config.known_events)
-        following = (
+        feed_coroutine = (
             self.coordinator.follow() if self.service is None else self.service.follow(self.coordinator)
         )
         start = self.supervisor.start
         tasks += [
-            asyncio.get_running_loop().create_task(following),
+            asyncio.get_running_loop().create_task(feed_coroutine),
             start("sweep.caches", self.cache_pool.sweep),
             start("sweep.front", self.front.sweep),
             start("turns", self.front.record_loop_ticks),
             start("collect", _collect_garbage),
         ]
         gc.set_threshold(*GC_THRESHOLDS)
-        gc.collect()  # otherwise garbage left by imports would be frozen too
-        gc.freeze()  # what exists from the start need not be examined again
+        gc.collect()  # otherwise gc.freeze() would also keep the garbage left by imports
+        gc.freeze()  # later collections need not examine the objects that exist from the start
         if self.operations is not None:
             self.operations.start()
             tasks.append(start("publish", self.operations.publish_metrics))
@@ -229,11 +233,11 @@
         self._begin_drain(self.operations.commands)
 
     def _on_drain_changed(self, commands: OperatorCommands) -> None:
-        """The operators have drained the director or ended the drain: close connections, or keep them."""
+        """Apply an operator's drain, which closes connections, or the end of a drain, which keeps them."""
         if self.phase not in (DirectorPhase.SERVING, DirectorPhase.DRAINED):
-            return  # while starting, `_begin_serving` will apply it; while draining, connections close anyway
+            return  # `_begin_serving` applies it after the start; a shutdown closes connections anyway
         phase = DirectorPhase.DRAINED if commands.is_drained else DirectorPhase.SERVING
-        if phase is not self.phase:  # the same after a start, or two drains within one turn of the loop
+        if phase is not self.phase:  # equal after a start, or after two drains in one event loop iteration
             self._enter(phase)
         if commands.is_drained:
             self._begin_drain(commands)
@@ -241,22 +245,22 @@
             self.front.cancel_shutdown()
 
     def _begin_drain(self, commands: OperatorCommands) -> None:
-        """The drain's time runs from its call, however late the loop gets to it."""
+        """Begin a drain whose schedule starts at the operator's call, even if it is handled late."""
         self.front.begin_shutdown(drain_schedule(commands.drain_requested_at_s or time.monotonic()))
 
     async def _drain(
-        self, accepting: asyncio.Task[None], sock: socket.socket, schedule: ShutdownSchedule
+        self, accept_task: asyncio.Task[None], sock: socket.socket, schedule: ShutdownSchedule
     ) -> None:
-        """Serve what still arrives, then stop accepting and answer all admitted requests.
+        """Serve requests that still arrive, then stop accepting connections and answer all admitted requests.
 
-        On a socket that the platform holds, the successor accepts new connections at once and none are
-        accepted here.
+        If the platform holds the listening socket, the successor accepts new connections immediately, and
+        this process accepts none.
         """
         self._enter(DirectorPhase.DRAINING)
         self.front.begin_shutdown(schedule)
         await asyncio.sleep(max(0.0, schedule.accept_until_s - time.monotonic()))
-        accepting.cancel()
-        await asyncio.gather(accepting, return_exceptions=True)
+        accept_task.cancel()
+        await asyncio.gather(accept_task, return_exceptions=True)
         if not self.has_inherited_socket:
             release_at_s = schedule.stage_start_s(ShutdownStage.RELEASE_REQUESTS)
             await self.front.accept_remaining(sock, release_at_s)
@@ -264,7 +268,7 @@
         await self.front.finish_shutdown(schedule)
 
     async def _stop(self, tasks: Sequence[asyncio.Task[None]]) -> None:
-        """The front is shut down: stop the other parts, within the time before SIGKILL."""
+        """Stop the components other than the front, which is already shut down, before SIGKILL arrives."""
         if self.operations is not None:
             await self.operations.stop(self.termination.kill_at_s - FINAL_FLUSH_S)
         for task in tasks:
@@ -278,7 +282,7 @@
         self.print_counters()
 
     async def _close_service(self, service: HostedService) -> None:
-        """Let the store finish its writes, for no longer than the platform lets the process run."""
+        """Let the store finish its writes until the time of SIGKILL, but for at least `FINAL_FLUSH_S`."""
         try:
             async with asyncio.timeout(max(FINAL_FLUSH_S, self.termination.kill_at_s - time.monotonic())):
                 await service.close()
@@ -294,23 +298,24 @@
         loop.add_signal_handler(signal.SIGUSR1, self.print_counters)
         loop.add_signal_handler(signal.SIGHUP, self.reload)
         if self.service is not None and self.service.trace is not None:
-            # Before it serves: without a handler the signal ends the process.
+            # Installed before the director serves, because an unhandled SIGUSR2 terminates the process.
             loop.add_signal_handler(signal.SIGUSR2, self.service.trace.request)
 
     def _request_stop(self) -> None:
-        """SIGTERM was received. It may have been sent at any time in a stall of the process."""
+        """Begin the termination on SIGTERM or SIGINT, which may have been sent at any time during a stall."""
         now_s = time.monotonic()
         sent_at_s = self.engine.stalls.observe(now_s)
         self.termination.request(sent_at_s, now_s, self.has_inherited_socket)
 
-    def reload(self, attempts_left: int = RELOAD_ATTEMPTS) -> None:
-        """Read the configuration again; one that is invalid changes nothing.
+    def reload(self, retries_left: int = MAX_RELOAD_RETRIES) -> None:
+        """Read the configuration again; an invalid configuration changes nothing.
 
-        A file that cannot be read at the moment is read again later. Only the coordinator's address and the
-        plan of cells can change while the director runs; requests and attempts go on.
+        If the file is temporarily unreadable, the reload is retried after `RELOAD_RETRY_DELAY_S`. Only the
+        coordinator's address and the plan of cells can change while the director runs; requests and attempts
+        continue.
         """
-        if self._reload_retry is not None:
-            self._reload_retry.cancel()
+        if self._reload_timer is not None:
+            self._reload_timer.cancel()
         try:
             config = director_config.load()
             if self.service is not None:
@@ -318,10 +323,10 @@
                 self.service.reload(service_config.cell_plan if service_config else None)
         except ConfigUnreadableError as error:
             self.counters.add("reload.unreadable")
-            log.warning("configuration not read yet", error=str(error), tries_left=attempts_left)
-            if attempts_left:
+            log.warning("configuration not read yet", error=str(error), tries_left=retries_left)
+            if retries_left:
                 loop = asyncio.get_running_loop()
-                self._reload_retry = loop.call_later(RELOAD_RETRY_S, self.reload, attempts_left - 1)
+                self._reload_timer = loop.call_later(RELOAD_RETRY_DELAY_S, self.reload, retries_left - 1)
         except ConfigError as error:
             self.counters.add("reload.bad")
             log.error("configuration kept as it was", error=str(error))
@@ -353,7 +358,11 @@
 
 
 def read_service() -> ServiceConfig | None:
-    """The service file, if there is one; `ONYXWICK_SERVICE` names another. ConfigError if it is invalid."""
+    """Return the service file's configuration, or None if the file does not exist.
+
+    The environment variable `ONYXWICK_SERVICE` overrides the default path. Raises ConfigError if the file is
+    invalid.
+    """
     path = Path(os.environ.get("ONYXWICK_SERVICE") or SERVICE_FILE)
     if not path.exists():
         return None
--- a/onyxwick/logs.py
+++ b/onyxwick/logs.py
@@ -1,6 +1,7 @@
-"""Structured logs on standard error, limited in rate: bad input must not fill a disk or use up the processor.
+"""Structured logs on standard error.
 
-Lines are text on a terminal, else JSON. A line that cannot be written at once is dropped and counted.
+They are rate-limited, so that bad input cannot fill a disk or exhaust the processor. Lines are plain text on
+a terminal and JSON otherwise. A line that cannot be written immediately is dropped and counted.
 """
 
 from __future__ import annotations
@@ -21,30 +22,33 @@
 from onyxwick.former_log_events import add_former_event
 
 MAX_LINES_PER_S = 10
-"""Of one kind: a level and an event."""
+"""Limit for the lines of one kind, which is a log level and an event."""
 MAX_TRACEBACK_CHARS = 2500
 MAX_LINE_KINDS = 1024
-"""Counted at once."""
+"""Maximum number of kinds of lines that are counted at the same time."""
 
 
 @dataclass(slots=True)
 class _KindCount:
     second: int
-    passed: int = 0
-    """In this second."""
+    line_count: int = 0
+    """Number of lines in this second, including those that were left out."""
     left_out: int = 0
-    """Since the last line that passed."""
+    """Number of lines left out since the last line that passed."""
 
 
 class LineRateLimit:
-    """Passes `MAX_LINES_PER_S` lines of each kind; the next line that passes says how many were left out."""
+    """Passes up to `MAX_LINES_PER_S` lines of each kind per second.
+
+    The next line that passes contains the number of lines that were left out before it.
+    """
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
         self.clock = clock
         self.kinds: dict[tuple[str, str], _KindCount] = {}
 
     def __call__(self, logger: Any, method: str, event: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
-        """Pass a line, or raise structlog.DropEvent."""
+        """Return the event of a line that passes. Raises structlog.DropEvent for a line above the limit."""
         second = int(self.clock())
         key = (method, str(event.get("event")))
         if key not in self.kinds and len(self.kinds) >= MAX_LINE_KINDS:
@@ -52,9 +56,9 @@
         kind = self.kinds.setdefault(key, _KindCount(second))
         if kind.second != second:
             kind.second = second
-            kind.passed = 0
-        kind.passed += 1
-        if kind.passed > MAX_LINES_PER_S:
+            kind.line_count = 0
+        kind.line_count += 1
+        if kind.line_count > MAX_LINES_PER_S:
             kind.left_out += 1
             raise structlog.DropEvent
         if kind.left_out:
@@ -64,7 +68,7 @@
 
 
 def _shorten(logger: Any, method: str, event: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
-    """Keep the end of a long traceback, which names the cause: a line must fit into one write."""
+    """Shorten a long traceback to its end, which names the cause, because a line must fit into one write."""
     traceback = event.get("exception")
     if isinstance(traceback, str) and len(traceback) > MAX_TRACEBACK_CHARS:
         event["exception"] = f"... {traceback[-MAX_TRACEBACK_CHARS:]}"
@@ -76,42 +80,43 @@
 
 
 class _Line(threading.local):
-    """The parts of a thread's line that are not written yet."""
+    """The parts of a thread's current line that are not written yet."""
 
     def __init__(self) -> None:
         self.parts: list[str] = []
 
 
 class LineStream:
-    """An output for lines that never block the program.
+    """An output for lines that never blocks the program.
 
-    A line that cannot be written at once (the disk is full, the pipe is closed or nobody reads it) is dropped
-    and counted. Lines bypass the stream's own buffer: its content would be written again, and fail, at exit.
+    A line that cannot be written immediately, because the disk is full or the pipe is closed or not read, is
+    dropped and counted. Lines bypass the stream's own buffer: its content would be written again at exit, and
+    that write would fail.
     """
 
     def __init__(self, stream: TextIO) -> None:
         self.stream = stream
         self.dropped_lines = 0
-        self._line = _Line()  # one for each thread: their parts never mix in a line
-        self._lock = threading.Lock()  # held from the check for space to the write
+        self._line = _Line()  # separate for each thread, so that a line never mixes parts of several threads
+        self._lock = threading.Lock()  # held from the check for free space until after the write
         self._poll: select.poll | None = None
-        with contextlib.suppress(OSError, ValueError):  # no descriptor: it never blocks
+        with contextlib.suppress(OSError, ValueError):  # a stream without a descriptor never blocks
             self._descriptor = stream.fileno()
             poll = select.poll()
             poll.register(self._descriptor, select.POLLOUT)
             self._poll = poll
 
     def isatty(self) -> bool:
-        """Whether the output is a terminal."""
+        """Return whether the output is a terminal."""
         return self.stream.isatty()
 
     def write(self, text: str) -> int:
-        """Add a part of a line, which `flush` writes."""
+        """Append a part to the current line, which `flush` writes; return the number of characters."""
         self._line.parts.append(text)
         return len(text)
 
     def flush(self) -> None:
-        """Write the parts as a line, or drop it."""
+        """Write the current line, or drop and count it if it cannot be written."""
         text = "".join(self._line.parts)
         self._line.parts = []
         try:
@@ -124,7 +129,7 @@
             self.dropped_lines += 1
 
     def _write_now(self, line: bytes, poll: select.poll) -> None:
-        # A writable pipe takes PIPE_BUF bytes without blocking (pipe(7)).
+        # A write of up to PIPE_BUF bytes to a writable pipe does not block (pipe(7)).
         if len(line) > select.PIPE_BUF:
             line = line[: select.PIPE_BUF - 2] + b"\n"
         with self._lock:
@@ -134,8 +139,8 @@
 
 
 def print_lines(text: str) -> None:
-    """Print lines on standard output; one that cannot be written at once is dropped."""
-    if sys.stdout is None:  # closed before the start
+    """Print lines on standard output. A line that cannot be written immediately is dropped."""
+    if sys.stdout is None:  # standard output was closed before the program started
         return
     out = LineStream(sys.stdout)
     for line in text.splitlines():
@@ -144,7 +149,7 @@
 
 
 def set_up(stream: TextIO | None = None) -> None:
-    """Configure logging: text on a terminal, else JSON lines. Called once, by the command that runs."""
+    """Configure logging: text on a terminal, JSON lines otherwise. Called once, by the running command."""
     out = LineStream(stream or sys.stderr)
     is_terminal = out.isatty()
     renderer: Any = (
@@ -169,5 +174,5 @@
 
 
 def get() -> Any:
-    """A logger. Its output is bound to the configuration of `set_up` with its first line."""
+    """Return a logger, which adopts the configuration of `set_up` when it writes its first line."""
     return structlog.get_logger()
--- a/onyxwick/quota.py
+++ b/onyxwick/quota.py
@@ -1,4 +1,4 @@
-"""Token buckets: a rate with a bounded burst. Times in seconds."""
+"""Token buckets: rate limits with a bounded burst. Times are in seconds."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 from collections.abc import Callable
 
 BURST_S = 1.0
-"""Burst size: seconds of the rate that a full bucket holds."""
+"""Burst size: a full bucket holds the tokens of this many seconds at the configured rate."""
 
 
 class TokenBucket:
-    """A rate of `per_s`, counted for one owner alone, so that none can starve another.
+    """A rate limit of `per_s` tokens per second for one owner, so that no owner can starve another.
 
-    `clock` gives seconds that never go back.
+    `clock` returns monotonic seconds.
     """
 
     def __init__(self, per_s: float, clock: Callable[[], float] = time.monotonic) -> None:
@@ -23,12 +23,12 @@
 
     def _refill(self) -> None:
         now_s = self.clock()
-        gained = (now_s - self.refilled_at_s) * self.per_s
-        self.tokens = min(max(1.0, self.per_s * BURST_S), self.tokens + gained)
+        new_tokens = (now_s - self.refilled_at_s) * self.per_s
+        self.tokens = min(max(1.0, self.per_s * BURST_S), self.tokens + new_tokens)
         self.refilled_at_s = now_s
 
     def take(self) -> bool:
-        """Take a token; False where there is none."""
+        """Take a token and return True, or return False if there is none."""
         self._refill()
         if self.tokens < 1:
             return False
@@ -36,6 +36,6 @@
         return True
 
     def wait_s(self) -> float:
-        """Seconds until the next token."""
+        """Return the seconds until a token is available; 0 if there is one now."""
         self._refill()
         return max(0.0, (1 - self.tokens) / self.per_s)
--- a/onyxwick/service.py
+++ b/onyxwick/service.py
@@ -1,7 +1,8 @@
-"""Wires what a service file adds to a director: cells, sites, store, trace, the distribution tree and fronts.
+"""Connects the components that a service file adds to a director.
 
-Loaded only where there is such a file, and each part only where the file has a block for it. The parts are in
-`onyxwick.hosting`.
+These are cells, sites, store, trace, the distribution tree and fronts; most of their set-up is in
+`onyxwick.hosting`. This module is loaded only if there is a service file, and each component only if the file
+has a block for it.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 from onyxwick.core import RequestEngine
 from onyxwick.core.backoff import BackoffPolicy, ReconnectBackoff
 from onyxwick.hosting.fronts import FrontFactory
-from onyxwick.hosting.routers import FrontFields, RouterFactory
+from onyxwick.hosting.routers import FrontOptions, RouterFactory
 from onyxwick.hosting.trace_control import TraceControl
 from onyxwick.interface import EndpointFeedReceived, RequestRouter, RouterSettings
 from onyxwick.net.cache_pool import CacheConnectionPool
@@ -31,19 +32,19 @@
     from onyxwick.store.durable_state import DurableState
 
 log = logs.get()
-RECOVERY_TICK_S = 0.5
-RAMP_SEED = 0xBAC
+RECOVERY_CHECK_INTERVAL_S = 0.5
+RAMP_UP_SEED = 0xBAC
 SUBSCRIPTION_SEED = 0x5B5
-"""Mixed into the director's seed, for random numbers of each part's own."""
+"""Both seeds are combined with the director's seed, so that each component has separate random numbers."""
 QUOTAS_DOCUMENT = "quotas"
 """Name of the distributed document with the tenants' quotas."""
 
 
 class HostedService:
-    """One director's hosted parts, made in the order in which they need each other.
+    """The components that a service file adds to one director, created in the order of their dependencies.
 
-    First the router, then (with the engine that it is in) the stored state, then (with the event loop) what
-    runs beside the director.
+    The router is created first, then the stored state, which needs the engine that contains the router, and
+    then the background tasks, which need the event loop.
     """
 
     def __init__(self, config: DirectorConfig, service_config: ServiceConfig) -> None:
@@ -52,22 +53,22 @@
         self.routers = RouterFactory(service_config, config.max_open_requests)
         self.durable: DurableState | None = None
         self.subscription: Subscription | None = None
-        """To the distribution tree, where it is followed."""
+        """Subscription to the distribution tree; None if the director follows the coordinator's feed."""
         trace_config = service_config.trace
         self.trace = None if trace_config is None else TraceControl(trace_config, config.name)
 
     def make_router(self, settings: RouterSettings, seed: int, now_us: int) -> RequestRouter:
-        """The director's router, as its engine asks for it."""
+        """Return the director's router; called by the engine."""
         return self.routers.make_router(settings, seed, now_us)
 
-    def front_fields(self) -> FrontFields:
-        """What the platform's front must know."""
-        return self.routers.front_fields(self.config.max_held_bytes, self.config.max_clients)
+    def front_options(self) -> FrontOptions:
+        """Return the options that the platform's front needs."""
+        return self.routers.front_options(self.config.max_held_bytes, self.config.max_clients)
 
     def attach(self, engine: RequestEngine) -> None:
-        """Take the engine that the router is in, and open the store, where there is one.
+        """Set the engine that contains the router, and open the store if one is configured.
 
-        StoreError where the store cannot be read completely.
+        Raises StoreError if the store cannot be read completely.
         """
         self.engine = engine
         if self.service_config.store is None:
@@ -79,12 +80,12 @@
         )
 
     def ramp_up(self, coordinator: CoordinatorFeed, cache_pool: CacheConnectionPool) -> None:
-        """Spread the reconnects of directors that restart together (core/backoff.py).
+        """Spread the reconnections of directors that restart at the same time (core/backoff.py).
 
-        With a store, a director follows the feed after a delay drawn from its seed, and opens its connections
-        to caches step by step; it serves meanwhile from what it recovered. With sites, its requests to
-        parents rise at the same rate: its popularity counts are empty, and requests for all rare objects
-        would reach them at once.
+        With a store, a director follows the feed after a delay drawn from its seed and opens its connections
+        to caches gradually; meanwhile it serves from the recovered state. With sites, its request rate to
+        parents increases at the same rate: its popularity counts are empty, so without this limit requests
+        for all rare objects would reach the parents at the same time.
         """
         sites = self.routers.sites
         if sites is not None:
@@ -92,7 +93,7 @@
         if self.durable is None and sites is None:
             return
         backoff = ReconnectBackoff(
-            self.config.seed ^ RAMP_SEED,
+            self.config.seed ^ RAMP_UP_SEED,
             self.engine.now(),
             BackoffPolicy(),
             self.config.settings.router_count,
@@ -106,7 +107,10 @@
     # ---- feed -------------------------------------------------------------------------------------------
 
     def follow(self, coordinator: CoordinatorFeed) -> Coroutine[None, None, None]:
-        """What keeps lists and purges coming: the coordinator's feed, or the distribution tree."""
+        """Return the coroutine that receives endpoint lists and purges.
+
+        Their source is the distribution tree if the service file configures it, else the coordinator's feed.
+        """
         if self.service_config.feed is None:
             return coordinator.follow()
         self.subscription = self._subscribe(self.service_config.feed)
@@ -128,7 +132,7 @@
         return Subscription(follower, feed_config.parents, sink, engine.counters, engine.now)
 
     def _feed_health(self) -> dict[str, object]:
-        """The age of the endpoint list, for the health call; empty where the coordinator is followed."""
+        """Return the state and age of the feed for the health call; empty without a subscription."""
         if self.subscription is None:
             return {}
         follower = self.subscription.follower
@@ -141,9 +145,9 @@
     # ---- reload -----------------------------------------------------------------------------------------
 
     def reload(self, plan: CellPlan | None) -> None:
-        """Apply the file's plan of cells, over what the administration API has made of it since.
+        """Apply the service file's plan of cells, replacing changes made through the administration API.
 
-        ConfigError where the plan cannot follow the present one.
+        Raises ConfigError if the plan is not a valid successor of the current plan.
         """
         cells = self.routers.cells
         if cells is None or plan is None:
@@ -162,7 +166,7 @@
     # ---- background tasks ---------------------------------------------------------------------------------
 
     def start(self, health: Callable[[], dict[str, object]]) -> list[asyncio.Task[None]]:
-        """Restore the stored state and start the background tasks; returns them, for their cancellation."""
+        """Restore the stored state, start the background tasks, and return them for later cancellation."""
         loop = asyncio.get_running_loop()
         tasks: list[asyncio.Task[None]] = []
         if self.durable is not None:
@@ -178,22 +182,22 @@
         if self.trace is not None:
             tasks.append(loop.create_task(self.trace.run(self.engine)))
         if self.routers.sites is not None and self.service_config.sites is not None:
-            from onyxwick.hosting.site_planning import plan_sites
+            from onyxwick.hosting.site_planning import install_site_plan
 
-            planning = plan_sites(self.engine, self.routers.sites, self.service_config.sites)
+            planning = install_site_plan(self.engine, self.routers.sites, self.service_config.sites)
             tasks.append(loop.create_task(planning))
         return tasks
 
     async def close(self) -> None:
-        """Close the store, once its writes are done."""
+        """Close the store after its pending writes are finished."""
         if self.durable is not None:
             await self.durable.close()
 
     async def _finish_recovery(self, durable: DurableState) -> None:
-        """Serve on without the feed once it has been silent for long enough; recorded drains stay."""
+        """End the recovery without the feed if the feed stays silent too long; recorded drains stay."""
         from onyxwick.store.recovery import RecoveryPhase
 
         while durable.recovery.phase is RecoveryPhase.CHECKING:
-            await asyncio.sleep(RECOVERY_TICK_S)
+            await asyncio.sleep(RECOVERY_CHECK_INTERVAL_S)
             if durable.recovery.on_tick(self.engine.now()):
                 log.warning("recovery without the feed", **durable.recovery.status())
--- a/onyxwick/simulator_adapter.py
+++ b/onyxwick/simulator_adapter.py
@@ -1,8 +1,9 @@
-"""The simulator's adapter: its line protocol on standard input and output, for many routers in one process.
+"""Adapter for the simulator's line protocol on standard input and output; runs many routers in one process.
 
-Input: batches of lines, each a name and values by position; `-` stands for no value. Output: for each batch
-the actions of its routers, one a line, and `READY`. It maps the protocol's words to the types of
-`onyxwick.interface` and holds no decisions. Times are microseconds of the simulator's clock.
+The input consists of batches of lines. Each line is a name followed by positional values, with `-` for a
+missing value. The output for each batch is the actions of its routers, one per line, followed by `READY`. The
+adapter maps the protocol's terms to the types of `onyxwick.interface` and makes no decisions. Times are
+microseconds of the simulator's clock.
 
 Run as `python -m onyxwick.simulator_adapter`.
 """
@@ -46,7 +47,7 @@
 from onyxwick.routing import Router
 from onyxwick.settings import Pairs, SettingError, read_settings
 
-STATUS = {
+STATUS_BY_CODE = {
     "100": AttemptStatus.OK,
     "301": AttemptStatus.ERROR,
     "302": AttemptStatus.OVERLOADED,
@@ -57,27 +58,27 @@
     "307": AttemptStatus.NOT_SENT,
     "101": AttemptStatus.MISS,
 }
-STATE = {"up": MemberState.READY, "draining": MemberState.DRAINING, "removed": MemberState.REMOVED}
-LIST_KIND = {
+STATE_BY_TERM = {"up": MemberState.READY, "draining": MemberState.DRAINING, "removed": MemberState.REMOVED}
+LIST_KIND_BY_TERM = {
     "update": EndpointListKind.CHANGE,
     "replace": EndpointListKind.SNAPSHOT,
     "restored": EndpointListKind.RESTORED,
     "unavailable": EndpointListKind.UNAVAILABLE,
 }
-DETAIL = {detail.value: detail for detail in AnswerDetail}
-RETRY_MARK = 2
-WRITE_MARK = 4
-NO_VALUE = ("", "-")
+DETAIL_BY_CODE = {detail.value: detail for detail in AnswerDetail}
+RETRY_FLAG = 2
+WRITE_FLAG = 4
+MISSING_VALUES = ("", "-")
 EXIT_BAD_INPUT = 2
 Value = TypeVar("Value")
 
 
 class WireError(OnyxwickError):
-    """A line that cannot be read. The message names the line by its number, and the field."""
+    """A line cannot be parsed. The message contains the line's number and the name of the field."""
 
 
 class WireLine:
-    """One line: its name and its values by position. A value that cannot be read raises `WireError`."""
+    """A line with a name and positional values. Reading a value that cannot be parsed raises `WireError`."""
 
     def __init__(self, line: str, number: int) -> None:
         self.number = number
@@ -85,28 +86,28 @@
 
     @property
     def name(self) -> str:
-        """The first word, which says what the line is."""
+        """Return the first word, which identifies the type of the line."""
         return self.values[0]
 
     def error(self, field: str) -> WireError:
-        """The error of a field that is missing or cannot be read."""
-        return WireError(f"line {self.number}: bad or missing field '{field}' in {self.name!r} line")
+        """Return the error for a field that is missing or cannot be parsed."""
+        return WireError(f"line {self.number}: missing or invalid field '{field}' in {self.name!r} line")
 
     def optional_text(self, position: int) -> str | None:
-        """A word, or None where there is none."""
-        if position >= len(self.values) or self.values[position] in NO_VALUE:
+        """Return the text at a position, or None if there is no value."""
+        if position >= len(self.values) or self.values[position] in MISSING_VALUES:
             return None
         return self.values[position]
 
     def text(self, position: int, field: str) -> str:
-        """A word that must be there."""
+        """Return the text at a position; the value is required."""
         value = self.optional_text(position)
         if value is None:
             raise self.error(field)
         return value
 
     def integer(self, position: int, field: str, default: int | None = None) -> int:
-        """A whole number; `default` where there is none."""
+        """Return the integer at a position, or `default` if there is no value."""
         value = self.optional_text(position)
         if value is None and default is not None:
             return default
@@ -116,7 +117,7 @@
             raise self.error(field) from None
 
     def real(self, position: int, field: str) -> float:
-        """A number; 0 where there is none."""
+        """Return the number at a position, or 0 if there is no value."""
         value = self.optional_text(position)
         try:
             return float(value) if value is not None else 0.0
@@ -124,19 +125,19 @@
             raise self.error(field) from None
 
     def choice(self, position: int, field: str, table: dict[str, Value]) -> Value:
-        """One of the words of a table, mapped."""
+        """Return the entry of `table` for the text at a position; the value is required."""
         try:
             return table[self.text(position, field)]
         except KeyError:
             raise self.error(field) from None
 
     def load_report(self, position: int, field: str) -> tuple[float, ...]:
-        """Numbers separated by commas; 0 where one is left out."""
+        """Return comma-separated numbers, with 0 for each one that is left out."""
         value = self.optional_text(position)
         if not value:
             return ()
         try:
-            return tuple(0.0 if part in NO_VALUE else float(part) for part in value.split(","))
+            return tuple(0.0 if part in MISSING_VALUES else float(part) for part in value.split(","))
         except ValueError:
             raise self.error(field) from None
 
@@ -145,7 +146,7 @@
 
 
 def read_member(line: WireLine) -> Member:
-    """One row of a list."""
+    """Return the member in one row of an endpoint list."""
     if line.name != "ROW":
         raise line.error("ROW")
     return Member(
@@ -153,15 +154,15 @@
         zone=line.optional_text(2) or "",
         kind=line.optional_text(3) or "",
         cell=line.integer(4, "unit_group", 0),
-        state=line.choice(5, "lifecycle", STATE),
+        state=line.choice(5, "lifecycle", STATE_BY_TERM),
         weight=line.real(6, "weight"),
         started_at_us=line.integer(7, "since_us", 0),
     )
 
 
 def read_list(line: WireLine, following: Iterator[WireLine]) -> EndpointsChanged:
-    """A list, whose rows are the lines that follow."""
-    kind = line.choice(3, "form", LIST_KIND)
+    """Return an endpoint list, whose rows are the lines that follow `line`."""
+    kind = line.choice(3, "form", LIST_KIND_BY_TERM)
     members = []
     for _ in range(line.integer(4, "elements", 0)):
         row = next(following, None)
@@ -172,7 +173,7 @@
 
 
 def _read_request(line: WireLine) -> RequestArrived:
-    marks = line.integer(10, "marks", 0)
+    request_flags = line.integer(10, "marks", 0)
     return RequestArrived(
         request_id=line.text(2, "job"),
         class_name=line.text(3, "band"),
@@ -182,19 +183,19 @@
         size_kb=line.real(7, "kbytes"),
         object_group=None if line.optional_text(8) is None else int(line.real(8, "tag")),
         part=int(line.real(9, "segment")),
-        is_retry=bool(marks & RETRY_MARK),
-        is_write=bool(marks & WRITE_MARK),
+        is_retry=bool(request_flags & RETRY_FLAG),
+        is_write=bool(request_flags & WRITE_FLAG),
     )
 
 
 def _read_attempt_end(line: WireLine) -> AttemptEnded:
     return AttemptEnded(
         request_id=line.text(2, "job"),
-        detail=DETAIL.get(line.integer(3, "remark", 0), AnswerDetail.NONE),
+        detail=DETAIL_BY_CODE.get(line.integer(3, "remark", 0), AnswerDetail.NONE),
         is_final=line.integer(4, "final", 0) != 0,
         upstream_wait_us=line.integer(5, "upstream_wait_us", 0),
         member=line.text(6, "cache"),
-        status=line.choice(7, "how", STATUS),
+        status=line.choice(7, "how", STATUS_BY_CODE),
         latency_us=line.integer(8, "duration_us", 0),
         attempt_index=line.integer(9, "copy", 0),
         load_report=line.load_report(10, "feedback"),
@@ -229,13 +230,13 @@
 def _read_health_check(line: WireLine) -> LoadReportReceived:
     return LoadReportReceived(
         member=line.text(2, "cache"),
-        status=line.choice(3, "how", STATUS),
+        status=line.choice(3, "how", STATUS_BY_CODE),
         latency_us=line.integer(4, "duration_us", 0),
         report=line.load_report(5, "feedback"),
     )
 
 
-READERS: dict[str, Callable[[WireLine], Event]] = {
+EVENT_READERS: dict[str, Callable[[WireLine], Event]] = {
     "ACCEPT": _read_request,
     "ANSWER": _read_attempt_end,
     "REMINDER": lambda line: TimerFired(line.text(2, "nonce")),
@@ -248,10 +249,10 @@
 
 
 def read_event(line: WireLine, following: Iterator[WireLine]) -> Event | None:
-    """One event of a running instance; None for a line of a name this adapter does not know."""
+    """Return the event in a line, or None if the line's name is unknown."""
     if line.name == "BACKENDS_CHANGED":
         return read_list(line, following)
-    reader = READERS.get(line.name)
+    reader = EVENT_READERS.get(line.name)
     return None if reader is None else reader(line)
 
 
@@ -259,7 +260,7 @@
 
 
 def write_action(instance: int, action: Action) -> str:
-    """The line of an action of an instance."""
+    """Return the line for an action of a router instance."""
     match action:
         case ForwardRequest(request, member, timeout):
             return f"ASSIGN {instance} {request} {member} {timeout}"
@@ -279,7 +280,7 @@
     instance: int,
     action: SetTimer | SiteStateChanged | LogMessage | SubscribeToEndpoints | PollEndpoints,
 ) -> str:
-    """The line of an action that is of no single request."""
+    """Return the line for an action that does not belong to a single request."""
     match action:
         case SetTimer(at_us, token):
             return f"SET_ALARM {instance} {at_us} {token}"
@@ -294,13 +295,16 @@
 
 
 class SimulatorAdapter:
-    """The instances of one process, each with a router of its own and nothing shared."""
+    """The router instances of one process; they share nothing."""
 
     def __init__(self) -> None:
         self.routers: dict[int, Router] = {}
 
     def handle_batch(self, now_us: int, lines: list[WireLine]) -> list[str]:
-        """The actions on the lines of one instant, instance by instance; `WireError` on a bad line."""
+        """Process the lines of one point in time and return the action lines, instance by instance.
+
+        Raises `WireError` for a line that cannot be parsed or that names an unknown instance.
+        """
         events: dict[int, list[Event]] = {}
         remaining = iter(lines)
         for line in remaining:
@@ -324,25 +328,25 @@
         return replies
 
     def handle_events(self, instance: int, now_us: int, events: list[Event]) -> list[str]:
-        """The lines of one router's actions, or the one line that tells of its fault."""
+        """Return the action lines of one router, or a single `PANIC` line if the router raises an error."""
         try:
             actions = self.routers[instance].handle(now_us, events)
             return [write_action(instance, action) for action in actions]
-        except Exception as error:  # a fault of one router must not end the others of this process
+        except Exception as error:  # an error in one router must not stop the other routers of this process
             traceback.print_exc(file=sys.stderr)
             return [f"PANIC {instance} {' '.join(f'{type(error).__name__}: {error}'.split())}"]
 
 
 def _start_router(line: WireLine, now_us: int) -> Router:
     try:
-        settings = read_settings(Pairs.of_words(line.values[3:]))
+        settings = read_settings(Pairs.from_words(line.values[3:]))
     except SettingError as error:
         raise WireError(f"line {line.number}: {error}") from None
     return Router(settings, line.integer(2, "entropy"), now_us)
 
 
 def serve(source: TextIO, sink: TextIO) -> None:
-    """Answer batches until the input ends; `WireError` on a line that cannot be read."""
+    """Answer batches until the end of the input. Raises `WireError` for a line that cannot be parsed."""
     adapter = SimulatorAdapter()
     batch: list[WireLine] = []
     now_us: int | None = None
@@ -368,7 +372,7 @@
 
 
 def main() -> int:
-    """Serve standard input and output; the exit status."""
+    """Serve the simulator on standard input and output, and return the exit status."""
     sys.stdin.reconfigure(encoding="utf-8")  # type: ignore[union-attr]
     try:
         serve(sys.stdin, sys.stdout)
--- a/onyxwick/start.py
+++ b/onyxwick/start.py
@@ -1,4 +1,4 @@
-"""Starts one director in the foreground: reads its configuration, runs it, and returns an exit code."""
+"""Starts one director in the foreground: reads its configuration, runs the director, returns an exit code."""
 
 from __future__ import annotations
 
@@ -25,9 +25,9 @@
     from onyxwick.config.service import ServiceConfig
 
 log = logs.get()
-READ_RETRY_S = 0.1
+READ_RETRY_DELAY_S = 0.1
 READ_ATTEMPTS = 50
-"""A configuration file that cannot be read at the moment is read again."""
+"""Number of attempts to read a configuration file that is temporarily unreadable, before the last one."""
 EXIT_STARTUP_FAILED = 2
 
 
@@ -39,7 +39,8 @@
 def main(early_signals: Sequence[int] = ()) -> int:
     """Run one director, configured by RELAY_CONFIG, RELAY_LISTEN, RELAY_NAME and RELAY_LISTEN_FD.
 
-    Returns its exit code. `early_signals` grows by each signal to reload until the director handles signals.
+    Returns the exit code. The caller appends each reload signal to `early_signals` until the director handles
+    signals itself.
     """
     logs.set_up()
     try:
@@ -60,20 +61,21 @@
 
 
 def _read_with_retries() -> _Configuration:
-    """The configuration; ConfigError where it is invalid, or cannot be read for too long."""
+    """Return the configuration. Raises ConfigError if it is invalid, or unreadable in all attempts."""
     for _ in range(READ_ATTEMPTS):
         try:
             return _Configuration(director_config.load(), read_service())
         except ConfigUnreadableError as error:
             log.warning("configuration not read yet", error=str(error))
-            time.sleep(READ_RETRY_S)
+            time.sleep(READ_RETRY_DELAY_S)
     return _Configuration(director_config.load(), read_service())
 
 
 def _exit() -> NoReturn:
-    """Exit at once: everything is closed, and log lines bypass the streams' buffers.
+    """Exit the process immediately, without the cleanup of the event loop and the interpreter.
 
-    The event loop and the interpreter set no bound on what they do at their end.
+    That cleanup may take any length of time. Skipping it loses nothing: all resources are closed, and log
+    lines bypass the streams' buffers.
     """
     os._exit(0)
 
@@ -95,4 +97,4 @@
         return Director(config, service)
     except StoreError as error:
         folder = service.store.folder.name
-        raise StartupError(f"the store in {folder} is not opened: {error}") from None
+        raise StartupError(f"cannot open the store in {folder}: {error}") from None
