--- a/onyxwick/hosting/trace_control.py
+++ b/onyxwick/hosting/trace_control.py
@@ -1,4 +1,4 @@
-"""Writes a trace of the director's decisions on request: always, or for a limited time after SIGUSR2.
+"""Writes a trace of the director's decisions, either always or for a limited time after SIGUSR2.
 
 Times are seconds of the event loop's clock.
 """
--- a/onyxwick/settings.py
+++ b/onyxwick/settings.py
@@ -30,11 +30,8 @@
 }
 KEY_SCOPE = {"all": KeyScope.ALL, "zone": KeyScope.ZONE, "cell": KeyScope.CELL}
 SIBLING_FILLS = {"off": SiblingFills.NONE, "location": SiblingFills.ZONE, "any": SiblingFills.ANY}
-WEIGHT_SOURCE = {"off": WeightSource.NONE, "live": WeightSource.LIVE}  # all other values mean nominal
-ANSWER_DETAIL = {
-    "all": AnswerDetailLevel.FULL,
-    "hit": AnswerDetailLevel.HIT_ONLY,
-}  # all other values mean none
+WEIGHT_SOURCE = {"off": WeightSource.NONE, "live": WeightSource.LIVE}  # other values mean nominal
+ANSWER_DETAIL = {"all": AnswerDetailLevel.FULL, "hit": AnswerDetailLevel.HIT_ONLY}  # other values mean none
 BOOLEAN = {"true": True, "false": False, "1": True, "0": False}
 FACTS_PREFIX, RULES_PREFIX, LIMITS_PREFIX = "family_info.", "rules.", "policy_limits."
 NO_KIND_INDEX = -1
@@ -77,7 +74,8 @@
     def get(self, path: str, read: Callable[[str], Value], default: Value | None = None) -> Value:
         """Return the value at `path` as parsed by `read`, or `default` if the value is missing, empty or `-`.
 
-        Raises SettingError if the value cannot be parsed, or if it is missing and `default` is None.
+        Without a default, `read` receives the value in any case, and a missing value as an empty string.
+        Raises SettingError if `read` raises ValueError or KeyError.
         """
         value = self.values.get(path, "")
         if value in ("", "-") and default is not None:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,8 @@
-"""Tests of real faults that are not yet mended: `KNOWN-RED.txt`, a line each, `test | cause | issue`.
+"""Handles tests that fail because of known faults: one line `test | cause | issue` each in `KNOWN-RED.txt`.
 
-They are run and expected to fail, and printed at the end; whatever else fails, fails. An entry that passes,
-that names no test or that is malformed fails the run, and so do more than three.
+The listed tests are run, are expected to fail, and are printed at the end; any other failure fails the run.
+An entry whose test passes, that names no test or that is malformed fails the run, and so do more than three
+entries.
 """
 
 from __future__ import annotations
@@ -10,39 +11,40 @@
 
 import pytest
 
-FILE = Path(__file__).parent.parent / "KNOWN-RED.txt"
-MOST = 3
+KNOWN_RED_FILE = Path(__file__).parent.parent / "KNOWN-RED.txt"
+MAX_ENTRIES = 3
 
 
-def known_red(text: str) -> dict[str, str]:
-    """Test id: why it is red; ValueError where the text cannot be used."""
+def parse_known_red(text: str) -> dict[str, str]:
+    """Return the cause of the failure for each listed test id. Raises ValueError if an entry is malformed, or
+    if there are more than `MAX_ENTRIES`."""
     entries = dict[str, str]()
     lines = [line for line in text.splitlines() if line.strip() and not line.startswith("#")]
     for line in lines:
         parts = [part.strip() for part in line.split("|")]
         if len(parts) != 3 or not all(parts) or "::" not in parts[0]:
-            raise ValueError(f"no entry of the form 'tests/FILE.py::TEST | cause | issue': {line!r}")
+            raise ValueError(f"expected an entry 'tests/FILE.py::TEST | cause | issue', found {line!r}")
         entries[parts[0]] = f"{parts[1]} (issue {parts[2]})"
-    if len(lines) > MOST:
-        raise ValueError(f"{len(lines)} entries; {MOST} at most")
+    if len(lines) > MAX_ENTRIES:
+        raise ValueError(f"{len(lines)} entries found, but at most {MAX_ENTRIES} are allowed")
     return entries
 
 
-def unnamed(entries: dict[str, str], ids: set[str], files: set[str]) -> list[str]:
-    """Entries that name no test, among the files that were looked through."""
+def unknown_tests(entries: dict[str, str], ids: set[str], files: set[str]) -> list[str]:
+    """Return the entries whose file is among the collected `files` and whose test is not among `ids`."""
     return [test for test in entries if test not in ids and test.partition("::")[0] in files]
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
     try:
-        entries = known_red(FILE.read_text() if FILE.exists() else "")
+        entries = parse_known_red(KNOWN_RED_FILE.read_text() if KNOWN_RED_FILE.exists() else "")
     except ValueError as error:
         raise pytest.UsageError(f"KNOWN-RED.txt: {error}") from None
     ids = {item.nodeid for item in items}
-    whole = list(config.args) == list(config.getini("testpaths")) and not config.getoption("keyword")
-    files = {test.partition("::")[0] for test in entries} if whole else set[str]()
-    if missing := unnamed(entries, ids, files):
-        raise pytest.UsageError(f"KNOWN-RED.txt names no test: {', '.join(missing)}")
+    is_full_run = list(config.args) == list(config.getini("testpaths")) and not config.getoption("keyword")
+    files = {test.partition("::")[0] for test in entries} if is_full_run else set[str]()
+    if missing := unknown_tests(entries, ids, files):
+        raise pytest.UsageError(f"KNOWN-RED.txt lists tests that do not exist: {', '.join(missing)}")
     for item in items:
         if item.nodeid in entries:
             item.add_marker(pytest.mark.xfail(reason=entries[item.nodeid], strict=True))
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,4 +1,4 @@
-"""The import graph of the package: no circles beside those listed, and the layers' direction."""
+"""The import graph of the package has no cycles other than those listed, and the layers' order holds."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 from tests.exchange import ROOT
 
 PACKAGE = ROOT / "onyxwick"
-REMAINING_CIRCLES: list[set[str]] = []
-"""Circles that still exist: this list may only become shorter."""
+REMAINING_CYCLES: list[set[str]] = []
+"""Cycles that still exist; this list may only become shorter."""
 LAB_IMPORTERS = ("onyxwick.lab", "onyxwick.cli")
-"""Nothing else imports `lab/`: what serves never loads it."""
+"""The only packages that may import `lab/`, so that a serving process never loads it."""
 
 
 def _name(path: Path) -> str:
@@ -24,7 +24,7 @@
 
 
 def _targets(node: ast.AST) -> Iterator[str]:
-    """The project's modules that one import statement names."""
+    """Yield the project's modules that an import statement names."""
     if isinstance(node, ast.Import):
         yield from (alias.name for alias in node.names if alias.name in SOURCES)
     if isinstance(node, ast.ImportFrom) and node.module in SOURCES:
@@ -34,7 +34,10 @@
 
 
 def _imports() -> dict[str, set[str]]:
-    """All imports, also those of functions and for type checking: a circle is one wherever it stands."""
+    """Return the imported modules of each module.
+
+    Imports inside functions and for type checking are included, because they can form cycles as well.
+    """
     graph: dict[str, set[str]] = {}
     for name, path in SOURCES.items():
         nodes = ast.walk(ast.parse(path.read_text()))
@@ -42,8 +45,8 @@
     return graph
 
 
-def _circles(graph: dict[str, set[str]]) -> list[set[str]]:
-    """The strongly connected components of more than one module (Tarjan 1972)."""
+def _cycles(graph: dict[str, set[str]]) -> list[set[str]]:
+    """Return the strongly connected components of more than one module (Tarjan 1972)."""
     index: dict[str, int] = {}
     low: dict[str, int] = {}
     stack: list[str] = []
@@ -74,17 +77,17 @@
     return any(name == package or name.startswith(f"{package}.") for package in packages)
 
 
-def test_a_circle_is_found() -> None:
+def test_a_cycle_is_found() -> None:
     graph = {"a": {"b"}, "b": {"c"}, "c": {"a", "d"}, "d": set[str]()}
-    assert _circles(graph) == [{"a", "b", "c"}]
+    assert _cycles(graph) == [{"a", "b", "c"}]
 
 
-def test_there_are_no_circles_beside_those_that_remain() -> None:
-    circles = _circles(_imports())
-    assert sorted(map(sorted, circles)) == sorted(map(sorted, REMAINING_CIRCLES))
+def test_there_are_no_cycles_other_than_those_listed() -> None:
+    cycles = _cycles(_imports())
+    assert sorted(map(sorted, cycles)) == sorted(map(sorted, REMAINING_CYCLES))
 
 
-def test_nothing_that_serves_imports_the_lab() -> None:
+def test_only_the_lab_and_the_commands_import_the_lab() -> None:
     graph = _imports()
     importers = {name for name, targets in graph.items() if any(_is_in(t, "onyxwick.lab") for t in targets)}
     assert {name for name in importers if not _is_in(name, *LAB_IMPORTERS)} == set()
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that are known to be red passes over these alone, and over nothing that is sound."""
+"""The list of known failing tests excuses exactly the listed tests, and only while they fail."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 import pytest
 
-from tests.conftest import FILE, known_red, unnamed
+from tests.conftest import KNOWN_RED_FILE, parse_known_red, unknown_tests
 
-HERE = Path(__file__).parent
+TESTS_FOLDER = Path(__file__).parent
 
 
-def test_the_list_that_stands_can_be_used() -> None:
-    known_red(FILE.read_text() if FILE.exists() else "")
+def test_the_current_list_is_valid() -> None:
+    parse_known_red(KNOWN_RED_FILE.read_text() if KNOWN_RED_FILE.exists() else "")
 
 
 @pytest.mark.parametrize(
@@ -29,15 +29,15 @@
         "\n".join(f"tests/a.py::t{n} | why | 3" for n in range(4)),
     ],
 )
-def test_an_entry_that_is_malformed_or_one_too_many_is_refused(text: str) -> None:
+def test_a_malformed_entry_or_one_entry_too_many_is_rejected(text: str) -> None:
     with pytest.raises(ValueError):
-        known_red(text)
+        parse_known_red(text)
 
 
-def test_an_entry_that_names_no_test_is_told() -> None:
-    entries = known_red("# what is red\ntests/a.py::t | why | 3\n")
-    assert unnamed(entries, {"tests/a.py::u"}, {"tests/a.py"}) == ["tests/a.py::t"]
-    assert not unnamed(entries, {"tests/a.py::t"}, {"tests/a.py"})
+def test_an_entry_that_names_no_test_is_reported() -> None:
+    entries = parse_known_red("# known failures\ntests/a.py::t | why | 3\n")
+    assert unknown_tests(entries, {"tests/a.py::u"}, {"tests/a.py"}) == ["tests/a.py::t"]
+    assert not unknown_tests(entries, {"tests/a.py::t"}, {"tests/a.py"})
 
 
 @pytest.mark.parametrize(
@@ -45,18 +45,18 @@
     [
         ("assert False", "tests/test_it.py::test_it | a fault | 3", True),
         ("assert False", "", False),
-        ("assert True", "tests/test_it.py::test_it | a fault | 3", False),  # mended, and still listed
+        ("assert True", "tests/test_it.py::test_it | a fault | 3", False),  # fixed, but still listed
         ("assert True", "tests/test_it.py::test_other | a fault | 3", False),
         ("assert True", "tests/test_it.py::test_it", False),
         ("assert True", "", True),
     ],
 )
-def test_a_run_passes_over_what_is_listed_and_fails_on_what_is_wrong(
+def test_a_run_excuses_listed_failures_and_fails_on_all_others(
     body: str, listed: str, good: bool, tmp_path: Path
 ) -> None:
     folder = tmp_path / "tests"
     folder.mkdir()
-    shutil.copy(HERE / "conftest.py", folder)
+    shutil.copy(TESTS_FOLDER / "conftest.py", folder)
     (folder / "__init__.py").touch()
     (folder / "test_it.py").write_text(f"def test_it():\n    {body}\n")
     (tmp_path / "pyproject.toml").write_text('[tool.pytest.ini_options]\ntestpaths = ["tests"]\n')
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""A flood of bad input fills no log, and a log line is JSON unless the output is a terminal."""
+"""A flood of bad input does not fill the log, and log lines are JSON unless the output is a terminal."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
             return None
 
     assert sum(passes("bad input") is not None for _ in range(500)) == logs.MAX_LINES_PER_S
-    assert passes("another kind"), "it has lines of its own"
+    assert passes("another kind"), "expected a separate limit for each kind of line"
     now[0] = 1.0
     assert (passes("bad input") or {})["left_out"] == 490
 
@@ -49,7 +49,7 @@
 
 
 @pytest.mark.parametrize("value", [object(), {1, 2}, b"\xff"])
-def test_a_value_that_json_cannot_hold_does_not_lose_the_line(value: object) -> None:
+def test_a_line_with_a_value_that_json_cannot_represent_is_logged(value: object) -> None:
     stream = io.StringIO()
     try:
         logs.set_up(stream)
@@ -59,7 +59,7 @@
     assert ujson.loads(stream.getvalue())["event"] == "odd"
 
 
-LOGGING = """
+LOGGING_PROGRAM = """
 import sys
 from onyxwick import logs
 from onyxwick.former_log_events import FORMER_EVENTS
@@ -72,14 +72,14 @@
 
 
 def test_a_log_that_accepts_no_lines_stops_nothing() -> None:
-    """A full disk, a closed pipe, a pipe that nobody empties."""
+    """The log's output is a full disk, a closed pipe, or a pipe that is not read."""
     read_end, write_end = os.pipe()
     closed_read, closed_write = os.pipe()
     os.close(closed_read)
     with open("/dev/full", "w") as full:
         for stderr in (full.fileno(), closed_write, write_end):
             done = subprocess.run(
-                [sys.executable, "-c", LOGGING],
+                [sys.executable, "-c", LOGGING_PROGRAM],
                 stdout=subprocess.PIPE,
                 stderr=stderr,
                 text=True,
@@ -109,8 +109,8 @@
 
 
 def test_each_event_of_the_table_is_logged_somewhere() -> None:
-    """A later rename must not leave a stale row behind."""
+    """A renamed log event must not leave an outdated row in the table."""
     sources = "".join(path.read_text() for path in (ROOT / "onyxwick").rglob("*.py"))
-    composed = {"operations endpoint on", "bad input to the operations endpoint"}  # by the HTTP server
-    for event in FORMER_EVENTS.keys() - composed:
+    composed_events = {"operations endpoint on", "bad input to the operations endpoint"}  # by the HTTP server
+    for event in FORMER_EVENTS.keys() - composed_events:
         assert sources.count(f'"{event}"') >= 2, event
--- a/tests/test_off.py
+++ b/tests/test_off.py
@@ -1,4 +1,7 @@
-"""Off means off: what the platform's line `run` loads, opens and starts, against a list."""
+"""A director without a service file loads no modules and opens no sockets or threads for disabled features.
+
+The director is started with the `run` line of the platform's deploy file.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +14,7 @@
 
 from tests.exchange import FOLDER, ROOT
 
-ON = {  # of the project's own: all that a director without a service file needs
+NEEDED_MODULES = {  # the project's own modules that a director without a service file needs
     "onyxwick",
     "onyxwick.__main__",
     "onyxwick.config",
@@ -101,23 +104,35 @@
     "onyxwick.settings",
     "onyxwick.start",
 }
-NEVER = ("scipy", "numpy", "msgspec", "matplotlib", "lark", "dns", "click", "cryptography", "httptools")
-_IMPORT = re.compile(r"import time:\s+\d+ \|\s+\d+ \|\s*(\S+)").match
+NEVER_LOADED = (
+    "scipy",
+    "numpy",
+    "msgspec",
+    "matplotlib",
+    "lark",
+    "dns",
+    "click",
+    "cryptography",
+    "httptools",
+)
+_IMPORT_LINE = re.compile(r"import time:\s+\d+ \|\s+\d+ \|\s*(\S+)").match
 
 
 def _run_line() -> str:
-    """The deploy file's `run`, with this interpreter in place of the platform's."""
+    """Return the `run` line of the deploy file, with this interpreter instead of the platform's."""
     line = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
     assert line.startswith("exec .venv/bin/python ")
     return str(line).replace(".venv/bin/python", sys.executable)
 
 
-def test_run_as_the_platform_starts_it_has_nothing_of_what_is_off(tmp_path: Path) -> None:
+def test_the_platforms_run_line_loads_and_opens_nothing_for_disabled_features(tmp_path: Path) -> None:
     config = tmp_path / "config.json"
     config.write_text((FOLDER / "config.json").read_text().replace("127.77.0.1:15050", "127.78.0.1:15050"))
-    told = {"RELAY_CONFIG": str(config), "PYTHONPROFILEIMPORTTIME": "1", "TMPDIR": str(tmp_path)}
-    told["UV_THREADPOOL_SIZE"] = "1"  # the event loop's own pool, begun with the first connection
-    environment = {n: v for n, v in os.environ.items() if not n.startswith(("RELAY_", "ONYXWICK_"))} | told
+    settings = {"RELAY_CONFIG": str(config), "PYTHONPROFILEIMPORTTIME": "1", "TMPDIR": str(tmp_path)}
+    settings["UV_THREADPOOL_SIZE"] = "1"  # the event loop's thread pool, which the first connection starts
+    environment = {
+        key: value for key, value in os.environ.items() if not key.startswith(("RELAY_", "ONYXWICK_"))
+    } | settings
     program = subprocess.Popen(
         ["/bin/sh", "-c", _run_line()], cwd=ROOT, env=environment, stderr=subprocess.PIPE, text=True
     )
@@ -125,10 +140,10 @@
         assert program.stderr is not None
         modules: set[str] = set()
         for line in program.stderr:
-            if found := _IMPORT(line):
+            if found := _IMPORT_LINE(line):
                 modules.add(found[1])
             if "coordinator lost" in line:
-                break  # it serves, and has tried the feed once: all that a director starts has been started
+                break  # it serves and has tried the feed once, so it has started everything that it starts
         proc = Path(f"/proc/{program.pid}")
         threads = list((proc / "task").iterdir())
         links = [os.readlink(fd) for fd in (proc / "fd").iterdir() if fd.exists()]
@@ -136,9 +151,9 @@
         program.terminate()
         program.communicate(timeout=20)
     own = {name for name in modules if name.split(".")[0] == "onyxwick"}
-    assert own <= ON, f"loaded though off: {sorted(own - ON)}"
-    assert not {name for name in modules if name.split(".")[0] in NEVER}
-    assert len(threads) == 2, "the program's one and that of the event loop's pool"
+    assert own <= NEEDED_MODULES, f"loaded though not needed: {sorted(own - NEEDED_MODULES)}"
+    assert not {name for name in modules if name.split(".")[0] in NEVER_LOADED}
+    assert len(threads) == 2, "expected the main thread and one thread of the event loop's pool"
     sockets = [link for link in links if link.startswith("socket:")]
-    assert len(sockets) <= 6, "the listener, the feed, the event loop's own pair"
+    assert len(sockets) <= 6, "expected the listener, the feed and the event loop's own pair"
     assert program.returncode == 0
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -1,4 +1,4 @@
-"""The table of promises names guards and tests that exist, and uses each of them."""
+"""The table of promises names only existing guards and tests, and uses each of them."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 
 
 def _legend(letter: str) -> dict[str, tuple[str, str]]:
-    """Code: file and name."""
+    """Return the file and the name for each code of the legend that starts with `letter`."""
     rows = re.findall(rf"^\| ({letter}\d+) \| (\S+\.py) (\S+)", PAGE, re.MULTILINE)
     return {code: (file, name) for code, file, name in rows}
 
 
 def _names(file: str) -> set[str]:
-    """Functions and classes of a file, those of classes as `Class.name`."""
-    out = set[str]()
+    """Return the functions and classes of a file, and the methods of its classes as `Class.name`."""
+    names = set[str]()
     for node in ast.parse((ROOT / file).read_text()).body:
         if isinstance(node, ast.FunctionDef | ast.AsyncFunctionDef | ast.ClassDef):
-            out.add(node.name)
+            names.add(node.name)
         if isinstance(node, ast.ClassDef):
-            out |= {
+            names |= {
                 f"{node.name}.{inner.name}"
                 for inner in node.body
                 if isinstance(inner, ast.FunctionDef | ast.AsyncFunctionDef)
             }
-    return out
+    return names
 
 
 def test_every_guard_and_test_that_the_table_names_exists() -> None:
@@ -36,7 +36,7 @@
         assert name in _names(file), f"{code}: {name} is not in {file}"
 
 
-def test_every_code_of_a_cell_is_in_the_legend_and_every_legend_is_used() -> None:
+def test_every_code_in_a_cell_is_in_the_legend_and_every_legend_entry_is_used() -> None:
     cells = [line for line in PAGE.splitlines() if re.match(r"\| P\d+ \| [.Gn]", line)]
     used = set(re.findall(r"\b[GT]\d+\b", " ".join(cells)))
     assert used == set(_legend("G") | _legend("T"))
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -1,4 +1,4 @@
-"""A reload of the configuration whose file cannot be read at the moment."""
+"""A reload of the configuration while its file is temporarily unreadable."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     config = director_config.load({"RELAY_CONFIG": str(FOLDER / "config.json")})
-    moved, left = replace(config, coordinator=("127.77.200.2", 17070)), [3]
-    real = Path.read_text
+    moved, failures_left = replace(config, coordinator=("127.77.200.2", 17070)), [3]
+    real_read_text = Path.read_text
 
     def read_text(path: Path) -> str:
-        if left[0]:
-            left[0] -= 1
+        if failures_left[0]:
+            failures_left[0] -= 1
             raise OSError(errno.ENFILE, os.strerror(errno.ENFILE))
-        return real(path).replace("127.77.200.1:17070", "127.77.200.2:17070")
+        return real_read_text(path).replace("127.77.200.1:17070", "127.77.200.2:17070")
 
     async def run() -> None:
         director = lifecycle.Director(config)
--- a/tests/test_shutdown_program.py
+++ b/tests/test_shutdown_program.py
@@ -1,4 +1,5 @@
-"""Shutdown of the real program: signals during its start and reload, twice, and as it stops listening."""
+"""Shutdown of the real program: signals during the start, during a reload, sent twice, and while it stops
+listening."""
 
 from __future__ import annotations
 
@@ -23,12 +24,15 @@
 
 
 def _write(pipe: Path, program: subprocess.Popen[str], text: str, before: int, after: str = "") -> None:
-    """Give the configuration to a program that is reading it: it can go no further meanwhile. `before`: a
-    signal that reaches it at that point; `after`: what stands in the file from then on."""
+    """Write the configuration into a pipe from which the program is reading.
+
+    The program is blocked until the write. `before` is a signal that is sent while the program is blocked,
+    `after` the content of the file from then on (if empty, `text`).
+    """
     end = time.monotonic() + PATIENCE_S
     while True:
         try:
-            fd = os.open(pipe, os.O_WRONLY | os.O_NONBLOCK)  # fails while nobody reads
+            fd = os.open(pipe, os.O_WRONLY | os.O_NONBLOCK)  # fails until the program reads
             break
         except OSError:
             assert program.poll() is None and time.monotonic() < end, program.returncode
@@ -41,7 +45,8 @@
         file.write(text)
 
 
-def _starting(tmp_path: Path) -> tuple[Path, subprocess.Popen[str]]:
+def _start_blocked(tmp_path: Path) -> tuple[Path, subprocess.Popen[str]]:
+    """Start a program whose configuration file is a pipe, so that its start blocks until `_write`."""
     pipe = tmp_path / "config.json"
     os.mkfifo(pipe)
     environment = {**os.environ, "RELAY_CONFIG": str(pipe), "ONYXWICK_SERVICE": str(tmp_path / "none")}
@@ -52,7 +57,7 @@
 
 
 def test_a_reload_during_startup_is_carried_out_once_started(tmp_path: Path) -> None:
-    pipe, program = _starting(tmp_path)
+    pipe, program = _start_blocked(tmp_path)
     with socket.create_server(COORDINATOR) as old, socket.create_server(MOVED) as new:
         old.settimeout(PATIENCE_S)
         new.settimeout(PATIENCE_S)
@@ -70,8 +75,8 @@
 
 
 def test_sigterm_during_startup_leaves_nothing_behind(tmp_path: Path) -> None:
-    pipe, program = _starting(tmp_path)
-    with contextlib.suppress(BrokenPipeError):  # it has ended in the middle of reading
+    pipe, program = _start_blocked(tmp_path)
+    with contextlib.suppress(BrokenPipeError):  # the program exited while reading
         _write(pipe, program, CONFIG, signal.SIGTERM)
     _, logged = program.communicate(timeout=PATIENCE_S)
     assert program.returncode in (0, -signal.SIGTERM) and "Traceback" not in logged, logged
@@ -80,27 +85,27 @@
 def test_sigterm_twice_and_during_a_reload_answers_all_requests(tmp_path: Path) -> None:
     exchange = Exchange(tmp_path)
     try:
-        client, request = exchange._peer("client"), f"{7:016x}"
-        client.sendall(call(1, request, path="/call/site-video"))
+        client, request_id = exchange._peer("client"), f"{7:016x}"
+        client.sendall(call(1, request_id, path="/call/site-video"))
         cache = exchange._peer("c0")
-        assert request.encode() in cache.recv(65_536)
-        for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
-            exchange.program.send_signal(number)
+        assert request_id.encode() in cache.recv(65_536)
+        for signal_number in (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
+            exchange.program.send_signal(signal_number)
         exchange._until("draining")
         exchange.program.send_signal(signal.SIGTERM)
-        cache.sendall(resp.encode_command(request.encode(), b"data", FOUND, b"walk"))
-        got = b""
-        while b"walk" not in got:
-            more = client.recv(65_536)
-            assert more, got
-            got += more
-        assert b"200 OK" in got
+        cache.sendall(resp.encode_command(request_id.encode(), b"data", FOUND, b"walk"))
+        answer = b""
+        while b"walk" not in answer:
+            chunk = client.recv(65_536)
+            assert chunk, answer
+            answer += chunk
+        assert b"200 OK" in answer
     finally:
         exchange.stop()
 
 
 def test_a_client_that_connects_as_the_listening_socket_closes_is_answered(tmp_path: Path) -> None:
-    """The program is paused as it is due to stop listening; meanwhile a client connects and sends."""
+    """While the program is paused just before it stops listening, a client connects and sends a request."""
     exchange = Exchange(tmp_path)
     try:
         exchange.program.send_signal(signal.SIGTERM)
@@ -111,77 +116,78 @@
         client.sendall(call(1, path="/ping"))
         time.sleep(0.8)
         exchange.program.send_signal(signal.SIGCONT)
-        got = client.recv(65_536)
-        assert b"Status: " in got, got
+        answer = client.recv(65_536)
+        assert b"Status: " in answer, answer
     finally:
         exchange.program.send_signal(signal.SIGCONT)
         exchange.stop()
 
 
-def _asked(number: int) -> str:
+def _request_id(number: int) -> str:
     return f"{number:016x}"
 
 
-def _serve(exchange: Exchange, number: int, member: str, links: list[socket.socket]) -> None:
-    """A true client comes, asks, and is answered by that member, on whichever of its connections."""
-    listener, asked, read = exchange.listeners[member], _asked(number).encode(), b""
+def _serve(exchange: Exchange, number: int, member: str, member_sockets: list[socket.socket]) -> None:
+    """Send a request as a new client, and answer it as `member`, on whichever connection it arrives."""
+    listener, request_id, received = exchange.listeners[member], _request_id(number).encode(), b""
     with socket.create_connection(LISTEN, PATIENCE_S) as client:
         client.settimeout(PATIENCE_S)
-        client.sendall(call(1, _asked(number), path="/call/site-video"))
-        while asked not in read:
-            ready, _, _ = select.select([listener, *links], [], [], PATIENCE_S)
-            assert ready, "nothing was sent on"
+        client.sendall(call(1, _request_id(number), path="/call/site-video"))
+        while request_id not in received:
+            ready, _, _ = select.select([listener, *member_sockets], [], [], PATIENCE_S)
+            assert ready, "the program sent nothing to the member"
             for sock in ready:
                 if sock is listener:
-                    links.append(listener.accept()[0])
-                elif asked in (read := sock.recv(65_536)):
-                    sock.sendall(resp.encode_command(asked, b"data", FOUND, b"walk"))
+                    member_sockets.append(listener.accept()[0])
+                elif request_id in (received := sock.recv(65_536)):
+                    sock.sendall(resp.encode_command(request_id, b"data", FOUND, b"walk"))
                     break
-        got = client.recv(65_536)
-        assert b"200 OK" in got and b"walk" in got, got
+        answer = client.recv(65_536)
+        assert b"200 OK" in answer and b"walk" in answer, answer
 
 
 def test_with_all_connections_taken_and_discovery_down_the_fixed_parts_keep_descriptors(
     tmp_path: Path,
 ) -> None:
-    """The limit is the platform's: idle clients, halves of calls and answered ones take all they can."""
+    """Idle clients, partial calls and answered calls take as many connections as the platform allows."""
     limited = {**json.loads(CONFIG), "limits": {"cores": 1, "memory_mb": 192, "sockets": 96}}
     exchange = Exchange(tmp_path, operations=True, config=json.dumps(limited), descriptors=96)
-    crowd, links = list[socket.socket](), list[socket.socket]()
+    client_sockets, member_sockets = list[socket.socket](), list[socket.socket]()
     try:
         exchange._peer("coordinator").close()
         exchange.listeners["coordinator"].close()
-        crowd.append(socket.create_connection(LISTEN, PATIENCE_S))
-        crowd[0].sendall(b"".join(call(n, _asked(100 + n), path="/call/site-video") for n in range(1, 7)))
+        client_sockets.append(socket.create_connection(LISTEN, PATIENCE_S))
+        client_sockets[0].sendall(
+            b"".join(call(n, _request_id(100 + n), path="/call/site-video") for n in range(1, 7))
+        )
         for number in range(120):
             with contextlib.suppress(OSError):
-                crowd.append(sock := socket.create_connection(LISTEN, PATIENCE_S))
+                client_sockets.append(sock := socket.create_connection(LISTEN, PATIENCE_S))
                 sock.sendall((b"", call(1, path="/ping")[:20], call(1, path="/ping"))[number % 3])
-        crowd += [
-            socket.create_connection(OPERATIONS, PATIENCE_S) for _ in range(32)
-        ]  # and all of the operations endpoint
-        time.sleep(0.4)  # those just come keep their places for a quarter of a second
+        # All connections of the operations endpoint are taken as well.
+        client_sockets += [socket.create_connection(OPERATIONS, PATIENCE_S) for _ in range(32)]
+        time.sleep(0.4)  # new connections keep their slots for 0.25 s
         for number in range(3):
-            _serve(exchange, number, "c0", links)
+            _serve(exchange, number, "c0", member_sockets)
         with socket.create_connection(OPERATIONS, PATIENCE_S) as connection:
             connection.sendall(b"GET /ready HTTP/1.1\r\nHost: operations\r\n\r\n")
             assert b"200" in connection.recv(4096)
         exchange.path.write_text(json.dumps(limited))
         exchange.program.send_signal(signal.SIGHUP)
         exchange._until("configuration read again")
-        for sock in crowd:  # all at once
+        for sock in client_sockets:  # all clients disconnect at the same time
             sock.close()
         exchange.listeners["coordinator"] = exchange._listen(COORDINATOR)
         feed = exchange.listeners["coordinator"].accept()[0]
         assert feed.recv(100) == b"follow 1\n"
         row = {**limited["known"]["updates"][0]["endpoints"]["servers"][0], "state": "DRAINING"}
-        told = {"index": 2, "endpoints": {"version": 2, "full": False, "servers": [row]}}
-        feed.sendall(json.dumps(told).encode() + b"\n")
+        update = {"index": 2, "endpoints": {"version": 2, "full": False, "servers": [row]}}
+        feed.sendall(json.dumps(update).encode() + b"\n")
         time.sleep(0.2)
-        _serve(exchange, 9, "p0", links)  # the drain holds
+        _serve(exchange, 9, "p0", member_sockets)  # the drain of the cache is in force
         feed.close()
     finally:
-        for sock in (*crowd, *links):
+        for sock in (*client_sockets, *member_sockets):
             sock.close()
         logged = exchange.stop()
     assert "Traceback" not in logged and "accept failed" not in logged, logged
@@ -206,29 +212,29 @@
     assert str(path) in done.stderr and "Traceback" not in done.stderr, done.stderr
 
 
-def _ping(address: tuple[str, int], most_s: float) -> float:
-    """Seconds until a ping is answered with 200."""
-    begun = time.monotonic()
-    while time.monotonic() < begun + most_s:
+def _ping(address: tuple[str, int], timeout_s: float) -> float:
+    """Return the seconds until a ping is answered with 200, or `timeout_s` if none is in time."""
+    started_at_s = time.monotonic()
+    while time.monotonic() < started_at_s + timeout_s:
         with contextlib.suppress(OSError), socket.create_connection(address, 1.0) as sock:
             sock.settimeout(1.0)
             sock.sendall(call(1, path="/ping"))
             if b"200 OK" in sock.recv(4096):
-                return time.monotonic() - begun
+                return time.monotonic() - started_at_s
         time.sleep(0.02)
-    return most_s
+    return timeout_s
 
 
 @pytest.mark.parametrize("discovery", ["down", "silent"])
 def test_many_directors_starting_on_one_core_are_ready_without_clients(
     discovery: str, tmp_path: Path
 ) -> None:
-    """Readiness waits for nothing that may never come: discovery down or silent, no cache that answers."""
+    """Readiness does not depend on discovery, which is down or silent, or on an answer of any cache."""
     programs, core = list[subprocess.Popen[str]](), min(os.sched_getaffinity(0))
     with contextlib.ExitStack() as stack:
         if discovery == "silent":
             stack.enter_context(socket.create_server(COORDINATOR))
-        stack.enter_context(socket.create_server(("127.77.1.1", 15051)))  # a cache that hangs
+        stack.enter_context(socket.create_server(("127.77.1.1", 15051)))  # a cache that never answers
         try:
             for number in range(7):
                 path = tmp_path / f"{number}.json"
@@ -251,9 +257,9 @@
                         preexec_fn=lambda: os.sched_setaffinity(0, {core}),
                     )
                 )
-            took = [_ping((f"127.77.0.{10 + number}", 15050), 10.0) for number in range(7)]
-            assert max(took) < 10.0, took
-            for number in range(7):  # the operations endpoint says the same
+            durations_s = [_ping((f"127.77.0.{10 + number}", 15050), 10.0) for number in range(7)]
+            assert max(durations_s) < 10.0, durations_s
+            for number in range(7):  # the operations endpoint also reports readiness
                 with socket.create_connection((f"127.77.0.{10 + number}", 19600), PATIENCE_S) as sock:
                     sock.sendall(b"GET /ready HTTP/1.1\r\nHost: operations\r\n\r\n")
                     assert b"200" in sock.recv(4096)
@@ -265,7 +271,7 @@
 
 
 def test_classes_under_any_names_are_served(tmp_path: Path) -> None:
-    """Names come from the settings alone: a whole exchange under names that nothing else knows."""
+    """Class names are defined only by the settings: a complete exchange succeeds with other names."""
     names = ((b"site-video", b"corto-film"), (b"booking", b"pedidos"))
     text = (FOLDER / "served.txt").read_bytes()
     config = CONFIG.encode()
@@ -281,7 +287,7 @@
 
 
 def _full_pipe() -> tuple[int, int]:
-    """Both ends of a pipe that takes nothing more, as nobody reads it."""
+    """Return the read end and the write end of a full pipe, which accepts no more data."""
     reader, writer = os.pipe()
     os.set_blocking(writer, False)
     for size in (4096, 1):
@@ -292,8 +298,11 @@
     return reader, writer
 
 
-def _goes_on_and_ends(folder: Path, output: str) -> int:
-    """The exit code of a program that is asked for its counters, asked for an answer and told to end."""
+def _exit_code_with_output(folder: Path, output: str) -> int:
+    """Return the exit code of a program that prints its counters, answers a ping and is then terminated.
+
+    Its standard output is a pipe that is closed or full, or a full disk, as `output` says.
+    """
     reader, writer = _full_pipe() if output == "full" else os.pipe()
     if output == "closed":
         os.close(reader)
@@ -315,4 +324,4 @@
 
 def test_an_output_that_takes_no_counters_neither_stops_nor_fails_the_program(tmp_path: Path) -> None:
     for output in ("closed", "disk full", "full"):
-        assert _goes_on_and_ends(tmp_path, output) == 0, output
+        assert _exit_code_with_output(tmp_path, output) == 0, output
--- a/tests/test_shutdown_schedule.py
+++ b/tests/test_shutdown_schedule.py
@@ -1,4 +1,4 @@
-"""The schedule of a shutdown, and what each stage does with a connection, without sockets."""
+"""The schedule of a shutdown, and the effect of each stage on a connection. Uses no sockets."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 IDLE = ConnectionState(1, 0, 0, 60.0, False, False, 60.0, 60.0)
 
 
-def test_a_drain_rejects_requests_in_time_to_close_every_connection() -> None:
+def test_a_drain_rejects_requests_early_enough_to_close_every_connection() -> None:
     schedule = drain_schedule(100.0)
     assert schedule.stage(99.9) is ShutdownStage.SERVING and schedule.stage(100.0) is ShutdownStage.CLOSE_IDLE
     assert schedule.stage_start_s(ShutdownStage.REJECT_NEW) + 1.0 <= 100.0 + DRAIN_LIMIT_S - RECENT_REQUEST_S
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize("longest_s", [0.0, 0.05, 0.3, 0.8, 1.5, 3.0, 15.0])
-@pytest.mark.parametrize("successor", [False, True])
+@pytest.mark.parametrize("successor", [False, True])  # whether a successor serves on the same socket
 @pytest.mark.parametrize("stalled_s", [0.0, 0.5, 30.0])
 def test_a_termination_ends_before_sigkill(longest_s: float, successor: bool, stalled_s: float) -> None:
     schedule = termination_schedule(100.0, 100.0 + stalled_s, longest_s, successor)
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize(
-    ("state", "steps"),  # for each stage from SERVING to CLOSED
+    ("state", "steps"),  # one step for each stage, from SERVING to CLOSE_ALL
     [
         (IDLE, "keep end end end end end"),
         (replace(IDLE, unanswered=1), "keep keep keep keep give_back give_back"),
@@ -64,7 +64,7 @@
         (replace(IDLE, since_delivered_s=0.1), "keep keep keep keep end end"),
     ],
 )
-def test_what_each_stage_does_with_a_connection(state: ConnectionState, steps: str) -> None:
+def test_each_stage_takes_the_expected_step_with_a_connection(state: ConnectionState, steps: str) -> None:
     assert [next_step(stage, state) for stage in ShutdownStage] == [
         ConnectionStep(name) for name in steps.split()
     ]
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The simulator's adapter: reading, writing, and one plain line on bad input."""
+"""The simulator's adapter: reads events, writes actions, and reports bad input in a single line."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
     )
 
 
-def test_one_instance_from_start_to_restart() -> None:
+def test_an_instance_from_its_start_to_its_restart() -> None:
     input_lines = (
         "BATCH 100",
         "FLUSH",
@@ -70,7 +70,7 @@
     assert "DELIVER_VIA 3 r1 c0:1" in replies[3] and "DELIVER_VIA 3 r2 c0:1 3000000 o0:1 0" in replies[4]
 
 
-def test_bad_input_ends_with_one_plain_line() -> None:
+def test_bad_input_ends_the_adapter_with_a_single_error_line() -> None:
     for lines, words in (
         (("BATCH x", "FLUSH"), ("line 1", "clock")),
         (("BATCH 5", ENLIST.replace("rules.fall_us=2000000", ""), "FLUSH"), ("line 2", "rules.fall_us")),
