--- a/onyxwick/sites/__init__.py
+++ b/onyxwick/sites/__init__.py
@@ -1,5 +1,6 @@
-"""The loss of a site: which sites serve its objects, what is shed first, and how it is returned to. No I/O
-here."""
+"""Handling of site loss: which sites serve the objects of a lost site, which load is shed first, and how
+traffic returns to the site. This package does no I/O.
+"""
 
 from onyxwick.sites.model import SitesError, Topology, TopologyError
 from onyxwick.sites.operator_commands import SiteCommand, SiteCommandError, command_to_row, parse_command
--- a/onyxwick/sites/active_site.py
+++ b/onyxwick/sites/active_site.py
@@ -1,4 +1,6 @@
-"""One site's caches as this director uses them, and which site's router decides for each request."""
+"""The state that a director keeps for each site in use, and for each request the site whose router handles
+it.
+"""
 
 from __future__ import annotations
 
@@ -11,8 +13,8 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutedAttempt:
-    """One attempt of a request: the site whose router ordered it, and its index among that router's
-    attempts."""
+    """One attempt of a request: the site whose router started it, and its index among the attempts of that
+    router."""
 
     site: str
     local_index: int
@@ -22,27 +24,28 @@
 
 @dataclass(slots=True, kw_only=True)
 class SiteRequestOwner(RequestOwner):
-    """The site that serves one request. It changes once at most, and only for idempotent requests."""
+    """The site that serves one request. It changes at most once, and only for idempotent requests."""
 
     request: RequestArrived
     client_site: str  # the site of the client
     deadline_us: int
-    is_trial: bool = False  # sent to a site that is not known to answer
-    holds_admission: bool = False  # counted at the gate of the site
+    is_trial: bool = False  # sent to a site that is not known to be reachable
+    holds_admission: bool = False  # counted by the admission gate of the site
     relocated: bool = False
     attempts: list[RoutedAttempt] = field(default_factory=list)
 
     @property
     def tenant(self) -> str:
-        """The tenant that the request names, or an empty name."""
+        """Return the tenant that the request names, or an empty string if it names none."""
         return self.request.tenant or ""
 
     def attempts_at(self, site: str) -> int:
-        """The number of attempts that a site's router has ordered."""
+        """Return the number of attempts that the router of a site has started."""
         return sum(attempt.site == site for attempt in self.attempts)
 
     def attempt_index_of(self, site: str, local_index: int) -> int | None:
-        """The index of an attempt among all of the request's, from its index at one site's router."""
+        """Return the index of an attempt among all attempts of the request, given its index at the router
+        of one site; None if there is no such attempt."""
         key = (site, local_index)
         for index, attempt in enumerate(self.attempts):
             if (attempt.site, attempt.local_index) == key:
@@ -51,7 +54,7 @@
 
 
 class ActiveSite:
-    """A site's router, what it has been given, and its load shedding."""
+    """The router of one site, the endpoint list and shares last passed to it, and its load shedding."""
 
     def __init__(self, name: str, router: RequestRouter, shedding: SheddingLevels, now: int) -> None:
         self.name = name
@@ -59,6 +62,6 @@
         self.shedding = shedding
         self.reported_members: dict[str, Member] = {}
         self.in_flight = 0
-        self.last_used_us = now  # when it was last assigned a request
-        self.retry_reserve = 1.0  # as last given to its router
-        self.fleet_share = FleetShareChanged(1.0)  # as last given to its router
+        self.last_used_us = now  # when a request was last assigned to this site
+        self.retry_reserve = 1.0  # last value passed to the router
+        self.fleet_share = FleetShareChanged(1.0)  # last value passed to the router
--- a/onyxwick/sites/constraints.py
+++ b/onyxwick/sites/constraints.py
@@ -1,7 +1,7 @@
-"""Inequality constraints of a linear program, assembled from blocks, and the call of the solver.
+"""Inequality constraints of a linear program, assembled from blocks, and the call to the solver.
 
-All variables are at least 0. Solved by HiGHS through scipy, which is imported with this module: by a command
-or a worker thread, never on a request's path.
+All variables are at least 0. The solver is HiGHS, called through scipy. Importing this module imports
+scipy, so only commands and worker threads import it, never the request path.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class PlanUnsolvedError(OnyxwickError):
-    """HiGHS found no solution; `reason` is its own message."""
+    """HiGHS found no solution; `reason` is the message of the solver."""
 
     def __init__(self, reason: str) -> None:
         super().__init__(reason)
@@ -25,14 +25,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ConstraintBlock:
-    """A matrix that stands in the constraints from a column on."""
+    """A matrix whose columns are placed in the constraints starting at `first_column`."""
 
     matrix: csr_matrix
     first_column: int = 0
 
 
 class Constraints:
-    """Rows of coefficients, each row's sum at most its limit."""
+    """Rows of coefficients; for each row, coefficients times variables are at most the limit of the row."""
 
     def __init__(self, variable_count: int) -> None:
         self.variable_count = variable_count
@@ -40,7 +40,7 @@
         self.limits = np.zeros(0)
 
     def add(self, blocks: list[ConstraintBlock], limits: np.ndarray) -> None:
-        """Add rows: the blocks side by side are at most `limits`."""
+        """Add one row for each of `limits`, with the coefficients of the blocks placed side by side."""
         self.coefficients = vstack([self.coefficients, self._widen(blocks)], format="csr")
         self.limits = np.concatenate([self.limits, limits])
 
@@ -56,7 +56,8 @@
         return csr_matrix((np.concatenate(values), positions), shape=shape)
 
     def minimize(self, cost: np.ndarray, last_variable_max: float | None = None) -> np.ndarray:
-        """The variables' values of least cost; PlanUnsolvedError where HiGHS finds none."""
+        """Return the values of the variables that minimize the cost. Raises PlanUnsolvedError if HiGHS
+        finds no solution."""
         bounds: list[tuple[float, float | None]] = [(0.0, None)] * len(cost)
         if last_variable_max is not None:
             bounds[-1] = (0.0, last_variable_max)
@@ -67,5 +68,5 @@
 
 
 def negative_identity(size: int) -> csr_matrix:
-    """Minus one on the diagonal: a slack variable for each row."""
+    """Return a matrix with -1 on the diagonal, which gives each row a slack variable."""
     return csr_matrix((-np.ones(size), (range(size), range(size))), shape=(size, size))
--- a/onyxwick/sites/evidence.py
+++ b/onyxwick/sites/evidence.py
@@ -1,7 +1,8 @@
-"""What one director has observed of all places: the ends of attempts in, observations and doubts out. No I/O.
+"""What one director has observed of all places. No I/O.
 
-Each director acts on its own observations of the latest seconds alone. All times are in microseconds; 0 is
-never.
+Takes the results of attempts and returns observations of places and whether this director is isolated.
+Each director acts only on its own observations of the last few seconds. All times are in microseconds; 0
+means never.
 """
 
 from __future__ import annotations
@@ -18,25 +19,25 @@
 )
 from onyxwick.sites.observation import PlaceObservation, observe_place
 
-MAX_FEED_INTERVAL_US = 1_100_000  # between two messages of the endpoint list's source
-MAX_MEMBERS = 4096  # observed; more are ignored
+MAX_FEED_INTERVAL_US = 1_100_000  # between two messages from the source of the endpoint list
+MAX_MEMBERS = 4096  # members beyond this number are not observed
 
 
 class Evidence:
-    """All places of one director's topology."""
+    """The observations of all places in the topology of one director."""
 
     def __init__(self, connect_timeout_us: int) -> None:
-        """`connect_timeout_us`: microseconds that establishing a connection may take; 0 for the default."""
+        """`connect_timeout_us`: the longest time for establishing a connection, in us; 0 for the default."""
         self.connect_timeout_us = connect_timeout_us
         self.places: dict[str, PlaceEvidence] = {}
         self.place_of: dict[str, str] = {}
-        self.feed_received_us = 0  # when the endpoint list's source last sent something
-        self.recovered_us = 0  # when a pause of this process or its isolation last ended
+        self.feed_received_us = 0  # when the source of the endpoint list last sent a message
+        self.recovered_us = 0  # when this process last resumed after a pause or an isolation
 
     # ---- input ---------------------------------------------------------------------------------------
 
     def set_members(self, rows: Iterable[tuple[str, str]]) -> None:
-        """The members known now, each with its place; what was observed of all others is forgotten."""
+        """Replace the known members, given as (member, place), and discard the observations of all others."""
         place_of = dict(list(rows)[:MAX_MEMBERS])
         for member, place in self.place_of.items():
             if place_of.get(member) != place:
@@ -48,21 +49,23 @@
         self.place_of = place_of
 
     def forget_member(self, member: str) -> None:
-        """Another process runs under the member's address: the observations of the old one do not apply."""
+        """Discard the observations of a member whose address now belongs to another process.
+
+        The number of attempts in flight is kept."""
         place = self.place_of.get(member)
         if place is not None:
             members = self.places[place].members
             members[member] = MemberObservation(attempts_in_flight=members[member].attempts_in_flight)
 
     def record_sent(self, now: int, member: str) -> None:
-        """An attempt was sent to a member."""
+        """Record that an attempt was sent to a member."""
         observation = self._observation_of(member)
         if observation is not None:
             observation.record_sent(now)
             self.places[self.place_of[member]].attempts_in_flight += 1
 
     def record_attempt_ended(self, now: int, event: AttemptEnded) -> AttemptEvidence | None:
-        """An attempt has ended; what that says of its member, or None."""
+        """Record that an attempt has ended. Returns what it shows about its member, or None if nothing."""
         observation = self._observation_of(event.member)
         if observation is None:
             return None
@@ -84,11 +87,13 @@
     ) -> AttemptEvidence | None:
         was_abandoned = event.status is AttemptStatus.CANCELLED and event.latency_us >= OVERDUE_US
         if was_abandoned and observation.answered_us < now - event.latency_us:
-            return AttemptEvidence.SILENT  # cancelled as overdue, with nothing received since it was sent
+            return AttemptEvidence.SILENT  # cancelled when overdue, and nothing received since it was sent
         return classify_attempt(event, self.connect_timeout_us)
 
     def record_fill_source(self, now: int, member: str, answered: bool, taken_us: int) -> None:
-        """What an own site's cache reported of the source of its fill, this long after it was requested."""
+        """Record whether the source of a fill answered, as reported by a cache of the local site.
+
+        `taken_us`: time from the request of the fill to this report."""
         observation = self._observation_of(member)
         if observation is None:
             return
@@ -99,12 +104,13 @@
             self.places[self.place_of[member]].failed_us = now
 
     def record_feed(self, now: int) -> None:
-        """The endpoint list's source has sent something."""
+        """Record that the source of the endpoint list has sent a message."""
         self.feed_received_us = now
 
     def discard_failures(self, now: int) -> None:
-        """A pause of this process or its isolation has ended: what failed or waited before does not count,
-        nor does a failure of what was sent before."""
+        """Discard the failures and waits observed before the end of a pause or an isolation of this process.
+
+        Later failures of attempts that were sent before this moment do not count either."""
         self.recovered_us = now
         for place in self.places.values():
             for observation in place.members.values():
@@ -121,27 +127,30 @@
     # ---- results -------------------------------------------------------------------------------------
 
     def rules_out_loss(self, now: int, name: str) -> bool:
-        """Whether a place cannot be lost (`PlaceEvidence.rules_out_loss`); true for an unknown one."""
+        """Return whether a place cannot be lost (see `PlaceEvidence.rules_out_loss`); True for an unknown
+        place."""
         place = self.places.get(name)
         return place is None or place.rules_out_loss(now)
 
     def observe(self, now: int, name: str) -> PlaceObservation:
-        """A place as the latest seconds show it."""
+        """Return the observation of a place over the last few seconds; empty for an unknown place."""
         place = self.places.get(name)
         return observe_place(place, now) if place is not None else PlaceObservation()
 
-    def last_heard_outside_us(self, excluded: Iterable[str]) -> int:
-        """When anything but some places was last heard, the endpoint list's source included."""
+    def last_received_outside_us(self, excluded: Iterable[str]) -> int:
+        """Return when something was last received from outside the `excluded` places, the source of the
+        endpoint list included."""
         names = set(excluded)
         answered = [place.answered_us for name, place in self.places.items() if name not in names]
         return max([self.feed_received_us, *answered])
 
     def is_cut_off(self, now: int, local_site: str) -> bool:
-        """Whether nothing outside the own site was heard since something there failed.
+        """Return whether nothing was received from outside the local site since members outside it failed.
 
-        Attempts that were in flight when the network was cut wait since before the last answer from outside,
-        so that answer counts for as long as the list's source may be silent: it sends once a second, which
-        ends the doubt in a loss of another site."""
+        Attempts that were in flight when the network was cut have waited since before the last answer from
+        outside. That answer therefore rules out isolation only for `MAX_FEED_INTERVAL_US`, the longest
+        time for which the source of the endpoint list may be silent. The source sends once a
+        second, so when only another site is lost, its next message rules out isolation."""
         unreachable = [
             observation
             for name, place in self.places.items()
@@ -151,8 +160,8 @@
         ]
         if not unreachable:
             return False
-        heard_us = self.last_heard_outside_us([local_site])
+        received_us = self.last_received_outside_us([local_site])
         first_us = min(observation.unreachable_since_us() for observation in unreachable)
         last_us = max(observation.failed_us or now for observation in unreachable)
-        is_silent_since = heard_us < first_us or now - heard_us > MAX_FEED_INTERVAL_US
-        return last_us > heard_us and is_silent_since
+        is_silent_since = received_us < first_us or now - received_us > MAX_FEED_INTERVAL_US
+        return last_us > received_us and is_silent_since
--- a/onyxwick/sites/fairness.py
+++ b/onyxwick/sites/fairness.py
@@ -1,8 +1,8 @@
-"""Evens out a loss's solution: what is rejected between demands, and what is moved between sites.
+"""Evens out the solution for a loss: rejections between demands, and moved load between sites.
 
-In: a program and the rates of its choices (requests a second). Out: rates of nearly the same value.
-Rejections are max-min fair between demands, by progressive filling (Bertsekas and Gallager, "Data Networks",
-1992, section 6.5.2).
+Takes a linear program and the rates of its choices (requests per second) and returns rates of nearly the
+same value. Rejections are max-min fair between demands, by progressive filling (Bertsekas and Gallager,
+"Data Networks", 1992, section 6.5.2).
 """
 
 from __future__ import annotations
@@ -17,16 +17,18 @@
 from onyxwick.sites.loss_demand import Choice
 
 MAX_FILLING_ROUNDS = 4
-VALUE_GIVEN_UP = 0.03  # of the served value, at most, to reject evenly
-VALUE_TIE_WEIGHT = 1e-2  # of value beside the lowest share, between equally fair solutions
-NEGLIGIBLE = 1e-6  # rates and shares below it are nothing
-FLOOR_TOLERANCE = 1 - 1e-7  # of a rate that must be kept, for the solver's rounding
+MAX_VALUE_LOSS_SHARE = 0.03  # of the served value, given up to reject evenly
+VALUE_TIE_WEIGHT = 1e-2  # weight of value against the lowest share; chooses between equally fair solutions
+NEGLIGIBLE = 1e-6  # rates (requests per second) and shares below this count as zero
+FLOOR_TOLERANCE = 1 - 1e-7  # factor on minimum rates that allows for rounding in the solver
 LIMIT_TOLERANCE = 1e-6  # transfers
 
 
 def reject_evenly(program: LossProgram, rates: np.ndarray) -> np.ndarray:
-    """Nearly the same value, with rejections evened out between all demands: classes of nearly the same value
-    for their work are treated alike, and none is shut out for a hundredth of the value."""
+    """Return rates of nearly the same value, with rejections evened out between all demands.
+
+    Classes with nearly the same value for their work are treated alike, and none is rejected entirely for one
+    percent more value."""
     served = program.demand_matrix @ rates
     if float(np.sum(program.rates - served)) <= NEGLIGIBLE:
         return rates
@@ -39,25 +41,26 @@
         rates = filling.rates
         served_now = program.demand_matrix @ rates
         lowest = filling.lowest_share + NEGLIGIBLE
-        held = [index for index in free if served_now[index] <= lowest * program.rates[index]]
-        fixed |= {index: float(served_now[index]) for index in held or free}
+        saturated = [index for index in free if served_now[index] <= lowest * program.rates[index]]
+        fixed |= {index: float(served_now[index]) for index in saturated or free}
     return rates
 
 
 @dataclass(frozen=True, slots=True)
 class _Filling:
-    """One round's rates, and the lowest share that a free demand is served."""
+    """The rates of one round, and the lowest served share among the free demands."""
 
     rates: np.ndarray
     lowest_share: float
 
 
 def _fill(program: LossProgram, served: np.ndarray, fixed: dict[int, float], free: list[int]) -> _Filling:
-    """The highest share that every free demand can have while nearly all value is kept."""
+    """Maximize the lowest served share of the free demands while giving up at most `MAX_VALUE_LOSS_SHARE`
+    of the value."""
     constraints = program.base_constraints(program.choice_count + 1)
     value = csr_matrix(program.values.reshape(1, -1))
     total_value = float(program.values @ served)
-    least_value = np.array([-total_value * (1 - VALUE_GIVEN_UP)])
+    least_value = np.array([-total_value * (1 - MAX_VALUE_LOSS_SHARE)])
     constraints.add([ConstraintBlock(-(value @ program.demand_matrix))], least_value)
     floors = np.minimum(served, program.reserves * program.rates)
     for index, rate in fixed.items():
@@ -79,10 +82,11 @@
 
 
 def split_classes_alike(program: LossProgram, rates: np.ndarray) -> np.ndarray:
-    """The same work at each place and the same rate of each demand, with all classes of a lost site divided
-    among places alike: so no class, and none of its popular objects, is assigned to one place alone.
+    """Divide all classes of a lost site among places in the same proportions.
 
-    Returns the rates as they are where a link or parent could not carry that."""
+    The work at each place and the rate of each demand stay the same. No class, and none of its popular
+    objects, is then assigned to a single place. Returns the rates unchanged if a link or parent could
+    not carry the new ones."""
     result = rates.copy()
     for site in {demand.load.site for demand in program.demands if demand.is_moved}:
         _split_site_alike(program, rates, result, site)
--- a/onyxwick/sites/lifecycle.py
+++ b/onyxwick/sites/lifecycle.py
@@ -1,9 +1,8 @@
-"""One site (or hub) as one director takes it to be: a state machine, and the share of its objects that is
-moved.
+"""The state machine of one site or hub at one director, and the share of its objects that other sites serve.
 
-In: health signals, operators' directives and the time (microseconds). Out: a phase, and the share of the
-site's objects that other sites serve, 0 to 1. Every director runs its own; they enter a phase at different
-times, and each moves its own clients' requests. States and guards: docs/design/sites.md.
+Takes health signals, operators' directives and the time (microseconds), and determines the phase and the
+moved share, 0 to 1. Every director runs its own state machines. Directors enter a phase at different
+times, and each moves the requests of its own clients. States and guards: docs/design/sites.md.
 """
 
 from __future__ import annotations
@@ -14,20 +13,20 @@
 from onyxwick.errors import OnyxwickError
 from onyxwick.sites.model import MICROSECONDS_PER_SECOND, SitePolicy
 
-SILENT_CONFIRMATION_FACTOR = 4  # times `confirm_us`, where caches accept connections and do not answer
-SUSPICION_EXPIRY_US = 10 * MICROSECONDS_PER_SECOND  # without a further failure
-PAUSE_PRESSURE = 0.35  # share of late and rejected answers at which a move pauses
-RESUME_PRESSURE = 0.2  # share below which a return goes on, or begins early
-MIN_LISTED_SHARE = 0.5  # of a site's caches that must be listed before it is returned to
-FULL_CAPACITY_SHARE = 0.95  # of its planned capacity, from which a site counts as complete
-MAX_FLAPS = 5  # doublings of the hold time
+SILENT_CONFIRMATION_FACTOR = 4  # multiplies `confirm_us` if caches accept connections but do not answer
+SUSPICION_EXPIRY_US = 10 * MICROSECONDS_PER_SECOND  # without a further failure, the suspicion is dropped
+PAUSE_PRESSURE = 0.35  # share of late and rejected answers above which a move pauses
+RESUME_PRESSURE = 0.2  # up to this share a return proceeds; above it a return may start early
+MIN_LISTED_SHARE = 0.5  # of a site's caches that must be listed before traffic returns to it
+FULL_CAPACITY_SHARE = 0.95  # of its planned capacity; from this share on a site counts as complete
+MAX_FLAPS = 5  # each flap doubles the hold time
 MAX_SETBACK_DOUBLINGS = 2
-FLAP_WINDOW_US = 60 * MICROSECONDS_PER_SECOND  # lost again this soon after its return: a flap
-FLAP_DECAY_US = 300 * MICROSECONDS_PER_SECOND  # in the steady phase, after which one flap is forgotten
-MAX_STEP_INTERVAL_US = 2 * MICROSECONDS_PER_SECOND  # longer: the process was paused, and its state is stale
-COLD_START_WARM_SHARE = 0.35  # below it a site found at a director's start is taken to be returning
+FLAP_WINDOW_US = 60 * MICROSECONDS_PER_SECOND  # a loss this soon after a return counts as a flap
+FLAP_DECAY_US = 300 * MICROSECONDS_PER_SECOND  # in the steady phase, until the flap count decreases by one
+MAX_STEP_INTERVAL_US = 2 * MICROSECONDS_PER_SECOND  # a longer interval means a paused process and stale state
+COLD_START_WARM_SHARE = 0.35  # of its listed capacity; a site below it at a director's start is returning
 MAX_TRANSITIONS_PER_STEP = 3
-ROUNDING = 1e-9
+SHARE_TOLERANCE = 1e-9
 NOT_LISTED = "none of its caches is listed as ready"
 
 
@@ -65,8 +64,7 @@
 
 
 class SiteDirective(Enum):
-    """What an operator has ordered for a site. The values are those of the administration API and the
-    store."""
+    """A directive of an operator for a site. The administration API and the store use the values."""
 
     NONE = "auto"
     EVACUATE = "evacuate"
@@ -76,29 +74,29 @@
 
 @dataclass(frozen=True, slots=True)
 class SiteHealthSignals:
-    """The health of a site at one step. Times are in microseconds, 0 for never; shares are 0 to 1."""
+    """The health of a site at one step. Times are in microseconds, 0 means never; shares are 0 to 1."""
 
-    unreachable: bool = (
-        False  # at least two thirds of the caches tried lately are, and none has answered since
-    )
+    # At least two thirds of the recently tried caches are unreachable, and none has answered since.
+    unreachable: bool = False
     unreachable_since_us: int = 0
-    is_only_silent: bool = False  # unreachable caches accept connections and do not answer
+    is_only_silent: bool = False  # the unreachable caches accept connections but do not answer
     answered_us: int = 0
-    outside_heard_us: int = 0  # when anything but this place was last heard
-    cut_off: bool = False  # this director itself is isolated
-    has_demand: bool = False  # its clients' requests arrive here, or it is the own site
-    is_unobserved: bool = False  # they arrive, and nothing of the site was heard recently
-    listed_share: float = 1.0  # of its caches, listed as ready
-    list_loaded: bool = True  # an endpoint list has been received at all
+    # When something was last received from outside this place and the local site.
+    outside_received_us: int = 0
+    cut_off: bool = False  # this director is isolated
+    has_demand: bool = False  # requests of its clients arrive here, or it is a hub or the local site
+    is_unobserved: bool = False  # its clients' requests arrive here, but it has not answered recently
+    listed_share: float = 1.0  # of its caches that are listed as ready
+    list_loaded: bool = True  # an endpoint list has been received
     capacity_share: float = 1.0  # of its planned capacity that the listed caches have when warm
-    warm_share: float = 1.0  # of it that they can give now
-    healthy_since_us: int = 0  # since when trials are answered without a failure; 0: they are not
-    pressure: float = 0.0  # share of late and rejected answers where its objects are served
+    warm_share: float = 1.0  # of its planned capacity that the listed caches can provide now
+    healthy_since_us: int = 0  # since when all trials have been answered; 0: they are not answered
+    pressure: float = 0.0  # share of late and rejected answers at the sites that serve its objects
     cause: str = ""
 
 
 class SiteLifecycle:
-    """The state of one site at one director."""
+    """The state machine of one site or hub at one director."""
 
     def __init__(self, name: str, now: int, policy: SitePolicy) -> None:
         self.name = name
@@ -106,15 +104,15 @@
         self.phase = SitePhase.STEADY
         self.phase_started_us = now
         self.stepped_us = now
-        self.moved_share = 0.0  # of its objects, served by other sites
+        self.moved_share = 0.0  # share of its objects that other sites serve
         self.reason = "not observed yet"
         self.flaps = 0
         self.returned_us = 0  # when it last became steady after a loss; 0: never
-        self.setbacks = 0  # steps back in this return
+        self.setbacks = 0  # increases of the moved share during the present return
         self.share_changed_us = 0
         self.hold_until_us = 0
-        self.left_by_command = False  # then health alone does not bring it back
-        self.was_unreachable = False  # since it was last steady
+        self.left_by_command = False  # if set, health alone does not bring traffic back
+        self.was_unreachable = False  # whether it was lost since it was last steady
         self.transition_count = 0
 
     def _transition(self, phase: SitePhase, now: int, reason: str) -> None:
@@ -135,7 +133,7 @@
             self.moved_share = 1.0
         elif phase is SitePhase.LOST:
             self.was_unreachable = True
-            self.left_by_command = False  # whatever a command began, this is an actual loss
+            self.left_by_command = False  # an actual loss supersedes the command
 
     def _reset(self) -> None:
         self.moved_share = 0.0
@@ -145,12 +143,14 @@
 
     @property
     def hold_us(self) -> int:
-        """How long a site must be healthy before it is returned to; doubled with each flap and setback."""
+        """Return how long a site must be healthy before traffic returns to it; doubled by each flap and
+        setback."""
         return self.policy.hold_us << (self.flaps + min(MAX_SETBACK_DOUBLINGS, self.setbacks))
 
     def start(self, now: int, signals: SiteHealthSignals) -> None:
-        """The first endpoint list after a director's start: other directors may have left a site long
-        before."""
+        """Set the initial phase from the first endpoint list after a director's start.
+
+        A cold site is taken to be returning, as other directors may have evacuated it earlier."""
         is_cold = signals.warm_share < COLD_START_WARM_SHARE * signals.capacity_share
         if signals.list_loaded and signals.listed_share > 0 and is_cold:
             reason = "found cold at start: its objects are still served elsewhere"
@@ -160,8 +160,7 @@
     def step(
         self, now: int, signals: SiteHealthSignals, directive: SiteDirective = SiteDirective.NONE
     ) -> None:
-        """Apply the signals of one instant. Several phases may be passed where nothing has to be waited
-        for."""
+        """Apply the signals of one instant. May pass through several phases if none of them has to wait."""
         passed_us = now - self.stepped_us
         self.stepped_us = now
         if passed_us > MAX_STEP_INTERVAL_US:
@@ -174,7 +173,7 @@
                 return
 
     def _resume_after_pause(self, now: int) -> None:
-        """The process was paused: what was concluded before counts only once it is observed again."""
+        """Drop a suspicion from before a pause of the process; it must be observed again."""
         self.share_changed_us = now
         if self.phase is SitePhase.SUSPECT:
             self._transition(SitePhase.STEADY, now, "process was paused: observing again")
@@ -232,7 +231,7 @@
                 reason = f"none of its caches answers while others do: {signals.cause}"
                 self._transition(SitePhase.LOST, now, reason)
             else:
-                # Perhaps one link fails, in one direction: without demand nothing has to be decided here.
+                # A single link may have failed in one direction; without demand no decision is needed here.
                 self.reason = f"unreachable from here, and without demand from its clients: {signals.cause}"
 
     def _clear_suspicion(self, now: int, signals: SiteHealthSignals) -> None:
@@ -242,13 +241,16 @@
             self._transition(SitePhase.STEADY, now, "no further failures")
 
     def _loss_is_confirmed(self, now: int, signals: SiteHealthSignals) -> bool:
-        """Unreachable for long enough, while something else was heard."""
+        """Return whether the site was unreachable for long enough while something was received from
+        elsewhere."""
         silent_us = now - max(self.phase_started_us, signals.unreachable_since_us)
-        heard_others = signals.outside_heard_us > signals.unreachable_since_us
+        heard_others = signals.outside_received_us > signals.unreachable_since_us
         return silent_us >= self._confirm_us(signals) and heard_others
 
     def _confirm_us(self, signals: SiteHealthSignals) -> int:
-        """Slow caches are silent for long, too: longer silence is required where it is the only evidence."""
+        """Return the time without an answer that confirms a loss.
+
+        Longer if silence is the only evidence, as slow caches are also silent for some time."""
         return self.policy.confirm_us * (SILENT_CONFIRMATION_FACTOR if signals.is_only_silent else 1)
 
     def _step_lost(self, now: int, signals: SiteHealthSignals, directive: SiteDirective) -> None:
@@ -266,7 +268,8 @@
     # ---- evacuating, evacuated -----------------------------------------------------------------------
 
     def _is_recalled(self, signals: SiteHealthSignals, directive: SiteDirective) -> bool:
-        """Whether a command asks for the return, or no longer for the absence, to caches that are listed."""
+        """Return whether an operator wants traffic back, by a return command or by withdrawing the evacuation
+        command, and caches of the site are listed."""
         withdrawn = self.left_by_command and directive is SiteDirective.NONE
         return (directive is SiteDirective.RETURN or withdrawn) and not self._is_unlisted(signals)
 
@@ -274,7 +277,7 @@
         self._transition(SitePhase.RETURNING, now, "returned by operator command")
 
     def _must_wait(self, now: int, signals: SiteHealthSignals, directive: SiteDirective) -> bool:
-        """Whether the share stays as it is: on hold, isolated, or changed a moment ago."""
+        """Return whether the moved share must not change now: on hold, isolated, or changed too recently."""
         too_soon = now - self.share_changed_us < self.policy.step_interval_us
         return directive is SiteDirective.HOLD or signals.cut_off or too_soon
 
@@ -289,7 +292,7 @@
             self.reason = f"paused: {signals.pressure:.0%} late or rejected where its objects are served"
             return
         self.moved_share = min(1.0, self.moved_share + 1 / self.policy.evacuation_steps)
-        if self.moved_share >= 1.0 - ROUNDING:
+        if self.moved_share >= 1.0 - SHARE_TOLERANCE:
             self._transition(SitePhase.EVACUATED, now, self.reason)
 
     def _step_evacuated(self, now: int, signals: SiteHealthSignals, directive: SiteDirective) -> None:
@@ -299,7 +302,7 @@
         stays = directive in (SiteDirective.HOLD, SiteDirective.EVACUATE)
         if stays or signals.cut_off or self._is_unlisted(signals):
             return
-        # Where the sites that serve its objects lack capacity, any cache that answers adds some.
+        # If the sites that serve its objects lack capacity, every answering cache adds some: return early.
         lacks_capacity = signals.pressure > RESUME_PRESSURE and not self.flaps
         hold_us = self.policy.confirm_us if lacks_capacity else self.hold_us
         healthy_us = now - max(signals.healthy_since_us, self.phase_started_us)
@@ -332,23 +335,27 @@
             self._step_forward(now, signals)
 
     def _step_back(self, now: int, signals: SiteHealthSignals) -> None:
-        if now >= self.hold_until_us:  # one step back for each hold time
+        if now >= self.hold_until_us:  # at most one step back in each hold time
             self.moved_share = min(1.0, self.moved_share + 1 / self.policy.return_steps)
             self.setbacks += 1
         doublings = min(MAX_SETBACK_DOUBLINGS, self.setbacks)
         self.hold_until_us = now + (self.policy.hold_us // 2 << doublings)
-        self.reason = f"step back: {signals.pressure:.0%} late or rejected at the site"
+        self.reason = f"return suspended: {signals.pressure:.0%} late or rejected at the site"
 
     def _step_forward(self, now: int, signals: SiteHealthSignals) -> None:
-        """Return as much as its caches can serve now: little to cold ones, and never all to fewer ones."""
+        """Return as much traffic as the site's caches can serve now.
+
+        Cold caches receive little, and an incomplete set of caches never receives all of it."""
         is_complete = signals.capacity_share >= FULL_CAPACITY_SHARE
         is_warm = is_complete and signals.warm_share >= FULL_CAPACITY_SHARE
         servable_share = 1.0 if is_warm else signals.warm_share
         step = 1 / self.policy.return_steps
         lowest = max(1 - servable_share, self.moved_share - step, 0.0)
         self.moved_share = min(lowest, self.moved_share + step, 1.0)
-        if self.moved_share <= ROUNDING:
+        if self.moved_share <= SHARE_TOLERANCE:
             self._transition(SitePhase.STEADY, now, "all of its objects have returned")
-        elif not is_complete and self.moved_share <= 1 - signals.capacity_share + ROUNDING:
+        elif not is_complete and self.moved_share <= 1 - signals.capacity_share + SHARE_TOLERANCE:
             missing_share = 1 - signals.capacity_share
-            self.reason = f"returned with less capacity: {missing_share:.0%} of its objects stay elsewhere"
+            self.reason = (
+                f"returned with less capacity: {missing_share:.0%} of its objects stay at other sites"
+            )
--- a/onyxwick/sites/linear_program.py
+++ b/onyxwick/sites/linear_program.py
@@ -1,9 +1,9 @@
 """The linear program of one loss: the rates at which demands are served at places.
 
-The solution serves the highest value (priority weight a second) that caches, links, parents and the origin
-can carry with the stated headroom, and satisfies tenants' reserves before that; among equal ones it takes the
-one with the least congestion (a convex cost of use in pieces, Fortz and Thorup 2000) and the shortest paths.
-Rates are in requests a second, uses and limits in transfers at once.
+The solution first satisfies the tenants' reserves, then serves the highest value (priority weight per
+second) that caches, links, parents and the origin can carry with the stated headroom. Among solutions of
+equal value it has the least congestion (a piecewise linear convex cost of utilization, Fortz and Thorup
+2000) and the shortest paths. Rates are in requests per second, uses and limits in concurrent transfers.
 """
 
 from __future__ import annotations
@@ -15,22 +15,25 @@
 from onyxwick.sites.loss_demand import OpenDemands, RemainingResources
 from onyxwick.sites.loss_outcome import Resource
 
-# Use of a resource from which on its cost rises, and the slope from there.
+# Utilization of a resource at which each piece of the cost starts, and the slope of the piece.
 CONGESTION_COST = (
     *((0.3, 0.3), (0.4, 0.6), (0.5, 1.0), (0.55, 1.4), (0.6, 2.0), (0.65, 2.8), (0.7, 4.0)),
     *((0.75, 5.6), (0.8, 8.0), (0.85, 11.0), (0.9, 16.0), (0.95, 22.0)),
 )
-CONGESTION_WEIGHT = 1e-3  # of all value: the most that congestion may outweigh
+CONGESTION_WEIGHT = 1e-3  # share of the total value that bounds what congestion may outweigh
 CONGESTION_SCALE = 16
-DELAY_WEIGHT = 1e-6  # of all value: delay decides between otherwise equal solutions only
-RESERVE_WEIGHT = 100.0  # times its value: what a request within a tenant's reserve weighs
+DELAY_WEIGHT = 1e-6  # share of the total value; delay only decides between otherwise equal solutions
+RESERVE_WEIGHT = 100.0  # multiplies the value of a request within a tenant's reserve
 NEGLIGIBLE_CAPACITY = 1e-9
-NEGLIGIBLE_MISSING = 1e-4  # transfers
+NEGLIGIBLE_MISSING_TRANSFERS = 1e-4
 
 
 class LossProgram:
-    """Variables: each choice's rate; for each demand the part of its reserve that is not served; for each
-    resource and piece of the congestion cost the use above the start of the piece."""
+    """The linear program for the resources and demands that remain after a loss.
+
+    Its variables are the rate of each choice; for each demand the part of its reserve that is not served;
+    and for each resource and piece of the congestion cost the utilization above the start of the
+    piece."""
 
     def __init__(self, remaining: RemainingResources, open_demands: OpenDemands) -> None:
         self.remaining = remaining
@@ -58,7 +61,7 @@
         return max(NEGLIGIBLE_CAPACITY, usable)
 
     def _build_use_matrix(self) -> csr_matrix:
-        """Resources by choices: transfers at once for each request a second."""
+        """Return a matrix of resources by choices: concurrent transfers for each request per second."""
         row_of = {resource: row for row, resource in enumerate(self.resources)}
         rows, columns, values = [], [], []
         for column, choice in enumerate(self.choices):
@@ -69,13 +72,13 @@
         return csr_matrix((values, (rows, columns)), shape=(len(self.resources), self.choice_count))
 
     def _build_demand_matrix(self) -> csr_matrix:
-        """Demands by choices: 1 where the choice serves the demand."""
+        """Return a matrix of demands by choices: 1 if the choice serves the demand."""
         rows = [choice.demand for choice in self.choices]
         shape = (len(self.demands), self.choice_count)
         return csr_matrix((np.ones(self.choice_count), (rows, range(self.choice_count))), shape=shape)
 
     def base_constraints(self, variable_count: int) -> Constraints:
-        """No resource above its limit, no demand above its rate."""
+        """Return constraints that keep each resource within its limit and each demand within its rate."""
         constraints = Constraints(variable_count)
         constraints.add([ConstraintBlock(self.use_matrix)], self.limits)
         constraints.add([ConstraintBlock(self.demand_matrix)], self.rates)
@@ -84,7 +87,8 @@
     # ---- highest value -------------------------------------------------------------------------------
 
     def highest_value(self) -> np.ndarray:
-        """Rates of the choices: reserves first, then value; little congestion and short paths."""
+        """Return the rates of the choices that serve reserves first, then the highest value, with the least
+        congestion and the shortest paths among equal solutions. Raises PlanUnsolvedError if there is none."""
         demand_count = len(self.demands)
         piece_count = len(self.resources) * len(CONGESTION_COST)
         first_piece = self.choice_count + demand_count
@@ -111,7 +115,8 @@
         return cost
 
     def _add_congestion(self, constraints: Constraints, first_piece: int) -> None:
-        """The variable of each piece is at least the use of its resource above the start of the piece."""
+        """Constrain the variable of each piece to at least the utilization of its resource above the start
+        of the piece."""
         resource_count = len(self.resources)
         pieces_each = len(CONGESTION_COST)
         piece_count = resource_count * pieces_each
@@ -132,7 +137,8 @@
     # ---- missing capacity ----------------------------------------------------------------------------
 
     def missing_capacity(self) -> dict[Resource, float]:
-        """Transfers more of each resource, the fewest in sum, with which nothing would be rejected."""
+        """Return the additional concurrent transfers of each resource, with the smallest total, that would
+        avoid all rejections. Raises PlanUnsolvedError if there is no solution."""
         resource_count = len(self.resources)
         constraints = Constraints(self.choice_count + resource_count)
         added = ConstraintBlock(negative_identity(resource_count), self.choice_count)
@@ -145,5 +151,5 @@
         return {
             resource: float(amount)
             for resource, amount in zip(self.resources, missing, strict=True)
-            if amount > NEGLIGIBLE_MISSING
+            if amount > NEGLIGIBLE_MISSING_TRANSFERS
         }
--- a/onyxwick/sites/load_shedding.py
+++ b/onyxwick/sites/load_shedding.py
@@ -1,14 +1,15 @@
-"""Which requests a site rejects first while load of other sites arrives, and when a rejected client may
-return.
-
-In: answers (late, rejected or in time) and the time in microseconds. Out: a shedding level, 0 to 3, a reason
-to reject a request, and a Retry-After. The levels are entered by the share of late and rejected answers at
-one site, and left more slowly: (1) fewer hedged requests, renewals and further attempts; (2) clients' retries
-are rejected; (3) the classes of the lowest priority weight for their work are rejected first. Within the
-site's learned limit no tenant of a class is preferred: one over its max-min fair share is rejected, one
-under its reserve is admitted. This prevents load that sustains itself: further attempts and clients' retries
-are work that an earlier rejection has caused, so they are rejected before all other work (Bronson, Aghayev,
-Charapko and Zhu, "Metastable failures in distributed systems", 2021).
+"""Load shedding at one site while it also carries the load of other sites.
+
+Takes answers (late, rejected or in time) and the time in microseconds, and determines a shedding level (0 to
+3), the reason to reject a request, and a Retry-After. A level is entered at a given share of late and
+rejected answers at the site, and left more slowly: (1) fewer hedged requests, renewals and further attempts;
+(2) clients' retries are rejected; (3) the classes with the lowest priority weight for their work are rejected
+first. Within the learned limit of the site no tenant of a class is preferred: a tenant over its max-min fair
+share is rejected, and a tenant under its reserve is admitted.
+
+Further attempts and clients' retries are work caused by an earlier rejection. They are rejected before all
+other work, which prevents overload that sustains itself (Bronson, Aghayev, Charapko and Zhu, "Metastable
+failures in distributed systems", 2021).
 """
 
 from __future__ import annotations
@@ -21,31 +22,31 @@
 from onyxwick.subrouters.admission_gate import AdmissionGate
 from onyxwick.subrouters.rejection import AdmissionRejection
 
-PRESSURE_WEIGHT = 0.04  # of one answer in the pressure
-PRESSURE_HALVING_US = 500_000  # without an answer the pressure halves in this time
+PRESSURE_WEIGHT = 0.04  # weight of one answer in the moving averages
+PRESSURE_HALVING_US = 500_000  # without answers, the pressure halves after each such interval
 LEVEL_THRESHOLDS = (0.15, 0.35, 0.55)  # pressure at which each level is entered
-LEAVE_THRESHOLD_FACTOR = 0.5  # of that pressure, below which the level is left
-MIN_LEVEL_TIME_US = 1 * MICROSECONDS_PER_SECOND  # at a level before it is left
-RETRY_SHEDDING_LEVEL = 2  # from which clients' retries are rejected
-STRICTNESS_INCREASE = 0.05  # a step, under pressure
-STRICTNESS_DECREASE = 0.02  # a step, without
-INITIAL_SERVICE_TIME_US = 300_000  # assumed until answers have been measured
+LEAVE_THRESHOLD_FACTOR = 0.5  # a level is left below this factor times its threshold
+MIN_LEVEL_TIME_US = 1 * MICROSECONDS_PER_SECOND  # shortest time at a level before it is left
+RETRY_SHEDDING_LEVEL = 2  # from this level on, clients' retries are rejected
+STRICTNESS_INCREASE = 0.05  # per step under pressure
+STRICTNESS_DECREASE = 0.02  # per step without pressure
+INITIAL_SERVICE_TIME_US = 300_000  # assumed until answers are measured
 MIN_RETRY_AFTER_US = 100_000
 MAX_RETRY_AFTER_US = 8 * MICROSECONDS_PER_SECOND
-RETRY_AFTER_JITTER = (0.5, 1.5)  # factors between which a Retry-After is drawn
+RETRY_AFTER_JITTER = (0.5, 1.5)  # range of the random factor on a Retry-After
 
 
 class SheddingLevels:
-    """One site's shedding level, and what it still admits."""
+    """The shedding level of one site, and the admission of requests at that level."""
 
     def __init__(self, max_in_flight: int, tenant_reserves: Mapping[str, float], seed: int) -> None:
-        """`tenant_reserves`: by tenant, the share of the limit that is kept for it."""
+        """`tenant_reserves`: by tenant, the share of the concurrency limit that is reserved for it."""
         self.gate = AdmissionGate(max_in_flight)
         self.tenant_reserves = tenant_reserves
         self.random = random.Random(seed)
         self.pressure = 0.0  # share of late and rejected among the latest answers, 0 to 1
         self.level = 0
-        self.plan_strictness = 0.0  # of what the plan may reject, the share that is rejected, 0 to 1
+        self.plan_strictness = 0.0  # share of the load that the plan may reject which is rejected now, 0 to 1
         self.level_changed_us = 0
         self.last_answer_us = 0
         self.service_time_us = float(INITIAL_SERVICE_TIME_US)
@@ -53,18 +54,20 @@
     # ---- measurements --------------------------------------------------------------------------------
 
     def record_answer(self, now: int, bad: bool, taken_us: int = 0) -> None:
-        """One answer of the site's router; `bad`: late, rejected or failed."""
+        """Update the pressure and the mean service time with one answer of the site's router.
+
+        `bad`: late, rejected or failed. `taken_us`: service time in us; 0 if not measured."""
         self.pressure += PRESSURE_WEIGHT * (bad - self.pressure)
         self.last_answer_us = now
         if taken_us:
             self.service_time_us += PRESSURE_WEIGHT * (taken_us - self.service_time_us)
 
     def record_outcome(self, now: int, late: bool, objective_us: int) -> None:
-        """Adapt the site's concurrency limit to one answer."""
+        """Adapt the concurrency limit of the site to one answer; `objective_us`: its latency objective."""
         self.gate.adaptive_limit.record_answer(now, late, objective_us, self.gate.in_flight)
 
     def step(self, now: int) -> None:
-        """Periodic: let the pressure decay, adapt the strictness, enter or leave a level."""
+        """Decay the pressure, adapt the strictness, and enter or leave a level. Called periodically."""
         if now - self.last_answer_us > PRESSURE_HALVING_US and self.pressure > 0:
             self.pressure /= 2
             self.last_answer_us = now
@@ -94,8 +97,8 @@
 
     @property
     def retry_reserve(self) -> float:
-        """Of what the site's router may spend beyond one attempt a request: 1 at level 0, 0 at the
-        highest."""
+        """Return the share of its budget for further attempts that the site's router may use: 1 at level
+        0, 0 at the highest level."""
         return 1 - self.level / len(LEVEL_THRESHOLDS)
 
     # ---- admission -----------------------------------------------------------------------------------
@@ -103,25 +106,27 @@
     def rejection_reason(
         self, request_class: RequestClass, tenant: str, is_retry: bool, priority: float
     ) -> AdmissionRejection | None:
-        """Why a request is not admitted, or None. `priority`: of its class, 0 to 1."""
+        """Return why a request is not admitted; None if it is admitted. `priority`: of its class, 0 to 1."""
         if request_class.is_write or request_class.idempotency is Idempotency.NON_IDEMPOTENT:
-            return None  # shed last of all: the origin's own limits apply
+            return None  # shed last of all; the limits of the origin apply
         if self.level < RETRY_SHEDDING_LEVEL:
-            return None  # the router's own limits are enough
+            return None  # the limits of the site's router are sufficient
         if is_retry:
             return AdmissionRejection.CLIENT_RETRY
         reserve = self.tenant_reserves.get(tenant, 0.0)
         if reserve and self.gate.in_flight_of(tenant) < reserve * self.gate.adaptive_limit.limit:
             return None
-        # Below the highest level the classes share the whole limit; at it the lowest priority is shed first.
+        # Below the highest level all classes share the full limit. At it the lowest priority is shed first.
         is_highest_level = self.level >= len(LEVEL_THRESHOLDS)
         return self.gate.rejection_reason(tenant, priority if is_highest_level else 1.0)
 
     def retry_after_us(self, max_retry_after_us: int) -> int:
-        """When a rejected client may return, at most `max_retry_after_us` (0: no such bound).
+        """Return the time after which a rejected client may retry, at most `max_retry_after_us` (0: no
+        bound).
 
-        By Little's law a full gate completes one request each service time over its limit, and all that were
-        rejected meanwhile want one too; drawn at random, so that they do not return together."""
+        By Little's law, a full gate completes one request per service time divided by its limit, and all
+        requests rejected in the meantime compete for these completions. The time is randomized so
+        that rejected clients do not retry simultaneously."""
         load = self.gate.in_flight / max(1.0, self.gate.adaptive_limit.limit)
         queue_length = 1 + load + 2 * self.level
         wait_us = min(MAX_RETRY_AFTER_US, max(MIN_RETRY_AFTER_US, self.service_time_us * queue_length))
--- a/onyxwick/sites/loss_demand.py
+++ b/onyxwick/sites/loss_demand.py
@@ -1,7 +1,7 @@
-"""What a loss leaves: the remaining resources, the demands on them, and where each demand may be served.
+"""The resources that remain after a loss, the demands on them, and where each demand may be served.
 
-In: a topology and a loss. Out: demands (requests a second) and choices, each with the transfers at once that
-one request a second of it uses of every resource. No solver here.
+Takes a topology and a loss and returns demands (requests per second) and choices. A choice states the
+concurrent transfers that each request per second uses of every resource. The solver is not called here.
 """
 
 from __future__ import annotations
@@ -12,33 +12,33 @@
 from onyxwick.sites.loss_outcome import CACHES, PARENTS, Resource, SiteLoss, link_resource
 from onyxwick.sites.model import ORIGIN_PLACE, OfferedLoad, PlannedClass, Topology
 
-MAX_SURVIVORS = 12  # sites that may take a lost site's load, the nearest ones
-MAX_SITES_SOLVED_WHOLE = 24  # up to which every site's load is open; above it only what a loss can affect
+MAX_SURVIVORS = 12  # nearest sites that may take the load of a lost site
+MAX_FULLY_SOLVED_SITES = 24  # with more sites, only the load that a loss can affect is decided on
 
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """Requests a second that arrive at the same sites and may be served at the same places."""
+    """Requests per second that arrive at the same sites and may be served at the same places."""
 
     load: OfferedLoad
     rate_per_s: float
-    arrivals: dict[str, float]  # site that the clients connect to: share
+    arrivals: dict[str, float]  # share by site that the clients connect to
     places: tuple[str, ...]
     is_moved: bool = False  # its objects are assigned to other sites by the plan
 
 
 @dataclass(frozen=True, slots=True)
 class Choice:
-    """One variable of the program: requests a second of a demand that are served at one place."""
+    """One variable of the linear program: requests per second of a demand that are served at one place."""
 
     demand: int  # index of the demand
     place: str
     delay_us: float  # mean, from the clients' sites to the place
-    uses: dict[Resource, float]  # transfers at once for each request a second
+    uses: dict[Resource, float]  # concurrent transfers for each request per second
 
 
 class RemainingResources:
-    """The resources that one loss leaves, and what a request at a place uses of them."""
+    """The resources that remain after one loss, and how much of them a request at a place uses."""
 
     def __init__(self, topology: Topology, loss: SiteLoss) -> None:
         self.topology = topology
@@ -50,7 +50,7 @@
         self.fill_shares = {hub.name: hub.capacity / total for hub in hubs} if total else {}
 
     def capacity(self, resource: Resource) -> float:
-        """Transfers at once; 0: not bounded."""
+        """Return the capacity of a resource in concurrent transfers; 0 means unbounded."""
         kind, *places = resource
         if kind == CACHES:
             return self.topology.sites[places[0]].capacity
@@ -62,7 +62,9 @@
         return link.capacity if link is not None else 0.0
 
     def uses(self, planned: PlannedClass, arrivals: dict[str, float], place: str) -> dict[Resource, float]:
-        """Transfers at once for each request a second of a class that is served at a place."""
+        """Return the concurrent transfers of each resource for one request per second of a class at a place.
+
+        Resources without a bound are left out."""
         uses: dict[Resource, float] = {}
         for resource, work in self._work(planned, arrivals, place):
             if work > 0 and self.capacity(resource) > 0:
@@ -90,7 +92,7 @@
             yield link_resource(place, ORIGIN_PLACE), planned.fill_work
 
     def demands(self, loads: Iterable[OfferedLoad]) -> list[Demand]:
-        """The demands of all loads, those without a request left out."""
+        """Return the demands of all loads, without demands of rate 0."""
         demands = [demand for load in loads for demand in self._demands_of(load)]
         return [demand for demand in demands if demand.rate_per_s > 0]
 
@@ -108,10 +110,13 @@
     def _demands_of_lost_site(
         self, load: OfferedLoad, planned: PlannedClass, arrivals: dict[str, float]
     ) -> list[Demand]:
-        """One demand for the objects that no other site's clients request, which move; and for each site that
-        the clients connect to, one for the objects that are cached there already."""
+        """Return the demands of a load whose site has lost its caches.
+
+        One demand is for the objects that only clients of this site request, which move to other sites.
+        For each site that the clients connect to, one more demand is for the objects that are
+        already cached there."""
         survivors = tuple(self.topology.nearest(load.site, self.serving_sites)[:MAX_SURVIVORS])
-        if load.site in self.loss.cache_sites:  # its clients stay, so no other site has their objects
+        if load.site in self.loss.cache_sites:  # its clients stay, so no other site has cached their objects
             return [Demand(load, load.rate_per_s, arrivals, survivors, is_moved=True)]
         moved_rate = load.rate_per_s * (1 - planned.shared_object_share)
         moved = Demand(load, moved_rate, arrivals, survivors, is_moved=True)
@@ -122,7 +127,7 @@
         return [moved, *shared]
 
     def choices(self, demands: list[Demand]) -> list[Choice]:
-        """Each place at which each demand may be served."""
+        """Return one choice for each demand and each place at which it may be served."""
         choices = []
         for index, demand in enumerate(demands):
             planned = self.topology.classes[demand.load.class_name]
@@ -139,15 +144,17 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenDemands:
-    """The demands that a loss can affect, and what all others use of each resource."""
+    """The demands to decide on, and how much of each resource all other demands use."""
 
     demands: list[Demand]
     fixed_use: dict[Resource, float]
 
 
 def open_demands(remaining: RemainingResources) -> OpenDemands:
-    """The demands to decide on: all of them in a small topology, or where parents or origin are short; else
-    those of sites that the loss can affect."""
+    """Return the demands to decide on.
+
+    These are all demands if the topology is small or if parents or the origin lack capacity, otherwise the
+    demands of the sites that the loss can affect."""
     topology = remaining.topology
     demands = remaining.demands(topology.loads)
     affected = {
@@ -157,7 +164,7 @@
         for place in demand.places
     }
     affected |= remaining.sites_without_caches
-    if len(topology.sites) <= MAX_SITES_SOLVED_WHOLE or _upstream_is_short(remaining, demands):
+    if len(topology.sites) <= MAX_FULLY_SOLVED_SITES or _upstream_is_short(remaining, demands):
         return OpenDemands(demands, {})
     fixed_use: dict[Resource, float] = {}
     for demand in demands:
@@ -167,7 +174,7 @@
 
 
 def _add_use(use: dict[Resource, float], remaining: RemainingResources, demand: Demand) -> None:
-    """Add all of a demand, served at the first place that it may be served at."""
+    """Add the use of a demand that is fully served at the first of its places."""
     if demand.places:
         planned = remaining.topology.classes[demand.load.class_name]
         for resource, work in remaining.uses(planned, demand.arrivals, demand.places[0]).items():
@@ -175,7 +182,7 @@
 
 
 def _upstream_is_short(remaining: RemainingResources, demands: list[Demand]) -> bool:
-    """Whether parents or origin would exceed their limits with everything served."""
+    """Return whether parents or the origin would exceed their limits if everything were served."""
     use: dict[Resource, float] = {}
     for demand in demands:
         _add_use(use, remaining, demand)
--- a/onyxwick/sites/loss_outcome.py
+++ b/onyxwick/sites/loss_outcome.py
@@ -1,6 +1,7 @@
-"""One loss of places and what becomes of the load: types only.
+"""Types for one loss of places and the resulting distribution of the load.
 
-Capacities and uses are in transfers at once, rates in requests a second, values in priority weight a second.
+Capacities and uses are in concurrent transfers, rates in requests per second, values in priority weight
+per second.
 """
 
 from __future__ import annotations
@@ -13,16 +14,16 @@
 CACHES = "boxes"
 PARENTS = "stores"
 LINK = "link"
-FEASIBLE_SHARE = 1 - 1e-6  # of the offered value that must be served for a loss to be feasible
+FEASIBLE_SHARE = 1 - 1e-6  # of the offered value; a loss that serves less is not feasible
 
 
 def link_resource(one: str, other: str) -> Resource:
-    """The link between two places, whichever is named first."""
+    """Return the link between two places, in either order."""
     return (LINK, *sorted((one, other)))
 
 
 def resource_name(resource: Resource) -> str:
-    """A resource in words, as reports print it."""
+    """Return the name of a resource as printed in reports."""
     kind, *places = resource
     if len(places) == 1:
         return f"{kind} of {places[0]}"
@@ -31,7 +32,9 @@
 
 @dataclass(frozen=True, slots=True)
 class SiteLoss:
-    """What is lost at once. `cache_sites`: sites that lose their caches alone, and keep their clients."""
+    """Places that are lost at the same time.
+
+    `cache_sites`: sites that lose only their caches and keep their clients."""
 
     sites: frozenset[str] = frozenset()
     hubs: frozenset[str] = frozenset()
@@ -43,14 +46,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ResourceUse:
-    """Transfers at once that a resource carries, and how many it can carry."""
+    """Concurrent transfers that a resource carries, and how many it can carry."""
 
     used: float
     capacity: float
 
     @property
     def share(self) -> float:
-        """The used share of the capacity; 0 for a resource without a bound."""
+        """Return the used share of the capacity; 0 for an unbounded resource."""
         return self.used / self.capacity if self.capacity else 0.0
 
 
@@ -58,10 +61,10 @@
 class LossOutcome:
     """The solution for one loss.
 
-    `serving_shares`: (site, class) to the sites that serve its objects, by share of what is served.
-    `served_shares`: (site, class, tenant) to the share of its requests that is served, where it is under 1.
-    `missing_capacity`: transfers more of each resource with which nothing would be rejected.
-    """
+    `serving_shares`: by (site, class), the sites that serve its objects, each with its share of the served
+    load.     `served_shares`: by (site, class, tenant), the share of its requests that is served, if it is
+    below 1.     `missing_capacity`: additional concurrent transfers of each resource that would avoid all
+    rejections."""
 
     loss: SiteLoss
     serving_shares: dict[tuple[str, str], dict[str, float]] = field(default_factory=dict)
@@ -73,10 +76,10 @@
 
     @property
     def is_feasible(self) -> bool:
-        """Whether everything is served."""
+        """Return whether all offered load is served."""
         return self.served_value >= self.offered_value * FEASIBLE_SHARE
 
     @property
     def bottleneck(self) -> Resource | None:
-        """The resource with the highest used share of its capacity."""
+        """Return the resource with the highest used share of its capacity; None if no resource is used."""
         return max(self.resource_use, key=lambda resource: self.resource_use[resource].share, default=None)
--- a/onyxwick/sites/loss_solver.py
+++ b/onyxwick/sites/loss_solver.py
@@ -1,4 +1,4 @@
-"""Solves one loss: what is served where, what is rejected, and which capacity is missing."""
+"""Solves one loss: which site serves which load, what is rejected, and which capacity is missing."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from onyxwick.sites.model import Topology
 
 NEGLIGIBLE_SHARE = 1e-6  # of a class's moved requests
-FULLY_SERVED = 1 - 1e-4  # of a demand, from which it counts as served
+FULLY_SERVED_SHARE = 1 - 1e-4  # of a demand; from this share on it counts as fully served
 
 
 def solve_loss(topology: Topology, loss: SiteLoss) -> LossOutcome:
-    """The outcome of one loss; PlanUnsolvedError where the solver finds none."""
+    """Return the outcome of one loss. Raises PlanUnsolvedError if the solver finds no solution."""
     remaining = RemainingResources(topology, loss)
     undecided = open_demands(remaining)
     classes = topology.classes
@@ -66,7 +66,7 @@
     outcome.served_shares = {
         key: max(0.0, served[key] / rate)
         for key, rate in offered.items()
-        if served[key] < rate * FULLY_SERVED
+        if served[key] < rate * FULLY_SERVED_SHARE
     }
 
 
--- a/onyxwick/sites/monitor.py
+++ b/onyxwick/sites/monitor.py
@@ -267,7 +267,7 @@
             unreachable_since_us=observation.unreachable_since_us,
             is_only_silent=observation.is_only_silent,
             answered_us=observation.answered_us,
-            outside_heard_us=self.evidence.last_heard_outside_us([name, self.local_site]),
+            outside_received_us=self.evidence.last_received_outside_us([name, self.local_site]),
             cut_off=self.is_cut_off,
             has_demand=has_demand,
             is_unobserved=has_demand and not is_local and not is_hub and not self._was_heard(now, name),
--- a/tests/test_sites_lifecycle.py
+++ b/tests/test_sites_lifecycle.py
@@ -36,7 +36,7 @@
 TICK = 500_000
 POLICY = SitePolicy(confirm_us=S, step_interval_us=TICK, evacuation_steps=2, return_steps=2, hold_us=S)
 HEALTHY = SiteHealthSignals(
-    outside_heard_us=1 << 60, has_demand=True, answered_us=1 << 60, healthy_since_us=1
+    outside_received_us=1 << 60, has_demand=True, answered_us=1 << 60, healthy_since_us=1
 )
 # What a director may see at a tick: names of signs, each over those of a site that is well.
 SIGNALS: dict[str, SiteHealthSignals] = {
@@ -48,7 +48,7 @@
         unreachable_since_us=1,
         answered_us=0,
         cut_off=True,
-        outside_heard_us=0,
+        outside_received_us=0,
         healthy_since_us=0,
     ),
     "off the list": replace(
@@ -166,7 +166,7 @@
 def _ignoring_the_cut(
     lifecycle: SiteLifecycle, now: int, signals: SiteHealthSignals, directive: SiteDirective
 ) -> None:
-    lifecycle.step(now, replace(signals, cut_off=False, outside_heard_us=1 << 60), directive)
+    lifecycle.step(now, replace(signals, cut_off=False, outside_received_us=1 << 60), directive)
 
 
 def _lost_unasked(
@@ -227,7 +227,7 @@
             signals = replace(HEALTHY, healthy_since_us=now, answered_us=now + n * TICK)
             home.step(now + n * TICK, signals)
             unreachable_signals = replace(
-                SIGNALS["dark"], unreachable_since_us=now, outside_heard_us=now + n * TICK
+                SIGNALS["dark"], unreachable_since_us=now, outside_received_us=now + n * TICK
             )
             lost.step(now + n * TICK, unreachable_signals)
         assert home.phase is SitePhase.STEADY, (home.phase, home.reason)
@@ -267,7 +267,10 @@
     lifecycle, now, holds = SiteLifecycle("north", 0, POLICY), 0, []
     for _ in range(80):
         now = _run(
-            lifecycle, now, 10, replace(SIGNALS["dark"], unreachable_since_us=now, outside_heard_us=1 << 60)
+            lifecycle,
+            now,
+            10,
+            replace(SIGNALS["dark"], unreachable_since_us=now, outside_received_us=1 << 60),
         )
         now = _run(lifecycle, now, 20, replace(HEALTHY, healthy_since_us=now))
         holds.append(lifecycle.hold_us)
