--- a/onyxwick/sites/loss_study.py
+++ b/onyxwick/sites/loss_study.py
@@ -1,5 +1,8 @@
-"""All losses that a plan answers: none, each site, each hub, each site's caches, and pairs of sites that
-share a survivor. Capacities are in transfers at once."""
+"""Solves all losses that a plan covers and turns the outcomes into the plan.
+
+The losses are: none, each site, each hub, the caches of each site, and pairs of sites that share a
+survivor (a site that takes over load). Capacities are in concurrent transfers.
+"""
 
 from __future__ import annotations
 
@@ -20,20 +23,20 @@
 
 @dataclass(slots=True)
 class LossStudy:
-    """Every loss that was solved, with its outcome."""
+    """All solved losses with their outcomes."""
 
     topology: Topology
     outcomes: dict[LossKey, LossOutcome] = field(default_factory=dict)
-    omitted_pairs: int = 0  # that share a survivor and exceeded `MAX_PAIRS`
-    independent_pairs: int = 0  # that share none: each loses what it loses alone
+    omitted_pairs: int = 0  # pairs that share a survivor but were left out because of `MAX_PAIRS`
+    independent_pairs: int = 0  # pairs without a shared survivor; their losses do not affect each other
 
     def plan(self) -> SitePlan:
-        """The plan that the outcomes make."""
+        """Return the plan that follows from the outcomes."""
         rows = {key: _plan_row(self.topology, outcome) for key, outcome in self.outcomes.items()}
         return SitePlan(self.topology, rows)
 
     def findings(self) -> list[str]:
-        """The losses that cannot be served in full, a sentence each, in the order of solving."""
+        """Return one sentence for each loss that cannot be fully served, in the order of solving."""
         return [_finding(outcome) for outcome in self.outcomes.values() if not outcome.is_feasible]
 
 
@@ -42,11 +45,11 @@
     head = "With nothing lost" if lost == "nothing" else f"The loss of {lost}"
     rejected = max(0.0, 1 - outcome.served_value / outcome.offered_value)
     missing = ", ".join(
-        f"{amount:.1f} transfers more of {resource_name(resource)}"
+        f"{amount:.1f} more transfers of {resource_name(resource)}"
         for resource, amount in sorted(outcome.missing_capacity.items())
     )
-    remedy = f"; it would need {missing}." if missing else "; no capacity stated here would help."
-    return f"{head} cannot be borne: {rejected:.1%} of the worth asked for is refused{remedy}"
+    remedy = f"; it requires {missing}." if missing else "; no stated capacity would help."
+    return f"{head} exceeds the capacity: {rejected:.1%} of the requested value is rejected{remedy}"
 
 
 def _plan_row(topology: Topology, outcome: LossOutcome) -> LossPlanRow:
@@ -62,7 +65,7 @@
 
 
 def _local_work(topology: Topology, outcome: LossOutcome) -> dict[str, float]:
-    """By site, the transfers at once that its own clients' served reads use of its caches."""
+    """Return by site the concurrent transfers that its caches use for the served reads of its own clients."""
     work = {load.site: 0.0 for load in topology.loads}
     for load in topology.loads:
         planned = topology.classes[load.class_name]
@@ -76,7 +79,9 @@
 
 
 def _pairs(study: LossStudy) -> list[tuple[str, str]]:
-    """The pairs whose survivors overlap, those with the least capacity left between them first."""
+    """Return the pairs of sites with overlapping survivors, those with the least spare capacity first.
+
+    Counts the independent and the omitted pairs in the study."""
     topology = study.topology
     survivors = {site: _survivors(topology, site) for site in topology.sites}
     by_spare_capacity = []
@@ -96,7 +101,7 @@
 
 
 def _spare_capacity(study: LossStudy, lost: str, survivor: str) -> float:
-    """The transfers at once of a survivor's caches that the loss of one site leaves unused."""
+    """Return the concurrent transfers that the caches of a survivor have left after the loss of one site."""
     outcome = study.outcomes.get(loss_key([lost]))
     use = outcome.resource_use.get((CACHES, survivor)) if outcome is not None else None
     capacity = study.topology.sites[survivor].capacity
@@ -104,7 +109,9 @@
 
 
 def losses_to_solve(study: LossStudy, pairs: bool) -> Iterator[SiteLoss]:
-    """The losses in the order of solving: pairs are chosen by what the single losses left."""
+    """Yield the losses in the order of solving.
+
+    Pairs are last, as they are chosen by the capacity that remains after the single losses."""
     topology = study.topology
     yield SiteLoss()
     for site in topology.sites:
@@ -119,7 +126,7 @@
 
 
 def study_losses(topology: Topology, pairs: bool = True) -> LossStudy:
-    """Every loss solved; PlanUnsolvedError where the solver finds no solution for one."""
+    """Solve every loss. Raises PlanUnsolvedError if the solver finds no solution for one of them."""
     study = LossStudy(topology)
     for loss in losses_to_solve(study, pairs):
         study.outcomes[loss_key(loss.sites, loss.hubs, loss.cache_sites)] = solve_loss(topology, loss)
--- a/onyxwick/sites/member_evidence.py
+++ b/onyxwick/sites/member_evidence.py
@@ -1,10 +1,10 @@
-"""What one director has observed of each member, and the failures that make it unreachable.
+"""What one director has observed of each member, and which failures make a member unreachable.
 
-A member is *unreachable* when it has failed since it last answered: a connection was refused or never
-established, a timeout passed without an answer, two connections were reset, or an attempt has been in flight
-for longer than `OVERDUE_US` with nothing received since. A member that answers, however late and whatever it
-answers, is reachable: a slow or full site is not lost. An observation counts for `OBSERVATION_WINDOW_US`
-only. All times are in microseconds; 0 is never.
+A member is *unreachable* if it has failed since its last answer: a connection was refused or never
+established, a timeout passed without an answer, two connections were reset, or an attempt has been in
+flight for longer than `OVERDUE_US` with nothing received since. A member that answers is reachable,
+however late and whatever it answers, because a slow or full site is not lost. An observation counts only
+for `OBSERVATION_WINDOW_US`. All times are in microseconds; 0 means never.
 """
 
 from __future__ import annotations
@@ -15,31 +15,32 @@
 from onyxwick.interface import AttemptEnded, AttemptStatus
 from onyxwick.sites.model import MICROSECONDS_PER_SECOND
 
-OBSERVATION_WINDOW_US = 5 * MICROSECONDS_PER_SECOND  # for which an observation of a member counts
-OVERDUE_US = 700_000  # without an answer: longer than a healthy one takes, its connect included
-DEFAULT_CONNECT_TIMEOUT_US = 400_000  # where the settings state none
-REFUSED_TIMEOUT_SHARE = 0.8  # of the timeout: a connect that failed sooner was refused
-UNREACHABLE_SCORE = 1.0  # failure score from which a member is unreachable
+OBSERVATION_WINDOW_US = 5 * MICROSECONDS_PER_SECOND  # how long an observation of a member counts
+OVERDUE_US = 700_000  # longer than a healthy member takes to answer, connecting included
+DEFAULT_CONNECT_TIMEOUT_US = 400_000  # used if the settings state none
+REFUSED_TIMEOUT_SHARE = 0.8  # of the connect timeout; a connect that failed sooner was refused
+UNREACHABLE_SCORE = 1.0  # failure score from which on a member is unreachable
 
 
 class AttemptEvidence(Enum):
-    """What an ended attempt says of the member that it was sent to. The values appear in the status
-    report."""
+    """What an ended attempt shows about its member. The values appear in the status report."""
 
     ANSWERED = "answered"
-    REFUSED = "refused"  # nothing listens: the machine is up and its process is not
-    UNREACHABLE = "unreached"  # no connection was established: no machine, or no network path
+    REFUSED = "refused"  # nothing listens: the machine is up, but its process is not
+    UNREACHABLE = "unreached"  # no connection was established: the machine or the network path is down
     RESET = "cut"  # an established connection broke
     SILENT = "silent"  # a timeout passed without an answer
 
     @property
     def weight(self) -> float:
-        """What it adds to a member's failure score."""
+        """Return how much this evidence adds to the failure score of a member."""
         return 0.5 if self is AttemptEvidence.RESET else 1.0
 
 
 def classify_attempt(event: AttemptEnded, connect_timeout_us: int) -> AttemptEvidence | None:
-    """What an ended attempt says of its member, or None. `connect_timeout_us`: 0 for the default."""
+    """Return what an ended attempt shows about its member; None if nothing.
+
+    `connect_timeout_us`: 0 for the default."""
     match event.status:
         case AttemptStatus.OK | AttemptStatus.MISS | AttemptStatus.OVERLOADED | AttemptStatus.ERROR:
             return AttemptEvidence.ANSWERED
@@ -56,44 +57,46 @@
 
 @dataclass(slots=True)
 class MemberObservation:
-    """What was observed of one member."""
+    """The observations of one member."""
 
     answered_us: int = 0
-    waiting_since_us: int = 0  # since when an attempt is in flight with nothing received; 0: none is
+    waiting_since_us: int = 0  # since when an attempt is in flight with nothing received; 0: no attempt
     attempts_in_flight: int = 0
-    failure_score: float = 0.0  # of the failures since it last answered
-    failed_us: int = 0  # the last of those
-    first_failed_us: int = 0  # and the first
-    evidence: AttemptEvidence = AttemptEvidence.ANSWERED  # of the last ended attempt
+    failure_score: float = 0.0  # sum over the failures since the last answer
+    failed_us: int = 0  # last of these failures
+    first_failed_us: int = 0  # first of these failures
+    evidence: AttemptEvidence = AttemptEvidence.ANSWERED  # from the last ended attempt
 
     @property
     def has_failed(self) -> bool:
-        """Whether its failures since it last answered prove that it is unreachable."""
+        """Return whether the failures since its last answer show that the member is unreachable."""
         return self.failure_score >= UNREACHABLE_SCORE
 
     def is_unreachable(self, now: int) -> bool:
-        """Whether it has failed recently and not answered since, or an attempt is overdue."""
+        """Return whether the member has failed recently without an answer since, or an attempt is overdue."""
         if self.has_failed and now - self.failed_us <= OBSERVATION_WINDOW_US:
             return True
         return bool(self.waiting_since_us) and now - self.waiting_since_us > OVERDUE_US
 
     def unreachable_since_us(self) -> int:
-        """When it may have become unreachable; 0: it has neither failed nor an attempt in flight."""
+        """Return the earliest time at which the member may have become unreachable.
+
+        0 if it has neither failed nor an attempt in flight."""
         times = [at for at in (self.first_failed_us, self.waiting_since_us) if at]
         return min(times, default=0)
 
     def was_tried(self, now: int) -> bool:
-        """Whether something recent is known of it."""
+        """Return whether there is a recent observation of the member."""
         last_us = max(self.answered_us, self.failed_us)
         return (last_us > 0 and now - last_us < OBSERVATION_WINDOW_US) or self.is_unreachable(now)
 
     def record_sent(self, now: int) -> None:
-        """An attempt was sent to it."""
+        """Record that an attempt was sent to the member."""
         self.attempts_in_flight += 1
         self.waiting_since_us = self.waiting_since_us or now
 
     def record_answer(self, now: int) -> None:
-        """It has answered."""
+        """Record that the member has answered."""
         self.answered_us = now
         self.failure_score = 0.0
         self.first_failed_us = 0
@@ -102,7 +105,7 @@
         self.evidence = AttemptEvidence.ANSWERED
 
     def record_failure(self, now: int, evidence: AttemptEvidence) -> None:
-        """An attempt at it has failed."""
+        """Record that an attempt sent to the member has failed."""
         if now - self.failed_us > OBSERVATION_WINDOW_US:
             self.failure_score = 0.0
             self.first_failed_us = 0
@@ -112,7 +115,7 @@
         self.evidence = evidence
 
     def discard_failures(self) -> None:
-        """Forget everything but the last answer and the attempts in flight."""
+        """Discard everything except the last answer and the number of attempts in flight."""
         self.failure_score = 0.0
         self.first_failed_us = 0
         self.failed_us = 0
@@ -121,7 +124,7 @@
 
 @dataclass(slots=True)
 class PlaceEvidence:
-    """What was observed of one site, hub or the origin."""
+    """The observations of one site or hub, or of the origin."""
 
     members: dict[str, MemberObservation] = field(default_factory=dict)
     answered_us: int = 0
@@ -129,8 +132,8 @@
     attempts_in_flight: int = 0
 
     def rules_out_loss(self, now: int) -> bool:
-        """Whether no member can be unreachable: one has just answered, or nothing was sent that could
-        tell."""
+        """Return whether the place cannot be lost: a member has just answered, or nothing was sent
+        recently that could show a failure."""
         if now - self.answered_us < OVERDUE_US // 2:
             return True
         return not self.attempts_in_flight and now - self.failed_us > OBSERVATION_WINDOW_US
--- a/onyxwick/sites/membership.py
+++ b/onyxwick/sites/membership.py
@@ -1,7 +1,8 @@
-"""The endpoint list by place: which site or hub each member is at, and how much of a place is available.
+"""The endpoint list by place: the site or hub of each member, and how much of a place is available.
 
-In: changes of the endpoint list. Out: the ready members with their places, a place's availability as shares
-of what the topology states, and the list for the router of one site. Times are in microseconds.
+Takes changes of the endpoint list and returns the ready members with their places, the availability of a
+place as shares of its stated members and capacity, and the endpoint list for the router of one site. Times
+are in microseconds.
 """
 
 from __future__ import annotations
@@ -12,18 +13,18 @@
 from onyxwick.interface import EndpointListKind, EndpointsChanged, Member, MemberState, RouterSettings
 from onyxwick.sites.model import ORIGIN_PLACE, Topology
 
-WARM_UP_REFRESH_US = 500_000  # for which an availability is kept while a member warms up
+WARM_UP_REFRESH_US = 500_000  # how long a computed availability is cached while a member warms up
 NEVER_US = 1 << 62
 NEGLIGIBLE_CAPACITY = 1e-9
 
 
 @dataclass(frozen=True, slots=True)
 class PlaceAvailability:
-    """Shares of what the topology states for a place."""
+    """Shares of the members and capacity that the topology states for a place."""
 
-    listed_share: float = 1.0  # members listed as ready
-    capacity_share: float = 1.0  # capacity that they have when warm
-    warm_share: float = 1.0  # capacity that they can give now
+    listed_share: float = 1.0  # of its members, those listed as ready
+    capacity_share: float = 1.0  # of its capacity, that of the listed members when warm
+    warm_share: float = 1.0  # of its capacity, what the listed members can provide now
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,14 +40,15 @@
         self.settings = settings
         self.topology = topology
         self.members: dict[str, Member] = {}
-        self.max_ready_parents: dict[str, int] = {}  # by hub: the most that were ready at once
-        self.loaded = False  # a list has been received
+        # By hub, the highest number of parents that were ready at the same time.
+        self.max_ready_parents: dict[str, int] = {}
+        self.loaded = False  # an endpoint list has been received
         self._availability: dict[str, _CachedAvailability] = {}
         self.site_of_zone = {site.zone: site.name for site in topology.sites.values()}
         self.hub_of_zone = {hub.zone: hub.name for hub in topology.hubs.values()}
 
     def place_of(self, member: Member) -> str | None:
-        """The site, hub or origin of a member; None in a zone that the topology does not name."""
+        """Return the site, hub or origin of a member; None if the topology does not name its zone."""
         if member.kind == self.settings.origin_kind:
             return ORIGIN_PLACE
         if member.kind == self.settings.parent_kind:
@@ -54,7 +56,8 @@
         return self.site_of_zone.get(member.zone)
 
     def on_endpoints_changed(self, event: EndpointsChanged) -> list[str]:
-        """Take in a change; the addresses under which another process runs now."""
+        """Apply a change of the endpoint list. Returns the addresses at which a different process runs
+        now."""
         self.loaded |= event.kind is not EndpointListKind.UNAVAILABLE
         if event.kind not in (EndpointListKind.CHANGE, EndpointListKind.UNAVAILABLE):
             named = {member.address for member in event.members}
@@ -74,7 +77,7 @@
         return restarted
 
     def ready_members(self) -> Iterator[tuple[str, str]]:
-        """The addresses of members that may receive requests, each with its place."""
+        """Yield the address and place of each member that may receive requests."""
         for address, member in self.members.items():
             place = self.place_of(member) if member.state is MemberState.READY else None
             if place is not None:
@@ -88,9 +91,9 @@
         ]
 
     def availability(self, place: str, now: int) -> PlaceAvailability:
-        """How much of a site or hub is available; full until a list has been received.
+        """Return how much of a site or hub is available; all of it until an endpoint list has been received.
 
-        Computed anew when the list changes, and while a member warms up."""
+        The value is recomputed when the list changes, and periodically while a member warms up."""
         if not self.loaded:
             return PlaceAvailability()
         cached = self._availability.get(place)
@@ -121,7 +124,7 @@
         return _CachedAvailability(availability, now + WARM_UP_REFRESH_US if is_warming_up else NEVER_US)
 
     def _warm_share(self, member: Member, now: int, is_parent: bool) -> float:
-        """The share of its capacity that a member can give at its age."""
+        """Return the share of its capacity that a member can provide at its present age."""
         rules = self.settings.rules
         start_share = rules.parent_warm_up_start_share if is_parent else rules.warm_up_start_share
         warm_up_us = rules.parent_warm_up_us if is_parent else rules.warm_up_us
@@ -131,8 +134,10 @@
         return start_share + (1 - start_share) * max(0, age_us) / max(1, warm_up_us)
 
     def members_for(self, site: str, abandoned_places: Collection[str]) -> dict[str, Member]:
-        """The list for the router of one site's caches: ready members at abandoned places other than the site
-        itself are given as draining, so that nothing is filled from them."""
+        """Return the endpoint list for the router of one site.
+
+        Ready members at abandoned places other than the site itself are listed as draining, so that no
+        fill uses them as its source."""
         members = {}
         for address, member in self.members.items():
             place = self.place_of(member)
--- a/onyxwick/sites/monitor.py
+++ b/onyxwick/sites/monitor.py
@@ -1,7 +1,7 @@
-"""The state of all places of a topology, as one director takes them to be from its own site. No I/O.
+"""The state of all places of a topology as observed by one director. No I/O.
 
-In: observations of attempts, the endpoint list, operators' commands and the time (microseconds). Out: the
-phases that sites enter, and where a request of a site's client goes.
+Takes observations of attempts, the endpoint list, operators' commands and the time (microseconds). Returns
+the phases that sites enter, and the site that a client's request is sent to.
 """
 
 from __future__ import annotations
@@ -28,18 +28,17 @@
 from onyxwick.sites.serving_sites import ServingSites, SiteRoute, is_evacuated
 from onyxwick.subrouters.rejection import AdmissionRejection
 
-TRIAL_INTERVAL_US = 150_000  # between two trials of a site that was left
-DEMAND_WINDOW_US = 5 * MICROSECONDS_PER_SECOND  # for which a client's request counts as demand
-NO_DEMAND_US = (
-    10 * MICROSECONDS_PER_SECOND
-)  # after this without demand there are no trials: the list alone decides the return
+TRIAL_INTERVAL_US = 150_000  # between two trials of an evacuated site
+DEMAND_WINDOW_US = 5 * MICROSECONDS_PER_SECOND  # how long a client's request counts as demand
+# After this time without demand there are no trials, and the endpoint list alone decides the return.
+NO_DEMAND_US = 10 * MICROSECONDS_PER_SECOND
 TRIAL_PHASES = (SitePhase.SUSPECT, SitePhase.LOST, SitePhase.EVACUATED)
-SiteMeasure = Callable[[str], float]  # of a site's caches as used from here, 0 to 1
+SiteMeasure = Callable[[str], float]  # by site, a measure of its caches as used by this director, 0 to 1
 
 
 @dataclass(frozen=True, slots=True)
 class SiteTransition:
-    """A site or hub has entered another phase."""
+    """The transition of a site or hub to another phase."""
 
     name: str
     previous_phase: SitePhase
@@ -62,20 +61,24 @@
         self.lifecycles = {
             name: SiteLifecycle(name, now, topology.policy) for name in (*topology.sites, *topology.hubs)
         }
-        self.last_request_us: dict[str, int] = {local_site: now}  # of each site's clients at this director
+        # By site, when its clients last sent a request to this director.
+        self.last_request_us: dict[str, int] = {local_site: now}
         self.last_trial_us: dict[str, int] = {}
         self.trials_in_flight: dict[str, int] = {}
-        self.healthy_since_us: dict[str, int] = {}  # since when trials are answered; 0: they are not
-        self.listed_since_us: dict[str, int] = {}  # since when enough caches are listed; 0: they are not
+        self.healthy_since_us: dict[str, int] = {}  # by site, since when trials are answered; 0: they are not
+        # By site, since when enough of its caches are listed; 0: they are not.
+        self.listed_since_us: dict[str, int] = {}
         self.all_steady = True
-        self.is_cut_off = False  # this director itself is isolated
+        self.is_cut_off = False  # this director is isolated
         self.started = False  # the first endpoint list has been received
         self.last_tick_us = now
 
     # ---- input ---------------------------------------------------------------------------------------
 
     def on_endpoints_changed(self, now: int, event: EndpointsChanged) -> list[SiteTransition]:
-        """Take in a changed endpoint list; the phases entered by the first one after a start."""
+        """Apply a change of the endpoint list.
+
+        Returns the transitions caused by the first endpoint list after a start, otherwise an empty list."""
         restarted = self.membership.on_endpoints_changed(event)
         self.evidence.set_members(self.membership.ready_members())
         for member in restarted:
@@ -86,8 +89,10 @@
         return self._start(now)
 
     def _start(self, now: int) -> list[SiteTransition]:
-        """A site that is found cold at a director's start has just returned: other directors left it
-        before."""
+        """Set the initial phases from the first endpoint list.
+
+        A site that is cold at a director's start is taken to be returning after an evacuation by other
+        directors."""
         transitions = []
         for name in self.topology.sites:
             availability = self.membership.availability(name, now)
@@ -104,22 +109,22 @@
         return transitions
 
     def record_request(self, now: int, site: str, object_name: str) -> None:
-        """A client of a site has requested an object."""
+        """Record that a client of a site has requested an object."""
         self.last_request_us[site] = now
         if site == self.local_site:
             self.local_demand.record_request(now, object_name)
 
     def start_trial(self, now: int, site: str) -> None:
-        """A request is sent to a site that is not known to answer."""
+        """Record that a request is sent to a site that is not known to be reachable."""
         self.trials_in_flight[site] = self.trials_in_flight.get(site, 0) + 1
         self.last_trial_us[site] = now
 
     def end_trial(self, site: str) -> None:
-        """A request that tried a site has been answered or moved on."""
+        """Record that a trial request has been answered or relocated."""
         self.trials_in_flight[site] = max(0, self.trials_in_flight.get(site, 0) - 1)
 
     def record_trial_result(self, now: int, site: str, evidence: AttemptEvidence | None) -> None:
-        """An attempt of a trial has ended."""
+        """Record what an ended attempt of a trial request shows about the site."""
         if evidence is AttemptEvidence.ANSWERED:
             self.healthy_since_us[site] = self.healthy_since_us.get(site) or now
         elif evidence is not None:
@@ -135,10 +140,10 @@
         client_site: str,
         plan_strictness: SiteMeasure,
     ) -> SiteRoute | AdmissionRejection:
-        """Where a request of one site's client goes, or why it is rejected. If the site `lacks_observation`,
-        step it first.
+        """Return the site that a client's request is sent to, or why the request is rejected.
 
-        `plan_strictness`: of what the plan may reject, the share that a site's caches have to reject now."""
+        If the site `lacks_observation`, the caller has to step it first. `plan_strictness`: by site, the
+        share of the load that the plan may reject which is rejected now."""
         route = self._route(now, request, request_class, client_site)
         if isinstance(route, AdmissionRejection) or route.is_trial:
             return route
@@ -156,10 +161,11 @@
     ) -> SiteRoute | AdmissionRejection:
         lifecycle = self.lifecycles[client_site]
         is_local = client_site == self.local_site
-        is_doubtful = not is_local and lifecycle.phase in (SitePhase.SUSPECT, *AWAY_PHASES)
+        may_be_unreachable = not is_local and lifecycle.phase in (SitePhase.SUSPECT, *AWAY_PHASES)
         local_is_steady = self.lifecycles[self.local_site].phase is SitePhase.STEADY
-        if is_doubtful and local_is_steady and self.local_demand.is_local(now, request.object_id):
-            return SiteRoute(self.local_site)  # it is cached here already, whichever site is to serve it
+        if may_be_unreachable and local_is_steady and self.local_demand.is_local(now, request.object_id):
+            # The object is already cached here, whichever site the plan assigns it to.
+            return SiteRoute(self.local_site)
         may_try = self._may_try(now, client_site, request_class)
         route = self.serving_sites.route(lifecycle, request_class.name, request.object_id, is_local, may_try)
         if self.is_cut_off and isinstance(route, SiteRoute) and route.site != self.local_site:
@@ -167,19 +173,19 @@
         return route
 
     def lacks_observation(self, now: int, site: str) -> bool:
-        """Whether another site is taken to be steady though nothing was heard of it recently."""
+        """Return whether another site is in the steady phase although it has not answered recently."""
         is_remote = site != self.local_site
         is_steady = self.lifecycles[site].phase is SitePhase.STEADY
-        return is_remote and is_steady and not self._was_heard(now, site)
+        return is_remote and is_steady and not self._has_answered_recently(now, site)
 
-    def _was_heard(self, now: int, site: str) -> bool:
+    def _has_answered_recently(self, now: int, site: str) -> bool:
         place = self.evidence.places.get(site)
         if place is None or not place.answered_us:
             return False
         return now - place.answered_us <= OBSERVATION_WINDOW_US
 
     def _may_try(self, now: int, site: str, request_class: RequestClass) -> bool:
-        """Whether one more request may find out if a site answers; only one that may be sent twice."""
+        """Return whether one more request may be sent as a trial of a site; only idempotent requests may."""
         phase = self.lifecycles[site].phase
         if request_class.idempotency is not Idempotency.IDEMPOTENT or phase not in TRIAL_PHASES:
             return False
@@ -193,8 +199,9 @@
     # ---- the tick ------------------------------------------------------------------------------------
 
     def tick(self, now: int, pressure: SiteMeasure) -> list[SiteTransition]:
-        """Periodic; the phases that were entered. `pressure`: share of late and rejected answers of a
-        site."""
+        """Step all sites and hubs and return their transitions. Called periodically.
+
+        `pressure`: by site, the share of late and rejected answers."""
         if now - self.last_tick_us > MAX_STEP_INTERVAL_US:
             self.evidence.discard_failures(now)
         self.last_tick_us = now
@@ -204,14 +211,16 @@
             self.evidence.discard_failures(now)
         transitions = []
         for name, lifecycle in self.lifecycles.items():
-            if lifecycle.phase is SitePhase.STEADY and self._is_undisturbed(now, name, lifecycle):
+            if lifecycle.phase is SitePhase.STEADY and self._may_skip_step(now, name, lifecycle):
                 lifecycle.stepped_us = now
             elif (transition := self.step_site(now, name, pressure)) is not None:
                 transitions.append(transition)
         return transitions
 
     def silent_directors(self, now: int) -> int:
-        """Directors that serve nobody now: those of sites that were left and whose clients connect here."""
+        """Return the number of directors that serve no clients now.
+
+        These are the directors of lost or evacuated sites whose clients connect to this director."""
         return sum(
             site.directors
             for name, site in self.topology.sites.items()
@@ -220,8 +229,8 @@
             and now - self.last_request_us.get(name, -DEMAND_WINDOW_US) < DEMAND_WINDOW_US
         )
 
-    def _is_undisturbed(self, now: int, name: str, lifecycle: SiteLifecycle) -> bool:
-        """Whether nothing could change a steady site's phase, so that its step can be skipped."""
+    def _may_skip_step(self, now: int, name: str, lifecycle: SiteLifecycle) -> bool:
+        """Return whether the phase of a steady site cannot change now, so that its step can be skipped."""
         has_command = name in self.commands.active
         is_listed = not self.membership.loaded or self.membership.availability(name, now).listed_share > 0
         return (
@@ -229,7 +238,8 @@
         )
 
     def step_site(self, now: int, name: str, pressure: SiteMeasure) -> SiteTransition | None:
-        """Step one site's state machine; the phase that it entered, if any."""
+        """Step the state machine of one site or hub. Returns its transition, or None if its phase is
+        unchanged."""
         lifecycle = self.lifecycles[name]
         previous_phase = lifecycle.phase
         signals = self._health_signals(now, name, lifecycle, pressure)
@@ -242,7 +252,7 @@
         return SiteTransition(name, previous_phase, lifecycle)
 
     def refresh_plan_row(self) -> None:
-        """Apply what follows from the sites' phases: the plan's row, and whether all are steady."""
+        """Update the plan's row, and whether all sites and hubs are steady, from the present phases."""
         sites = frozenset(name for name in self.topology.sites if is_evacuated(self.lifecycles[name]))
         hubs = frozenset(name for name in self.topology.hubs if self.lifecycles[name].phase in AWAY_PHASES)
         self.serving_sites.set_losses(sites, hubs)
@@ -259,7 +269,7 @@
         has_demand = is_local or is_hub or since_request_us < DEMAND_WINDOW_US
         is_listed = availability.listed_share >= MIN_LISTED_SHARE
         self.listed_since_us[name] = (self.listed_since_us.get(name) or now) if is_listed else 0
-        # Without its clients' requests there are no trials: the endpoint list has to do.
+        # Without requests of its clients there are no trials, so the endpoint list alone decides.
         is_untried = is_hub or since_request_us >= NO_DEMAND_US
         healthy_since_us = self.listed_since_us[name] if is_untried else self.healthy_since_us.get(name, 0)
         return SiteHealthSignals(
@@ -270,7 +280,10 @@
             outside_received_us=self.evidence.last_received_outside_us([name, self.local_site]),
             cut_off=self.is_cut_off,
             has_demand=has_demand,
-            is_unobserved=has_demand and not is_local and not is_hub and not self._was_heard(now, name),
+            is_unobserved=has_demand
+            and not is_local
+            and not is_hub
+            and not self._has_answered_recently(now, name),
             listed_share=availability.listed_share,
             list_loaded=self.membership.loaded,
             capacity_share=availability.capacity_share,
@@ -281,8 +294,9 @@
         )
 
     def _pressure_of(self, name: str, lifecycle: SiteLifecycle, pressure: SiteMeasure) -> float:
-        """The share of late and rejected answers where a site's objects are served: at its serving sites
-        while it is left, at the site itself as it returns."""
+        """Return the share of late and rejected answers at the sites that serve the objects of a site.
+
+        This is the site itself while it returns, otherwise the serving site with the highest share."""
         if name in self.topology.hubs or lifecycle.phase is SitePhase.RETURNING:
             return pressure(name)
         targets = {
@@ -296,20 +310,20 @@
     # ---- operators -----------------------------------------------------------------------------------
 
     def restore_commands(self, commands: list[SiteCommand]) -> None:
-        """Apply the commands that were stored before a restart; those for unknown sites are ignored."""
+        """Apply the commands that were stored before a restart; commands for unknown sites are ignored."""
         for command in commands:
             if command.site in self.lifecycles:
                 self.commands.apply(command)
 
     def step_exercises(self, now: int, highest_pressure: float) -> list[str]:
-        """Step the failover exercises; the sites whose exercise has ended."""
+        """Step the failover exercises. Returns the sites whose exercise has ended."""
         return self.commands.step_exercises(now, self.lifecycles, highest_pressure)
 
     def replace_plan(self, plan: SitePlan) -> None:
-        """Act on another plan for the same topology."""
+        """Use another plan for the same topology."""
         self.serving_sites = ServingSites(plan, self.local_site)
         self.refresh_plan_row()
 
     def abandoned_places(self) -> set[str]:
-        """Places whose members are no source of a fill now."""
+        """Return the places whose members must not be the source of a fill now."""
         return {name for name, lifecycle in self.lifecycles.items() if lifecycle.phase in AWAY_PHASES}
--- a/onyxwick/sites/observation.py
+++ b/onyxwick/sites/observation.py
@@ -1,4 +1,4 @@
-"""A place as the latest seconds show it, and whether that looks like its loss. Times are in microseconds."""
+"""The observation of a place over the last few seconds, and whether it indicates a loss. Times are in us."""
 
 from __future__ import annotations
 
@@ -7,31 +7,32 @@
 
 from onyxwick.sites.member_evidence import AttemptEvidence, PlaceEvidence
 
-MIN_TRIED_MEMBERS = 3  # from which a place may be judged, or all of fewer
-MIN_FAILURE_WEIGHT = 2.0  # one failure of a single parent is not a lost hub
-MIN_SILENT_FAILURE_WEIGHT = 3.0  # where nothing but silence was met: slow members are silent, too
+MIN_TRIED_MEMBERS = 3  # required to judge a place; all of its members if it has fewer
+MIN_FAILURE_WEIGHT = 2.0  # one failure of a single parent does not indicate a lost hub
+MIN_SILENT_FAILURE_WEIGHT = 3.0  # if silence is the only evidence, as slow members are also silent
 WAITING = "waiting"
 CONCLUSIVE_KINDS = (
     AttemptEvidence.REFUSED.value,
     AttemptEvidence.UNREACHABLE.value,
-)  # a member that is merely slow does not fail like this
+)  # kinds of failure that a slow member does not show
 
 
 @dataclass(frozen=True, slots=True)
 class PlaceObservation:
-    """Counts of a place's members, and since when nothing of it has answered."""
+    """Counts of the members of a place, and since when none of them has answered."""
 
     tried: int = 0
     unreachable: int = 0
     known: int = 0  # members on the endpoint list
     answered_us: int = 0
-    unreachable_since_us: int = 0  # 0: none is unreachable
-    evidence_counts: tuple[tuple[str, int], ...] = ()  # of the unreachable ones, by kind
-    failure_weight: float = 0.0  # of the unreachable ones' failures since they last answered
+    unreachable_since_us: int = 0  # 0: no member is unreachable
+    evidence_counts: tuple[tuple[str, int], ...] = ()  # number of unreachable members by kind of failure
+    failure_weight: float = 0.0  # of the unreachable members' failures since their last answers
 
     @property
     def is_mostly_unreachable(self) -> bool:
-        """Whether two thirds of the tried members are unreachable, with enough failures to judge by."""
+        """Return whether at least two thirds of the tried members are unreachable, with sufficient
+        evidence."""
         required = MIN_SILENT_FAILURE_WEIGHT if self.is_only_silent else MIN_FAILURE_WEIGHT
         if self.failure_weight < required:
             return False
@@ -40,23 +41,23 @@
 
     @property
     def is_only_silent(self) -> bool:
-        """Whether its members accept connections and do not answer, as slow ones do."""
+        """Return whether its unreachable members accept connections but do not answer, as slow members do."""
         return all(kind not in CONCLUSIVE_KINDS for kind, _ in self.evidence_counts)
 
     def cause(self) -> str:
-        """The kinds of failure, for operators."""
+        """Return the counts of each kind of failure as text for operators."""
         return ", ".join(f"{count} {kind}" for kind, count in self.evidence_counts) or "nothing seen"
 
 
 def observe_place(place: PlaceEvidence, now: int) -> PlaceObservation:
-    """The observation of a place at `now` (us)."""
+    """Return the observation of a place at `now` (us)."""
     tried = [member for member in place.members.values() if member.was_tried(now)]
     known = len(place.members)
     unreachable = [] if place.rules_out_loss(now) else [m for m in tried if m.is_unreachable(now)]
     if not unreachable:
         return PlaceObservation(len(tried), 0, known, place.answered_us)
     kinds = Counter(member.evidence.value if member.has_failed else WAITING for member in unreachable)
-    # Many attempts are in flight at a busy place: some wait since before its last answer.
+    # At a busy place many attempts are in flight, and some were sent before its last answer.
     first_us = min(member.unreachable_since_us() for member in unreachable)
     return PlaceObservation(
         tried=len(tried),
--- a/onyxwick/sites/operator_commands.py
+++ b/onyxwick/sites/operator_commands.py
@@ -1,8 +1,9 @@
-"""Operators' commands on sites: read from the administration API, kept by the store, applied by the monitor.
+"""Operators' commands for sites: received by the administration API, stored, and applied by the monitor.
 
 A command names a site and a directive, which holds until it is replaced. A failover exercise is a command
-with an end of its own: the site is left in steps, stays away for `exercise_us`, and is returned to; overload,
-or a doubt about another site meanwhile, ends it early. Times are in microseconds.
+that ends by itself: the site is evacuated in steps, stays evacuated for `exercise_us`, and then receives
+its traffic again. Overload, or another site that is not steady, ends the exercise early. Times are in
+microseconds.
 """
 
 from __future__ import annotations
@@ -17,21 +18,22 @@
 MAX_REASON_LENGTH = 256
 MIN_EXERCISE_S = 1
 MAX_EXERCISE_S = 3600
-ABORT_PRESSURE = 0.35  # share of late and rejected answers of the whole director that ends an exercise
-ABORT_AFTER_US = 2 * MICROSECONDS_PER_SECOND  # of that pressure
-EXERCISE_COMPLETED = "it has stayed away for its time"  # compared by the command line, so never reworded
-DOCUMENT_FIELDS = frozenset(("word", "reason", "stay_s"))  # of the API's form
-ROW_FIELDS = frozenset(("site", "word", "reason", "by", "at_us", "stay_us"))  # of the store's form
+ABORT_PRESSURE = 0.35  # share of late and rejected answers of the entire director that ends an exercise
+ABORT_AFTER_US = 2 * MICROSECONDS_PER_SECOND  # duration of that pressure
+EXERCISE_COMPLETED = "it has stayed away for its time"  # the command line compares this text: do not change
+DOCUMENT_FIELDS = frozenset(("word", "reason", "stay_s"))  # of the API document
+ROW_FIELDS = frozenset(("site", "word", "reason", "by", "at_us", "stay_us"))  # of the stored row
 
 
 class SiteCommandError(SitesError, ValueError):
-    """A command that cannot be accepted; the message says what was found and what is expected."""
+    """A command is invalid. The message states what was found and what is expected."""
 
 
 @dataclass(frozen=True, slots=True)
 class SiteCommand:
-    """A directive for one site. `exercise_us`: of an exercise, how long the site stays away; 0: no
-    exercise."""
+    """A directive for one site.
+
+    `exercise_us`: how long the site stays evacuated in an exercise; 0 if the command is no exercise."""
 
     site: str
     directive: SiteDirective
@@ -42,42 +44,43 @@
 
     @property
     def is_exercise(self) -> bool:
-        """Whether the command ends by itself."""
+        """Return whether the command is a failover exercise, which ends by itself."""
         return self.exercise_us > 0
 
 
-# ---- the API's form and the store's form -------------------------------------------------------------
+# ---- conversion from the API document, to and from the stored row ------------------------------------
 
 
 def parse_command(site: str, document: Mapping[str, Any], now: int) -> SiteCommand:
-    """A command from the API's form {"word", "reason", "stay_s"}; SiteCommandError says what is wrong."""
+    """Parse a command from the API document {"word", "reason", "stay_s"}. Raises SiteCommandError if
+    invalid."""
     directives = {directive.value: directive for directive in SiteDirective}
     directive = directives.get(str(document.get("word", "")))
     if directive is None:
-        raise SiteCommandError(f"'word' is {document.get('word')!r}; it is one of {', '.join(directives)}")
+        raise SiteCommandError(f"'word' is {document.get('word')!r}; expected one of {', '.join(directives)}")
     if unknown := set(document) - DOCUMENT_FIELDS:
-        raise SiteCommandError(f"unknown field '{min(unknown)}'; an order has word, reason and stay_s")
+        raise SiteCommandError(f"unknown field '{min(unknown)}'; expected only word, reason and stay_s")
     reason = document.get("reason", "")
     if not isinstance(reason, str) or len(reason) > MAX_REASON_LENGTH:
-        raise SiteCommandError(f"'reason' is no text of at most {MAX_REASON_LENGTH} characters")
+        raise SiteCommandError(f"'reason' is not a string of at most {MAX_REASON_LENGTH} characters")
     exercise_us = _parse_exercise_us(document.get("stay_s", 0), directive)
     return SiteCommand(site, directive, reason, "operator", now, exercise_us)
 
 
 def _parse_exercise_us(stay_s: object, directive: SiteDirective) -> int:
     if isinstance(stay_s, bool) or not isinstance(stay_s, int | float):
-        raise SiteCommandError("'stay_s' is no number of seconds")
+        raise SiteCommandError("'stay_s' is not a number of seconds")
     is_possible = directive is SiteDirective.EVACUATE and MIN_EXERCISE_S <= stay_s <= MAX_EXERCISE_S
     if stay_s and not is_possible:
         raise SiteCommandError(
-            "'stay_s' belongs to a drill: with the word evacuate,"
-            f" {MIN_EXERCISE_S} to {MAX_EXERCISE_S} seconds"
+            "'stay_s' is only allowed with the word evacuate (a failover exercise):"
+            f" expected {MIN_EXERCISE_S} to {MAX_EXERCISE_S} seconds"
         )
     return int(stay_s * MICROSECONDS_PER_SECOND)
 
 
 def command_to_row(command: SiteCommand) -> dict[str, Any]:
-    """A command as the store keeps it. The keys do not follow the names of the code."""
+    """Return the row that the store holds for a command. Its keys differ from the names in the code."""
     return {
         "site": command.site,
         "word": command.directive.value,
@@ -89,9 +92,9 @@
 
 
 def command_from_row(row: Mapping[str, Any]) -> SiteCommand:
-    """A command as `command_to_row` wrote it; SiteCommandError where it is none."""
+    """Decode a command that `command_to_row` encoded. Raises SiteCommandError if the row is invalid."""
     if unknown := set(row) - ROW_FIELDS:
-        raise SiteCommandError(f"no order: unknown field '{min(unknown)}'")
+        raise SiteCommandError(f"stored site command has the unknown field '{min(unknown)}'")
     try:
         return SiteCommand(
             site=row["site"],
@@ -102,41 +105,41 @@
             exercise_us=row.get("stay_us", 0),
         )
     except (KeyError, TypeError, ValueError) as error:
-        raise SiteCommandError(f"no order: {error!r}") from None
+        raise SiteCommandError(f"stored site command is invalid: {error!r}") from None
 
 
-# ---- the commands in force ---------------------------------------------------------------------------
+# ---- active commands ---------------------------------------------------------------------------------
 
 
 class SiteCommands:
-    """The commands in force at one director, and the progress of exercises."""
+    """The active commands at one director, and the progress of exercises."""
 
     def __init__(self) -> None:
         self.active: dict[str, SiteCommand] = {}
-        self.turned_back: dict[str, str] = {}  # site: why its exercise is over
+        self.exercise_end_reasons: dict[str, str] = {}  # by site, why its exercise has ended
         self.overloaded_since_us: dict[str, int] = {}
 
     def apply(self, command: SiteCommand) -> None:
-        """Replace the command for a site; the directive `NONE` withdraws it."""
+        """Replace the command for a site; the directive `NONE` withdraws the command."""
         self.overloaded_since_us.pop(command.site, None)
-        self.turned_back.pop(command.site, None)
+        self.exercise_end_reasons.pop(command.site, None)
         if command.directive is SiteDirective.NONE:
             self.active.pop(command.site, None)
         else:
             self.active[command.site] = command
 
     def directive_for(self, site: str) -> SiteDirective:
-        """The directive at this instant; after an exercise it is the return."""
+        """Return the present directive for a site; once its exercise has ended, this is `RETURN`."""
         command = self.active.get(site)
         if command is None:
             return SiteDirective.NONE
-        return SiteDirective.RETURN if site in self.turned_back else command.directive
+        return SiteDirective.RETURN if site in self.exercise_end_reasons else command.directive
 
     def step_exercises(self, now: int, lifecycles: Mapping[str, SiteLifecycle], pressure: float) -> list[str]:
-        """Step the exercises; the sites whose exercise has ended.
+        """Step the exercises. Returns the sites whose exercise is completed and removed.
 
-        `pressure`: share of late and rejected among all of the director's latest answers, 0 to 1."""
-        doubtful = [
+        `pressure`: share of late and rejected answers among the latest answers of the director, 0 to 1."""
+        unsteady_sites = [
             site
             for site, lifecycle in lifecycles.items()
             if site not in self.active and lifecycle.phase is not SitePhase.STEADY
@@ -146,10 +149,10 @@
             if not command.is_exercise or site not in lifecycles:
                 continue
             lifecycle = lifecycles[site]
-            if site not in self.turned_back and not lifecycle.was_unreachable:
-                self._check_exercise(now, command, lifecycle, doubtful, pressure)
+            if site not in self.exercise_end_reasons and not lifecycle.was_unreachable:
+                self._check_exercise(now, command, lifecycle, unsteady_sites, pressure)
             elif lifecycle.phase is SitePhase.STEADY or lifecycle.was_unreachable:
-                # Over, or an actual loss has taken its place.
+                # The exercise is completed, or an actual loss supersedes it.
                 ended.append(site)
                 self.apply(SiteCommand(site, SiteDirective.NONE))
         return ended
@@ -159,32 +162,34 @@
         now: int,
         command: SiteCommand,
         lifecycle: SiteLifecycle,
-        doubtful: list[str],
+        unsteady_sites: list[str],
         pressure: float,
     ) -> None:
         site = command.site
-        if doubtful:
-            self.turned_back[site] = f"site {min(doubtful)} is not steady: this one's capacity is needed"
+        if unsteady_sites:
+            self.exercise_end_reasons[site] = (
+                f"site {min(unsteady_sites)} is not steady: the capacity of this site is needed"
+            )
         elif pressure > ABORT_PRESSURE:
             overloaded_us = now - self.overloaded_since_us.setdefault(site, now)
             if overloaded_us >= ABORT_AFTER_US:
-                self.turned_back[site] = f"overload: {pressure:.0%} late or rejected"
+                self.exercise_end_reasons[site] = f"overload: {pressure:.0%} late or rejected"
         else:
             self.overloaded_since_us.pop(site, None)
         is_away = lifecycle.phase is SitePhase.EVACUATED
         is_complete = is_away and now - lifecycle.phase_started_us >= command.exercise_us
-        if site not in self.turned_back and is_complete:
-            self.turned_back[site] = EXERCISE_COMPLETED
+        if site not in self.exercise_end_reasons and is_complete:
+            self.exercise_end_reasons[site] = EXERCISE_COMPLETED
 
     def status(self) -> dict[str, Any]:
-        """The commands in force, with the keys of the administration API."""
+        """Return the active commands, with the keys of the administration API."""
         return {
             site: {
                 "word": command.directive.value,
                 "reason": command.reason,
                 "at_us": command.issued_at_us,
                 "drill": command.is_exercise,
-                "turned": self.turned_back.get(site, ""),
+                "turned": self.exercise_end_reasons.get(site, ""),
             }
             for site, command in sorted(self.active.items())
         }
--- a/onyxwick/sites/plan.py
+++ b/onyxwick/sites/plan.py
@@ -1,8 +1,8 @@
-"""The loss plan that a director acts on: for a set of lost places, which sites serve what, and what is
-rejected.
+"""The loss plan of a director: for a set of lost places, which sites serve which load, and what is rejected.
 
-A plan is made beforehand by `loss_study` and is data here: acting on it needs no solver. A set of losses
-without a row of its own (three sites at once) is composed of the rows of its parts. Shares are 0 to 1.
+`loss_study` computes a plan in advance; a director needs no solver to apply it. For a set of losses
+without a row, such as three sites at the same time, a row is composed from the rows of the single losses.
+Shares are 0 to 1.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LossPlanRow:
-    """What to do in one loss.
+    """The planned response to one loss.
 
-    `serving_shares`: (site, class) to the sites that serve its objects, by share. `served_shares`: (site,
-    class, tenant) to the share that is served, where it is under 1. `guest_shares`: of each remaining site's
-    caches, the share that other sites' clients use."""
+    `serving_shares`: by (site, class), the sites that serve its objects, each with its share.
+    `served_shares`: by (site, class, tenant), the share that is served, if it is below 1.
+    `guest_shares`: by remaining site, the share of its caches that clients of other sites use."""
 
     serving_shares: Mapping[tuple[str, str], Mapping[str, float]] = field(default_factory=dict)
     served_shares: Mapping[tuple[str, str, str], float] = field(default_factory=dict)
@@ -31,12 +31,12 @@
 
 
 def loss_key(sites: Iterable[str], hubs: Iterable[str] = (), cache_sites: Iterable[str] = ()) -> LossKey:
-    """The name of a loss: of lost sites, lost hubs, and sites that lose their caches alone."""
+    """Return the key of a loss of sites, hubs, and sites that lose only their caches."""
     return frozenset(sites) | {f"hub {hub}" for hub in hubs} | {f"boxes of {site}" for site in cache_sites}
 
 
 class SitePlan:
-    """The rows of all planned losses for one topology."""
+    """The responses to all planned losses of one topology."""
 
     def __init__(self, topology: Topology, rows: Mapping[LossKey, LossPlanRow] | None = None) -> None:
         self.topology = topology
@@ -47,7 +47,7 @@
     def row(
         self, sites: Iterable[str], hubs: Iterable[str] = (), cache_sites: Iterable[str] = ()
     ) -> LossPlanRow:
-        """What to do while these places are lost, as planned or composed."""
+        """Return the planned or composed response to the loss of these places."""
         key = loss_key(sites, hubs, cache_sites)
         row = self.rows.get(key) or self._composed_rows.get(key)
         if row is None:
@@ -58,8 +58,10 @@
         return row
 
     def _compose(self, sites: LossKey, hubs: LossKey, cache_sites: LossKey) -> LossPlanRow:
-        """Each lost site's own row without the sites that are lost too; of what is served, the least that any
-        single loss leaves."""
+        """Compose a row from the rows of the single losses.
+
+        The objects of each lost site are served as in its own row, without the sites that are lost too.
+        The served share is the lowest of all single losses."""
         lost = sites | cache_sites
         remaining = [site for site in self.topology.sites.values() if site.name not in lost]
         key_of_site = {site: loss_key([site]) for site in sites}
--- a/onyxwick/sites/plan_document.py
+++ b/onyxwick/sites/plan_document.py
@@ -1,4 +1,4 @@
-"""Loss plans as JSON documents. The keys are those of files that earlier versions wrote."""
+"""Loss plans as JSON documents, with the keys that earlier versions wrote."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 class PlanMismatchError(SitesError, ValueError):
-    """A document is no plan, or a plan for another topology; the message says which."""
+    """A document is not a plan, or is a plan for another topology. The message states which."""
 
 
 def plan_to_json(plan: SitePlan) -> dict[str, Any]:
-    """A plan as the JSON document that directors read."""
+    """Encode a plan as the JSON document that directors read."""
     rows = sorted(plan.rows.items(), key=lambda pair: sorted(pair[0]))
     return {
         "format": PLAN_FORMAT,
@@ -34,22 +34,22 @@
 
 
 def plan_from_json(topology: Topology, document: Any) -> SitePlan:
-    """The plan of a document that `plan_to_json` wrote.
+    """Decode a plan from a document that `plan_to_json` wrote.
 
-    PlanMismatchError where it is none, or was made for another topology."""
+    Raises PlanMismatchError if the document is not a plan, or is a plan for another topology."""
     rows = document.get("rows") if isinstance(document, dict) else None
     if not isinstance(rows, list) or document.get("format") != PLAN_FORMAT:
-        raise PlanMismatchError(f"no plan of format {PLAN_FORMAT}")
+        raise PlanMismatchError(f"not a loss plan of format {PLAN_FORMAT}")
     expected = topology_digest(topology)
     if document.get("topology") != expected:
         raise PlanMismatchError(
-            f"made for topology {document.get('topology')}, and the service file states {expected}:"
-            " make it anew with `onyxwick sites plan`"
+            f"made for topology {document.get('topology')}, but the service file states {expected}:"
+            " create the plan again with `onyxwick sites plan`"
         )
     try:
         return SitePlan(topology, {frozenset(row["lost"]): _row_from_document(row) for row in rows})
     except (KeyError, TypeError, ValueError) as error:
-        raise PlanMismatchError(f"a row of the plan cannot be read: {error!r}") from None
+        raise PlanMismatchError(f"a row of the plan is invalid: {error!r}") from None
 
 
 def _row_from_document(document: dict[str, Any]) -> LossPlanRow:
--- a/onyxwick/sites/router.py
+++ b/onyxwick/sites/router.py
@@ -1,12 +1,12 @@
-"""The router of a director with sites: decides which site serves a request and lets that site's router
-decide.
-
-In: events, the loss plan and operators' commands. Out: actions; rejections carry a Retry-After in
-microseconds. Each site whose caches this director uses has a router of its own (one router, or one for each
-cell), so that one site's health, limits and retries cannot leak into another's. While all sites are steady a
-director uses its own site's alone and everything passes through unchanged. A request is served by one site;
-it moves to another once at most, only where its class is idempotent, and only when the site that took it is
-lost or was only tried.
+"""The router of a director with sites: selects the site for each request and delegates to the router of that
+site.
+
+Takes events, the loss plan and operators' commands and returns actions. Rejections carry a Retry-After in
+microseconds. Each site whose caches this director uses has a separate router (one router, or one for each
+cell), so that the health, limits and retries of one site do not affect another. While all sites are
+steady, a director uses only its local site and all events pass through unchanged. A request is served by
+one site. It is relocated to another site at most once, only if its class is idempotent, and only if the
+first site is lost or the request was a trial.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
 from onyxwick.subrouters.dispatcher import REBALANCE_TICKS
 from onyxwick.subrouters.rejection import AdmissionRejection
 
-MAX_RELOCATED_AT_ONCE = 32  # requests moved off a site at the instant it is found lost
+MAX_RELOCATED_AT_ONCE = 32  # requests relocated from a site when it is detected as lost
 SOURCE_ANSWERED = (
     AnswerDetail.FILLED,
     AnswerDetail.FILLED_FROM_ORIGIN,
@@ -59,7 +59,7 @@
 
 
 class SiteRouter(SitePool):
-    """Distributes a director's requests among the routers of sites."""
+    """Distributes the requests of a director among the routers of its sites."""
 
     def __init__(
         self,
@@ -71,8 +71,8 @@
         make_router: MakeRouter = Router,
         max_in_flight: int = DEFAULT_MAX_IN_FLIGHT,
     ) -> None:
-        """`make_router`: from settings, a seed and the time (us). `max_in_flight`: requests of one site at
-        once."""
+        """`make_router`: creates a site's router from settings, a seed and the time (us). `max_in_flight`:
+        the most concurrent requests of one site."""
         self.classes = {request_class.name: request_class for request_class in settings.classes}
         work_us = dict.fromkeys(self.classes, DEFAULT_TRANSFER_US)
         work_us |= {name: float(planned.transfer_us) for name, planned in topology.classes.items()}
@@ -136,15 +136,15 @@
             named_site if named_site is not None and named_site in self.topology.sites else self.local_site
         )
         self.monitor.record_request(self.now, client_site, request.object_id)
-        is_undisturbed = self.monitor.all_steady and client_site == self.local_site
+        is_steady_and_local = self.monitor.all_steady and client_site == self.local_site
         is_executed_at_origin = request_class.is_write and self.settings.cache_bypass
-        if is_undisturbed or is_executed_at_origin:
+        if is_steady_and_local or is_executed_at_origin:
             self._admit(request, request_class, client_site, SiteRoute(self.local_site))
         else:
             self._route(request, request_class, client_site)
 
     def _route(self, request: RequestArrived, request_class: RequestClass, client_site: str) -> None:
-        """Admit or reject a request while a site is not steady, or of another site's client."""
+        """Admit or reject a request while a site is not steady, or if its client belongs to another site."""
         if self.monitor.lacks_observation(self.now, client_site):
             self._on_transition(self.monitor.step_site(self.now, client_site, self._pressure))
         route = self.monitor.route(self.now, request, request_class, client_site, self._plan_strictness)
@@ -195,7 +195,7 @@
             owner.holds_admission = False
 
     def _shed(self, request: RequestArrived, site: ActiveSite, reason: AdmissionRejection) -> None:
-        """Reject a request at once, before any site's router receives it."""
+        """Reject a request immediately, before the router of any site receives it."""
         self._count(f"refused.{reason}.{request.class_name}")
         self.shed_now[request.request_id] = reason.value
         limits = self.settings.limits
@@ -222,7 +222,7 @@
         self._forget_if_ended(event.request_id, owner)
 
     def _record_fill_source(self, attempt: RoutedAttempt, event: AttemptEnded) -> None:
-        """What an answer of an own site's cache says of the member that it filled from."""
+        """Record what the answer of a cache of the local site shows about the source of its fill."""
         evidence = self.monitor.evidence
         if attempt.fill_source is None or evidence.place_of.get(attempt.member) != self.local_site:
             return
@@ -245,7 +245,9 @@
     def _on_request_given_up(
         self, site: ActiveSite, request_id: str, action: RejectRequest | FailRequest
     ) -> None:
-        """A site's router rejects or fails a request. A trial is relocated to the site it belongs to."""
+        """Handle the rejection or failure of a request by the router of its site.
+
+        A rejected trial request is relocated to the site that serves its object, if possible."""
         owner = self.requests.get(request_id)
         if owner is None or owner.assigned_to != site.name or owner.answered:
             return
@@ -256,7 +258,9 @@
         self._finish(request_id, owner)
 
     def _relocate(self, request_id: str, owner: SiteRequestOwner) -> bool:
-        """Move a request to the site that now serves its object; False where it may not move or none does."""
+        """Relocate a request to the site that now serves its object.
+
+        Returns False if the request may not be relocated or no other site can take it."""
         remaining_us = owner.deadline_us - self.now
         if not self._may_relocate(owner, remaining_us):
             return False
@@ -315,7 +319,7 @@
             self._drop_idle_sites()
 
     def _on_transition(self, transition: SiteTransition | None) -> None:
-        """A site is taken to be in another state: report it, and apply what follows from it."""
+        """Report that a site or hub has entered another phase, and apply the consequences."""
         if transition is None:
             return
         lifecycle = transition.lifecycle
@@ -337,7 +341,7 @@
             self._relocate_waiting(lifecycle.name)
 
     def _relocate_waiting(self, name: str) -> None:
-        """Relocate what waits for a lost site's caches, where it may be sent twice."""
+        """Relocate idempotent requests that wait for the caches of a lost site."""
         if name not in self.topology.sites or name not in self.sites:
             return
         waiting = [
@@ -351,13 +355,13 @@
     # ---- operators -----------------------------------------------------------------------------------
 
     def apply_command(self, now: int, command: SiteCommand) -> None:
-        """Apply an operator's command from this instant on; the actions come from the next `handle`."""
+        """Apply an operator's command from `now` on. The next `handle` returns the resulting actions."""
         self.now = now
         self.monitor.commands.apply(command)
         self._on_transition(self.monitor.step_site(now, command.site, self._pressure))
 
     def replace_plan(self, now: int, plan: SitePlan) -> None:
-        """Act on another loss plan for the same topology from this instant on."""
+        """Use another loss plan for the same topology from `now` on."""
         self.now = now
         self.monitor.replace_plan(plan)
         self._dispatch_fleet_shares({})
--- a/onyxwick/sites/serving_sites.py
+++ b/onyxwick/sites/serving_sites.py
@@ -1,5 +1,6 @@
-"""Which site serves an object of a site's clients at this instant: its own, another by the plan, or none. No
-I/O."""
+"""Selects the site that serves an object now: the site of the client, another site by the plan, or none. No
+I/O.
+"""
 
 from __future__ import annotations
 
@@ -17,25 +18,25 @@
 )
 from onyxwick.subrouters.rejection import AdmissionRejection
 
-MAX_SLICE_TABLES = 1024  # kept at once, one for each loss, site and class
-NO_SITE = ""  # in a slice table: looked up, and no site serves it
+MAX_SLICE_TABLES = 1024  # in memory, one for each loss, site and class
+NO_SITE = ""  # entry of a slice that was looked up and that no site serves
 SliceTable = list[str | None]
 
 
 @dataclass(frozen=True, slots=True)
 class SiteRoute:
-    """The site that a request goes to. `is_trial`: it is not known to answer."""
+    """The site that a request is sent to. `is_trial`: the site is not known to be reachable."""
 
     site: str
     is_trial: bool = False
 
 
 class ServingSites:
-    """The plan as it applies to the present losses."""
+    """The plan as applied to the present losses."""
 
     def __init__(self, plan: SitePlan, local_site: str = "") -> None:
-        """`local_site`: the own one. While this director serves, only its caches can be lost, as its clients
-        connect here."""
+        """`local_site`: the site of this director. While this director serves, the local site can lose
+        only its caches, as its clients still connect here."""
         self.plan = plan
         self.local_site = local_site
         self.lost_sites: frozenset[str] = frozenset()
@@ -44,7 +45,7 @@
         self.slice_tables: dict[tuple[LossKey, str, str], SliceTable] = {}
 
     def set_losses(self, sites: frozenset[str], hubs: frozenset[str]) -> None:
-        """Apply the plan's row for other losses from now on."""
+        """Set the present losses and use the plan's row for them."""
         if (sites, hubs) != (self.lost_sites, self.lost_hubs):
             self.lost_sites = sites
             self.lost_hubs = hubs
@@ -55,16 +56,17 @@
         return self.plan.row(lost_sites - local, self.lost_hubs, lost_sites & local)
 
     def serving_site_for(self, site: str, class_name: str, object_name: str) -> str | None:
-        """The site that serves an object of a lost site; None where the plan has no capacity for it. The site
-        need not be lost yet."""
+        """Return the site that serves an object of a lost site; None if the plan has no capacity for it.
+
+        If `site` is not lost yet, returns the site that serves the object once it is lost."""
         table = self._slice_table(site, class_name)
-        number = slice_of(object_name)
-        serving_site = table[number]
+        slice_number = slice_of(object_name)
+        serving_site = table[slice_number]
         if serving_site is None:
             row = self.row if site in self.lost_sites else self._plan_row(self.lost_sites | {site})
             weights = row.serving_shares.get((site, class_name)) or self._weights_of_any_class(row, site)
-            serving_site = serving_site_of_slice(site, number, weights) or NO_SITE
-            table[number] = serving_site
+            serving_site = serving_site_of_slice(site, slice_number, weights) or NO_SITE
+            table[slice_number] = serving_site
         return serving_site or None
 
     def _slice_table(self, site: str, class_name: str) -> SliceTable:
@@ -78,7 +80,10 @@
         return table
 
     def _weights_of_any_class(self, row: LossPlanRow, site: str) -> dict[str, float]:
-        """For a class that the plan does not know: the sum of the site's other classes, else capacities."""
+        """Return the weights of serving sites for a class that is not in the plan.
+
+        These are the sums over the other classes of the site, or the capacities of the remaining sites if
+        there is no planned class."""
         weights: dict[str, float] = {}
         has_row = False
         for (origin_site, _), shares in row.serving_shares.items():
@@ -95,10 +100,10 @@
         }
 
     def is_served(self, site: str, class_name: str, tenant: str, object_name: str, strictness: float) -> bool:
-        """Whether the plan serves an object in the present losses, all its segments alike.
+        """Return whether the plan serves an object during the present losses; the same for all its segments.
 
-        `strictness`: of what the plan would reject, the share that has to be rejected, 0 to 1; as it grows
-        and shrinks, whole objects follow."""
+        `strictness`: the share of the load that the plan may reject which is rejected now, 0 to 1. As it
+        rises or falls, complete objects become rejected or served."""
         served_shares = self.row.served_shares
         if not served_shares or strictness <= 0:
             return True
@@ -109,11 +114,11 @@
     def route(
         self, lifecycle: SiteLifecycle, class_name: str, object_name: str, is_local: bool, may_try: bool
     ) -> SiteRoute | AdmissionRejection:
-        """Where a request for an object of one site's clients goes, or why it is rejected, by that site's
-        phase.
+        """Return the site that a request of one site's client is sent to, or why it is rejected, by the phase
+        of the client's site.
 
-        `is_local`: it is this director's site. `may_try`: one more request may be sent to a site that is not
-        known to answer."""
+        `is_local`: the client's site is the site of this director. `may_try`: one more trial request may
+        be sent to a site that is not known to be reachable."""
         site = lifecycle.name
         match lifecycle.phase:
             case SitePhase.STEADY:
@@ -131,7 +136,7 @@
         is_evacuating = lifecycle.phase is SitePhase.EVACUATING
         if is_evacuating and lifecycle.was_unreachable and not is_local:
             return AdmissionRejection.SITE_MOVING
-        # Returned already; or not moved yet, from a site that answers or that is the own one.
+        # The object has returned, or is not moved yet and its site answers or is the local site.
         return SiteRoute(site)
 
     def _moved_route(self, site: str, class_name: str, object_name: str) -> SiteRoute | AdmissionRejection:
@@ -140,6 +145,7 @@
 
 
 def is_evacuated(lifecycle: SiteLifecycle) -> bool:
-    """Whether a site's capacity is missing from the plan's point of view."""
+    """Return whether the plan has to replace capacity of a site: it is lost, evacuated or not fully
+    returned."""
     is_returning = lifecycle.phase is SitePhase.RETURNING
     return lifecycle.phase in AWAY_PHASES or (is_returning and lifecycle.moved_share > 0)
--- a/onyxwick/sites/shares.py
+++ b/onyxwick/sites/shares.py
@@ -1,16 +1,17 @@
-"""Which share of caches and parents each director may use, without communication: divided by their known
-number.
+"""The share of caches and parents that each director may use, divided by the known number of directors and
+therefore without communication.
 
-The limits on caches and parents that are warming up bind all directors together. Those of a cache's own site
-have all of its budget but `remote_share`, divided by their number; all others have `remote_share`, divided by
-theirs. Of a director's share of a parent that is warming up its own site's router has all but `remote_share`,
-the routers for other sites' caches the rest, a fixed amount each. That holds at every instant and in every
-state, so it is also right while some directors detect a loss seconds later, and when some are down (the
-sum is below 1 then).
+The limits on caches and parents that are warming up apply to all directors together. The directors of a
+cache's own site divide its budget without `remote_share` evenly among themselves; all other directors divide
+`remote_share` evenly. Of a director's share of a parent that is warming up, the router of its local site has
+all but `remote_share`, and each router for another site's caches has a fixed part of the rest. This division
+is the same at all times and in all states. It therefore also holds while some directors detect a loss seconds
+later than others, and when some directors are down (the sum is then below 1).
 
-What is warm has no such limit: a cache's own directors keep their whole share and others add what the plan
-has for them, and parents are divided by demand. A director whose clients connect elsewhere serves nobody, so
-its share of the warm parents and of the origin is used by the others for that time.
+Warm caches and parents have no such limit: the directors of a cache's own site keep their full share,
+other directors add what the plan assigns to them, and parents are divided by demand. A director whose
+clients connect to other sites serves no requests, so the others use its share of the warm parents and of
+the origin for that time.
 """
 
 from __future__ import annotations
@@ -22,13 +23,13 @@
 from onyxwick.sites.model import Topology
 from onyxwick.sites.plan import LossPlanRow
 
-MIN_GUEST_SHARE = 0.25  # of a site's warm caches, for trials and load that a plan does not know
-GUEST_LOAD_FACTOR = 1.5  # times the planned guest load: it arrives unevenly, and a limit is no load
+MIN_GUEST_SHARE = 0.25  # of a site's warm caches, for trials and load that is not in the plan
+GUEST_LOAD_FACTOR = 1.5  # on the planned guest load, which arrives unevenly; the limit must exceed it
 MIN_PARENT_SHARE = 1e-3
 
 
 def remote_settings(settings: RouterSettings, topology: Topology, site: str) -> RouterSettings:
-    """The settings of a router for another site's caches: all directors elsewhere share them."""
+    """Return the settings of a router for another site's caches, which all directors of other sites share."""
     remote_directors = max(1, topology.directors - topology.sites[site].directors)
     return replace(settings, zone=topology.sites[site].zone, zone_router_count=remote_directors)
 
@@ -42,11 +43,11 @@
     parent_share: float,
     silent_directors: int = 0,
 ) -> FleetShareChanged:
-    """What the router for `site` of a director at `local_site` may use of the site's caches and of the
-    parents.
+    """Return the share of a site's caches and of the parents for the router of `site` at a director of
+    `local_site`.
 
-    `parent_share`: of the director's own share of the parents. `silent_directors`: those that serve nobody
-    now, whose share of what is warm the others use."""
+    `parent_share`: the part of the director's own share of the parents. `silent_directors`: the number of
+    directors that serve no clients now; the others use their share of the warm parents and of the origin."""
     guest_share = topology.policy.remote_share
     cold_parents = max(MIN_PARENT_SHARE, parent_share)
     growth = topology.directors / max(1, topology.directors - silent_directors)
--- a/onyxwick/sites/site_pool.py
+++ b/onyxwick/sites/site_pool.py
@@ -1,9 +1,8 @@
-"""The sites whose caches a director uses: created when first needed, dropped when idle, with their shares and
-limits.
+"""The sites whose caches a director uses, with their shares and limits.
 
-Out: to each site's router its endpoint list, its share of the parents' budget and of the site's caches, and
-how much of its retry budget it may use. The shares add up to the director's own at most. Times are in
-microseconds.
+A site is added when first needed and dropped when idle. Its router receives its endpoint list, its share
+of the parents' budget and of the site's caches, and how much of its retry budget it may use. The sum of
+the shares never exceeds the director's own share. Times are in microseconds.
 """
 
 from __future__ import annotations
@@ -22,19 +21,19 @@
 from onyxwick.subrouters.hashing import stable_hash
 from onyxwick.subrouters.share_arbiter import ShareArbiter
 
-DEFAULT_TRANSFER_US = 1.0 * MICROSECONDS_PER_SECOND  # of an answer, where the topology states none
+DEFAULT_TRANSFER_US = 1.0 * MICROSECONDS_PER_SECOND  # duration of an answer, used if the topology states none
 DEFAULT_MAX_IN_FLIGHT = 2000
-IDLE_SITE_US = 60 * MICROSECONDS_PER_SECOND  # an unused remote site's router is dropped after it
+IDLE_SITE_US = 60 * MICROSECONDS_PER_SECOND  # after which an unused remote site's router is dropped
 RECENT_USE_US = 5 * MICROSECONDS_PER_SECOND
-GUARANTEED_PARENT_SHARE = 0.25  # of the parents' budget: divided by weight, the rest by demand
+GUARANTEED_PARENT_SHARE = 0.25  # of the parents' budget, divided by weight; the rest by demand
 LOCAL_WEIGHT = 1.0
-RECENTLY_USED_WEIGHT = 0.3  # of a remote site that was assigned a request lately
+RECENTLY_USED_WEIGHT = 0.3  # of a remote site that was recently assigned a request
 IDLE_WEIGHT = 0.02
 MakeRouter = Callable[[RouterSettings, int, int], RequestRouter]
 
 
 class SitePool(SubrouterDispatcher[ActiveSite, SiteRequestOwner]):
-    """The sites in use at one director. Which request goes to which is decided by the subclass."""
+    """The sites in use at one director. The subclass selects the site for each request."""
 
     TIMER_TOKEN = "sites"
     TOKEN_SEPARATOR = ">"
@@ -58,7 +57,7 @@
         self.local_site = local_site
         self.make_router = make_router
         self.max_in_flight = max_in_flight
-        # If set: the share, 0 to 1, of its usual limits that the director may use at a time after its start.
+        # If set: for a time (us), the share (0 to 1) of its usual limits that a starting director may use.
         self.startup_share: Callable[[int], float] | None = None
         self.random = random.Random(seed ^ stable_hash("sites"))
         self.monitor = SiteMonitor(settings, topology, plan, local_site, now)
@@ -78,7 +77,7 @@
         return site
 
     def _site(self, name: str) -> ActiveSite:
-        """What this director uses a site's caches with; created when it is first needed."""
+        """Return the router and state for a site's caches, created when first needed."""
         site = self.sites.get(name)
         if site is None:
             settings = remote_settings(self.settings, self.topology, name)
@@ -89,9 +88,9 @@
         return site
 
     def _rebalance_parents(self) -> None:
-        """Divide the parents' budget among the sites in use, by what each of them demands."""
+        """Divide the parents' budget among the sites in use by their demand."""
         self.arbiter.set_weights(self.now, {name: self._weight(site) for name, site in self.sites.items()})
-        # What the first step takes is available in the second.
+        # The budget that `set_weights` frees is available to this second rebalancing.
         self._dispatch_fleet_shares(self.arbiter.rebalance(self.now))
 
     def _weight(self, site: ActiveSite) -> float:
@@ -101,7 +100,7 @@
         return RECENTLY_USED_WEIGHT if recently_used else IDLE_WEIGHT
 
     def _dispatch_fleet_shares(self, parent_shares: Mapping[str, float]) -> None:
-        """Each router's share of parents and caches, where it differs from what it was given."""
+        """Send each router its share of parents and caches if the share has changed."""
         startup_share = self.startup_share(self.now) if self.startup_share is not None else 1.0
         losses = self.monitor.serving_sites
         for site in self.sites.values():
--- a/onyxwick/sites/status.py
+++ b/onyxwick/sites/status.py
@@ -1,4 +1,4 @@
-"""The state of a site router as operators read it, and why an object goes where it goes.
+"""The status report of a site router, and an explanation of how an object is routed.
 
 The keys of `router_status` are those of the administration API.
 """
@@ -15,7 +15,7 @@
 
 
 def router_status(router: SiteRouter, now: int) -> dict[str, Any]:
-    """The administration API's document on sites, at `now` (us)."""
+    """Return the administration API's document on sites at `now` (us)."""
     monitor = router.monitor
     plan = monitor.serving_sites.plan
     return {
@@ -58,7 +58,7 @@
 
 
 def _usage_status(router: SiteRouter, name: str) -> dict[str, Any]:
-    """How this director uses a site's caches; empty where it does not."""
+    """Return how this director uses a site's caches; empty if it does not use them."""
     site = router.sites.get(name)
     if site is None:
         return {}
@@ -72,9 +72,9 @@
 
 
 def explain(router: SiteRouter, site: str, class_name: str, object_name: str) -> list[str]:
-    """Why an object of a site's clients goes where it goes at this instant, a sentence a step.
+    """Explain how requests of a site's clients for an object are routed now, one sentence per step.
 
-    KeyError for an unknown site or class."""
+    Raises KeyError for an unknown site or class."""
     monitor = router.monitor
     lifecycle = monitor.lifecycles[site]
     request_class = router.classes[class_name]
@@ -82,17 +82,17 @@
         raise KeyError(site)
     sentences = [f"Site '{site}' is {lifecycle.phase.value}: {lifecycle.reason}."]
     if request_class.is_write and router.settings.cache_bypass:
-        runs_at_origin = f"A '{class_name}' runs at the archive and is sent there from here"
-        return [*sentences, f"{runs_at_origin}, whatever boxes there are."]
+        runs_at_origin = f"A '{class_name}' request runs at the origin (archive) and is sent there directly"
+        return [*sentences, f"{runs_at_origin}, whichever caches are available."]
     if monitor.serving_sites.lost_sites:
-        sentences.append(f"Held to be lost: {', '.join(sorted(monitor.serving_sites.lost_sites))}.")
+        sentences.append(f"Sites considered lost: {', '.join(sorted(monitor.serving_sites.lost_sites))}.")
     if not monitor.serving_sites.is_served(site, class_name, "", object_name, 1.0):
         return [
             *sentences,
-            "The plan has no room for this object in that loss: it is refused at once.",
+            "The plan has no capacity for this object in this loss: its requests are rejected immediately.",
         ]
     if lifecycle.phase is SitePhase.STEADY:
-        return [*sentences, f"It is served by the boxes of '{site}'."]
+        return [*sentences, f"It is served by the caches of '{site}'."]
     return [*sentences, *_explain_route(router, site, class_name, object_name)]
 
 
@@ -105,7 +105,9 @@
     route = serving_sites.route(lifecycle, class_name, object_name, is_local, may_try=False)
     destination = f"'{serving_site}'" if serving_site else "nowhere"
     return [
-        f"Its slice is {slice_of(object_name)}, whose new home is {destination}; its turn is"
-        f" {position:.3f}, and {lifecycle.moved_share:.3f} of the objects are away.",
-        f"It goes to '{route.site}'." if isinstance(route, SiteRoute) else f"It is refused at once: {route}.",
+        f"Its slice is {slice_of(object_name)}, which moves to {destination}; its position in the move is"
+        f" {position:.3f}, and {lifecycle.moved_share:.3f} of the objects are moved.",
+        f"It goes to '{route.site}'."
+        if isinstance(route, SiteRoute)
+        else f"It is rejected immediately: {route}.",
     ]
--- a/onyxwick/sites/topology_check.py
+++ b/onyxwick/sites/topology_check.py
@@ -1,4 +1,4 @@
-"""Checks that the rows of a topology fit together."""
+"""Checks that the rows of a topology are consistent."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def check_topology(topology: Topology) -> Topology:
-    """The topology, if all in it fits together; TopologyError names the first row that does not."""
+    """Return the topology if it is consistent. Raises TopologyError for the first row that is not."""
     _check_counts(topology)
     _check_names(topology)
     _check_links(topology)
@@ -29,15 +29,17 @@
     _check_count("load", len(topology.classes), MAX_CLASSES)
     tenants = {load.tenant for load in topology.loads}
     if len(tenants) > MAX_TENANTS:
-        raise TopologyError("load", "", "tenants", f"{len(tenants)} are over the bound of {MAX_TENANTS}")
+        raise TopologyError("load", "", "tenants", f"{len(tenants)} found, expected at most {MAX_TENANTS}")
     if len(topology.sites) < MIN_SITES:
         name = next(iter(topology.sites), "")
-        raise TopologyError("site", name, "count", "the loss of a site wants two at least")
+        raise TopologyError(
+            "site", name, "count", "expected at least two sites, as others must serve the load of a lost site"
+        )
 
 
 def _check_count(kind: str, count: int, maximum: int) -> None:
     if count > maximum:
-        raise TopologyError(kind, "", "count", f"{count} are over the bound of {maximum}")
+        raise TopologyError(kind, "", "count", f"{count} found, expected at most {maximum}")
 
 
 def _check_names(topology: Topology) -> None:
@@ -46,7 +48,7 @@
     for site in topology.sites.values():
         _check_name("site", site.name, kind_of)
         if site.zone in site_of_zone:
-            reason = f"zone '{site.zone}' is site '{site_of_zone[site.zone]}' already"
+            reason = f"zone '{site.zone}' belongs to site '{site_of_zone[site.zone]}' already"
             raise TopologyError("site", site.name, "zone", reason)
         site_of_zone[site.zone] = site.name
     for hub in topology.hubs.values():
@@ -55,7 +57,7 @@
 
 def _check_name(kind: str, name: str, kind_of: dict[str, str]) -> None:
     if name in kind_of:
-        raise TopologyError(kind, name, "name", f"is {kind_of[name]}'s name too")
+        raise TopologyError(kind, name, "name", f"is also the name of {kind_of[name]} in this topology")
     kind_of[name] = f"a {kind}"
 
 
@@ -72,7 +74,9 @@
     for site in topology.sites.values():
         for name in site.failover:
             if name not in topology.sites or name == site.name:
-                raise TopologyError("site", site.name, "failover", f"'{name}' is no other site")
+                raise TopologyError(
+                    "site", site.name, "failover", f"'{name}' is not another site of the topology"
+                )
 
 
 def _check_loads(topology: Topology) -> None:
@@ -80,7 +84,7 @@
         if load.site not in topology.sites:
             raise TopologyError("load", load.class_name, "rate_per_s", f"there is no site '{load.site}'")
         if load.class_name not in topology.classes:
-            raise TopologyError("load", load.class_name, "class", "is no class with a load")
+            raise TopologyError("load", load.class_name, "class", "is not a class with a load")
 
 
 def _check_reserves(topology: Topology) -> None:
--- a/onyxwick/sites/topology_digest.py
+++ b/onyxwick/sites/topology_digest.py
@@ -1,7 +1,7 @@
 """The digest that ties a loss plan to the topology that it was made for.
 
-The keys hashed here are those of earlier versions, so that their plans stay valid; they do not follow the
-names of the code.
+The hashed keys are those of earlier versions, so that plans made by these versions stay valid. They differ
+from the names in the code.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 def topology_digest(topology: Topology) -> str:
-    """A hash of everything that a plan depends on; how sites are observed is no part of it."""
+    """Return a hash of everything that a plan depends on. How sites are observed is not part of it."""
     document = {
         "sites": {name: _site_document(site) for name, site in sorted(topology.sites.items())},
         "hubs": {name: _hub_document(hub) for name, hub in sorted(topology.hubs.items())},
--- a/onyxwick/sites/traffic_slices.py
+++ b/onyxwick/sites/traffic_slices.py
@@ -1,9 +1,10 @@
-"""Objects to slices, and slices to the sites that serve them: the same at every director with the same plan.
+"""Maps objects to slices and slices to the sites that serve them, identically at every director with the same
+plan.
 
-Weighted rendezvous hashing (Thaler and Ravishankar 1998, with weights as in Schindelhauer and Schomaker
-2005): a slice is served by the site with the least exponential draw over its weight. Where a weight falls to
-zero only the slices of that site are reassigned; with 1,024 slices a share of one half is met within 1.6%
-(one standard deviation, the root of p(1-p)/1024).
+Uses weighted rendezvous hashing (Thaler and Ravishankar 1998, with weights as in Schindelhauer and
+Schomaker 2005): a slice is served by the site with the smallest exponential draw divided by its weight. If
+a weight falls to zero, only the slices of that site are reassigned. With 1,024 slices, a share of one half
+is met within 1.6% (one standard deviation, the square root of p(1-p)/1024).
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 @lru_cache(maxsize=CACHED_OBJECTS)
 def slice_of(object_name: str) -> int:
-    """The slice of an object, all its segments alike."""
+    """Return the slice of an object; the same for all its segments."""
     return stable_hash(object_name) % SLICE_COUNT
 
 
@@ -31,7 +32,7 @@
 
 
 def serving_site_of_slice(origin_site: str, slice_number: int, weights: Mapping[str, float]) -> str | None:
-    """The site that serves one slice of a lost site's objects; None where no weight is above zero."""
+    """Return the site that serves one slice of a lost site's objects; None if no weight is above zero."""
     candidates = [site for site, weight in weights.items() if weight > 0]
     return min(
         candidates,
@@ -41,19 +42,22 @@
 
 
 def serving_site_table(origin_site: str, weights: Mapping[str, float]) -> list[str | None]:
-    """The site that serves each slice of a lost site's objects."""
-    return [serving_site_of_slice(origin_site, number, weights) for number in range(SLICE_COUNT)]
+    """Return the site that serves each slice of a lost site's objects, by slice slice_number."""
+    return [serving_site_of_slice(origin_site, slice_number, weights) for slice_number in range(SLICE_COUNT)]
 
 
 @lru_cache(maxsize=CACHED_OBJECTS)
 def move_position(origin_site: str, object_name: str) -> float:
-    """An object's position in a move away from a site: 0 among the first, just under 1 among the last.
+    """Return the position of an object in a move away from a site: from 0 for the first to just under 1 for
+    the last.
 
-    Independent of its slice's serving site, so that each step moves a part of every site's slices."""
+    The position is independent of the site that serves the slice, so that each step moves a part of the
+    slices of every serving site."""
     return stable_hash(f"turn/{origin_site}/{slice_of(object_name)}") / HASH_RANGE
 
 
 @lru_cache(maxsize=CACHED_OBJECTS)
 def shed_position(object_name: str) -> float:
-    """An object's position among those that are shed: 0 for the last, just under 1 for the first."""
+    """Return the position of an object in the order of shedding: 0 is shed last, just under 1 is shed
+    first."""
     return stable_hash(f"kept/{object_name}") / HASH_RANGE
--- a/tests/test_sites_lifecycle.py
+++ b/tests/test_sites_lifecycle.py
@@ -345,7 +345,10 @@
         exercised.step(now + n * TICK, HEALTHY, commands.directive_for("north"))
     other.phase = SitePhase.SUSPECT
     commands.step_exercises(now + 7 * TICK, lifecycles, 0.0)
-    assert commands.directive_for("north") is SiteDirective.RETURN and "west" in commands.turned_back["north"]
+    assert (
+        commands.directive_for("north") is SiteDirective.RETURN
+        and "west" in commands.exercise_end_reasons["north"]
+    )
 
 
 def test_an_exercise_ends_under_overload_and_when_overtaken_by_an_actual_loss() -> None:
@@ -355,7 +358,7 @@
         commands.step_exercises(now, {"north": lifecycle}, 0.9)
     assert (
         commands.directive_for("north") is SiteDirective.RETURN
-        and "overload" in commands.turned_back["north"]
+        and "overload" in commands.exercise_end_reasons["north"]
     )
     lifecycle.was_unreachable, lifecycle.phase = True, SitePhase.EVACUATING
     assert (
@@ -368,11 +371,11 @@
     command = parse_command("north", {"word": "evacuate", "reason": "flood", "stay_s": 30}, 7)
     assert command_from_row(command_to_row(command)) == command and command.is_exercise
     for data, wanted in (
-        ({"word": "leave"}, "one of auto, evacuate"),
-        ({"word": "return", "stay_s": 5}, "belongs to a drill"),
-        ({"word": "evacuate", "stay_s": "5"}, "no number"),
+        ({"word": "leave"}, "expected one of auto, evacuate"),
+        ({"word": "return", "stay_s": 5}, "only allowed with the word evacuate"),
+        ({"word": "evacuate", "stay_s": "5"}, "not a number"),
         ({"word": "evacuate", "stay": 5}, "unknown field 'stay'"),
-        ({"word": "hold", "reason": 7}, "no text"),
+        ({"word": "hold", "reason": 7}, "not a string"),
     ):
         with pytest.raises(SiteCommandError, match=wanted):
             parse_command("north", data, 0)
--- a/tests/test_sites_plan.py
+++ b/tests/test_sites_plan.py
@@ -138,12 +138,12 @@
     assert len(done.outcomes) == 1 + 3 + 2 + 3 + 3
     texts = done.findings()
     assert len(texts) == 3 and all("s0" in t or "s1" in t for t in texts)
-    assert "of boxes of" in texts[0] and "transfers more" in texts[0]
+    assert "of boxes of" in texts[0] and "more transfers of" in texts[0]
     plan = done.plan()
     assert plan_from_json(plan.topology, json.loads(json.dumps(plan_to_json(plan)))).rows == plan.rows
     with pytest.raises(PlanMismatchError, match="made for topology"):
         plan_from_json(top_of(capacity=23.0), plan_to_json(plan))
-    with pytest.raises(PlanMismatchError, match="no plan"):
+    with pytest.raises(PlanMismatchError, match="not a loss plan of format 1"):
         plan_from_json(plan.topology, {"rows": []})
 
 
@@ -212,7 +212,11 @@
         'capacity = "15"\n  failover',
         "field 'site north.capacity': expected a number",
     ),
-    ('{ "west" = 1.0 }', '{ "wset" = 1.0 }', "site north: failover: 'wset' is no other site"),
+    (
+        '{ "west" = 1.0 }',
+        '{ "wset" = 1.0 }',
+        "site north: failover: 'wset' is not another site of the topology",
+    ),
     ('{ "west" = 1.0 }', '{ "west" = 50 }', "'west' has no share between 0 and 1"),
     ('sending     = "140ms"', "sending     = 140", "140 has no unit"),
     ('"west" = 20', '"wets" = 20', "load video: rate_per_s: there is no site 'wets'"),
@@ -221,7 +225,11 @@
     ("archive {", "archives {", "without any block 'archive'"),
     ("fill_share  = 0.3", "fill_share  = 30", "did you mean 0.3"),
     ("sites {", 'sites { evacuate = "never"\n', "'never' is none of auto, ordered"),
-    ('site "west" { capacity = 15 }', "", "the loss of a site wants two at least"),
+    (
+        'site "west" { capacity = 15 }',
+        "",
+        "expected at least two sites, as others must serve the load of a lost site",
+    ),
     ("sites {", "sites { guests = 1\n", "both kinds of directors need a part"),
 ]
 
