--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -1,4 +1,4 @@
-"""Directors with sites on a simulated clock: the hard cases, each a small fleet with its faults."""
+"""Directors with sites on a simulated clock: each difficult case is a small fleet with injected faults."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
     SetTimer,
     TimerFired,
 )
-from onyxwick.lab.faults import checkers as c
+from onyxwick.lab.faults import checkers
 from onyxwick.lab.faults.history import History
 from onyxwick.lab.faults.model import FleetScenario, InjectedFault, When
 from onyxwick.lab.faults.script import read
@@ -64,19 +64,26 @@
 
 
 @cache
-def _small() -> tuple[FleetScenario, Topology, SitePlan]:
-    """The example's fleet with a quarter of its load on a quarter of its capacity and more at the parents (a
-    share of few transfers comes in large pieces), for 42 s."""
+def _small_fleet() -> tuple[FleetScenario, Topology, SitePlan]:
+    """Return the example's fleet with a quarter of its load and capacity, for 42 s.
+
+    The parents have more than a quarter of their capacity, because a share of few transfers is only
+    divisible into large parts."""
     fleet = read(LOSS)
-    sc = fleet.scenario
-    loads = tuple(replace(load, rate_per_s=load.rate_per_s / 4) for load in sc.loads)
-    parents, origin = replace(sc.parents, capacity=1.25), replace(sc.origin, capacity=2.0)
-    boxes = replace(sc.boxes, count=3, capacity=sc.boxes.capacity / 2)
-    scenario = replace(sc, loads=loads, boxes=boxes, parents=parents, origin=origin, duration_us=42 * S)
+    full_scenario = fleet.scenario
+    loads = tuple(replace(load, rate_per_s=load.rate_per_s / 4) for load in full_scenario.loads)
+    parents, origin = (
+        replace(full_scenario.parents, capacity=1.25),
+        replace(full_scenario.origin, capacity=2.0),
+    )
+    boxes = replace(full_scenario.boxes, count=3, capacity=full_scenario.boxes.capacity / 2)
+    scenario = replace(
+        full_scenario, loads=loads, boxes=boxes, parents=parents, origin=origin, duration_us=42 * S
+    )
     sites = {n: replace(s, boxes=3) for n, s in fleet.sites.items()}
     small = replace(fleet, scenario=scenario, sites=sites, faults=())
-    top = topology_of(small)
-    return small, top, planned(top)
+    topology = topology_of(small)
+    return small, topology, planned(topology)
 
 
 def fault(
@@ -85,82 +92,88 @@
     return InjectedFault(f"{what} {name}", When(int(at * S)), what, name, int(lasts * S), how, amount)
 
 
-def play(
+def simulate(
     *faults: InjectedFault,
     seed: int = 1,
     variant: str = "sites",
     change: Callable[[FleetScenario], FleetScenario] | None = None,
 ) -> History:
-    fleet, top, plan = _small()
+    fleet, topology, plan = _small_fleet()
     fleet = replace(fleet, faults=faults)
     if change is not None:
         fleet = change(fleet)
-    return Simulation("small", fleet, seed, variant, top, plan).play()
+    return Simulation("small", fleet, seed, variant, topology, plan).play()
 
 
-def sound(history: History) -> History:
-    """No rule is broken, whatever happened."""
-    found = c.rules(history)
+def assert_no_violations(history: History) -> History:
+    """Assert that no rule is violated, and return the history."""
+    found = checkers.rules(history)
     assert not found.counts, found.broken[:3]
-    assert not c.ran_twice(history)
+    assert not checkers.ran_twice(history)
     return history
 
 
-def at(history: History, begin: float, end: float) -> float:
-    return c.service(history.rows, history.began_us + int(begin * S), history.began_us + int(end * S))
+def service_between(history: History, begin: float, end: float) -> float:
+    return checkers.service(history.rows, history.began_us + int(begin * S), history.began_us + int(end * S))
 
 
-def left_by(history: History, site: str) -> set[str]:
-    return {row.who for row in c.states(history, site) if row.data["now"] in ("evacuating", "evacuated")}
+def directors_that_evacuated(history: History, site: str) -> set[str]:
+    return {
+        row.who for row in checkers.states(history, site) if row.data["now"] in ("evacuating", "evacuated")
+    }
 
 
 def test_the_same_seed_gives_the_same_run() -> None:
-    one, other = (play(fault("lose", "north"), seed=3) for _ in range(2))
-    assert one == other != play(fault("lose", "north"), seed=4)
+    one, other = (simulate(fault("lose", "north"), seed=3) for _ in range(2))
+    assert one == other != simulate(fault("lose", "north"), seed=4)
 
 
 def test_a_lost_site_is_left_and_returned_to_and_all_is_as_before() -> None:
-    history = sound(play(fault("lose", "north")))
-    assert left_by(history, "north") == {"n2", "n3", "n4", "n5"}
-    assert at(history, 13, 18) > 0.85 and at(history, 36, 44) > 0.97
-    last = {row.who: row.data["now"] for row in c.states(history, "north")}
+    history = assert_no_violations(simulate(fault("lose", "north")))
+    assert directors_that_evacuated(history, "north") == {"n2", "n3", "n4", "n5"}
+    assert service_between(history, 13, 18) > 0.85 and service_between(history, 36, 44) > 0.97
+    last = {row.who: row.data["now"] for row in checkers.states(history, "north")}
     assert set(last.values()) == {"steady"}
 
 
 def test_a_site_is_lost_in_the_middle_of_the_return_of_another() -> None:
-    history = sound(play(fault("lose", "north", 6, 6), fault("lose", "west", 17, 6)))
-    assert left_by(history, "west") >= {"n4", "n5"} and at(history, 38, 44) > 0.9
+    history = assert_no_violations(simulate(fault("lose", "north", 6, 6), fault("lose", "west", 17, 6)))
+    assert (
+        directors_that_evacuated(history, "west") >= {"n4", "n5"} and service_between(history, 38, 44) > 0.9
+    )
 
 
 def test_lost_caches_are_left_by_their_own_directors() -> None:
-    """Their own clients stay: they send to the others' caches, and no burst reaches the origin."""
-    history = sound(play(fault("lose", "north", how="boxes")))
-    assert {"n0", "n1"} <= left_by(history, "north")
-    plain = play(fault("lose", "north", how="boxes"), variant="plain")
+    """The clients stay connected: the directors use caches of other sites, and no burst reaches the
+    origin."""
+    history = assert_no_violations(simulate(fault("lose", "north", how="boxes")))
+    assert {"n0", "n1"} <= directors_that_evacuated(history, "north")
+    plain = simulate(fault("lose", "north", how="boxes"), variant="plain")
     begin = history.began_us + 9 * S
-    peaks = [c.peak(h, begin, begin + 9 * S).get("archive", 0.0) for h in (history, plain)]
-    assert peaks[0] < peaks[1] and at(history, 12, 18) > 0.85
+    peaks = [checkers.peak(h, begin, begin + 9 * S).get("archive", 0.0) for h in (history, plain)]
+    assert peaks[0] < peaks[1] and service_between(history, 12, 18) > 0.85
 
 
 def test_lost_directors_with_their_caches_up_are_no_loss_of_the_site() -> None:
-    """Remote requests arrive, their site is tried first, and its caches go on serving them over the link."""
-    history = sound(play(fault("lose", "north", how="directors")))
-    assert not left_by(history, "north") and at(history, 13, 18) > 0.9
+    """The clients' requests arrive at other sites, are tried at the caches of their own site first, and
+    these caches continue to serve them over the link."""
+    history = assert_no_violations(simulate(fault("lose", "north", how="directors")))
+    assert not directors_that_evacuated(history, "north") and service_between(history, 13, 18) > 0.9
     boxes = {row.who for row in history.of("sent") if row.at_us > history.began_us + 13 * S}
     assert {"north-1", "north-2", "north-3"} <= boxes
 
 
 @pytest.mark.parametrize("what", ["cut", "cut-there", "cut-back"])
 def test_one_link_that_is_cut_moves_nothing(what: str) -> None:
-    history = sound(play(fault(what, "west|north")))
-    assert not left_by(history, "north") and not left_by(history, "west")
+    history = assert_no_violations(simulate(fault(what, "west|north")))
+    assert not directors_that_evacuated(history, "north") and not directors_that_evacuated(history, "west")
 
 
 def test_an_isolated_director_evacuates_no_site() -> None:
-    history = sound(play(fault("cut", "north|outside")))
-    ours = [row for row in c.states(history) if row.who in ("n0", "n1") and row.what != "north"]
+    history = assert_no_violations(simulate(fault("cut", "north|outside")))
+    ours = [row for row in checkers.states(history) if row.who in ("n0", "n1") and row.what != "north"]
     assert not [row for row in ours if row.data["now"] in ("lost", "evacuating", "evacuated")]
-    assert at(history, 30, 44) > 0.95
+    assert service_between(history, 30, 44) > 0.95
 
 
 def test_a_loss_that_the_list_reports_7_s_late_or_never_is_detected_from_evidence() -> None:
@@ -168,48 +181,57 @@
         return replace(fleet, scenario=replace(fleet.scenario, told_after_us=7 * S))
 
     for history in (
-        sound(play(fault("lose", "north"), change=late)),
-        sound(play(fault("unlisted", "all", 1, 40), fault("lose", "north"))),
+        assert_no_violations(simulate(fault("lose", "north"), change=late)),
+        assert_no_violations(simulate(fault("unlisted", "all", 1, 40), fault("lose", "north"))),
     ):
-        found = c.reached(history, "north", "evacuating", history.began_us + 11 * S)
-        assert found and found[0] < 3.0, "within 3 s of its clients' coming, 3 s after the loss"
+        found = checkers.reached(history, "north", "evacuating", history.began_us + 11 * S)
+        assert found and found[0] < 3.0, (
+            "not detected within 3 s of the arrival of its clients, which is 3 s after the loss"
+        )
 
 
 def test_a_loss_during_a_mass_purge_and_with_all_copies_purged() -> None:
-    history = sound(play(fault("purge", "all", 9, 0), fault("lose", "north")))
-    assert at(history, 36, 44) > 0.9
+    history = assert_no_violations(simulate(fault("purge", "all", 9, 0), fault("lose", "north")))
+    assert service_between(history, 36, 44) > 0.9
 
 
 def test_with_two_of_three_sites_lost_the_last_is_prompt_and_rejects_at_once() -> None:
-    history = sound(play(fault("lose", "north", 8, 14), fault("lose", "west", 8.5, 14)))
+    history = assert_no_violations(simulate(fault("lose", "north", 8, 14), fault("lose", "west", 8.5, 14)))
     begin = history.began_us + 14 * S
     calls = [r for r in history.of("call") if begin <= r.at_us < begin + 7 * S]
     refused = [r for r in calls if r.data["verdict"] == "refused"]
     assert len(refused) > 20 and not [r for r in calls if r.data["verdict"] == "failed"]
     kinds = {r.data["class"] for r in refused}
-    assert "booking" not in kinds, "bookings are refused last of all"
+    assert "booking" not in kinds, "bookings must be rejected last"
     south = [r for r in history.of("earned") if r.who == "south" and begin <= r.at_us < begin + 7 * S]
-    assert c.service(south, begin, begin + 7 * S) > 0.3
+    assert checkers.service(south, begin, begin + 7 * S) > 0.3
 
 
 @pytest.mark.parametrize("when", [8.2, 12.0, 19.0])
 def test_a_director_paused_through_loss_or_return_does_not_act_on_stale_state(when: float) -> None:
-    history = sound(play(fault("lose", "north"), fault("stop", "n4", when, 4)))
-    assert at(history, 38, 44) > 0.95
+    history = assert_no_violations(simulate(fault("lose", "north"), fault("stop", "n4", when, 4)))
+    assert service_between(history, 38, 44) > 0.95
 
 
 @pytest.mark.parametrize("when", [8.5, 11.2, 13.0, 19.0, 24.0])
 def test_a_director_killed_in_any_phase_restarts_without_a_burst(when: float) -> None:
-    history = sound(play(fault("lose", "north"), fault("kill", "n4", when, 1)))
-    assert at(history, 38, 44) > 0.95
+    history = assert_no_violations(simulate(fault("lose", "north"), fault("kill", "n4", when, 1)))
+    assert service_between(history, 38, 44) > 0.95
 
 
 def test_a_failover_exercise_leaves_and_returns_and_yields_to_an_actual_loss() -> None:
-    undisturbed = sound(play(fault("drill", "west", 6, 0, amount=4)))
-    assert left_by(undisturbed, "west") == {f"n{n}" for n in range(6)} and at(undisturbed, 6, 44) > 0.93
-    assert {row.data["now"] for row in c.states(undisturbed, "west")} >= {"evacuated", "returning", "steady"}
-    real = sound(play(fault("drill", "west", 6, 0, amount=30), fault("lose", "north", 9)))
-    back = [r for r in c.states(real, "west") if r.data["now"] == "returning"]
+    undisturbed = assert_no_violations(simulate(fault("drill", "west", 6, 0, amount=4)))
+    assert (
+        directors_that_evacuated(undisturbed, "west") == {f"n{n}" for n in range(6)}
+        and service_between(undisturbed, 6, 44) > 0.93
+    )
+    assert {row.data["now"] for row in checkers.states(undisturbed, "west")} >= {
+        "evacuated",
+        "returning",
+        "steady",
+    }
+    real = assert_no_violations(simulate(fault("drill", "west", 6, 0, amount=30), fault("lose", "north", 9)))
+    back = [r for r in checkers.states(real, "west") if r.data["now"] == "returning"]
     assert back and min(r.at_us for r in back) < real.began_us + 16 * S
 
 
@@ -219,32 +241,34 @@
         return replace(fleet, scenario=replace(fleet.scenario, loads=tuple(loads), duration_us=20 * S))
 
     for seed in range(3):
-        history = sound(play(fault("lose", "north", 6, 6), seed=seed, change=bookings))
+        history = assert_no_violations(simulate(fault("lose", "north", 6, 6), seed=seed, change=bookings))
         assert len(history.of("ran")) > 300
 
 
 def test_a_tenant_whose_capacity_was_all_there_is_served_elsewhere() -> None:
-    history = sound(play(fault("lose", "north")))
+    history = assert_no_violations(simulate(fault("lose", "north")))
     begin = history.began_us + 13 * S
-    for rows in c.split(history.of("earned"), "tenant").values():
-        assert c.service(rows, begin, begin + 5 * S) > 0.7
+    for rows in checkers.split(history.of("earned"), "tenant").values():
+        assert checkers.service(rows, begin, begin + 5 * S) > 0.7
 
 
 @pytest.mark.parametrize("how", ["part", "new"])
 def test_a_site_that_returns_smaller_or_under_new_names(how: str) -> None:
-    history = sound(play(fault("lose", "north", how=how)))
-    assert at(history, 38, 44) > 0.9
+    history = assert_no_violations(simulate(fault("lose", "north", how=how)))
+    assert service_between(history, 38, 44) > 0.9
     boxes = {row.who for row in history.of("sent") if row.at_us > history.began_us + 36 * S}
     assert any(name.startswith("north-") and name.endswith("-b") is (how == "new") for name in boxes)
 
 
 def test_a_site_lost_twice_is_returned_to_more_slowly() -> None:
-    history = sound(play(fault("lose", "north", 6, 5, how="twice", amount=8)))
-    back = [r for r in c.states(history, "north") if r.data["now"] == "returning" and r.who in ("n2", "n4")]
+    history = assert_no_violations(simulate(fault("lose", "north", 6, 5, how="twice", amount=8)))
+    back = [
+        r for r in checkers.states(history, "north") if r.data["now"] == "returning" and r.who in ("n2", "n4")
+    ]
     assert back
 
 
-QUIET = [
+FAULTS_WITHOUT_LOSS = [
     ("slow", "north", 6.0),
     ("replace", "north", 0.0),
     ("lossy", "west|south", 0.03),
@@ -254,31 +278,33 @@
 ]
 
 
-@pytest.mark.parametrize(("what", "name", "amount"), QUIET)
+@pytest.mark.parametrize(("what", "name", "amount"), FAULTS_WITHOUT_LOSS)
 def test_what_is_no_loss_raises_no_alarm(what: str, name: str, amount: float) -> None:
-    history = sound(play(fault(what, name, 8, 12, amount=amount)))
-    assert not c.false_alarms(history)
-    others = [r for r in c.states(history) if r.data["now"] in ("evacuating", "evacuated")]
+    history = assert_no_violations(simulate(fault(what, name, 8, 12, amount=amount)))
+    assert not checkers.false_alarms(history)
+    others = [r for r in checkers.states(history) if r.data["now"] in ("evacuating", "evacuated")]
     assert not others
 
 
 def test_load_does_not_sustain_itself_after_its_cause_has_ended() -> None:
-    """Twice the load and clients that come again: 10 s after the loss is over all is as before."""
+    """With 1.35 times the load and clients that retry, service is as before in the last 10 s of the run."""
 
     def hard(fleet: FleetScenario) -> FleetScenario:
         loads = [replace(load, rate_per_s=load.rate_per_s * 1.35) for load in fleet.scenario.loads]
         return replace(fleet, scenario=replace(fleet.scenario, loads=tuple(loads), duration_us=60 * S))
 
-    history = sound(play(fault("lose", "north", 6, 10), fault("lose", "west", 6, 10), change=hard))
-    assert at(history, 50, 60) > 0.93 * at(history, 1, 6)
+    history = assert_no_violations(
+        simulate(fault("lose", "north", 6, 10), fault("lose", "west", 6, 10), change=hard)
+    )
+    assert service_between(history, 50, 60) > 0.93 * service_between(history, 1, 6)
 
 
-# ---- the decider by hand --------------------------------------------------------------------------------
+# ---- site router driven directly ------------------------------------------------------------------------
 
 
 def _site_router() -> SiteRouter:
-    fleet, top, plan = _small()
-    sim = Simulation("hand", fleet, 1, "sites", top, plan)
+    fleet, topology, plan = _small_fleet()
+    sim = Simulation("hand", fleet, 1, "sites", topology, plan)
     sim._build()
     router = sim.fronts[0].decider
     assert isinstance(router, SiteRouter)
@@ -335,8 +361,8 @@
 
 
 def test_remote_requests_are_tried_at_their_site_and_relocated_with_their_attempts_counted() -> None:
-    """The first go to their own caches; one that finds them unreachable goes on to its serving site, its
-    attempts numbered on, and no answer is held back."""
+    """The first requests are sent to the caches of their own site. If these are unreachable, the request is
+    relocated to its serving site with consecutive attempt numbers, and no answer is withheld."""
     router, now = _site_router(), 1_001 * S
     sent = [a for a in router.handle(now, [_request("a", site="west")]) if isinstance(a, ForwardWithFill)]
     assert sent[0].member.startswith("west-") and router.monitor.lifecycles["west"].phase is SitePhase.SUSPECT
@@ -347,12 +373,12 @@
         sent += [a for a in out if isinstance(a, ForwardWithFill | ForwardRequest)]  # type: ignore[misc]
         if any(isinstance(a, RejectRequest) for a in out):
             break
-    home = router.requests.get("a")
-    moved = home is not None and home.relocated
+    owner = router.requests.get("a")
+    moved = owner is not None and owner.relocated
     assert moved or any(isinstance(a, RejectRequest) for a in out)
-    if moved and home is not None:
+    if moved and owner is not None:
         assert not sent[-1].member.startswith("west-")
-        numbers = [one.local_index for one in home.attempts if one.site == home.assigned_to]
+        numbers = [one.local_index for one in owner.attempts if one.site == owner.assigned_to]
         assert numbers == list(range(len(numbers)))
 
 
@@ -361,10 +387,10 @@
     router.apply_command(now, SiteCommand("north", SiteDirective.EVACUATE, "flood"))
     for n in range(40):
         router.handle(now + n * 100_000, [TimerFired("sites")])
-    told = router_status(router, now + 4 * S)
-    assert told["sites"]["north"]["state"] == "evacuated" and told["orders"]["north"]["reason"] == "flood"
-    words = " ".join(explain(router, "north", "job-sheet", "7f3a9c21e0b4d655"))
-    assert "is evacuated: operator command" in words and "It goes to '" in words
+    status = router_status(router, now + 4 * S)
+    assert status["sites"]["north"]["state"] == "evacuated" and status["orders"]["north"]["reason"] == "flood"
+    explanation = " ".join(explain(router, "north", "job-sheet", "7f3a9c21e0b4d655"))
+    assert "is evacuated: operator command" in explanation and "It goes to '" in explanation
     assert "archive" in " ".join(explain(router, "north", "booking", "7f3a9c21e0b4d655"))
     with pytest.raises(KeyError):
         explain(router, "east", "job-sheet", "x")
@@ -375,9 +401,9 @@
 
 
 def test_an_operators_command_applies_once_durable_and_outlives_the_director() -> None:
-    """By the API, over a store that is read again; without a store a command is rejected."""
+    """The command is given by the API and read again from the store; without a store it is rejected."""
 
-    async def play() -> None:
+    async def run() -> None:
         files, orders = FaultyFiles(), []
         for start in range(2):
             router = _site_router()
@@ -398,8 +424,8 @@
                 nowhere = HttpRequest("PUT", "/sites/orders/nowhere", head, body)
                 with pytest.raises(HttpError, match="no site 'nowhere'"):
                     await DurableApi(api, durable, core)(nowhere)
-            told = api(HttpRequest("GET", "/sites", head, b""))
-            assert told[0] == 200
+            response = api(HttpRequest("GET", "/sites", head, b""))
+            assert response[0] == 200
             await durable.close()
         assert orders[0] == [] and [o.directive for o in orders[1]] == [SiteDirective.EVACUATE]
         router.monitor.restore_commands(orders[1])
@@ -407,13 +433,13 @@
             router.handle(1_003 * S + n * 100_000, [TimerFired("sites")])
         assert router.monitor.lifecycles["north"].phase is SitePhase.EVACUATED
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
 def test_a_phase_is_counted_logged_and_traced_with_its_cause(tmp_path: Path) -> None:
     router = _site_router()
 
-    async def play() -> list[tuple[int, int, dict[str, object]]]:
+    async def run() -> list[tuple[int, int, dict[str, object]]]:
         core = RequestEngine(
             SETTINGS,
             7,
@@ -430,13 +456,15 @@
         assert core.counters.counts["sites.evacuating.north"] == 1
         (path,) = tmp_path.glob("*.owt")
         with open_trace(path) as trace:
-            return [told for _, table in trace.tables(StringTable()) for told in table.notifications]
+            return [recorded for _, table in trace.tables(StringTable()) for recorded in table.notifications]
 
-    told = [data for kind, _, data in asyncio.run(play()) if kind == NotificationKind.SITE]
-    assert [(d["site"], d["now"], d["why"]) for d in told] == [("north", "evacuating", "operator command")]
+    recorded = [data for kind, _, data in asyncio.run(run()) if kind == NotificationKind.SITE]
+    assert [(d["site"], d["now"], d["why"]) for d in recorded] == [
+        ("north", "evacuating", "operator command")
+    ]
 
 
-# ---- refusal --------------------------------------------------------------------------------------------
+# ---- load shedding and local demand ---------------------------------------------------------------------
 
 
 def test_shedding_levels_rise_with_pressure_and_fall_more_slowly() -> None:
@@ -451,12 +479,14 @@
     assert max(levels) == len(LEVEL_THRESHOLDS) and shedding.retry_reserve == 0.0
     chunk, save = SETTINGS.classes[0], SETTINGS.classes[2]
     assert shedding.rejection_reason(chunk, "b", True, 0.5) == "retry"
-    assert shedding.rejection_reason(save, "b", True, 1.0) is None, "writes last"
+    assert shedding.rejection_reason(save, "b", True, 1.0) is None, "writes must be shed last"
     shedding.gate.adaptive_limit.limit = 10.0
     for _ in range(9):
         shedding.gate.admit("b", 1.0)
     assert shedding.rejection_reason(chunk, "b", False, 0.0) == "full"
-    assert shedding.rejection_reason(chunk, "a", False, 0.0) is None, "no tenant under its reserve"
+    assert shedding.rejection_reason(chunk, "a", False, 0.0) is None, (
+        "a tenant under its reserve must be admitted"
+    )
     for _ in range(400):
         now += 100_000
         shedding.step(now)
@@ -474,14 +504,14 @@
 
 
 def test_an_object_that_own_clients_request_is_local() -> None:
-    wanted = LocalDemand()
-    wanted.record_request(S, "o")
-    assert wanted.is_local(S + RECENT_US, "o") and not wanted.is_local(2 * S + RECENT_US, "o")
-    wanted.record_request(50 * S, "o")
-    assert wanted.is_local(S + REPEATED_WITHIN_US - 1, "o") and not wanted.is_local(S, "p")
+    local_demand = LocalDemand()
+    local_demand.record_request(S, "o")
+    assert local_demand.is_local(S + RECENT_US, "o") and not local_demand.is_local(2 * S + RECENT_US, "o")
+    local_demand.record_request(50 * S, "o")
+    assert local_demand.is_local(S + REPEATED_WITHIN_US - 1, "o") and not local_demand.is_local(S, "p")
     for n in range(30_000):
-        wanted.record_request(60 * S, f"o{n}")
-    assert len(wanted.last_requests) == 20_000
+        local_demand.record_request(60 * S, f"o{n}")
+    assert len(local_demand.last_requests) == 20_000
 
 
 def test_a_router_retries_less_as_its_reserve_falls() -> None:
