--- a/tests/test_sites_lifecycle.py
+++ b/tests/test_sites_lifecycle.py
@@ -1,4 +1,4 @@
-"""One site's states: every interleaving of a small world, and the cases by name."""
+"""The state machine of one site: exhaustive exploration, single cases, commands and evidence."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 HEALTHY = SiteHealthSignals(
     outside_received_us=1 << 60, has_demand=True, answered_us=1 << 60, healthy_since_us=1
 )
-# What a director may see at a tick: names of signs, each over those of a site that is well.
+# The signals that a director may observe at a tick, by name, based on the signals of a healthy site.
 SIGNALS: dict[str, SiteHealthSignals] = {
     "well": HEALTHY,
     "dark": replace(HEALTHY, unreachable=True, unreachable_since_us=1, answered_us=0, healthy_since_us=0),
@@ -74,11 +74,11 @@
                     lifecycle._transition(to, 1, "")
 
 
-# ---- the explorer ---------------------------------------------------------------------------------------
+# ---- exhaustive exploration -----------------------------------------------------------------------------
 
 
 def _key(lifecycle: SiteLifecycle, now: int) -> tuple[object, ...]:
-    """What decides how a life goes on; times relative to now and bounded."""
+    """Return the state that determines the further behavior, with times relative to now and bounded."""
     passed = [
         min(8, (now - t) // TICK)
         for t in (lifecycle.phase_started_us, lifecycle.share_changed_us, max(0, lifecycle.hold_until_us))
@@ -96,34 +96,34 @@
     )
 
 
-def _breach(
+def _violation(
     before: SiteLifecycle, after: SiteLifecycle, signals: SiteHealthSignals, directive: SiteDirective
 ) -> str:
-    """The invariant that a step broke, in words."""
+    """Return a description of the invariant that a step violated; empty if none."""
     step = 1 / min(POLICY.evacuation_steps, POLICY.return_steps)
     if not 0.0 <= after.moved_share <= 1.0:
-        return f"a share of {after.moved_share}"
+        return f"moved share outside 0 to 1: {after.moved_share}"
     if abs(after.moved_share - before.moved_share) > step + 1e-9 and after.phase is not SitePhase.STEADY:
-        return f"the share moved by {after.moved_share - before.moved_share:+.2f} in one step"
+        return f"moved share changed by {after.moved_share - before.moved_share:+.2f} in one step"
     if signals.cut_off and signals.listed_share > 0 and directive is SiteDirective.NONE:
         if after.moved_share != before.moved_share and after.phase not in (
             SitePhase.RETURNING,
             SitePhase.STEADY,
         ):
-            return "cut off, and a share changed"
+            return "moved share changed while the director was isolated"
         if after.phase in AWAY_PHASES and before.phase not in AWAY_PHASES:
-            return "cut off, and a site was held to be lost"
+            return "site considered lost while the director was isolated"
     if after.phase is SitePhase.STEADY and after.moved_share != 0.0:
-        return "steady with objects away"
+        return "steady, but objects are moved"
     if after.phase is SitePhase.EVACUATED and after.moved_share != 1.0:
-        return "evacuated with objects at home"
+        return "evacuated, but not all objects are moved"
     if (
         not signals.has_demand
         and signals.listed_share > 0
         and before.phase is SitePhase.SUSPECT
         and after.phase is SitePhase.LOST
     ):
-        return "lost, though nobody asks for it here"
+        return "lost, but without demand at this director"
     return ""
 
 
@@ -132,8 +132,10 @@
     depth: int,
     directives: tuple[SiteDirective, ...] = DIRECTIVES,
 ) -> tuple[int, list[str]]:
-    """Every state that so many ticks of any signs and words lead to, breadth first: how many there are, and
-    the shortest way to a breach (empty: none)."""
+    """Explore all states that `depth` ticks with any signals and directives can reach, breadth first.
+
+    Returns the number of states and the shortest sequence of steps to a violation (empty if there is
+    none)."""
     begin = SiteLifecycle("north", 0, POLICY)
     seen = {_key(begin, 0)}
     queue: deque[tuple[SiteLifecycle, int, list[str]]] = deque([(begin, 0, [])])
@@ -146,7 +148,7 @@
                 after, then = copy.copy(lifecycle), now + TICK
                 step(after, then, signals, directive)
                 path = [*steps, f"{name}/{directive.value}"]
-                if found := _breach(lifecycle, after, signals, directive):
+                if found := _violation(lifecycle, after, signals, directive):
                     return len(seen), [*path, found]
                 key = _key(after, then)
                 if key not in seen:
@@ -156,26 +158,26 @@
 
 
 def test_no_interleaving_of_signals_and_directives_breaks_an_invariant() -> None:
-    states, breach = explore(
+    states, violation = explore(
         lambda lifecycle, now, signals, directive: lifecycle.step(now, signals, directive), 7
     )
-    assert not breach, breach
+    assert not violation, violation
     assert states > 2000
 
 
-def _ignoring_the_cut(
+def _ignoring_isolation(
     lifecycle: SiteLifecycle, now: int, signals: SiteHealthSignals, directive: SiteDirective
 ) -> None:
     lifecycle.step(now, replace(signals, cut_off=False, outside_received_us=1 << 60), directive)
 
 
-def _lost_unasked(
+def _lost_without_demand(
     lifecycle: SiteLifecycle, now: int, signals: SiteHealthSignals, directive: SiteDirective
 ) -> None:
     lifecycle.step(now, replace(signals, has_demand=True), directive)
 
 
-def _whole_at_once(
+def _returned_in_one_step(
     lifecycle: SiteLifecycle, now: int, signals: SiteHealthSignals, directive: SiteDirective
 ) -> None:
     lifecycle.step(now, signals, directive)
@@ -183,7 +185,7 @@
         lifecycle.moved_share = 0.0
 
 
-def _evacuated_early(
+def _evacuated_too_early(
     lifecycle: SiteLifecycle, now: int, signals: SiteHealthSignals, directive: SiteDirective
 ) -> None:
     lifecycle.step(now, signals, directive)
@@ -191,7 +193,7 @@
         lifecycle.phase = SitePhase.EVACUATED
 
 
-def _steady_too_soon(
+def _steady_too_early(
     lifecycle: SiteLifecycle, now: int, signals: SiteHealthSignals, directive: SiteDirective
 ) -> None:
     lifecycle.step(now, signals, directive)
@@ -199,7 +201,7 @@
         lifecycle.phase = SitePhase.STEADY
 
 
-def _over_one(
+def _moved_share_over_one(
     lifecycle: SiteLifecycle, now: int, signals: SiteHealthSignals, directive: SiteDirective
 ) -> None:
     lifecycle.step(now, signals, directive)
@@ -207,34 +209,41 @@
         lifecycle.moved_share += 0.4
 
 
-PLANTED = [_ignoring_the_cut, _lost_unasked, _whole_at_once, _evacuated_early, _steady_too_soon, _over_one]
+PLANTED_BUGS = [
+    _ignoring_isolation,
+    _lost_without_demand,
+    _returned_in_one_step,
+    _evacuated_too_early,
+    _steady_too_early,
+    _moved_share_over_one,
+]
 
 
-@pytest.mark.parametrize("bug", PLANTED, ids=lambda bug: bug.__name__)
+@pytest.mark.parametrize("bug", PLANTED_BUGS, ids=lambda bug: bug.__name__)
 def test_every_planted_bug_is_found_with_the_steps_to_it(
     bug: Callable[[SiteLifecycle, int, SiteHealthSignals, SiteDirective], None],
 ) -> None:
-    _, breach = explore(bug, 7)
-    assert breach and len(breach) <= 8
+    _, violation = explore(bug, 7)
+    assert violation and len(violation) <= 8
 
 
 @pytest.mark.parametrize("depth", [4])
 def test_from_every_state_a_healthy_site_becomes_steady_in_bounded_time(depth: int) -> None:
-    """And one that stays dark is left; whatever came before."""
-    for lifecycle, now in _all(depth):
-        home, lost = copy.copy(lifecycle), copy.copy(lifecycle)
+    """From every state, a site that stays unreachable becomes evacuated, too."""
+    for lifecycle, now in _reachable_states(depth):
+        healthy, lost = copy.copy(lifecycle), copy.copy(lifecycle)
         for n in range(1, 400):
             signals = replace(HEALTHY, healthy_since_us=now, answered_us=now + n * TICK)
-            home.step(now + n * TICK, signals)
+            healthy.step(now + n * TICK, signals)
             unreachable_signals = replace(
                 SIGNALS["dark"], unreachable_since_us=now, outside_received_us=now + n * TICK
             )
             lost.step(now + n * TICK, unreachable_signals)
-        assert home.phase is SitePhase.STEADY, (home.phase, home.reason)
+        assert healthy.phase is SitePhase.STEADY, (healthy.phase, healthy.reason)
         assert lost.phase is SitePhase.EVACUATED, (lost.phase, lost.reason)
 
 
-def _all(depth: int) -> Iterator[tuple[SiteLifecycle, int]]:
+def _reachable_states(depth: int) -> Iterator[tuple[SiteLifecycle, int]]:
     found: dict[tuple[object, ...], tuple[SiteLifecycle, int]] = {}
 
     def step(
@@ -247,10 +256,10 @@
     yield from found.values()
 
 
-# ---- by name --------------------------------------------------------------------------------------------
+# ---- single cases ---------------------------------------------------------------------------------------
 
 
-def _run(
+def _step_repeatedly(
     lifecycle: SiteLifecycle,
     start: int,
     ticks: int,
@@ -263,31 +272,33 @@
 
 
 def test_a_flapping_site_is_returned_to_more_and_more_slowly() -> None:
-    """Twenty minutes of 10 s up and 5 s down: far fewer moves than flaps."""
+    """In 20 minutes of 10 s up and 5 s down there are far fewer transitions than flaps."""
     lifecycle, now, holds = SiteLifecycle("north", 0, POLICY), 0, []
     for _ in range(80):
-        now = _run(
+        now = _step_repeatedly(
             lifecycle,
             now,
             10,
             replace(SIGNALS["dark"], unreachable_since_us=now, outside_received_us=1 << 60),
         )
-        now = _run(lifecycle, now, 20, replace(HEALTHY, healthy_since_us=now))
+        now = _step_repeatedly(lifecycle, now, 20, replace(HEALTHY, healthy_since_us=now))
         holds.append(lifecycle.hold_us)
     assert holds[-1] >= 16 * POLICY.hold_us and lifecycle.transition_count < 60
 
 
 def test_a_paused_process_observes_again_before_it_acts() -> None:
     lifecycle, now = SiteLifecycle("north", 0, POLICY), 0
-    now = _run(lifecycle, now, 1, SIGNALS["dark"])
+    now = _step_repeatedly(lifecycle, now, 1, SIGNALS["dark"])
     assert str(lifecycle.phase.value) == "suspect"
     lifecycle.step(now + 20 * S, SIGNALS["dark"])
     assert str(lifecycle.phase.value) == "steady" and "process was paused" in lifecycle.reason
     gone = SiteLifecycle("north", 0, POLICY)
-    now = _run(gone, 0, 12, SIGNALS["dark"])
+    now = _step_repeatedly(gone, 0, 12, SIGNALS["dark"])
     share, phase = gone.moved_share, gone.phase
     gone.step(now + 20 * S, replace(HEALTHY, healthy_since_us=1))
-    assert (gone.moved_share, gone.phase) == (share, phase), "nothing moves on beliefs of before the pause"
+    assert (gone.moved_share, gone.phase) == (share, phase), (
+        "observations from before the pause must not move anything"
+    )
 
 
 def test_a_director_that_starts_beside_a_cold_site_leaves_its_objects_where_they_are() -> None:
@@ -301,8 +312,8 @@
 
 def test_a_site_that_returns_smaller_keeps_a_share_elsewhere_with_a_reason() -> None:
     lifecycle = SiteLifecycle("north", 0, POLICY)
-    now = _run(lifecycle, 0, 12, SIGNALS["dark"])
-    _run(lifecycle, now, 60, SIGNALS["smaller"])
+    now = _step_repeatedly(lifecycle, 0, 12, SIGNALS["dark"])
+    _step_repeatedly(lifecycle, now, 60, SIGNALS["smaller"])
     assert (
         lifecycle.phase is SitePhase.RETURNING
         and lifecycle.moved_share == pytest.approx(0.5)
@@ -312,16 +323,16 @@
 
 def test_a_command_goes_before_evidence_and_manual_installations_wait_for_it() -> None:
     lifecycle = SiteLifecycle("north", 0, POLICY)
-    now = _run(lifecycle, 0, 6, HEALTHY, SiteDirective.EVACUATE)
+    now = _step_repeatedly(lifecycle, 0, 6, HEALTHY, SiteDirective.EVACUATE)
     assert str(lifecycle.phase.value) == "evacuated" and not lifecycle.was_unreachable
-    now = _run(lifecycle, now, 20, HEALTHY, SiteDirective.EVACUATE)
-    assert str(lifecycle.phase.value) == "evacuated", "evidence does not bring back what an order has left"
-    _run(lifecycle, now, 20, HEALTHY)
+    now = _step_repeatedly(lifecycle, now, 20, HEALTHY, SiteDirective.EVACUATE)
+    assert str(lifecycle.phase.value) == "evacuated", "healthy signals must not end an evacuation by command"
+    _step_repeatedly(lifecycle, now, 20, HEALTHY)
     assert str(lifecycle.phase.value) == "steady"
     waits = SiteLifecycle("north", 0, replace(POLICY, automatic=False))
-    now = _run(waits, 0, 20, SIGNALS["dark"])
+    now = _step_repeatedly(waits, 0, 20, SIGNALS["dark"])
     assert waits.phase.value == "lost" and waits.moved_share == 0.0
-    _run(waits, now, 6, SIGNALS["dark"], SiteDirective.EVACUATE)
+    _step_repeatedly(waits, now, 6, SIGNALS["dark"], SiteDirective.EVACUATE)
     assert waits.phase is SitePhase.EVACUATED
 
 
@@ -370,21 +381,21 @@
 def test_commands_are_parsed_completely_and_stored_as_rows() -> None:
     command = parse_command("north", {"word": "evacuate", "reason": "flood", "stay_s": 30}, 7)
     assert command_from_row(command_to_row(command)) == command and command.is_exercise
-    for data, wanted in (
+    for document, expected_text in (
         ({"word": "leave"}, "expected one of auto, evacuate"),
         ({"word": "return", "stay_s": 5}, "only allowed with the word evacuate"),
         ({"word": "evacuate", "stay_s": "5"}, "not a number"),
         ({"word": "evacuate", "stay": 5}, "unknown field 'stay'"),
         ({"word": "hold", "reason": 7}, "not a string"),
     ):
-        with pytest.raises(SiteCommandError, match=wanted):
-            parse_command("north", data, 0)
+        with pytest.raises(SiteCommandError, match=expected_text):
+            parse_command("north", document, 0)
     with pytest.raises(SiteCommandError):
         command_from_row({"site": "north"})
 
 
 def test_a_stored_command_keeps_the_field_names_that_earlier_versions_wrote() -> None:
-    """The row that version 24ddf6c wrote, read and written again."""
+    """A row that version 24ddf6c wrote is decoded and encoded without change."""
     row = {
         "site": "north",
         "word": "evacuate",
@@ -444,8 +455,10 @@
     )
     evidence.record_sent(2 * S, "n3")
     evidence.record_attempt_ended(2 * S, _ended("n3", AttemptStatus.OVERLOADED, 900_000))
-    assert not evidence.observe(2 * S, "north").is_mostly_unreachable, "one answers: slow or full, not lost"
-    assert not evidence.observe(60 * S, "north").unreachable, "nothing is believed for long"
+    assert not evidence.observe(2 * S, "north").is_mostly_unreachable, (
+        "one member answers, so the site is slow or full but not lost"
+    )
+    assert not evidence.observe(60 * S, "north").unreachable, "observations must expire"
 
 
 def test_silence_alone_counts_once_it_is_overdue_and_one_cache_is_not_a_site() -> None:
@@ -474,30 +487,32 @@
         evidence.record_sent(2 * S, member)
         evidence.record_attempt_ended(2 * S, _ended(member, AttemptStatus.CONNECT_FAILED, 400_000))
     assert evidence.is_cut_off(3 * S, "west"), (
-        "all that was tried outside is dark, and nothing was heard since"
+        "all tried members outside are unreachable, and nothing was received since"
     )
     evidence.record_feed(3 * S)
-    assert not evidence.is_cut_off(3 * S, "west"), "the feed is heard: the outside is there"
+    assert not evidence.is_cut_off(3 * S, "west"), "a feed message was received, so the network works"
     evidence.discard_failures(3 * S)
     assert not evidence.observe(3 * S, "north").unreachable
     evidence.record_fill_source(4 * S, "p0", False, 2 * S)
-    assert not evidence.observe(4 * S, "hub").unreachable, "it was asked before the cut ended"
+    assert not evidence.observe(4 * S, "hub").unreachable, "the fill was requested before the isolation ended"
 
 
 def test_attempts_in_flight_at_the_isolation_do_not_hide_it() -> None:
-    """They wait since before the last word from outside, and fail after it."""
+    """They were sent before the last answer from outside, and fail after it."""
     evidence = _evidence()
     for member in ("n0", "n1", "n2", "p0"):
         evidence.record_sent(S, member)
     evidence.record_attempt_ended(S + 200_000, _ended("p0", AttemptStatus.OK, 200_000))
     for member in ("n0", "n1", "n2"):
         evidence.record_attempt_ended(2 * S, _ended(member, AttemptStatus.CONNECT_FAILED, 400_000))
-    assert not evidence.is_cut_off(2 * S, "west"), "the list's source may be silent for so long"
+    assert not evidence.is_cut_off(2 * S, "west"), (
+        "the source of the endpoint list may be silent for this long"
+    )
     assert evidence.is_cut_off(S + 200_000 + MAX_FEED_INTERVAL_US + 1, "west")
 
 
 def test_a_busy_place_that_falls_silent_is_detected_and_one_silent_parent_is_no_lost_hub() -> None:
-    """At a busy place some attempts wait since before its last answer: it is dark all the same."""
+    """At a busy place some attempts were sent before its last answer; it is unreachable nevertheless."""
     evidence = _evidence()
     for member in ("n0", "n1", "n2"):
         evidence.record_sent(S, member)
