--- a/onyxwick/sites/lifecycle.py
+++ b/onyxwick/sites/lifecycle.py
@@ -111,7 +111,7 @@
         self.setbacks = 0  # increases of the moved share during the present return
         self.share_changed_us = 0
         self.hold_until_us = 0
-        self.left_by_command = False  # if set, health alone does not bring traffic back
+        self.evacuated_by_command = False  # if set, health alone does not bring traffic back
         self.was_unreachable = False  # whether it was lost since it was last steady
         self.transition_count = 0
 
@@ -133,12 +133,12 @@
             self.moved_share = 1.0
         elif phase is SitePhase.LOST:
             self.was_unreachable = True
-            self.left_by_command = False  # an actual loss supersedes the command
+            self.evacuated_by_command = False  # an actual loss supersedes the command
 
     def _reset(self) -> None:
         self.moved_share = 0.0
         self.setbacks = 0
-        self.left_by_command = False
+        self.evacuated_by_command = False
         self.was_unreachable = False
 
     @property
@@ -210,7 +210,7 @@
             self.phase_started_us = now
 
     def _evacuate_by_command(self, now: int) -> None:
-        self.left_by_command = True
+        self.evacuated_by_command = True
         self._transition(SitePhase.EVACUATING, now, "operator command")
 
     def _is_unlisted(self, signals: SiteHealthSignals) -> bool:
@@ -244,8 +244,8 @@
         """Return whether the site was unreachable for long enough while something was received from
         elsewhere."""
         silent_us = now - max(self.phase_started_us, signals.unreachable_since_us)
-        heard_others = signals.outside_received_us > signals.unreachable_since_us
-        return silent_us >= self._confirm_us(signals) and heard_others
+        received_from_others = signals.outside_received_us > signals.unreachable_since_us
+        return silent_us >= self._confirm_us(signals) and received_from_others
 
     def _confirm_us(self, signals: SiteHealthSignals) -> int:
         """Return the time without an answer that confirms a loss.
@@ -270,7 +270,7 @@
     def _is_recalled(self, signals: SiteHealthSignals, directive: SiteDirective) -> bool:
         """Return whether an operator wants traffic back, by a return command or by withdrawing the evacuation
         command, and caches of the site are listed."""
-        withdrawn = self.left_by_command and directive is SiteDirective.NONE
+        withdrawn = self.evacuated_by_command and directive is SiteDirective.NONE
         return (directive is SiteDirective.RETURN or withdrawn) and not self._is_unlisted(signals)
 
     def _return_by_command(self, now: int) -> None:
--- a/onyxwick/sites/monitor.py
+++ b/onyxwick/sites/monitor.py
@@ -1,4 +1,4 @@
-"""The state of all places of a topology as observed by one director. No I/O.
+"""The state of all places of a topology as observed by one director from its site. No I/O.
 
 Takes observations of attempts, the endpoint list, operators' commands and the time (microseconds). Returns
 the phases that sites enter, and the site that a client's request is sent to.
@@ -130,7 +130,7 @@
         elif evidence is not None:
             self.healthy_since_us[site] = 0
 
-    # ---- where a request goes ------------------------------------------------------------------------
+    # ---- routing of requests -------------------------------------------------------------------------
 
     def route(
         self,
--- a/tests/test_sites_lifecycle.py
+++ b/tests/test_sites_lifecycle.py
@@ -89,7 +89,7 @@
         round(lifecycle.moved_share, 3),
         lifecycle.flaps,
         min(2, lifecycle.setbacks),
-        lifecycle.left_by_command,
+        lifecycle.evacuated_by_command,
         lifecycle.was_unreachable,
         *passed,
         ahead,
