--- a/onyxwick/net/call_intake.py
+++ b/onyxwick/net/call_intake.py
@@ -1,6 +1,6 @@
-"""Decides what becomes of each complete call of a connection: answered at once, rejected, or started.
+"""Admission of calls: answers, rejects or starts each complete FastCGI call of a connection.
 
-Input is a parsed FastCGI call; the connection writes the answer or starts the request. Nothing waits here.
+The connection writes the answers and starts the requests. Nothing in this module waits.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 
 
 class IntakePolicy(Protocol):
-    """What the front knows that decides on a call."""
+    """The state and the limits of the front by which a call is admitted or rejected."""
 
     core: RequestEngine
     counters: Counters
@@ -52,7 +52,7 @@
     overload_retry_us: int
 
     def stage_at(self, now_s: float) -> ShutdownStage:
-        """The shutdown stage at a monotonic time in seconds."""
+        """Return the shutdown stage at a monotonic time in seconds."""
         ...
 
 
@@ -71,24 +71,24 @@
         ...
 
     def send(self, number: int, data: bytes) -> None:
-        """Post the answer to a call."""
+        """Queue the answer to a call for writing."""
         ...
 
     def start(self, number: int, request: ClientRequest) -> None:
-        """Start a request, which is open until its answer."""
+        """Start a request; its call is open until the answer is queued."""
         ...
 
     def protocol_error(self, text: str) -> None:
-        """Count invalid input of the client."""
+        """Count and log invalid input of the client."""
         ...
 
     def is_awaited(self, number: int) -> bool:
-        """Whether the client still waits for the answer to a call."""
+        """Return whether the client still waits for the answer to a call."""
         ...
 
 
 class CallIntake:
-    """The admission of one connection's calls."""
+    """Admits the calls of one connection."""
 
     def __init__(self, connection: CallConnection, policy: IntakePolicy) -> None:
         self.connection = connection
@@ -98,9 +98,10 @@
         """Answer, reject or start one complete call."""
         connection = self.connection
         if connection.half_closed_at_s or connection.ignores_new_calls:
-            self.policy.counters.add("client.crossed")  # it crossed the close: the client sends it again
+            # The client sent the call before it saw the connection close; it sends the call again.
+            self.policy.counters.add("client.crossed")
             return
-        if connection.is_closing:  # received before the close is written: it is owed a final answer
+        if connection.is_closing:  # received before the end of stream is written: needs a final answer
             self._reject_overloaded(call, UnservedReason.CONNECTION_CLOSING, "answer.ending")
             return
         if not call.keep_connection:
@@ -111,7 +112,7 @@
         elif path.startswith(CALL_PATH_PREFIX):
             self._start_call(call)
         else:
-            self._reject_bad(call, f"path {path[:LOGGED_PATH_BYTES]!r}", "404 Not Found")
+            self._reject_bad(call, f"unknown path {path[:LOGGED_PATH_BYTES]!r}", "404 Not Found")
 
     def _answer_ping(self, call: fastcgi.FastCgiCall) -> None:
         status = READY_STATUS if self.policy.is_ready() else NOT_READY_STATUS
@@ -131,10 +132,11 @@
         self._admit(call, request)
 
     def _admit(self, call: fastcgi.FastCgiCall, request: ClientRequest) -> None:
-        """Start a request, or reject it where a limit is reached."""
+        """Start a request, or reject it if a limit is reached."""
         policy = self.policy
         if policy.stage_at(time.monotonic()) >= ShutdownStage.REJECT_NEW:
-            # The connection is about to close and would never become idle: the client retries on a new one.
+            # The connection is about to close, and new calls would keep it busy: the client retries on
+            # another connection.
             self._reject(
                 call, UnservedReason.REJECTED_IN_SHUTDOWN, "answer.passed_on", policy.closing_retry_us
             )
@@ -146,9 +148,9 @@
             self.connection.start(call.request_number, request)
 
     def _reserve_in_cell(self, reservation: ConnectionReservation, tenant: str | None) -> bool:
-        """Whether the cell's quota admits this connection and one more unread answer.
+        """Return whether the quota of the tenant's cell admits this connection and one more unread answer.
 
-        A connection counts for the tenant of its first call.
+        A connection counts towards the cell of its first call's tenant.
         """
         connection = self.connection
         cell = reservation.cell_of(tenant)
@@ -166,21 +168,21 @@
     def _reject(
         self, call: fastcgi.FastCgiCall, reason: UnservedReason, counter: str, retry_after_us: int
     ) -> None:
-        """Answer with a rejection and a Retry-After."""
+        """Answer with a rejection and the time in microseconds after which the client may retry."""
         self.policy.counters.add(counter)
         self._report_rejection(call, reason)
         answer = FinalAnswer(AnswerStatus.REJECTED, retry_after_us=retry_after_us)
         self.connection.send(call.request_number, encode_answer(call.request_number, answer))
 
     def _reject_overloaded(self, call: fastcgi.FastCgiCall, reason: UnservedReason, counter: str) -> None:
-        """Answer with FastCGI's own protocol status, which holds no memory for a response."""
+        """Answer with the FastCGI status OVERLOADED, which needs no memory for a response."""
         self.policy.counters.add(counter)
         self._report_rejection(call, reason)
         end = fastcgi.encode_end_request(call.request_number, fastcgi.ProtocolStatus.OVERLOADED)
         self.connection.send(call.request_number, end)
 
     def _reject_bad(self, call: fastcgi.FastCgiCall, text: str, status: str) -> None:
-        """Answer a call that cannot be read."""
+        """Answer an invalid call with an HTTP error status, and report it as invalid input."""
         self._report_rejection(call, UnservedReason.BAD_INPUT)
         self.connection.protocol_error(text)
         response = fastcgi.encode_response(call.request_number, status, {}, b"")
--- a/onyxwick/net/front.py
+++ b/onyxwick/net/front.py
@@ -1,7 +1,7 @@
-"""The FastCGI front: admits the web servers' connections, evicts and expires them, and shuts them down.
+"""The FastCGI front: accepts the web servers' connections, evicts and expires them, and shuts them down.
 
-One `FrontConnection` reads and answers on each; the front owns what they share. Times are monotonic seconds
-unless a name ends in `_us`.
+Each connection is served by a `FrontConnection`; the front owns the state that the connections share. Times
+are monotonic seconds unless a name ends in `_us`.
 """
 
 from __future__ import annotations
@@ -37,27 +37,27 @@
 
 log = logs.get()
 MAX_OVERLOAD_RETRY_US = 500_000
-"""The longest Retry-After of an overload: a client that reads nothing is closed within seconds."""
+"""The maximum retry delay of an overload: a client that reads nothing is disconnected within seconds."""
 CLOSING_RETRY_US = 100_000
-"""The Retry-After of a new call on a connection that is about to close."""
+"""The retry delay for a new call on a connection that is about to close."""
 SWEEP_INTERVAL_S = 0.25
 SHUTDOWN_TICK_S = 0.02
-"""Between two checks of all connections during a shutdown."""
+"""The interval between checks of all connections during a shutdown."""
 DRAINED_TICK_S = 0.1
-"""The same once a drain is complete: new connections are closed as they arrive."""
+"""The interval between checks once a drain is complete; new connections are then closed as they arrive."""
 STAGE_SETTLE_S = 0.3
-"""How long a stage may take to be carried through on each connection."""
+"""How long it may take until a shutdown stage has been carried out on each connection."""
 MAX_HELD_LOG_LINES = 10
-"""Held connections that are logged one by one at a stage."""
+"""The maximum number of open connections that are logged individually at a shutdown stage."""
 MAX_PENDING_CLOSES = 8
-"""Evicted connections not closed yet before more are accepted: a close takes some turns of the loop."""
+"""Accepting waits while so many evicted connections are open; a close takes some event loop iterations."""
 ACCEPT_LATENCY_S = 0.02
-"""A connection established longer ago than this when accepted has waited to be accepted."""
+"""A connection that was established longer ago than this when it is accepted has waited for the accept."""
 TICK_INTERVAL_S = 0.6 * STALL_S
 
 
 class FastCgiFront:
-    """Admits clients and tracks their connections."""
+    """Accepts clients and tracks their connections."""
 
     def __init__(
         self,
@@ -85,12 +85,12 @@
             self.closing_retry_us = 0
         self.classes = {each.name: each for each in core.settings.classes}
         self.connections: dict[FrontConnection, asyncio.Task[None]] = {}  # oldest first
-        self.half_closed: set[FrontConnection] = set()  # their end is written, the client's is awaited
-        self.evicted: set[FrontConnection] = set()  # no longer clients, sockets not closed yet
+        self.half_closed: set[FrontConnection] = set()  # end of stream written, the client's is awaited
+        self.evicted: set[FrontConnection] = set()  # no longer in `connections`, sockets not yet closed
         self.next_connection_number: Callable[[], int] = partial(next, itertools.count(1))
         self.budget = ByteBudget()
-        self.shutdown: ShutdownSchedule | None = None  # of a drain or a termination under way
-        self.stage = ShutdownStage.SERVING  # as last carried out
+        self.shutdown: ShutdownSchedule | None = None  # of the drain or termination in progress
+        self.stage = ShutdownStage.SERVING  # the stage that was last carried out
         self._stage_since_s = 0.0
         self._held_checked = False
         self._accept_loop = AcceptLoop(self._admit, self._wait_for_evictions, counters)
@@ -98,9 +98,10 @@
     # ---- shutdown ----------------------------------------------------------------------------------------
 
     def begin_shutdown(self, schedule: ShutdownSchedule) -> None:
-        """Close connections as the schedule says from now on.
+        """Start to close connections by a schedule.
 
-        The schedule of a new drain replaces that of an earlier one; a termination keeps a drain's deadlines.
+        A new drain replaces the schedule of an earlier one. A termination during a drain uses the earlier
+        deadline of both schedules for each stage.
         """
         if self.shutdown is not None and schedule.kind is not ShutdownKind.DRAIN:
             schedule = schedule.earliest_of(self.shutdown)
@@ -110,20 +111,20 @@
         self.advance(time.monotonic())
 
     def cancel_shutdown(self) -> None:
-        """Serve again; connections that are not closed yet stay open."""
+        """Cancel the shutdown and serve again; connections that are not yet closed stay open."""
         self.shutdown = None
         self.stage = ShutdownStage.SERVING
         log.info("shutdown cancelled", clients=len(self.connections), owed=len(self.core.lifecycles))
 
     def stage_at(self, now_s: float) -> ShutdownStage:
-        """The stage at a time, by the schedule alone."""
+        """Return the stage that the schedule sets for a time, whether or not it has been carried out."""
         return ShutdownStage.SERVING if self.shutdown is None else self.shutdown.stage(now_s)
 
     def advance(self, now_s: float) -> None:
-        """Carry out the stage on each connection.
+        """Carry out the current shutdown stage on each connection.
 
-        Open calls get final answers one call later than the stage begins: after a stall of the process the
-        caches' answers that are already received are read in between.
+        Open calls get final answers only from the second call of this method in a stage on. After a stall of
+        the process, the event loop can thus first read the caches' answers that have already arrived.
         """
         schedule = self.shutdown
         if schedule is None:
@@ -160,9 +161,10 @@
                 connection_shutdown.log_held(connection, now_s, name)
 
     def _check_held_connections(self, now_s: float) -> None:
-        """Once in each drain: check the invariant on connections that are still open.
+        """Check the invariant on connections that are still open, once in each drain.
 
-        After a stall of the process, as for new connections, there is a moment to close them first.
+        The check waits `STAGE_SETTLE_S` after the start of a stage, as after a stall of the process the
+        connections must first be closed, and skips connections that were opened less than that ago.
         """
         if self._held_checked or now_s - self._stage_since_s < STAGE_SETTLE_S:
             return
@@ -177,14 +179,14 @@
             self.core.invariants.connection_open_after_drain(connection.number, youngest_us)
 
     async def finish_shutdown(self, schedule: ShutdownSchedule) -> None:
-        """Carry a termination through.
+        """Carry out a termination.
 
-        Returns once all connections are closed and nothing is open, `FINAL_FLUSH_S` after its last stage at
-        the latest.
+        Returns once all connections are closed and no request is open, at the latest `FINAL_FLUSH_S` after
+        the last stage was observed.
         """
         if self.shutdown is None:
             self.begin_shutdown(schedule)
-        closed_at_s = 0.0  # when the last stage was first observed: after a stall that may be late
+        closed_at_s = 0.0  # when the last stage was first observed, late after a stall
         while self.connections or not self.core.table.idle.is_set():
             now_s = time.monotonic()
             self.advance(now_s)
@@ -204,7 +206,7 @@
         await asyncio.gather(*tasks, return_exceptions=True)
         log.info("front closed", cut=len(tasks), owed=owed, crossed=self.counters.counts["client.crossed"])
 
-    # ---- what connections report -------------------------------------------------------------------------
+    # ---- reports of connections --------------------------------------------------------------------------
 
     def report_bad_input(self, text: str) -> None:
         """Count and log invalid input of a client."""
@@ -212,18 +214,18 @@
         log.warning("invalid client input", detail=text)
 
     def on_half_closed(self, connection: FrontConnection) -> None:
-        """The end of a connection is written; it closes once the client closes its side."""
+        """Record that a connection's end of stream is written; it closes once the client closes its side."""
         self.half_closed.add(connection)
 
     def on_last_answer_written(self, connection: FrontConnection) -> None:
-        """No call is open on a connection any more, during a shutdown: it closes if the stage allows it."""
+        """Close a connection whose last open call is answered, if the stage of the shutdown allows it."""
         now_s = time.monotonic()
         connection_shutdown.advance(connection, self.stage_at(now_s), now_s, False, False)
 
     # ---- expiry ------------------------------------------------------------------------------------------
 
     async def sweep(self) -> None:
-        """Until cancelled: carry the shutdown on, and close connections that stall or exceed a deadline."""
+        """Until cancelled, advance the shutdown and close connections that stall or exceed a deadline."""
         swept_at_s = 0.0
         while True:
             await asyncio.sleep(self._tick_s())
@@ -242,7 +244,7 @@
         for connection, task in list(self.connections.items()):
             if connection.half_closed_at_s:
                 if not connection.is_lingering(now_s):
-                    task.cancel()  # its end is written, and the client does not close its side
+                    task.cancel()  # end of stream written, but the client does not close its side
             elif connection.writes.is_stalled(now_s, CLIENT_STALLED_S):
                 self.counters.add("client.stalled")
                 connection.close_reason = connection.close_reason or ConnectionCloseReason.WRITE_STALLED
@@ -254,7 +256,7 @@
                 self._evict(connection, now_s, ConnectionCloseReason.IDLE)
 
     async def record_loop_ticks(self) -> None:
-        """Until cancelled: report turns of the event loop to the stall detector, also while idle."""
+        """Until cancelled, report event loop iterations to the stall detector, also while idle."""
         while True:
             self.core.stalls.tick(time.monotonic())
             await asyncio.sleep(TICK_INTERVAL_S)
@@ -266,11 +268,11 @@
         await self._accept_loop.run(sock)
 
     async def accept_remaining(self, sock: socket.socket, until_s: float = math.inf) -> None:
-        """Accept who has connected before the listening socket closes; see `AcceptLoop.accept_remaining`."""
+        """Accept waiting clients before the listening socket closes; see `AcceptLoop.accept_remaining`."""
         await self._accept_loop.accept_remaining(sock, until_s)
 
     def _admit(self, sock: socket.socket) -> None:
-        """Serve an accepted socket, or close it where no slot is free and none can be freed."""
+        """Serve an accepted socket, or close it if no slot is free and no connection can be evicted."""
         if len(self.connections) - len(self.half_closed) >= self.max_clients and not self._evict_one():
             self.counters.add("client.refused")
             sock.close()
@@ -278,7 +280,7 @@
         try:
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        except OSError:  # closed by the client already
+        except OSError:  # already closed by the client
             sock.close()
             return
         self.counters.add("client.accepted")
@@ -289,7 +291,7 @@
         task.add_done_callback(partial(self._forget, connection))
 
     def _unread_since_s(self, sock: socket.socket) -> float:
-        """Since when a call on a newly accepted connection may have waited; 0 if it has not."""
+        """Return since when a call on a newly accepted connection may have waited, or 0 if it has not."""
         established_s = seconds_since_sent(sock)
         now_s = time.monotonic()
         if not established_s:
@@ -304,7 +306,7 @@
     # ---- eviction ----------------------------------------------------------------------------------------
 
     def _evict_one(self) -> bool:
-        """Evict the connection of the lowest rank; False if all must be kept."""
+        """Evict the connection of the lowest rank. Returns False if no connection may be evicted."""
         now_s = time.monotonic()
         ranked = [(eviction_rank(each.slot(), now_s), each) for each in self.connections]
         candidates = [(rank, each) for rank, each in ranked if rank is not None]
@@ -317,9 +319,10 @@
         return True
 
     def _evict(self, connection: FrontConnection, now_s: float, reason: ConnectionCloseReason) -> None:
-        """Close a connection that has nothing open and nothing unread.
+        """Close a connection that has no open call and no unread bytes.
 
-        It lingers while the bound on lingering connections allows; else it closes right behind its end.
+        The connection lingers unless the limit on half-closed connections is reached. In that case its socket
+        is closed right after the end of stream is written.
         """
         max_half_closed = max(MIN_HALF_CLOSED, self.max_clients // CLIENTS_PER_HALF_CLOSED)
         is_full = len(self.half_closed) >= max_half_closed
@@ -330,6 +333,6 @@
             self.connections.pop(connection).cancel()
 
     async def _wait_for_evictions(self) -> None:
-        """Wait until few evicted connections are still open: their descriptors count beside all slots."""
+        """Wait until few evicted connections are open, as they use descriptors beyond those of the slots."""
         while len(self.evicted) >= MAX_PENDING_CLOSES:
             await asyncio.sleep(0)
--- a/onyxwick/net/front_connection.py
+++ b/onyxwick/net/front_connection.py
@@ -1,7 +1,7 @@
-"""One connection of the platform's web servers: reads calls, writes answers, closes without losing either.
+"""One connection of the platform's web servers: reads calls, writes answers, and closes without losing any.
 
-A call is open from the moment its request is admitted until its answer is posted. Times are monotonic seconds
-unless a name ends in `_us`; sizes are bytes.
+A call is open from the admission of its request until its answer is queued for writing. Times are monotonic
+seconds unless a name ends in `_us`; sizes are bytes.
 """
 
 from __future__ import annotations
@@ -33,17 +33,17 @@
 
 log = logs.get()
 MAX_PROTOCOL_ERRORS = 16
-"""After so much invalid input a connection is closed."""
+"""After this many protocol errors a connection is closed."""
 PROTOCOL_ERROR_PAUSE_S = 0.02
-"""Reading pauses for so long after invalid input, times the number so far."""
+"""After a protocol error reading pauses for this time, multiplied by the number of errors so far."""
 LINGER_S = 0.5
-"""How long input is read and discarded after the written end: a close over unread bytes would reset it."""
+"""How long input is discarded after the end of stream: closing with unread bytes resets the connection."""
 MAX_LINGER_S = 15.0
-"""The same while answers are still in flight."""
+"""The maximum of this time while answers are still in flight."""
 PAUSE_READING_ABOVE_BYTES = 2_000_000
-"""With more unwritten bytes nothing is read from a connection."""
+"""Reading from a connection pauses while it has more unwritten bytes than this."""
 RECEIVE_BYTES = 65_536
-"""The most bytes taken by one read while the connection closes."""
+"""The maximum size of one read while the connection is being closed."""
 MAX_LOGGED_REQUESTS = 8
 US_PER_S = 1e6
 CLOSED_BY_CLIENT_REASONS = (
@@ -54,7 +54,7 @@
 
 
 class ConnectionOwner(IntakePolicy, Protocol):
-    """The front that a connection belongs to."""
+    """The interface of the front that owns the connection."""
 
     shutdown: ShutdownSchedule | None
     next_connection_number: Callable[[], int]
@@ -64,16 +64,16 @@
         ...
 
     def on_half_closed(self, connection: FrontConnection) -> None:
-        """The end of a connection is written; it closes once the client closes its side."""
+        """Record that a connection's end of stream is written; it closes once the client closes its side."""
         ...
 
     def on_last_answer_written(self, connection: FrontConnection) -> None:
-        """No call is open on a connection any more, during a shutdown."""
+        """Continue the shutdown of a connection whose last open call is answered."""
         ...
 
 
 class FrontConnection:
-    """One connection, from its accept to its close."""
+    """A client connection from its accept to its close."""
 
     def __init__(self, owner: ConnectionOwner, sock: socket.socket) -> None:
         self.owner = owner
@@ -85,15 +85,15 @@
         self.arrivals = ArrivalClock(sock, self.parser)
         self.intake = CallIntake(self, owner)
         self.open_calls: dict[int, RequestLifecycle | None] = {}  # by FastCGI request number
-        self.cell: str | None = None  # whose quota it counts for, where there are cells
+        self.cell: str | None = None  # the cell whose quota it counts towards, if there are cells
         self.complete_calls = 0
         self.protocol_errors = 0
-        self.is_closing = False  # to be closed once all open calls are answered
-        self.ignores_new_calls = False  # what is received from now on crosses its close
-        self.stops_parsing = False  # its records cannot be delimited, or come without end
-        self.half_closed_at_s = 0.0  # when its end was written, or 0
+        self.is_closing = False  # closes once all open calls are answered
+        self.ignores_new_calls = False  # later calls are left to the client to repeat
+        self.stops_parsing = False  # record boundaries are lost, or input may be endless
+        self.half_closed_at_s = 0.0  # when the end of stream was written, or 0
         self.close_reason: ConnectionCloseReason | None = None  # None: closed by the client
-        self.arrived_us = 0  # when the calls being parsed arrived, steady clock: never later than in truth
+        self.arrived_us = 0  # when the calls being parsed arrived or earlier, steady clock
         self.opened_at_s = time.monotonic()
         self.last_active_at_s = self.opened_at_s
         self.partial_call_since_s = self.opened_at_s
@@ -142,9 +142,9 @@
         return self.writes.pending_bytes > PAUSE_READING_ABOVE_BYTES
 
     def is_awaited(self, number: int) -> bool:
-        """Whether the client still waits for the answer to a call, by the present state of its socket.
+        """Return whether the client still waits for the answer to a call, by the state of the socket now.
 
-        Between two turns of the event loop it may have closed, or sent an abort that is not read yet.
+        Since the last event loop iteration the client may have closed, or sent an abort that is still unread.
         """
         if number not in self.open_calls or self.sock.fileno() < 0:
             return False
@@ -159,8 +159,8 @@
         return number in self.open_calls
 
     def receive_available(self) -> None:
-        """Read and handle what is in the socket, before the reader's own turn."""
-        with contextlib.suppress(OSError):  # the reader meets the same error and closes the connection
+        """Read and handle the bytes in the socket now, without waiting for the reader task."""
+        with contextlib.suppress(OSError):  # the reader task gets the same error and closes the connection
             if self.is_closing:
                 self._receive_while_closing()
             elif self.parser.buffer.receive_available(self.sock):
@@ -174,10 +174,11 @@
             self._fail_open_calls()
 
     def _parse_available(self) -> None:
-        """Handle the complete messages received."""
+        """Parse the bytes received and handle the complete messages."""
         had_partial_call = self.parser.has_partial_call
         calls_before = self.complete_calls
-        # In this order: a stall between the two clocks, or after both, makes no call younger than it is.
+        # The order matters: a stall between the two clock readings or after them must not make a call look
+        # younger than it is.
         read_us = self.owner.core.now()
         now_s = time.monotonic()
         self.last_active_at_s = now_s
@@ -209,14 +210,14 @@
                     self.begin_closing(ConnectionCloseReason.BAD_INPUT)
 
     def protocol_error(self, text: str) -> None:
-        """Report invalid input; the connection closes after `MAX_PROTOCOL_ERRORS`."""
+        """Count and log invalid input, and close the connection after `MAX_PROTOCOL_ERRORS`."""
         self.owner.report_bad_input(text)
         self.protocol_errors += 1
         if self.protocol_errors >= MAX_PROTOCOL_ERRORS:
             self.begin_closing(ConnectionCloseReason.BAD_INPUT)
 
     def _fail_open_calls(self) -> None:
-        """The records cannot be delimited any more: answer what is open, and close."""
+        """Answer all open calls with an error and close, as the record boundaries are lost."""
         numbers = list(self.parser.open_requests)
         self._abandon_open_calls()
         for number in numbers:
@@ -228,7 +229,7 @@
     # ---- answering ---------------------------------------------------------------------------------------
 
     def start(self, number: int, request: ClientRequest) -> None:
-        """Start an admitted request; its call is open until its answer."""
+        """Start an admitted request; its call is open until the answer is queued."""
         self.open_calls[number] = None
         lifecycle = self.owner.core.start(request, partial(self._answer, number))
         if lifecycle is not None:
@@ -239,7 +240,7 @@
         self.send(number, encode_answer(number, answer))
 
     def send(self, number: int, data: bytes) -> None:
-        """Post the answer to a call; dropped if the connection's end is already written."""
+        """Queue the answer to a call; it is dropped if the end of stream is already written."""
         self.parser.open_requests.discard(number)
         if self.half_closed_at_s:
             return
@@ -260,13 +261,13 @@
         self.owner.on_last_answer_written(self)
 
     def answer_open_calls(self, must_answer_all: bool) -> None:
-        """Give open calls their final answers; see `connection_shutdown.advance`."""
+        """Request final answers for the open calls; see `connection_shutdown.advance`."""
         for lifecycle in list(self.open_calls.values()):
             if lifecycle is not None:
                 self.owner.core.release(lifecycle, must_answer_all)
 
     def _abandon_open_calls(self) -> None:
-        """The client no longer waits for any answer."""
+        """Report to the core that the client no longer waits for any answer."""
         lifecycles = list(self.open_calls.values())
         self.open_calls = {}
         for lifecycle in lifecycles:
@@ -276,14 +277,14 @@
     # ---- closing -----------------------------------------------------------------------------------------
 
     def begin_closing(self, reason: ConnectionCloseReason) -> None:
-        """Close once all open calls are answered; the first reason holds."""
+        """Close once all open calls are answered; the first reason given is kept."""
         self.is_closing = True
         self.close_reason = self.close_reason or reason
 
     def half_close(self, now_s: float, reason: ConnectionCloseReason) -> None:
-        """Write the end of a connection without open calls, then read and discard what follows.
+        """Write the end of stream on a connection without open calls, then read and discard further input.
 
-        No reset discards its last answer, and the client sends a call that crossed the close again.
+        This avoids a reset that would discard the last answer; the client repeats a call sent meanwhile.
         """
         self.begin_closing(reason)
         self.half_closed_at_s = now_s
@@ -292,14 +293,14 @@
             self.sock.shutdown(socket.SHUT_WR)
 
     async def _close_gracefully(self) -> None:
-        """Answer open calls, write the end, and wait for the client's own end within limits."""
+        """Answer open calls, write the end of stream, and wait a limited time for the client's."""
         loop = asyncio.get_running_loop()
         while self.open_calls or self.writes.pending_bytes:
             self._answer_posted = loop.create_future()
             until = self._answer_posted if self.open_calls else self.writes.drained.wait()
             if await wait_unless_closed(self.sock, until, PEER_CHECK_INTERVAL_S):
                 return
-            # Without open calls nothing is read: a client that goes on calling would keep it open.
+            # Without open calls nothing is read, as a client that keeps sending calls would keep it open.
             if self.open_calls and not self._receive_while_closing():
                 return
         self.half_closed_at_s = self.half_closed_at_s or time.monotonic()
@@ -308,7 +309,7 @@
             await linger(self.sock, self.is_lingering)
 
     def _receive_while_closing(self) -> bool:
-        """Handle aborts and reject new calls; False if the client has closed."""
+        """Handle aborts and reject new calls. Returns False if the client has closed its side."""
         try:
             data = self.sock.recv(RECEIVE_BYTES)
         except BlockingIOError:
@@ -324,12 +325,12 @@
         return bool(data)
 
     def is_lingering(self, now_s: float) -> bool:
-        """Whether a half-closed connection still waits for the client's end or for bytes in flight."""
+        """Return whether a half-closed connection still waits for the client's end or for bytes in flight."""
         since_s = now_s - self.half_closed_at_s
         return since_s <= LINGER_S or (since_s <= MAX_LINGER_S and self.delivery.in_flight_bytes(now_s) > 0)
 
     def _close(self) -> None:
-        self.is_closing = True  # from now on nobody looks at its socket or evicts it
+        self.is_closing = True  # its socket is no longer checked, nor the connection evicted
         self._report_truncated_answer()
         discard_unread(self.sock)
         self.sock.close()
@@ -340,7 +341,7 @@
         self._abandon_open_calls()
 
     def _report_truncated_answer(self) -> None:
-        """Report a close by this process that truncates an answer in flight."""
+        """Report an answer that this close truncates, if this process closes the connection by itself."""
         now_s = time.monotonic()
         undelivered = self.writes.pending_bytes + self.delivery.in_flight_bytes(now_s)
         is_own_close = self.close_reason is not None and self.close_reason not in CLOSED_BY_CLIENT_REASONS
@@ -351,7 +352,7 @@
             self.owner.core.invariants.answer_truncated(self.number, undelivered)
 
     def open_request_ids(self) -> list[str]:
-        """The ids of the requests that are not answered yet."""
+        """Return the ids of the requests that are not answered yet."""
         return [each.request.request_id for each in self.open_calls.values() if each is not None]
 
     def _log_close(self) -> None:
@@ -370,10 +371,10 @@
             unwritten=self.writes.pending_bytes,
         )
 
-    # ---- its slot ----------------------------------------------------------------------------------------
+    # ---- connection slot ---------------------------------------------------------------------------------
 
     def slot(self) -> ConnectionSlot:
-        """What decides whether it is evicted for a new connection."""
+        """Return the state that decides whether the connection is evicted for a new one."""
         return ConnectionSlot(
             complete_calls=self.complete_calls,
             open_calls=len(self.open_calls),
@@ -385,11 +386,11 @@
         )
 
     def is_drained(self, now_s: float) -> bool:
-        """Whether a close loses nothing: nothing is unread and nothing in flight."""
+        """Return whether a close loses nothing: no bytes are unread and none are in flight."""
         return not unread_bytes(self.sock) and not self.delivery.in_flight_bytes(now_s)
 
     def exceeds_deadline(self, now_s: float) -> bool:
-        """Whether it takes a slot to no purpose: silent, stuck in a partial call or idle for too long."""
+        """Return whether it wastes a slot: it is silent, stuck in a partial call or idle for too long."""
         if self.open_calls or self.writes.pending_bytes or self.is_closing or now_s < self.last_active_at_s:
             return False
         if not self.is_drained(now_s):
