--- a/onyxwick/net/accept_loop.py
+++ b/onyxwick/net/accept_loop.py
@@ -1,7 +1,7 @@
 """Accepts connections on a listening socket; failures of accept(2) are counted and retried.
 
-An accepted socket is passed to `admit` without an await in between, so that a cancel loses no client. Times
-are seconds.
+An accepted socket is passed to `admit` without an await in between, so that a cancelled task loses no client.
+Times are seconds.
 """
 
 from __future__ import annotations
@@ -20,19 +20,19 @@
 
 log = logs.get()
 ACCEPTS_PER_TURN = 32
-"""Accepted in one turn of the event loop."""
+"""The maximum number of connections accepted in one iteration of the event loop."""
 ACCEPT_PAUSE_S = 0.05
-"""After an accept that failed for want of descriptors or memory."""
+"""The pause after an accept that failed because descriptors or memory were exhausted."""
 FINAL_ACCEPT_LIMIT_S = 1.0
-"""How long connections that wait at the end are accepted if accept fails meanwhile."""
+"""How long `accept_remaining` accepts waiting connections at most, also if accept fails meanwhile."""
 MAX_FINAL_ACCEPTS = 4 * ACCEPT_BACKLOG
-"""Accepted at the end at most: clients may go on connecting."""
+"""The maximum number of accepts in `accept_remaining`, as clients may go on connecting."""
 
 
 class AcceptLoop:
-    """The accepts of one listening socket.
+    """Accepts the connections of one listening socket.
 
-    `admit` takes an accepted socket; `wait_for_evictions` returns once few evicted connections are still
+    `admit` takes over an accepted socket; `wait_for_evictions` returns once few evicted connections are still
     open.
     """
 
@@ -46,10 +46,10 @@
         self.wait_for_evictions = wait_for_evictions
         self.counters = counters
         self.failures = 0
-        self.failing_since_s = 0.0  # monotonic: since when waiting connections are not accepted, or 0
+        self.failing_since_s = 0.0  # monotonic time since which accept has failed, or 0
 
     async def run(self, sock: socket.socket) -> None:
-        """Accept until cancelled."""
+        """Accept connections until cancelled."""
         loop = asyncio.get_running_loop()
         accepted = 0
         pause_s = 0.0
@@ -64,15 +64,16 @@
                 pause_s = self._on_failure(error)
             await self.wait_for_evictions()
             accepted += 1
-            if pause_s or accepted % ACCEPTS_PER_TURN == 0:  # many at once leave other tasks their turn
+            if pause_s or accepted % ACCEPTS_PER_TURN == 0:  # lets other tasks run
                 await asyncio.sleep(pause_s)
                 pause_s = 0.0
 
     async def accept_remaining(self, sock: socket.socket, until_s: float = math.inf) -> None:
-        """Accept what has connected before the listening socket closes, which would reset those connections.
+        """Accept the waiting connections, which closing the listening socket would reset.
 
-        Between the last accept and the return nothing else runs. Errors are retried, and only an empty
-        backlog is the end, until `until_s` (monotonic), `FINAL_ACCEPT_LIMIT_S` or `MAX_FINAL_ACCEPTS`.
+        Returns once the backlog is empty; no other task runs between the last accept and the return. Errors
+        are retried. Gives up at `until_s` (monotonic), after `FINAL_ACCEPT_LIMIT_S`, or after
+        `MAX_FINAL_ACCEPTS`.
         """
         deadline_s = min(until_s, time.monotonic() + FINAL_ACCEPT_LIMIT_S)
         for _ in range(MAX_FINAL_ACCEPTS):
@@ -91,7 +92,7 @@
         log.error("listening socket closed with connections waiting")
 
     def _on_failure(self, error: OSError) -> float:
-        """Count and log a failed accept; the seconds to wait before the next one."""
+        """Count and log a failed accept, and return the seconds to wait before the next one."""
         is_exhausted = errors.is_exhausted(error)
         self.counters.add("error.accept" if is_exhausted else "client.aborted")
         log.warning("accept failed", error=str(error))
--- a/onyxwick/net/arrival_clock.py
+++ b/onyxwick/net/arrival_clock.py
@@ -1,8 +1,8 @@
 """Estimates how long a client's bytes may have waited in the socket before they were read.
 
-A call's time limit runs from its arrival. After a pause in reading, a stall of the process or a late accept
-the call may have arrived long before it is read; the estimate is never shorter than the real wait. Times are
-monotonic seconds.
+A call's time limit counts from its arrival. After a pause in reading, a stall of the process or a late accept
+the call may have arrived long before it is read. The estimate is never shorter than the actual wait. Times
+are monotonic seconds.
 """
 
 from __future__ import annotations
@@ -16,19 +16,20 @@
 
 
 class ArrivalClock:
-    """The arrival times of one connection."""
+    """Estimates the arrival times of the calls on one connection."""
 
     def __init__(self, sock: socket.socket, parser: FastCgiParser) -> None:
         self.sock = sock
         self.parser = parser
-        self.unread_since_s = 0.0  # since when bytes in the socket may be unread, or 0
+        self.unread_since_s = 0.0  # since when bytes in the socket may have been unread, or 0
         self._noted_at_s = 0.0
-        self._noted_until_bytes: float = math.inf  # all bytes received or unread at that time
+        self._noted_until_bytes: float = math.inf  # bytes received plus bytes unread at that time
 
     def note_unread(self, is_paused: bool) -> None:
-        """Note after a read that bytes are still unread, or that reading pauses.
+        """Record after a read that bytes are still unread or that reading pauses: bytes wait from now on.
 
-        They wait from now on. Once as many bytes are read as were unread then, what is unread arrived later.
+        Once all bytes that were unread at this time have been read, bytes that are still unread arrived after
+        it, and their wait counts from it.
         """
         now_s = time.monotonic()
         unread = unread_bytes(self.sock)
@@ -46,17 +47,18 @@
         self._noted_until_bytes = received + unread
 
     def waited_s(self, now_s: float, stalled_since_s: float) -> float:
-        """How long what was just read may have waited.
+        """Return the longest time for which the bytes just read may have waited.
 
-        `stalled_since_s`: since when the event loop may not have read anything; `now_s` without a stall.
+        `stalled_since_s` is the time since which the event loop may have read nothing; `now_s` if it did not
+        stall.
         """
         since_s = stalled_since_s
         if self.unread_since_s:
             since_s = min(since_s, self.unread_since_s)
         if since_s >= now_s:
             return 0.0
-        # The system knows when the last bytes were received, which is not enough with several calls in a
-        # read.
+        # The operating system reports only when the last bytes were received. With several calls in one read
+        # that does not give the arrival of the first call.
         is_one_call = self.parser.has_at_most_one_call() and not unread_bytes(self.sock)
         received_s = seconds_since_received(self.sock) if is_one_call else None
         return now_s - since_s if received_s is None else min(now_s - since_s, received_s)
--- a/onyxwick/net/connection_shutdown.py
+++ b/onyxwick/net/connection_shutdown.py
@@ -1,4 +1,4 @@
-"""Carries one stage of a front's shutdown through on one connection; `core/shutdown.py` decides the step.
+"""Carries out a stage of a front's shutdown on one connection; `core/shutdown.py` decides on the step.
 
 Times are monotonic seconds.
 """
@@ -23,26 +23,26 @@
     may_answer_open_calls: bool,
     must_answer_all: bool,
 ) -> None:
-    """Do what the stage asks for.
+    """Carry out the step that the stage requires of the connection.
 
-    `may_answer_open_calls`: open calls may get final answers now; `must_answer_all`: also those whose request
-    was possibly executed and must not be repeated.
+    With `may_answer_open_calls`, open calls may get final answers now. With `must_answer_all`, this includes
+    calls whose request may have been executed and must not be repeated.
     """
     if stage is ShutdownStage.SERVING or connection.half_closed_at_s:
         return
-    connection.delivery.in_flight_bytes(now_s)  # sampled also while calls are open
+    connection.delivery.in_flight_bytes(now_s)  # sampled on each call, also while calls are open
     if connection.open_calls and stage < ShutdownStage.RELEASE_REQUESTS:
         return
     if connection.ignores_new_calls:
         close_when_written(connection, now_s, ConnectionCloseReason.CLOSING)
         return
     if connection.is_closing and not connection.open_calls:
-        return  # its reader closes it
-    match next_step(stage, _state(connection, now_s)):
+        return  # its reader task closes it
+    match next_step(stage, _connection_state(connection, now_s)):
         case ConnectionStep.RELEASE_REQUESTS if may_answer_open_calls:
             connection.answer_open_calls(must_answer_all)
         case ConnectionStep.READ_REMAINING:
-            _receive_last(connection)
+            _receive_remaining(connection)
             close_when_written(connection, now_s, ConnectionCloseReason.CLOSING)
         case ConnectionStep.CLOSE:
             connection.half_close(now_s, ConnectionCloseReason.CLOSING)
@@ -51,13 +51,13 @@
 
 
 def close_when_written(connection: FrontConnection, now_s: float, reason: ConnectionCloseReason) -> None:
-    """Close the connection behind its last answer, once that is written."""
+    """Close the connection if all calls are answered and the last answer is written."""
     if not (connection.open_calls or connection.writes.pending_bytes or connection.half_closed_at_s):
         connection.half_close(now_s, reason)
 
 
-def _receive_last(connection: FrontConnection) -> None:
-    """Take what is received and ignore what follows: a client that goes on calling keeps nothing open."""
+def _receive_remaining(connection: FrontConnection) -> None:
+    """Read the bytes already received, and ignore later calls, which would otherwise keep it open."""
     for _ in range(MAX_FINAL_READS):
         if not unread_bytes(connection.sock):
             break
@@ -65,7 +65,7 @@
     connection.ignores_new_calls = True
 
 
-def _state(connection: FrontConnection, now_s: float) -> ConnectionState:
+def _connection_state(connection: FrontConnection, now_s: float) -> ConnectionState:
     return ConnectionState(
         request_count=connection.complete_calls,
         unanswered=len(connection.open_calls),
@@ -79,7 +79,7 @@
 
 
 def log_held(connection: FrontConnection, now_s: float, stage: str) -> None:
-    """Log why a connection is still open at a stage."""
+    """Log why a connection is still open at a shutdown stage."""
     log.info(
         "connection held",
         connection=connection.number,
--- a/onyxwick/net/connection_slots.py
+++ b/onyxwick/net/connection_slots.py
@@ -1,14 +1,18 @@
-"""Decides which client connection is evicted for a new one when all connection slots are taken. Free of I/O.
+"""Decides which client connection is evicted for a new one when all connection slots are taken.
 
-Input is a `ConnectionSlot` for each open connection, times in monotonic seconds; output is an eviction rank.
+The eviction rank of a connection is computed from its `ConnectionSlot`. This module does no I/O; times are
+monotonic seconds. Connections are evicted in this order:
 
-Evicted first is a connection that has been answered and has nothing open, the longest idle one first: its end
-is written behind its last answer, so a call that crosses the close is sent again by the client. Next, the
-oldest connection that has sent nothing for `SILENT_GRACE_S`; last, one that is stuck in a partial call for
-`PARTIAL_CALL_GRACE_S`. A connection with open calls or unwritten answers is never evicted.
+1. Connections whose calls are all answered, the longest idle first. Their end of stream is written after the
+   last answer, so a client that sends a call while the connection closes sends it again.
+2. Connections that have sent nothing for `SILENT_GRACE_S`, the oldest first.
+3. Connections that have been stuck in a partial call for `PARTIAL_CALL_GRACE_S`.
 
-Alternatives weighed: evicting the newest silent connection hits clients whose first call is not read yet; a
-grace period after each answer leaves no connection to evict when many clients ask once and stay.
+A connection with open calls or unwritten answers is never evicted.
+
+Rejected alternatives: evicting the newest silent connection affects clients whose first call is not read yet;
+with a grace period after each answer there is no connection to evict when many clients send a single call and
+stay connected.
 """
 
 from __future__ import annotations
@@ -17,19 +21,19 @@
 from enum import IntEnum
 
 SILENT_GRACE_S = 0.25
-"""How long a new connection that has sent nothing keeps its slot."""
+"""How long a new connection that has sent nothing is protected from eviction."""
 PARTIAL_CALL_GRACE_S = 1.0
-"""How long a connection with a partial call keeps its slot after its last byte."""
+"""How long a connection with a partial call is protected from eviction after its last byte."""
 SILENT_LIMIT_S = 2.0
-"""After so long a connection that has sent nothing, or nothing more of a partial call, is closed."""
+"""A connection that sends nothing, or nothing more of a partial call, is closed after this time."""
 PARTIAL_CALL_LIMIT_S = 10.0
-"""After so long a partial call closes its connection although bytes keep coming."""
+"""A connection whose call stays partial is closed after this time, even if it still sends bytes."""
 IDLE_LIMIT_S = 4.8
-"""After so long an idle connection is closed; the platform's clients close theirs after 4 s."""
+"""An idle connection is closed after this time; the platform's clients close theirs after 4 s."""
 
 
 class EvictionGroup(IntEnum):
-    """Connections that may be evicted, in the order of their eviction."""
+    """The groups of connections that may be evicted, in the order of eviction."""
 
     ANSWERED = 0
     SILENT = 1
@@ -38,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionSlot:
-    """What decides on the slot of one connection; times in monotonic seconds."""
+    """The state that decides whether a connection keeps its slot; times in monotonic seconds."""
 
     complete_calls: int
     """Calls received so far."""
@@ -49,7 +53,7 @@
     has_partial_call: bool
     opened_at_s: float
     last_active_at_s: float
-    """When its last byte was received or its last answer posted."""
+    """When the last byte was received or the last answer was queued."""
     is_closing: bool
 
 
@@ -59,7 +63,10 @@
     silent_grace_s: float = SILENT_GRACE_S,
     partial_call_grace_s: float = PARTIAL_CALL_GRACE_S,
 ) -> tuple[EvictionGroup, float] | None:
-    """The connection's rank, the lowest evicted first: group and time of entry; None if it is kept."""
+    """Return the rank of a connection, the lowest being evicted first; None if it must not be evicted.
+
+    The rank is the eviction group and the time by which connections are ordered within the group.
+    """
     if slot.open_calls or slot.unwritten_bytes or slot.is_closing:
         return None
     if slot.has_partial_call:
@@ -74,10 +81,10 @@
 
 
 def exceeds_deadline(slot: ConnectionSlot, now_s: float, partial_call_since_s: float) -> bool:
-    """Whether a connection without open calls has been silent, stuck in a partial call or idle for too long.
+    """Return whether a connection without open calls is silent, stuck in a partial call or idle for too long.
 
-    `partial_call_since_s`: when its partial call began. The platform's clients may be idle between requests,
-    but not before the first.
+    `partial_call_since_s` is the time when its partial call started. The platform's clients may be idle
+    between requests, but not before the first one.
     """
     idle_s = now_s - slot.last_active_at_s
     if slot.has_partial_call:
--- a/onyxwick/net/delivery.py
+++ b/onyxwick/net/delivery.py
@@ -1,6 +1,6 @@
 """Tracks how many bytes of one connection are written to the socket and not yet acknowledged by the peer.
 
-Sampled now and then; all times are monotonic seconds.
+The state of the socket is sampled whenever a caller asks for it. Times are monotonic seconds.
 """
 
 from __future__ import annotations
@@ -11,15 +11,15 @@
 from onyxwick.net.socket_state import in_flight_bytes
 
 CLIENT_STALLED_S = 10.0
-"""A client that acknowledges nothing for so long is disconnected."""
+"""A client that acknowledges nothing for this time is disconnected."""
 MIN_PROGRESS_BYTES = 16_384
-"""Acknowledging fewer bytes than this, and not all, counts as no progress."""
+"""Acknowledging fewer bytes than this counts as no progress, unless all bytes are acknowledged."""
 END_OF_STREAM_BYTES = 1
-"""What the system counts for a written end of stream."""
+"""The number of bytes that the operating system counts for a written end of stream."""
 
 
 class DeliveryTracker:
-    """The bytes in flight on one socket."""
+    """Tracks the bytes in flight on one socket."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
@@ -28,7 +28,7 @@
         self._backlog_seen_at_s = 0.0
 
     def in_flight_bytes(self, now_s: float) -> int:
-        """Bytes that the peer has not acknowledged yet; 0 if it has stopped acknowledging."""
+        """Return the bytes that the peer has not acknowledged yet, or 0 if it has stopped acknowledging."""
         in_flight = in_flight_bytes(self.sock)
         if in_flight <= END_OF_STREAM_BYTES:
             self._last_in_flight_bytes = 0
@@ -42,5 +42,5 @@
         return in_flight if now_s - self._progress_at_s < CLIENT_STALLED_S else 0
 
     def seconds_since_backlog(self, now_s: float) -> float:
-        """How long ago more than `IN_FLIGHT_BYTES` were last observed in flight."""
+        """Return how long ago more than `IN_FLIGHT_BYTES` were last observed in flight."""
         return now_s - self._backlog_seen_at_s
--- a/onyxwick/net/lingering.py
+++ b/onyxwick/net/lingering.py
@@ -1,6 +1,6 @@
-"""Closes a TCP connection without a reset: a close over unread bytes would discard answers in flight.
+"""Closes TCP connections without a reset: closing with unread bytes would discard answers in flight.
 
-All waits are bounded; times are seconds.
+All waits are bounded. Times are seconds.
 """
 
 from __future__ import annotations
@@ -14,19 +14,19 @@
 from onyxwick.net.socket_state import is_closed_by_peer
 
 PEER_CHECK_INTERVAL_S = 0.05
-"""Between two checks whether a client that is not read from has closed."""
+"""The interval between checks whether a client that is not being read from has closed."""
 LINGER_READ_INTERVAL_S = 0.01
-"""Between two reads of input that is discarded, so that endless input takes a bounded share of the
+"""The interval between reads of discarded input, so that endless input takes a bounded share of the
 processor."""
 MIN_WAIT_S = 0.001
 MAX_FINAL_READS = 16
-"""Reads of a socket's unread bytes before it is closed."""
+"""The maximum number of reads of a socket's unread bytes before it is closed."""
 DISCARD_BYTES = 65_536
-"""The most bytes discarded by one read."""
+"""The maximum number of bytes discarded by one read."""
 
 
 def discard_unread(sock: socket.socket) -> None:
-    """Read and discard what is unread, right before a close; bounded by `MAX_FINAL_READS`."""
+    """Read and discard unread bytes right before a close, with at most `MAX_FINAL_READS` reads."""
     with contextlib.suppress(OSError):
         for _ in range(MAX_FINAL_READS):
             if not sock.recv(DISCARD_BYTES):
@@ -34,7 +34,10 @@
 
 
 async def linger(sock: socket.socket, is_lingering: Callable[[float], bool]) -> None:
-    """Read and discard until the peer closes its side or `is_lingering(now_s)` ends; OSError on a reset."""
+    """Read and discard until the peer closes its side or `is_lingering(now_s)` returns False.
+
+    Raises OSError on a reset.
+    """
     loop = asyncio.get_running_loop()
     while is_lingering(time.monotonic()):
         with contextlib.suppress(TimeoutError):
@@ -45,7 +48,7 @@
 
 
 async def wait_unless_closed(sock: socket.socket, until: Awaitable[object], limit_s: float) -> bool:
-    """Wait without reading, for `limit_s` at most; True if the peer has closed meanwhile."""
+    """Wait for `until` without reading, for at most `limit_s`. Returns True if the peer closes meanwhile."""
     waiting = asyncio.ensure_future(until)
     deadline_s = time.monotonic() + limit_s
     try:
--- a/onyxwick/net/listening.py
+++ b/onyxwick/net/listening.py
@@ -1,4 +1,4 @@
-"""The listening socket of the clients: bound by this process, or inherited from the platform."""
+"""Opens the clients' listening socket, either bound by this process or inherited from the platform."""
 
 from __future__ import annotations
 
@@ -9,16 +9,17 @@
 from onyxwick.net import errors
 
 ACCEPT_BACKLOG = 1024
-"""Connections that wait to be accepted."""
+"""The maximum number of connections that wait to be accepted."""
 BIND_RETRY_LIMIT_S = 3.0
-"""How long a start retries an address that cannot be bound for a reason of this machine."""
+"""How long binding an address is retried at the start after a local error (`errors.is_local`)."""
 BIND_RETRY_DELAY_S = 0.05
 
 
 def listen(address: tuple[str, int]) -> socket.socket:
-    """A non-blocking listening socket on an address; OSError if it cannot be bound.
+    """Return a non-blocking listening socket on an address. Raises OSError if the address cannot be bound.
 
-    Blocks for `BIND_RETRY_LIMIT_S` at most: nothing is served yet, and local errors pass (net/errors.py).
+    Local errors (net/errors.py) are retried, as they are temporary. This blocks the process for about
+    `BIND_RETRY_LIMIT_S` at most, which is acceptable because nothing is served yet.
     """
     deadline_s = time.monotonic() + BIND_RETRY_LIMIT_S
     while True:
@@ -44,11 +45,12 @@
 
 
 def inherited_listener(fd: int) -> socket.socket:
-    """The listening socket that the platform owns and passes as a descriptor; never bound or closed here.
+    """Return the listening socket that the platform owns and passes as a descriptor.
 
-    ConfigError if the descriptor is no listening TCP socket over IPv4.
+    This process never binds or closes it. Raises ConfigError if the descriptor is not a listening TCP socket
+    over IPv4.
     """
-    intent = "likely intent: the descriptor of the clients' listening socket that the platform holds, as 7"
+    intent = "likely intent: the descriptor of the platform's listening socket for clients, for example 7"
     try:
         sock = socket.socket(fileno=fd)
     except OSError as error:
@@ -56,7 +58,9 @@
         raise ConfigError(f"{found}; {intent}") from None
     is_tcp = sock.family is socket.AF_INET and sock.type is socket.SOCK_STREAM
     if not is_tcp or not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
-        sock.detach()  # the platform's: it must not be closed here
-        raise ConfigError(f"variable 'RELAY_LISTEN_FD': descriptor {fd} is no listening TCP socket; {intent}")
+        sock.detach()  # the platform owns the socket: it must not be closed here
+        raise ConfigError(
+            f"variable 'RELAY_LISTEN_FD': descriptor {fd} is not a listening TCP socket over IPv4; {intent}"
+        )
     sock.setblocking(False)
     return sock
--- a/onyxwick/net/socket_state.py
+++ b/onyxwick/net/socket_state.py
@@ -1,6 +1,6 @@
-"""What the operating system knows about one TCP socket: bytes unread and in flight, its peer's end, its age.
+"""Queries the operating system about a TCP socket: unread bytes, bytes in flight, peer state, activity times.
 
-Nothing here reads or writes payload. Sizes are bytes, times are seconds.
+No function here reads or writes payload. Sizes are bytes, times are seconds.
 """
 
 from __future__ import annotations
@@ -13,28 +13,28 @@
 import termios
 
 TCP_INFO_BYTES = 60
-"""The length of Linux's struct tcp_info up to and including the fields below."""
+"""The length of Linux's struct tcp_info up to and including the fields used here."""
 LAST_DATA_SENT = slice(44, 48)
-"""tcpi_last_data_sent, in milliseconds."""
+"""The bytes of tcpi_last_data_sent, in milliseconds."""
 LAST_DATA_RECEIVED = slice(52, 56)
-"""tcpi_last_data_recv, in milliseconds."""
+"""The bytes of tcpi_last_data_recv, in milliseconds."""
 PEER_GONE_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
-"""Poll events of a socket whose peer has closed or reset."""
+"""The poll events of a socket whose peer has closed or reset the connection."""
 INT_BYTES = 4
 MS_PER_S = 1000
 
 
 def unread_bytes(sock: socket.socket) -> int:
-    """Bytes received and not yet read from the socket; 0 if it is closed."""
+    """Return the number of bytes received and not yet read from the socket, or 0 if it is closed."""
     if sock.fileno() < 0:
         return 0
     return int.from_bytes(fcntl.ioctl(sock, termios.FIONREAD, bytes(INT_BYTES)), sys.byteorder)
 
 
 def in_flight_bytes(sock: socket.socket) -> int:
-    """Bytes written and not yet acknowledged by the peer, a written end of stream included.
+    """Return the number of bytes written and not yet acknowledged by the peer.
 
-    0 if the socket is closed or the system does not know.
+    A written end of stream counts as well. Returns 0 if the socket is closed or the system does not know.
     """
     if sock.fileno() < 0:
         return 0
@@ -46,7 +46,7 @@
 
 
 def is_closed_by_peer(sock: socket.socket) -> bool:
-    """Whether the peer has closed its side or the connection is gone, even if bytes are unread."""
+    """Return whether the peer has closed its side or the connection is lost, even if bytes are unread."""
     if sock.fileno() < 0:
         return True
     poll = select.poll()
@@ -55,7 +55,7 @@
 
 
 def is_connected(sock: socket.socket) -> bool:
-    """Whether a connect that was started on the socket has succeeded and the connection is up."""
+    """Return whether a connect started on the socket has succeeded and the connection is established."""
     try:
         sock.getpeername()
     except OSError:
@@ -64,12 +64,15 @@
 
 
 def seconds_since_received(sock: socket.socket) -> float | None:
-    """How long ago the last bytes were received; None if the system does not know."""
+    """Return how long ago the last bytes were received, or None if the system does not know."""
     return _tcp_info_seconds(sock, LAST_DATA_RECEIVED)
 
 
 def seconds_since_sent(sock: socket.socket) -> float | None:
-    """How long ago bytes were last sent, or the connection was established if none were; None if unknown."""
+    """Return how long ago bytes were last sent, or None if the system does not know.
+
+    If none were sent, this is the time since the connection was established.
+    """
     return _tcp_info_seconds(sock, LAST_DATA_SENT)
 
 
@@ -84,7 +87,7 @@
 
 
 async def wait_readable(loop: asyncio.AbstractEventLoop, sock: socket.socket) -> None:
-    """Wait until the socket is readable without reading from it, so that a cancel loses no bytes."""
+    """Wait until the socket is readable. Nothing is read, so that a cancelled wait loses no bytes."""
     ready: asyncio.Future[None] = loop.create_future()
     loop.add_reader(sock.fileno(), _set_ready, ready)
     try:
@@ -94,7 +97,7 @@
 
 
 async def wait_writable(loop: asyncio.AbstractEventLoop, sock: socket.socket) -> None:
-    """Wait until the socket is writable without writing to it."""
+    """Wait until the socket is writable. Nothing is written."""
     ready: asyncio.Future[None] = loop.create_future()
     loop.add_writer(sock.fileno(), _set_ready, ready)
     try:
--- a/onyxwick/net/write_queue.py
+++ b/onyxwick/net/write_queue.py
@@ -1,6 +1,7 @@
-"""The one writer of a connection: writes in order, in batches, each either complete or not begun at all.
+"""Writes to a connection in order and in batches; each write is sent completely or not started at all.
 
-Cancelling whoever posted a write never truncates another one. Sizes are bytes, times monotonic seconds.
+Only the queue's own task writes to the socket, so that cancelling a task that posted a write never truncates
+another write. Sizes are bytes, times are monotonic seconds.
 """
 
 from __future__ import annotations
@@ -16,24 +17,24 @@
 
 
 class WriteProgress(Enum):
-    """How far a write has got."""
+    """The progress of a write."""
 
     WAITING = "waiting"
     BEGUN = "begun"
-    """Some of it may have been written."""
+    """A part of the bytes may have been written."""
     WRITTEN = "written"
     DROPPED = "dropped"
-    """Not one byte of it was written."""
+    """No byte of the write was written."""
 
 
 class PendingWrite:
-    """Bytes that are written as one.
+    """Bytes that are written completely or not at all.
 
-    `is_still_wanted` is asked right before the first byte; if it says no, the write is dropped and
-    `on_dropped` called. `render` makes the bytes at that moment, again each time they are about to be
-    written, so that a remaining time in them is current; `expected_bytes` is their estimated size until then.
-    `on_begun` is called once when the first bytes are written, `on_released` once when its bytes are no
-    longer held.
+    `is_still_wanted` is called right before the first byte is sent. If it returns False, the write is dropped
+    and `on_dropped` is called. `render` produces the bytes at that moment, and again on each later attempt to
+    send them, so that a remaining time in them is current; until then `expected_bytes` is their estimated
+    size. `on_begun` is called once when the first bytes are written, and `on_released` once when the queue no
+    longer holds the bytes.
     """
 
     __slots__ = (
@@ -64,19 +65,19 @@
         self.on_released = on_released
         self.render = render
         self.on_begun = on_begun
-        self.counted_bytes = expected_bytes or len(data)  # its part of the queue's pending bytes
+        self.counted_bytes = expected_bytes or len(data)  # its share of the queue's `pending_bytes`
         self.begun_at_s = 0.0  # when its first byte was written, or 0
         self.progress = WriteProgress.WAITING
 
 
-def _release(pending_write: PendingWrite) -> None:
+def _call_on_released(pending_write: PendingWrite) -> None:
     on_released = pending_write.on_released
     if on_released is not None:
         pending_write.on_released = None
         on_released()
 
 
-def _begin(pending_write: PendingWrite) -> None:
+def _call_on_begun(pending_write: PendingWrite) -> None:
     on_begun = pending_write.on_begun
     if on_begun is not None:
         pending_write.on_begun = None
@@ -84,7 +85,7 @@
 
 
 class ByteBudget:
-    """Bytes waiting to be written, over all connections that share the budget."""
+    """The number of bytes waiting to be written on all connections that share the budget."""
 
     __slots__ = ("held_bytes",)
 
@@ -95,8 +96,8 @@
 class WriteQueue:
     """The pending writes of one connection.
 
-    A peer that accepts nothing is found by `is_stalled`, which a periodic sweep asks: a timer for each write
-    would cost more than the write.
+    A periodic sweep calls `is_stalled` to detect a peer that accepts nothing, because a timer for each write
+    would cost more than the write itself.
     """
 
     BATCH_BYTES = 65_536
@@ -106,14 +107,14 @@
         self.budget = budget
         self.queue: deque[PendingWrite] = deque()
         self.pending_bytes = 0  # posted and not yet written
-        self.blocked_since_s = 0.0  # since when the socket accepts nothing, or 0
+        self.blocked_since_s = 0.0  # since when the socket has accepted no bytes, or 0
         self.drained = asyncio.Event()
         self.drained.set()
-        self._batch: list[PendingWrite] = []  # being written
+        self._batch: list[PendingWrite] = []  # the writes being sent
         self._posted: asyncio.Future[None] | None = None
 
     def post(self, pending_write: PendingWrite) -> PendingWrite:
-        """Queue a write behind all others."""
+        """Append a write to the queue and return it."""
         if not self.queue and not self.pending_bytes:
             self.drained.clear()
         self.queue.append(pending_write)
@@ -124,21 +125,21 @@
         return pending_write
 
     def withdraw(self, pending_write: PendingWrite) -> bool:
-        """Remove a write that has not begun; True if not one byte of it was written."""
+        """Remove a write that has not started. Returns True if no byte of it was written."""
         if pending_write.progress is WriteProgress.WAITING:
             self.queue.remove(pending_write)
             self._finish(pending_write, WriteProgress.DROPPED)
         return pending_write.progress is WriteProgress.DROPPED
 
     def is_stalled(self, now_s: float, limit_s: float) -> bool:
-        """Whether the peer has accepted nothing for longer than the limit."""
+        """Return whether the peer has accepted no bytes for longer than `limit_s`."""
         return bool(self.blocked_since_s) and now_s - self.blocked_since_s > limit_s
 
     async def run(self) -> None:
-        """Write until cancelled; OSError if the connection breaks."""
+        """Write until cancelled. Raises OSError if the connection fails."""
         loop = asyncio.get_running_loop()
         sock = self.sock
-        assert sock is not None, "the connection is up before anything is written"
+        assert sock is not None, "the connection must be established before the write queue runs"
         while True:
             if not self.queue:
                 self.blocked_since_s = 0.0
@@ -161,12 +162,12 @@
             self._finish_batch()
         elif rest := self._split_batch(written):
             await self._write_rest(loop, sock, rest)
-        else:  # nothing was accepted: what waits is checked again once the socket is writable
+        else:  # no byte was accepted: the writes are checked again once the socket is writable
             self.blocked_since_s = self.blocked_since_s or time.monotonic()
             await wait_writable(loop, sock)
 
     async def _write_rest(self, loop: asyncio.AbstractEventLoop, sock: socket.socket, rest: bytes) -> None:
-        """Write the end of a write that has begun: it is completed, or the connection ends."""
+        """Send the rest of a write that was sent in part; it is completed unless the connection fails."""
         for at in range(0, len(rest), self.BATCH_BYTES):
             self.blocked_since_s = time.monotonic()
             await loop.sock_sendall(sock, rest[at : at + self.BATCH_BYTES])
@@ -174,7 +175,7 @@
         self._finish_batch()
 
     def _next_batch(self) -> None:
-        """Take the writes that are sent now, each one checked at this moment."""
+        """Take the next writes from the queue into a batch, and drop those that are no longer wanted."""
         self._batch = []
         size = 0
         now_s = time.monotonic()
@@ -200,9 +201,10 @@
         self.budget.held_bytes += difference
 
     def _split_batch(self, written: int) -> bytes:
-        """Account for a batch of which only `written` bytes were sent; the rest of the write that was cut.
+        """Account for a batch of which only `written` bytes were sent.
 
-        Writes of which nothing was sent return to the queue and are checked again, as a drain may be received
+        Returns the remaining bytes of the write that was sent in part, or no bytes. Writes of which nothing
+        was sent return to the queue and are checked again before they are sent, as a drain may be received
         before the socket is writable.
         """
         batch = self._batch
@@ -212,7 +214,7 @@
         for pending_write in batch:
             size = len(pending_write.data)
             if written > 0:
-                _begin(pending_write)
+                _call_on_begun(pending_write)
             if written >= size:
                 self._finish(pending_write, WriteProgress.WRITTEN)
             elif written > 0:
@@ -230,7 +232,7 @@
         batch = self._batch
         self._batch = []
         for pending_write in batch:
-            _begin(pending_write)
+            _call_on_begun(pending_write)
             self._finish(pending_write, WriteProgress.WRITTEN)
 
     def _finish(self, pending_write: PendingWrite, progress: WriteProgress) -> None:
@@ -239,15 +241,15 @@
         self.budget.held_bytes -= pending_write.counted_bytes
         pending_write.data = b""
         pending_write.counted_bytes = 0
-        _release(pending_write)
+        _call_on_released(pending_write)
         if not self.queue and not self.pending_bytes:
             self.drained.set()
 
     def close(self) -> None:
-        """Nothing more will be written; what waited no longer counts in the budget."""
+        """Discard all pending writes and remove them from the budget; nothing is written any more."""
         self.budget.held_bytes -= self.pending_bytes
         self.pending_bytes = 0
         for pending_write in (*self._batch, *self.queue):
-            _release(pending_write)
+            _call_on_released(pending_write)
         self.queue.clear()
         self.drained.set()
