--- a/onyxwick/net/accept_loop.py
+++ b/onyxwick/net/accept_loop.py
@@ -64,7 +64,7 @@
                 pause_s = self._on_failure(error)
             await self.wait_for_evictions()
             accepted += 1
-            if pause_s or accepted % ACCEPTS_PER_TURN == 0:  # lets other tasks run
+            if pause_s or accepted % ACCEPTS_PER_TURN == 0:  # many accepts at once let others run
                 await asyncio.sleep(pause_s)
                 pause_s = 0.0
 
--- a/onyxwick/net/front_connection.py
+++ b/onyxwick/net/front_connection.py
@@ -1,4 +1,4 @@
-"""One connection of the platform's web servers: reads calls, writes answers, and closes without losing any.
+"""One connection of the platform's web servers: reads calls, writes answers, closes without losing either.
 
 A call is open from the admission of its request until its answer is queued for writing. Times are monotonic
 seconds unless a name ends in `_us`; sizes are bytes.
@@ -93,7 +93,7 @@
         self.stops_parsing = False  # record boundaries are lost, or input may be endless
         self.half_closed_at_s = 0.0  # when the end of stream was written, or 0
         self.close_reason: ConnectionCloseReason | None = None  # None: closed by the client
-        self.arrived_us = 0  # when the calls being parsed arrived or earlier, steady clock
+        self.arrived_us = 0  # steady clock; no later than the arrival of the calls being parsed
         self.opened_at_s = time.monotonic()
         self.last_active_at_s = self.opened_at_s
         self.partial_call_since_s = self.opened_at_s
--- a/tests/failing_sockets.py
+++ b/tests/failing_sockets.py
@@ -1,4 +1,4 @@
-"""Sockets whose system calls fail for a while, and what tests read from a cache's connection."""
+"""Sockets whose system calls fail a number of times or for a time, and helpers that read from sockets."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from onyxwick.net.buffer import ReceiveBuffer
 
 
-def os_error(number: int) -> OSError:
+def make_os_error(number: int) -> OSError:
     return OSError(number, os.strerror(number))
 
 
 class FailingListener:
-    """A listening socket whose accept fails with some errors first."""
+    """A listening socket whose `accept` first fails once with each of the given errors."""
 
     def __init__(self, sock: socket.socket, *errors: int) -> None:
         self.sock, self.errors = sock, list(errors)
 
     def accept(self) -> tuple[Any, Any]:
         if self.errors:
-            raise os_error(self.errors.pop(0))
+            raise make_os_error(self.errors.pop(0))
         return self.sock.accept()
 
     def fileno(self) -> int:
@@ -31,7 +31,7 @@
 
 
 class FailingSocket(socket.socket):
-    """A socket whose connect to one address fails for a while."""
+    """A socket whose `connect` to `address` fails with error `number` until the monotonic time `until`."""
 
     address: tuple[str, int] = ("", 0)
     number = 0
@@ -39,17 +39,19 @@
 
     def connect(self, address: Any) -> None:
         if address == self.address and time.monotonic() < FailingSocket.until:
-            raise os_error(self.number)
+            raise make_os_error(self.number)
         super().connect(address)
 
 
 def sent_timeout_ms(data: bytes) -> int:
-    found = re.search(rb"w=(\d+)", data)
-    assert found is not None, data
-    return int(found[1])
+    """Return the time limit in milliseconds that a request to a cache carries."""
+    match = re.search(rb"w=(\d+)", data)
+    assert match is not None, data
+    return int(match[1])
 
 
 def receive_piece(buffer: ReceiveBuffer, sock: socket.socket, piece_bytes: int) -> bool:
+    """Receive like `ReceiveBuffer.receive_available`, but at most `piece_bytes`."""
     data = sock.recv(piece_bytes)
     buffer.append(data)
     return bool(data)
--- a/tests/test_accept_loop.py
+++ b/tests/test_accept_loop.py
@@ -1,4 +1,4 @@
-"""Accepting clients while accept fails, the backlog is full or connections are aborted."""
+"""Accepting clients while accept(2) fails, when the backlog is full, and when connections are aborted."""
 
 from __future__ import annotations
 
@@ -27,23 +27,23 @@
 
 
 def test_the_full_backlog_is_accepted_at_the_end() -> None:
-    """Linux lets one more wait than the backlog says."""
+    """Linux lets one more connection wait than the backlog of 1024 says."""
 
-    class Crowd:
-        left = 1025
+    class FullBacklogListener:
+        remaining = 1025
 
         def accept(self) -> tuple[Any, Any]:
-            if not self.left:
+            if not self.remaining:
                 raise BlockingIOError
-            self.left -= 1
+            self.remaining -= 1
             return self, None
 
         def close(self) -> None:
             pass
 
     async def play(ground: Ground) -> None:
-        full = FastCgiFront(ground.core, ground.counters, lambda: True, 0, 10_000_000)
-        await full.accept_remaining(Crowd())  # type: ignore[arg-type]
+        front = FastCgiFront(ground.core, ground.counters, lambda: True, 0, 10_000_000)
+        await front.accept_remaining(FullBacklogListener())  # type: ignore[arg-type]
         assert ground.counters.counts["client.refused"] == 1025
 
     played(play)
@@ -55,8 +55,8 @@
         ground.opened += [listener, socket.create_connection(listener.getsockname())]
         failing = FailingListener(listener, *[errno.ECONNABORTED] * 40)
         ground.tasks.append(asyncio.get_running_loop().create_task(ground.front.accept(failing)))  # type: ignore[arg-type]
-        begun = asyncio.get_running_loop().time()
+        started_at_s = asyncio.get_running_loop().time()
         await ground.until(lambda: ground.front.connections)
-        assert asyncio.get_running_loop().time() - begun < 0.5
+        assert asyncio.get_running_loop().time() - started_at_s < 0.5
 
     played(play)
--- a/tests/test_arrival_clock.py
+++ b/tests/test_arrival_clock.py
@@ -1,4 +1,4 @@
-"""The time that a call waited before it was read counts against its time limit."""
+"""The time for which a call waits before it is read counts against its time limit."""
 
 from __future__ import annotations
 
@@ -20,61 +20,61 @@
 
 
 def test_time_in_an_unread_socket_counts() -> None:
-    async def play(ground: Ground) -> None:
+    async def scenario(ground: Ground) -> None:
         cache, loop = ground.cache("c0"), asyncio.get_running_loop()
         ground.script.arrived = lambda request: ask(request, "c0")
         client = await ground.client()
         await loop.sock_sendall(client, b"".join(call(n, path="/nowhere") for n in range(1, 16)))
         await ground.until(lambda: ground.counters.counts["bad.client"] == 15)
-        sent = time.monotonic()  # for 0.3 s nothing is read after so much bad input
+        sent_at_s = time.monotonic()  # after 15 protocol errors reading pauses for 0.3 s
         await loop.sock_sendall(client, call(20, more={"HTTP_X_TIMEOUT_MS": "1000"}))
         conn = await ground.accepted(cache)
         timeout_ms = sent_timeout_ms(await ground.read(conn, f"{20:016x}".encode()))
-        assert timeout_ms <= 1000 - 1000 * (time.monotonic() - sent) + 150
+        assert timeout_ms <= 1000 - 1000 * (time.monotonic() - sent_at_s) + 150
 
-    played(play)
+    played(scenario)
 
 
 def test_idle_time_after_a_read_pause_does_not_count() -> None:
-    async def play(ground: Ground) -> None:
+    async def scenario(ground: Ground) -> None:
         cache, loop = ground.cache("c0"), asyncio.get_running_loop()
         ground.script.arrived = lambda request: ask(request, "c0")
         client = await ground.client()
         await loop.sock_sendall(client, call(1, path="/nowhere"))
         await ground.read(client, b"404")
-        await asyncio.sleep(0.4)  # the pause is long over, and nothing has come
-        hurried = {"HTTP_X_TIMEOUT_MS": "300"}
-        await loop.sock_sendall(client, call(2, more=hurried) + call(3, path="/ping"))
+        await asyncio.sleep(0.4)  # the read pause has ended, and nothing was received since
+        short_limit = {"HTTP_X_TIMEOUT_MS": "300"}
+        await loop.sock_sendall(client, call(2, more=short_limit) + call(3, path="/ping"))
         conn = await ground.accepted(cache)
         assert sent_timeout_ms(await ground.read(conn, f"{2:016x}".encode())) > 200
 
-    played(play)
+    played(scenario)
 
 
 @pytest.mark.parametrize("piece_bytes", [2048, 7])
 def test_time_before_the_accept_counts(piece_bytes: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Also where it is read in pieces of a few bytes."""
+    """This also holds if the call is read in pieces of a few bytes."""
 
     monkeypatch.setattr(
         ReceiveBuffer, "receive_available", partialmethod(receive_piece, piece_bytes=piece_bytes)
     )
 
-    async def play(ground: Ground) -> None:
+    async def scenario(ground: Ground) -> None:
         cache, loop = ground.cache("c0"), asyncio.get_running_loop()
         ground.script.arrived = lambda request: ask(request, "c0")
         listener = listen(("127.0.0.1", 0))
         client = socket.create_connection(listener.getsockname())
         ground.opened += [listener, client]
         client.sendall(call(1, more={"HTTP_X_TIMEOUT_MS": "1000"}))
-        sent = time.monotonic()
+        sent_at_s = time.monotonic()
         failing = FailingListener(listener, *[errno.ENOMEM] * 8)
         ground.tasks.append(loop.create_task(ground.front.accept(failing)))  # type: ignore[arg-type]
         ground.tasks.append(loop.create_task(ground.front.record_loop_ticks()))
         conn = await ground.accepted(cache)
         timeout_ms = sent_timeout_ms(await ground.read(conn, f"{1:016x}".encode()))
-        assert timeout_ms <= 1000 - 1000 * (time.monotonic() - sent) + 150
+        assert timeout_ms <= 1000 - 1000 * (time.monotonic() - sent_at_s) + 150
 
-    played(play)
+    played(scenario)
 
 
 @pytest.mark.parametrize("followed", [False, True])
@@ -82,96 +82,102 @@
 def test_time_before_any_process_accepts_counts(
     piece_bytes: int, followed: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """As on a listening socket that the platform holds while one process has been killed; `followed`: by
-    another call on the same connection right before it is accepted; `piece_bytes`: of each read."""
+    """The platform owns the listening socket, on which a call may wait while a killed process is replaced.
+
+    With `followed`, another call is sent on the same connection right before it is accepted. Each read takes
+    at most `piece_bytes`.
+    """
     monkeypatch.setattr(
         ReceiveBuffer, "receive_available", partialmethod(receive_piece, piece_bytes=piece_bytes)
     )
 
-    async def play(ground: Ground) -> None:
+    async def scenario(ground: Ground) -> None:
         cache, loop = ground.cache("c0"), asyncio.get_running_loop()
         ground.script.arrived = lambda request: ask(request, "c0")
         listener = listen(("127.0.0.1", 0))
         client = socket.create_connection(listener.getsockname())
         ground.opened += [listener, client]
         client.sendall(call(1, more={"HTTP_X_TIMEOUT_MS": "1000"}))
-        sent = time.monotonic()
+        sent_at_s = time.monotonic()
         await asyncio.sleep(0.4)
-        ground.core.stalls.observe(time.monotonic())  # a front that has just begun
+        ground.core.stalls.observe(time.monotonic())  # as in a front that has just started
         ground.tasks.append(loop.create_task(ground.front.record_loop_ticks()))
         await asyncio.sleep(0.1)
         client.sendall(call(2, path="/ping") if followed else b"")
         ground.tasks.append(loop.create_task(ground.front.accept(listener)))
         conn = await ground.accepted(cache)
         timeout_ms = sent_timeout_ms(await ground.read(conn, f"{1:016x}".encode()))
-        assert timeout_ms <= 1000 - 1000 * (time.monotonic() - sent) + 150
+        assert timeout_ms <= 1000 - 1000 * (time.monotonic() - sent_at_s) + 150
 
-    played(play)
+    played(scenario)
 
 
 def test_time_during_a_long_event_loop_turn_counts() -> None:
-    async def play(ground: Ground) -> None:
+    async def scenario(ground: Ground) -> None:
         cache, loop = ground.cache("c0"), asyncio.get_running_loop()
         ground.script.arrived = lambda request: ask(request, "c0")
         client = await ground.client()
         await loop.sock_sendall(client, call(1, path="/ping"))
         await ground.read(client, b"200 OK")
         client.send(call(2, more={"HTTP_X_TIMEOUT_MS": "1000"}))
-        client.send(call(3, path="/ping"))  # so that the last bytes' arrival says nothing of the first
-        sent = time.monotonic()
-        time.sleep(0.4)  # a list that is long, or a process that stood still
+        # With a second call, the arrival of the last bytes does not give that of the first call.
+        client.send(call(3, path="/ping"))
+        sent_at_s = time.monotonic()
+        time.sleep(0.4)  # an iteration with a long list, or a paused process
         conn = await ground.accepted(cache)
         timeout_ms = sent_timeout_ms(await ground.read(conn, f"{2:016x}".encode()))
-        assert timeout_ms <= 1000 - 1000 * (time.monotonic() - sent) + 150
+        assert timeout_ms <= 1000 - 1000 * (time.monotonic() - sent_at_s) + 150
 
-    played(play)
+    played(scenario)
 
 
 def test_time_in_sockets_during_a_stall_counts_although_the_read_is_late() -> None:
-    watch, woken = StallDetector(100.0), 102.0
-    watch.tick(woken)
-    assert watch.observe(woken + 0.09) == 100.0  # a turn that is long, and no stall by itself
+    detector, resumed_at_s = StallDetector(100.0), 102.0
+    detector.tick(resumed_at_s)
+    # An iteration of 90 ms is long, but not a stall by itself.
+    assert detector.observe(resumed_at_s + 0.09) == 100.0
     for turn in range(1, 4):
-        watch.tick(woken + 0.09 * turn)
-    assert watch.observe(woken + 0.35) == 100.0
-    later = woken + 0.35
+        detector.tick(resumed_at_s + 0.09 * turn)
+    assert detector.observe(resumed_at_s + 0.35) == 100.0
+    later_s = resumed_at_s + 0.35
     for _ in range(20):
-        later += 0.06
-        watch.tick(later)
-    assert watch.observe(later) == later
+        later_s += 0.06
+        detector.tick(later_s)
+    assert detector.observe(later_s) == later_s
 
 
 def test_successive_stalls_count_no_further_back_than_the_aftermath() -> None:
-    watch, now = StallDetector(100.0), 100.0
-    for _ in range(100):  # a process that is short of processor time for long
+    detector, now = StallDetector(100.0), 100.0
+    for _ in range(100):  # a process that lacks processor time for a long time
         now += 0.15
-        watch.tick(now)
-        assert now - watch.observe(now) < 1.0
+        detector.tick(now)
+        assert now - detector.observe(now) < 1.0
 
 
 def test_the_end_of_a_slow_call_received_in_a_stall_counts_although_another_call_follows() -> None:
-    async def play(ground: Ground) -> None:
+    async def scenario(ground: Ground) -> None:
         cache = ground.cache("c0")
         ground.script.arrived = lambda request: ask(request, "c0")
         client, text = await ground.client(), call(1, more={"HTTP_X_TIMEOUT_MS": "1000"})
         client.send(text[:100])
         await ground.until(lambda: any(each.parser.has_partial_call for each in ground.front.connections))
         client.send(text[100:])
-        sent = time.monotonic()
+        sent_at_s = time.monotonic()
         time.sleep(0.4)
-        client.send(call(2, path="/ping"))  # what came last says nothing of the first
+        # With a second call, the arrival of the last bytes does not give that of the first call.
+        client.send(call(2, path="/ping"))
         time.sleep(0.02)
         conn = await ground.accepted(cache)
         timeout_ms = sent_timeout_ms(await ground.read(conn, b"w="))
-        assert timeout_ms <= 1000 - 1000 * (time.monotonic() - sent) + 150
+        assert timeout_ms <= 1000 - 1000 * (time.monotonic() - sent_at_s) + 150
 
-    played(play)
+    played(scenario)
 
 
 def test_time_counts_for_a_call_read_in_pieces_over_many_turns() -> None:
-    """No turn is long, and each read takes a few bytes only, as reads may."""
+    """No event loop iteration is long, and each read takes only a few bytes, as a read may."""
 
-    async def play(ground: Ground) -> None:
+    async def scenario(ground: Ground) -> None:
         cache, loop = ground.cache("c0"), asyncio.get_running_loop()
         ground.script.arrived = lambda request: ask(request, "c0")
         client = await ground.client()
@@ -179,30 +185,30 @@
         ((served, _),) = ground.front.connections.items()
         buffer = served.parser.buffer
 
-        def read_few(sock: socket.socket) -> bool:
+        def receive_few_bytes(sock: socket.socket) -> bool:
             more = sock.recv(16)
             buffer.append(more)
             return bool(more)
 
-        async def work() -> None:
+        async def keep_loop_busy() -> None:
             while True:
                 time.sleep(0.02)
                 await asyncio.sleep(0)
 
-        buffer.receive_available = read_few  # type: ignore[method-assign]
-        ground.tasks.append(loop.create_task(work()))
-        sent = time.monotonic()
+        buffer.receive_available = receive_few_bytes  # type: ignore[method-assign]
+        ground.tasks.append(loop.create_task(keep_loop_busy()))
+        sent_at_s = time.monotonic()
         text = call(1, more={"HTTP_X_TIMEOUT_MS": "3000"})
-        client.send(text + call(2, path="/ping")[:40])  # more stands behind it
+        client.send(text + call(2, path="/ping")[:40])  # a part of another call follows
         conn = await ground.accepted(cache)
         timeout_ms = sent_timeout_ms(await ground.read(conn, b"w="))
-        assert timeout_ms <= 3000 - 1000 * (time.monotonic() - sent) + 150
+        assert timeout_ms <= 3000 - 1000 * (time.monotonic() - sent_at_s) + 150
 
-    played(play)
+    played(scenario)
 
 
 def test_a_stall_between_read_and_estimate_makes_a_call_no_younger() -> None:
-    async def play(ground: Ground) -> None:
+    async def scenario(ground: Ground) -> None:
         arrivals = list[int]()
         ground.script.arrived = lambda request: (
             arrivals.append(ground.core.lifecycles[request].request.arrived_us) or [RejectRequest(request)]  # type: ignore[func-returns-value]
@@ -223,4 +229,4 @@
         await ground.read(client, b"503")
         assert arrivals[0] < sent_us + 150_000
 
-    played(play)
+    played(scenario)
--- a/tests/test_callers_on_time.py
+++ b/tests/test_callers_on_time.py
@@ -1,4 +1,4 @@
-"""Callers of the hosted fronts and the operators that go on and never end: each wait is over by its time."""
+"""Clients of the DNS front or the operators' HTTP server that never complete a message are cut off."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from onyxwick.operations.operator_commands import OperatorCommands
 from tests.exchange import FOLDER
 
-PATIENCE_S, EVERY_S = 0.5, 0.05
+CALL_TIMEOUT_S, WRITE_INTERVAL_S = 0.5, 0.05
 ADDRESS = ("127.77.9.1", 18091)
 
 
@@ -31,80 +31,80 @@
 
 
 async def _seconds_until_ended(sock: socket.socket, text: bytes) -> float:
-    """How long a caller that writes a byte now and then is listened to."""
+    """Send a text byte by byte, and return the seconds until the connection was closed or all was sent."""
     sock.setblocking(False)
-    began = time.monotonic()
+    started_at_s = time.monotonic()
     with contextlib.suppress(OSError):
-        for n in range(len(text)):
-            sock.send(text[n : n + 1])
-            await asyncio.sleep(EVERY_S)
+        for index in range(len(text)):
+            sock.send(text[index : index + 1])
+            await asyncio.sleep(WRITE_INTERVAL_S)
             with contextlib.suppress(BlockingIOError):
                 if not sock.recv(1000):
                     break
-    return time.monotonic() - began
+    return time.monotonic() - started_at_s
 
 
 def test_a_caller_that_writes_a_call_without_end_is_ended_when_its_patience_is_over() -> None:
-    async def play() -> float:
-        server = HttpServer(ADDRESS, _answer, Counters(), call_timeout_s=PATIENCE_S)
+    async def scenario() -> float:
+        server = HttpServer(ADDRESS, _answer, Counters(), call_timeout_s=CALL_TIMEOUT_S)
         task = asyncio.get_running_loop().create_task(server.run())
         await asyncio.sleep(0)
         with socket.create_connection(ADDRESS) as sock:
-            took = await _seconds_until_ended(sock, b"GET /ready HTTP/1.1\r\nX-More: " + b"x" * 60)
+            duration_s = await _seconds_until_ended(sock, b"GET /ready HTTP/1.1\r\nX-More: " + b"x" * 60)
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
-        return took
+        return duration_s
 
-    assert asyncio.run(play()) < 3 * PATIENCE_S
+    assert asyncio.run(scenario()) < 3 * CALL_TIMEOUT_S
 
 
 def test_a_call_that_comes_in_pieces_is_answered() -> None:
-    async def play() -> bytes:
+    async def scenario() -> bytes:
         server = HttpServer(
-            ADDRESS, _answer, Counters(), call_timeout_s=10 * PATIENCE_S, one_call_per_connection=True
+            ADDRESS, _answer, Counters(), call_timeout_s=10 * CALL_TIMEOUT_S, one_call_per_connection=True
         )
         loop = asyncio.get_running_loop()
         task = loop.create_task(server.run())
         await asyncio.sleep(0)
-        got = b""
+        response = b""
         with socket.create_connection(ADDRESS) as sock, contextlib.suppress(OSError):
             sock.setblocking(False)
             text = b"GET /ready HTTP/1.1\r\nHost: d\r\n\r\n"
-            for n in range(len(text)):
-                await loop.sock_sendall(sock, text[n : n + 1])
+            for index in range(len(text)):
+                await loop.sock_sendall(sock, text[index : index + 1])
                 await asyncio.sleep(0.005)
-            got = await loop.sock_recv(sock, 1000)
+            response = await loop.sock_recv(sock, 1000)
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
-        return got
+        return response
 
-    assert asyncio.run(play()).startswith(b"HTTP/1.1 200 OK")
+    assert asyncio.run(scenario()).startswith(b"HTTP/1.1 200 OK")
 
 
 def test_an_incomplete_message_over_tcp_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(dns_server, "TCP_TIMEOUT_S", PATIENCE_S)
+    monkeypatch.setattr(dns_server, "TCP_TIMEOUT_S", CALL_TIMEOUT_S)
 
-    async def play() -> float:
-        near, far = socket.socketpair()
-        near.setblocking(False)
+    async def scenario() -> float:
+        server_sock, client_sock = socket.socketpair()
+        server_sock.setblocking(False)
         serve: Callable[[Any, socket.socket], Awaitable[None]] = dns_server.DnsFront._serve_tcp
-        task = asyncio.ensure_future(serve(None, near))
-        with far:
-            took = await _seconds_until_ended(far, b"\xff\xff" + b"x" * 60)
+        task = asyncio.ensure_future(serve(None, server_sock))
+        with client_sock:
+            duration_s = await _seconds_until_ended(client_sock, b"\xff\xff" + b"x" * 60)
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
-        return took
+        return duration_s
 
-    assert asyncio.run(play()) < 3 * PATIENCE_S
+    assert asyncio.run(scenario()) < 3 * CALL_TIMEOUT_S
 
 
 def test_a_drain_called_for_before_the_first_state_is_entered_is_no_error() -> None:
-    """The loop comes round to it once the director has started drained already."""
+    """The event loop may reach the drain command only after the director has started in the drained phase."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         director = Director(director_config.read(json.loads((FOLDER / "config.json").read_text())))
         director.phase = DirectorPhase.DRAINED
         director._on_drain_changed(OperatorCommands(1, True, drain_requested_at_s=time.monotonic()))
         assert director.phase is DirectorPhase.DRAINED and director.front.shutdown is not None
 
-    asyncio.run(play())
+    asyncio.run(scenario())
--- a/tests/test_connection_slots.py
+++ b/tests/test_connection_slots.py
@@ -21,7 +21,7 @@
 
 
 def test_eviction_takes_answered_then_silent_then_stuck_connections_and_never_one_with_open_calls() -> None:
-    async def play() -> list[str]:
+    async def scenario() -> list[str]:
         members, counters = EndpointTable(), Counters()
         core = RequestEngine(SETTINGS, 7, CacheConnectionPool(members, counters, 0), members, counters)
         front = FastCgiFront(core, counters, lambda: True, 3, 1_000_000)
@@ -46,9 +46,10 @@
             pair[1].close()
         return evicted
 
-    # Answered ones first, idle longest first, even one answered a moment ago; then silent ones, but not the
-    # newest; then one stuck in a partial call. Never one with an open call or unread bytes.
-    assert asyncio.run(play()) == ["idle", "answered", "silent", "stuck"]
+    # First the answered connections, the longest idle first, including one that was answered just now; then
+    # the silent ones, but not the newest; then the one that is stuck in a partial call. A connection with an
+    # open call or unread bytes is never evicted.
+    assert asyncio.run(scenario()) == ["idle", "answered", "silent", "stuck"]
 
 
 def test_the_order_of_eviction() -> None:
@@ -71,11 +72,11 @@
         return slot(complete_calls=0, has_partial_call=True, last_active_at_s=now_s - since_s)
 
     now_s = 10.0
-    assert eviction_rank(slot(), now_s) == (0, 10.0)  # evicted although it was answered this instant
+    assert eviction_rank(slot(), now_s) == (0, 10.0)  # may be evicted although it was answered just now
     assert eviction_rank(slot(open_calls=1), now_s) is None
     assert eviction_rank(slot(unwritten_bytes=5), now_s) is None
     assert eviction_rank(slot(is_closing=True), now_s) is None
     assert eviction_rank(silent(SILENT_GRACE_S / 2), now_s) is None
     assert eviction_rank(silent(SILENT_GRACE_S), now_s) == (1, now_s - SILENT_GRACE_S)
-    assert eviction_rank(partial(PARTIAL_CALL_GRACE_S / 2), now_s) is None  # a slow writer
+    assert eviction_rank(partial(PARTIAL_CALL_GRACE_S / 2), now_s) is None  # a client that writes slowly
     assert eviction_rank(partial(PARTIAL_CALL_GRACE_S), now_s) == (2, now_s - PARTIAL_CALL_GRACE_S)
--- a/tests/test_fastcgi_parser.py
+++ b/tests/test_fastcgi_parser.py
@@ -1,4 +1,4 @@
-"""The bounds of the FastCGI parser."""
+"""The size limits of the FastCGI parser."""
 
 from __future__ import annotations
 
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -1,4 +1,4 @@
-"""The front: clients that leave, call slowly or connect during a shutdown, and what it passes on or logs."""
+"""The front: clients that leave, write slowly or connect during a shutdown; what it forwards and logs."""
 
 from __future__ import annotations
 
@@ -17,22 +17,22 @@
 
 
 def test_a_client_that_connects_during_shutdown_is_answered() -> None:
-    async def play(ground: Ground, asks_after_s: float) -> None:
+    async def scenario(ground: Ground, call_after_s: float) -> None:
         ground.script.arrived = lambda request: [FailRequest(request)]
         client = await ground.client()
         await ground.until(lambda: ground.front.connections)
         ground.tasks.append(asyncio.get_running_loop().create_task(ground.front.sweep()))
         ground.front.begin_shutdown(drain_schedule(time.monotonic()))
-        await asyncio.sleep(asks_after_s)
+        await asyncio.sleep(call_after_s)
         await asyncio.get_running_loop().sock_sendall(client, call(1))
         assert b"502 Bad Gateway" in await ground.read(client, b"Gateway")
 
-    for asks_after_s in (0.02, 0.1, 0.6):
-        played(partial(play, asks_after_s=asks_after_s))
+    for call_after_s in (0.02, 0.1, 0.6):
+        played(partial(scenario, call_after_s=call_after_s))
 
 
-async def _asked(ground: Ground, cache: socket.socket) -> tuple[socket.socket, socket.socket]:
-    """A client that has asked, and an idle connection to the cache that is up already."""
+async def _start_second_call(ground: Ground, cache: socket.socket) -> tuple[socket.socket, socket.socket]:
+    """Return a client with an open call, and the idle connection to the cache that served its first call."""
     ground.script.arrived = lambda request: ask(request, "c0")
     client = await ground.client()
     await asyncio.get_running_loop().sock_sendall(client, call(1))
@@ -49,11 +49,11 @@
 
 @pytest.mark.parametrize("closing", [False, True])
 def test_no_attempt_starts_after_a_stall_for_a_client_that_left_during_it(closing: bool) -> None:
-    """Also while the front closes, for a drain or at the end."""
+    """This also holds while the front shuts down for a drain or a termination; `closing` tests a drain."""
 
-    async def play(ground: Ground, end: str) -> None:
+    async def scenario(ground: Ground, end: str) -> None:
         cache = ground.cache("c0")
-        client, conn = await _asked(ground, cache)
+        client, conn = await _start_second_call(ground, cache)
         second = f"{2:016x}"
         ground.script.timer = lambda: ask(second, "c0")
         if closing:
@@ -62,7 +62,7 @@
             client.close()
         else:
             client.send(fastcgi.encode_record(fastcgi.RecordType.ABORT, 2, b""))
-        time.sleep(0.15)  # a long turn of the loop, in which nothing is read
+        time.sleep(0.15)  # a long event loop iteration, in which nothing is read
         ground.core.handle(TimerFired("hedge"))
         await ground.until(lambda: not ground.core.lifecycles)
         await asyncio.sleep(0.05)
@@ -70,26 +70,26 @@
             conn.recv(65_536)
 
     for end in ("close", "abort"):
-        played(partial(play, end=end))
+        played(partial(scenario, end=end))
 
 
 def test_a_slowly_written_call_is_read_to_its_end() -> None:
-    """It takes 3 s from its connection's first byte to its last one, and never rests for long."""
+    """The call takes 3 s from its first byte to its last, without a long pause between the pieces."""
 
-    async def play(ground: Ground) -> None:
+    async def scenario(ground: Ground) -> None:
         client, loop = await ground.client(), asyncio.get_running_loop()
         ground.tasks.append(loop.create_task(ground.front.sweep()))
         text, pieces = call(1, path="/ping"), 17
-        for n in range(pieces):
-            await asyncio.sleep(0.18)  # out of step with the sweep, which passes over what is unread
-            client.send(text[n * len(text) // pieces : (n + 1) * len(text) // pieces])
+        for index in range(pieces):
+            await asyncio.sleep(0.18)  # not aligned with the sweep, which skips connections with unread bytes
+            client.send(text[index * len(text) // pieces : (index + 1) * len(text) // pieces])
         await ground.read(client, b"200 OK")
 
-    played(play)
+    played(scenario)
 
 
 def test_a_call_being_written_during_shutdown_is_answered() -> None:
-    async def play(ground: Ground) -> None:
+    async def scenario(ground: Ground) -> None:
         client, loop = await ground.client(), asyncio.get_running_loop()
         await ground.until(lambda: ground.front.connections)
         text, pieces = call(1, path="/ping"), 8
@@ -97,42 +97,42 @@
         await asyncio.sleep(0.05)
         now = time.monotonic()
         ending = loop.create_task(ground.front.finish_shutdown(termination_schedule(now, now, 3.0, False)))
-        for n in range(1, pieces):
+        for index in range(1, pieces):
             await asyncio.sleep(0.1)
-            client.send(text[n * len(text) // pieces : (n + 1) * len(text) // pieces])
+            client.send(text[index * len(text) // pieces : (index + 1) * len(text) // pieces])
         await ground.read(client, b"200 OK")
         await ending
 
-    played(play)
+    played(scenario)
 
 
 def test_an_idempotency_key_reaches_the_cache_and_an_invalid_one_is_rejected() -> None:
-    """A cache knows by it a repeat of what it has done; without it a request is not the client's any more."""
+    """A cache recognises a repeated request by this key; without it, it is not the request that was sent."""
 
-    async def play(ground: Ground) -> None:
+    async def scenario(ground: Ground) -> None:
         cache = ground.cache("c0")
         ground.script.arrived = lambda request: ask(request, "c0")
         sock = await ground.client()
-        good = {"HTTP_X_TIMEOUT_MS": "3000", "HTTP_IDEMPOTENCY_KEY": "695b5a21afb805f3"}
-        sock.send(call(1, path="/call/hold", more=good))
-        got = await ground.read(await ground.accepted(cache), b"$0\r\n\r\n")
-        assert b",i=695b5a21afb805f3" in got
-        sock.send(call(2, path="/call/hold", more={**good, "HTTP_IDEMPOTENCY_KEY": "a,k=b"}))
+        valid_params = {"HTTP_X_TIMEOUT_MS": "3000", "HTTP_IDEMPOTENCY_KEY": "695b5a21afb805f3"}
+        sock.send(call(1, path="/call/hold", more=valid_params))
+        command = await ground.read(await ground.accepted(cache), b"$0\r\n\r\n")
+        assert b",i=695b5a21afb805f3" in command
+        sock.send(call(2, path="/call/hold", more={**valid_params, "HTTP_IDEMPOTENCY_KEY": "a,k=b"}))
         await ground.read(sock, b"400 Bad Request")
         assert ground.counters.counts["bad.client"] == 1
 
-    played(play)
+    played(scenario)
 
 
 def test_a_rejection_is_logged_with_its_connection(monkeypatch: pytest.MonkeyPatch) -> None:
-    told = list[int]()
+    logged_numbers = list[int]()
 
-    async def play(ground: Ground) -> None:
+    async def scenario(ground: Ground) -> None:
         ground.script.arrived = lambda request: [RejectRequest(request)]
-        monkeypatch.setattr(EngineContext, "record_unserved", lambda _, *line: told.append(line[2]))
+        monkeypatch.setattr(EngineContext, "record_unserved", lambda _, *line: logged_numbers.append(line[2]))
         sock = await ground.client()
         sock.send(call(1))
         await ground.read(sock, b"503")
-        assert told == [client.number for client in ground.front.connections] != [-1]
+        assert logged_numbers == [client.number for client in ground.front.connections] != [-1]
 
-    played(play)
+    played(scenario)
--- a/tests/test_http_server.py
+++ b/tests/test_http_server.py
@@ -1,4 +1,4 @@
-"""The small HTTP server: callers that never finish a call hold no connection for long."""
+"""The HTTP server: clients that never complete a request do not occupy a connection for long."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
     with socket.create_connection(ADDRESS) as sock:
         sock.setblocking(False)
         await loop.sock_sendall(sock, text)
-        got = b""
-        while more := await loop.sock_recv(sock, 65_536):
-            got += more
-        return got
+        response = b""
+        while data := await loop.sock_recv(sock, 65_536):
+            response += data
+        return response
 
 
 def test_a_new_caller_displaces_the_oldest_idle_one_and_one_call_ends_its_connection() -> None:
@@ -46,10 +46,11 @@
         silent = [socket.create_connection(ADDRESS) for _ in range(3)]
         while len(server.connections) < 3:
             await asyncio.sleep(0.01)
-        # Two calls on one connection: the first is answered, the connection ends, the second is not read.
+        # Of two calls on one connection the first is answered; the connection is then closed, so that the
+        # second is not read.
         answer = await _call(b"GET /ready HTTP/1.1\r\nHost: d\r\n\r\nGET /other HTTP/1.1\r\nHost: d\r\n\r\n")
         silent[0].settimeout(5.0)
-        first = silent[0].recv(1)  # the oldest silent caller was displaced: its connection is closed
+        first = silent[0].recv(1)  # end of stream, as the oldest silent client was displaced
         for sock in silent:
             sock.close()
         task.cancel()
@@ -62,27 +63,27 @@
     assert first == b"" and displaced == b"1"
 
 
-class FlakySocket(socket.socket):
-    """A listening socket whose first accepts tell of connections that have ended."""
+class AbortedConnectionsListener(socket.socket):
+    """A listening socket whose first accepts report connections that were aborted before the accept."""
 
-    left = 40
+    remaining_failures = 40
 
     def accept(self) -> tuple[socket.socket, object]:
-        if FlakySocket.left:
-            FlakySocket.left -= 1
+        if AbortedConnectionsListener.remaining_failures:
+            AbortedConnectionsListener.remaining_failures -= 1
             raise ConnectionAbortedError(errno.ECONNABORTED, "Software caused connection abort")
         return super().accept()
 
 
 def test_connections_that_ended_before_they_were_accepted_delay_no_caller() -> None:
-    """A caller of the door waits a second; 40 pauses of 50 ms would be two."""
+    """The clients of this server wait for one second, and 40 pauses of 50 ms would take two."""
 
     async def scenario() -> float:
-        counters, bound = Counters(), FlakySocket()
-        bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        bound.bind(ADDRESS)
-        bound.listen()
-        bound.setblocking(False)
+        counters, listener = Counters(), AbortedConnectionsListener()
+        listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        listener.bind(ADDRESS)
+        listener.listen()
+        listener.setblocking(False)
         server = HttpServer(
             ADDRESS,
             _answer,
@@ -92,11 +93,11 @@
             one_call_per_connection=True,
             name="door",
         )
-        task = asyncio.get_running_loop().create_task(server.run(bound))
-        begun = time.monotonic()
+        task = asyncio.get_running_loop().create_task(server.run(listener))
+        started_at_s = time.monotonic()
         assert b"200 OK" in await _call(b"GET /ready HTTP/1.1\r\nHost: d\r\n\r\n")
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
-        return time.monotonic() - begun
+        return time.monotonic() - started_at_s
 
     assert asyncio.run(scenario()) < 0.5
