--- a/onyxwick/net/cache_connection.py
+++ b/onyxwick/net/cache_connection.py
@@ -1,7 +1,8 @@
-"""One connection to a cache, a parent cache or the origin, and the attempts on it.
+"""One connection to a cache, a parent cache or the origin, and the attempts sent on it.
 
-Attempts are multiplexed by request id. An id that was abandoned or answered on a connection is not used on it
-again, so that a late or repeated reply cannot pass for that of a later attempt. Times are monotonic seconds.
+Attempts are multiplexed by request id. A connection does not reuse an id that was abandoned or answered on
+it, so that a late or repeated reply cannot be mistaken for the reply to a later attempt. Times are monotonic
+seconds.
 """
 
 from __future__ import annotations
@@ -24,20 +25,20 @@
 from onyxwick.net.write_queue import ByteBudget, PendingWrite, WriteProgress, WriteQueue
 
 log = logs.get()
-REMEMBERED_ANSWERS = 128
-"""Answered ids remembered on one connection."""
+MAX_REMEMBERED_ANSWERS = 128
+"""Answered request ids remembered per connection, to prevent their reuse."""
 PARTIAL_ANSWER_LIMIT_S = 0.6
-"""A partial answer that grows by nothing for so long is stuck, and its connection of no use."""
+"""If a partial answer does not grow for this long, it is stuck and its connection is closed."""
 LOCAL_RETRY_LIMIT_S = 2.0
-"""How long a connect that fails for want of something on this machine is retried."""
+"""How long a connect is retried if it fails because this machine lacks a resource."""
 FIRST_LOCAL_RETRY_S = 0.01
 MAX_LOCAL_RETRY_S = 0.1
 MAX_ABANDONED_IDS = 256
-"""A connection with so many abandoned ids takes no new attempts."""
+"""A connection with this many abandoned ids accepts no new attempts."""
 EXPECTED_COMMAND_BYTES = 256
-"""Of a command without its body, about."""
+"""Approximate size of a command without its body."""
 MAX_LOW_WATER_BYTES = 32_768
-"""The most bytes waited for in one wake-up, well under a socket's receive buffer."""
+"""Upper limit of the socket's receive low-water mark, well below the size of its receive buffer."""
 MAX_LOGGED_REQUESTS = 8
 
 
@@ -51,31 +52,31 @@
     report_names: tuple[str, ...]
 
     def forget(self, connection: CacheConnection) -> None:
-        """A connection is closed."""
+        """Remove a closed connection from the pool."""
         ...
 
 
 @dataclass(slots=True, eq=False)
 class CacheAttempt:
-    """One attempt on a connection."""
+    """One attempt that is queued or in flight on a connection."""
 
     request_id: bytes
     write: PendingWrite
     result: asyncio.Future[AttemptOutcome]
     posted_at_s: float
     client_etag: str
-    """Of the client's copy, if it named one: only this tag may be confirmed as unchanged."""
+    """Etag of the client's copy, empty if none was named. Only this etag may be confirmed as unchanged."""
     needs_own_connection: bool
-    """Must not be executed twice: no other attempt's failure may break its connection."""
+    """True if the attempt must not be executed twice: no other attempt's failure may close its connection."""
 
     def settle(self, outcome: AttemptOutcome) -> None:
-        """Set the outcome; the first one holds."""
+        """Set the outcome. Later calls have no effect."""
         if not self.result.done():
             self.result.set_result(outcome)
 
 
 class CacheConnection:
-    """One connection to one member, from its connect to its close."""
+    """One connection to one member, from connecting until it is closed."""
 
     def __init__(self, pool: CacheConnectionOwner, member: str, address: tuple[str, int]) -> None:
         self.pool = pool
@@ -85,14 +86,14 @@
         self.abandoned_ids: set[bytes] = set()
         self.answered_ids: dict[bytes, None] = {}  # oldest first
         self.parser = resp.RespParser()
-        self.partial_answer_since_s = 0.0  # when the partial answer began, or 0
-        self.is_up = False
-        self.is_retired = False  # takes no new attempts
+        self.partial_answer_since_s = 0.0  # when a partial answer started to arrive; 0 if there is none
+        self.is_established = False
+        self.is_retired = False  # accepts no new attempts
         self.is_closed = False
-        self.failed_locally = False  # its last connect failed for want of something on this machine
+        self.failed_locally = False  # the last connect failed because this machine lacks a resource
         self.last_received_at_s = time.monotonic()
         self.last_used_at_s = self.last_received_at_s
-        self.close_reason: ConnectionCloseReason | None = None  # None: closed by the member
+        self.close_reason: ConnectionCloseReason | None = None  # None if the member closed it
         self.sock: socket.socket | None = None
         self.writes = WriteQueue(None, pool.budget)
         self._unread_bytes = 0
@@ -100,7 +101,7 @@
         self.task = asyncio.get_running_loop().create_task(self._run())
 
     def close(self, reason: ConnectionCloseReason) -> None:
-        """Close it; it takes nothing new from now on. The first reason holds."""
+        """Close the connection and accept no new attempts. Only the first reason is recorded."""
         self.is_retired = True
         self.close_reason = self.close_reason or reason
         self.task.cancel()
@@ -108,7 +109,7 @@
     # ---- attempts ----------------------------------------------------------------------------------------
 
     def can_accept(self, request_id: bytes) -> bool:
-        """Whether a new attempt under this id may be sent here."""
+        """Return whether a new attempt with this request id may be sent on this connection."""
         if self.is_retired or len(self.abandoned_ids) >= MAX_ABANDONED_IDS:
             return False
         if any(attempt.needs_own_connection for attempt in self.attempts.values()):
@@ -117,7 +118,7 @@
         return not (is_used or request_id in self.answered_ids)
 
     def start_attempt(self, spec: AttemptSpec) -> CacheAttempt:
-        """Queue an attempt; its `result` is set when it ends."""
+        """Queue an attempt and return it. Its `result` is set when the attempt ends."""
         request = spec.request
         now_s = time.monotonic()
         attempt = CacheAttempt(
@@ -144,7 +145,7 @@
         return attempt
 
     def _is_member_address(self) -> bool:
-        """Whether its address is still its member's: another member may have it by now."""
+        """Return whether the address still belongs to the member; another member may have it by now."""
         return self.pool.members.addresses.get(self.member) == self.address
 
     def _on_dropped(self, attempt: CacheAttempt) -> None:
@@ -152,16 +153,16 @@
         attempt.settle(AttemptOutcome(AttemptStatus.NOT_SENT))
 
     def expire(self, attempt: CacheAttempt) -> None:
-        """The time limit of an attempt is reached."""
+        """End an attempt that has reached its time limit."""
         if attempt.result.done():
             return
         partial_since_s = self.partial_answer_since_s
         if partial_since_s and time.monotonic() - partial_since_s > PARTIAL_ANSWER_LIMIT_S:
-            self.is_retired = True  # an answer without end delays all behind it
+            self.is_retired = True  # an answer that never ends delays all answers behind it
         attempt.settle(AttemptOutcome(self.abandon(attempt)))
 
     def abandon(self, attempt: CacheAttempt) -> AttemptStatus:
-        """Stop waiting for an attempt that expired or was cancelled; the status with which it ended."""
+        """Stop waiting for an attempt that expired or was cancelled, and return the status it ended with."""
         if self.attempts.get(attempt.request_id) is not attempt:
             return AttemptStatus.RESET
         del self.attempts[attempt.request_id]
@@ -170,28 +171,29 @@
         self.abandoned_ids.add(attempt.request_id)
         self.writes.post(PendingWrite(encode_cancel(attempt.request_id)))
         if self.last_received_at_s < attempt.posted_at_s:
-            self.is_retired = True  # a machine that is gone sends nothing: new attempts need a new connection
+            # A machine that is down sends nothing: new attempts need a new connection.
+            self.is_retired = True
         return AttemptStatus.TIMEOUT
 
     def _unsent_status(self) -> AttemptStatus:
-        """The status of an attempt of which nothing was sent.
+        """Return the status of an attempt of which no byte was sent.
 
-        Only a connect that did not fail for want of something on this machine says something of the member.
+        The failure is attributed to the member only if the connect did not fail for lack of a local resource.
         """
-        if self.is_up or self.failed_locally:
+        if self.is_established or self.failed_locally:
             return AttemptStatus.NOT_SENT
         return AttemptStatus.CONNECT_FAILED
 
-    # ---- the connection ----------------------------------------------------------------------------------
+    # ---- connection --------------------------------------------------------------------------------------
 
     async def _run(self) -> None:
         status = AttemptStatus.CONNECT_FAILED
         try:
             sock = await self._connect()
-            self.is_up = True
+            self.is_established = True
             status = AttemptStatus.RESET
             await self._exchange(sock)
-        except (OSError, TimeoutError):  # reported as the outcome of the attempts
+        except (OSError, TimeoutError):  # reported through the outcomes of the attempts
             self.close_reason = self.close_reason or self._failure_reason()
         except errors.RespProtocolError as error:
             self.close_reason = ConnectionCloseReason.BAD_ANSWER
@@ -201,16 +203,17 @@
             self._on_closed(status)
 
     def _failure_reason(self) -> ConnectionCloseReason:
-        if self.is_up:
+        if self.is_established:
             return ConnectionCloseReason.CONNECTION_ERROR
         if self.failed_locally:
             return ConnectionCloseReason.CONNECT_FAILED_LOCALLY
         return ConnectionCloseReason.CONNECT_FAILED
 
     async def _connect(self) -> socket.socket:
-        """A connected socket; OSError or TimeoutError where the member cannot be reached.
+        """Return a connected socket. Raises OSError or TimeoutError if the member cannot be reached.
 
-        Local failures are retried with backoff for `LOCAL_RETRY_LIMIT_S`, within the attempts' own limits.
+        Local failures are retried with backoff for `LOCAL_RETRY_LIMIT_S`. The attempts' own time limits
+        continue to apply meanwhile.
         """
         deadline_s = time.monotonic() + LOCAL_RETRY_LIMIT_S
         delay_s = FIRST_LOCAL_RETRY_S
@@ -235,7 +238,7 @@
             delay_s = min(2 * delay_s, MAX_LOCAL_RETRY_S)
 
     async def _connect_within_limit(self, sock: socket.socket) -> None:
-        """Connect; TimeoutError after `connect_s`, unless it succeeded during a stall of the process."""
+        """Connect. Raises TimeoutError after `connect_s`, unless it succeeded while the process stalled."""
         try:
             async with asyncio.timeout(self.pool.connect_s):
                 await asyncio.get_running_loop().sock_connect(sock, self.address)
@@ -244,7 +247,7 @@
                 raise
 
     async def _exchange(self, sock: socket.socket) -> None:
-        """Write and read until either fails or ends."""
+        """Write and read until one of the two fails or ends."""
         writer = asyncio.get_running_loop().create_task(self.writes.run())
         reader = asyncio.get_running_loop().create_task(self._read(sock))
         try:
@@ -270,15 +273,19 @@
                 self._on_reply(decode_reply(words, self.pool.report_names))
             if len(parser.buffer):
                 self.partial_answer_since_s = self.partial_answer_since_s or now_s
-            # A body arrives slowly and in many pieces: one wake-up for what is missing, not one a piece.
+            # A body may arrive slowly and in many pieces: the low-water mark gives one wake-up for all
+            # missing bytes instead of one for each piece.
             missing_bytes = max(1, min(parser.needed_bytes - len(parser.buffer), MAX_LOW_WATER_BYTES))
             if missing_bytes != low_water_bytes:
                 low_water_bytes = missing_bytes
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVLOWAT, low_water_bytes)
 
     def is_answer_stuck(self, now_s: float) -> bool:
-        """Whether a partial answer has stopped growing; bytes in the socket count, as reads wait for more."""
-        if self.sock is None or not self.is_up or not len(self.parser.buffer):
+        """Return whether a partial answer has stopped growing.
+
+        Unread bytes in the socket count as growth, as reads wait for the low-water mark.
+        """
+        if self.sock is None or not self.is_established or not len(self.parser.buffer):
             return False
         unread = unread_bytes(self.sock)
         if unread != self._unread_bytes:
@@ -287,27 +294,27 @@
         return now_s - self._progress_at_s > PARTIAL_ANSWER_LIMIT_S
 
     def _on_reply(self, reply: CacheReply) -> None:
-        """Settle the attempt that a reply belongs to; RespProtocolError for one that contradicts it."""
+        """Settle the attempt that a reply belongs to. Raises RespProtocolError if the two disagree."""
         request_id, outcome = reply
         attempt = self.attempts.pop(request_id, None)
-        if attempt is None:  # unmatched: of an abandoned attempt, a repeated reply, or of an unknown id
+        if attempt is None:  # a reply to an abandoned attempt, a repeated reply, or an unknown id
             self.pool.counters.add("answer.late")
             self.abandoned_ids.discard(request_id)
             return
         self.answered_ids[request_id] = None
-        if len(self.answered_ids) > REMEMBERED_ANSWERS:
+        if len(self.answered_ids) > MAX_REMEMBERED_ANSWERS:
             del self.answered_ids[next(iter(self.answered_ids))]
         if outcome.not_modified and not attempt.client_etag:
-            raise errors.RespProtocolError("'unchanged' to a request that held no copy")
+            raise errors.RespProtocolError("reply 'unchanged' to a request without an etag of a cached copy")
         if outcome.not_modified and outcome.etag != attempt.client_etag:
-            # It confirms some other copy than the one that the client has.
+            # The reply confirms a copy other than the one the client has.
             self.pool.counters.add("bad.tag")
             log.warning("cache confirmed another etag", member=self.member)
             outcome = AttemptOutcome(AttemptStatus.ERROR)
         attempt.settle(outcome)
 
     def _on_closed(self, status: AttemptStatus) -> None:
-        """Close the socket; attempts that may have been sent end with `status`."""
+        """Close the socket and settle all attempts. Those that may have been sent end with `status`."""
         self.is_closed = True
         self.is_retired = True
         if self.sock is not None:
--- a/onyxwick/net/cache_pool.py
+++ b/onyxwick/net/cache_pool.py
@@ -1,7 +1,7 @@
 """The core's transport: a bounded pool of connections to each cache, parent cache and the origin.
 
-Input is an `AttemptSpec`, output its `AttemptOutcome`. Times are monotonic seconds unless a name ends in
-`_us`.
+Carries out an `AttemptSpec` and returns its `AttemptOutcome`. Times are monotonic seconds unless a name ends
+in `_us`.
 """
 
 from __future__ import annotations
@@ -25,14 +25,14 @@
 log = logs.get()
 MIN_CONNECTIONS_PER_MEMBER = 2
 MAX_CONNECTIONS_PER_MEMBER = 8
-"""More than one, as an invalid reply breaks its connection for all attempts on it."""
+"""Greater than one, as an invalid reply closes the connection for all attempts on it."""
 MAX_EXCESS_CONNECTIONS = 8
-"""Connections over the bound at most, while evicted ones are about to close."""
+"""Number of connections allowed beyond `max_connections` while evicted ones are still closing."""
 SWEEP_INTERVAL_S = 0.2
 IDLE_LIMIT_S = 10.0
-"""Shorter than the members' own limit, so that no send crosses their close."""
+"""Shorter than the members' own idle limit, so that nothing is sent on a connection that they are closing."""
 WRITE_STALL_LIMIT_S = 3.0
-"""A write that moves nothing for so long means that the machine is gone."""
+"""A write that makes no progress for this long indicates that the machine is down."""
 DEFAULT_CONNECT_US = 400_000
 US_PER_S = 1e6
 
@@ -40,7 +40,8 @@
 class CacheConnectionPool:
     """The connections to all members.
 
-    `warm_up_share`: the present share of the usual connections to each member while a director recovers.
+    `warm_up_share` returns the current share of the usual number of connections per member that is allowed
+    while a director recovers.
     """
 
     def __init__(
@@ -64,7 +65,7 @@
         members.replacement_listeners.append(self.on_member_changed)
 
     async def run(self, spec: AttemptSpec) -> AttemptOutcome:
-        """Carry out one attempt; a cancel abandons it."""
+        """Carry out one attempt and return its outcome. Cancellation abandons the attempt."""
         address = self.members.addresses.get(spec.member)
         if address is None or spec.remaining_us() <= 0 or not spec.is_still_valid():
             return AttemptOutcome(AttemptStatus.NOT_SENT)
@@ -89,7 +90,10 @@
                 spec.sent_us = steady_us() - int(since_s * US_PER_S)
 
     def _connection_for(self, spec: AttemptSpec, address: tuple[str, int]) -> CacheConnection:
-        """An unused connection, a new one, or the least used; ConnectionLimitError where none is possible."""
+        """Return an unused connection, a new one, or the least used one.
+
+        Raises ConnectionLimitError if none is available.
+        """
         request_id = spec.request.request_id.encode()
         usable = [each for each in self.connections.get(spec.member, []) if each.can_accept(request_id)]
         least_used = min(usable, key=lambda each: len(each.attempts), default=None)
@@ -112,7 +116,10 @@
         return connection
 
     def _max_per_member(self) -> int:
-        """Connections to one member, so that all members have theirs; fewer while a director recovers."""
+        """Return the connection limit per member, set so that every member can have connections.
+
+        The limit is lower while a director recovers.
+        """
         share = self.max_connections // (len(self.members.listed) + 1)
         limit = min(MAX_CONNECTIONS_PER_MEMBER, share)
         if self.warm_up_share is not None:
@@ -120,16 +127,16 @@
         return max(MIN_CONNECTIONS_PER_MEMBER, limit)
 
     def _close_one_idle(self) -> None:
-        """Close the connection that is idle longest, if any is idle."""
-        idle = [each for each in self._all() if not each.attempts]
+        """Close the connection that has been idle the longest, if any is idle."""
+        idle = [each for each in self._all_connections() if not each.attempts]
         if idle:
             min(idle, key=lambda each: each.last_used_at_s).close(ConnectionCloseReason.SLOT_NEEDED)
 
-    def _all(self) -> list[CacheConnection]:
+    def _all_connections(self) -> list[CacheConnection]:
         return [each for connections in self.connections.values() for each in connections]
 
     def forget(self, connection: CacheConnection) -> None:
-        """A connection is closed."""
+        """Remove a closed connection from the pool."""
         connections = self.connections.get(connection.member, [])
         if connection in connections:
             connections.remove(connection)
@@ -138,21 +145,21 @@
             self.connections.pop(connection.member, None)
 
     def on_member_changed(self, member: str) -> None:
-        """A member left or restarted: its open connections lead to a process that is gone."""
+        """Retire the connections to a member that left or restarted, as their process no longer exists."""
         for connection in self.connections.get(member, []):
             connection.is_retired = True
             if not connection.attempts:
                 connection.close(ConnectionCloseReason.RETIRED)
 
     async def sweep(self) -> None:
-        """Until cancelled: close connections that are stuck, stalled, idle, or retired and unused."""
+        """Close connections that are stuck, stalled, idle, or retired and unused. Runs until cancelled."""
         while True:
             await asyncio.sleep(SWEEP_INTERVAL_S)
             now_s = time.monotonic()
-            for connection in self._all():
-                self._close_if_useless(connection, now_s)
+            for connection in self._all_connections():
+                self._close_if_unusable(connection, now_s)
 
-    def _close_if_useless(self, connection: CacheConnection, now_s: float) -> None:
+    def _close_if_unusable(self, connection: CacheConnection, now_s: float) -> None:
         if connection.is_answer_stuck(now_s):
             self.counters.add("bad.stuck")
             connection.close(ConnectionCloseReason.ANSWER_STALLED)
@@ -166,8 +173,8 @@
             connection.close(ConnectionCloseReason.IDLE)
 
     async def close(self) -> None:
-        """Close all connections and wait until they are."""
-        connections = self._all()
+        """Close all connections and wait until they are closed."""
+        connections = self._all_connections()
         for connection in connections:
             connection.close(ConnectionCloseReason.CLOSING)
         tasks = [connection.task for connection in connections]
--- a/onyxwick/net/cache_wire.py
+++ b/onyxwick/net/cache_wire.py
@@ -1,7 +1,7 @@
-"""Attempts and their outcomes as the caches' protocol writes them. Free of I/O.
+"""Encoding of attempts and decoding of replies in the caches' protocol. Performs no I/O.
 
-This is the one place where the field names and words of that wire become terms of the code. Times in the code
-are microseconds; the wire has milliseconds.
+Only this module translates between the field names and words of that protocol and the terms of the code.
+Times are microseconds in the code and milliseconds on the wire.
 """
 
 from __future__ import annotations
@@ -42,9 +42,9 @@
 DETAIL = "note"
 ETAG = "digest"
 UNCHANGED = b"unchanged"
-REPLY_WORDS = 4
-"""A reply is `ID WORD FIELDS BODY`."""
-STATUS_OF_REPLY = {
+WORDS_PER_REPLY = 4
+"""Number of elements of a reply: `ID WORD FIELDS BODY`."""
+STATUS_BY_REPLY_WORD = {
     b"data": AttemptStatus.OK,
     UNCHANGED: AttemptStatus.OK,
     b"absent": AttemptStatus.MISS,
@@ -52,7 +52,7 @@
     b"failed": AttemptStatus.ERROR,
     b"moot": AttemptStatus.NOT_SENT,
 }
-DETAIL_OF_NOTE = {
+DETAIL_BY_NOTE = {
     "HIT": AnswerDetail.HIT,
     "MISS": AnswerDetail.FILLED,
     "MISS_ORIGIN": AnswerDetail.FILLED_FROM_ORIGIN,
@@ -75,7 +75,7 @@
 
 
 def encode_attempt(spec: AttemptSpec) -> bytes:
-    """The command that starts an attempt, with the time that is left at this moment."""
+    """Encode the command that starts an attempt, with the time that remains at the moment of the call."""
     request = spec.request
     fields = {
         CLASS: request.class_name,
@@ -88,7 +88,8 @@
     if spec.retention_rank:
         fields[RETENTION_RANK] = str(spec.retention_rank)
     if spec.max_age_us:
-        # Never 0 by rounding: that would ask for the class's own freshness, and admit a purged copy.
+        # The age must not be rounded down to 0: a cache would then apply the freshness of the class and
+        # accept a purged copy.
         fields[MAX_AGE_MS] = str(max(1, spec.max_age_us // US_PER_MS))
     if spec.fill_options:
         fields[FILL_OPTIONS] = _encode_fill_options(spec.fill_options)
@@ -101,25 +102,25 @@
 
 
 def encode_cancel(request_id: bytes) -> bytes:
-    """The command that cancels an attempt."""
+    """Encode the command that cancels an attempt."""
     return resp.encode_command(CANCEL_COMMAND, request_id)
 
 
 class CacheReply(NamedTuple):
-    """One reply: which attempt it belongs to, and how that attempt ended."""
+    """One reply: the id of the attempt that it answers, and the outcome of that attempt."""
 
     request_id: bytes
     outcome: AttemptOutcome
 
 
 def decode_reply(words: list[bytes], report_names: tuple[str, ...]) -> CacheReply:
-    """The reply in one array; RespProtocolError where it is none.
+    """Decode the reply in one RESP array. Raises RespProtocolError if it is not a valid reply.
 
-    `report_names`: the values of the load report that the outcome takes, in this order.
+    `report_names` lists the values of the load report that are copied to the outcome, in this order.
     """
-    if len(words) != REPLY_WORDS or words[1] not in STATUS_OF_REPLY:
+    if len(words) != WORDS_PER_REPLY or words[1] not in STATUS_BY_REPLY_WORD:
         start = [word[:QUOTED_WORD_BYTES] for word in words[:2]]
-        raise RespProtocolError(f"no reply: {start!r}, expected ID WORD FIELDS BODY")
+        raise RespProtocolError(f"invalid reply {start!r}, expected ID WORD FIELDS BODY")
     request_id, word, text, body = words
     fields = resp.parse_fields(text)
     try:
@@ -127,10 +128,10 @@
         report = _load_report(fields.get(LOAD_REPORT, ""), report_names)
         dated_us = int(fields.get(DATED_MS) or 0) * US_PER_MS
     except (ValueError, OverflowError):
-        raise RespProtocolError(f"bad fields {text[:QUOTED_FIELDS_BYTES]!r}") from None
+        raise RespProtocolError(f"invalid reply fields {text[:QUOTED_FIELDS_BYTES]!r}") from None
     outcome = AttemptOutcome(
-        STATUS_OF_REPLY[word],
-        DETAIL_OF_NOTE.get(fields.get(DETAIL, ""), AnswerDetail.NONE),
+        STATUS_BY_REPLY_WORD[word],
+        DETAIL_BY_NOTE.get(fields.get(DETAIL, ""), AnswerDetail.NONE),
         first_byte_us,
         report,
         body,
@@ -142,7 +143,10 @@
 
 
 def _load_report(text: str, names: tuple[str, ...]) -> tuple[float, ...]:
-    """The named values of `name:value;name:value`, 0 where one is absent; empty without a report."""
+    """Return the named values of `name:value;name:value`.
+
+    An absent value is 0. The result is empty if there is no report.
+    """
     if not text:
         return ()
     values = dict([pair.partition(":")[::2] for pair in text.split(";") if pair])
--- a/tests/test_cache_connection.py
+++ b/tests/test_cache_connection.py
@@ -1,4 +1,4 @@
-"""Connections to caches: failing connects, stalls, the timeout sent with an attempt, their number."""
+"""Connections to caches: connect failures, process stalls, attempt timeouts, and connections per member."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
 
 
 def test_a_second_attempt_gets_the_timeout_that_is_left() -> None:
-    """A retry after an error, and a hedge beside an attempt that is out."""
+    """Covers a retry after an error, and a hedged request while the first attempt is in flight."""
 
     async def play(ground: Ground, hedge: bool) -> None:
         first, second, loop = ground.cache("c0"), ground.cache("c1"), asyncio.get_running_loop()
@@ -84,7 +84,7 @@
 
 
 def test_after_a_stall_an_answer_received_in_time_precedes_timers() -> None:
-    """Otherwise each cache with an attempt would look unresponsive."""
+    """If timers ran first, each cache with an attempt in flight would seem unresponsive after a stall."""
 
     async def play(ground: Ground) -> None:
         cache, loop = ground.cache("c0"), asyncio.get_running_loop()
@@ -103,7 +103,7 @@
 
 
 def test_a_connection_established_during_a_stall_is_used() -> None:
-    """The connect limit has expired after the stall, which says nothing of the cache."""
+    """The connect limit expires during the stall, which is not a fault of the cache."""
 
     async def play(ground: Ground) -> None:
         list(ground.held("c0"))
@@ -111,7 +111,8 @@
         ground.script.arrived = lambda request: ask(request, "c0")
         lifecycle = ground.start()
         await ground.until(lambda: ground.caches.connections.get("c0"))
-        ground.opened[0].accept()[0].close()  # room for the next one, which comes up as its SYN is sent again
+        # Makes room in the backlog: the pending connection is established when its SYN is retransmitted.
+        ground.opened[0].accept()[0].close()
         time.sleep(1.3)
         conn = await ground.accepted(ground.opened[0])
         await ground.read(conn, lifecycle.request.request_id.encode())
