--- a/onyxwick/net/feed_race.py
+++ b/onyxwick/net/feed_race.py
@@ -1,10 +1,10 @@
-"""Establishes a connection to the feed by racing several: a slow one goes on while others are tried.
+"""Establishes a connection to the feed by racing several: a slow connection continues while others are tried.
 
 A connection that is never established, or on which nothing is ever sent, costs only the wait until the next
-one is started; a merely slow one is not abandoned for it. Times are monotonic seconds.
+connection is started, and a slow connection is not abandoned because of this. Times are monotonic seconds.
 
-Alternative weighed: growing limits for one connection after the other abandon each slow one once, and wait
-for a dead one longer each time.
+The alternative is to try one connection after the other with increasing time limits. It would abandon each
+slow connection once, and would wait longer for a dead connection each time.
 """
 
 from __future__ import annotations
@@ -18,23 +18,26 @@
 from onyxwick.net.socket_state import unread_bytes, wait_readable
 
 MAX_CONCURRENT_CONNECTIONS = 4
-"""With more the oldest one is stopped."""
+"""The oldest connection is stopped before this number is exceeded."""
 CONNECT_LIMIT_S = 0.8
-"""After so long another connection is tried beside one that is not established."""
+"""If the newest connection is not established within this time, another one is started in parallel."""
 SILENCE_LIMIT_S = 2.2
-"""After so long without a byte on an established one another is tried: a line is sent each second."""
+"""If nothing is received this long after the start of an established connection, another one is started.
+
+This is also the limit for silence on the connection in use. The feed sends a line each second.
+"""
 CHECK_INTERVAL_S = 0.05
-"""Between two checks whether another connection is due."""
+"""Interval between two checks whether to start another connection."""
 
 
 class PendingConnection:
-    """One connection until its first byte is received."""
+    """One connection, from connecting until its first byte is received."""
 
     def __init__(self, address: Address, greeting: Callable[[], bytes]) -> None:
         self.address = address
         self.greeting = greeting
-        self.began_s = time.monotonic()
-        self.is_up = False
+        self.started_s = time.monotonic()
+        self.is_established = False
         self.received = False
         self.sock: socket.socket | None = None
         self.task = asyncio.get_running_loop().create_task(self._run())
@@ -47,30 +50,32 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         await loop.sock_connect(sock, self.address)
         await loop.sock_sendall(sock, self.greeting())
-        self.is_up = True
+        self.is_established = True
         await wait_readable(loop, sock)
         self.received = True
 
     async def stop(self, winner: socket.socket | None) -> None:
-        """Stop it; its socket is closed unless it is the winner's."""
+        """Stop the attempt and close its socket, unless that is the winner's."""
         self.task.cancel()
         await asyncio.gather(self.task, return_exceptions=True)
         if self.sock is not None and self.sock is not winner:
             self.sock.close()
 
     def is_slow(self, now_s: float) -> bool:
-        """Whether another connection is to be tried beside it."""
-        return now_s - self.began_s > (SILENCE_LIMIT_S if self.is_up else CONNECT_LIMIT_S)
+        """Return whether another connection should be started in parallel."""
+        return now_s - self.started_s > (SILENCE_LIMIT_S if self.is_established else CONNECT_LIMIT_S)
 
     def has_received(self) -> bool:
-        """Whether it has received bytes, read or not."""
-        return self.received or (self.is_up and self.sock is not None and unread_bytes(self.sock) > 0)
+        """Return whether bytes have been received, even if they are still unread."""
+        return self.received or (
+            self.is_established and self.sock is not None and unread_bytes(self.sock) > 0
+        )
 
 
 class FeedRace:
-    """Connections to one address, of which the first that receives bytes wins.
+    """Races connections to one address; the first connection that receives bytes wins.
 
-    `greeting`: the bytes written on each connection once it is established.
+    `greeting` returns the bytes that are written on each connection once it is established.
     """
 
     def __init__(self, address: Address, greeting: Callable[[], bytes]) -> None:
@@ -81,14 +86,14 @@
         self.winner: socket.socket | None = None
 
     async def run(self) -> socket.socket:
-        """The winner's socket; OSError where the last connection failed and none is under way."""
+        """Return the winner's socket. Raises OSError if the last connection failed and none is pending."""
         try:
             while (winner := self.first_readable()) is None:
                 await self._drop_failed()
                 await self._start_another()
                 tasks = {attempt.task for attempt in self.attempts}
                 await asyncio.wait(tasks, timeout=CHECK_INTERVAL_S, return_when=asyncio.FIRST_COMPLETED)
-        except BaseException:  # cancelled or failed: nobody would read from a winner
+        except BaseException:  # cancelled or failed: a winner would have no reader
             await self._stop_all(None)
             raise
         await self._stop_all(winner)
@@ -99,13 +104,13 @@
             await attempt.stop(winner)
 
     def first_readable(self) -> socket.socket | None:
-        """The socket that has received bytes, which is the winner from then on; None if there is none yet."""
+        """Return the winner's socket: the first found to have received bytes. None if there is none yet."""
         if self.winner is None:
             self.winner = next((attempt.sock for attempt in self.attempts if attempt.has_received()), None)
         return self.winner
 
     async def _drop_failed(self) -> None:
-        """Forget connections that have ended; raises the last one's error where none is left."""
+        """Remove failed connections. Raises the error of the last one if no connection remains."""
         for attempt in [attempt for attempt in self.attempts if attempt.task.done()]:
             self.attempts.remove(attempt)
             await attempt.stop(None)
--- a/onyxwick/net/feed_wire.py
+++ b/onyxwick/net/feed_wire.py
@@ -1,7 +1,7 @@
-"""The coordinator's events as its wire writes them: the endpoint list and purges. Free of I/O.
+"""Decodes the coordinator's events: changes of the endpoint list and purges. Performs no I/O.
 
-This is the one place where the names of that wire become terms of the code. Input is parsed JSON; times in
-the code are microseconds, on the wire milliseconds.
+Only this module translates the names of that protocol to the terms of the code. Events are parsed JSON. Times
+are microseconds in the code and milliseconds on the wire.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 PURGE = "evict"
 CONFIGURED_EVENTS = "updates"
 
-# Of a change of the endpoint list
+# Fields of a change of the endpoint list
 ROWS = "servers"
 IS_SNAPSHOT = "full"
 LIST_VERSION = "version"
 
-# Of one row
+# Fields of one row of the endpoint list
 NAME = "id"
 ADDRESS = "addr"
 ZONE = "zone"
@@ -40,21 +40,21 @@
     "DELETED": MemberState.REMOVED,
 }
 
-# Of a purge
+# Fields of a purge
 PURGED_OBJECT = "ref"
 PURGED_GROUP = "shard"
 PURGED_AT_MS = "unix_ms"
 
 NO_GROUP = -1
-"""Of a purge that names an object."""
+"""Group number of a purge that names an object."""
 US_PER_MS = 1000
 QUOTED_ROW_CHARACTERS = 64
-MALFORMED = (KeyError, ValueError, TypeError, AttributeError)
-"""What the readers here raise for an event of another form."""
+MALFORMED_EVENT_ERRORS = (KeyError, ValueError, TypeError, AttributeError)
+"""Errors that the functions of this module raise for an event that is not in the expected form."""
 
 
 class ListUpdate(NamedTuple):
-    """A change of the endpoint list, with the addresses of all rows that are not removed."""
+    """A change of the endpoint list, with the addresses of all members in it that are not removed."""
 
     change: EndpointsChanged
     addresses: dict[str, Address]
@@ -62,17 +62,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Purge:
-    """Objects to be purged: one by name, or all of a group where `name` is None."""
+    """The objects to purge: one object by name, or all objects of a group if `name` is None."""
 
     group: int
     name: str | None
     made_at_us: int
-    """By the steady clock of this machine."""
+    """When the purge was made, by the steady clock of this machine."""
 
 
 @dataclass(frozen=True, slots=True)
 class FeedChanges:
-    """What one event changes."""
+    """The changes that one event contains; None for a kind that it does not contain."""
 
     endpoints: ListUpdate | None
     purge: Purge | None
@@ -81,7 +81,10 @@
 def read_changes(
     event: dict[str, Any], stamps: FeedTimestamps, now_us: int, report_bad_row: Callable[[str], None]
 ) -> FeedChanges:
-    """What an event asks for; one of `MALFORMED` where it cannot be read. `now_us`: steady clock."""
+    """Decode the changes in an event. Raises one of `MALFORMED_EVENT_ERRORS` if that fails.
+
+    `now_us` is a time of the steady clock.
+    """
     endpoints = None
     purge = None
     if ENDPOINTS in event:
@@ -104,10 +107,10 @@
 def read_members(
     document: dict[str, Any], stamps: FeedTimestamps, now_us: int, report_bad_row: Callable[[str], None]
 ) -> ListUpdate:
-    """A change of the endpoint list, or the complete list. `now_us`: steady clock.
+    """Decode a change of the endpoint list, or the complete list. `now_us` is a time of the steady clock.
 
-    A row that cannot be read is reported and left out; KeyError, TypeError or ValueError where the document
-    itself cannot be read.
+    A row that cannot be decoded is reported and left out. Raises KeyError, TypeError or ValueError if the
+    document itself cannot be decoded.
     """
     members = list[Member]()
     addresses = dict[str, Address]()
@@ -115,7 +118,7 @@
         try:
             member = _read_member(row, stamps, now_us)
             address = None if member.state is MemberState.REMOVED else read_address(row[ADDRESS])
-        except MALFORMED as error:
+        except MALFORMED_EVENT_ERRORS as error:
             report_bad_row(f"row {str(row)[:QUOTED_ROW_CHARACTERS]}: {error!r}")
             continue
         members.append(member)
@@ -144,13 +147,13 @@
 
 
 def newest_stamp_us(events: Iterable[object], latest_us: int) -> int:
-    """The newest time stamp in events, in microseconds of the feed's clock; 0 where there is none.
+    """Return the newest timestamp in the events, in microseconds of the feed's clock; 0 if there is none.
 
-    Stamps after `latest_us` are no time of a clock that was merely stepped, and are ignored.
+    Timestamps after `latest_us` are ignored, as a clock that was merely stepped would not show them.
     """
     newest_us = 0
     for event in events:
-        with contextlib.suppress(*MALFORMED):  # reported where the event is applied
+        with contextlib.suppress(*MALFORMED_EVENT_ERRORS):  # reported when the event is applied
             stamps_us = (stamp_ms * US_PER_MS for stamp_ms in _stamps_ms(event))
             newest_us = max(newest_us, *(at_us for at_us in stamps_us if at_us <= latest_us), 0)
     return newest_us
--- a/tests/test_coordinator_feed.py
+++ b/tests/test_coordinator_feed.py
@@ -1,4 +1,4 @@
-"""The coordinator's feed: slow and broken lines, events that fail, stalls of the process, reconnects."""
+"""The coordinator's feed: slow and incomplete lines, events that fail, process stalls, and reconnects."""
 
 from __future__ import annotations
 
@@ -53,7 +53,8 @@
         ground.tasks.append(asyncio.get_running_loop().create_task(subscription.follow()))
         conn = await ground.accepted(feed)
         await ground.read(conn, b"follow 0\n")
-        for at in range(0, len(line), 2000):  # well over the silence allowed, never silent for so long
+        # The line takes longer than the silence limit in total, but no pause is that long.
+        for at in range(0, len(line), 2000):
             await asyncio.get_running_loop().sock_sendall(conn, line[at : at + 2000])
             await asyncio.sleep(0.05)
         await ground.until(lambda: "c199" in ground.members.listed)
@@ -73,7 +74,7 @@
             nonlocal failures_left
             if name == "a" * 16 and failures_left:
                 failures_left -= 1
-                raise KeyError("an error of our own")
+                raise KeyError("injected error")
             applied.append(name)
 
         monkeypatch.setattr(ground.core.feed, "apply_purge", purged)
@@ -115,7 +116,7 @@
 async def _stall_process(
     ground: Ground, stop_s: float, events: bytes
 ) -> tuple[CoordinatorFeed, socket.socket]:
-    """Stall the process while a call and events arrive; its feed and its idle connection to the cache."""
+    """Stall the process while a call and events arrive. Returns the feed and the idle cache connection."""
     cache, loop = ground.cache("c0"), asyncio.get_running_loop()
     ground.script.arrived = lambda request: ask(request, "c0")
     feed = listen(("127.0.0.1", 0))
@@ -137,8 +138,10 @@
 
 @pytest.mark.parametrize("stop_s", [0.7, 2.6])
 def test_after_a_stall_nothing_is_sent_to_a_cache_that_was_drained_meanwhile(stop_s: float) -> None:
-    """The drain is in the feed's socket behind many events; the stall exceeds a drain's grace period and the
-    feed's silence limit."""
+    """The drain event is queued in the feed's socket behind many other events.
+
+    The stall exceeds the grace period of a drain and, in the second case, the feed's silence limit.
+    """
 
     async def play(ground: Ground) -> None:
         row = {"id": "c0", "addr": "127.0.0.1:1", "zone": "edge-1", "kind": "box", "state": "DRAINING"}
@@ -183,12 +186,13 @@
             ground.opened.append(feed)
         subscription = CoordinatorFeed(ground.core, ground.counters)
         subscription.set_address(old.getsockname())
-        subscription.on_line = lambda: subscription.set_address(new.getsockname())  # while a line is taken in
+        # The address changes while a line is being handled.
+        subscription.on_line = lambda: subscription.set_address(new.getsockname())
         ground.tasks.append(asyncio.get_running_loop().create_task(subscription.follow()))
         conn = await ground.accepted(old)
         await ground.read(conn, b"follow 0\n")
-        while True:  # lines go on coming, faster than the silence allowed
-            with contextlib.suppress(OSError):  # it has been left already
+        while True:  # lines keep arriving at intervals below the silence limit
+            with contextlib.suppress(OSError):  # the feed has already closed this connection
                 await asyncio.get_running_loop().sock_sendall(conn, b"0\n")
             try:
                 moved, _ = new.accept()
@@ -213,5 +217,5 @@
         return [[feed.backoff.next_delay_us(FIRST_RETRY_US) for _ in range(8)] for feed in feeds]
 
     one, two = asyncio.run(play())
-    assert one != two  # two directors that lost the feed together do not call again together
+    assert one != two  # directors that lost the feed at the same time do not reconnect at the same time
     assert all(row[0] <= FIRST_RETRY_US and max(row) <= MAX_RETRY_US for row in (one, two))
--- a/tests/test_feed_race.py
+++ b/tests/test_feed_race.py
@@ -25,7 +25,7 @@
 
 
 class StubFeed:
-    """A listener that accepts connections; the tests send on them."""
+    """A listener whose accepted connections the tests write to."""
 
     def __init__(self) -> None:
         self.sock = socket.create_server(("127.0.0.1", 0))
@@ -60,7 +60,7 @@
         with await race as winner:
             assert winner.getpeername() == feed.sock.getsockname()
             assert winner.getsockname() == slow.getpeername()
-            assert winner.recv(64) == b"7\n"  # nothing of it has been read
+            assert winner.recv(64) == b"7\n"  # the race has not read any of the bytes
         assert await _is_closed(other)
         feed.close()
 
@@ -70,11 +70,11 @@
 def test_silent_connections_cost_one_wait_each_and_are_bounded() -> None:
     async def play() -> None:
         feed, loop = StubFeed(), asyncio.get_running_loop()
-        begun_s = time.monotonic()
+        started_s = time.monotonic()
         race = loop.create_task(feed.race.run())
         silent = [await feed.accepted() for _ in range(feed_race.MAX_CONCURRENT_CONNECTIONS)]
         last = await feed.accepted()
-        assert time.monotonic() - begun_s < (feed_race.MAX_CONCURRENT_CONNECTIONS + 1.5) * SILENCE_S
+        assert time.monotonic() - started_s < (feed_race.MAX_CONCURRENT_CONNECTIONS + 1.5) * SILENCE_S
         assert await _is_closed(silent[0])  # the oldest was stopped
         assert len(feed.race.attempts) <= feed_race.MAX_CONCURRENT_CONNECTIONS
         await loop.sock_sendall(last, b"7\n")
@@ -95,19 +95,19 @@
         feed, loop = StubFeed(), asyncio.get_running_loop()
         race = loop.create_task(feed.race.run())
         silent = await feed.accepted()
-        feed.sock.close()  # refused from now on
+        feed.sock.close()  # connects are refused from now on
         await asyncio.sleep(3 * SILENCE_S)
         await loop.sock_sendall(silent, b"7\n")
         (await race).close()
         feed.close()
 
-    class Counted(PendingConnection):
+    class CountingConnection(PendingConnection):
         def __init__(self, *arguments: Any) -> None:
             nonlocal started
             started += 1
             super().__init__(*arguments)
 
-    monkeypatch.setattr(feed_race, "PendingConnection", Counted)
+    monkeypatch.setattr(feed_race, "PendingConnection", CountingConnection)
     uvloop.run(asyncio.wait_for(play(), 40 * SILENCE_S))
     assert 2 <= started <= 7
 
@@ -128,7 +128,7 @@
         race = loop.create_task(feed.race.run())
         first, second = await feed.accepted(), await feed.accepted()
         second.send(b"7\n")
-        time.sleep(0.01)  # the race has not checked yet
+        time.sleep(0.01)  # the race has not run its next check yet
         chosen = feed.race.first_readable()
         assert chosen is not None and chosen.recv(64) == b"7\n"
         first.send(b"7\n")
