--- a/onyxwick/net/coordinator_feed.py
+++ b/onyxwick/net/coordinator_feed.py
@@ -52,7 +52,7 @@
 MAX_LINE_BYTES = 4_194_304
 QUOTED_LINE_BYTES = 64
 LINE_HANDLING_LIMIT_S = 0.005
-"""Time for handling lines in one turn of the event loop; a longer list has a turn to itself."""
+"""Time for handling lines in one turn of the event loop. A long list in one line may exceed it."""
 CATCH_UP_LIMIT_S = 0.25
 """Time limit for handling the lines that arrived while the process stalled."""
 MAX_CLOCK_STEP_US = 86_400_000_000
--- a/onyxwick/net/director_feed.py
+++ b/onyxwick/net/director_feed.py
@@ -1,6 +1,7 @@
-"""Applies the distribution feed in a director: endpoint lists and purges to its core, documents to consumers.
+"""Applies the distribution feed in a director.
 
-The sink of a director's `Subscription`. A purge that arrives both by itself and in a snapshot is applied
+Endpoint lists and purges are applied to the core, and documents are passed to their consumers. `DirectorFeed`
+is the sink of a director's `Subscription`. A purge that arrives both as an event and in a snapshot is applied
 once.
 """
 
@@ -29,12 +30,12 @@
 
 log = logs.get()
 ApplyDocument = Callable[[str], None]
-"""Takes a document's text; ValueError where it cannot be used: the previous version then stays in force."""
-UNREADABLE = (KeyError, ValueError, TypeError)
+"""Applies a document's text. Raises ValueError if it is unusable: the previous version stays in force."""
+MALFORMED_PAYLOAD_ERRORS = (KeyError, ValueError, TypeError)
 
 
 class DirectorFeed:
-    """The state that a director takes from the feed. `documents`: the consumer of each document, by name."""
+    """Applies feed events in a director. `documents` maps a document's name to its consumer."""
 
     def __init__(
         self, core: RequestEngine, counters: Counters, documents: Mapping[str, ApplyDocument] | None = None
@@ -44,36 +45,39 @@
         self.documents = dict(documents or {})
         self.purges = PurgeTable()
         self.stamps = FeedTimestamps()
-        self.versions: dict[str, tuple[int, str]] = {}  # of each complete document: version and digest
+        self.versions: dict[str, tuple[int, str]] = {}  # version and digest of each complete document
         self.cursor = Cursor(0, 0)
         self._assembler = DocumentAssembler()
 
     def deliver(self, event: FeedEvent, from_snapshot: bool) -> None:
-        """Apply one event; one that cannot be used is counted and logged, and the feed goes on."""
+        """Apply one event. An invalid event is counted, logged and skipped."""
         self.purges.expire(self.core.now() // US_PER_MS)
         try:
             self._apply(event.payload)
-        except UNREADABLE as error:
+        except MALFORMED_PAYLOAD_ERRORS as error:
             self.counters.add("bad.distribution")
             log.warning("invalid feed event", index=event.cursor.packed, detail=repr(error))
         if not from_snapshot:
             self._advance_cursor(event.cursor)
 
     def install(self, snapshot: FeedSnapshot) -> None:
-        """Apply a complete state; its purges have been delivered before."""
+        """Apply a complete state, except for its purges, which were delivered before."""
         self._assembler = DocumentAssembler()
         for payload in snapshot.payloads:
             if isinstance(payload, PurgeEvent):
                 continue
             try:
                 self._apply(payload)
-            except UNREADABLE as error:
+            except MALFORMED_PAYLOAD_ERRORS as error:
                 self.counters.add("bad.distribution")
                 log.warning("invalid snapshot part", detail=repr(error))
         self._advance_cursor(snapshot.cursor)
 
     def refresh(self, freshness: Freshness) -> None:
-        """The publisher was reached: if nothing is outstanding, later events happened after this."""
+        """Record that the publisher was reached.
+
+        If no event is outstanding, all later events were made after this moment.
+        """
         if freshness.cursor <= self.cursor:
             self.stamps.mark_caught_up(self.core.now())
 
--- a/onyxwick/net/distribution_node.py
+++ b/onyxwick/net/distribution_node.py
@@ -1,4 +1,4 @@
-"""The process of one node of the distribution tree: a publisher or a relay, with its signals."""
+"""The process of one node of the distribution tree (a publisher or a relay), with its signal handlers."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 async def run(config: NodeConfig) -> None:
     """Run one node until SIGTERM or SIGINT.
 
-    SIGUSR1 prints its status, as does the end; SIGHUP reads documents again. StoreError, ConfigError and
-    OSError where it cannot serve.
+    The node prints its status on SIGUSR1 and when it ends, and reads its documents again on SIGHUP. Raises
+    StoreError, ConfigError or OSError if it cannot serve.
     """
     node = PublisherNode(config) if config.role is Role.PUBLISHER else RelayNode(config)
     loop = asyncio.get_running_loop()
@@ -28,8 +28,8 @@
     def print_status() -> None:
         print(ujson.dumps(node.status(), escape_forward_slashes=False), flush=True)
 
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopping.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stopping.set)
     loop.add_signal_handler(signal.SIGUSR1, print_status)
     loop.add_signal_handler(signal.SIGHUP, node.reload)
     serving = loop.create_task(node.run())
--- a/onyxwick/net/fanout_server.py
+++ b/onyxwick/net/fanout_server.py
@@ -1,6 +1,6 @@
-"""Serves the subscribers of a distribution node over TCP: one protocol object for each.
+"""Serves the subscribers of a distribution node over TCP, with one protocol object per connection.
 
-What is sent and when is decided by `FanOut`; this module reads requests and writes while sockets accept
+`FanOut` decides which bytes are sent and when. This module reads requests and writes while sockets accept
 bytes.
 """
 
@@ -22,14 +22,14 @@
 ACCEPT_BACKLOG = 1024
 MAX_REQUEST_BYTES = 64
 ADMISSION_SLACK_S = 0.001
-"""Added to the wait until a subscriber is admitted, so that the timer is not early."""
+"""Added to the wait until a subscriber is admitted, so that the timer does not fire early."""
 US_PER_S = 1e6
-WATCH_INTERVAL_S = 0.05
-"""Between two checks for due heartbeats and stalled subscribers."""
+SUBSCRIBER_CHECK_INTERVAL_S = 0.05
+"""Interval between two checks for due heartbeats and stalled subscribers."""
 
 
 class _SubscriberConnection(asyncio.Protocol):
-    """One subscriber's connection: reads `follow N`, then writes whenever the socket accepts bytes."""
+    """One subscriber's connection. Reads `follow N`, then writes whenever the socket accepts bytes."""
 
     def __init__(self, server: FanOutServer) -> None:
         self.server = server
@@ -39,8 +39,8 @@
         self._paused = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Admit the subscriber, or close where the width is exhausted."""
-        self.transport = cast("asyncio.Transport", transport)  # uvloop's own does not inherit from it
+        """Register the subscriber, or close the connection if the node has its maximum of subscribers."""
+        self.transport = cast("asyncio.Transport", transport)  # uvloop's transport does not inherit from it
         self.transport.set_write_buffer_limits(high=self.server.fanout.limits.high_water_bytes)
         self.subscriber = self.server.fanout.on_connected(self.server.clock())
         if self.subscriber is None:
@@ -49,9 +49,9 @@
             self.server.connections.add(self)
 
     def data_received(self, data: bytes) -> None:
-        """Collect the request line; what follows it is ignored."""
+        """Collect the request line. Bytes after it are ignored."""
         if self._request is None:
-            return  # a follower sends nothing after its request; what it sends is ignored
+            return  # a follower sends nothing after its request; other bytes are ignored
         self._request += data
         end = self._request.find(b"\n")
         if end < 0 and len(self._request) <= MAX_REQUEST_BYTES:
@@ -80,11 +80,11 @@
         asyncio.get_running_loop().call_later(delay_s, self.flush)
 
     def unsent_bytes(self) -> int:
-        """Bytes that the socket has not accepted yet."""
+        """Return the number of bytes that the socket has not accepted yet."""
         return 0 if self.transport is None else self.transport.get_write_buffer_size()
 
     def flush(self) -> None:
-        """Write what the subscriber lacks, as far as the write buffer's bound allows."""
+        """Write the events that the subscriber lacks, up to the limit of the write buffer."""
         server = self.server
         transport = self.transport
         subscriber = self.subscriber
@@ -100,16 +100,16 @@
             transport.write(data)
 
     def pause_writing(self) -> None:
-        """The write buffer is full."""
+        """Stop writing, as the write buffer is full."""
         self._paused = True
 
     def resume_writing(self) -> None:
-        """The write buffer has drained."""
+        """Continue writing, as the write buffer has drained."""
         self._paused = False
         self.flush()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Forget the subscriber."""
+        """Remove the connection and its subscriber."""
         self.server.connections.discard(self)
         if self.subscriber is not None:
             self.server.fanout.on_closed(self.subscriber)
@@ -130,20 +130,21 @@
         self._flush_scheduled = False
 
     async def run(self) -> None:
-        """Serve until cancelled; OSError where the address cannot be listened on."""
+        """Serve until cancelled. Raises OSError if the server cannot listen on the address."""
         loop = asyncio.get_running_loop()
         server = await loop.create_server(
             lambda: _SubscriberConnection(self), *self.address, backlog=ACCEPT_BACKLOG, reuse_address=True
         )
         async with server:
             while True:
-                await asyncio.sleep(WATCH_INTERVAL_S)
-                self._watch()
+                await asyncio.sleep(SUBSCRIBER_CHECK_INTERVAL_S)
+                self._check_subscribers()
 
     def on_published(self) -> None:
-        """The replica has changed: in the next turn of the event loop all subscribers get what is new.
+        """Schedule sending new events to all subscribers in the next turn of the event loop.
 
-        Events that arrive in one turn are sent in one write for each subscriber.
+        Called when the replica has changed. Events that arrive in one turn are sent to each subscriber in one
+        write.
         """
         if not self._flush_scheduled:
             self._flush_scheduled = True
@@ -154,7 +155,7 @@
         for connection in list(self.connections):
             connection.flush()
 
-    def _watch(self) -> None:
+    def _check_subscribers(self) -> None:
         """Send due heartbeats, and disconnect subscribers that have expired."""
         now_us = self.clock()
         line = self.fanout.heartbeat(now_us)
--- a/onyxwick/net/node_status.py
+++ b/onyxwick/net/node_status.py
@@ -15,7 +15,7 @@
 def node_status(
     config: NodeConfig, replica: Replica, fanout: FanOut, server: FanOutServer, counters: Counters
 ) -> dict[str, Any]:
-    """What publisher and relay have in common, as a JSON object with the keys that pages name."""
+    """Return the status that publisher and relay have in common, as a JSON object with documented keys."""
     return {
         "name": config.name,
         "role": config.role.value,
--- a/onyxwick/net/publisher_node.py
+++ b/onyxwick/net/publisher_node.py
@@ -41,16 +41,16 @@
 
 log = logs.get()
 FRESHNESS_INTERVAL_S = 0.4
-"""How often the publisher announces that it is reached; passed on with the heartbeats."""
+"""Interval of the publisher's freshness notices, which are forwarded with the heartbeats."""
 STORE_NAME = b"onyxwick-feed\0\0\0"
-"""Identifies the store's files as a feed's: a store of something else is rejected."""
+"""Identifies the store's files as those of a feed. A store with another name is rejected."""
 MIN_FLUSH_DELAY_S = 0.001
 US_PER_MS = 1000
 US_PER_S = 1e6
 
 
 class PublisherNode:
-    """The publisher; the sink of its own subscription to a coordinator, if it has one."""
+    """The publisher, which is also the sink of its subscription to a coordinator, if it has one."""
 
     def __init__(self, config: NodeConfig) -> None:
         self.config = config
@@ -65,12 +65,13 @@
         self.publisher = Publisher(self.replica, steady_us(), bulk_limits)
         self.subscription = self._subscribe(upstream)
         self._assembler = DocumentAssembler()
-        self._saved_upstream = upstream  # what is read behind it while documents are queued is read again
+        # Not advanced while documents are queued: events after it are read again.
+        self._saved_upstream = upstream
         self._flush_timer: asyncio.TimerHandle | asyncio.Handle | None = None
         self._store_failure: asyncio.Future[None]
 
     def _open_store(self) -> Cursor:
-        """Load what is durable; the coordinator's cursor up to which it was read."""
+        """Load the durable state, and return the coordinator's cursor up to which it was read."""
         now_s = int(time.time())
         if self.config.store is None:
             self.replica.log.restart(Cursor(now_s, 0))
@@ -90,7 +91,7 @@
     # ---- input -------------------------------------------------------------------------------------------
 
     def deliver(self, event: FeedEvent, from_snapshot: bool) -> None:
-        """Queue an event of the coordinator; rejected ones are counted and logged."""
+        """Queue an event of the coordinator. A rejected event is counted and logged."""
         try:
             if isinstance(event.payload, DocumentPart):
                 self._add_document_part(event.payload)
@@ -109,16 +110,19 @@
             self.publisher.submit_document(document.name, document.text)
 
     def install(self, snapshot: FeedSnapshot) -> None:
-        """Publish the state of a coordinator that is a node of another tree; its purges were delivered."""
+        """Publish the state of a coordinator that is a node of another tree.
+
+        The purges of the state were delivered before.
+        """
         for payload in snapshot.payloads:
             if not isinstance(payload, PurgeEvent):
                 self.deliver(FeedEvent(snapshot.cursor, payload, b""), from_snapshot=True)
 
     def refresh(self, freshness: Freshness) -> None:
-        """A plain coordinator sends none."""
+        """Do nothing: a plain coordinator sends no freshness."""
 
     def publish_files(self, documents: tuple[DocumentFile, ...]) -> None:
-        """Publish each document whose file has changed; ConfigError names one that cannot be read."""
+        """Publish each document whose file has changed. Raises ConfigError for an unusable one."""
         texts = [(row.name, _read_document(row)) for row in documents]
         for name, text in texts:
             try:
@@ -129,7 +133,7 @@
         self._schedule(0.0)
 
     def reload(self) -> None:
-        """SIGHUP: read the documents' files again; a bad one changes nothing."""
+        """Handle SIGHUP: read the documents' files again. If a file is invalid, no document changes."""
         try:
             self.publish_files(self.config.documents)
         except ConfigError as error:
@@ -139,7 +143,10 @@
     # ---- output ------------------------------------------------------------------------------------------
 
     def _schedule(self, delay_s: float) -> None:
-        """Publish what is queued after a delay; 0: what is queued in this turn, in one transaction."""
+        """Publish the queued events after a delay.
+
+        Without a delay, all events queued in this turn of the event loop are published in one transaction.
+        """
         if self._flush_timer is not None:
             if delay_s > 0:
                 return
@@ -167,9 +174,10 @@
             self._schedule(max(MIN_FLUSH_DELAY_S, wait_us / US_PER_S))
 
     def _persist(self, events: list[FeedEvent], now_us: int) -> bool:
-        """Make events durable before they are published; False: the disk failed, and this process ends.
+        """Make events durable before they are published. Returns False if the disk failed.
 
-        The next process reads them from the coordinator again, as its cursor was not saved either.
+        The process then ends. The next one reads the events from the coordinator again, as the coordinator's
+        cursor was not saved either.
         """
         if self.durable is None:
             return True
@@ -182,13 +190,13 @@
         return True
 
     async def run(self) -> None:
-        """Serve until cancelled; StoreError where the disk fails, ConfigError for a bad document."""
+        """Serve until cancelled. Raises StoreError if the disk fails, ConfigError for an invalid document."""
         self._store_failure = asyncio.get_running_loop().create_future()
         self.publish_files(self.config.documents)
-        work = [self.server.run(), self._announce_freshness(), self._wait_for_store_failure()]
+        coroutines = [self.server.run(), self._announce_freshness(), self._wait_for_store_failure()]
         if self.subscription is not None:
-            work.append(self.subscription.run())
-        await asyncio.gather(*work)
+            coroutines.append(self.subscription.run())
+        await asyncio.gather(*coroutines)
 
     async def _wait_for_store_failure(self) -> None:
         await self._store_failure
@@ -208,7 +216,7 @@
             self.durable.engine.close()
 
     def status(self) -> dict[str, Any]:
-        """The status as a JSON object."""
+        """Return the status as a JSON object."""
         status = node_status(self.config, self.replica, self.fanout, self.server, self.counters)
         return {**status, "queued": len(self.publisher.urgent_queue) + len(self.publisher.document_queue)}
 
@@ -218,7 +226,7 @@
     try:
         data = row.file.read_bytes()
         if len(data) > MAX_DOCUMENT_BYTES:
-            raise ConfigError(f"{where} has {len(data)} bytes, {MAX_DOCUMENT_BYTES} at most")
+            raise ConfigError(f"{where} has {len(data)} bytes, limited to {MAX_DOCUMENT_BYTES} bytes")
         return data.decode()
     except (OSError, UnicodeDecodeError) as error:
         raise ConfigError(f"{where}: {error}") from None
--- a/onyxwick/net/relay_node.py
+++ b/onyxwick/net/relay_node.py
@@ -1,4 +1,4 @@
-"""A relay of the distribution tree: follows its parents and passes everything on to its subscribers."""
+"""A relay of the distribution tree, which follows its parents and forwards all events to its subscribers."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class RelayNode:
-    """One relay; the sink of its own subscription."""
+    """One relay, which is also the sink of its subscription."""
 
     def __init__(self, config: NodeConfig) -> None:
         self.config = config
@@ -38,34 +38,34 @@
         self.subscription = Subscription(follower, config.parents, self, self.counters)
 
     def deliver(self, event: FeedEvent, from_snapshot: bool) -> None:
-        """Apply one event and pass it on; purges of a snapshot are passed on once it is complete."""
+        """Apply one event and forward it. Purges of a snapshot are forwarded once it is complete."""
         if from_snapshot:
             return
         self.replica.apply(event, steady_us() // US_PER_MS)
         self.server.on_published()
 
     def install(self, snapshot: FeedSnapshot) -> None:
-        """Install a complete state; subscribers with earlier cursors receive it as a snapshot too."""
+        """Install a complete state. Subscribers with earlier cursors also receive it as a snapshot."""
         self.replica.install(snapshot)
         self.server.on_published()
 
     def refresh(self, freshness: Freshness) -> None:
-        """Pass on that the publisher was reached."""
+        """Forward the notice that the publisher was reached."""
         self.fanout.on_freshness(freshness)
 
     async def run(self) -> None:
-        """Serve until cancelled; OSError where the address cannot be listened on."""
+        """Serve until cancelled. Raises OSError if the server cannot listen on the address."""
         await asyncio.gather(self.server.run(), self.subscription.run())
 
     def reload(self) -> None:
-        """SIGHUP: a relay has nothing to reload."""
+        """Handle SIGHUP. A relay has nothing to reload."""
         log.info("reload ignored, a relay reads no documents")
 
     def close(self) -> None:
-        """Nothing to close beside the sockets."""
+        """Do nothing: a relay has nothing to close besides its sockets."""
 
     def status(self) -> dict[str, Any]:
-        """The status as a JSON object."""
+        """Return the status as a JSON object."""
         follower = self.subscription.follower
         age_us = follower.staleness_us(steady_us())
         return {
--- a/onyxwick/net/subscription.py
+++ b/onyxwick/net/subscription.py
@@ -1,6 +1,7 @@
-"""Connects a follower of the distribution feed over TCP: sockets on one side, its state machine on the other.
+"""Connects a follower of the distribution feed to its parents over TCP.
 
-The follower decides; this module carries out its actions and reports lines and lost connections to it.
+The follower is a state machine that decides. This module performs its actions on sockets, and reports
+received lines and lost connections to it.
 """
 
 from __future__ import annotations
@@ -35,23 +36,23 @@
 
 
 class FeedSink(Protocol):
-    """The consumer of what a follower delivers, in order."""
+    """Consumes the events, snapshots and freshness that a follower delivers in order."""
 
     def deliver(self, event: FeedEvent, from_snapshot: bool) -> None:
-        """Take one event, or a purge of a snapshot that is still being loaded."""
+        """Apply one event, or a purge of a snapshot that is still being loaded."""
         ...
 
     def install(self, snapshot: FeedSnapshot) -> None:
-        """Take a complete state, in place of all that was delivered before."""
+        """Install a complete state, which replaces everything that was delivered before."""
         ...
 
     def refresh(self, freshness: Freshness) -> None:
-        """Note that the publisher was reached."""
+        """Record that the publisher was reached."""
         ...
 
 
 class ReconnectDelays:
-    """The waits between a follower's connections: exponential backoff with full jitter."""
+    """The waits between a follower's connection attempts: exponential backoff with full jitter."""
 
     def __init__(self, seed: int, now_us: int) -> None:
         self._backoff = ReconnectBackoff(
@@ -59,29 +60,29 @@
         )
 
     def next_delay_us(self) -> int:
-        """The wait before the next attempt, in microseconds."""
+        """Return the wait before the next attempt, in microseconds."""
         return self._backoff.next_delay_us(FIRST_RETRY_US)
 
     def reset(self) -> None:
-        """A connection has worked: the next wait is the first one again."""
+        """Start again at the first wait, after a successful connection."""
         self._backoff.reset()
 
 
-class _Connection(asyncio.Protocol):
-    """One connection to a parent; splits what is received into complete lines."""
+class _ParentConnection(asyncio.Protocol):
+    """One connection to a parent, which splits the received bytes into complete lines."""
 
     def __init__(self, owner: Subscription) -> None:
         self.owner = owner
         self.transport: asyncio.Transport | None = None
         self._partial_line = bytearray()
-        self._oversized = b""  # the beginning of a line that is too long, while its rest is skipped
+        self._oversized = b""  # the beginning of an oversized line while its rest is skipped
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport; the follower writes its request."""
-        self.transport = cast("asyncio.Transport", transport)  # uvloop's own does not inherit from it
+        """Store the transport. The follower sends the request."""
+        self.transport = cast("asyncio.Transport", transport)  # uvloop's transport does not inherit from it
 
     def data_received(self, data: bytes) -> None:
-        """Pass complete lines on and keep the rest."""
+        """Report complete lines to the owner, and buffer a partial one."""
         self._partial_line += data
         end = self._partial_line.rfind(b"\n")
         if end < 0:
@@ -95,7 +96,7 @@
         self.owner.on_lines(self, lines)
 
     def _limit_partial_line(self) -> None:
-        """Of a line that is too long, keep only the beginning."""
+        """Keep only the beginning of a line that is too long."""
         if self._oversized:
             self._partial_line.clear()
         elif len(self._partial_line) > MAX_LINE_BYTES:
@@ -103,12 +104,12 @@
             self._partial_line.clear()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Report the end of the connection."""
+        """Report the end of the connection to the owner."""
         self.owner.on_connection_failed(self, repr(exc) if exc is not None else "closed by the parent")
 
 
 class Subscription:
-    """Keeps one follower connected until cancelled. `on_line` is called for received lines."""
+    """Keeps one follower connected until cancelled. `on_line` is called after lines were received."""
 
     def __init__(
         self,
@@ -124,12 +125,12 @@
         self.counters = counters
         self.clock = clock  # steady microseconds
         self.on_line: Callable[[], None] | None = None
-        self._connection: _Connection | None = None
-        self._opening: asyncio.Task[None] | None = None
-        self._changed = asyncio.Event()
+        self._connection: _ParentConnection | None = None
+        self._connect_task: asyncio.Task[None] | None = None
+        self._deadline_changed = asyncio.Event()
 
     async def run(self, delay_us: int = 0) -> None:
-        """Follow until cancelled; the first connection is opened after a delay in microseconds."""
+        """Follow until cancelled. The first connection is opened after `delay_us`."""
         self._perform(self.follower.start(self.clock(), delay_us))
         try:
             while True:
@@ -141,14 +142,14 @@
     async def _wait_for_deadline(self) -> None:
         deadline = self.follower.deadline_us
         wait_s = None if deadline is None else max(0.0, (deadline - self.clock()) / US_PER_S)
-        self._changed.clear()
+        self._deadline_changed.clear()
         try:
             async with asyncio.timeout(wait_s):
-                await self._changed.wait()
+                await self._deadline_changed.wait()
         except TimeoutError:
             pass
 
-    # ---- the connection -------------------------------------------------------------------------------
+    # ---- connection -----------------------------------------------------------------------------------
 
     def _perform(self, actions: Sequence[Action]) -> None:
         for action in actions:
@@ -156,7 +157,9 @@
                 case DeliverEvent() | InstallSnapshot() | RefreshFreshness():
                     self._deliver_to_sink(action)
                 case ConnectToParent(parent):
-                    self._opening = asyncio.get_running_loop().create_task(self._open(self.parents[parent]))
+                    self._connect_task = asyncio.get_running_loop().create_task(
+                        self._open(self.parents[parent])
+                    )
                 case SendLine(data):
                     if self._connection is not None and self._connection.transport is not None:
                         self._connection.transport.write(data)
@@ -172,13 +175,13 @@
                     self.sink.install(snapshot)
                 case RefreshFreshness(freshness):
                     self.sink.refresh(freshness)
-        except Exception:  # the sink's fault must not end the feed; a second delivery would fail as well
+        except Exception:  # the sink's fault must not end the feed; a second delivery would fail too
             self.counters.add("error.distribution")
             log.exception("distribution event failed", kind=type(action).__name__)
 
     async def _open(self, address: Address) -> None:
         loop = asyncio.get_running_loop()
-        connection = _Connection(self)
+        connection = _ParentConnection(self)
         self._connection = connection
         try:
             await loop.create_connection(lambda: connection, *address)
@@ -187,10 +190,10 @@
             return
         if self._connection is connection:
             self._perform(self.follower.on_connected(self.clock()))
-            self._changed.set()
+            self._deadline_changed.set()
 
-    def on_connection_failed(self, connection: _Connection, reason: str) -> None:
-        """A connection has ended or could not be opened; ignored unless it is the one in use."""
+    def on_connection_failed(self, connection: _ParentConnection, reason: str) -> None:
+        """Handle a connection that has ended or could not be opened. Ignored unless it is the one in use."""
         if connection is not self._connection:
             return
         self._connection = None
@@ -200,20 +203,20 @@
         address = self.parents[self.follower.parent]
         log.info("feed parent lost", parent=format_address(address), reason=reason)
         self._perform(self.follower.on_connection_lost(self.clock(), reason))
-        self._changed.set()
+        self._deadline_changed.set()
 
     def _disconnect(self, reason: str) -> None:
         connection = self._connection
         self._connection = None
-        if self._opening is not None:
-            self._opening.cancel()
+        if self._connect_task is not None:
+            self._connect_task.cancel()
         if connection is not None and connection.transport is not None:
             connection.transport.abort()
         log.info("feed parent disconnected", reason=reason)
-        self._changed.set()
+        self._deadline_changed.set()
 
-    def on_lines(self, connection: _Connection, lines: Sequence[bytes]) -> None:
-        """Complete lines were received on a connection."""
+    def on_lines(self, connection: _ParentConnection, lines: Sequence[bytes]) -> None:
+        """Pass complete lines of a connection to the follower. Ignored unless it is the one in use."""
         for line in lines:
             if connection is not self._connection:
                 return
--- a/tests/exchange.py
+++ b/tests/exchange.py
@@ -1,18 +1,27 @@
-"""The shared helper of the recorded tests: plays a text file of bytes against the real program.
-
-A line is `WHO > BYTES` (sent to the program), `WHO < BYTES` (must come from it), `WHO close` or `WHO closed`
-(the program must end the connection). `WHO` is `client`, `dns` (UDP), `tcp` (DNS over TCP), `admin`,
-`coordinator`, `moved` (where the feed can move) or the id of a member, whose stand-in listens where the list
-says; a further connection of the same kind has a suffix to its name, as `client.2`. BYTES is the inside of a
-Python bytes literal; `{n}` stands for any number and `{id}` for two bytes. `program reload TEXT` makes TEXT
-(an object: what it changes) the configuration file and sends SIGHUP; `program service TEXT` does the same
-with the service file; `program logged WORDS` waits for a log line. Everything waits for its event, nothing
-for a time.
-
-Where the platform holds the clients' listening socket (files named `handed_*`), the test makes it and hands
-it down as the platform does; `program upgrade -` starts a successor on it and waits until it serves, and
-`program term -` sends SIGTERM to the one that runs longest, waits for its clean exit, leaves the successor.
-`operations` is the operations endpoint (files `operations_*`, `handed_*`), `next` that of the successor.
+"""Replays recorded exchanges: text files that list the bytes sent to the real program and expected from it.
+
+A line is one of these steps:
+
+- `WHO > BYTES` sends bytes to the program.
+- `WHO < BYTES` expects bytes from the program.
+- `WHO close` closes the connection.
+- `WHO closed` expects the program to close the connection.
+- `program reload TEXT` writes TEXT to the configuration file and sends SIGHUP. If TEXT is a JSON object, it
+  replaces only the fields that it contains.
+- `program service TEXT` writes TEXT to the service file and sends SIGHUP.
+- `program logged WORDS` waits for a log line that contains WORDS.
+- `program upgrade -` starts a successor on the inherited listening socket and waits until it serves.
+- `program term -` sends SIGTERM to the oldest process, waits for its clean exit, and leaves the successor.
+
+`WHO` is `client`, `dns` (UDP), `tcp` (DNS over TCP), `admin`, `operations` (the operations endpoint, in files
+`operations_*` and `handed_*`), `next` (the operations endpoint of the successor), `coordinator`, `moved` (the
+address that the feed can move to) or the id of a member, whose stand-in listens on the address in the list. A
+further connection of the same kind has a suffix, such as `client.2`. BYTES is the inside of a Python bytes
+literal, in which `{n}` matches any number and `{id}` any two bytes. Each step waits for its event; no step
+waits for a fixed time.
+
+In files named `handed_*` the platform owns the clients' listening socket: the test creates the socket, and
+the program inherits it as it does from the platform.
 """
 
 from __future__ import annotations
@@ -36,7 +45,7 @@
 MOVED = ("127.77.200.2", 17070)
 ADMIN = ("127.77.0.1", 18053)
 OPERATIONS = ("127.77.0.1", 19600)  # the operations endpoint, of files named `operations_*` and `handed_*`
-WAITS = {"service.hcl": "DNS front on", "cells.hcl": "administration API on"}
+READY_LOG_LINES = {"service.hcl": "DNS front on", "cells.hcl": "administration API on"}
 TCP = {
     "client": LISTEN,
     "tcp": DNS,
@@ -52,47 +61,47 @@
 
 
 class Exchange:
-    """The program with its stand-ins."""
+    """The program under test and the stand-ins for its peers."""
 
     def __init__(
         self,
         folder: Path,
         service: str = "",
-        handed: bool = False,
+        inherits_listener: bool = False,
         operations: bool = False,
         config: str = "",
         descriptors: int = 0,
         stdout: int | None = None,
     ) -> None:
-        self.descriptors = descriptors  # the limit that the platform sets; 0: as it is
-        self.stdout = stdout  # a descriptor; None: as of the tests
+        self.descriptors = descriptors  # limit of open files that the platform sets; 0 leaves it unchanged
+        self.stdout = stdout  # a file descriptor; None uses the stdout of the tests
         self.config = json.loads(config or (FOLDER / "config.json").read_text())
         rows = self.config["known"]["updates"][0]["endpoints"]["servers"]
         self.listeners = {row["id"]: self._listen(_address(row["addr"])) for row in rows}
         self.listeners["coordinator"] = self._listen(COORDINATOR)
         self.listeners["moved"] = self._listen(MOVED)
-        self.open: dict[str, socket.socket] = {}
-        self.got: dict[str, bytes] = {}
+        self.connections: dict[str, socket.socket] = {}
+        self.received: dict[str, bytes] = {}
         self.path = folder / "config.json"
         self.path.write_text(json.dumps(self.config))
         environment = {**os.environ, "RELAY_CONFIG": str(self.path), "ONYXWICK_SERVICE": str(folder / "none")}
-        environment["TMPDIR"] = str(folder)  # shared by a process and its successor, as the platform does
-        if operations or handed:
+        environment["TMPDIR"] = str(folder)  # shared by a process and its successor, as on the platform
+        if operations or inherits_listener:
             environment["RELAY_ADMIN"] = f"{OPERATIONS[0]}:{OPERATIONS[1]}"
         if service:
             for name in (service, "operator.token", "depot.zone"):
                 shutil.copy(FOLDER / name, folder)
             environment["ONYXWICK_SERVICE"] = str(folder / service)
         self.service = folder / service
-        self.held = socket.create_server(LISTEN) if handed else None
-        if self.held is not None:
-            environment["RELAY_LISTEN_FD"] = str(self.held.fileno())
-        self.environment, self.older = environment, list[subprocess.Popen[str]]()
+        self.shared_listener = socket.create_server(LISTEN) if inherits_listener else None
+        if self.shared_listener is not None:
+            environment["RELAY_LISTEN_FD"] = str(self.shared_listener.fileno())
+        self.environment, self.predecessors = environment, list[subprocess.Popen[str]]()
         self.program = self._start()
-        self._until(WAITS.get(service, "serving"))
+        self._until(READY_LOG_LINES.get(service, "serving"))
 
     def _start(self) -> subprocess.Popen[str]:
-        handed = () if self.held is None else (self.held.fileno(),)
+        inherited_fds = () if self.shared_listener is None else (self.shared_listener.fileno(),)
         return subprocess.Popen(
             [sys.executable, "-m", "onyxwick"],
             cwd=ROOT,
@@ -100,11 +109,11 @@
             stdout=self.stdout,
             stderr=subprocess.PIPE,
             text=True,
-            pass_fds=handed,
-            preexec_fn=self._limited if self.descriptors else None,
+            pass_fds=inherited_fds,
+            preexec_fn=self._limit_descriptors if self.descriptors else None,
         )
 
-    def _limited(self) -> None:
+    def _limit_descriptors(self) -> None:
         resource.setrlimit(resource.RLIMIT_NOFILE, (self.descriptors, self.descriptors))
 
     def _listen(self, address: tuple[str, int]) -> socket.socket:
@@ -117,10 +126,10 @@
         for line in self.program.stderr:
             if words in line:
                 return
-        raise AssertionError(f"the program never said {words!r}")
+        raise AssertionError(f"the program ended without a log line that contains {words!r}")
 
     def _peer(self, who: str) -> socket.socket:
-        if who not in self.open:
+        if who not in self.connections:
             kind = who.partition(".")[0]
             if kind == "dns":
                 sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -130,24 +139,24 @@
             else:
                 sock = self.listeners[kind].accept()[0]
             sock.settimeout(PATIENCE_S)
-            self.open[who], self.got[who] = sock, b""
-        return self.open[who]
+            self.connections[who], self.received[who] = sock, b""
+        return self.connections[who]
 
     def _expect(self, who: str, pattern: bytes, line: str) -> None:
-        sock, wanted = self._peer(who), re.escape(pattern)
-        wanted = wanted.replace(rb"\{n\}", rb"\d+").replace(rb"\{id\}", rb"(?s:..)")
-        while not (match := re.match(wanted, self.got[who], re.DOTALL)):
+        sock, expected = self._peer(who), re.escape(pattern)
+        expected = expected.replace(rb"\{n\}", rb"\d+").replace(rb"\{id\}", rb"(?s:..)")
+        while not (match := re.match(expected, self.received[who], re.DOTALL)):
             try:
                 more = sock.recv(65_536)
             except TimeoutError:
                 more = b""
-            assert more, f"{line}\ngot only {self.got[who]!r}"
-            self.got[who] += more
+            assert more, f"{line}\nreceived only {self.received[who]!r}"
+            self.received[who] += more
             plain = len(re.sub(rb"\{(n|id)\}", b"", pattern))
-            assert len(self.got[who]) <= plain + 64 or re.match(wanted, self.got[who]), (
-                f"{line}\ngot {self.got[who]!r}"
+            assert len(self.received[who]) <= plain + 64 or re.match(expected, self.received[who]), (
+                f"{line}\nreceived {self.received[who]!r}"
             )
-        self.got[who] = self.got[who][match.end() :]
+        self.received[who] = self.received[who][match.end() :]
 
     def play(self, name: str) -> None:
         for line in (FOLDER / name).read_text().splitlines():
@@ -164,24 +173,24 @@
                 self._expect(who, data, line)
             elif what == "close":
                 self._peer(who).close()
-                del self.open[who]
+                del self.connections[who]
             elif what == "closed":
-                assert self._peer(who).recv(1) == b"" and not self.got[who], line
-                self.open.pop(who).close()
+                assert self._peer(who).recv(1) == b"" and not self.received[who], line
+                self.connections.pop(who).close()
             else:
-                raise AssertionError(f"no such step: {line}")
-        assert not any(self.got.values()), f"bytes that nothing expected: {self.got}"
+                raise AssertionError(f"unknown step: {line}")
+        assert not any(self.received.values()), f"received bytes that no step expects: {self.received}"
 
     def _program(self, what: str, text: str) -> None:
         if what == "logged":
             return self._until(text)
         if what == "upgrade":
-            self.older.append(self.program)
-            self.environment["RELAY_ADMIN"] = f"{OPERATIONS[0]}:{OPERATIONS[1] + len(self.older)}"
+            self.predecessors.append(self.program)
+            self.environment["RELAY_ADMIN"] = f"{OPERATIONS[0]}:{OPERATIONS[1] + len(self.predecessors)}"
             self.program = self._start()
             return self._until("serving")
         if what == "term":
-            oldest = self.older.pop(0)
+            oldest = self.predecessors.pop(0)
             oldest.send_signal(signal.SIGTERM)
             _, logged = oldest.communicate(timeout=PATIENCE_S)
             assert oldest.returncode == 0, logged
@@ -195,18 +204,18 @@
         self.program.send_signal(signal.SIGHUP)
 
     def stop(self) -> str:
-        """SIGTERM, which must end the program cleanly; what it logged since it was last read."""
+        """Send SIGTERM, check that the program exits with 0, and return the log lines not read before."""
         if self.program.poll() is None:
             self.program.send_signal(signal.SIGTERM)
         _, logged = self.program.communicate(timeout=PATIENCE_S)
-        print(logged)  # shown where a test fails
+        print(logged)  # pytest shows it if the test fails
         self.close()
         assert self.program.returncode == 0
         return logged
 
     def close(self) -> None:
-        """Give back the stand-ins' sockets, whatever became of the program."""
-        for sock in (*self.open.values(), *self.listeners.values()):
+        """Close the sockets of the test, whether or not the program still runs."""
+        for sock in (*self.connections.values(), *self.listeners.values()):
             sock.close()
-        if self.held is not None:
-            self.held.close()
+        if self.shared_listener is not None:
+            self.shared_listener.close()
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -1,4 +1,7 @@
-"""The distribution tree as processes: a publisher, three relays, two directors; kills, a pause, a cut."""
+"""The distribution tree as processes: a publisher, three relays and two directors.
+
+The faults are killed processes, a paused relay, a cut link and a follower that reads nothing.
+"""
 
 from __future__ import annotations
 
@@ -40,7 +43,7 @@
 
 
 class RecordingSink:
-    """A sink that keeps what a director would apply, in order."""
+    """A sink that records the purges that a director would apply, in order."""
 
     def __init__(self) -> None:
         self.purges: list[str] = []
@@ -60,7 +63,7 @@
 
 
 class ProcessTree:
-    """All processes of one test, and followers in the test's own."""
+    """All processes of one test, and followers in the test's own process."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -161,7 +164,7 @@
             await asyncio.sleep(0.02)
 
     async def members(self, count: int) -> None:
-        """Wait until each director lists so many members."""
+        """Wait until each director lists `count` members."""
         end = time.monotonic() + PATIENCE_S
         while True:
             answers = [await self.api(admin, "/health") for admin in self.admins]
@@ -170,10 +173,10 @@
             assert time.monotonic() < end, f"members: {answers}"
             await asyncio.sleep(0.05)
 
-    async def all_had(self, what: str) -> None:
+    async def expect_all_purges(self, what: str) -> None:
         await self.until(lambda: all(len(r.purges) >= len(self.sent) for r in self.recorders), what)
         for recorder in self.recorders:
-            assert recorder.purges == self.sent, f"{what}: each once, in order"
+            assert recorder.purges == self.sent, f"{what}: each purge is applied once, in order"
 
     async def set_up(self) -> None:
         await self.feed.listen()
@@ -212,50 +215,50 @@
         for node in self.nodes.values():
             node.wait(PATIENCE_S)
         await self.feed.mute()
-        assert wrong == ["", ""], "both directors end well"
+        assert wrong == ["", ""], "both directors exit cleanly"
 
 
-async def _killed_in_mid_event(tree: ProcessTree) -> None:
+async def _kill_relay_during_events(tree: ProcessTree) -> None:
     publishing = asyncio.create_task(tree.publish_purges(120))
     await asyncio.sleep(0.3)
     tree.nodes["relay-0"].kill()
     tree.nodes["relay-0"].wait()
     await publishing
-    await tree.all_had("a relay killed")
+    await tree.expect_all_purges("relay killed")
     tree.publish_list(7)
     await tree.members(9)
     tree.start_node("relay-0")
 
 
-async def _paused(tree: ProcessTree) -> None:
+async def _pause_relay(tree: ProcessTree) -> None:
     tree.nodes["relay-1"].send_signal(signal.SIGSTOP)
     await tree.publish_purges(40)
-    await tree.all_had("a relay paused")
+    await tree.expect_all_purges("relay paused")
     tree.nodes["relay-1"].send_signal(signal.SIGCONT)
     tree.publish_list(4)
     await tree.members(6)
 
 
-async def _cut(tree: ProcessTree) -> None:
+async def _cut_uplink(tree: ProcessTree) -> None:
     tree.uplink.cut_there = tree.uplink.cut_back = True
     tree.uplink.changed()
     await tree.publish_purges(40)
-    await tree.all_had("an uplink cut: its followers go to another parent")
+    await tree.expect_all_purges("uplink cut: its followers connect to another parent")
     tree.uplink.cut_there = tree.uplink.cut_back = False
     tree.uplink.changed()
 
 
-async def _publisher_restarts(tree: ProcessTree) -> None:
+async def _restart_publisher(tree: ProcessTree) -> None:
     tree.nodes["root"].kill()
     tree.nodes["root"].wait()
     ages = [int((await tree.api(admin, "/health"))["feed_age_ms"]) for admin in tree.admins]
     assert all(age >= 0 for age in ages)
-    await tree.publish_purges(20)  # into the coordinator, while no publisher runs
+    await tree.publish_purges(20)  # to the coordinator, while no publisher runs
     tree.start_node("root")
-    await tree.all_had("the publisher killed and back on its disk")
+    await tree.expect_all_purges("publisher killed and restarted from its disk")
 
 
-async def _a_full_queue(tree: ProcessTree) -> None:
+async def _fill_subscriber_queue(tree: ProcessTree) -> None:
     stuck = socket.socket()
     stuck.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     stuck.connect(RELAYS[2])
@@ -265,16 +268,16 @@
         tree.nodes["root"].send_signal(signal.SIGHUP)
         await asyncio.sleep(0.15)
         tree.publish_purge()
-    await tree.all_had("a follower that reads nothing delays no other")
+    await tree.expect_all_purges("a follower that reads nothing must not delay the others")
     tree.nodes["relay-2"].send_signal(signal.SIGUSR1)
     await asyncio.sleep(0.3)
     answers = tree.status("relay-2")
     assert answers["log_bytes"] <= 4_194_304
-    assert answers["behind"] >= 1, "the one that reads nothing"
+    assert answers["behind"] >= 1, "the follower that reads nothing must be behind"
     stuck.close()
 
 
-async def _documents(tree: ProcessTree) -> None:
+async def _publish_documents(tree: ProcessTree) -> None:
     async def quota_is(value: float) -> None:
         end = time.monotonic() + PATIENCE_S
         while True:
@@ -299,13 +302,13 @@
         try:
             await tree.set_up()
             await tree.publish_purges(20)
-            await tree.all_had("no fault")
-            await _documents(tree)
-            await _killed_in_mid_event(tree)
-            await _paused(tree)
-            await _cut(tree)
-            await _publisher_restarts(tree)
-            await _a_full_queue(tree)
+            await tree.expect_all_purges("no faults")
+            await _publish_documents(tree)
+            await _kill_relay_during_events(tree)
+            await _pause_relay(tree)
+            await _cut_uplink(tree)
+            await _restart_publisher(tree)
+            await _fill_subscriber_queue(tree)
         finally:
             await tree.close()
 
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -1,4 +1,4 @@
-"""Every recorded exchange, replayed against the running program."""
+"""Replays every recorded exchange against the running program, and checks that invalid starts fail."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     services = {"dns": "service.hcl", "admin": "service.hcl", "cells": "cells.hcl"}
     kind = re.split("[_.]", name)[0]
     exchange = Exchange(
-        tmp_path, services.get(kind, ""), handed=kind == "handed", operations=kind == "operations"
+        tmp_path, services.get(kind, ""), inherits_listener=kind == "handed", operations=kind == "operations"
     )
     try:
         exchange.play(name)
@@ -59,7 +59,7 @@
 
 @pytest.mark.parametrize("handed", ["seven", "unbound", "file"])
 def test_an_inherited_descriptor_that_is_no_listening_socket_is_rejected(handed: str, tmp_path: Path) -> None:
-    """Anything but the platform's listening socket ends the start with exit code 2."""
+    """The program exits with code 2 unless the descriptor is a listening socket of the platform."""
     config = tmp_path / "config.json"
     config.write_text((FOLDER / "config.json").read_text())
     with socket.socket() as unbound, config.open() as file:
