--- a/onyxwick/net/cache_connection.py
+++ b/onyxwick/net/cache_connection.py
@@ -48,7 +48,7 @@
     members: EndpointTable
     counters: Counters
     budget: ByteBudget
-    connect_s: float
+    connect_timeout_s: float
     report_names: tuple[str, ...]
 
     def forget(self, connection: CacheConnection) -> None:
@@ -238,9 +238,9 @@
             delay_s = min(2 * delay_s, MAX_LOCAL_RETRY_S)
 
     async def _connect_within_limit(self, sock: socket.socket) -> None:
-        """Connect. Raises TimeoutError after `connect_s`, unless it succeeded while the process stalled."""
+        """Connect. Raises TimeoutError at the limit, unless it succeeded while the process stalled."""
         try:
-            async with asyncio.timeout(self.pool.connect_s):
+            async with asyncio.timeout(self.pool.connect_timeout_s):
                 await asyncio.get_running_loop().sock_connect(sock, self.address)
         except TimeoutError:
             if not is_connected(sock):
--- a/onyxwick/net/cache_pool.py
+++ b/onyxwick/net/cache_pool.py
@@ -57,7 +57,7 @@
         self.counters = counters
         self.report_names = report_names
         self.warm_up_share = warm_up_share
-        self.connect_s = (connect_us or DEFAULT_CONNECT_US) / US_PER_S
+        self.connect_timeout_s = (connect_us or DEFAULT_CONNECT_US) / US_PER_S
         self.max_connections = max_connections
         self.connections: dict[str, list[CacheConnection]] = {}  # by member
         self.count = 0
--- a/tests/test_cache_connection.py
+++ b/tests/test_cache_connection.py
@@ -107,7 +107,7 @@
 
     async def play(ground: Ground) -> None:
         list(ground.held("c0"))
-        ground.caches.connect_s = 0.3
+        ground.caches.connect_timeout_s = 0.3
         ground.script.arrived = lambda request: ask(request, "c0")
         lifecycle = ground.start()
         await ground.until(lambda: ground.caches.connections.get("c0"))
