--- a/onyxwick/store/__init__.py
+++ b/onyxwick/store/__init__.py
@@ -1,6 +1,7 @@
-"""A small embedded store: a log, an index in memory, checkpoints and recovery.
+"""Embedded key-value store with a write-ahead log, an in-memory index, checkpoints and crash recovery.
 
-Names other than errors are loaded on first use: a caller that only catches errors loads no library.
+All names except the errors are imported on first use, so that a caller that only catches errors does not
+load the libraries of the store.
 """
 
 from __future__ import annotations
--- a/onyxwick/store/backup.py
+++ b/onyxwick/store/backup.py
@@ -1,6 +1,7 @@
-"""Backup and restore of a store's folder, and its log as a list: for tools, not for the director.
+"""Backs up and restores a store's folder, and reads its log as a list. Used by tools, not by the director.
 
-A backup is a copy of the files, also of a store in use; a restore replays its log up to a moment.
+A backup is a copy of the files and can be made while the store is in use. A restore replays the log of a
+backup up to a chosen time or record.
 """
 
 from __future__ import annotations
@@ -21,35 +22,35 @@
 
 
 class BackupError(StoreError):
-    """A copy could not be made, or does not reach as far as was asked."""
+    """A backup could not be made, or does not cover the requested time or record."""
 
 
 class LoggedRecord(NamedTuple):
-    """A record of the log with its number."""
+    """A decoded record of the log with its record number."""
 
     number: int
     payload: records.RecordPayload
 
 
 class RestoreResult(NamedTuple):
-    """How many records were replayed, and the checkpoint that they follow."""
+    """The count of replayed records, and the record number of the checkpoint that they follow."""
 
     replayed: int
     checkpoint_number: int
 
 
 def segment_files(folder: Path) -> list[Path]:
-    """The log's segments, the oldest first."""
+    """List the segment files of the log, oldest first."""
     return sorted(folder.glob(f"{SEGMENT_PREFIX}*"))
 
 
 def checkpoint_files(folder: Path) -> list[Path]:
-    """The checkpoints, the oldest first."""
+    """List the checkpoint files, oldest first."""
     return sorted(folder.glob(f"{CHECKPOINT_PREFIX}*"))
 
 
 def read_log(folder: Path) -> list[LoggedRecord]:
-    """All records that the log still holds; StoreUnusableError where a segment's header is damaged."""
+    """Read all records that the log still holds. Raises StoreUnusableError if a segment header is damaged."""
     found = []
     for path in segment_files(folder):
         data = path.read_bytes()
@@ -61,7 +62,7 @@
 
 
 def write_payload(target: StoreEngine, payload: records.RecordPayload) -> None:
-    """Commit the operations of a record to another store, in transactions of a bounded size."""
+    """Commit the operations of a record to another store, in transactions of bounded size."""
     operations = tuple(WriteOperation(key, value) for key, value, _ in payload.operations)
     for at in range(0, len(operations), OPERATIONS_PER_TRANSACTION):
         part = operations[at : at + OPERATIONS_PER_TRANSACTION]
@@ -69,10 +70,10 @@
 
 
 def copy_store(folder: Path, target: Path) -> int:
-    """Copy a store to a new folder, also while it is in use, and open the copy; its last record's number.
+    """Copy a store to a new folder, open the copy, and return the number of its last record.
 
-    The commit mark is copied first: what it acknowledges is in the log that is copied after it. BackupError
-    where a compaction removed files under every attempt.
+    The store may be in use. The commit mark is copied first, so that all records that it acknowledges are in
+    the log, which is copied after it. Raises BackupError if a compaction removed files during every attempt.
     """
     for _ in range(MAX_COPY_ATTEMPTS):
         target.mkdir(parents=True)
@@ -81,29 +82,29 @@
             for path in checkpoint_files(folder) + segment_files(folder):
                 shutil.copy(path, target)
             engine = StoreEngine(DiskFiles(target))
-        except (FileNotFoundError, StoreUnusableError):  # a compaction removed a file in between
+        except (FileNotFoundError, StoreUnusableError):  # a compaction removed a file during the copy
             shutil.rmtree(target)
             continue
         number = engine.last_record_number
         engine.close()
         return number
-    raise BackupError("the store was compacted under every attempt; try again")
+    raise BackupError("a compaction of the store removed files during every copy attempt; try again")
 
 
 def restore_store(
     source: StoreEngine, folder: Path, target_folder: Path, until_us: int | None, last_record: int | None
 ) -> RestoreResult:
-    """Make a new store from the backup in `folder`, which `source` has open, up to a moment.
+    """Create a new store from the backup in `folder`, which `source` has open, up to a given change.
 
-    `until_us`: Unix microseconds of the last change; `last_record`: its number; None: all. BackupError where
-    the backup's log does not reach back so far.
+    The last change to restore is limited by `until_us`, a time in Unix microseconds, and by `last_record`, a
+    record number; None means no limit. Raises BackupError if the backup's log does not start early enough.
     """
     log = read_log(folder)
     first_number = log[0].number if log else source.last_record_number + 1
     checkpoint_number = source.checkpoint.number
     is_before_checkpoint = last_record is not None and last_record < checkpoint_number
     if checkpoint_number >= first_number or is_before_checkpoint:
-        raise BackupError(f"this backup reaches back to record {checkpoint_number} only")
+        raise BackupError(f"record {checkpoint_number} is the earliest state that this backup can restore")
     target = StoreEngine(DiskFiles(target_folder), expected_store_id=source.store_id)
     for path in checkpoint_files(folder)[-1:]:
         checkpoint = records.decode_checkpoint(path.read_bytes(), path.name)
--- a/onyxwick/store/committer.py
+++ b/onyxwick/store/committer.py
@@ -1,8 +1,8 @@
-"""Group commit: transactions that arrive while the disk is busy go out together in the next write.
+"""Group commit: transactions that arrive while the disk is busy are written together in the next batch.
 
-One task is the only writer of a store. The disk is waited for in a thread of its own; the index is changed in
-the event loop alone, so that readers need no lock. Compaction runs between batches, in slices, for a bounded
-share of the time. Times in seconds of the clock that is passed in.
+One task is the only writer of a store. Disk calls block a separate thread; the index is changed only in the
+event loop, so that readers need no lock. Compaction runs between batches, in slices, for a bounded share of
+the time. Times are in seconds of the clock that is passed in.
 """
 
 from __future__ import annotations
@@ -23,18 +23,18 @@
 log = logs.get()
 MAX_BATCH_TRANSACTIONS = 256
 MAX_PENDING_COMMITS = 4096
-"""Above it a commit is rejected at once."""
+"""Further commits are rejected immediately."""
 MAX_COMPACTION_SHARE = 0.2
-"""Share of the time that compaction may take."""
+"""Largest fraction of the time that compaction may use."""
 MIN_COMPACTION_WINDOW_S = 0.05
 COMPACTION_SLICE_S = 0.005
-"""Longest slice of a compaction, between which commits go on."""
+"""Longest duration of one compaction slice; pending commits are written between slices."""
 CLOSE_POLL_S = 0.001
 
 
 @dataclass(slots=True)
 class PendingCommit:
-    """A transaction with its caller's future; `submitted_at_s` on the committer's clock."""
+    """A transaction with its caller's future. `submitted_at_s` is a time of the committer's clock."""
 
     transaction: Transaction
     future: asyncio.Future[None]
@@ -42,7 +42,7 @@
 
 
 class Committer:
-    """The one writer of a store inside an event loop; created where the loop runs."""
+    """The only writer of a store in an event loop. It must be created while the loop is running."""
 
     def __init__(self, engine: StoreEngine, clock: Callable[[], float] = time.monotonic) -> None:
         self.engine = engine
@@ -58,13 +58,13 @@
         self.task = asyncio.get_running_loop().create_task(self._run())
 
     async def commit(self, transaction: Transaction) -> None:
-        """Returns once the transaction is durable.
+        """Commit a transaction and return once it is durable.
 
-        VersionConflictError, StoreFullError, InvalidTransactionError, StoreOverloadedError: nothing of it was
-        done. StoreFailedError: it may or may not be found when the store is opened again.
+        Raises VersionConflictError, StoreFullError, InvalidTransactionError or StoreOverloadedError if no
+        part of it was applied; StoreFailedError if it may or may not be present when the store is reopened.
         """
         if len(self.pending) >= MAX_PENDING_COMMITS:
-            raise StoreOverloadedError(f"{MAX_PENDING_COMMITS} commits are pending, the most there may be")
+            raise StoreOverloadedError(f"{MAX_PENDING_COMMITS} commits are pending, which is the limit")
         if self.task.done():
             raise StoreFailedError("the store is closed")
         future = asyncio.get_running_loop().create_future()
@@ -76,7 +76,7 @@
         try:
             await self._write_batches()
         finally:
-            # However the writer ends, no caller is left waiting: what is pending was not written.
+            # Pending commits were not written. Their callers must be notified however the writer ends.
             for commit in self.pending:
                 _resolve(commit, StoreFailedError("the store is closed"))
             self.pending.clear()
@@ -104,10 +104,10 @@
             _resolve_all(commits, error)
             return
         except Exception as error:
-            # A fault of the store's own code: what reached the disk and the index is unknown, so that nothing
-            # more may be acknowledged, as after an error of the disk.
+            # This is a fault in the store's own code. It is unknown which changes reached the disk and the
+            # index, so no further commit may be acknowledged, as after a disk error.
             log.exception("internal error in a commit")
-            self.engine.failure = f"an error of the store's own ({error!r}); open the store anew"
+            self.engine.failure = f"internal error in the store ({error!r}); reopen the store"
             _resolve_all(commits, StoreFailedError(self.engine.failure))
             return
         now = self.clock()
@@ -118,7 +118,7 @@
         self.batch_count += 1
 
     def _may_compact(self) -> bool:
-        """Is there something to compact, and has compaction not used up its share of the time?"""
+        """Return whether a compaction is needed or in progress and is within its share of the time."""
         engine = self.engine
         if engine.failure or not (engine.compaction is not None or engine.needs_compaction()):
             return False
@@ -145,7 +145,7 @@
         await asyncio.sleep(0)
 
     async def close(self) -> None:
-        """Write what is pending, then close the files."""
+        """Write the pending commits, then close the files."""
         while self.pending and not self.task.done():
             await asyncio.sleep(CLOSE_POLL_S)
         self.task.cancel()
@@ -154,7 +154,7 @@
         self.engine.close()
 
     def metrics(self) -> dict[str, float]:
-        """Figures under their published names."""
+        """Return the store's metrics under their published names."""
         return {
             "commits": self.commit_count,
             "batches": self.batch_count,
--- a/onyxwick/store/compaction.py
+++ b/onyxwick/store/compaction.py
@@ -1,6 +1,6 @@
-"""Writes a checkpoint of all rows and removes the log segments that it makes redundant, a step at a time.
+"""Writes a checkpoint of all rows and removes the log segments that it makes redundant, step by step.
 
-A crash at any step loses nothing: the checkpoint is written under a temporary name, synced and renamed, and
+A crash at any step loses no data: the checkpoint is written under a temporary name, synced and renamed, and
 the files that it replaces are removed last.
 """
 
@@ -22,13 +22,13 @@
 )
 
 CHECKPOINT_RECORD_ROWS = 256
-"""Rows of a checkpoint that are written in one step."""
+"""Number of checkpoint rows that are written in one step."""
 TEMPORARY_NAME = "checkpoint.tmp"
 
 
 @dataclass(slots=True)
 class CheckpointInfo:
-    """The newest durable checkpoint: the record up to which it holds all rows, and its bytes."""
+    """The newest durable checkpoint: the number of the last record that it includes, and its size."""
 
     number: int = 0
     size_bytes: int = 0
@@ -37,19 +37,20 @@
 def compaction_steps(
     log: SegmentLog, index: StoreIndex, last_record_number: int, checkpoint: CheckpointInfo
 ) -> Iterator[int]:
-    """Steps that each yield the bytes that they wrote. OSError as the files raise it.
+    """Run a compaction in steps, and yield after each step the number of bytes that it wrote.
 
-    `checkpoint` is updated once the new one is durable; what it makes redundant is removed in the last step.
+    `checkpoint` is updated once the new checkpoint is durable; the files that it makes redundant are removed
+    in the last step. An OSError of the file calls is passed on.
     """
     files = log.files
     with index.snapshot(last_record_number) as snapshot:
-        log.start_segment(last_record_number)  # so that all earlier segments can be removed as files
+        log.start_segment(last_record_number)  # all earlier segments can then be removed as complete files
         first_kept_segment = segment_name(log.segment)
         size_bytes = yield from _write_rows(files, log.store_id, snapshot)
     name = checkpoint_name(last_record_number)
     files.sync(TEMPORARY_NAME)
     files.rename(TEMPORARY_NAME, name)
-    files.sync_folder()  # without it the old log could be removed before the new name is durable
+    files.sync_folder()  # makes the new name durable before the old log is removed
     checkpoint.number = last_record_number
     checkpoint.size_bytes = size_bytes
     yield 0
@@ -57,7 +58,7 @@
 
 
 def _write_rows(files: StoreFiles, store_id: bytes, snapshot: StoreSnapshot) -> Generator[int, None, int]:
-    """Write all rows under the temporary name; returns the bytes of the file."""
+    """Write all rows under the temporary name and return the size of the file in bytes."""
     index = snapshot.index
     end = records.CHECKPOINT_HEADER_BYTES
     row_count = 0
--- a/onyxwick/store/durable_state.py
+++ b/onyxwick/store/durable_state.py
@@ -1,8 +1,8 @@
 """A director's state in its store: tenants, the plan of cells, drains, purges, intents, commands and calls.
 
-Reads rows as typed records, makes the operations that change them, and commits these. What a caller was
-promised is committed before it is answered; what the coordinator can send again is committed in the
-background. Times in Unix microseconds.
+Rows are read as typed records and changed by write operations that this module builds and commits. A change
+that a caller is promised is committed before the call is answered; a change that the coordinator can send
+again is committed in the background. Times are in Unix microseconds.
 """
 
 from __future__ import annotations
@@ -38,16 +38,16 @@
 
 log = logs.get()
 CALL_RETENTION_US = 86_400_000_000
-"""For how long the outcome of an idempotent call is repeated: a day."""
+"""How long the outcome of an idempotent call is stored for repeated calls: one day."""
 MAX_CALLS = 5000
 MAX_PURGES = 4096
-CALLS_DROPPED_SHARE = 10  # one in so many of the oldest calls is dropped over the bound
+CALLS_DELETED_DIVISOR = 10  # at MAX_CALLS, the oldest 1/10 of the calls are deleted
 
 
 class DurableState:
-    """An open store with its recovery. Used in the event loop alone.
+    """An open store with its recovery. It may only be used in the event loop.
 
-    StoreError where the store cannot be opened; the recovery then says why.
+    Raises StoreError if the store cannot be opened; the reason is then recorded in the recovery.
     """
 
     def __init__(
@@ -90,11 +90,11 @@
         self.recovery.on_replayed(now, drains, purges, intents, last_feed_number)
 
     def start(self) -> None:
-        """Begin to take commits; called where the event loop runs."""
+        """Start to accept commits. Must be called while the event loop is running."""
         self.committer = Committer(self.engine)
 
     async def close(self) -> None:
-        """Write what is pending and close the files."""
+        """Write the pending commits and close the files."""
         if self.committer is not None:
             await self.committer.close()
         else:
@@ -103,9 +103,10 @@
     # ---- tenants ----------------------------------------------------------------------------------------
 
     def load_tenants(self, tenants: Tenants) -> int:
-        """Replace tenants of the service file by the store's, and remove those that a call has deleted.
+        """Replace tenants of the service file by stored ones, and remove tenants that an API call deleted.
 
-        Returns the number of stored and deleted tenants. StoreUnusableError or TenantError for a bad row.
+        Returns the number of stored and deleted tenants. Raises StoreUnusableError or TenantError for an
+        invalid row.
         """
         deleted = [key.partition("/")[2] for key, _ in self._rows(deleted_tenant_key(""))]
         for name in deleted:
@@ -121,47 +122,55 @@
         return len(stored) + len(deleted)
 
     def tenant_operations(self, name: str, tenant: Tenant | None) -> list[WriteOperation]:
-        """What to commit after a tenant was changed or (None) deleted."""
+        """Return the operations to commit after a tenant was changed, or deleted if `tenant` is None."""
         rows = tenant_rows(tenant, self.cipher) if tenant else {deleted_tenant_key(name): StoredRow()}
         operations = self._operations_for(tenant_prefixes(name), rows)
         return [operation for operation in operations if is_of_tenant(operation.key, name)]
 
     def _operations_for(self, prefixes: Iterable[str], rows: Mapping[str, StoredRow]) -> list[WriteOperation]:
-        """What makes the rows under some prefixes be these. A row with the same secret is left as it is."""
+        """Return the operations that replace all rows under some prefixes by `rows`.
+
+        A row that differs only in the encrypted bytes of the same secret is not rewritten.
+        """
         stored = {key: row for prefix in prefixes for key, row in self._rows(prefix)}
         operations = [WriteOperation(key, None) for key in stored if key not in rows]
         for key, row in rows.items():
-            if key not in stored or self._plain(key, stored[key]) != self._plain(key, row):
+            if key not in stored or self._with_plain_secret(key, stored[key]) != self._with_plain_secret(
+                key, row
+            ):
                 operations.append(WriteOperation(key, pack_row(key, row)))
         return operations
 
-    def _plain(self, key: str, row: StoredRow) -> StoredRow:
+    def _with_plain_secret(self, key: str, row: StoredRow) -> StoredRow:
         return with_plain_secret(key, row, self.cipher)
 
     # ---- the plan of cells ------------------------------------------------------------------------------
 
     def cell_plan(self) -> StoredPlan | None:
-        """The plan of cells that a call has made; None: the service file's holds."""
+        """Return the plan of cells that an API call made; None if the service file's plan applies."""
         row = self._row(schema.PLAN_KEY)
         return schema.plan_of_row(row) if row is not None else None
 
     def cell_plan_operation(self, plan: StoredPlan) -> WriteOperation:
-        """What to commit after the plan was changed."""
+        """Return the operation to commit after the plan was changed."""
         return WriteOperation(schema.PLAN_KEY, pack_row(schema.PLAN_KEY, schema.plan_row(plan)))
 
     # ---- commits ----------------------------------------------------------------------------------------
 
     async def commit(self, operations: list[WriteOperation], author: str) -> None:
-        """Returns once the operations are durable. StoreError: they are not acknowledged; after a
-        StoreFailedError they may still be found when the store is opened again."""
+        """Commit operations and return once they are durable.
+
+        Raises StoreError if they are not acknowledged. After a StoreFailedError they may still be present
+        when the store is reopened.
+        """
         if not operations:
             return
         if self.committer is None:
-            raise StoreFailedError("the store takes no commits before `start`")
+            raise StoreFailedError("the store accepts no commits before `start` is called")
         await self.committer.commit(Transaction(tuple(operations), author, time.time_ns() // 1000))
 
     async def commit_best_effort(self, operations: list[WriteOperation], author: str) -> None:
-        """The same for what can be received again: a failure is logged and counted, not raised."""
+        """Commit operations that can be received again. A failure is logged and counted, not raised."""
         try:
             await self.commit(operations, author)
         except StoreError as error:
@@ -169,7 +178,7 @@
             log.warning("background commit failed", by=author, error=str(error))
 
     def _commit_in_background(self, operations: list[WriteOperation]) -> None:
-        """The coordinator can send it again, so nobody waits for it."""
+        """Commit changes that the coordinator can send again, without waiting for the result."""
         if operations and self.committer is not None:
             commit = self.commit_best_effort(operations, "coordinator")
             task = asyncio.get_running_loop().create_task(commit)
@@ -179,7 +188,7 @@
     # ---- drains, purges, the feed -----------------------------------------------------------------------
 
     def record_endpoints(self, event: EndpointsChanged, now: int) -> None:
-        """Record what the coordinator drains or removes, until its list says otherwise."""
+        """Record members that the coordinator drains or removes, until its list shows them as ready."""
         operations = (self._endpoint_operation(member, now) for member in event.members)
         self._commit_in_background([operation for operation in operations if operation is not None])
 
@@ -192,36 +201,43 @@
             drain = MemberDrain(member.address, DrainSource.COORDINATOR, member.started_at_us, "", now)
             return self.drain_operation(drain)
         drain_source = schema.drain_of_row(row).source if row is not None else None
-        # Not before the feed is received: the list of a start may be older than what is recorded.
+        # A drain is lifted only after the feed has been received, because the endpoint list at start may be
+        # older than the recorded drain.
         if drain_source is DrainSource.COORDINATOR and self.recovery.phase is RecoveryPhase.SERVING:
             return WriteOperation(key, None)
         return None
 
     def record_purge(self, group: int, object_id: str | None, unix_us: int, now: int) -> None:
-        """Record a purge of an object or (None) of a group."""
+        """Record a purge of an object, or of a group if `object_id` is None."""
         self._commit_in_background(self.purge_operations(RecordedPurge(group, object_id, unix_us), now))
 
     def record_feed_number(self, number: int, now: int) -> bool:
-        """The feed was received up to a number; True where that changes what the recovery holds back."""
+        """Record up to which number the feed was received.
+
+        Returns True if that changes the drains or the phase of the recovery.
+        """
         changed = self.recovery.on_feed_number(now, number)
-        if number > self.recovery.last_feed_number:  # a start receives old numbers once more
+        if number > self.recovery.last_feed_number:  # after a start, older numbers are received again
             self.recovery.last_feed_number = number
             self._commit_in_background([self.feed_number_operation(number)])
         return changed
 
     def drain_operation(self, drain: MemberDrain) -> WriteOperation:
-        """What records a drain."""
+        """Return the operation that records a drain."""
         key = schema.drain_key(drain.member)
         return WriteOperation(key, pack_row(key, schema.drain_row(drain)))
 
     def lift_operations(self, member: str) -> list[WriteOperation]:
-        """What removes a member's drain; empty where none holds."""
+        """Return the operations that remove a member's drain; empty if it is not drained."""
         if member not in self.recovery.drains:
             return []
         return [WriteOperation(schema.drain_key(member), None)]
 
     def purge_operations(self, purge: RecordedPurge, now: int) -> list[WriteOperation]:
-        """What records a purge, and removes those that all caches must have carried out."""
+        """Return the operations that record a purge and delete those that all caches must have carried out.
+
+        The oldest purges above MAX_PURGES are deleted too.
+        """
         new_key = schema.purge_key(purge)
         stored = list(self.engine.keys(schema.PURGE_PREFIX))
         excess = max(0, len(stored) - MAX_PURGES)
@@ -235,37 +251,40 @@
         return [write, *(WriteOperation(key, None) for key in redundant)]
 
     def feed_number_operation(self, number: int) -> WriteOperation:
-        """What records the last number of the feed."""
+        """Return the operation that records the last received number of the feed."""
         return WriteOperation(schema.FEED_KEY, pack_row(schema.FEED_KEY, schema.feed_row(number)))
 
     # ---- site commands ----------------------------------------------------------------------------------
 
     def site_command_rows(self) -> list[StoredRow]:
-        """The operators' commands for sites, in the form of `sites/operator_commands.py`."""
+        """Return the operators' commands for sites, in the format of `sites/operator_commands.py`."""
         return [row for _, row in self._rows(schema.site_command_key(""))]
 
     def site_command_operation(self, site: str, row: StoredRow | None) -> WriteOperation:
-        """What records a site's command, or (None) removes it."""
+        """Return the operation that records a site's command, or deletes it if `row` is None."""
         key = schema.site_command_key(site)
         return WriteOperation(key, pack_row(key, row) if row is not None else None)
 
     # ---- idempotent calls -------------------------------------------------------------------------------
 
     def idempotent_call(self, idempotency_key: str) -> IdempotentCall | None:
-        """The first outcome of a call with an idempotency key."""
+        """Return the first outcome of the call with an idempotency key; None if there is none."""
         row = self._row(schema.call_key(idempotency_key))
         return schema.call_of_row(row) if row is not None else None
 
     def idempotent_call_operations(
         self, idempotency_key: str, call: IdempotentCall, now: int
     ) -> list[WriteOperation]:
-        """What records a call's outcome, and removes those that have expired or exceed the bound."""
+        """Return the operations that record a call's outcome and delete old outcomes.
+
+        From MAX_CALLS on these are the oldest ones, otherwise those that have expired.
+        """
         key = schema.call_key(idempotency_key)
         write = WriteOperation(key, pack_row(key, schema.call_row(call)))
         stored = self._rows(schema.call_key(""))
         if len(stored) >= MAX_CALLS:
             stored.sort(key=lambda pair: pair[1]["at_us"])
-            dropped = [old for old, _ in stored[: len(stored) // CALLS_DROPPED_SHARE]]
+            dropped = [old for old, _ in stored[: len(stored) // CALLS_DELETED_DIVISOR]]
         else:
             dropped = [old for old, row in stored if now - row["at_us"] > CALL_RETENTION_US]
         return [write, *(WriteOperation(old, None) for old in dropped)]
@@ -273,10 +292,13 @@
     # ---- write-ahead intents ----------------------------------------------------------------------------
 
     async def record_intent(self, request_id: str, now: int) -> None:
-        """Made durable before a non-idempotent request is sent; StoreError: it must not be sent."""
+        """Record durably that a non-idempotent request is about to be sent.
+
+        If this raises StoreError, the request must not be sent.
+        """
         key = schema.intent_key(request_id)
         await self.commit([WriteOperation(key, pack_row(key, schema.intent_row(now)))], "core")
 
     async def resolve_intent(self, request_id: str) -> None:
-        """The request has ended: its intent is removed."""
+        """Delete the intent of a request that has ended."""
         await self.commit_best_effort([WriteOperation(schema.intent_key(request_id), None)], "core")
--- a/onyxwick/store/engine.py
+++ b/onyxwick/store/engine.py
@@ -1,7 +1,8 @@
-"""The embedded store: transactions on keys, durable in a log, read from an index in memory.
+"""The embedded store: transactions on keys, made durable in a log and read from an in-memory index.
 
-Files: `log-N` segments, `checkpoint-N` (all rows up to record N), `mark` (the commit mark: acknowledged up to
-which record) and `lock`. Every file call goes through `StoreFiles`; the store reads no clock. Sizes in bytes.
+Its files are the segments `log-N`, `checkpoint-N` (all rows as of record N), `mark` (the commit mark: the
+last acknowledged record) and `lock`. Every file call goes through `StoreFiles`; the store reads no clock.
+Sizes are in bytes.
 """
 
 from __future__ import annotations
@@ -30,61 +31,61 @@
 
 
 class StoreEngine:
-    """An open store with one writer. StoreUnusableError where opening it could lose acknowledged data."""
+    """An open store with one writer. Raises StoreUnusableError if opening it could lose acknowledged data."""
 
     def __init__(
         self, files: StoreFiles, limits: StoreLimits | None = None, expected_store_id: bytes | None = None
     ) -> None:
         self.limits = limits or StoreLimits()
-        self.failure = ""  # why nothing more is acknowledged; empty while the disk works
-        self.bytes_written = 0  # with `bytes_requested` for the write amplification
+        self.failure = ""  # why commits are no longer acknowledged; empty while there was no failure
+        self.bytes_written = 0  # divided by `bytes_requested` it gives the write amplification
         self.bytes_requested = 0
         self.compaction: Iterator[int] | None = None
         files.lock()
         try:
             opened = open_store(files, expected_store_id)
-        except BaseException:  # a store that was not opened must not keep other processes out
+        except BaseException:  # a store that failed to open must not stay locked for other processes
             files.close()
             raise
         self.index: StoreIndex = opened.index
         self.log = opened.log
         self.last_record_number = opened.last_record_number
         self.checkpoint = CheckpointInfo(opened.checkpoint_number, opened.checkpoint_bytes)
-        self.torn_bytes = opened.torn_bytes  # behind the commit mark, truncated at opening
+        self.torn_bytes = opened.torn_bytes  # after the commit mark; truncated when the store was opened
 
     @property
     def store_id(self) -> bytes:
-        """What tells this store's files from another's."""
+        """The id in this store's files, which distinguishes them from another store's."""
         return self.log.store_id
 
     # ---- reading ----------------------------------------------------------------------------------------
 
     def get(self, key: str) -> bytes | None:
-        """A key's value; None where it has none."""
+        """Return a key's value; None if the key does not exist."""
         return self.index.get(key)
 
     def version(self, key: str) -> int:
-        """How often a key was set; 0 where it never was, or was deleted."""
+        """Return how often a key was set; 0 if it was never set or was deleted."""
         return self.index.version(key)
 
     def keys(self, prefix: str = "") -> Iterator[str]:
-        """Keys with a prefix, in order; with those that only a snapshot still holds."""
+        """Iterate over the keys with a prefix, in order, including keys that only a snapshot still holds."""
         return self.index.keys(prefix)
 
     def scan(self, prefix: str = "") -> Iterator[tuple[str, bytes]]:
-        """Keys with a prefix and their values, in order."""
+        """Iterate over the keys with a prefix and their values, in key order."""
         return self.index.scan(prefix)
 
     def snapshot(self) -> AbstractContextManager[StoreSnapshot]:
-        """The present rows, unchanged by later commits."""
+        """Open a snapshot of the present rows, which later commits do not change."""
         return self.index.snapshot(self.last_record_number)
 
     # ---- writing ----------------------------------------------------------------------------------------
 
     def prepare(self, transactions: Sequence[Transaction]) -> PreparedBatch:
-        """One batch of the transactions that can be done, and an error or None for each of them.
+        """Build one batch of the valid transactions, with an error or None for each transaction.
 
-        StoreFailedError where the disk has failed before.
+        Raises StoreFailedError if the store has failed before.
         """
         self._check_working()
         batch = WriteBatch(first_number=self.last_record_number + 1)
@@ -113,22 +114,25 @@
         return PreparedBatch(batch, errors)
 
     def _check_size(self, payload: records.RecordPayload, batch_bytes: int) -> None:
-        """StoreFullError where a transaction that adds data exceeds the limit; deletions are always taken."""
+        """Raise StoreFullError if a transaction that adds data exceeds the limit. Deletions always pass."""
         adds_data = any(value is not None for _, value, _ in payload.operations)
         total = self.total_bytes() + batch_bytes + payload_bytes(payload.operations)
         if adds_data and total > self.limits.total_bytes:
             raise StoreFullError(self.total_bytes(), self.limits.total_bytes)
 
     def write(self, batch: WriteBatch) -> None:
-        """Make a batch durable. After any error of the disk StoreFailedError, now and for all later calls:
-        what has reached the disk is not known."""
+        """Make a batch durable.
+
+        After a disk error this and all later calls raise StoreFailedError, because it is unknown which data
+        reached the disk.
+        """
         self._check_working()
         if not batch.payloads:
             return
         try:
             self.log.append(batch, self.limits.segment_bytes)
         except OSError as error:
-            self.failure = f"the disk failed ({error}); open the store anew"
+            self.failure = f"the disk failed ({error}); reopen the store"
             raise StoreFailedError(self.failure) from error
         self.bytes_written += len(batch.data) + records.COMMIT_MARK.size
         self.bytes_requested += sum(payload_bytes(payload.operations) for payload in batch.payloads)
@@ -140,7 +144,7 @@
             self.last_record_number = number
 
     def commit(self, *transactions: Transaction) -> None:
-        """Prepare, write and apply; the first error of a transaction is raised after the others are done."""
+        """Prepare, write and apply transactions, then raise the first error of a rejected transaction."""
         batch, errors = self.prepare(transactions)
         self.write(batch)
         self.apply(batch)
@@ -155,17 +159,18 @@
     # ---- compaction -------------------------------------------------------------------------------------
 
     def total_bytes(self) -> int:
-        """Bytes of the log and the checkpoint."""
+        """Return the size of the log and the checkpoint in bytes."""
         return self.log.total_bytes + self.checkpoint.size_bytes
 
     def needs_compaction(self) -> bool:
-        """Is the log over its limit, and no compaction under way?"""
+        """Return whether the log exceeds its limit and no compaction is in progress."""
         return self.compaction is None and self.log.total_bytes > self.limits.log_bytes
 
     def compact(self, may_continue: Callable[[], bool] = lambda: True) -> bool:
-        """Write a checkpoint and remove what it makes redundant, in steps for as long as `may_continue`.
+        """Write a checkpoint and remove redundant files, in steps for as long as `may_continue` returns True.
 
-        True when it is done; else the next call goes on. StoreFailedError after an error of the disk.
+        Returns True once the compaction is complete; otherwise the next call continues it. Raises
+        StoreFailedError after a disk error.
         """
         self._check_working()
         if self.compaction is None:
@@ -177,7 +182,7 @@
                     return False
         except OSError as error:
             self.compaction = None
-            self.failure = f"the disk failed in a compaction ({error}); open the store anew"
+            self.failure = f"the disk failed during a compaction ({error}); reopen the store"
             raise StoreFailedError(self.failure) from error
         self.compaction = None
         return True
@@ -187,7 +192,7 @@
         self.log.files.close()
 
     def status(self) -> dict[str, int | str]:
-        """Figures for logs and `onyxwick store`, under their published names."""
+        """Return figures for logs and `onyxwick store` under their published names."""
         return {
             "store": self.store_id.hex(),
             "records": self.last_record_number,
--- a/onyxwick/store/errors.py
+++ b/onyxwick/store/errors.py
@@ -6,11 +6,11 @@
 
 
 class StoreError(OnyxwickError):
-    """The store cannot do what was asked."""
+    """Base class of the store's errors."""
 
 
 class StoreUnusableError(StoreError):
-    """The files cannot be opened without the risk of data loss; the message says what may be lost."""
+    """The files cannot be opened without risk of data loss; the message states which data may be lost."""
 
 
 class StoreBusyError(StoreError):
@@ -18,11 +18,11 @@
 
 
 class InvalidTransactionError(StoreError):
-    """A transaction has an unusable key, names a key twice or is too large; nothing of it was done."""
+    """A transaction has an invalid key, contains a key twice or is too large; no part of it was applied."""
 
 
 class VersionConflictError(StoreError):
-    """A compare-and-set found another version; nothing of the transaction was done."""
+    """A compare-and-set found another version; no part of the transaction was applied."""
 
     def __init__(self, key: str, expected: int, found: int) -> None:
         super().__init__(f"'{key}' has version {found}, not {expected}")
@@ -32,17 +32,17 @@
 
 
 class StoreFullError(StoreError):
-    """The limit on the store's size is reached; deletions and compaction are still possible."""
+    """The store has reached its size limit; deletions and compaction are still possible."""
 
     def __init__(self, size_bytes: int, limit_bytes: int) -> None:
-        super().__init__(f"the store holds {size_bytes} bytes of {limit_bytes}")
+        super().__init__(f"the store is full: {size_bytes} bytes of {limit_bytes}")
         self.size_bytes = size_bytes
         self.limit_bytes = limit_bytes
 
 
 class StoreFailedError(StoreError):
-    """The disk failed: nothing more is acknowledged until the store is opened again."""
+    """The store failed or is closed; no commit is acknowledged until the store is reopened."""
 
 
 class StoreOverloadedError(StoreError):
-    """Too many commits are pending; nothing was done."""
+    """Too many commits are pending; no part of the transaction was applied."""
--- a/onyxwick/store/files.py
+++ b/onyxwick/store/files.py
@@ -1,7 +1,7 @@
-"""The file calls of the store, behind one small interface so that tests can inject faults.
+"""The store's file calls, behind a small interface so that tests can inject faults.
 
-Names are plain file names in one folder. A write is durable only after `sync` of the file; that a file
-exists, was renamed or removed is durable only after `sync_folder`. Offsets and sizes are in bytes.
+Names are plain file names in one folder. A write is durable only after `sync` of the file; the creation,
+renaming or removal of a file is durable only after `sync_folder`. Offsets and sizes are in bytes.
 """
 
 from __future__ import annotations
@@ -17,41 +17,41 @@
 
 
 class StoreFiles(Protocol):
-    """One folder. OSError from any call that the disk or the system refuses."""
+    """The files of one folder. A call that the disk or the operating system rejects raises OSError."""
 
     def names(self) -> list[str]:
-        """All files of the folder, sorted."""
+        """List the names of all files in the folder, sorted."""
 
     def read(self, name: str) -> bytes:
-        """All bytes of a file."""
+        """Read all bytes of a file."""
 
     def write(self, name: str, offset: int, data: bytes) -> None:
-        """Write all of `data` at an offset; the file is created if need be."""
+        """Write all of `data` at an offset; the file is created if it does not exist."""
 
     def truncate(self, name: str, size: int) -> None:
-        """Cut a file to a size."""
+        """Truncate a file to a size."""
 
     def sync(self, name: str) -> None:
         """Make a file's content durable."""
 
     def sync_folder(self) -> None:
-        """Make the folder's names durable."""
+        """Make the creation, renaming and removal of the folder's files durable."""
 
     def rename(self, name: str, new: str) -> None:
-        """Rename a file; one that has the new name is replaced."""
+        """Rename a file; an existing file with the new name is replaced."""
 
     def remove(self, name: str) -> None:
-        """Remove a file."""
+        """Remove a file from the folder."""
 
     def lock(self) -> None:
-        """Keep other processes out; StoreBusyError where one has the folder open."""
+        """Lock the folder. Raises StoreBusyError if another process has it locked."""
 
     def close(self) -> None:
         """Close all files and release the lock."""
 
 
 class DiskFiles:
-    """A folder on disk, created if need be; each method as in `StoreFiles`."""
+    """A folder on disk, created if it does not exist. Each method is described in `StoreFiles`."""
 
     def __init__(self, folder: Path) -> None:
         folder.mkdir(parents=True, exist_ok=True)
@@ -65,22 +65,22 @@
         return self.open_files[name]
 
     def names(self) -> list[str]:
-        """All files of the folder, sorted."""
+        """List the names of all files in the folder, sorted."""
         return sorted(path.name for path in self.folder.iterdir() if path.is_file())
 
     def read(self, name: str) -> bytes:
-        """All bytes of a file."""
+        """Read all bytes of a file."""
         return (self.folder / name).read_bytes()
 
     def write(self, name: str, offset: int, data: bytes) -> None:
-        """Write all of `data` at an offset; the file is created if need be."""
+        """Write all of `data` at an offset; the file is created if it does not exist."""
         descriptor = self._descriptor(name)
         done = 0
-        while done < len(data):  # one call may write only a part
+        while done < len(data):  # one call may write only a part of the data
             done += os.pwrite(descriptor, data[done:], offset + done)
 
     def truncate(self, name: str, size: int) -> None:
-        """Cut a file to a size."""
+        """Truncate a file to a size."""
         os.ftruncate(self._descriptor(name), size)
 
     def sync(self, name: str) -> None:
@@ -88,7 +88,7 @@
         os.fdatasync(self._descriptor(name))
 
     def sync_folder(self) -> None:
-        """Make the folder's names durable."""
+        """Make the creation, renaming and removal of the folder's files durable."""
         descriptor = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY)
         try:
             os.fsync(descriptor)
@@ -100,18 +100,18 @@
             os.close(descriptor)
 
     def rename(self, name: str, new: str) -> None:
-        """Rename a file; one that has the new name is replaced."""
+        """Rename a file; an existing file with the new name is replaced."""
         self._close_file(name)
         self._close_file(new)
         os.rename(self.folder / name, self.folder / new)
 
     def remove(self, name: str) -> None:
-        """Remove a file."""
+        """Remove a file from the folder."""
         self._close_file(name)
         os.unlink(self.folder / name)
 
     def lock(self) -> None:
-        """Keep other processes out; StoreBusyError where one has the folder open."""
+        """Lock the folder. Raises StoreBusyError if another process has it locked."""
         if self.lock_descriptor is not None:
             return
         descriptor = os.open(self.folder / LOCK_FILE, os.O_RDWR | os.O_CREAT, 0o600)
--- a/onyxwick/store/index.py
+++ b/onyxwick/store/index.py
@@ -1,7 +1,7 @@
-"""The store's rows in memory, in the order of their keys, and snapshots of them while writers go on.
+"""In-memory index of the store's rows, in key order, with snapshots that concurrent writes do not change.
 
-Every entry carries its version (how often the key was set) and the number of the record that set it. As long
-as a snapshot is open, entries that are replaced or deleted are kept beside the index.
+Each entry has a version (how often the key was set) and the number of the record that set it. While a
+snapshot is open, entries that are replaced or deleted are retained beside the index.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class IndexEntry:
-    """One value (None: deleted), its version, and the number of the record that made it."""
+    """One value (None if deleted), its version, and the number of the record that set or deleted it."""
 
     value: bytes | None
     version: int
@@ -28,18 +28,18 @@
 
 
 DELETED_BEFORE = IndexEntry(None, 0, 0)
-"""The entry of a key that did not exist."""
+"""The older entry of a key that did not exist before."""
 
 
 class StoreSnapshot:
-    """The rows as they were at one record, while writers go on."""
+    """The rows as of one record, unchanged by later writes."""
 
     def __init__(self, index: StoreIndex, record_number: int) -> None:
         self.index = index
         self.record_number = record_number
 
     def get(self, key: str) -> bytes | None:
-        """A key's value; None where it had none."""
+        """Return a key's value as of the snapshot; None if the key did not exist."""
         entry = self.index.entry_at(key, self.record_number)
         return entry.value if entry is not None else None
 
@@ -64,17 +64,17 @@
         return len(self.entries)
 
     def get(self, key: str) -> bytes | None:
-        """A key's value; None where it has none."""
+        """Return a key's value; None if the key does not exist."""
         entry = self.entries.get(key)
         return entry.value if entry is not None else None
 
     def version(self, key: str) -> int:
-        """How often a key was set; 0 where it never was, or was deleted."""
+        """Return how often a key was set; 0 if it was never set or was deleted."""
         entry = self.entries.get(key)
         return entry.version if entry is not None else 0
 
     def keys(self, prefix: str = "") -> Iterator[str]:
-        """Keys with a prefix, in order; with those that only a snapshot still holds."""
+        """Iterate over the keys with a prefix, in order, including keys that only a snapshot still holds."""
         current = self.entries.irange(prefix, prefix + LAST_CHARACTER)
         if not self.older_entries:
             yield from current
@@ -83,14 +83,14 @@
         yield from sorted(older.union(current))
 
     def scan(self, prefix: str = "") -> Iterator[tuple[str, bytes]]:
-        """Current keys with a prefix and their values, in order."""
+        """Iterate over the current keys with a prefix and their values, in key order."""
         for key in self.entries.irange(prefix, prefix + LAST_CHARACTER):
             value = self.entries[key].value
             if value is not None:
                 yield key, value
 
     def entry_at(self, key: str, record_number: int) -> IndexEntry | None:
-        """A key's entry as of a record."""
+        """Return a key's entry as of a record; None if it had none."""
         entry: IndexEntry | None = self.entries.get(key)
         if entry is not None and entry.record_number <= record_number:
             return entry
@@ -99,7 +99,7 @@
 
     @contextmanager
     def snapshot(self, record_number: int) -> Iterator[StoreSnapshot]:
-        """The rows as of `record_number`, which is the last one applied."""
+        """Open a snapshot as of `record_number`, which must be the last applied record."""
         self.open_snapshots[record_number] = self.open_snapshots.get(record_number, 0) + 1
         try:
             yield StoreSnapshot(self, record_number)
@@ -120,18 +120,21 @@
                 self.entries[key] = IndexEntry(value, version, record_number)
                 continue
             self.entries.pop(key, None)
-            if self.open_snapshots:  # a later snapshot must not find what was deleted
+            if self.open_snapshots:  # a later snapshot must not find the deleted value
                 self.older_entries[key].append(IndexEntry(None, 0, record_number))
 
     def keys_after(self, last: str, count: int) -> list[str]:
-        """The next keys behind `last`: `count` current ones, with those between that a snapshot holds."""
+        """Return the next `count` current keys after `last`, with keys in between that only a snapshot holds.
+
+        If fewer current keys are left, all snapshot keys after `last` are included.
+        """
         keys = list(itertools.islice(self.entries.irange(last, inclusive=(False, True)), count))
         is_last_part = len(keys) < count
         older = [key for key in self.older_entries if key > last and (is_last_part or key <= keys[-1])]
         return sorted({*keys, *older})
 
     def rows_at(self, keys: list[str], record_number: int) -> StoredOperations:
-        """The rows of some keys as of a record, without deleted ones."""
+        """Return the rows of some keys as of a record, without deleted rows."""
         entries = ((key, self.entry_at(key, record_number)) for key in keys)
         return [
             (key, entry.value, entry.version)
--- a/onyxwick/store/opening.py
+++ b/onyxwick/store/opening.py
@@ -1,7 +1,7 @@
-"""Opens a store's folder: reads the commit mark, the newest checkpoint and the log behind it.
+"""Opens a store's folder: reads the commit mark, the newest checkpoint and the log records after it.
 
-Raises StoreUnusableError wherever opening could lose acknowledged data. A torn write behind the last intact
-record is truncated; intact records behind the commit mark are taken in and acknowledged.
+Raises StoreUnusableError if opening could lose acknowledged data. A torn write after the last intact record
+is truncated; intact records after the commit mark are replayed and acknowledged.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenedStore:
-    """What opening found. `torn_bytes`: truncated behind the last intact record."""
+    """The result of opening a store. `torn_bytes` bytes were truncated after the last intact record."""
 
     index: StoreIndex
     log: SegmentLog
@@ -47,14 +47,14 @@
 
 
 def open_store(files: StoreFiles, expected_store_id: bytes | None) -> OpenedStore:
-    """Open the folder, or create a store in it where it is empty.
+    """Open the store in a folder, or create a store if the folder is empty.
 
-    Raises StoreUnusableError where data may be lost, or the store has another id than the expected one.
+    Raises StoreUnusableError if data may be lost or the store's id differs from the expected id.
     """
-    return _Opening(files).run(expected_store_id)
+    return _StoreOpener(files).run(expected_store_id)
 
 
-class _Opening:
+class _StoreOpener:
     def __init__(self, files: StoreFiles) -> None:
         self.files = files
         self.log = SegmentLog(files)
@@ -98,7 +98,7 @@
         if not marks:
             if has_data:
                 raise StoreUnusableError(
-                    "the commit mark is missing or damaged; what was acknowledged is unknown"
+                    "the commit mark is missing or damaged; it is unknown which records were acknowledged"
                 )
             return False
         mark = max(marks, key=lambda mark: mark.sequence)
@@ -111,7 +111,8 @@
         if has_commit_mark and self.log.acknowledged_number:
             raise StoreUnusableError(f"all {self.log.acknowledged_number} acknowledged records are missing")
         self.log.store_id = store_id or secrets.token_bytes(STORE_ID_BYTES)
-        # The commit mark first: a log without it is refused, an empty store without its log is created again.
+        # The commit mark is written first: after a crash in between, a log without a commit mark would be
+        # rejected, whereas a commit mark without a log is an empty store and is created again.
         for _ in range(2):
             self.log.write_commit_mark(0)
         self.files.sync_folder()
@@ -120,8 +121,11 @@
     # ---- checkpoint -------------------------------------------------------------------------------------
 
     def _load_checkpoint(self, checkpoints: list[NumberedFile], has_segments: bool) -> None:
-        """Load the newest intact one. A damaged one is skipped; whether the log still has what it held is
-        found out by the replay."""
+        """Load the newest intact checkpoint.
+
+        A damaged checkpoint is skipped; the replay then detects whether the log still has all its records. If
+        there is no segment and no intact checkpoint, StoreUnusableError is raised.
+        """
         for number, name in checkpoints:
             data = self.files.read(name)
             try:
@@ -140,7 +144,7 @@
 
     def _check_store_id(self, store_id: bytes, name: str) -> None:
         if self.log.store_id and store_id != self.log.store_id:
-            raise StoreUnusableError(f"{name}: belongs to another store")
+            raise StoreUnusableError(f"{name}: the file belongs to another store")
         self.log.store_id = store_id
 
     # ---- log --------------------------------------------------------------------------------------------
@@ -150,12 +154,12 @@
             is_last = position == len(segments) - 1
             following = None if is_last else segments[position + 1].name
             if following is not None and self._is_redundant(following):
-                continue  # a crash came before it was removed: the checkpoint has all of it
+                continue  # a crash prevented its removal; the checkpoint includes all of its records
             if not self._replay_segment(segment, following):
                 return
 
     def _replay_segment(self, segment: NumberedFile, following: str | None) -> bool:
-        """Take in one segment; False for an empty last one, which is removed."""
+        """Replay one segment. Returns False after removing it if it is the last one and holds no record."""
         name = segment.name
         data = self.files.read(name)
         try:
@@ -174,19 +178,19 @@
             self.torn_bytes += len(data) - end
             if following is not None and self.last_record_number < self._preceding_number(following):
                 raise StoreUnusableError(
-                    f"{name}: damaged behind record {self.last_record_number}, and more records follow it"
+                    f"{name}: damaged after record {self.last_record_number}, and later segments hold records"
                 )
         return True
 
     def _was_never_written(self, data: bytes) -> bool:
-        """Can a segment with a damaged header hold no acknowledged record?"""
+        """Return whether a segment with a damaged header cannot hold an acknowledged record."""
         complete = self.last_record_number >= self.log.acknowledged_number
         return complete and len(data) <= records.SEGMENT_HEADER.size
 
     def _check_segment_header(self, header: records.SegmentHeader, segment: NumberedFile) -> None:
         self._check_store_id(header.store_id, segment.name)
         if header.segment != segment.number:
-            raise StoreUnusableError(f"{segment.name}: its header names segment {header.segment}")
+            raise StoreUnusableError(f"{segment.name}: its header has segment number {header.segment}")
         if header.preceding_number > self.last_record_number:
             raise StoreUnusableError(
                 f"records {self.last_record_number + 1} to {header.preceding_number} are missing"
@@ -194,7 +198,7 @@
             )
 
     def _is_redundant(self, following: str) -> bool:
-        """Does the checkpoint hold all that lies before a segment?"""
+        """Return whether the checkpoint includes all records before a segment."""
         try:
             preceding = self._preceding_number(following)
         except StoreUnusableError:
@@ -205,12 +209,12 @@
         return records.decode_segment_header(self.files.read(name), name).preceding_number
 
     def _replay_records(self, data: bytes, preceding_number: int) -> int:
-        """Take in a segment's records; the offset behind the last intact one."""
+        """Replay a segment's records and return the offset after the last intact record."""
         end = records.SEGMENT_HEADER.size
         for found in records.decode_records(data, end, preceding_number):
             end = found.end_offset
             if found.number <= self.last_record_number:
-                continue  # the checkpoint has it
+                continue  # the checkpoint includes it
             if found.number != self.last_record_number + 1:
                 raise StoreUnusableError(
                     f"record {self.last_record_number + 1} is missing before {found.number}"
@@ -224,11 +228,11 @@
             self.last_record_number = found.number
         return end
 
-    # ---- the end of it ----------------------------------------------------------------------------------
+    # ---- after the replay -------------------------------------------------------------------------------
 
     def _check_complete(self, expected_store_id: bytes | None) -> None:
         if expected_store_id is not None and self.log.store_id != expected_store_id:
-            raise StoreUnusableError("this store belongs to another installation")
+            raise StoreUnusableError("the store belongs to another installation than the expected one")
         if self.last_record_number < self.log.acknowledged_number:
             raise StoreUnusableError(
                 f"records {self.last_record_number + 1} to {self.log.acknowledged_number} were acknowledged"
@@ -236,7 +240,7 @@
             )
 
     def _finish_log(self) -> None:
-        """Truncate a torn write, so that nothing is appended behind it, and acknowledge what is intact."""
+        """Truncate a torn write, so that no record is appended after it, and acknowledge intact records."""
         if not self.log.segment:
             self.log.start_segment(self.last_record_number)
             return
@@ -245,7 +249,7 @@
             self.files.truncate(name, self.log.segment_bytes)
             self.files.sync(name)
         if self.log.acknowledged_number < self.last_record_number:
-            # Intact and durable, though never acknowledged: later records will follow them.
+            # These records are intact but were never acknowledged. Later records will follow them in the log.
             self.files.sync(name)
             self.log.write_commit_mark(self.last_record_number)
 
--- a/onyxwick/store/records.py
+++ b/onyxwick/store/records.py
@@ -1,9 +1,9 @@
-"""The store's file formats, both ways and free of I/O: records, segments, commit marks and checkpoints.
+"""Encodes and decodes the store's file formats, without I/O: records, segments, commit marks, checkpoints.
 
-A record is length, checksum (CRC-32C over length, number and payload), number and payload. A segment begins
-with a header that identifies the store, so that files of another installation are not taken for this one's.
-The commit mark says up to which record number everything has been acknowledged: a torn write behind it was
-never acknowledged, whereas a damaged record before it means data loss, and the store refuses to open.
+A record consists of length, checksum (CRC-32C over length, number and payload), number and payload. A segment
+begins with a header that identifies the store, so that files of another installation are not mistaken for
+files of this one. The commit mark states up to which number all records are acknowledged: a torn write after
+it was never acknowledged, whereas a damaged record before it means data loss, and the store does not open.
 """
 
 from __future__ import annotations
@@ -19,27 +19,27 @@
 from onyxwick.store.errors import StoreUnusableError
 
 RECORD_HEADER = struct.Struct("<IIQ")
-"""Bytes of the payload, checksum, record number."""
+"""Payload size in bytes, checksum, record number."""
 SEGMENT_HEADER = struct.Struct("<8s16sQQI")
-"""Magic, store, segment, number of the record before its first, checksum."""
+"""Magic, store id, segment number, number of the record before the segment's first, checksum."""
 COMMIT_MARK = struct.Struct("<8s16sQQI")
-"""Magic, store, acknowledged record number, sequence of the mark, checksum."""
-_CHECKPOINT_FIELDS = struct.Struct("<8s16sQQ")  # magic, store, record number, rows
+"""Magic, store id, acknowledged record number, sequence number of the mark, checksum."""
+_CHECKPOINT_FIELDS = struct.Struct("<8s16sQQ")  # magic, store id, record number, row count
 _CHECKSUM = struct.Struct("<I")
-_RECORD_CHECKED = struct.Struct("<IQ")  # what the checksum covers before the payload: length and number
+_RECORD_CHECKED = struct.Struct("<IQ")  # length and number, which the checksum covers before the payload
 CHECKPOINT_HEADER_BYTES = _CHECKPOINT_FIELDS.size + _CHECKSUM.size
 SEGMENT_MAGIC = b"OWLOG 1\n"
 COMMIT_MARK_MAGIC = b"OWMARK1\n"
 CHECKPOINT_MAGIC = b"OWCKPT1\n"
 MAX_PAYLOAD_BYTES = 16 << 20
 COMMIT_MARK_SLOT_BYTES = 4096
-"""The mark's file has two slots of this size, written in turn: a torn write damages one of them."""
+"""The commit mark's file has two slots of this size, written in turn; a torn write damages only one."""
 StoredOperations = list[tuple[str, bytes | None, int]]
-"""Key, value (None: deleted) and version, as a record holds them."""
+"""Key, value (None if deleted) and version of each operation, as stored in a record."""
 
 
 class RecordPayload(msgspec.Struct, array_like=True):
-    """One transaction, in the order of its fields on disk: Unix microseconds, author, operations."""
+    """One transaction: time in Unix microseconds, author, operations. The field order is the one on disk."""
 
     at_us: int
     author: str
@@ -47,7 +47,7 @@
 
 
 class SegmentHeader(NamedTuple):
-    """`preceding_number` is the number of the record before the segment's first."""
+    """The header of a segment. `preceding_number` is the number of the record before the segment's first."""
 
     store_id: bytes
     segment: int
@@ -55,7 +55,7 @@
 
 
 class CommitMark(NamedTuple):
-    """Records up to `number` are acknowledged; of two marks the one with the larger sequence holds."""
+    """Records up to `number` are acknowledged. Of two marks, the one with the larger sequence is valid."""
 
     store_id: bytes
     number: int
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DecodedRecord:
-    """One intact record; `payload` is a view into what was read, `end_offset` where the next one begins."""
+    """One intact record. `payload` is a view of the file's data; the next record begins at `end_offset`."""
 
     number: int
     payload: memoryview
@@ -88,14 +88,14 @@
 
 
 def encode_record(number: int, payload: bytes) -> bytes:
-    """A record with its header."""
+    """Encode a record with its header."""
     return RECORD_HEADER.pack(len(payload), _record_checksum(number, payload), number) + payload
 
 
 def decode_records(data: bytes, offset: int, number: int) -> Iterator[DecodedRecord]:
-    """Records from an offset on whose numbers follow `number`, up to the first that is not intact.
+    """Decode the records from an offset on, whose numbers follow `number`, up to the first damaged record.
 
-    Opening reads a million of them: payloads are views, and names are looked up once.
+    Opening a store can decode a million records. For speed, payloads are views and names are looked up once.
     """
     unpack = RECORD_HEADER.unpack_from
     header_bytes = RECORD_HEADER.size
@@ -116,12 +116,12 @@
 
 
 def decode_payload(data: bytes | memoryview, number: int) -> RecordPayload:
-    """The payload of an intact record; StoreUnusableError where it has another form."""
+    """Decode the payload of an intact record. Raises StoreUnusableError if it has another structure."""
     try:
         return _payload_decoder.decode(data)
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
         raise StoreUnusableError(
-            f"record {number} has a valid checksum and cannot be read: {error}"
+            f"record {number} has a valid checksum but cannot be decoded: {error}"
         ) from None
 
 
@@ -134,29 +134,29 @@
 
 
 def encode_segment_header(store_id: bytes, segment: int, preceding_number: int) -> bytes:
-    """The first bytes of a segment."""
+    """Encode the header with which a segment begins."""
     data = SEGMENT_HEADER.pack(SEGMENT_MAGIC, store_id, segment, preceding_number, 0)
     return _with_checksum(data[: -_CHECKSUM.size])
 
 
 def decode_segment_header(data: bytes, name: str) -> SegmentHeader:
-    """The header of the segment file `name`; StoreUnusableError where it is damaged."""
+    """Decode the header of the segment file `name`. Raises StoreUnusableError if it is damaged."""
     header = data[: SEGMENT_HEADER.size]
     intact = len(header) == SEGMENT_HEADER.size and header.startswith(SEGMENT_MAGIC)
     if not intact or not _checksum_matches(header):
-        raise StoreUnusableError(f"{name}: its header is damaged; the records in it may be lost")
+        raise StoreUnusableError(f"{name}: the segment header is damaged; the segment's records may be lost")
     _, store_id, segment, preceding_number, _ = SEGMENT_HEADER.unpack(header)
     return SegmentHeader(store_id, segment, preceding_number)
 
 
 def encode_commit_mark(store_id: bytes, number: int, sequence: int) -> bytes:
-    """One slot of the commit mark's file."""
+    """Encode one slot of the commit mark's file."""
     data = COMMIT_MARK.pack(COMMIT_MARK_MAGIC, store_id, number, sequence, 0)
     return _with_checksum(data[: -_CHECKSUM.size])
 
 
 def decode_commit_marks(data: bytes) -> list[CommitMark]:
-    """The marks of the slots that are intact."""
+    """Decode the commit marks of the intact slots."""
     marks = []
     for offset in (0, COMMIT_MARK_SLOT_BYTES):
         slot = data[offset : offset + COMMIT_MARK.size]
@@ -167,17 +167,17 @@
 
 
 def encode_checkpoint_header(store_id: bytes, number: int, count: int) -> bytes:
-    """The first bytes of a checkpoint of `count` rows as of record `number`."""
+    """Encode the header of a checkpoint with `count` rows as of record `number`."""
     return _with_checksum(_CHECKPOINT_FIELDS.pack(CHECKPOINT_MAGIC, store_id, number, count))
 
 
 def decode_checkpoint(data: bytes, name: str) -> Checkpoint:
-    """The checkpoint file `name`; StoreUnusableError where any byte of it is damaged."""
+    """Decode the checkpoint file `name`. Raises StoreUnusableError if any byte of it is damaged."""
     if len(data) < CHECKPOINT_HEADER_BYTES or not _checksum_matches(data[:CHECKPOINT_HEADER_BYTES]):
-        raise StoreUnusableError(f"{name}: its header is damaged")
+        raise StoreUnusableError(f"{name}: the checkpoint header is damaged")
     magic, store_id, number, count = _CHECKPOINT_FIELDS.unpack_from(data)
     if magic != CHECKPOINT_MAGIC:
-        raise StoreUnusableError(f"{name}: is no checkpoint")
+        raise StoreUnusableError(f"{name}: the file is not a checkpoint")
     rows: StoredOperations = []
     end = CHECKPOINT_HEADER_BYTES
     last_record = 0
--- a/onyxwick/store/recovery.py
+++ b/onyxwick/store/recovery.py
@@ -1,9 +1,9 @@
-"""What a director may decide before, while and after it reads its store. Events and time in, answers out.
+"""State machine of a director's restart: which members it may use before, while and after it reads its store.
 
-The store knows the drains and purges from before the director ended; the coordinator knows the present ones,
-once its feed has been received up to the number that the store had recorded. Until then the stricter of the
-two holds, member by member. After that the coordinator's holds, except for an operator's own drains, which
-only an operator lifts. Times in Unix microseconds; no I/O.
+The store has the drains and purges from before the director ended. The coordinator has the present ones,
+which are known once its feed has been received up to the number that the store had recorded. Until then the
+stricter of the two states applies to each member. After that the coordinator's state applies, except for
+drains by an operator, which only an operator lifts. Times are in Unix microseconds. The module does no I/O.
 """
 
 from __future__ import annotations
@@ -16,11 +16,14 @@
 from onyxwick.interface import EndpointsChanged, Member, MemberState, ObjectsPurged
 
 FEED_TIMEOUT_US = 10_000_000
-"""Without the feed for so long, the director serves from the list at hand; recorded drains stay."""
+"""If the feed is not received for this long, the director serves from its present endpoint list.
+
+The recorded drains stay in force.
+"""
 
 
 class RecoveryPhase(Enum):
-    """Where a director is on its way back; `TRANSITIONS` has the legal steps."""
+    """Phase of a director's recovery. `TRANSITIONS` has the legal transitions."""
 
     OPENING = "opening"
     REPLAYING = "replaying"
@@ -39,16 +42,16 @@
 
 
 class IllegalRecoveryPhaseError(OnyxwickError, RuntimeError):
-    """A transition that the table of phases does not have."""
+    """A transition that is not in `TRANSITIONS`."""
 
     def __init__(self, phase: RecoveryPhase, wanted: RecoveryPhase) -> None:
-        super().__init__(f"recovery: {phase.value} to {wanted.value}")
+        super().__init__(f"recovery: illegal transition from {phase.value} to {wanted.value}")
         self.phase = phase
         self.wanted = wanted
 
 
 class DrainSource(Enum):
-    """Who ordered a drain, and so who may lift it."""
+    """Who ordered a drain and may therefore lift it."""
 
     OPERATOR = "operator"
     COORDINATOR = "coordinator"
@@ -56,8 +59,10 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberDrain:
-    """A member that is to get no requests. `process_started_us`: the start of the process that was drained,
-    as the endpoint list reported it."""
+    """A member that must get no requests.
+
+    `process_started_us` is the start time of the drained process as reported by the endpoint list.
+    """
 
     member: str
     source: DrainSource
@@ -68,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordedPurge:
-    """A purge of one object or, without one, of a group, made at `unix_us`."""
+    """A purge of one object, or of a group if `object_id` is None, made at `unix_us`."""
 
     object_group: int
     object_id: str | None
@@ -77,7 +82,7 @@
 
 
 class Recovery:
-    """One director's recovery, and the drains that hold while it serves."""
+    """One director's recovery, and the drains in force while it serves."""
 
     def __init__(self, now: int, purge_retention_us: int) -> None:
         self.phase = RecoveryPhase.OPENING
@@ -85,10 +90,10 @@
         self.purge_retention_us = purge_retention_us
         self.drains: dict[str, MemberDrain] = {}
         self.purges: list[RecordedPurge] = []
-        self.unresolved_intents: dict[str, None] = {}  # requests under way when the director ended
-        self.last_feed_number = 0  # of the feed, as the store has recorded it
+        self.unresolved_intents: dict[str, None] = {}  # requests in progress when the director ended
+        self.last_feed_number = 0  # the last received number of the feed that the store has recorded
         self.reason = ""
-        self.feed_overdue = False  # it serves without the feed: the coordinator's recorded drains still hold
+        self.feed_overdue = False  # serving without the feed; the coordinator's recorded drains are in force
 
     def _transition(self, phase: RecoveryPhase, now: int, reason: str = "") -> None:
         if phase not in TRANSITIONS[self.phase]:
@@ -100,11 +105,11 @@
     # ---- phases -----------------------------------------------------------------------------------------
 
     def on_opened(self, now: int) -> None:
-        """The store's files are being read."""
-        self._transition(RecoveryPhase.REPLAYING, now, "the store is read")
+        """Start to read the store's files."""
+        self._transition(RecoveryPhase.REPLAYING, now, "the store is being read")
 
     def on_unusable(self, now: int, reason: str) -> None:
-        """The store cannot be trusted: the director must not serve without the drains in it."""
+        """Refuse to serve: the store cannot be read, and the director must not serve without its drains."""
         self._transition(RecoveryPhase.REFUSED, now, reason)
 
     def on_replayed(
@@ -115,32 +120,38 @@
         intents: Iterable[str],
         last_feed_number: int,
     ) -> None:
-        """What the store holds; purges that all caches must have carried out are left out."""
+        """Take over the store's content, without purges that all caches must have carried out."""
         self.drains = {drain.member: drain for drain in drains}
         self.purges = [purge for purge in purges if now - purge.unix_us <= self.purge_retention_us]
         self.unresolved_intents = dict.fromkeys(intents)
         self.last_feed_number = last_feed_number
-        self._transition(RecoveryPhase.CHECKING, now, f"waits for number {last_feed_number} of the feed")
+        self._transition(RecoveryPhase.CHECKING, now, f"waiting for number {last_feed_number} of the feed")
 
     def on_feed_number(self, now: int, index: int) -> bool:
-        """The feed was received up to a number; True where that ends the checking, or lifts the coordinator's
-        recorded drains that were kept because the feed was overdue."""
+        """Handle that the feed was received up to number `index`.
+
+        Returns True if that ends the checking phase, or lifts the coordinator's recorded drains that stayed
+        in force because the feed was overdue.
+        """
         is_waiting = self.phase is RecoveryPhase.CHECKING or self.feed_overdue
         if index < self.last_feed_number or not is_waiting:
             return False
         if self.phase is RecoveryPhase.CHECKING:
             self._transition(RecoveryPhase.SERVING, now)
         self.feed_overdue = False
-        # Drains of the coordinator that still hold were reported again before this number.
+        # The coordinator has reported its present drains again before this number.
         self.drains = {
             name: drain for name, drain in self.drains.items() if drain.source is DrainSource.OPERATOR
         }
         return True
 
     def on_tick(self, now: int) -> bool:
-        """True where the feed is overdue: the director serves on, and recorded drains stay until it comes."""
+        """Start to serve if the feed is overdue, and return whether that happened.
+
+        The recorded drains stay in force until the feed is received.
+        """
         if self.phase is RecoveryPhase.CHECKING and now - self.phase_since_us > FEED_TIMEOUT_US:
-            reason = "the feed was not heard in time; recorded drains are kept"
+            reason = "the feed was not received in time; recorded drains stay in force"
             self._transition(RecoveryPhase.SERVING, now, reason)
             self.feed_overdue = True
             return True
@@ -148,22 +159,22 @@
 
     @property
     def may_serve(self) -> bool:
-        """May requests be taken?"""
+        """Return whether the director may accept requests."""
         return self.phase in (RecoveryPhase.CHECKING, RecoveryPhase.SERVING)
 
     # ---- decisions --------------------------------------------------------------------------------------
 
     def is_drained(self, member: Member) -> bool:
-        """Is a member of the list to get no requests, whatever the list says?"""
+        """Return whether a member must get no requests, whatever its state in the endpoint list."""
         drain = self.drains.get(member.address)
         if drain is None or member.state is MemberState.REMOVED:
             return False
-        # The coordinator drains one process: a later one of the same name is not drained. An operator drains
-        # the name.
+        # The coordinator drains one process; a later process with the same name is not drained. An operator
+        # drains the name, and so every process that has it.
         return drain.source is DrainSource.OPERATOR or member.started_at_us <= drain.process_started_us
 
     def with_drains(self, event: EndpointsChanged) -> EndpointsChanged:
-        """The list with drained members shown as draining."""
+        """Return the endpoint list with drained members marked as draining."""
         if not self.drains or not any(self.is_drained(member) for member in event.members):
             return event
         members = (
@@ -173,29 +184,31 @@
         return replace(event, members=tuple(members))
 
     def purges_to_replay(self, now: int) -> list[ObjectsPurged]:
-        """Purges that a cache may not have carried out yet: they bind from the first request on."""
+        """Return the purges that a cache may not have carried out yet; they apply from the first request."""
         return [
             ObjectsPurged(purge.object_group, purge.object_id, max(0, now - purge.unix_us))
             for purge in self.purges
         ]
 
     def may_send(self, request_id: str) -> bool:
-        """May a non-idempotent request be sent? Not if an attempt of it was under way when the director
-        ended."""
+        """Return whether a non-idempotent request may be sent.
+
+        It may not be sent if an attempt of it was in progress when the director ended.
+        """
         return request_id not in self.unresolved_intents
 
     # ---- changes while serving --------------------------------------------------------------------------
 
     def add_drain(self, drain: MemberDrain) -> None:
-        """A drain that is recorded holds from now on."""
+        """Put a recorded drain in force."""
         self.drains[drain.member] = drain
 
     def lift_drain(self, member: str) -> bool:
-        """An operator lifts a drain; False where there is none."""
+        """Lift a drain for an operator. Returns False if the member is not drained."""
         return self.drains.pop(member, None) is not None
 
     def status(self) -> Mapping[str, object]:
-        """Figures for logs and the administration API, under their published names."""
+        """Return figures for logs and the administration API under their published names."""
         return {
             "phase": self.phase.value,
             "why": self.reason,
--- a/onyxwick/store/row_schema.py
+++ b/onyxwick/store/row_schema.py
@@ -1,8 +1,8 @@
-"""The rows of a director's store: their keys, their schemas, and the typed records that they stand for.
+"""The rows of a director's store: their keys, schemas and typed records.
 
-A row's value is MessagePack of [schema, map]. A row of an older schema is upgraded as it is read; one of a
-newer schema is refused, as it may hold what this program would lose. The keys of the maps are the stored
-format: they are mapped to fields here and nowhere else.
+A row's value is the MessagePack encoding of [schema, map]. A row with an older schema is upgraded when it is
+read; a row with a newer schema is rejected, as it may hold data that this version would lose. The keys of the
+maps are the stored format; only this module maps them to fields.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 StoredRow = dict[str, Any]
 StoredRows = dict[str, StoredRow]
-"""Rows by key."""
+"""Rows by their keys."""
 SCHEMAS = {
     "tenant": 1,
     "zone": 1,
@@ -32,9 +32,9 @@
     "booking": 1,
     "siteorder": 1,
 }
-"""The present schema of each kind of row; the kind is a key's first part."""
+"""The current schema of each kind of row. The kind is the first part of the row's key."""
 UPGRADES: dict[tuple[str, int], Callable[[StoredRow], StoredRow]] = {}
-"""By kind and schema, the upgrade to the next schema."""
+"""Functions that upgrade a row to the next schema, by kind and present schema."""
 PLAN_KEY = "plan/now"
 FEED_KEY = "feed/last"
 encode_row = msgspec.msgpack.Encoder().encode
@@ -42,29 +42,32 @@
 
 
 def row_kind(key: str) -> str:
-    """A key's first part."""
+    """Return the kind of a row, which is the first part of its key."""
     return key.partition("/")[0]
 
 
 def pack_row(key: str, row: StoredRow) -> bytes:
-    """A row's bytes under its present schema."""
+    """Encode a row with the current schema of its kind."""
     return encode_row([SCHEMAS[row_kind(key)], row])
 
 
 def unpack_row(key: str, value: bytes) -> StoredRow:
-    """A row in its present schema; StoreUnusableError where it cannot be read, or has a newer one."""
+    """Decode a row and upgrade it to the current schema of its kind.
+
+    Raises StoreUnusableError if it cannot be read, is of an unknown kind or has a newer schema.
+    """
     kind = row_kind(key)
     try:
         schema, row = _decode_row(value)
     except (msgspec.MsgspecError, ValueError, TypeError) as error:
         raise StoreUnusableError(f"row '{key}' cannot be read: {error}") from None
     if kind not in SCHEMAS or schema > SCHEMAS[kind]:
-        raise StoreUnusableError(f"row '{key}' has schema {schema}, newer than this program knows")
+        raise StoreUnusableError(f"row '{key}' has schema {schema}, newer than this version supports")
     while schema < SCHEMAS[kind]:
         row = UPGRADES[kind, schema](row)
         schema += 1
     if not isinstance(row, dict):
-        raise StoreUnusableError(f"row '{key}' cannot be read: it holds {type(row).__name__}, not a map")
+        raise StoreUnusableError(f"row '{key}' cannot be read: its value is {type(row).__name__}, not a map")
     return row
 
 
@@ -72,12 +75,12 @@
 
 
 def drain_key(member: str) -> str:
-    """The key of a member's drain."""
+    """Return the key of a member's drain."""
     return f"drain/{member}"
 
 
 def drain_row(drain: MemberDrain) -> StoredRow:
-    """A drain as it is stored."""
+    """Convert a drain to a row."""
     return {
         "member": drain.member,
         "by": drain.source.value,
@@ -88,12 +91,12 @@
 
 
 def drain_of_row(row: StoredRow) -> MemberDrain:
-    """A stored drain; fields that the row lacks have their defaults. StoreUnusableError: unknown source."""
+    """Convert a row to a drain. Missing fields get defaults; an unknown source raises StoreUnusableError."""
     try:
         source = DrainSource(row["by"])
     except ValueError:
         raise StoreUnusableError(
-            f"the drain of '{row['member']}' is by {row['by']!r}, not by operator or coordinator"
+            f"the drain of '{row['member']}' has source {row['by']!r}, expected operator or coordinator"
         ) from None
     return MemberDrain(
         row["member"],
@@ -107,24 +110,24 @@
 # ---- purges ---------------------------------------------------------------------------------------------
 
 PURGE_PREFIX = "purge/"
-_PURGE_TIME_DIGITS = 20  # of the key, so that purges are in the order of their times
+_PURGE_TIME_DIGITS = 20  # fixed width of the time in the key, which sorts purges by time
 
 
 def purge_key(purge: RecordedPurge) -> str:
-    """The key of a purge, which begins with its time."""
+    """Return the key of a purge, which begins with its time."""
     return (
         f"{PURGE_PREFIX}{purge.unix_us:0{_PURGE_TIME_DIGITS}d}/{purge.object_group}/{purge.object_id or ''}"
     )
 
 
 def purge_key_unix_us(key: str) -> int:
-    """The time in a purge's key, in Unix microseconds."""
+    """Return the time in a purge's key, in Unix microseconds."""
     start = len(PURGE_PREFIX)
     return int(key[start : start + _PURGE_TIME_DIGITS])
 
 
 def purge_row(purge: RecordedPurge) -> StoredRow:
-    """A purge as it is stored."""
+    """Convert a purge to a row."""
     return {
         "group": purge.object_group,
         "object": purge.object_id,
@@ -134,7 +137,7 @@
 
 
 def purge_of_row(row: StoredRow) -> RecordedPurge:
-    """A stored purge; fields that the row lacks have their defaults."""
+    """Convert a row to a purge. Missing fields get defaults."""
     return RecordedPurge(row["group"], row["object"], row["unix_us"], row.get("index", 0))
 
 
@@ -143,25 +146,25 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredPlan:
-    """The plan of cells that a call has made: its version, and the plan in the API's JSON form."""
+    """The plan of cells that an API call made: its version, and the plan in the API's JSON format."""
 
     version: int
     plan: dict[str, Any]
 
 
 def plan_row(plan: StoredPlan) -> StoredRow:
-    """A plan as it is stored."""
+    """Convert a plan of cells to a row."""
     return {"version": plan.version, "plan": plan.plan}
 
 
 def plan_of_row(row: StoredRow) -> StoredPlan:
-    """A stored plan."""
+    """Convert a row to a plan of cells."""
     return StoredPlan(int(row["version"]), row["plan"])
 
 
 @dataclass(frozen=True, slots=True)
 class IdempotentCall:
-    """The first outcome of a call with an idempotency key; `fingerprint` tells the call from others."""
+    """The first outcome of a call with an idempotency key. `fingerprint` identifies the call's content."""
 
     fingerprint: str
     status: int
@@ -170,17 +173,17 @@
 
 
 def call_key(idempotency_key: str) -> str:
-    """The key of a call's outcome."""
+    """Return the key of a call's outcome."""
     return f"call/{idempotency_key}"
 
 
 def call_row(call: IdempotentCall) -> StoredRow:
-    """A call's outcome as it is stored."""
+    """Convert a call's outcome to a row."""
     return {"mark": call.fingerprint, "status": call.status, "data": call.data, "at_us": call.at_us}
 
 
 def call_of_row(row: StoredRow) -> IdempotentCall:
-    """A stored call."""
+    """Convert a row to a call's outcome."""
     return IdempotentCall(row["mark"], int(row["status"]), row["data"], row["at_us"])
 
 
@@ -188,20 +191,20 @@
 
 
 def intent_key(request_id: str) -> str:
-    """The key of the write-ahead intent of a request."""
+    """Return the key of a request's write-ahead intent."""
     return f"booking/{request_id}"
 
 
 def intent_row(now: int) -> StoredRow:
-    """A write-ahead intent as it is stored."""
+    """Build the row of a write-ahead intent recorded at `now`."""
     return {"at_us": now}
 
 
 def feed_row(number: int) -> StoredRow:
-    """The last number of the feed as it is stored."""
+    """Build the row of the last received number of the feed."""
     return {"index": number}
 
 
 def site_command_key(site: str) -> str:
-    """The key of the operator's command for a site."""
+    """Return the key of the operator's command for a site."""
     return f"siteorder/{site}"
--- a/onyxwick/store/salvage.py
+++ b/onyxwick/store/salvage.py
@@ -1,6 +1,6 @@
-"""Reads what is still readable of a store that cannot be opened, and tells what is lost.
+"""Reads the records that are still readable in a store that cannot be opened, and reports the losses.
 
-Input is the folder, which is not changed; output the readable records in order and a text for each loss.
+It takes the folder, which is not changed, and returns the readable records in order and a text for each loss.
 """
 
 from __future__ import annotations
@@ -16,62 +16,62 @@
 
 @dataclass(slots=True)
 class Salvage:
-    """What was read of a damaged store."""
+    """The readable payloads of a damaged store, and a text for each loss."""
 
     payloads: list[records.RecordPayload] = field(default_factory=list)
     losses: list[str] = field(default_factory=list)
     last_number: int = 0
-    """Of the last record that could be read."""
+    """Number of the last record that could be read."""
 
 
 def salvage(folder: Path) -> Salvage:
-    """Read a damaged store: its newest readable checkpoint, then its log, then what was acknowledged."""
-    found = Salvage()
+    """Read a damaged store: its newest readable checkpoint, then its log, then its commit mark."""
+    result = Salvage()
     for path in checkpoint_files(folder):
-        _read_checkpoint(path, found)
+        _read_checkpoint(path, result)
     for path in segment_files(folder):
-        _read_segment(path, found)
-    _compare_with_commit_mark(folder / COMMIT_MARK_FILE, found)
-    return found
+        _read_segment(path, result)
+    _compare_with_commit_mark(folder / COMMIT_MARK_FILE, result)
+    return result
 
 
-def _read_checkpoint(path: Path, found: Salvage) -> None:
+def _read_checkpoint(path: Path, result: Salvage) -> None:
     try:
         checkpoint = records.decode_checkpoint(path.read_bytes(), path.name)
     except StoreUnusableError as error:
-        found.losses.append(str(error))
+        result.losses.append(str(error))
         return
-    found.last_number = checkpoint.number
-    found.payloads = [records.RecordPayload(0, "repair", checkpoint.rows)]
+    result.last_number = checkpoint.number
+    result.payloads = [records.RecordPayload(0, "repair", checkpoint.rows)]
 
 
-def _read_segment(path: Path, found: Salvage) -> None:
+def _read_segment(path: Path, result: Salvage) -> None:
     data = path.read_bytes()
     try:
         header = records.decode_segment_header(data, path.name)
     except StoreUnusableError as error:
-        found.losses.append(str(error))
+        result.losses.append(str(error))
         return
-    if header.preceding_number > found.last_number:
-        missing = f"records {found.last_number + 1} to {header.preceding_number}"
-        found.losses.append(f"{missing}, before {path.name}")
+    if header.preceding_number > result.last_number:
+        missing = f"records {result.last_number + 1} to {header.preceding_number}"
+        result.losses.append(f"{missing}, before {path.name}")
     end_offset = records.SEGMENT_HEADER.size
     for record in records.decode_records(data, end_offset, header.preceding_number):
-        if record.number > found.last_number:
-            found.payloads.append(records.decode_payload(record.payload, record.number))
-            found.last_number = record.number
+        if record.number > result.last_number:
+            result.payloads.append(records.decode_payload(record.payload, record.number))
+            result.last_number = record.number
         end_offset = record.end_offset
     if end_offset < len(data):
         unreadable = f"{len(data) - end_offset} bytes of {path.name}"
-        found.losses.append(f"{unreadable} behind record {found.last_number}")
+        result.losses.append(f"{unreadable} after record {result.last_number}")
 
 
-def _compare_with_commit_mark(path: Path, found: Salvage) -> None:
-    """Report records that were acknowledged and could not be read."""
+def _compare_with_commit_mark(path: Path, result: Salvage) -> None:
+    """Add the acknowledged records that could not be read to the losses."""
     marks = records.decode_commit_marks(path.read_bytes()) if path.exists() else []
     acknowledged = max((mark.number for mark in marks), default=None)
     if acknowledged is None:
-        found.losses.append("the mark: whether more was acknowledged cannot be told")
-    elif acknowledged > found.last_number:
-        missing = f"records {found.last_number + 1} to {acknowledged}"
-        found.losses.append(f"{missing}, which were acknowledged")
+        result.losses.append("the commit mark: it is unknown whether more records were acknowledged")
+    elif acknowledged > result.last_number:
+        missing = f"records {result.last_number + 1} to {acknowledged}"
+        result.losses.append(f"{missing}, which were acknowledged")
--- a/onyxwick/store/segment_log.py
+++ b/onyxwick/store/segment_log.py
@@ -1,7 +1,7 @@
-"""The write side of the log: the segment that records are appended to, and the commit mark behind them.
+"""The write side of the log: the segment to which records are appended, and the commit mark.
 
-A commit is acknowledged when its records are synced and, after that, the commit mark that covers them. A
-crash between the two leaves records that were never acknowledged, which are kept at the next start.
+A commit is acknowledged after its records have been synced and then the commit mark that covers them. A crash
+between the two syncs leaves records that were never acknowledged; the next start retains them.
 """
 
 from __future__ import annotations
@@ -17,25 +17,25 @@
 
 
 def segment_name(segment: int) -> str:
-    """The file of a segment; names sort as numbers do."""
+    """Return the file name of a segment. Names sort in the order of the numbers."""
     return f"{SEGMENT_PREFIX}{segment:010d}"
 
 
 def checkpoint_name(record_number: int) -> str:
-    """The file of the checkpoint as of a record; names sort as numbers do."""
+    """Return the file name of the checkpoint as of a record. Names sort in the order of the numbers."""
     return f"{CHECKPOINT_PREFIX}{record_number:020d}"
 
 
 def number_in_name(name: str) -> int:
-    """The number at the end of a file's name; StoreUnusableError where there is none."""
+    """Return the number at the end of a file name. Raises StoreUnusableError if there is none."""
     digits = name.rpartition("-")[2]
     if not digits.isdigit():
-        raise StoreUnusableError(f"{name}: is no file of this store, its name ends in no number")
+        raise StoreUnusableError(f"{name}: not a file of this store, its name does not end in a number")
     return int(digits)
 
 
 class SegmentLog:
-    """Appends to the last segment and begins new ones. After an OSError what is on disk is unknown."""
+    """Appends to the last segment and starts new segments. After an OSError the disk content is unknown."""
 
     def __init__(self, files: StoreFiles) -> None:
         self.files = files
@@ -48,11 +48,11 @@
 
     @property
     def total_bytes(self) -> int:
-        """Bytes of all segments."""
+        """Return the size of all segments in bytes."""
         return sum(self.segment_sizes.values())
 
     def append(self, batch: WriteBatch, max_segment_bytes: int) -> None:
-        """Make a batch durable, in a new segment where it does not fit into the last one."""
+        """Make a batch durable, in a new segment if it does not fit into the last one."""
         fits = self.segment_bytes + len(batch.data) <= max_segment_bytes
         if not fits and self.segment_bytes > records.SEGMENT_HEADER.size:
             self.start_segment(batch.first_number - 1)
@@ -64,7 +64,7 @@
         self.segment_sizes[name] = self.segment_bytes
 
     def write_commit_mark(self, number: int) -> None:
-        """Acknowledge all records up to a number."""
+        """Durably acknowledge all records up to a number."""
         self.commit_mark_sequence += 1
         slot = records.encode_commit_mark(self.store_id, number, self.commit_mark_sequence)
         offset = (self.commit_mark_sequence % 2) * records.COMMIT_MARK_SLOT_BYTES
@@ -73,7 +73,7 @@
         self.acknowledged_number = number
 
     def start_segment(self, preceding_number: int) -> None:
-        """Go on in a new segment, whose first record follows `preceding_number`."""
+        """Start a new segment, whose first record follows record `preceding_number`."""
         self.segment += 1
         name = segment_name(self.segment)
         header = records.encode_segment_header(self.store_id, self.segment, preceding_number)
--- a/onyxwick/store/tenant_rows.py
+++ b/onyxwick/store/tenant_rows.py
@@ -1,4 +1,4 @@
-"""Tenants as rows of the store: quota, token, zones and keys, with the secrets encrypted."""
+"""Converts tenants to rows of the store and back: quota, token, zones and keys, with encrypted secrets."""
 
 from __future__ import annotations
 
@@ -9,41 +9,41 @@
 from onyxwick.store.row_schema import StoredRow, StoredRows, row_kind
 from onyxwick.tenants import Tenant, Tenants, read_key, read_zone
 
-_ENCRYPTED_FIELDS = {"tenant": "token", "key": "secret"}  # by kind of row
+_ENCRYPTED_FIELDS = {"tenant": "token", "key": "secret"}  # the encrypted field of a row, by kind of row
 
 
 def tenant_key(name: str) -> str:
-    """The key of a tenant's own row."""
+    """Return the key of a tenant's main row."""
     return f"tenant/{name}"
 
 
 def deleted_tenant_key(name: str) -> str:
-    """The key of the row that keeps a deleted tenant deleted."""
+    """Return the key of the row that marks a tenant as deleted."""
     return f"gone/{name}"
 
 
 def zone_prefix(name: str) -> str:
-    """The prefix of the keys of a tenant's zones."""
+    """Return the prefix of the keys of a tenant's zones."""
     return f"zone/{name}/"
 
 
 def key_prefix(name: str) -> str:
-    """The prefix of the keys of a tenant's TSIG keys."""
+    """Return the prefix of the row keys of a tenant's TSIG keys."""
     return f"key/{name}/"
 
 
 def tenant_prefixes(name: str) -> tuple[str, ...]:
-    """Prefixes of all keys of a tenant; those of tenants with longer names may begin with them too."""
+    """Return the prefixes of all keys of a tenant. Keys of tenants with longer names may match them too."""
     return (tenant_key(name), zone_prefix(name), key_prefix(name), deleted_tenant_key(name))
 
 
 def is_of_tenant(key: str, name: str) -> bool:
-    """Is this a key of the tenant, not of one with a longer name?"""
+    """Return whether a key belongs to the tenant and not to a tenant with a longer name."""
     return key.split("/")[1] == name
 
 
 def tenant_rows(tenant: Tenant, cipher: SecretCipher) -> StoredRows:
-    """All rows of a tenant."""
+    """Convert a tenant to its rows, by key."""
     token = cipher.encrypt(tenant.token.encode()) if tenant.token else b""
     rows: StoredRows = {tenant_key(tenant.name): {"quota_per_s": tenant.quota.per_s, "token": token}}
     for name, zone in tenant.zones.items():
@@ -58,9 +58,9 @@
 def add_tenant(
     tenants: Tenants, name: str, row: StoredRow, parts: Iterable[tuple[str, StoredRow]], cipher: SecretCipher
 ) -> None:
-    """Add a tenant from its own row and those of its zones and keys.
+    """Add a tenant from its main row and the rows of its zones and keys.
 
-    StoreUnusableError where a secret cannot be decrypted, TenantError where a row cannot be used.
+    Raises StoreUnusableError if a secret cannot be decrypted, and TenantError if a row is invalid.
     """
     token = cipher.decrypt(row["token"], tenant_key(name)).decode() if row["token"] else ""
     tenant = Tenant(name, float(row["quota_per_s"]), token)
@@ -76,7 +76,10 @@
 
 
 def with_plain_secret(key: str, row: StoredRow, cipher: SecretCipher) -> StoredRow:
-    """A row with its secret decrypted: encrypting the same secret twice gives other bytes."""
+    """Return a row with its secret decrypted.
+
+    Rows are compared in this form, because encrypting the same secret twice gives different bytes.
+    """
     field = _ENCRYPTED_FIELDS.get(row_kind(key))
     if field is None or not row[field]:
         return row
--- a/onyxwick/store/transactions.py
+++ b/onyxwick/store/transactions.py
@@ -1,7 +1,7 @@
-"""What writers hand to the store: operations on keys, grouped into transactions, grouped into batches.
+"""The write operations that writers pass to the store, grouped into transactions and batches.
 
-A transaction is checked against the versions of its keys before anything is written; the result is the
-payload of its log record. Sizes are in bytes, times in Unix microseconds.
+A transaction is checked against the versions of its keys before it is written; the result is the payload of
+its log record. Sizes are in bytes, times in Unix microseconds.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 from onyxwick.store.records import MAX_PAYLOAD_BYTES, RecordPayload, StoredOperations
 
 ANY_VERSION = -1
-"""An expected version that matches every version."""
+"""Expected version that matches every version."""
 MAX_KEY_CHARACTERS = 1024
 MAX_TRANSACTION_BYTES = MAX_PAYLOAD_BYTES // 2
 
 
 @dataclass(frozen=True, slots=True)
 class StoreLimits:
-    """Sizes in bytes: of one log segment, of the log since the last checkpoint, of the store."""
+    """Size limits in bytes: of one log segment, of the log since the last checkpoint, of the whole store."""
 
     segment_bytes: int = 8 << 20
     log_bytes: int = 64 << 20
@@ -30,7 +30,10 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteOperation:
-    """Set a key to a value, or delete it with None. `expected_version` is compared first (0: no value)."""
+    """Sets a key to a value, or deletes it if `value` is None.
+
+    `expected_version` is compared with the key's version first; 0 means that the key must not exist.
+    """
 
     key: str
     value: bytes | None
@@ -39,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Transaction:
-    """Operations that are done together or not at all; author and time are kept in the log."""
+    """Operations that are applied atomically. The author and the time are recorded in the log."""
 
     operations: tuple[WriteOperation, ...]
     author: str = ""
@@ -48,7 +51,7 @@
 
 @dataclass(slots=True)
 class WriteBatch:
-    """Transactions on their way to the disk as one write; `first_number` is the first record's number."""
+    """Transactions that are written to disk together. `first_number` is the number of the first record."""
 
     data: bytes = b""
     payloads: list[RecordPayload] = field(default_factory=list)
@@ -56,16 +59,17 @@
 
 
 class PreparedBatch(NamedTuple):
-    """A batch of the transactions that can be done, and for each transaction its error or None."""
+    """A batch of the valid transactions, and for each transaction its error or None."""
 
     batch: WriteBatch
     errors: list[StoreError | None]
 
 
 def check_transaction(transaction: Transaction, version_of: Callable[[str], int]) -> RecordPayload:
-    """The payload with the versions that the transaction makes.
+    """Check a transaction and return its payload with the new versions of the keys.
 
-    Raises InvalidTransactionError, or VersionConflictError where a version is not the expected one.
+    Raises InvalidTransactionError for an invalid transaction, and VersionConflictError if a key does not have
+    the expected version.
     """
     operations: StoredOperations = []
     keys: set[str] = set()
@@ -73,8 +77,8 @@
         key = operation.key
         if not key or len(key) > MAX_KEY_CHARACTERS or key in keys:
             raise InvalidTransactionError(
-                f"key {key[:64]!r} cannot be used, or stands twice in a transaction"
-                f" (1 to {MAX_KEY_CHARACTERS} characters, once each)"
+                f"key {key[:64]!r} is invalid or occurs twice in a transaction"
+                f" (keys have 1 to {MAX_KEY_CHARACTERS} characters)"
             )
         keys.add(key)
         version = version_of(key)
@@ -84,11 +88,11 @@
     size = payload_bytes(operations)
     if size > MAX_TRANSACTION_BYTES:
         raise InvalidTransactionError(
-            f"a transaction of {size} bytes is too large, {MAX_TRANSACTION_BYTES} at most"
+            f"the transaction has {size} bytes, but at most {MAX_TRANSACTION_BYTES} are allowed"
         )
     return RecordPayload(transaction.at_us, transaction.author, operations)
 
 
 def payload_bytes(operations: StoredOperations) -> int:
-    """Bytes of keys and values."""
+    """Return the size of the keys and values of some operations in bytes."""
     return sum(len(key) + len(value or b"") for key, value, _ in operations)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -85,7 +85,7 @@
     recovery = _recovered([MemberDrain("c0", DrainSource.COORDINATOR)])
     assert recovery.may_serve and not recovery.on_tick(109 * S)
     assert recovery.on_tick(111 * S) and recovery.phase is RecoveryPhase.SERVING
-    assert recovery.is_drained(member("c0")) and "not heard" in recovery.reason
+    assert recovery.is_drained(member("c0")) and "not received" in recovery.reason
 
 
 def test_a_feed_received_late_lifts_the_coordinators_drains_once_and_keeps_the_operators() -> None:
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -71,7 +71,7 @@
     engine.write(batch)
     engine.apply(batch)
     assert engine.get("a") == b"4" and engine.version("a") == 3
-    with pytest.raises(StoreError, match="stands twice"):
+    with pytest.raises(StoreError, match="occurs twice"):
         engine.commit(Transaction((WriteOperation("a", b"1"), WriteOperation("a", b"2"))))
 
 
@@ -271,7 +271,7 @@
     with pytest.raises(StoreFailedError):
         engine.commit(put_one("a", b"2"))
     files.failing_calls.clear()
-    with pytest.raises(StoreFailedError, match="open the store anew"):
+    with pytest.raises(StoreFailedError, match="reopen the store"):
         engine.commit(put_one("a", b"3"))
     with pytest.raises(StoreFailedError):
         engine.compact()
@@ -388,4 +388,4 @@
         await asyncio.wait_for(committer.close(), 5)
         return results
 
-    assert asyncio.run(scenario()) == ["an error of the store's own", "an error of the store's own"]
+    assert asyncio.run(scenario()) == ["internal error in the store", "internal error in the store"]
--- a/tests/test_store_rows.py
+++ b/tests/test_store_rows.py
@@ -1,4 +1,4 @@
-"""Rows of the store: encryption under rotated keys, and schemas."""
+"""Rows of the store: encryption with rotated keys, and row schemas."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 def test_keys_rotate_and_a_wrong_key_is_rejected(tmp_path: Path) -> None:
     old, new = generate_key(), generate_key()
-    sealed = SecretCipher([old]).encrypt(b"secret")
+    encrypted = SecretCipher([old]).encrypt(b"secret")
     both = SecretCipher([new, old])
-    assert both.decrypt(sealed, "x") == b"secret"
-    again = both.reencrypt(sealed)
-    assert SecretCipher([new]).decrypt(again, "x") == b"secret" and b"secret" not in again
-    with pytest.raises(StoreUnusableError, match="key/x: no key of the key file opens it"):
-        SecretCipher([new]).decrypt(sealed, "key/x")
+    assert both.decrypt(encrypted, "x") == b"secret"
+    reencrypted = both.reencrypt(encrypted)
+    assert SecretCipher([new]).decrypt(reencrypted, "x") == b"secret" and b"secret" not in reencrypted
+    with pytest.raises(StoreUnusableError, match="key/x: no key of the key file decrypts it"):
+        SecretCipher([new]).decrypt(encrypted, "key/x")
     (tmp_path / "keys").write_text(f"# newest first\n{new}\n{old}\n")
-    assert read_key_file(tmp_path / "keys").decrypt(sealed, "x") == b"secret"
+    assert read_key_file(tmp_path / "keys").decrypt(encrypted, "x") == b"secret"
     for text in ("", "# none\n", "short\n"):
         (tmp_path / "keys").write_text(text)
         with pytest.raises(StoreUnusableError):
