--- a/onyxwick/store/backup.py
+++ b/onyxwick/store/backup.py
@@ -51,21 +51,21 @@
 
 def read_log(folder: Path) -> list[LoggedRecord]:
     """Read all records that the log still holds. Raises StoreUnusableError if a segment header is damaged."""
-    found = []
+    logged_records = []
     for path in segment_files(folder):
         data = path.read_bytes()
         header = records.decode_segment_header(data, path.name)
         for record in records.decode_records(data, records.SEGMENT_HEADER.size, header.preceding_number):
             payload = records.decode_payload(record.payload, record.number)
-            found.append(LoggedRecord(record.number, payload))
-    return found
+            logged_records.append(LoggedRecord(record.number, payload))
+    return logged_records
 
 
 def write_payload(target: StoreEngine, payload: records.RecordPayload) -> None:
     """Commit the operations of a record to another store, in transactions of bounded size."""
     operations = tuple(WriteOperation(key, value) for key, value, _ in payload.operations)
-    for at in range(0, len(operations), OPERATIONS_PER_TRANSACTION):
-        part = operations[at : at + OPERATIONS_PER_TRANSACTION]
+    for start in range(0, len(operations), OPERATIONS_PER_TRANSACTION):
+        part = operations[start : start + OPERATIONS_PER_TRANSACTION]
         target.commit(Transaction(part, payload.author, payload.at_us))
 
 
--- a/onyxwick/store/opening.py
+++ b/onyxwick/store/opening.py
@@ -211,21 +211,21 @@
     def _replay_records(self, data: bytes, preceding_number: int) -> int:
         """Replay a segment's records and return the offset after the last intact record."""
         end = records.SEGMENT_HEADER.size
-        for found in records.decode_records(data, end, preceding_number):
-            end = found.end_offset
-            if found.number <= self.last_record_number:
+        for record in records.decode_records(data, end, preceding_number):
+            end = record.end_offset
+            if record.number <= self.last_record_number:
                 continue  # the checkpoint includes it
-            if found.number != self.last_record_number + 1:
+            if record.number != self.last_record_number + 1:
                 raise StoreUnusableError(
-                    f"record {self.last_record_number + 1} is missing before {found.number}"
+                    f"record {self.last_record_number + 1} is missing before {record.number}"
                 )
-            payload = records.decode_payload(found.payload, found.number)
+            payload = records.decode_payload(record.payload, record.number)
             for key, value, version in payload.operations:
                 if value is None:
                     self.entries.pop(key, None)
                 else:
-                    self.entries[key] = IndexEntry(value, version, found.number)
-            self.last_record_number = found.number
+                    self.entries[key] = IndexEntry(value, version, record.number)
+            self.last_record_number = record.number
         return end
 
     # ---- after the replay -------------------------------------------------------------------------------
--- a/onyxwick/store/records.py
+++ b/onyxwick/store/records.py
@@ -103,16 +103,16 @@
     total = len(data)
     view = memoryview(data)
     while offset + header_bytes <= total:
-        size, checksum, found = unpack(data, offset)
+        size, checksum, found_number = unpack(data, offset)
         end = offset + header_bytes + size
-        if size > MAX_PAYLOAD_BYTES or end > total or found != number + 1:
+        if size > MAX_PAYLOAD_BYTES or end > total or found_number != number + 1:
             return
         payload = view[offset + header_bytes : end]
-        if checksum_of(found, payload) != checksum:
+        if checksum_of(found_number, payload) != checksum:
             return
-        yield DecodedRecord(found, payload, end)
+        yield DecodedRecord(found_number, payload, end)
         offset = end
-        number = found
+        number = found_number
 
 
 def decode_payload(data: bytes | memoryview, number: int) -> RecordPayload:
@@ -181,10 +181,10 @@
     rows: StoredOperations = []
     end = CHECKPOINT_HEADER_BYTES
     last_record = 0
-    for found in decode_records(data, end, 0):
-        rows += decode_payload(found.payload, found.number).operations
-        end = found.end_offset
-        last_record = found.number
+    for record in decode_records(data, end, 0):
+        rows += decode_payload(record.payload, record.number).operations
+        end = record.end_offset
+        last_record = record.number
     if end != len(data) or len(rows) != count:
         raise StoreUnusableError(
             f"{name}: ends after {last_record} complete records with {len(rows)} of {count} rows"
--- a/onyxwick/store/recovery.py
+++ b/onyxwick/store/recovery.py
@@ -109,7 +109,7 @@
         self._transition(RecoveryPhase.REPLAYING, now, "the store is being read")
 
     def on_unusable(self, now: int, reason: str) -> None:
-        """Refuse to serve: the store cannot be read, and the director must not serve without its drains."""
+        """Refuse to serve: the store is unusable, and the director must not serve without the drains in it."""
         self._transition(RecoveryPhase.REFUSED, now, reason)
 
     def on_replayed(
--- a/tests/director_with_store.py
+++ b/tests/director_with_store.py
@@ -1,4 +1,4 @@
-"""A director's core, administration API and store over files in memory, for tests of what outlives it."""
+"""A director's core, administration API and store on in-memory files, for tests of restarts."""
 
 from __future__ import annotations
 
@@ -32,12 +32,12 @@
 
 
 class ImmediateTransport:
-    async def run(self, order: AttemptSpec) -> AttemptOutcome:
+    async def run(self, spec: AttemptSpec) -> AttemptOutcome:
         return AttemptOutcome(AttemptStatus.OK, AnswerDetail.HIT)
 
 
 class DirectorWithStore:
-    """A core, the API and a store, over files that outlive it."""
+    """A core, the administration API and a store, on files that survive a restart."""
 
     def __init__(self, files: FaultyFiles, bookings: bool = False) -> None:
         self.files = files
--- a/tests/faulty_files.py
+++ b/tests/faulty_files.py
@@ -1,7 +1,7 @@
-"""A folder in memory that keeps written and durable content apart, fails on request and loses power.
+"""In-memory store files that separate written from durable content and simulate disk errors and power loss.
 
-At a loss of power each 512-byte page that was written since the file's last sync is durable or not, and so is
-each change of the folder since its last sync: any of them, in any order.
+After a power loss, any subset of the 512-byte pages that were written since the file's last sync is durable,
+and any subset of the folder's changes since its last sync, whatever the order in which they were made.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 
 
 class PowerLoss(Exception):
-    """The power was lost."""
+    """The simulated power was lost."""
 
 
 @dataclass
 class FileContent:
-    """One file: what programs read, what is durable, and which pages differ."""
+    """One file: the content that programs read, the durable content, and the pages written since the sync."""
 
     now: bytearray = field(default_factory=bytearray)
     durable: bytearray = field(default_factory=bytearray)
@@ -28,9 +28,11 @@
 
 
 class FaultyFiles:
-    """Power is lost at the call with number `crash_at_call`; calls in `failing_calls`, by name, fail.
+    """A folder of files in memory that fails on request.
 
-    `free_bytes`: of the disk.
+    Power is lost at the call with number `crash_at_call`. Calls whose names are in `failing_calls` raise
+    OSError; `sync` and `sync_folder` do nothing if named in `ignored_calls`. `free_bytes` is the disk's free
+    space.
     """
 
     def __init__(self) -> None:
@@ -42,25 +44,25 @@
         self.failing_calls: set[str] = set()
         self.free_bytes = 1 << 40
         self.locked = False
-        self.ignored_calls: set[str] = set()  # by name: planted bugs
+        self.ignored_calls: set[str] = set()  # names of sync calls that do nothing, to plant bugs
         self.log: list[str] = []
 
-    def _count_call(self, what: str, name: str = "") -> bool:
+    def _count_call(self, call: str, name: str = "") -> bool:
         """Count a call; True if it is to be ignored."""
         self.calls += 1
-        self.log.append(f"{what} {name}".strip())
+        self.log.append(f"{call} {name}".strip())
         if self.calls == self.crash_at_call:
             raise PowerLoss
-        if what in self.failing_calls:
-            raise OSError(5, f"Input/output error in {what}")
-        return what in self.ignored_calls
+        if call in self.failing_calls:
+            raise OSError(5, f"Input/output error in {call}")
+        return call in self.ignored_calls
 
-    def _link(self, name: str, node: FileContent | None) -> None:
-        if node is None:
+    def _link(self, name: str, file: FileContent | None) -> None:
+        if file is None:
             self.entries.pop(name, None)
         else:
-            self.entries[name] = node
-        self.folder_changes.append((name, node))
+            self.entries[name] = file
+        self.folder_changes.append((name, file))
 
     def names(self) -> list[str]:
         return sorted(self.entries)
@@ -68,30 +70,30 @@
     def read(self, name: str) -> bytes:
         return bytes(self.entries[name].now)
 
-    def write(self, name: str, at: int, data: bytes) -> None:
+    def write(self, name: str, offset: int, data: bytes) -> None:
         if name not in self.entries:
             self._link(name, FileContent())
-        node = self.entries[name]
-        taken = data[: self.free_bytes]
-        self.free_bytes -= len(taken)
-        if len(node.now) < at + len(taken):
-            node.now.extend(bytes(at + len(taken) - len(node.now)))
-        node.now[at : at + len(taken)] = taken
-        node.dirty |= set(range(at // PAGE_BYTES, (at + max(1, len(taken)) - 1) // PAGE_BYTES + 1))
-        self._count_call("write", name)  # after: a crash in a write leaves a part of it
-        if len(taken) < len(data):
+        file = self.entries[name]
+        written = data[: self.free_bytes]
+        self.free_bytes -= len(written)
+        if len(file.now) < offset + len(written):
+            file.now.extend(bytes(offset + len(written) - len(file.now)))
+        file.now[offset : offset + len(written)] = written
+        file.dirty |= set(range(offset // PAGE_BYTES, (offset + max(1, len(written)) - 1) // PAGE_BYTES + 1))
+        self._count_call("write", name)  # counted after the write, so that a crash can leave a part of it
+        if len(written) < len(data):
             raise OSError(28, "No space left on device")
 
     def truncate(self, name: str, size: int) -> None:
         self._count_call("truncate", name)
-        node = self.entries[name]
-        node.dirty |= set(range(size // PAGE_BYTES, len(node.now) // PAGE_BYTES + 1))
-        del node.now[size:]
+        file = self.entries[name]
+        file.dirty |= set(range(size // PAGE_BYTES, len(file.now) // PAGE_BYTES + 1))
+        del file.now[size:]
 
     def sync(self, name: str) -> None:
         if not self._count_call("sync", name):
-            node = self.entries[name]
-            node.durable, node.dirty = bytearray(node.now), set()
+            file = self.entries[name]
+            file.durable, file.dirty = bytearray(file.now), set()
 
     def sync_folder(self) -> None:
         if not self._count_call("sync_folder"):
@@ -99,8 +101,8 @@
 
     def rename(self, name: str, new: str) -> None:
         self._count_call("rename", name)
-        node = self.entries[name]
-        self._link(new, node)
+        file = self.entries[name]
+        self._link(new, file)
         self._link(name, None)
 
     def remove(self, name: str) -> None:
@@ -109,39 +111,39 @@
 
     def lock(self) -> None:
         if self.locked:
-            raise StoreBusyError("open elsewhere")
+            raise StoreBusyError("the store is already open")
         self.locked = True
 
     def close(self) -> None:
         self.locked = False
 
     def after_crash(self, rng: random.Random) -> FaultyFiles:
-        """What is found when the power has returned."""
-        out = FaultyFiles()
+        """Return the files as found after a power loss; `rng` chooses which unsynced changes are durable."""
+        result = FaultyFiles()
         entries = dict(self.durable_entries)
-        for name, node in self.folder_changes:
+        for name, file in self.folder_changes:
             if rng.random() < 0.5:
-                if node is None:
+                if file is None:
                     entries.pop(name, None)
                 else:
-                    entries[name] = node
-        for name, node in entries.items():
-            data, size = bytearray(node.durable), len(node.durable)
-            for page in sorted(node.dirty):
+                    entries[name] = file
+        for name, file in entries.items():
+            data, size = bytearray(file.durable), len(file.durable)
+            for page in sorted(file.dirty):
                 if rng.random() < 0.5:
-                    part = node.now[page * PAGE_BYTES : (page + 1) * PAGE_BYTES]
+                    part = file.now[page * PAGE_BYTES : (page + 1) * PAGE_BYTES]
                     if len(data) < page * PAGE_BYTES:
                         data.extend(bytes(page * PAGE_BYTES - len(data)))
                     data[page * PAGE_BYTES : page * PAGE_BYTES + len(part)] = part
                     size = max(size, page * PAGE_BYTES + len(part))
-            out.entries[name] = FileContent(bytearray(data), bytearray(data))
-        out.durable_entries = dict(out.entries)
-        return out
+            result.entries[name] = FileContent(bytearray(data), bytearray(data))
+        result.durable_entries = dict(result.entries)
+        return result
 
     def copy(self) -> FaultyFiles:
-        out = FaultyFiles()
-        out.entries = {
-            n: FileContent(bytearray(node.now), bytearray(node.now)) for n, node in self.entries.items()
+        result = FaultyFiles()
+        result.entries = {
+            n: FileContent(bytearray(file.now), bytearray(file.now)) for n, file in self.entries.items()
         }
-        out.durable_entries = dict(out.entries)
-        return out
+        result.durable_entries = dict(result.entries)
+        return result
--- a/tests/test_durable_api.py
+++ b/tests/test_durable_api.py
@@ -1,4 +1,4 @@
-"""What the administration API acknowledged outlives the director; what it could not store is not done."""
+"""Tests that changes acknowledged by the administration API survive a restart, and that others are undone."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
         assert set(again.tenants.tenants) == {"yard"} and tenant.quota.per_s == 5 and tenant.token == "t" * 16
         assert [z.data.get_soa().serial for z in tenant.zones.values()] == [7]
         assert list(tenant.keys.values()) == [b"onyxwick-test-key"]
-        assert not again.core.endpoints.is_ready("c1"), "the drain holds before the first request"
+        assert not again.core.endpoints.is_ready("c1"), "the drain is in force before the first request"
         assert (await again.call("DELETE", "/drains/c1"))[1] == {"member": "c1", "lifted": True}
         assert again.core.endpoints.is_ready("c1")
 
@@ -105,7 +105,7 @@
                 )
                 done = await asyncio.wait_for(task, 5)
                 if done[0] == 503 and files.calls >= files.crash_at_call:
-                    break  # the power went in the call: it is refused, and nothing after it is acknowledged
+                    break  # power was lost during the call: it is rejected, and no later call is acknowledged
                 assert done[0] == 201
                 acknowledged.add(trying)
         except (PowerLoss, TimeoutError, StoreFailedError, StoreFullError):
@@ -113,13 +113,13 @@
         again = DirectorWithStore(files.after_crash(rng))
         found = set(again.tenants.tenants)
         assert acknowledged <= found <= acknowledged | {trying}
-        assert all(t.token for t in again.tenants.tenants.values()), "complete, with its token"
+        assert all(t.token for t in again.tenants.tenants.values()), "each tenant is complete, with its token"
 
     asyncio.run(scenario())
 
 
 def test_a_second_kill_before_the_feed_is_received_loses_no_drain() -> None:
-    """The list of a start is old: it must neither lift what is recorded nor put the feed's number back."""
+    """The list at start may be outdated: it must not lift a recorded drain or reset the feed number."""
 
     async def scenario() -> None:
         director = DirectorWithStore(FaultyFiles())
@@ -127,14 +127,16 @@
         drained = EndpointsChanged(EndpointListKind.CHANGE, (replace(CACHES[0], state=MemberState.DRAINING),))
         director.core.feed.apply_endpoints(drained, ADDRESSES)
         await asyncio.gather(*director.durable.background_commits)
-        for seed in range(3):  # each time up with the old list, in which all are ready, and killed again
+        for seed in range(3):  # restart with the old list, in which all members are ready, then crash again
             director = DirectorWithStore(director.files.after_crash(random.Random(seed)))
             director.core.feed.record_feed_index(1)
             await asyncio.gather(*director.durable.background_commits)
             assert director.durable.recovery.last_feed_number == 9
             assert not director.core.endpoints.is_ready("c0") and director.core.endpoints.is_ready("c1")
         director.core.feed.record_feed_index(10)
-        assert director.core.endpoints.is_ready("c0"), "the feed is past it and has not drained it again"
+        assert director.core.endpoints.is_ready("c0"), (
+            "the feed has passed the recorded number without draining c0 again"
+        )
         await asyncio.gather(*director.durable.background_commits)
         assert not list(director.durable.engine.keys("drain/"))
 
@@ -152,11 +154,13 @@
         director = DirectorWithStore(files, bookings=True)
 
         class Origin:
-            async def run(self, order: AttemptSpec) -> AttemptOutcome:
+            async def run(self, spec: AttemptSpec) -> AttemptOutcome:
                 kept = files.after_crash(random.Random(1))
                 intents = [k for k in open_state(kept).engine.keys("booking/")]
-                assert intents == [f"booking/{order.request.request_id}"], "durable before the first byte"
-                sent.append(order.request.request_id)
+                assert intents == [f"booking/{spec.request.request_id}"], (
+                    "the intent is durable before the first byte is sent"
+                )
+                sent.append(spec.request.request_id)
                 return AttemptOutcome(AttemptStatus.OK, body=b"done")
 
         director.core.context.transport = Origin()
@@ -165,7 +169,9 @@
         await director.core.serve(request, answers.append)
         assert [a.status for a in answers] == [AnswerStatus.SERVED] and sent == ["b" * 16]
         await director.durable.close()
-        assert not list(open_state(files.copy()).engine.keys("booking/")), "ended, so forgotten"
+        assert not list(open_state(files.copy()).engine.keys("booking/")), (
+            "the intent is removed after the request has ended"
+        )
 
         open_ = FaultyFiles()
         before = DirectorWithStore(open_, bookings=True)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -1,4 +1,4 @@
-"""What a director may decide before, while and after it reads its store; and how many reconnect together."""
+"""Tests of the recovery state machine, and of the reconnect back-off of directors that start together."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
     return recovery
 
 
-# ---- the machine ----------------------------------------------------------------------------------------
+# ---- state machine --------------------------------------------------------------------------------------
 
 
 def test_only_legal_transitions_are_possible() -> None:
@@ -63,8 +63,8 @@
     assert not recovery.on_feed_number(101 * S, 4) and recovery.status()["phase"] == "checking"
     assert recovery.on_feed_number(101 * S, 5) and recovery.status()["phase"] == "serving"
     states = {m.address: m.state for m in recovery.with_drains(event).members}
-    assert states["c0"] is MemberState.READY, "the coordinator has not repeated the drain: it was lifted"
-    assert states["c1"] is MemberState.DRAINING, "an operator's drain is lifted by an operator alone"
+    assert states["c0"] is MemberState.READY, "the coordinator did not repeat the drain, so it is lifted"
+    assert states["c1"] is MemberState.DRAINING, "only an operator lifts an operator's drain"
     assert recovery.lift_drain("c1") and not recovery.lift_drain("c1")
     assert recovery.with_drains(event) is event
 
@@ -93,10 +93,10 @@
         [MemberDrain("c0", DrainSource.COORDINATOR), MemberDrain("c1", DrainSource.OPERATOR)], reached=5
     )
     assert recovery.on_tick(111 * S) and recovery.feed_overdue
-    assert not recovery.on_feed_number(112 * S, 4)  # not yet as far as the store had come
+    assert not recovery.on_feed_number(112 * S, 4)  # the store had recorded number 5
     assert recovery.on_feed_number(113 * S, 5) and not recovery.feed_overdue
     assert not recovery.is_drained(member("c0")) and recovery.is_drained(member("c1"))
-    assert not recovery.on_feed_number(114 * S, 6)  # nothing more to lift
+    assert not recovery.on_feed_number(114 * S, 6)  # no drain is left to lift
 
 
 def test_purges_that_may_not_be_carried_out_are_replayed_and_intents_are_not_sent_again() -> None:
@@ -106,7 +106,7 @@
 
 
 def test_directors_that_start_together_do_not_connect_together() -> None:
-    """At 3 and at 40: the calls of the first 100 ms, and the limits that all allow themselves."""
+    """With 3 and with 40 directors: connections in any 100 ms, and the mean rate limit during the ramp."""
     for directors, most in ((3, 3), (40, 8)):
         backs = [ReconnectBackoff(n * 7919, 0, BackoffPolicy(), directors) for n in range(directors)]
         windows = [0] * 21
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,8 @@
-"""The store under crashes: every truncation, bit flip, call and order of writes; planted bugs are caught."""
+"""Tests of the store: transactions, snapshots, damaged files, crashes and failing disks.
+
+Damage covers every truncation and a flipped bit in every byte; crashes cover every file call with writes in
+any order. Bugs planted on purpose must be detected.
+"""
 
 from __future__ import annotations
 
@@ -21,8 +25,8 @@
     Transaction,
     VersionConflictError,
     WriteOperation,
+    records,
 )
-from onyxwick.store import records as r
 from onyxwick.store.files import DiskFiles
 from tests.faulty_files import FaultyFiles, PowerLoss
 
@@ -39,7 +43,7 @@
 
 
 def fill_store(files: FaultyFiles, count: int = 30, compact_at: int = -1) -> list[State]:
-    """A store with some changes; its content after each of them."""
+    """Commit some transactions to a new store and return its rows before them and after each of them."""
     engine = StoreEngine(files, SMALL)
     states = [rows_of(engine)]
     for n in range(count):
@@ -66,7 +70,7 @@
     assert rows_of(engine) == {"a": b"1"} and engine.version("a") == 1
     batch, errors = engine.prepare([put_one("a", b"2", 1), put_one("a", b"3", 1), put_one("a", b"4", 2)])
     assert [type(e) for e in errors] == [type(None), VersionConflictError, type(None)], (
-        "one batch, each by itself"
+        "each transaction of a batch is checked separately"
     )
     engine.write(batch)
     engine.apply(batch)
@@ -121,11 +125,11 @@
 
 
 def _opened(files: FaultyFiles) -> State | None:
-    """The rows, or None where the store refuses to open; any other error fails the test."""
+    """Return the store's rows, or None if it refuses to open. Any other error fails the test."""
     try:
         return rows_of(StoreEngine(files, SMALL))
     except StoreUnusableError as error:
-        assert len(str(error)) > 20, "the message says what may be lost"
+        assert len(str(error)) > 20, "the message states which data may be lost"
         return None
 
 
@@ -152,10 +156,10 @@
     files = FaultyFiles()
     last, tried, rng = fill_store(files, 20, compact_at)[-1], 0, random.Random(3)
     for name in files.names():
-        for at in range(len(files.read(name))):
+        for position in range(len(files.read(name))):
             flipped = files.copy()
-            flipped.entries[name].now[at] ^= 1 << rng.randrange(8)
-            assert _opened(flipped) in (None, last), (name, at)
+            flipped.entries[name].now[position] ^= 1 << rng.randrange(8)
+            assert _opened(flipped) in (None, last), (name, position)
             tried += 1
     assert tried > 1500
 
@@ -163,30 +167,33 @@
 # ---- crashes --------------------------------------------------------------------------------------------
 
 
-def _run(files: FaultyFiles, acknowledged: list[State], ignored: str = "") -> None:
-    """Some work with a compaction in the middle; `acknowledged` grows with each acknowledged
-    state, and its last one is what is being attempted."""
+def _run(files: FaultyFiles, states: list[State], ignored: str = "") -> None:
+    """Commit transactions with a compaction in between.
+
+    Appends to `states` the expected rows before each commit is attempted and again once it is acknowledged.
+    When a crash interrupts a commit, the last entry is the attempted state.
+    """
     if ignored:
         files.ignored_calls.add(ignored)
     engine = StoreEngine(files, SMALL)
     state: State = {}
     for n in range(14):
         new = state | {f"k{n % 5}": b"value %d" % n * 20}
-        acknowledged.append(new)
+        states.append(new)
         engine.commit(put_one(f"k{n % 5}", new[f"k{n % 5}"]))
         state = new
-        acknowledged.append(state)
+        states.append(state)
         if n == 8:
             while not engine.compact(lambda: False):
                 state = state | {"during": b"compaction"}
-                acknowledged.append(state)
+                states.append(state)
                 engine.commit(put_one("during", b"compaction"))
-                acknowledged.append(state)
+                states.append(state)
     engine.close()
 
 
 def _survives(files: FaultyFiles, rng: random.Random, before: list[State]) -> bool:
-    """After a crash: the last acknowledged state is found, or all of what was being attempted."""
+    """Return whether a crash left the last acknowledged state or the complete attempted state."""
     found = rows_of(StoreEngine(files.after_crash(rng), SMALL))
     return found in (before[-2:] if len(before) > 1 else [{}, *before])
 
@@ -195,30 +202,32 @@
     complete_run = FaultyFiles()
     _run(complete_run, [])
     tried = 0
-    for at in range(1, complete_run.calls + 1):
+    for call_number in range(1, complete_run.calls + 1):
         for seed in range(12):
             files, before = FaultyFiles(), list[State]()
-            files.crash_at_call = at
+            files.crash_at_call = call_number
             with pytest.raises(PowerLoss):
                 _run(files, before)
-            assert _survives(files, random.Random(seed), before or [{}]), (at, seed, files.log[-1])
+            assert _survives(files, random.Random(seed), before or [{}]), (call_number, seed, files.log[-1])
             tried += 1
     assert tried == 12 * complete_run.calls > 800
 
 
 @pytest.mark.parametrize("bug", ["sync", "sync_folder"])
 def test_planted_bugs_are_caught(bug: str) -> None:
-    """An acknowledgement before the sync; a compaction without the folder's."""
+    """Without `sync`, records are acknowledged before they are durable. Without `sync_folder`, a compaction
+    may remove the old log before the new names are durable.
+    """
     complete_run = FaultyFiles()
     _run(complete_run, [], bug)
     caught = 0
-    for at in range(1, complete_run.calls + 1):
+    for call_number in range(1, complete_run.calls + 1):
         files, before = FaultyFiles(), list[State]()
-        files.crash_at_call = at
+        files.crash_at_call = call_number
         with pytest.raises(PowerLoss):
             _run(files, before, bug)
         try:
-            caught += not _survives(files, random.Random(at), before or [{}])
+            caught += not _survives(files, random.Random(call_number), before or [{}])
         except StoreUnusableError:
             caught += 1
     assert caught > 0
@@ -227,14 +236,14 @@
 def test_a_checksum_that_covers_less_than_the_length_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     import crc32c
 
-    monkeypatch.setattr(r, "_record_checksum", lambda number, payload: crc32c.crc32c(payload[:16]))
+    monkeypatch.setattr(records, "_record_checksum", lambda number, payload: crc32c.crc32c(payload[:16]))
     files = FaultyFiles()
     last = fill_store(files, 12)[-1]
     found = []
     for name in [n for n in files.names() if n.startswith("log-")]:
-        for at in range(len(files.read(name))):
+        for position in range(len(files.read(name))):
             flipped = files.copy()
-            flipped.entries[name].now[at] ^= 1
+            flipped.entries[name].now[position] ^= 1
             try:
                 found.append(rows_of(StoreEngine(flipped, SMALL)))
             except StoreUnusableError:
@@ -275,15 +284,15 @@
         engine.commit(put_one("a", b"3"))
     with pytest.raises(StoreFailedError):
         engine.compact()
-    assert engine.get("a") == b"1", "readers see what was acknowledged"
+    assert engine.get("a") == b"1", "readers see acknowledged values only"
     files.close()
     assert rows_of(StoreEngine(files, SMALL))["a"] in (b"1", b"2")
 
 
 def test_a_full_disk_and_a_partial_write_lose_nothing() -> None:
-    for room in range(300, 2500, 37):
+    for free_bytes in range(300, 2500, 37):
         files, done, tried = FaultyFiles(), State(), State()
-        files.free_bytes = room
+        files.free_bytes = free_bytes
         try:
             engine = StoreEngine(files, SMALL)
             for n in range(50):
@@ -293,16 +302,16 @@
         except (StoreFailedError, OSError):
             pass
         files.close()
-        found = rows_of(StoreEngine(files.after_crash(random.Random(room)), SMALL))
-        # All that was acknowledged, and of what was being attempted all or nothing.
-        assert found in (done, done | tried), room
+        found = rows_of(StoreEngine(files.after_crash(random.Random(free_bytes)), SMALL))
+        # All acknowledged commits are present; the attempted one is present completely or not at all.
+        assert found in (done, done | tried), free_bytes
 
 
 # ---- against a model ------------------------------------------------------------------------------------
 
 
 class StoreAgainstModel(RuleBasedStateMachine):
-    """A dictionary is the model; after a crash what was never acknowledged may be found or not."""
+    """Compares the store with a dictionary. After a crash, an unacknowledged commit may be present or not."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -346,7 +355,7 @@
                 self.model[key] = b"torn"
 
     @invariant()
-    def same(self) -> None:
+    def store_equals_model(self) -> None:
         assert rows_of(self.engine) == self.model
 
 
@@ -361,7 +370,7 @@
 
 
 def test_an_internal_error_fails_its_callers_and_all_later_ones(tmp_path: Path) -> None:
-    """No caller waits for ever: a commit that meets an error that is not the disk's fails too."""
+    """An error that is not a disk error must also fail the commit, so that no caller waits forever."""
     import asyncio
 
     from onyxwick.store.committer import Committer
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -1,4 +1,4 @@
-"""Stored data that revision 24ddf6c wrote, read with the present code: values, and the same bytes written."""
+"""Tests that data written by revision 24ddf6c is read correctly and encoded to the same bytes again."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
 
 @pytest.fixture
 def folder(tmp_path: Path) -> Path:
-    """A copy: opening a store may write to it."""
+    """Copy the stored data, because opening a store may write to it."""
     shutil.copytree(STORED, tmp_path / "stored")
     return tmp_path / "stored"
 
@@ -92,7 +92,7 @@
 
 def test_tenants_zones_keys_and_secrets_are_read(state: DurableState) -> None:
     tenants = Tenants()
-    assert state.load_tenants(tenants) == 3, "two tenants and the mark of a deleted one"
+    assert state.load_tenants(tenants) == 3, "two tenants and the row of a deleted tenant"
     assert sorted(tenants.tenants) == ["acme", "globex"]
     acme = tenants.tenants["acme"]
     assert (acme.quota.per_s, acme.token) == (300.0, "acme-token-0123456789")
@@ -105,7 +105,7 @@
     globex = tenants.tenants["globex"]
     assert (globex.quota.per_s, globex.token, globex.keys, globex.zones) == (20.0, "", {}, {})
     assert tenants.tenant_of_token("acme-token-0123456789") is acme
-    assert state.tenant_operations("acme", acme) == [], "what was read is what is stored"
+    assert state.tenant_operations("acme", acme) == [], "a tenant that was just loaded needs no write"
 
 
 def test_a_tenant_deleted_by_a_call_stays_deleted(state: DurableState) -> None:
@@ -241,7 +241,7 @@
 
 
 class LaterClock(SteadyClock):
-    """A clock after the times of the file."""
+    """A clock whose time is after all times in the stored file."""
 
     def __call__(self) -> int:
         return START_US + 10 * S
