--- a/onyxwick/store/durable_state.py
+++ b/onyxwick/store/durable_state.py
@@ -39,9 +39,9 @@
 log = logs.get()
 CALL_RETENTION_US = 86_400_000_000
 """How long the outcome of an idempotent call is stored for repeated calls: one day."""
-MAX_CALLS = 5000
+MAX_STORED_CALLS = 5000
 MAX_PURGES = 4096
-CALLS_DELETED_DIVISOR = 10  # at MAX_CALLS, the oldest 1/10 of the calls are deleted
+CALLS_DELETED_DIVISOR = 10  # at MAX_STORED_CALLS, the oldest 1/10 of the calls are deleted
 
 
 class DurableState:
@@ -277,12 +277,12 @@
     ) -> list[WriteOperation]:
         """Return the operations that record a call's outcome and delete old outcomes.
 
-        From MAX_CALLS on these are the oldest ones, otherwise those that have expired.
+        From MAX_STORED_CALLS on these are the oldest ones, otherwise those that have expired.
         """
         key = schema.call_key(idempotency_key)
         write = WriteOperation(key, pack_row(key, schema.call_row(call)))
         stored = self._rows(schema.call_key(""))
-        if len(stored) >= MAX_CALLS:
+        if len(stored) >= MAX_STORED_CALLS:
             stored.sort(key=lambda pair: pair[1]["at_us"])
             dropped = [old for old, _ in stored[: len(stored) // CALLS_DELETED_DIVISOR]]
         else:
--- a/onyxwick/store/index.py
+++ b/onyxwick/store/index.py
@@ -15,7 +15,7 @@
 
 from onyxwick.store.records import RecordPayload, StoredOperations
 
-LAST_CHARACTER = "\U0010ffff"
+HIGHEST_CHARACTER = "\U0010ffff"
 
 
 @dataclass(slots=True)
@@ -27,7 +27,7 @@
     record_number: int
 
 
-DELETED_BEFORE = IndexEntry(None, 0, 0)
+ABSENT_ENTRY = IndexEntry(None, 0, 0)
 """The older entry of a key that did not exist before."""
 
 
@@ -75,7 +75,7 @@
 
     def keys(self, prefix: str = "") -> Iterator[str]:
         """Iterate over the keys with a prefix, in order, including keys that only a snapshot still holds."""
-        current = self.entries.irange(prefix, prefix + LAST_CHARACTER)
+        current = self.entries.irange(prefix, prefix + HIGHEST_CHARACTER)
         if not self.older_entries:
             yield from current
             return
@@ -84,7 +84,7 @@
 
     def scan(self, prefix: str = "") -> Iterator[tuple[str, bytes]]:
         """Iterate over the current keys with a prefix and their values, in key order."""
-        for key in self.entries.irange(prefix, prefix + LAST_CHARACTER):
+        for key in self.entries.irange(prefix, prefix + HIGHEST_CHARACTER):
             value = self.entries[key].value
             if value is not None:
                 yield key, value
@@ -114,7 +114,7 @@
         """Make a record's operations visible to readers."""
         for key, value, version in payload.operations:
             if self.open_snapshots:
-                previous = self.entries.get(key, DELETED_BEFORE)
+                previous = self.entries.get(key, ABSENT_ENTRY)
                 self.older_entries.setdefault(key, []).append(previous)
             if value is not None:
                 self.entries[key] = IndexEntry(value, version, record_number)
--- a/onyxwick/store/recovery.py
+++ b/onyxwick/store/recovery.py
@@ -105,11 +105,11 @@
     # ---- phases -----------------------------------------------------------------------------------------
 
     def on_opened(self, now: int) -> None:
-        """Start to read the store's files."""
+        """Enter the replaying phase, in which the store's files are read."""
         self._transition(RecoveryPhase.REPLAYING, now, "the store is being read")
 
     def on_unusable(self, now: int, reason: str) -> None:
-        """Refuse to serve: the store is unusable, and the director must not serve without the drains in it."""
+        """Refuse to serve: the store is unusable, and the director must not serve without its drains."""
         self._transition(RecoveryPhase.REFUSED, now, reason)
 
     def on_replayed(
