--- a/onyxwick/store/opening.py
+++ b/onyxwick/store/opening.py
@@ -249,7 +249,7 @@
             self.files.truncate(name, self.log.segment_bytes)
             self.files.sync(name)
         if self.log.acknowledged_number < self.last_record_number:
-            # These records are intact and durable but were never acknowledged. Later records will follow them.
+            # These records are intact and durable but were never acknowledged. Later records follow them.
             self.files.sync(name)
             self.log.write_commit_mark(self.last_record_number)
 
