--- a/onyxwick/distribution/__init__.py
+++ b/onyxwick/distribution/__init__.py
@@ -1,7 +1,8 @@
-"""How lists, purges and configuration documents reach every director: state machines free of I/O.
+"""Distribution of cache lists, purges and configuration documents to every director, without I/O.
 
-A publisher numbers events, fan-out nodes replicate and pass them on, followers resume from a cursor or
-install a snapshot. Design: docs/design/distribution.md. Sockets and processes are in `onyxwick.net`.
+The package consists of state machines. A publisher numbers events, fan-out nodes replicate and forward them,
+and followers resume from a cursor or install a snapshot. The design is described in
+docs/design/distribution.md. Sockets and processes are in `onyxwick.net`.
 """
 
 from onyxwick.distribution.fanout import FanOut
--- a/onyxwick/distribution/documents.py
+++ b/onyxwick/distribution/documents.py
@@ -1,4 +1,4 @@
-"""Configuration documents: split into parts that fit into events, and assembled with a digest check."""
+"""Splits configuration documents into parts that fit into events, and assembles them with a digest check."""
 
 from __future__ import annotations
 
@@ -17,25 +17,27 @@
 
 DIGEST_BYTES = 16
 MAX_CHARACTER_BYTES = 4
-"""Longest character in UTF-8."""
+"""Size of the longest character in UTF-8."""
 MAX_PARTS = MAX_DOCUMENT_BYTES // (MAX_PART_BYTES // MAX_CHARACTER_BYTES) + 1
 
 
 class DocumentError(DistributionError):
-    """A part that fits no document: wrong order, size or digest."""
+    """A document part has the wrong order, size or digest."""
 
 
 def document_digest(text: str) -> str:
-    """The digest that a document's parts carry, as hexadecimal digits."""
+    """Return the digest that the parts of a document carry, in hexadecimal."""
     return blake2b(text.encode(), digest_size=DIGEST_BYTES).hexdigest()
 
 
 def split_document(name: str, version: int, text: str) -> list[DocumentPart]:
-    """The parts of a document, one at least; PublishRejectedError where it is too large."""
+    """Split a document into at least one part. Raises PublishRejectedError if it is too large."""
     size_bytes = len(text.encode())
     if size_bytes > MAX_DOCUMENT_BYTES:
-        raise PublishRejectedError(f"document '{name}' has {size_bytes} bytes, {MAX_DOCUMENT_BYTES} at most")
-    # Parts are cut between characters, so that each is valid text by itself.
+        raise PublishRejectedError(
+            f"document '{name}' has {size_bytes} bytes, expected at most {MAX_DOCUMENT_BYTES} bytes"
+        )
+    # The text is split between characters, so that each part is valid UTF-8 by itself.
     is_ascii = size_bytes == len(text)
     characters = MAX_PART_BYTES if is_ascii else MAX_PART_BYTES // MAX_CHARACTER_BYTES
     texts = [text[start : start + characters] for start in range(0, len(text), characters)] or [""]
@@ -63,33 +65,35 @@
 
 
 class DocumentAssembler:
-    """Collects parts in order. A newer version of a document preempts an unfinished older one."""
+    """Collects parts in order. A newer version of a document replaces an unfinished older one."""
 
     def __init__(self) -> None:
         self._partial: dict[str, _PartialDocument] = {}
 
     def add(self, part: DocumentPart) -> Document | None:
-        """The complete document with its last part.
+        """Add a part. Returns the complete document if this is its last part, otherwise None.
 
-        DocumentError if a part does not fit; the unfinished document is then dropped.
+        Raises DocumentError if the part does not fit; the unfinished document is then dropped.
         """
         partial = self._partial.get(part.name)
         if part.number == 0:
             partial = self._begin(part)
         if partial is None or not partial.is_continued_by(part):
             self._partial.pop(part.name, None)
-            raise DocumentError(f"part {part.number} of document '{part.name}' fits nothing before it")
+            raise DocumentError(
+                f"part {part.number} of document '{part.name}' does not follow the parts received before it"
+            )
         partial.texts.append(part.text)
         partial.size_bytes += len(part.text.encode())
         if partial.size_bytes > MAX_DOCUMENT_BYTES:
             del self._partial[part.name]
-            raise DocumentError(f"document '{part.name}' is over {MAX_DOCUMENT_BYTES} bytes")
+            raise DocumentError(f"document '{part.name}' is larger than {MAX_DOCUMENT_BYTES} bytes")
         if len(partial.texts) < partial.part_count:
             return None
         return self._finish(part.name)
 
     def unfinished_parts(self) -> list[DocumentPart]:
-        """The parts of documents that are not complete yet, for a snapshot."""
+        """Return the parts of documents that are not complete yet, for a snapshot."""
         return [
             DocumentPart(name, partial.version, number, partial.part_count, partial.digest, text)
             for name, partial in self._partial.items()
@@ -98,9 +102,11 @@
 
     def _begin(self, part: DocumentPart) -> _PartialDocument:
         if part.name not in self._partial and len(self._partial) >= MAX_DOCUMENTS:
-            raise DocumentError(f"over {MAX_DOCUMENTS} documents are unfinished")
+            raise DocumentError(f"more than {MAX_DOCUMENTS} documents are unfinished")
         if part.part_count > MAX_PARTS:
-            raise DocumentError(f"document '{part.name}' has {part.part_count} parts, {MAX_PARTS} at most")
+            raise DocumentError(
+                f"document '{part.name}' has {part.part_count} parts, expected at most {MAX_PARTS} parts"
+            )
         partial = _PartialDocument(part.version, part.digest, part.part_count)
         self._partial[part.name] = partial
         return partial
@@ -109,5 +115,5 @@
         partial = self._partial.pop(name)
         text = "".join(partial.texts)
         if document_digest(text) != partial.digest:
-            raise DocumentError(f"document '{name}' does not have the digest that its parts name")
+            raise DocumentError(f"document '{name}' does not match the digest in its parts")
         return Document(name, partial.version, partial.digest, text)
--- a/onyxwick/distribution/durable_feed.py
+++ b/onyxwick/distribution/durable_feed.py
@@ -1,8 +1,9 @@
-"""The publisher's state in the embedded store: its replica's state and the cursors, in one transaction.
+"""Saves the publisher's replica state and cursors to the embedded store, in one transaction.
 
-Not the log but the state is stored: after a restart a follower that is current goes on, one that is behind
-gets a snapshot. An event is announced only when the transaction that holds it is durable, so that a restart
-never gives its number to another event. Values are lines of the feed, or decimal numbers.
+The state is stored, not the log: after a restart of the publisher, a follower that is up to date continues
+and a follower that is behind gets a snapshot. An event is announced only when the transaction that contains
+it is durable, so that a restart never reuses its number for another event. Values are feed lines or decimal
+numbers.
 """
 
 from __future__ import annotations
@@ -28,28 +29,29 @@
 from onyxwick.distribution.replica import FeedSnapshot, FeedState, Replica
 from onyxwick.store.engine import StoreEngine, Transaction, WriteOperation
 
-PREFIX = "distribution/"
-HEAD_KEY = PREFIX + "head"
-UPSTREAM_KEY = PREFIX + "upstream"
-LIST_VERSION_KEY = PREFIX + "list-version"
-CACHE_PREFIX = PREFIX + "cache/"
-PURGE_PREFIX = PREFIX + "purge/"
-DOCUMENT_PREFIX = PREFIX + "document/"
+KEY_PREFIX = "distribution/"
+HEAD_KEY = KEY_PREFIX + "head"
+UPSTREAM_KEY = KEY_PREFIX + "upstream"
+LIST_VERSION_KEY = KEY_PREFIX + "list-version"
+CACHE_PREFIX = KEY_PREFIX + "cache/"
+PURGE_PREFIX = KEY_PREFIX + "purge/"
+DOCUMENT_PREFIX = KEY_PREFIX + "document/"
 AUTHOR = "distribution"
 Changes = dict[str, bytes | None]
-"""New values by key; None deletes."""
+"""New values by key; None deletes the key."""
 
 
 class DurableFeed:
-    """Reads and writes the state of one replica in a store that is open."""
+    """Reads and writes the state of one replica in an open store."""
 
     def __init__(self, engine: StoreEngine) -> None:
         self.engine = engine
 
     def load(self, replica: Replica, unix_s: int) -> Cursor:
-        """Fill a replica from the store, or begin a new history; the cursor of what was read upstream.
+        """Fill a replica from the store, or start a new history if the store has none.
 
-        DistributionError where the store holds something else; StoreError where the disk fails.
+        Returns the cursor up to which the upstream feed was read. Raises DistributionError if the store
+        contains something other than feed events, and StoreError if the disk fails.
         """
         head = self.engine.get(HEAD_KEY)
         if head is None:
@@ -62,7 +64,7 @@
         return ORIGIN if upstream is None else _decode_cursor(upstream)
 
     def save(self, events: Iterable[FeedEvent], upstream: Cursor, state: FeedState, now_us: int) -> None:
-        """Make events durable before they are applied to `state`; StoreError where the disk fails."""
+        """Make events durable before they are applied to `state`. Raises StoreError if the disk fails."""
         changes: Changes = {}
         documents: dict[str, list[DocumentPart]] = {}
         last: Cursor | None = None
@@ -121,9 +123,10 @@
 def _document_changes(
     payload: DocumentPart, state: FeedState, documents: dict[str, list[DocumentPart]]
 ) -> Changes:
-    """Only complete documents are stored: the publisher sends an incomplete one again after a restart.
+    """Return the stored value of a document that this part completes, or no changes for an earlier part.
 
-    `documents` collects the parts of one save, beginning with those that the state has already.
+    Only complete documents are stored: the publisher sends an incomplete document again after a restart.
+    `documents` collects the parts of one save, starting with the parts that the state already has.
     """
     parts = documents.setdefault(payload.name, list(_earlier_parts(state, payload)))
     parts.append(payload)
@@ -162,5 +165,5 @@
     for line in value.splitlines():
         message = decode(line)
         if not isinstance(message, FeedEvent):
-            raise DistributionError(f"the store holds what is no event: {line[:64]!r}")
+            raise DistributionError(f"stored feed line is not an event: {line[:64]!r}")
         yield message.payload
--- a/onyxwick/distribution/fanout.py
+++ b/onyxwick/distribution/fanout.py
@@ -1,7 +1,8 @@
-"""The sending side of a node: which bytes each subscriber gets next.
+"""The sending side of a node: selects the bytes that each subscriber is sent next.
 
-Subscribers pull: each has a cursor into the one log that all share, so its memory does not grow with events,
-and a slow one delays no other. One that falls behind the log gets a snapshot. Times in microseconds.
+Each subscriber has a cursor into one shared log, so the memory per subscriber does not grow with the events
+and a slow subscriber does not delay the others. A subscriber whose cursor is no longer covered by the log
+gets a snapshot. Times are in microseconds.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 
 
 class SubscriberState(Enum):
-    """Where a subscriber stands; `TRANSITIONS` has the legal steps."""
+    """The state of a subscriber; `TRANSITIONS` lists the legal transitions."""
 
     CONNECTED = "connected"
     ADMITTED = "admitted"
@@ -39,8 +40,11 @@
 
 @dataclass(frozen=True, slots=True)
 class FanOutLimits:
-    """Bounds of one node. `follow_timeout_us`: for the subscriber's request; `stalled_timeout_us`: a
-    subscriber that reads nothing for so long is closed."""
+    """Limits of one node.
+
+    `follow_timeout_us` is the time within which a subscriber must send its request. A subscriber that reads
+    nothing for `stalled_timeout_us` is closed.
+    """
 
     max_subscribers: int = 256
     high_water_bytes: int = 65_536
@@ -52,7 +56,7 @@
 
 @dataclass(slots=True, eq=False)
 class Subscriber:
-    """One connection; `snapshot_position` is the next line of the snapshot that it is loading."""
+    """One subscriber connection; `snapshot_position` is the index of the next snapshot line to send to it."""
 
     connected_at_us: int
     state: SubscriberState = SubscriberState.CONNECTED
@@ -64,16 +68,15 @@
     progress_at_us: int = 0
 
     def transition(self, state: SubscriberState) -> None:
-        """Change the state; IllegalTransitionError where the table does not allow it."""
+        """Change the state. Raises IllegalTransitionError if `TRANSITIONS` does not allow the change."""
         check_transition(TRANSITIONS, self.state, state)
         self.state = state
 
 
 class FanOut:
-    """All subscribers of one node. The caller moves bytes: it calls `next_bytes` whenever a socket can take
-    some.
+    """All subscribers of one node. The caller does I/O and calls `next_bytes` when a socket is writable.
 
-    `authoritative`: this node is the publisher, which no subscriber can be ahead of.
+    `authoritative` means that this node is the publisher, so that no subscriber can be ahead of it.
     """
 
     def __init__(
@@ -91,7 +94,7 @@
     # ---- connections ----------------------------------------------------------------------------------
 
     def on_connected(self, now: int) -> Subscriber | None:
-        """A new connection; None where the node has as many as it may."""
+        """Register a new connection. Returns None if the node already has `max_subscribers`."""
         if len(self.subscribers) >= self.limits.max_subscribers:
             self.counts["refused.width"] += 1
             return None
@@ -100,11 +103,12 @@
         return subscriber
 
     def on_follow(self, subscriber: Subscriber, cursor: Cursor, now: int) -> bool:
-        """The subscriber's request to follow from a cursor; False: it is rejected and to be closed.
+        """Handle a subscriber's request to follow from a cursor.
 
-        A relay that is a little behind the subscriber sends it nothing until it has caught up. At the
-        publisher (`authoritative`) the same proves that events were lost, as its disk is an older copy, and
-        is rejected.
+        Returns False if the request is rejected; the caller must then close the connection. A relay that is
+        slightly behind the subscriber sends it nothing until the relay has caught up. At the publisher
+        (`authoritative`), a subscriber that is ahead proves that events were lost because the disk is an
+        older copy, so its request is rejected.
         """
         if not self._may_follow(cursor):
             return False
@@ -130,20 +134,21 @@
         return True
 
     def on_closed(self, subscriber: Subscriber) -> None:
-        """The connection has ended."""
+        """Remove a subscriber whose connection has closed."""
         self.subscribers.discard(subscriber)
         if subscriber.state is not SubscriberState.CLOSED:
             subscriber.transition(SubscriberState.CLOSED)
         subscriber.snapshot_lines = ()
 
     def close_reason(self, subscriber: Subscriber, unsent_bytes: int, now: int) -> str:
-        """Why a subscriber is to be closed, or an empty text.
+        """Return why a subscriber must be closed, or an empty string if it may stay.
 
-        One with nothing unsent makes progress by being idle; one that reads nothing holds memory.
+        An idle subscriber with nothing unsent counts as making progress. A subscriber that reads nothing
+        occupies memory.
         """
         if subscriber.state is SubscriberState.CONNECTED:
             waited_us = now - subscriber.connected_at_us
-            return "no line 'follow N'" if waited_us > self.limits.follow_timeout_us else ""
+            return "no 'follow N' request received" if waited_us > self.limits.follow_timeout_us else ""
         if unsent_bytes < self.limits.high_water_bytes:
             subscriber.progress_at_us = max(subscriber.progress_at_us, now)
             return ""
@@ -153,7 +158,10 @@
     # ---- bytes to send --------------------------------------------------------------------------------
 
     def next_bytes(self, subscriber: Subscriber, free_bytes: int, now: int) -> bytes:
-        """The next bytes for a subscriber whose send buffer has so many free; empty: nothing to send now."""
+        """Return the next bytes for a subscriber whose send buffer has `free_bytes` free.
+
+        The result is empty if there is nothing to send now.
+        """
         if free_bytes <= 0 or not self._may_send(subscriber, now):
             return b""
         if subscriber.state is SubscriberState.LOADING:
@@ -194,12 +202,12 @@
     # ---- heartbeats -----------------------------------------------------------------------------------
 
     def on_freshness(self, message: Freshness) -> None:
-        """The publisher was reached; passed on with the next heartbeat."""
+        """Record that the publisher was reached. The next heartbeat forwards this."""
         if message.cursor <= self.replica.cursor:
             self.pending_freshness_line = encode_freshness(message.cursor, message.published_ms)
 
     def heartbeat(self, now: int) -> bytes:
-        """The line due now for each subscriber that `is_current`; empty between two heartbeats."""
+        """Return the lines to send now to each subscriber that `is_current`; empty between two heartbeats."""
         if now < self._next_heartbeat_us:
             return b""
         self._next_heartbeat_us = now + self.limits.heartbeat_interval_us
@@ -208,9 +216,9 @@
         return lines
 
     def is_current(self, subscriber: Subscriber) -> bool:
-        """Has a subscriber been sent every event?"""
+        """Return whether a subscriber has been sent every event."""
         return subscriber.state is SubscriberState.LIVE and subscriber.cursor == self.replica.cursor
 
     def count_behind(self) -> int:
-        """Subscribers that have not been sent every event."""
+        """Return the number of subscribers that have not been sent every event."""
         return sum(not self.is_current(subscriber) for subscriber in self.subscribers)
--- a/onyxwick/distribution/follower.py
+++ b/onyxwick/distribution/follower.py
@@ -1,7 +1,8 @@
-"""The receiving side: one follower that resumes from its cursor at one of several parents.
+"""The receiving side of the feed: a follower that resumes from its cursor at one of several parents.
 
-Fed with what happened on the connection and with time; answers with actions. It never delivers an event
-twice, out of order or over a gap, and never installs a snapshot older than its cursor. Times in microseconds.
+Its inputs are the events of its connection and the passing of time; its outputs are actions for the caller.
+It never delivers an event twice, out of order or across a gap, and never installs a snapshot older than its
+cursor. Times are in microseconds.
 """
 
 from __future__ import annotations
@@ -41,7 +42,7 @@
 
 
 class FollowerState(Enum):
-    """Where a follower stands; `TRANSITIONS` has the legal steps."""
+    """The state of a follower; `TRANSITIONS` lists the legal transitions."""
 
     STOPPED = "stopped"
     WAITING = "waiting"
@@ -64,10 +65,11 @@
 
 
 class Follower:
-    """One follower of `parents` parents.
+    """One follower that has `parents` parents to choose from.
 
-    `resets_on_restart`: a coordinator whose numbers go back has restarted and is read from its first event (a
-    plain coordinator has no histories to tell the two apart).
+    With `resets_on_restart`, event numbers that go back mean that the coordinator has restarted, and the feed
+    is read again from its first event. A plain coordinator has no histories that would distinguish the
+    numbers before its restart from those after it.
     """
 
     def __init__(
@@ -79,7 +81,7 @@
         resets_on_restart: bool = False,
     ) -> None:
         if parents < 1:
-            raise DistributionError(f"a follower has {parents} parents, one at least")
+            raise DistributionError(f"follower has {parents} parents, expected at least 1")
         self.parents = parents
         self.backoff = backoff
         self.cursor = cursor
@@ -88,9 +90,9 @@
         self.state = FollowerState.STOPPED
         self.parent = 0
         self.counts: Counter[str] = Counter()
-        self.fresh_at_us: int | None = None  # when freshness was last received
-        self.published_ms = 0  # Unix milliseconds, of that freshness
-        self.deadline_us: int | None = None  # when `on_tick` is to be called at the latest
+        self.fresh_at_us: int | None = None  # time at which freshness was last received
+        self.published_ms = 0  # Unix milliseconds at which that freshness was published
+        self.deadline_us: int | None = None  # latest time for the next call of `on_tick`
         self._announced: Cursor | None = None
         self._malformed_lines = 0
         self._connected_at_us = 0
@@ -99,20 +101,20 @@
         self._load: SnapshotLoad | None = None
 
     def staleness_us(self, now: int) -> int | None:
-        """How old the view may be; None before freshness was received."""
+        """Return the greatest possible age of the state; None before any freshness was received."""
         return None if self.fresh_at_us is None else max(0, now - self.fresh_at_us)
 
     # ---- inputs ---------------------------------------------------------------------------------------
 
     def start(self, now: int, delay_us: int = 0) -> Sequence[Action]:
-        """Begin, after a delay if one is given."""
+        """Connect to a parent, after `delay_us` if it is not 0."""
         if delay_us > 0:
             self._transition(FollowerState.WAITING, now + delay_us)
             return ()
         return self._connect(now)
 
     def stop(self) -> Sequence[Action]:
-        """End for good."""
+        """Stop following and close the connection, if there is one."""
         previous = self.state
         if previous is FollowerState.STOPPED:
             return ()
@@ -121,7 +123,7 @@
         return () if previous is FollowerState.WAITING else (DisconnectFromParent("stopped"),)
 
     def on_connected(self, now: int) -> Sequence[Action]:
-        """The connection is established."""
+        """Send the follow request on a newly established connection."""
         self._transition(FollowerState.REQUESTED, now + self.limits.first_line_timeout_us)
         self._announced = None
         self._malformed_lines = 0
@@ -130,7 +132,7 @@
         return (SendLine(encode_follow(self.cursor)),)
 
     def on_connection_lost(self, now: int, reason: str) -> Sequence[Action]:
-        """The connection has failed or ended; the next parent is tried after the backoff."""
+        """Handle a connection that has failed or closed: the next parent is tried after the backoff."""
         if self.state in (FollowerState.STOPPED, FollowerState.WAITING):
             return ()
         self.counts["lost"] += 1
@@ -140,7 +142,7 @@
         return ()
 
     def on_line(self, now: int, line: bytes) -> Sequence[Action]:
-        """One line of the connection."""
+        """Handle one line received on the connection."""
         if self.state not in CONNECTED_STATES:
             return ()
         self.deadline_us = now + self.limits.silence_timeout_us
@@ -163,7 +165,7 @@
                 return self._on_snapshot_end(now, message)
 
     def on_tick(self, now: int) -> Sequence[Action]:
-        """Time has passed; due at `deadline_us` at the latest."""
+        """Handle the passing of time. It must be called by `deadline_us` at the latest."""
         if self.deadline_us is None or now < self.deadline_us:
             return ()
         if self.state is FollowerState.WAITING:
@@ -191,7 +193,7 @@
         return (DisconnectFromParent(reason),)
 
     def _confirm_parent(self) -> None:
-        """The parent serves this follower: events are taken from it."""
+        """Record that the parent serves this follower, so that its events are accepted."""
         if self.state is FollowerState.REQUESTED:
             self._transition(FollowerState.FOLLOWING, self.deadline_us)
         self.backoff.reset()
@@ -214,13 +216,13 @@
         self._confirm_parent()
         self.cursor = event.cursor
         if isinstance(event.payload, UnknownPayload):
-            self.counts["bad.event"] += 1  # requesting it again would give the same line
+            self.counts["bad.event"] += 1  # requesting the event again would return the same line
         return (DeliverEvent(event),)
 
     def _on_announcement(self, now: int, cursor: Cursor) -> Sequence[Action]:
         if self._announced is not None and self._announced > self.cursor:
-            # Events that the last heartbeat announced have not arrived since.
-            return self._give_up(now, f"gap: {self._announced} never came")
+            # The events that the previous heartbeat announced have not arrived.
+            return self._give_up(now, f"gap: announced event {self._announced} did not arrive")
         if cursor < self.cursor:
             return self._on_parent_behind(now)
         self._announced = cursor
@@ -228,7 +230,7 @@
         return self._review_parent(now)
 
     def _on_parent_behind(self, now: int) -> Sequence[Action]:
-        """The parent announces an earlier event: a relay that lags, or a coordinator after a restart."""
+        """Handle a parent that is behind: a relay that lags, or a coordinator after a restart."""
         self.counts["behind"] += 1
         if not self.resets_on_restart:
             return ()
@@ -244,17 +246,17 @@
         return (RefreshFreshness(message),)
 
     def _review_parent(self, now: int) -> Sequence[Action]:
-        """Leave a parent that is cut off from the publisher, or return to the first one."""
+        """Leave a parent that has lost its path to the publisher, or return to the first parent."""
         if self._is_parent_stale(now):
             self._stale_after_us = min(self.limits.max_stale_after_us, 2 * self._stale_after_us)
             return self._give_up(now, "stale parent")
         if self.parent != 0 and now - self._connected_at_us > self.limits.return_to_first_after_us:
-            self.parent = self.parents - 1  # the one after it is the first
+            self.parent = self.parents - 1  # the next parent after the last is the first
             return self._give_up(now, "return to the first parent")
         return ()
 
     def _is_parent_stale(self, now: int) -> bool:
-        """Has freshness been missing for too long, and still after the lines in the socket were read?"""
+        """Return whether freshness is overdue, even after `grace_us` to read lines buffered in the socket."""
         since_us = max(self._connected_at_us, self.fresh_at_us or 0)
         has_other_parent = self.parents >= 2
         is_overdue = now - since_us > self._stale_after_us
@@ -272,7 +274,7 @@
             return self._give_up(now, "snapshot within a snapshot")
         if message.cursor <= self.cursor:
             self.counts["refused.snapshot"] += 1
-            return self._give_up(now, "stepback: snapshot of an earlier state")
+            return self._give_up(now, "stepback: snapshot is not newer than the follower's state")
         self._transition(FollowerState.LOADING, self.deadline_us)
         self._load = SnapshotLoad(message)
         return ()
@@ -281,11 +283,11 @@
         self, now: int, load: SnapshotLoad, message: Message, line: bytes
     ) -> Sequence[Action]:
         if not isinstance(message, FeedEvent) or message.cursor != load.begin.cursor:
-            return self._give_up(now, "snapshot mixed with other lines")
+            return self._give_up(now, "snapshot interleaved with other lines")
         load.add(message, line)
         if load.exceeds(self.limits.max_snapshot_bytes):
-            return self._give_up(now, "snapshot over its bound")
-        # A purge takes effect at once, whether or not the snapshot is completed: an early one does no harm.
+            return self._give_up(now, "snapshot exceeds its maximum size or its number of lines")
+        # A purge takes effect at once, even if the snapshot is never completed: an early purge is harmless.
         return (DeliverEvent(message, from_snapshot=True),) if isinstance(message.payload, PurgeEvent) else ()
 
     def _on_snapshot_end(self, now: int, message: SnapshotEnd) -> Sequence[Action]:
@@ -293,7 +295,7 @@
         self._load = None
         snapshot = load.finish(message) if load is not None else None
         if snapshot is None:
-            return self._give_up(now, "snapshot cut short")
+            return self._give_up(now, "snapshot incomplete or its digest does not match")
         self._transition(FollowerState.FOLLOWING, self.deadline_us)
         self.backoff.reset()
         self.cursor = message.cursor
--- a/onyxwick/distribution/follower_actions.py
+++ b/onyxwick/distribution/follower_actions.py
@@ -1,4 +1,4 @@
-"""What a follower asks of its caller, and what it is configured with. Times in microseconds."""
+"""The actions that a follower returns to its caller, and its configuration. Times are in microseconds."""
 
 from __future__ import annotations
 
@@ -11,11 +11,14 @@
 
 @dataclass(frozen=True, slots=True)
 class FollowerLimits:
-    """`silence_timeout_us`: a parent that sends no line for so long is given up; `stale_after_us`: so is one
-    that passes on no freshness (None: a plain coordinator sends none), after at most `max_stale_after_us`
-    while all parents are stale; `return_to_first_after_us`: how long to stay with another parent than the
-    first. A tick later than `late_tick_us` means that this process was suspended, not its parent: lines that
-    wait in the socket get `grace_us` to be read.
+    """Limits and timeouts of a follower.
+
+    A follower disconnects from a parent that sends no line for `silence_timeout_us`, and from a parent that
+    forwards no freshness for `stale_after_us` (None for a plain coordinator, which sends no freshness). The
+    latter time grows to at most `max_stale_after_us` while all parents are stale. `return_to_first_after_us`
+    is how long a follower stays with a parent other than the first. If a tick is more than `late_tick_us`
+    late, this process was suspended rather than its parent, and the lines buffered in the socket get
+    `grace_us` to be read.
     """
 
     connect_timeout_us: int = 500_000
@@ -31,24 +34,24 @@
 
 
 PLAIN_COORDINATOR = FollowerLimits(silence_timeout_us=2_200_000, stale_after_us=None)
-"""For a coordinator that sends its last number once a second and no freshness."""
+"""Limits for a coordinator that sends the number of its last event once per second and no freshness."""
 
 
 class RetryBackoff(Protocol):
-    """Waits between attempts, with jitter: followers that lost a parent together do not return together."""
+    """Waits with jitter, so that followers that lost a parent at the same time do not reconnect together."""
 
     def next_delay_us(self) -> int:
-        """The wait before the next attempt."""
+        """Return the wait before the next attempt."""
         ...
 
     def reset(self) -> None:
-        """A connection has worked: the next wait is short again."""
+        """Make the next wait short again after a connection has worked."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectToParent:
-    """Open a connection to the parent at this position of the list of parents."""
+    """Open a connection to the parent at index `parent` of the list of parents."""
 
     parent: int
 
@@ -62,14 +65,14 @@
 
 @dataclass(frozen=True, slots=True)
 class DisconnectFromParent:
-    """Close the connection, or give up the attempt."""
+    """Close the connection, or abandon the connection attempt."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class DeliverEvent:
-    """The next event, or (`from_snapshot`) a purge of a snapshot that is still being loaded."""
+    """Apply the next event or, with `from_snapshot`, a purge from a snapshot that is still being loaded."""
 
     event: FeedEvent
     from_snapshot: bool = False
@@ -77,14 +80,14 @@
 
 @dataclass(frozen=True, slots=True)
 class InstallSnapshot:
-    """A snapshot is complete: it replaces all that was delivered before."""
+    """Replace everything delivered so far by a complete snapshot."""
 
     snapshot: FeedSnapshot
 
 
 @dataclass(frozen=True, slots=True)
 class RefreshFreshness:
-    """The publisher was reached, through however many nodes."""
+    """Record that the publisher was reached, through any number of nodes."""
 
     freshness: Freshness
 
--- a/onyxwick/distribution/model.py
+++ b/onyxwick/distribution/model.py
@@ -1,4 +1,4 @@
-"""Types of the distribution feed: cursors, events, messages of a connection, and named errors."""
+"""Types of the distribution feed: cursors, events, messages of a connection, and errors."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 from onyxwick.errors import OnyxwickError
 
 HISTORY_BITS = 32
-"""A packed cursor is the history's identifier above this many bits of the event's number in it."""
+"""A packed cursor has the event number in this many low bits and the identifier of its history above them."""
 MAX_NUMBER = (1 << HISTORY_BITS) - 1
 MAX_HISTORY = (1 << 31) - 1
-"""Packed cursors stay below 2^63, which every JSON reader in use here reads as an integer."""
+"""Packed cursors stay below 2^63, which every JSON reader in use decodes as an integer."""
 MAX_LINE_BYTES = 4_194_304
-"""Longest line of a feed, the same bound as the coordinator's feed has."""
+"""Maximum size of a feed line, the same limit as that of the coordinator's feed."""
 US_PER_S = 1_000_000
 MAX_DOCUMENT_BYTES = 1_048_576
-"""Longest configuration document, in bytes of UTF-8."""
+"""Maximum size of a configuration document, in bytes of UTF-8."""
 MAX_DOCUMENTS = 256
-"""Documents with different names that a feed carries."""
+"""Maximum number of documents with different names in a feed."""
 MAX_PART_BYTES = 12_288
-"""Bytes of a document in one event: a purge waits behind no more than one of them at each hop."""
+"""Maximum size of a document part in one event: at each hop, a purge waits behind at most one part."""
 
 
 class DistributionError(OnyxwickError, ValueError):
@@ -29,7 +29,7 @@
 
 
 class MalformedLineError(DistributionError):
-    """A line that is no message of the feed."""
+    """A line is not a message of the feed."""
 
 
 class PayloadError(DistributionError):
@@ -37,10 +37,10 @@
 
 
 class FeedGapError(DistributionError):
-    """An event's number does not follow the last one of a log."""
+    """The number of an event does not follow the last number in a log."""
 
     def __init__(self, found: Cursor, last: Cursor) -> None:
-        super().__init__(f"event {found} after {last}")
+        super().__init__(f"feed gap: got event {found} after {last}")
         self.found = found
         self.last = last
 
@@ -49,7 +49,7 @@
     """A snapshot is older than the replica, or belongs to an earlier history."""
 
     def __init__(self, found: Cursor, current: Cursor) -> None:
-        super().__init__(f"snapshot of {found} under {current}")
+        super().__init__(f"snapshot at {found} is older than the replica at {current}")
         self.found = found
         self.current = current
 
@@ -59,15 +59,15 @@
 
 
 class PublishRejectedError(DistributionError):
-    """The publisher rejects an event; the message names the bound or the field."""
+    """The publisher rejects an event; the message names the limit or the field."""
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class Cursor:
-    """A place in a history of events: its identifier and the number of the last event applied.
+    """A position in a history of events: the history's identifier and the number of the last event applied.
 
-    Histories are ordered: a later one has a larger identifier (Unix seconds of its beginning). History 0
-    is that of a plain coordinator, whose packed cursors are its event numbers.
+    Histories are ordered: a later history has a larger identifier (the Unix time of its start in seconds).
+    History 0 is that of a plain coordinator, whose packed cursors are its event numbers.
     """
 
     history: int
@@ -75,18 +75,18 @@
 
     @property
     def packed(self) -> int:
-        """The cursor as the one integer that the feed carries as `index`."""
+        """Return the cursor as the integer that the feed carries as `index`."""
         return (self.history << HISTORY_BITS) | self.number
 
     @classmethod
     def unpack(cls, packed: int) -> Cursor:
-        """The cursor of an `index`; MalformedLineError outside 0 to 2^63 - 1."""
+        """Return the cursor of an `index`. Raises MalformedLineError outside the range 0 to 2^63 - 1."""
         if not 0 <= packed <= (MAX_HISTORY << HISTORY_BITS) | MAX_NUMBER:
             raise MalformedLineError(f"number {packed} is out of range, 0 to 2^63 - 1")
         return cls(packed >> HISTORY_BITS, packed & MAX_NUMBER)
 
     def following(self) -> Cursor:
-        """The cursor of the next event in the same history."""
+        """Return the next event's cursor. Raises DistributionError if the history has no numbers left."""
         if self.number >= MAX_NUMBER:
             raise DistributionError(f"history {self.history} has no numbers left")
         return Cursor(self.history, self.number + 1)
@@ -98,7 +98,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CacheRow:
-    """One cache of a list: its id, whether it was deleted, and all its fields, passed on unchanged."""
+    """One cache of a list: its id, whether it was deleted, and all its fields, forwarded unchanged."""
 
     id: str
     deleted: bool
@@ -107,7 +107,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CacheListChange:
-    """Changed rows of the list of caches; with `full` the complete list."""
+    """The changed rows of the list of caches, or with `full` the complete list."""
 
     rows: tuple[CacheRow, ...]
     full: bool
@@ -116,7 +116,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PurgeKey:
-    """What a purge names: one object or one group of them; the other field is None."""
+    """The target of a purge: one object or one group of objects. The other field is None."""
 
     object_id: str | None
     object_group: int | None
@@ -124,7 +124,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PurgeEvent:
-    """Copies made before `unix_ms` (Unix milliseconds) of what `key` names must not be served."""
+    """Copies of the target `key` made before `unix_ms` (Unix milliseconds) must not be served."""
 
     key: PurgeKey
     unix_ms: int
@@ -144,7 +144,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UnknownPayload:
-    """A payload that this version cannot read. Relays pass its event on; no replica applies it."""
+    """A payload that this version cannot read. Relays forward its event; no replica applies it."""
 
     detail: str
 
@@ -154,7 +154,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Document:
-    """A complete configuration document, its digest verified."""
+    """A complete configuration document whose digest was verified."""
 
     name: str
     version: int
@@ -173,14 +173,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Announcement:
-    """The number of the sender's last event, sent at regular intervals as heartbeat."""
+    """A heartbeat: the cursor of the sender's last event, sent at regular intervals."""
 
     cursor: Cursor
 
 
 @dataclass(frozen=True, slots=True)
 class Freshness:
-    """The publisher was reached at `published_ms` (Unix milliseconds) and had no event behind `cursor`."""
+    """The publisher was reached at `published_ms` (Unix milliseconds) and had no event after `cursor`."""
 
     cursor: Cursor
     published_ms: int
@@ -188,7 +188,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotBegin:
-    """The next `lines` lines hold the state as of `cursor`."""
+    """The next `lines` lines contain the state as of `cursor`."""
 
     cursor: Cursor
     lines: int
@@ -196,7 +196,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotEnd:
-    """All lines of the snapshot of `cursor` have been sent; `digest` is of these lines."""
+    """All lines of the snapshot of `cursor` have been sent; `digest` is the digest of these lines."""
 
     cursor: Cursor
     digest: str
--- a/onyxwick/distribution/publisher.py
+++ b/onyxwick/distribution/publisher.py
@@ -1,8 +1,8 @@
-"""The publisher: takes events in, numbers them, purges and lists before documents.
+"""The publisher: queues events and numbers them, with purges and lists before documents.
 
-Documents are sent in parts at a stated rate, so that they neither delay purges nor exceed what a director may
-receive. Only a document's newest version has to be sent: it preempts parts of an older one that are queued.
-Times in microseconds, except where a name ends in `_ms`.
+Documents are sent in parts at a configured rate, so that they neither delay purges nor exceed the rate at
+which a director may receive them. Only the newest version of a document has to be sent: it replaces queued
+parts of an older version. Times are in microseconds, except where a name ends in `_ms`.
 """
 
 from __future__ import annotations
@@ -31,8 +31,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PublisherLimits:
-    """`bulk_bytes_per_s`: of documents, per follower; `max_purges`: binding at once; `max_future_ms`: how far
-    ahead of this clock a purge may be dated."""
+    """Limits of a publisher.
+
+    `bulk_bytes_per_s` is the rate of documents per follower; `max_purges` is the number of purges in effect
+    at the same time; `max_future_ms` is how far ahead of the publisher's clock a purge may be dated.
+    """
 
     bulk_bytes_per_s: float = 8_000.0
     bulk_burst_bytes: float = 49_152.0
@@ -42,14 +45,14 @@
 
 
 class DocumentVersion(NamedTuple):
-    """A version of a document and the digest of its text; version 0 where there is none."""
+    """A version of a document and the digest of its text; version 0 if the document does not exist."""
 
     version: int
     digest: str
 
 
 class Publisher:
-    """Numbers events for one replica, of which it is the only writer."""
+    """Numbers the events of one replica. It is the only writer of that replica."""
 
     def __init__(self, replica: Replica, now: int, limits: PublisherLimits | None = None) -> None:
         self.replica = replica
@@ -62,18 +65,24 @@
         self._refilled_at_us = now
 
     def submit(self, payload: PurgeEvent | CacheListChange, now_ms: int) -> None:
-        """Queue a purge or a change of the list; PublishRejectedError (and nothing queued) over a bound."""
+        """Queue a purge or a change of the list of caches.
+
+        Raises PublishRejectedError and queues nothing if a limit is exceeded.
+        """
         queued = len(self.urgent_queue)
         if queued >= self.limits.max_queued:
-            raise self._reject("queue", f"{queued} events are queued, {self.limits.max_queued} at most")
+            raise self._reject(
+                "queue", f"{queued} events are queued, at most {self.limits.max_queued} are allowed"
+            )
         if isinstance(payload, PurgeEvent):
             self._check_purge(payload, now_ms)
         self.urgent_queue.append(payload)
 
     def submit_document(self, name: str, text: str) -> int:
-        """Queue a document's newest text; its version. The text that is newest already is not sent again.
+        """Queue the newest text of a document and return its version.
 
-        PublishRejectedError for too many documents, or one that is too large.
+        A text that equals the newest version is not sent again. Raises PublishRejectedError if there are too
+        many documents or the document is too large.
         """
         digest = document_digest(text)
         newest = self._newest_version(name)
@@ -81,7 +90,7 @@
             return newest.version
         known = len(self.replica.state.documents) + len(self._queued_versions)
         if newest.version == 0 and known >= MAX_DOCUMENTS:
-            raise self._reject("documents", f"{MAX_DOCUMENTS} documents at most")
+            raise self._reject("documents", f"{MAX_DOCUMENTS} documents exist, no more are accepted")
         version = newest.version + 1
         parts = split_document(name, version, text)
         self._preempt(name)
@@ -90,8 +99,10 @@
         return version
 
     def take_due_events(self, now: int) -> list[FeedEvent]:
-        """Number what may be sent now, in its order. The caller makes the events durable, applies them to the
-        replica and only then announces them."""
+        """Number the events that may be sent now and return them in order.
+
+        The caller makes the events durable, applies them to the replica and only then announces them.
+        """
         cursor = self.replica.cursor
         events = []
         for payload in self._take_due_payloads(now):
@@ -100,7 +111,7 @@
         return events
 
     def next_due_in_us(self, now: int) -> int | None:
-        """How long until more of the queue may be sent; None where it is empty."""
+        """Return the time until the next queued event may be sent, or None if nothing is queued."""
         if self.urgent_queue:
             return 0
         if not self.document_queue:
@@ -110,12 +121,14 @@
 
     def _check_purge(self, purge: PurgeEvent, now_ms: int) -> None:
         if purge.unix_ms > now_ms + self.limits.max_future_ms:
-            raise self._reject("future", f"purge dated {purge.unix_ms - now_ms} ms in the future")
+            raise self._reject("future", f"purge is dated {purge.unix_ms - now_ms} ms in the future")
         table = self.replica.state.purges
         table.expire(now_ms)
         is_new = purge.key not in table.unix_ms_by_key
         if is_new and len(table) + len(self.urgent_queue) >= self.limits.max_purges:
-            raise self._reject("purges", f"{self.limits.max_purges} purges are binding, no more at once")
+            raise self._reject(
+                "purges", f"{self.limits.max_purges} purges are in effect, no more are accepted"
+            )
 
     def _reject(self, bound: str, text: str) -> PublishRejectedError:
         self.counts[f"refused.{bound}"] += 1
@@ -150,9 +163,9 @@
         return payloads
 
     def _allowed_bytes(self, now: int) -> float:
-        """Bytes of documents that may be sent now: a token bucket."""
-        earned_bytes = (now - self._refilled_at_us) / US_PER_S * self.limits.bulk_bytes_per_s
-        return min(self.limits.bulk_burst_bytes, self._allowance_bytes + earned_bytes)
+        """Return how many bytes of documents the token bucket allows to be sent now."""
+        refilled_bytes = (now - self._refilled_at_us) / US_PER_S * self.limits.bulk_bytes_per_s
+        return min(self.limits.bulk_burst_bytes, self._allowance_bytes + refilled_bytes)
 
 
 def _part_bytes(part: DocumentPart) -> float:
@@ -160,8 +173,13 @@
 
 
 def new_history(unix_s: int, earlier: int = 0) -> Cursor:
-    """The cursor before the first event of a new history, which is later than an earlier one."""
+    """Return the cursor before the first event of a new history.
+
+    The new history is later than the history with the identifier `earlier`.
+    """
     return Cursor(max(unix_s, earlier + 1), 0)
 
 
-assert MAX_PART_BYTES * 2 < MAX_LINE_BYTES, "a part has to fit into a line with every character escaped"
+assert MAX_PART_BYTES * 2 < MAX_LINE_BYTES, (
+    "a document part must fit into a line with every character escaped"
+)
--- a/onyxwick/distribution/replica.py
+++ b/onyxwick/distribution/replica.py
@@ -1,4 +1,4 @@
-"""What a node holds of the feed: the recent events, and the state that all events together have made."""
+"""The copy of the feed in one node: the recent events, and the state that results from all events."""
 
 from __future__ import annotations
 
@@ -31,26 +31,26 @@
 )
 
 MAX_LOG_BYTES = 4_194_304
-"""Bytes of recent events that a node can replay; a subscriber further behind gets a snapshot."""
+"""Bytes of recent events that a node can replay; a subscriber that is further behind gets a snapshot."""
 PURGE_RETENTION_MS = 60_000
-"""How long a purge is part of snapshots; longer than caches need to carry a purge out."""
+"""How long a purge is part of snapshots; this is longer than caches need to execute a purge."""
 MAX_PURGES = 131_072
-"""Purges kept at once, a bound on memory; the publisher rejects purges above half of it."""
+"""Maximum number of purges in a table, to limit memory. The publisher rejects purges above half of it."""
 
 
 class PurgeTable:
-    """The latest purge of each object and group, for as long as it may bind."""
+    """The latest purge of each object and group, for as long as the purge may be in effect."""
 
     def __init__(self, retention_ms: int = PURGE_RETENTION_MS, max_purges: int = MAX_PURGES) -> None:
         self.retention_ms = retention_ms
         self.max_purges = max_purges
-        self.unix_ms_by_key: dict[PurgeKey, int] = {}  # in the order of arrival: the oldest is first
+        self.unix_ms_by_key: dict[PurgeKey, int] = {}  # in order of arrival, the oldest first
 
     def __len__(self) -> int:
         return len(self.unix_ms_by_key)
 
     def add(self, purge: PurgeEvent) -> bool:
-        """Take a purge in; False where the same or a later one of its key is held already."""
+        """Add a purge. Returns False if the table already has the same or a later purge of its key."""
         known_ms = self.unix_ms_by_key.get(purge.key)
         if known_ms is not None and known_ms >= purge.unix_ms:
             return False
@@ -61,7 +61,10 @@
         return True
 
     def expire(self, now_ms: int) -> list[PurgeKey]:
-        """Drop what is older than the retention, oldest first; the keys dropped. Amortised constant time."""
+        """Drop purges older than the retention, oldest first, and return their keys.
+
+        The amortised cost is constant per purge.
+        """
         dropped = []
         for key, unix_ms in self.unix_ms_by_key.items():
             if unix_ms >= now_ms - self.retention_ms:
@@ -72,13 +75,13 @@
         return dropped
 
     def events(self) -> Iterator[PurgeEvent]:
-        """All purges held, oldest first."""
+        """Yield all purges in the table, oldest first."""
         for key, unix_ms in self.unix_ms_by_key.items():
             yield PurgeEvent(key, unix_ms)
 
 
 class FeedState:
-    """The list of caches, the binding purges and the documents as of one cursor."""
+    """The list of caches, the purges in effect and the documents as of one cursor."""
 
     def __init__(self, retention_ms: int = PURGE_RETENTION_MS) -> None:
         self.rows: dict[str, CacheRow] = {}
@@ -88,7 +91,10 @@
         self.assembler = DocumentAssembler()
 
     def apply(self, payload: Payload) -> Document | None:
-        """Take one payload in; the document that it completes, if any. DocumentError: a part out of order."""
+        """Apply one payload and return the document that it completes, if any.
+
+        Raises DocumentError if a document part does not fit.
+        """
         if isinstance(payload, PurgeEvent):
             self.purges.add(payload)
             return None
@@ -112,12 +118,12 @@
         if document is None:
             return None
         if document.name not in self.documents and len(self.documents) >= MAX_DOCUMENTS:
-            raise DocumentError(f"over {MAX_DOCUMENTS} documents")
+            raise DocumentError(f"more than {MAX_DOCUMENTS} documents")
         self.documents[document.name] = document
         return document
 
     def payloads(self) -> Iterator[Payload]:
-        """The state as payloads that make it again: purges first, then the list, then the documents."""
+        """Yield payloads that rebuild the state: first purges, then the list of caches, then documents."""
         yield from self.purges.events()
         if self.rows or self.list_version:
             yield CacheListChange(tuple(self.rows.values()), True, self.list_version)
@@ -127,7 +133,7 @@
 
 
 def lines_within(lines: Sequence[bytes], position: int, max_bytes: int) -> list[bytes]:
-    """Lines from a position on: one at least if there is one, then as many as fit into so many bytes."""
+    """Return the lines from `position` on that fit into `max_bytes`, but at least one if there is one."""
     chosen: list[bytes] = []
     size_bytes = 0
     while position < len(lines) and (not chosen or size_bytes + len(lines[position]) <= max_bytes):
@@ -139,14 +145,14 @@
 
 
 class LogExcerpt(NamedTuple):
-    """Lines of a log, and the cursor behind the last of them."""
+    """Lines of a log, and the cursor of the last of them."""
 
     data: bytes
     cursor: Cursor
 
 
 class EventLog:
-    """Recent events as lines, consecutive in one history, bounded in bytes."""
+    """Recent events as lines, consecutive in one history and limited to `max_bytes`."""
 
     def __init__(self, max_bytes: int = MAX_LOG_BYTES) -> None:
         self.max_bytes = max_bytes
@@ -156,11 +162,11 @@
 
     @property
     def first_number(self) -> int:
-        """The number of the oldest event held; one past the last where none is."""
+        """Return the number of the oldest event in the log, or the next number if the log is empty."""
         return self.last.number - len(self.lines) + 1
 
     def append(self, event: FeedEvent) -> None:
-        """The next event; FeedGapError if it is not the next one."""
+        """Append an event. Raises FeedGapError if it is not the next one."""
         if event.cursor != self.last.following():
             raise FeedGapError(event.cursor, self.last)
         self.lines.append(event.line)
@@ -170,45 +176,47 @@
             self.size_bytes -= len(self.lines.popleft())
 
     def restart(self, cursor: Cursor) -> None:
-        """Drop all events, and go on behind a cursor."""
+        """Drop all events and continue after a cursor."""
         self.lines.clear()
         self.size_bytes = 0
         self.last = cursor
 
     def can_resume(self, cursor: Cursor) -> bool:
-        """Are all events behind a cursor held?"""
+        """Return whether the log has all events after a cursor."""
         is_same_history = cursor.history == self.last.history
         return is_same_history and self.first_number <= cursor.number + 1 <= self.last.number + 1
 
     def line_after(self, cursor: Cursor) -> bytes | None:
-        """The line of the event behind a cursor that `can_resume`; None at the end."""
+        """Return the line of the next event after a cursor that `can_resume`; None at the end of the log."""
         position = cursor.number + 1 - self.first_number
         return self.lines[position] if position < len(self.lines) else None
 
     def lines_after(self, cursor: Cursor, max_bytes: int) -> LogExcerpt:
-        """Lines behind a cursor that `can_resume`: one at least if there is one, then as many as fit into so
-        many bytes."""
+        """Return the lines after a cursor that `can_resume`.
+
+        The lines fit into `max_bytes`, but at least one is returned if there is one.
+        """
         lines = lines_within(self.lines, cursor.number + 1 - self.first_number, max_bytes)
         return LogExcerpt(b"".join(lines), Cursor(cursor.history, cursor.number + len(lines)))
 
 
 @dataclass(frozen=True, slots=True)
 class FeedSnapshot:
-    """A state as of a cursor, as the payloads that make it."""
+    """The state as of a cursor, as the payloads that rebuild it."""
 
     cursor: Cursor
     payloads: tuple[Payload, ...]
 
 
 class SnapshotLines(NamedTuple):
-    """A state as of a cursor, as the lines that are sent."""
+    """The state as of a cursor, as the lines to send."""
 
     cursor: Cursor
     lines: tuple[bytes, ...]
 
 
 class Replica:
-    """A copy of the feed: its log and its state, always of the same cursor."""
+    """A copy of the feed: its log and its state, which always have the same cursor."""
 
     def __init__(self, log_bytes: int = MAX_LOG_BYTES, retention_ms: int = PURGE_RETENTION_MS) -> None:
         self.retention_ms = retention_ms
@@ -219,21 +227,24 @@
 
     @property
     def cursor(self) -> Cursor:
-        """The last event applied."""
+        """Return the cursor of the last event applied."""
         return self.log.last
 
     def apply(self, event: FeedEvent, now_ms: int) -> Document | None:
-        """Take in the next event; the document that it completes, if any. FeedGapError out of order."""
+        """Apply the next event and return the document that it completes, if any.
+
+        Raises FeedGapError if the event is out of order.
+        """
         self.log.append(event)
         self.state.purges.expire(now_ms)
         try:
             return self.state.apply(event.payload)
         except DocumentError:
-            self.rejected_documents += 1  # the event still counts: the document's next version replaces it
+            self.rejected_documents += 1  # the event still counts: a later document version replaces it
             return None
 
     def install(self, snapshot: FeedSnapshot) -> None:
-        """Replace the state by a snapshot's; OlderSnapshotError if it is older than the replica."""
+        """Replace the state by a snapshot's. Raises OlderSnapshotError if it is older than the replica."""
         if snapshot.cursor < self.cursor:
             raise OlderSnapshotError(snapshot.cursor, self.cursor)
         self.state = _state_of(snapshot.payloads, self.retention_ms)
@@ -241,11 +252,14 @@
         self._snapshot = None
 
     def snapshot_lines(self, now_ms: int) -> SnapshotLines:
-        """The state as lines. An earlier one is reused while the log goes on from it: many subscribers that
-        connect at once share one copy."""
-        held = self._snapshot
-        if held is not None and self.log.can_resume(held.cursor) and self._is_recent(held.cursor):
-            return held
+        """Return the state as lines.
+
+        An earlier snapshot is reused while the log continues from it, so that many subscribers that connect
+        at the same time share one copy.
+        """
+        cached = self._snapshot
+        if cached is not None and self.log.can_resume(cached.cursor) and self._is_recent(cached.cursor):
+            return cached
         self.state.purges.expire(now_ms)
         cursor = self.cursor
         body = [encode_event(cursor, payload).line for payload in self.state.payloads()]
@@ -258,8 +272,10 @@
         return self._snapshot
 
     def _is_recent(self, cursor: Cursor) -> bool:
-        """Is less than half of the log behind a cursor? A subscriber that loads from further back could fall
-        out of the log."""
+        """Return whether at most about half of the log is after a cursor.
+
+        A subscriber that loads an older snapshot could end up with a cursor that the log no longer covers.
+        """
         return cursor.number >= self.log.first_number + len(self.log.lines) // 2 - 1
 
 
--- a/onyxwick/distribution/snapshot_loading.py
+++ b/onyxwick/distribution/snapshot_loading.py
@@ -1,4 +1,4 @@
-"""A snapshot while its lines are received: payloads, bytes, and the digest to check at the end."""
+"""A snapshot that is being received: its payloads, its size, and the digest that is checked at the end."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class SnapshotLoad:
-    """One snapshot from its first line on."""
+    """Collects the lines of one snapshot after its first line."""
 
     def __init__(self, begin: SnapshotBegin) -> None:
         self.begin = begin
@@ -17,17 +17,17 @@
         self.size_bytes = 0
 
     def add(self, event: FeedEvent, line: bytes) -> None:
-        """Take in one line of the snapshot."""
+        """Add one line of the snapshot."""
         self.size_bytes += len(line)
         self.digest.add(line)
         self.payloads.append(event.payload)
 
     def exceeds(self, max_bytes: int) -> bool:
-        """Is it larger than its bound, or than its first line said?"""
+        """Return whether the snapshot exceeds `max_bytes` or the number of lines in its first line."""
         return self.size_bytes > max_bytes or len(self.payloads) > self.begin.lines
 
     def finish(self, end: SnapshotEnd) -> FeedSnapshot | None:
-        """The snapshot with its last line; None where lines were lost or changed."""
+        """Return the snapshot when its last line is received; None if lines were lost or changed."""
         if end.cursor != self.begin.cursor or end.digest != self.digest.hex_digest():
             return None
         return FeedSnapshot(end.cursor, tuple(self.payloads))
--- a/onyxwick/distribution/transitions.py
+++ b/onyxwick/distribution/transitions.py
@@ -1,4 +1,4 @@
-"""The check that both state machines of a connection, follower and subscriber, make at each transition."""
+"""The transition check shared by both state machines of a connection, follower and subscriber."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 State = TypeVar("State", bound=Enum)
 
 
-def check_transition(transitions: Mapping[State, Set[State]], current: State, wanted: State) -> None:
-    """IllegalTransitionError where the table does not have the transition."""
-    if wanted not in transitions[current]:
-        raise IllegalTransitionError(f"from {current.value} to {wanted.value}")
+def check_transition(transitions: Mapping[State, Set[State]], current: State, target: State) -> None:
+    """Raise IllegalTransitionError if `transitions` does not have the transition."""
+    if target not in transitions[current]:
+        raise IllegalTransitionError(f"illegal transition from {current.value} to {target.value}")
--- a/onyxwick/distribution/tree.py
+++ b/onyxwick/distribution/tree.py
@@ -1,8 +1,9 @@
-"""Which parents each node of the tree follows: bounded depth and width, two parents or more for each.
+"""Chooses the parents of each node of the distribution tree, with bounded depth and width.
 
-Rendezvous hashing (Thaler and Ravishankar 1998) with a bound on load (Mirrokni et al. 2016): a node's order
-of parents does not depend on the others, but a parent at its bound is skipped. The children of a lost parent
-are spread over all others, and no other child moves.
+Each child has two or more parents. The choice uses rendezvous hashing (Thaler and Ravishankar 1998) with a
+bound on load (Mirrokni et al. 2016): the order in which a node prefers its parents does not depend on other
+nodes, but a parent at its load bound is skipped. The children of a lost parent are spread over all other
+parents, and no other child moves.
 """
 
 from __future__ import annotations
@@ -18,13 +19,17 @@
 
 
 class TreeError(DistributionError):
-    """No tree within the bounds; the message names the bound, and what would satisfy it."""
+    """No tree satisfies the limits; the message names the limit and what would satisfy it."""
 
 
 @dataclass(frozen=True, slots=True)
 class TreeLimits:
-    """`max_children`: of one node, counted as if the children of one lost parent were spread over the others;
-    `parents`: of each child; `load_slack`: load of a parent as a multiple of the mean."""
+    """Limits of the tree.
+
+    `max_children` limits the children of one node, counted as if the children of one lost parent were spread
+    over the others. `parents` is the number of parents of each child. `load_slack` is the maximum load of a
+    parent as a multiple of the mean.
+    """
 
     max_children: int = 256
     parents: int = 2
@@ -38,11 +43,12 @@
     limits: TreeLimits | None = None,
     domains: Mapping[str, str] | None = None,
 ) -> Mapping[str, tuple[str, ...]]:
-    """The parents of each relay and leaf, the first one preferred; TreeError where the bounds allow none.
+    """Return the parents of each relay and leaf, the preferred parent first.
 
-    `domains`: the failure domain (a rack) of each relay; a leaf's parents are in different ones as long as
-    there are enough of them. Relays follow the root and, as second parents, relays before them in the given
-    order, so that no cycle can form; leaves follow relays: two hops below the root.
+    Raises TreeError if no tree satisfies the limits. `domains` gives the failure domain (a rack) of each
+    relay; the parents of a leaf are in different domains as long as there are enough of them. Relays follow
+    the root and, as further parents, relays before them in the given order, so that no cycle can form. Leaves
+    follow relays and are two hops below the root.
     """
     limits = limits or TreeLimits()
     _check_bounds(relays, leaves, limits)
@@ -52,17 +58,17 @@
 
 def _check_bounds(relays: Sequence[str], leaves: Sequence[str], limits: TreeLimits) -> None:
     if len(set(relays)) != len(relays) or len(set(leaves)) != len(leaves):
-        raise TreeError("a name stands twice")
+        raise TreeError("a relay or a leaf is listed twice")
     if len(relays) < limits.parents:
-        raise TreeError(f"{len(relays)} relays, and {limits.parents} parents for each leaf")
+        raise TreeError(f"{len(relays)} relays are too few for {limits.parents} parents of each leaf")
     if len(relays) > limits.max_children:
-        raise TreeError(f"{len(relays)} relays at the root, {limits.max_children} at most")
+        raise TreeError(f"{len(relays)} relays follow the root, at most {limits.max_children} are allowed")
     children_after_loss = math.ceil(len(leaves) / max(1, len(relays) - 1))
     if children_after_loss > limits.max_children:
         enough = math.ceil(len(leaves) / limits.max_children) + 1
         raise TreeError(
-            f"{children_after_loss} leaves at a relay when one is lost, {limits.max_children} at most:"
-            f" {enough} relays would do"
+            f"{children_after_loss} leaves per relay after the loss of one, at most {limits.max_children}:"
+            f" {enough} relays would be enough"
         )
 
 
@@ -95,7 +101,7 @@
 def _outside_failure_domains(
     names: list[str], chosen: Sequence[str], domains: Mapping[str, str]
 ) -> list[str]:
-    """Those outside the failure domains of the parents chosen so far; all of them where none is."""
+    """Return the names outside the failure domains of the parents chosen so far, or all names if none is."""
     taken = {domains[name] for name in chosen if name in domains}
     outside = [name for name in names if domains.get(name) not in taken]
     return outside or names
--- a/onyxwick/operations/__init__.py
+++ b/onyxwick/operations/__init__.py
@@ -1,4 +1,4 @@
-"""The operations endpoint: readiness, metrics, and the operators' commands to disable caches and to drain.
+"""The operations endpoint: readiness, metrics, and commands to disable caches and to drain the director.
 
-Loaded only where the configuration gives it an address. See docs/design/operations.md.
+The package is loaded only if the configuration gives the endpoint an address. See docs/design/operations.md.
 """
--- a/onyxwick/operations/command_codec.py
+++ b/onyxwick/operations/command_codec.py
@@ -3,8 +3,9 @@
     {"v": 1, "version": N, "drained": BOOL, "held": [CACHE...], "back": [[CACHE, STEADY_US]...],
      "known": [CACHE...], "clock": {"boot": ID, "offset": US}}
 
-`held`: disabled caches. `back`: caches that were enabled again, and when. `clock`: which clock `back` is of.
-Two processes of different versions may read each other's file, so the names stay as they are.
+`held` lists the disabled caches. `back` lists the caches that were enabled again, with the time. `clock`
+identifies the clock of the times in `back`. Processes of different versions may read each other's file, so
+the names of the fields must not change.
 """
 
 from __future__ import annotations
@@ -23,9 +24,9 @@
     """Identifies the steady clock of the process that wrote a file."""
 
     boot_id: str
-    """Of the machine: within one, monotonic clocks of two processes agree."""
+    """Identifies the boot of the machine; within one boot, the monotonic clocks of two processes agree."""
     offset_us: int
-    """Steady minus monotonic time of the writer."""
+    """Steady time minus monotonic time of the writer."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,13 +36,13 @@
     commands: OperatorCommands
     known_caches: list[str]
     clock: WriterClock | None
-    """None: the file names no usable clock."""
+    """None if the file has no usable clock."""
 
 
 def commands_to_document(
     commands: OperatorCommands, known: KnownCaches, clock: WriterClock
 ) -> dict[str, object]:
-    """The document of a command file."""
+    """Encode commands, known caches and the writer's clock as the document of a command file."""
     return {
         "v": DOCUMENT_VERSION,
         "version": commands.version,
@@ -54,15 +55,15 @@
 
 
 def commands_from_document(document: object) -> StoredCommands:
-    """The commands in a document; CommandFileError where it is none of version 1."""
+    """Decode the document of a command file. Raises CommandFileError if it is not valid for version 1."""
     if not isinstance(document, dict) or document.get("v") != DOCUMENT_VERSION:
-        raise CommandFileError(f"no operator commands: expected an object with v={DOCUMENT_VERSION}")
+        raise CommandFileError(f"command file is invalid: expected an object with v={DOCUMENT_VERSION}")
     version = document.get("version")
     if not isinstance(version, int):
-        raise CommandFileError(f"version is {version!r}, expected an integer")
+        raise CommandFileError(f"field 'version' is {version!r}, expected an integer")
     is_drained = document.get("drained")
     if not isinstance(is_drained, bool):
-        raise CommandFileError(f"drained is {is_drained!r}, expected true or false")
+        raise CommandFileError(f"field 'drained' is {is_drained!r}, expected true or false")
     disabled = _names(document, "held")
     known = _names(document, "known")
     commands = OperatorCommands(version, is_drained, frozenset(disabled), _re_enabled(document))
@@ -72,7 +73,7 @@
 def _names(document: dict[str, object], key: str) -> list[str]:
     value = document.get(key)
     if not _is_name_list(value):
-        raise CommandFileError(f"{key} is no list of names")
+        raise CommandFileError(f"{key} is not a list of strings")
     return value
 
 
@@ -83,12 +84,12 @@
 def _re_enabled(document: dict[str, object]) -> tuple[ReEnabledCache, ...]:
     value = document.get("back")
     if not isinstance(value, list):
-        raise CommandFileError("back is no list")
+        raise CommandFileError("field 'back' is not a list")
     rows = [ReEnabledCache(row[0], row[1]) for row in value if isinstance(row, list) and len(row) == 2]
     if len(rows) != len(value):
-        raise CommandFileError("back is no list of pairs")
+        raise CommandFileError("field 'back' is not a list of pairs")
     if not all(isinstance(row.cache, str) and isinstance(row.at_us, int) for row in rows):
-        raise CommandFileError("back is no list of names with times")
+        raise CommandFileError("field 'back' is not a list of cache ids with integer times")
     return tuple(rows)
 
 
--- a/onyxwick/operations/command_executor.py
+++ b/onyxwick/operations/command_executor.py
@@ -1,7 +1,8 @@
-"""The director's side of the operations endpoint: carries the operators' commands into the director's loop.
+"""The director's side of the operations endpoint: passes operator commands to the director's event loop.
 
-A disabled cache is in `EndpointTable.excluded`, which every send checks, before the endpoint answers; a
-drained director is not ready from then on. The router is notified in the director's loop right after.
+A disabled cache is in `EndpointTable.excluded`, which every send checks, before the endpoint answers the
+call. Likewise, a drained director is not ready from then on. The router is notified in the director's loop
+afterwards.
 """
 
 from __future__ import annotations
@@ -32,14 +33,14 @@
 log = logs.get()
 RESTORE_TIMEOUT_S = 2.0
 RESTORE_RETRY_S = 0.05
-"""How long a start tries to read a predecessor's file, and the pause between two attempts."""
+"""How long a starting process tries to read a predecessor's file, and the pause between two attempts."""
 MAX_LOGGED_CACHES = 16
 
 
 class CommandExecutor:
-    """Commands, metrics and readiness, each safe to read or hand over from the endpoint's thread.
+    """Commands, metrics and readiness, which the endpoint's thread may safely read or pass on.
 
-    `on_drain_changed`: called in the director's loop when a drain begins or ends.
+    `on_drain_changed` is called in the director's loop when a drain starts or ends.
     """
 
     def __init__(
@@ -59,17 +60,17 @@
         self.on_drain_changed = on_drain_changed
         self.known_caches = KnownCaches()
         self.commands = OperatorCommands()
-        """The latest."""
+        """The latest commands, including those that the director's loop has not processed yet."""
         self.notified_commands = self.commands
-        """Those that the director's loop has taken up."""
+        """The latest commands that the director's loop has processed."""
         self.loop: asyncio.AbstractEventLoop | None = None
         self._metrics = MetricsSnapshot()
 
     def restore(self) -> None:
-        """Take over a predecessor's commands, before anything is listed or sent.
+        """Restore a predecessor's commands before any cache is listed or any request is sent.
 
-        A file that cannot be read is retried for `RESTORE_TIMEOUT_S`; then the program starts without it, and
-        the endpoint goes on trying.
+        Reading the file is retried for `RESTORE_TIMEOUT_S`. If it still fails, the program starts without the
+        file, and the endpoint continues to retry.
         """
         if self.persisted is None:
             return
@@ -91,25 +92,25 @@
             )
 
     def adjust_endpoints(self, event: EndpointsChanged, now_us: int) -> EndpointsChanged:
-        """The list as the router gets it under the commands; its ids are known from now on."""
+        """Return the list as the router receives it under the commands, and remember the ids in it."""
         self.known_caches.add([member.address for member in event.members])
         return endpoints_under_commands(event, self.commands, now_us)
 
     # ---- from the endpoint's thread ------------------------------------------------------------------------
 
     def metrics(self) -> MetricsSnapshot:
-        """The latest snapshot of the director's loop."""
+        """Return the latest metrics snapshot taken in the director's loop."""
         return self._metrics
 
     def apply_commands(self, commands: OperatorCommands, known_caches: list[str]) -> None:
-        """Put commands into force: no send to a disabled cache from here on; then notify the loop."""
+        """Apply commands: nothing is sent to a disabled cache from here on. Then notify the loop."""
         self.commands = commands
         self.endpoints.excluded = commands.disabled_caches
         if self.loop is not None:
             self.loop.call_soon_threadsafe(self._on_commands, known_caches)
 
     def commands_written(self, issued_version: int, written_version: int) -> None:
-        """The command file was written: the version issued, and the version read back from it."""
+        """Check a write of the command file: the issued version against the version read back from it."""
         if self.loop is not None:
             check = self.engine.invariants.commands_written
             self.loop.call_soon_threadsafe(check, issued_version, written_version)
@@ -133,7 +134,7 @@
             self.on_drain_changed(after)
 
     def publish_metrics(self) -> None:
-        """Take a snapshot for the endpoint."""
+        """Take a metrics snapshot for the endpoint."""
         self._metrics = MetricsSnapshot(
             self.counters.counts.copy(),
             len(self.engine.lifecycles),
@@ -143,7 +144,10 @@
 
 
 def _read_with_retries(persisted: PersistedCommands) -> StoredCommands | None:
-    """Read the file; OSError where it fails for too long. Blocks: nothing is served yet."""
+    """Read the file with retries. Raises OSError after `RESTORE_TIMEOUT_S` of failures.
+
+    The call blocks, which is harmless because nothing is served yet.
+    """
     give_up_at_s = time.monotonic() + RESTORE_TIMEOUT_S
     while True:
         try:
@@ -155,8 +159,9 @@
 
 
 def persisted_commands(folder: str | None, name: str) -> PersistedCommands | None:
-    """The command file in the folder that the platform gives a process and its successor (`$TMPDIR`).
+    """Return the command file in the folder that the platform gives a process and its successor (`$TMPDIR`).
 
-    None where no folder is given: one of another use may hold what another director has left.
+    Returns None if no folder is given: a folder used for other purposes may contain the file of another
+    director.
     """
     return PersistedCommands(Path(folder), name) if folder else None
--- a/onyxwick/operations/endpoint.py
+++ b/onyxwick/operations/endpoint.py
@@ -1,4 +1,4 @@
-"""The operations endpoint of a director: commands from construction on, the server from its start on."""
+"""The operations endpoint of a director: commands from its construction on, a server once it is started."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class OperationsEndpoint:
-    """One director's endpoint. A predecessor's commands are in force as soon as it is constructed.
+    """The operations endpoint of one director. A predecessor's commands apply as soon as it is constructed.
 
     `readiness` may be called from the endpoint's thread; `on_drain_changed` is called in the director's loop.
     """
@@ -49,16 +49,16 @@
 
     @property
     def commands(self) -> OperatorCommands:
-        """The commands in force."""
+        """Return the commands in effect."""
         return self.executor.commands
 
     @property
     def counters(self) -> Counters | None:
-        """Counts of the endpoint's own thread; None before it is started."""
+        """Return the counters of the endpoint's thread; None before the thread is started."""
         return None if self.server is None else self.server.counters
 
     def start(self) -> None:
-        """Listen, and serve in a thread; StartupError where the address cannot be listened on."""
+        """Listen and serve in a thread. Raises StartupError if the endpoint cannot listen on the address."""
         try:
             listening_socket = listening.listen(self.address)
         except OSError as error:
@@ -80,15 +80,15 @@
         self.server.start()
 
     async def publish_metrics(self) -> None:
-        """Take a snapshot of the metrics at intervals, until cancelled."""
+        """Take a metrics snapshot every `METRICS_INTERVAL_S` until cancelled."""
         while True:
             self.executor.publish_metrics()
             await asyncio.sleep(METRICS_INTERVAL_S)
 
     async def stop(self, write_until_s: float) -> None:
-        """Stop the server, once its commands are written or (monotonic) `write_until_s` is reached.
+        """Stop the server once its commands are written, or at the monotonic time `write_until_s`.
 
-        A successor must learn of them, so a file that cannot be written gets all the time that is left.
+        A successor needs these commands, so writing the file is retried for all the time that is left.
         """
         server = self.server
         if server is None:
--- a/onyxwick/operations/errors.py
+++ b/onyxwick/operations/errors.py
@@ -10,19 +10,20 @@
 
 
 class OperatorCommandError(OperationsError):
-    """A command that cannot be carried out, as a limit is reached. `limit`: how many are allowed."""
+    """A command cannot be executed because `limit`, the maximum number of disabled caches, is reached."""
 
     def __init__(self, cache: str, limit: int) -> None:
-        # The text is part of the answer to the caller.
+        # This text is part of the answer to the caller.
         super().__init__(f"{limit} caches are disabled already")
         self.cache = cache
         self.limit = limit
 
 
 class OperatorCallRejectedError(OperationsError):
-    """A request that is none of the endpoint's calls.
+    """A request is not a call of the operations endpoint.
 
-    `status`: the 4xx to answer with. `reason`: its short text. `allowed_method`: for a 405.
+    `status` is the 4xx status of the answer, `reason` its short text, and `allowed_method` the method that a
+    405 names.
     """
 
     def __init__(self, status: int, reason: str, allowed_method: str = "") -> None:
@@ -33,7 +34,7 @@
 
 
 class CommandFileError(OperationsError, ValueError):
-    """The command file was read, and its content is no set of operator commands."""
+    """The command file was read, but its content is not a valid set of operator commands."""
 
     def __init__(self, problem: str) -> None:
         super().__init__(problem)
--- a/onyxwick/operations/metrics.py
+++ b/onyxwick/operations/metrics.py
@@ -1,8 +1,8 @@
-"""The document of `GET /metrics`, made of the director's counters and a few present values. No I/O.
+"""The document of `GET /metrics`, built from the director's counters and a few gauges. No I/O.
 
-Each metric is `app_NAME` with its `value`; `service` gives it by class of request, and `disposition` by how
-attempts ended. Counts run from the start of the process; present values are those of the last snapshot
-(`endpoint.METRICS_INTERVAL_S`). The names are the platform's.
+Each metric is named `app_NAME` and has a `value`. `service` breaks it down by request class, and
+`disposition` by how attempts ended. Counters start at 0 when the process starts; gauges are as of the last
+snapshot (`endpoint.METRICS_INTERVAL_S`). The platform defines the names.
 """
 
 from __future__ import annotations
@@ -10,12 +10,12 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-PREFIX = "app"
+METRIC_PREFIX = "app"
 
 
 @dataclass(frozen=True, slots=True)
 class MetricsSnapshot:
-    """The director's counters and present values at one moment."""
+    """The director's counters and gauges at one moment."""
 
     counts: Mapping[str, int] = field(default_factory=dict)
     open_requests: int = 0
@@ -24,14 +24,14 @@
 
 
 def _by_suffix(counts: Mapping[str, int], prefix: str) -> dict[str, int]:
-    """Counts whose names begin with `prefix`, by the rest of the name."""
+    """Return the counts whose names start with `prefix`, keyed by the rest of the name."""
     return {
         name.removeprefix(prefix): count for name, count in sorted(counts.items()) if name.startswith(prefix)
     }
 
 
 def metrics_document(snapshot: MetricsSnapshot) -> dict[str, dict[str, object]]:
-    """The document of `GET /metrics`."""
+    """Return the document of `GET /metrics`."""
     counts = snapshot.counts
     served = _by_suffix(counts, "answer.served.")
     rejected = _by_suffix(counts, "answer.refused.")
@@ -48,4 +48,4 @@
         "sighup_applied": {"value": counts.get("reload.read", 0)},
         "sighup_rejected": {"value": counts.get("reload.bad", 0)},
     }
-    return {f"{PREFIX}_{name}": row for name, row in rows.items()}
+    return {f"{METRIC_PREFIX}_{name}": row for name, row in rows.items()}
--- a/onyxwick/operations/operator_commands.py
+++ b/onyxwick/operations/operator_commands.py
@@ -1,11 +1,12 @@
-"""The operators' commands as one versioned value, and what they change in the endpoint list. No I/O.
+"""The operator commands as one versioned value, and their effect on the endpoint list. No I/O.
 
-A disabled cache is excluded from every send from the moment of the call until one call enables it again,
-whatever the coordinator announces in between. The router gets it as draining. It may have been restarted
-meanwhile, so the router gets an enabled cache as just started, and its slow start applies. A successor
-process takes the commands over (`persisted_commands`); of two sets the one with the higher version holds.
+A disabled cache is excluded from every send from the moment of the call until a call enables it again,
+regardless of what the coordinator announces in between. The router receives a disabled cache as draining. A
+cache may have been restarted while it was disabled, so the router receives an enabled cache as just started,
+and its slow start applies. A successor process takes over the commands (`persisted_commands`). Of two sets of
+commands, the one with the higher version takes precedence.
 
-Times in steady microseconds, unless a name says otherwise.
+Times are in steady microseconds, unless a name says otherwise.
 """
 
 from __future__ import annotations
@@ -18,15 +19,15 @@
 from onyxwick.operations.errors import OperatorCommandError
 
 RE_ENABLED_RETENTION_US = 40_000_000
-"""For so long an enabled cache counts as started when it was enabled: longer than any warm-up."""
+"""How long the time of enabling counts as the start time of a cache; this is longer than any warm-up."""
 MAX_DISABLED_CACHES = 4096
-"""Disabled at once; more calls are rejected."""
+"""Maximum number of caches disabled at the same time; further calls are rejected."""
 MAX_KNOWN_CACHES = 8192
-"""Ids of listed caches that are remembered; the oldest are forgotten first."""
+"""Maximum number of remembered ids of listed caches; the oldest are forgotten first."""
 
 
 class ReEnabledCache(NamedTuple):
-    """A cache that was enabled again, and when."""
+    """A cache that was enabled again, and the time at which it was."""
 
     cache: str
     at_us: int
@@ -34,24 +35,24 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorCommands:
-    """All commands in force."""
+    """All commands in effect."""
 
     version: int = 0
     is_drained: bool = False
     disabled_caches: frozenset[str] = frozenset()
     re_enabled: tuple[ReEnabledCache, ...] = ()
     drain_requested_at_s: float = field(default=0.0, compare=False)
-    """Monotonic time of this process at which the drain was requested; 0: not requested here."""
+    """Monotonic time at which this process was asked to drain; 0 if it was not asked."""
 
     def re_enabled_at_us(self, cache: str) -> int:
-        """When a cache was enabled again; 0: not lately."""
+        """Return the time at which a cache was enabled again, or 0 if it was not enabled recently."""
         return next((row.at_us for row in self.re_enabled if row.cache == cache), 0)
 
 
 def disable_cache(commands: OperatorCommands, cache: str, now_us: int) -> OperatorCommands:
-    """Disable a cache; the same commands where it is disabled already.
+    """Disable a cache. Returns the same commands if it is disabled already.
 
-    OperatorCommandError where `MAX_DISABLED_CACHES` are disabled.
+    Raises OperatorCommandError if `MAX_DISABLED_CACHES` are disabled.
     """
     if cache in commands.disabled_caches:
         return commands
@@ -66,7 +67,7 @@
 
 
 def enable_cache(commands: OperatorCommands, cache: str, now_us: int) -> OperatorCommands:
-    """Enable a cache, cold from now on; one call suffices, however many have disabled it."""
+    """Enable a cache, which is cold from now on. One call suffices, however many calls disabled it."""
     if cache not in commands.disabled_caches:
         return commands
     recent = (row for row in commands.re_enabled if now_us - row.at_us < RE_ENABLED_RETENTION_US)
@@ -81,7 +82,10 @@
 def set_drained(
     commands: OperatorCommands, is_drained: bool, requested_at_s: float = 0.0
 ) -> OperatorCommands:
-    """Drain the director, or end the drain; the same commands where it is so: the first call's time holds."""
+    """Start or end the drain of the director.
+
+    Returns the same commands if the director is in this state already, so the time of the first call remains.
+    """
     if commands.is_drained is is_drained:
         return commands
     return replace(
@@ -93,40 +97,41 @@
 
 
 def is_new_drain_state(before: OperatorCommands, after: OperatorCommands) -> bool:
-    """Whether a drain has begun or ended, or a second one has begun after the end of the first.
+    """Return whether a drain has started or ended, or a second drain has started after the end of the first.
 
-    A drain that another process was asked for has no time here, and is the same where this one is drained.
+    A drain that was requested from another process has no request time here. It counts as the same drain if
+    this process is already drained.
     """
     if before.is_drained is not after.is_drained:
         return True
     return after.is_drained and after.drain_requested_at_s not in (0.0, before.drain_requested_at_s)
 
 
-def is_newer(commands: OperatorCommands, than: OperatorCommands) -> bool:
-    """Whether commands take precedence over others, of this process or another one."""
-    return commands.version > than.version
+def is_newer(commands: OperatorCommands, other: OperatorCommands) -> bool:
+    """Return whether commands take precedence over other commands, of this process or another."""
+    return commands.version > other.version
 
 
 CommandChange = Callable[[OperatorCommands], OperatorCommands]
-"""What one call makes of the commands in force."""
+"""Returns the commands after one call, given the commands in effect before it."""
 
 
-def rebase(theirs: OperatorCommands, changes: Iterable[CommandChange]) -> OperatorCommands:
-    """Apply changes of this process, not written yet, to what another process has written meanwhile."""
+def rebase(base: OperatorCommands, changes: Iterable[CommandChange]) -> OperatorCommands:
+    """Apply unwritten changes of this process to the commands that another process has written meanwhile."""
     for change in changes:
-        theirs = change(theirs)
-    return theirs
+        base = change(base)
+    return base
 
 
 def changed_caches(before: OperatorCommands, after: OperatorCommands) -> set[str]:
-    """Caches that the router gets differently under two sets of commands."""
+    """Return the caches that the router receives differently under two sets of commands."""
     disabled = before.disabled_caches ^ after.disabled_caches
     re_enabled = set(before.re_enabled) ^ set(after.re_enabled)
     return set(disabled) | {row.cache for row in re_enabled}
 
 
 def member_under_commands(member: Member, commands: OperatorCommands, now_us: int) -> Member:
-    """A listed member as the router gets it under these commands."""
+    """Return a listed member as the router receives it under these commands."""
     if member.state is not MemberState.READY:
         return member
     if member.address in commands.disabled_caches:
@@ -141,20 +146,23 @@
 def endpoints_under_commands(
     event: EndpointsChanged, commands: OperatorCommands, now_us: int
 ) -> EndpointsChanged:
-    """A change of the list as the router gets it; the same event where nothing differs."""
+    """Return a change of the list as the router receives it, or the same event if nothing differs."""
     members = tuple(member_under_commands(member, commands, now_us) for member in event.members)
     return event if members == event.members else replace(event, members=members)
 
 
 class KnownCaches:
-    """Ids of caches that were ever listed: a call for any other is rejected. Bounded; the oldest go first."""
+    """Ids of the caches that were ever listed; a call for any other cache is rejected.
+
+    The number of ids is limited; the oldest are forgotten first.
+    """
 
     def __init__(self, max_ids: int = MAX_KNOWN_CACHES) -> None:
         self.max_ids = max_ids
         self.ids: dict[str, None] = {}
 
     def add(self, ids: Iterable[str]) -> None:
-        """Remember ids; those known already become the newest."""
+        """Remember ids. Ids that are known already become the newest."""
         for name in ids:
             self.ids.pop(name, None)
             self.ids[name] = None
@@ -162,5 +170,5 @@
             del self.ids[next(iter(self.ids))]
 
     def __contains__(self, name: object) -> bool:
-        """Whether an id is known."""
+        """Return whether an id is known."""
         return name in self.ids
--- a/onyxwick/operations/routes.py
+++ b/onyxwick/operations/routes.py
@@ -1,7 +1,8 @@
-"""Which call of the operations endpoint a method and path ask for, or why none. No I/O.
+"""Maps an HTTP method and path to a call of the operations endpoint, or rejects them with a reason. No I/O.
 
-The paths are the platform's: `GET /ready`, `GET /metrics`, `POST /caches/disable/ID`,
-`POST /caches/enable/ID`, `POST /drain`, `POST /undrain`. Anything else is a 4xx with a short reason.
+The platform defines the paths: `GET /ready`, `GET /metrics`, `POST /caches/disable/ID`,
+`POST /caches/enable/ID`, `POST /drain`, `POST /undrain`. Any other request is answered with a 4xx
+status and a short reason.
 """
 
 from __future__ import annotations
@@ -15,12 +16,12 @@
 
 _is_cache_id = re.compile(r"[A-Za-z0-9._:-]{1,128}").fullmatch
 MAX_QUOTED_CHARS = 64
-"""Of a caller's text in a reason."""
+"""Maximum number of characters of a caller's text that a reason quotes."""
 MAX_QUOTED_METHOD_CHARS = 16
 
 
 class OperatorCallKind(Enum):
-    """The calls of the endpoint. The values appear in log lines."""
+    """The calls of the operations endpoint. The values appear in log lines."""
 
     READY = "ready"
     METRICS = "metrics"
@@ -32,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorCall:
-    """One call. `cache`: of DISABLE and ENABLE."""
+    """One call. `cache` is the target of DISABLE and ENABLE, and empty for the other calls."""
 
     kind: OperatorCallKind
     cache: str = ""
@@ -56,9 +57,9 @@
 
 
 def parse_call(method: str, path: str) -> OperatorCall:
-    """The call that `method` and `path` ask for.
+    """Return the call that `method` and `path` request.
 
-    OperatorCallRejectedError with status 404, 405 or 400 where they ask for none.
+    Raises OperatorCallRejectedError with status 404, 405 or 400 if they do not request a valid call.
     """
     parts = path.split("/")
     if len(parts) == 2 and parts[0] == "" and parts[1] in ROUTES:
--- a/onyxwick/operations/server.py
+++ b/onyxwick/operations/server.py
@@ -1,8 +1,8 @@
-"""The operations endpoint: HTTP/1.1 on an address of its own, one call a connection, in a thread of its own.
+"""The operations endpoint: HTTP/1.1 on its own address and in its own thread, one call per connection.
 
-The thread has its own event loop, so that a call is answered within a second however busy the director's loop
-is. What a call changes takes effect in this thread before the answer (`DirectorControl.apply_commands`); the
-director's loop is notified after it. See docs/design/operations.md.
+The thread has its own event loop, so that a call is answered within a second even if the director's loop is
+busy. The change that a call makes takes effect in this thread before the answer
+(`DirectorControl.apply_commands`); the director's loop is notified afterwards. See docs/design/operations.md.
 """
 
 from __future__ import annotations
@@ -38,37 +38,37 @@
 from onyxwick.operations.routes import OperatorCall, OperatorCallKind, parse_call
 
 log = logs.get()
-MAX_CALLERS = 32
-"""At once; a new one displaces the one that has been open longest."""
+MAX_CONNECTIONS = 32
+"""Maximum number of open connections; a new one displaces the one that has been open longest."""
 CALL_TIMEOUT_S = 1.0
-"""A caller waits 1 s for its answer: one that has not sent its call by then waits no longer."""
+"""A caller waits 1 s for its answer, so a connection that has not sent its call by then is not useful."""
 FILE_CHECK_INTERVAL_S = 0.1
 STOP_TIMEOUT_S = 1.0
-"""The longest wait for the thread's end."""
+"""Maximum wait for the end of the thread."""
 MAX_LOGGED_PATH_CHARS = 64
 DRAIN_TARGET = ""
-"""Stands for the director itself among the targets of commands, which are otherwise cache ids."""
+"""The target of a drain, the director itself. All other targets of commands are cache ids."""
 READ_ONLY_CALLS = frozenset({OperatorCallKind.READY, OperatorCallKind.METRICS})
-"""Calls that change nothing; they come some ten times a second and are not logged."""
+"""Calls that change nothing. They arrive about ten times per second and are not logged."""
 
 
 class DirectorControl(Protocol):
-    """What the endpoint needs of the director; each method may be called from the endpoint's thread."""
+    """The director as seen by the endpoint; each method may be called from the endpoint's thread."""
 
     def readiness(self) -> Readiness:
-        """Whether new clients are welcome."""
+        """Return whether the director accepts new clients."""
         ...
 
     def metrics(self) -> MetricsSnapshot:
-        """The latest snapshot."""
+        """Return the latest metrics snapshot."""
         ...
 
     def apply_commands(self, commands: OperatorCommands, known_caches: list[str]) -> None:
-        """Put commands into force, in this thread at once. `known_caches`: ids that another process knew."""
+        """Apply commands immediately in this thread. `known_caches` are ids that another process knew."""
         ...
 
     def commands_written(self, issued_version: int, written_version: int) -> None:
-        """The command file was written: the version issued, and the version read back from it."""
+        """Report a write of the command file: the issued version, and the version read back from it."""
         ...
 
 
@@ -80,7 +80,7 @@
 
 
 class OperationsServer:
-    """The calls, the thread and the command file. `clock`: steady microseconds."""
+    """Answers calls in its own thread and maintains the command file. `clock` returns steady microseconds."""
 
     def __init__(
         self,
@@ -99,13 +99,13 @@
         self.persisted = persisted
         self.clock = clock
         self.unwritten_changes: dict[str, CommandChange] = {}
-        """Made here, not in the file yet; by cache or `DRAIN_TARGET`."""
-        self.counters = Counters()  # of this thread alone: the director's are written by its own
+        """Changes made by this process that are not in the file yet, by cache id or `DRAIN_TARGET`."""
+        self.counters = Counters()  # only of this thread: the director's thread writes its own counters
         self.server = HttpServer(
             address,
             self.answer,
             self.counters,
-            MAX_CALLERS,
+            MAX_CONNECTIONS,
             CALL_TIMEOUT_S,
             one_call_per_connection=True,
             name="operations endpoint",
@@ -117,12 +117,12 @@
         self.started = threading.Event()
 
     def start(self) -> None:
-        """Start the thread; returns when its loop runs."""
+        """Start the thread and return when its event loop runs."""
         self.thread.start()
         self.started.wait()
 
     def stop(self) -> None:
-        """Stop the thread; returns when it has ended, or after `STOP_TIMEOUT_S`."""
+        """Stop the thread and return when it has ended, or after `STOP_TIMEOUT_S`."""
         if self.loop is not None and self.task is not None:
             self.loop.call_soon_threadsafe(self.task.cancel)
         self.thread.join(STOP_TIMEOUT_S)
@@ -148,7 +148,7 @@
     # ---- calls ----------------------------------------------------------------------------------------
 
     def answer(self, request: HttpRequest) -> OperatorAnswer:
-        """Carry out a call; HttpError where it is none, or cannot be carried out."""
+        """Execute a call. Raises HttpError if the request is not a valid call or cannot be executed."""
         try:
             call = parse_call(request.method, request.path)
         except OperatorCallRejectedError as error:
@@ -182,7 +182,7 @@
                 is_drained = call.kind is OperatorCallKind.DRAIN
                 change = partial(set_drained, is_drained=is_drained, requested_at_s=requested_at_s)
                 self._apply(DRAIN_TARGET, change)
-                return OperatorAnswer(200, {"drained": self.commands.is_drained, **self._not_kept()})
+                return OperatorAnswer(200, {"drained": self.commands.is_drained, **self._unwritten_field()})
             case OperatorCallKind.DISABLE | OperatorCallKind.ENABLE:
                 return self._change_cache(call)
 
@@ -197,18 +197,18 @@
         except OperatorCommandError as error:
             raise HttpError(409, str(error)) from None
         is_disabled = call.cache in self.commands.disabled_caches
-        return OperatorAnswer(200, {"cache": call.cache, "disabled": is_disabled, **self._not_kept()})
+        return OperatorAnswer(200, {"cache": call.cache, "disabled": is_disabled, **self._unwritten_field()})
 
-    def _not_kept(self) -> dict[str, bool]:
-        """Added to an answer while the file cannot be written: a successor would not know of the call."""
+    def _unwritten_field(self) -> dict[str, bool]:
+        """Return an answer field while the file cannot be written: a successor would not know of the call."""
         return {"kept": False} if self.unwritten_changes else {}
 
     # ---- commands and their file ----------------------------------------------------------------------
 
     def _apply(self, target: str, change: CommandChange) -> None:
-        """Put a change into force: in this process at once, in the file as soon as it can be written.
+        """Apply a change to this process immediately and to the file as soon as it can be written.
 
-        Of two changes of the same target the later one suffices.
+        Of two changes of the same target, only the later one has to be written.
         """
         commands = change(self.commands)
         if commands is not self.commands:
@@ -221,9 +221,9 @@
         self._synchronise()
 
     def _synchronise(self) -> None:
-        """Take over what the other process of an upgrade has written, and write the changes of this one.
+        """Take over commands written by the other process of an upgrade, and write those of this process.
 
-        Nothing is written over a file that could not be read: it may hold another process's commands.
+        A file that could not be read is not overwritten: it may contain the commands of another process.
         """
         if self.persisted is None:
             return
@@ -241,7 +241,7 @@
                 log.warning("operator command file read failed, retrying", error=str(error))
 
     def _write(self, persisted: PersistedCommands) -> None:
-        """Write the changes on top of what the other process wrote, which is locked out meanwhile."""
+        """Write the changes on top of those of the other process, while the lock keeps it from writing."""
         with persisted.locked():
             self._take_over(persisted)
             written_version = persisted.write(self.commands, self.known_caches)
@@ -251,7 +251,7 @@
     def _take_over(self, persisted: PersistedCommands) -> None:
         try:
             stored = persisted.read()
-        except CommandFileError as error:  # it holds no commands that could be lost
+        except CommandFileError as error:  # such a file has no commands that could be lost
             self.counters.add("door.unreadable")
             log.warning("operator command file invalid", error=str(error))
             return
@@ -261,11 +261,11 @@
             log.info("operator commands taken over", version=stored.commands.version)
 
     async def _check_file(self) -> None:
-        """Read the file when another process has written it, and retry a write that has failed."""
+        """Read the file when another process has written it, and retry failed writes."""
         while self.persisted is not None:
             await asyncio.sleep(FILE_CHECK_INTERVAL_S)
             try:
                 self._synchronise()
-            except Exception:  # the checks must go on
+            except Exception:  # the checks must continue
                 self.counters.add("error.door")
                 log.exception("error in operator command file check")
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -285,7 +285,7 @@
     assert asyncio.run(main()) == ([1, 2, 3], 1)
     assert codec.decode(codec.oversized_line_stub(b'{"index":7,"document":{"te')) == FeedEvent(
         Cursor(0, 7),
-        UnknownPayload("no known payload among ['index', 'oversized']"),
+        UnknownPayload("event has no known payload field, only ['index', 'oversized']"),
         b'{"index":7,"oversized":true}\n',
     )
     with pytest.raises(MalformedLineError):
@@ -357,7 +357,7 @@
     publisher = Publisher(filled_replica(0), START, PublisherLimits(max_queued=4, max_purges=3))
     for n in range(3):
         publisher.submit(PurgeEvent(PurgeKey(f"p{n}", None), NOW_MS), NOW_MS)
-    with pytest.raises(PublishRejectedError, match="binding"):
+    with pytest.raises(PublishRejectedError, match="are in effect"):
         publisher.submit(PurgeEvent(PurgeKey("p9", None), NOW_MS), NOW_MS)
     with pytest.raises(PublishRejectedError, match="future"):
         publisher.submit(PurgeEvent(PurgeKey("p1", None), NOW_MS + 90_000), NOW_MS)
@@ -493,7 +493,7 @@
     fewer = plan_tree("root", [r for r in relays if r != "r3"], leaves)
     moved = sum(fewer[leaf][0] != rows[leaf][0] for leaf in leaves if rows[leaf][0] != "r3")
     assert moved < 150, "what another relay served stays where it is, but for the bound on load"
-    with pytest.raises(TreeError, match="relays would do"):
+    with pytest.raises(TreeError, match="relays would be enough"):
         plan_tree("root", relays[:3], leaves, TreeLimits(max_children=100))
 
 
