--- a/tests/feed_world.py
+++ b/tests/feed_world.py
@@ -1,4 +1,4 @@
-"""A distribution tree on a simulated clock: the real state machines, links with faults drawn from a seed."""
+"""A distribution tree on a simulated clock: the real state machines, and links with seeded random faults."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 class JitteredBackoff:
-    """Backoff for followers, drawn from the seed of the simulation."""
+    """Backoff for followers, with jitter from the seeded generator of the simulation."""
 
     def __init__(self, rng: random.Random) -> None:
         self.rng, self.tries = rng, 0
@@ -56,7 +56,7 @@
 
 @dataclass(eq=False)
 class SimulatedLink:
-    """One connection from a child to a parent. Lines arrive in order unless a fault says otherwise."""
+    """One connection from a child to a parent. Lines arrive in order unless a fault reorders them."""
 
     child: SimulatedNode
     parent: SimulatedNode
@@ -68,7 +68,7 @@
 
 @dataclass
 class LineFaults:
-    """Probabilities for each line, and bytes a second of a link (0: no bound)."""
+    """Fault probabilities per line, and the rate of a link in bytes per second (0 means unlimited)."""
 
     drop: float = 0.0
     repeat: float = 0.0
@@ -79,7 +79,7 @@
 
 @dataclass(eq=False)
 class SimulatedNode:
-    """A relay, the root (no follower) or a leaf (no subscribers), with what it applied, in order."""
+    """A relay, the root (no follower) or a leaf (no subscribers); records what it applied, in order."""
 
     world: SimulatedTree
     name: str
@@ -140,7 +140,7 @@
             self.published()
 
     def purge(self, cursor: Cursor, purge: PurgeEvent) -> None:
-        """As a director does: a purge that arrives as an event and in a snapshot is applied once."""
+        """Apply a purge once, as a director does, even if it arrives as an event and in a snapshot."""
         if self.purge_times.get(purge.key, -1) < purge.unix_ms:
             self.purge_times[purge.key] = purge.unix_ms
             self.applied.append((cursor, purge))
@@ -197,7 +197,7 @@
         return int(self.rng.uniform(500, 20_000))
 
     def tick_all(self) -> None:
-        """Timers of all nodes, each tick."""
+        """Run the timers of all nodes, once per tick."""
         if self.publisher_is_fresh:
             self.root.fanout.on_freshness(Freshness(self.root.replica.cursor, self.now // 1000))
         for node in self.nodes.values():
@@ -222,7 +222,7 @@
 
     def connect(self, child: SimulatedNode, parent: SimulatedNode) -> None:
         if not self.is_reachable(child, parent) or parent.paused:
-            return  # no answer: the follower's own timeout ends it
+            return  # no answer: the follower's connect timeout ends the attempt
         subscriber = parent.fanout.on_connected(self.now) if parent.alive else None
         if subscriber is None:
             self.call_later(self.random_delay_us(), lambda: self.report_lost(child, None))
@@ -267,7 +267,7 @@
             self.send_lines(link, data)
 
     def send_lines(self, link: SimulatedLink, data: bytes) -> None:
-        """Send lines, with the faults of this simulation."""
+        """Send lines, applying the faults of this simulation."""
         lines = data.splitlines()
         for line in lines:
             if self.rng.random() < self.faults.drop:
@@ -295,7 +295,7 @@
             return
         if not self.is_reachable(child, link.parent):
             return
-        if child.paused:  # its socket holds the line until it resumes
+        if child.paused:  # the line stays in the socket buffer until the node resumes
             link.in_flight_bytes += size
             self.call_later(TICK_US, lambda: self.receive_line(link, line, size))
             return
@@ -303,7 +303,7 @@
             child.perform(child.follower.on_line(self.now, line))
         self.send_available(link)
 
-    # ---- publishing, and faults of nodes -----------------------------------------------------------
+    # ---- publishing and node faults -----------------------------------------------------------
 
     def publish_due(self) -> None:
         if not self.root.alive:
@@ -336,7 +336,7 @@
         node.parent_link = None
 
     def restart(self, node: SimulatedNode) -> None:
-        """A new process with an empty replica; what the former one applied is kept for the checks."""
+        """Start a new process with an empty replica; the record of applied purges stays for the checks."""
         node.alive = True
         node.start_empty()
         if node.follower is not None:
@@ -357,8 +357,8 @@
             assert node.replica.state.documents == state.documents, node.name
 
     def missing_purges(self, node: SimulatedNode, since_ms: int = 0) -> list[PurgeEvent]:
-        had = {purge for _, purge in node.applied}
-        return [purge for purge in self.published if purge not in had and purge.unix_ms >= since_ms]
+        applied = {purge for _, purge in node.applied}
+        return [purge for purge in self.published if purge not in applied and purge.unix_ms >= since_ms]
 
 
 # ---- for tests of one state machine ----------------------------------------------------------------------
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -1,4 +1,4 @@
-"""The distribution tree's state machines, one by one."""
+"""Tests of each state machine of the distribution tree."""
 
 from __future__ import annotations
 
@@ -70,14 +70,16 @@
 def test_a_follower_delivers_only_the_next_event() -> None:
     follower = connected_follower()
     taken = follower.on_line(START, purge_event(6).line.strip())
-    assert taken == (DeliverEvent(purge_event(6)),), "with its line feed, as a relay sends it on"
+    assert taken == (DeliverEvent(purge_event(6)),), (
+        "the event has the line feed with which a relay forwards it"
+    )
     assert follower.on_line(START, purge_event(6).line) == ()
     assert follower.counts["duplicate"] == 1
     (action,) = follower.on_line(START, purge_event(8).line)
     assert isinstance(action, DisconnectFromParent)
     assert "gap" in action.reason
     assert follower.cursor.number == 6
-    assert follower.on_tick(START) == (ConnectToParent(1),), "the next parent is asked, from the same cursor"
+    assert follower.on_tick(START) == (ConnectToParent(1),), "the next parent is tried from the same cursor"
     assert follower.on_connected(START) == (SendLine(b"follow %d\n" % Cursor(HISTORY, 6).packed),)
 
 
@@ -101,13 +103,17 @@
     follower = connected_follower()
     follower.on_line(START, codec.encode_announcement(Cursor(HISTORY, 5)))
     late = START + 5 * S
-    assert follower.on_tick(late) == (), "its own stall: what has come meanwhile is read first"
+    assert follower.on_tick(late) == (), (
+        "after its own suspension, the follower first reads the lines received meanwhile"
+    )
     follower.on_line(late + 1_000, codec.encode_announcement(Cursor(HISTORY, 5)))
     assert follower.on_tick(late + 500_000) == ()
     assert follower.state is FollowerState.FOLLOWING
     follower.on_tick(late + 5 * S)
     (action,) = follower.on_tick(late + 5 * S + 300_000)
-    assert isinstance(action, DisconnectFromParent), "a parent that stays silent is given up after it"
+    assert isinstance(action, DisconnectFromParent), (
+        "a parent that stays silent is given up after the grace time"
+    )
 
 
 def test_a_snapshot_of_an_earlier_state_or_history_is_rejected() -> None:
@@ -120,7 +126,7 @@
         follower = connected_follower()
         actions = [a for line in lines[:cut] for a in follower.on_line(START, line)]
         assert all(isinstance(a, DeliverEvent) and a.from_snapshot for a in actions)
-        assert follower.cursor == Cursor(HISTORY, 5), "no step before the complete snapshot"
+        assert follower.cursor == Cursor(HISTORY, 5), "the cursor stays until the snapshot is complete"
     follower = connected_follower()
     actions = [a for line in lines for a in follower.on_line(START, line)]
     assert isinstance(actions[-1], InstallSnapshot)
@@ -149,7 +155,8 @@
         assert now < START + 5 * S
     assert follower.staleness_us(now) == now - START
     assert follower.parent == 1
-    # The other one is as stale: the next look is later, so that a region's cut brings no endless herd.
+    # The other parent is equally stale. The next staleness check is later, so that followers of a partitioned
+    # region do not keep reconnecting all at once.
     follower.on_tick(now)
     follower.on_connected(now)
     since = now
@@ -227,14 +234,14 @@
 )
 def test_an_event_that_cannot_be_read_is_passed_on_and_counted(line: bytes) -> None:
     follower = connected_follower()
-    (passed_on,) = follower.on_line(START, line % Cursor(HISTORY, 6).packed)
-    assert isinstance(passed_on, DeliverEvent)
-    assert isinstance(passed_on.event.payload, UnknownPayload)
+    (forwarded,) = follower.on_line(START, line % Cursor(HISTORY, 6).packed)
+    assert isinstance(forwarded, DeliverEvent)
+    assert isinstance(forwarded.event.payload, UnknownPayload)
     assert follower.counts["bad.event"] == 1
     relay = filled_replica(5)
-    relay.apply(passed_on.event, NOW_MS)
-    sent_on = line % Cursor(HISTORY, 6).packed + b"\n"
-    assert relay.log.lines[-1] == sent_on, "a newer reader may know it"
+    relay.apply(forwarded.event, NOW_MS)
+    forwarded_line = line % Cursor(HISTORY, 6).packed + b"\n"
+    assert relay.log.lines[-1] == forwarded_line, "a newer reader may understand the payload"
     assert follower.on_line(START, purge_event(7).line) == (DeliverEvent(purge_event(7)),)
 
 
@@ -261,11 +268,11 @@
             writer.close()
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
-        had: list[int] = []
+        delivered: list[int] = []
 
         class Sink:
             def deliver(self, event: FeedEvent, from_snapshot: bool) -> None:
-                had.append(event.cursor.number)
+                delivered.append(event.cursor.number)
 
             def install(self, snapshot: FeedSnapshot) -> None: ...
 
@@ -275,12 +282,12 @@
         address = server.sockets[0].getsockname()
         task = asyncio.create_task(Subscription(follower, [address], Sink(), Counters()).run())
         async with asyncio.timeout(10):
-            while 3 not in had:
+            while 3 not in delivered:
                 await asyncio.sleep(0.01)
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
         server.close()
-        return had, follower.counts["bad.event"]
+        return delivered, follower.counts["bad.event"]
 
     assert asyncio.run(main()) == ([1, 2, 3], 1)
     assert codec.decode(codec.oversized_line_stub(b'{"index":7,"document":{"te')) == FeedEvent(
@@ -335,7 +342,7 @@
     assert isinstance(sent[0].payload, PurgeEvent)
     assert [e.cursor.number for e in sent] == list(range(1, len(sent) + 1))
     assert replica.state.documents["a"].text == "x" * 60_000
-    assert now - START >= 3.9 * S, "40 KB past the burst at 10 KB a second"
+    assert now - START >= 3.9 * S, "40 KB beyond the burst at 10 KB per second"
     assert publisher.submit_document("a", "x" * 60_000) == 1, "the same text is not sent again"
     assert not publisher.document_queue
 
@@ -387,7 +394,7 @@
     data = b"".join(iter(lambda: fanout.next_bytes(subscriber, 60_000, START), b""))
     messages = [codec.decode(line) for line in data.splitlines()]
     purges = [m for m in messages if isinstance(m, FeedEvent)]
-    assert len(purges) == 2_000, "compaction loses none that may still bind"
+    assert len(purges) == 2_000, "the snapshot has every purge that may still be in effect"
     assert subscriber.state is SubscriberState.LIVE
     assert subscriber.cursor == replica.cursor
     assert not subscriber.snapshot_lines
@@ -443,7 +450,9 @@
     assert root.counts["refused.diverged"] == 1
     subscriber = relay.on_connected(START)
     assert subscriber is not None
-    assert not relay.on_follow(subscriber, Cursor(HISTORY + 1, 1), START), "a cursor of a later history"
+    assert not relay.on_follow(subscriber, Cursor(HISTORY + 1, 1), START), (
+        "the cursor belongs to a later history"
+    )
 
 
 def test_admission_keeps_its_rate_and_its_bound() -> None:
@@ -453,7 +462,7 @@
     assert waits.count(None) > 0
     assert max(let_in) <= 2 * S
     assert sum(w <= 0 for w in let_in) == 10
-    assert 100 <= len(let_in) <= 111, "two seconds of 50, and the burst"
+    assert 100 <= len(let_in) <= 111, "2 s at 50 per second, and the burst"
     assert admission.wait_us(START + 20 * S) == 0
 
 
@@ -482,9 +491,9 @@
     relays, leaves = [f"r{n}" for n in range(12)], [f"d{n}" for n in range(1000)]
     rows = plan_tree("root", relays, leaves)
     assert all(len(set(rows[leaf])) == 2 for leaf in leaves)
-    for place, relay in enumerate(relays):
+    for position, relay in enumerate(relays):
         assert rows[relay][0] == "root"
-        assert set(rows[relay][1:]) <= set(relays[:place]), "no circle"
+        assert set(rows[relay][1:]) <= set(relays[:position]), "the tree has no cycle"
     first = [sum(rows[leaf][0] == relay for leaf in leaves) for relay in relays]
     assert max(first) <= 1.1 * 1000 / 12 + 1
     lost = [rows[leaf][1] for leaf in leaves if rows[leaf][0] == "r3"]
@@ -492,7 +501,7 @@
     assert max(lost.count(relay) for relay in relays) <= 20
     fewer = plan_tree("root", [r for r in relays if r != "r3"], leaves)
     moved = sum(fewer[leaf][0] != rows[leaf][0] for leaf in leaves if rows[leaf][0] != "r3")
-    assert moved < 150, "what another relay served stays where it is, but for the bound on load"
+    assert moved < 150, "children of the other relays stay, except for the bound on load"
     with pytest.raises(TreeError, match="relays would be enough"):
         plan_tree("root", relays[:3], leaves, TreeLimits(max_children=100))
 
@@ -509,8 +518,8 @@
     )
     rows = plan_tree("root", relays, leaves, domains=racks)
     assert cut_off(rows) == 0
-    for place in (0, 1):
-        loads = [sum(rows[leaf][place] == relay for leaf in leaves) for relay in relays]
+    for position in (0, 1):
+        loads = [sum(rows[leaf][position] == relay for leaf in leaves) for relay in relays]
         assert max(loads) <= 1.1 * 1000 / 12 + 1
 
 
--- a/tests/test_distribution_trees.py
+++ b/tests/test_distribution_trees.py
@@ -1,4 +1,4 @@
-"""Distribution trees on a simulated clock under seeded faults, and planted bugs that they must catch."""
+"""Distribution trees on a simulated clock under seeded faults, and injected bugs that must be caught."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def publish_for(world: SimulatedTree, seconds: float) -> None:
-    """Purges, changes of the list and documents for a while."""
+    """Publish purges, changes of the list of caches and documents for a number of seconds."""
     for step in range(int(seconds * 10)):
         for _ in range(2):
             world.publish_purge(f"{world.rng.getrandbits(64):016x}")
@@ -67,9 +67,9 @@
     publish_for(world, 15)
     run_idle(world)
     lost = sum(n.follower.counts["lost"] for n in world.nodes.values() if n.follower is not None)
-    assert lost > 5, "the faults were felt"
+    assert lost > 5, "the faults broke connections"
     for node in world.nodes.values():
-        # A garbled event can be valid JSON with another meaning only for the complete line; nothing is lost.
+        # A truncated event line is valid JSON only if it is complete, so no event is lost or misread.
         assert not node.parents or not world.missing_purges(node), node.name
 
 
@@ -109,7 +109,7 @@
             assert not world.missing_purges(node), f"{node.name} lacks purges"
         numbers = [cursor for cursor in node.cursors]
         restarts = sum(b <= a for a, b in itertools.pairwise(numbers))
-        assert restarts <= 8, "a step back only where a process began with nothing"
+        assert restarts <= 8, "the cursor goes back only after a restart with an empty replica"
 
 
 def test_a_region_cut_for_longer_than_the_log_catches_up_by_snapshot() -> None:
@@ -119,7 +119,7 @@
     publish_for(world, 20)
     leaves = [node for node in world.nodes.values() if node.name.startswith("d")]
     ages = [node.follower.staleness_us(world.now) for node in leaves if node.follower is not None]
-    assert all(age is not None and age > 18 * S for age in ages), "a cut is seen in the view's age"
+    assert all(age is not None and age > 18 * S for age in ages), "the staleness shows the partition"
     assert all(node.replica.state.rows is not None for node in leaves)
     world.cut_pairs.clear()
     before = world.now
@@ -135,7 +135,7 @@
     world = build_tree(9, log_bytes=8_000)
     slow: SimulatedNode = world.nodes["d0"]
     assert slow.parent_link is not None
-    slow.parent_link.free_at_us = world.now + 8 * S  # nothing arrives for so long
+    slow.parent_link.free_at_us = world.now + 8 * S  # nothing arrives for 8 s
     publish_for(world, 8)
     well = [world.nodes[f"d{n}"] for n in range(1, 12)]
     assert all(not world.missing_purges(node) or len(world.missing_purges(node)) <= 4 for node in well)
@@ -175,7 +175,7 @@
 
 
 def _begins_anywhere(self: EventLog, cursor: Cursor) -> bool:
-    return True  # a follower behind the log gets what is left of it
+    return True  # a follower behind the log gets only the remaining events
 
 
 def _step_back(self: Follower, now: int, message: SnapshotBegin) -> list[object]:
@@ -195,7 +195,7 @@
 
 
 def _trial() -> None:
-    """What the planted bugs are tried on: faults on lines, a cut beyond the log, a stale parent."""
+    """Run the tests for the injected bugs: line faults, a partition beyond the log, a stale parent."""
     test_lost_repeated_reordered_and_truncated_lines_lose_and_repeat_nothing(0)
     test_a_region_cut_for_longer_than_the_log_catches_up_by_snapshot()
     check_earlier_states_are_rejected()
@@ -209,5 +209,5 @@
 def test_planted_bugs_are_caught(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     owner, method, wrong = PLANTED[name]
     monkeypatch.setattr(owner, method, wrong)
-    with pytest.raises(Exception):  # noqa: B017 - an assertion, or a named error of the replica
+    with pytest.raises(Exception):  # noqa: B017 - an assertion or an error of the replica
         _trial()
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -1,4 +1,4 @@
-"""The operations endpoint without sockets: its calls, commands, metrics and file."""
+"""Tests of the operations endpoint without sockets: calls, commands, metrics and the command file."""
 
 from __future__ import annotations
 
@@ -64,12 +64,12 @@
     assert disabled.disabled_caches == {"c0"} and disabled.version == 1
     assert (
         o.disable_cache(disabled, "c0", 6 * S) is disabled
-    )  # a second call: the same commands, no new version
+    )  # a second call returns the same commands without a new version
     enabled = o.enable_cache(disabled, "c0", 7 * S)
     assert enabled.disabled_caches == frozenset()
     assert enabled.re_enabled_at_us("c0") == 7 * S and enabled.version == 2
     assert o.enable_cache(enabled, "c0", 8 * S) is enabled
-    assert o.enable_cache(none, "c9", 8 * S) is none  # listed, never disabled: nothing to end
+    assert o.enable_cache(none, "c9", 8 * S) is none  # the cache was never disabled
     assert o.changed_caches(none, disabled) == {"c0"} and o.changed_caches(disabled, enabled) == {"c0"}
     assert not o.changed_caches(enabled, enabled)
 
@@ -85,19 +85,19 @@
     assert (
         o.member_under_commands(replace(listed, started_at_us=6 * S), disabled, 6 * S).state
         is MemberState.DRAINING
-    )  # restarted meanwhile
+    )  # the cache restarted while it was disabled
     enabled = o.enable_cache(disabled, "c0", 9 * S)
     adjusted = o.member_under_commands(listed, enabled, 9 * S)
     assert (
         adjusted.state is MemberState.READY and adjusted.started_at_us == 9 * S
-    )  # cold from the call enabled
+    )  # cold from the time of the enable call
     assert (
         o.member_under_commands(replace(listed, started_at_us=10 * S), enabled, 10 * S).started_at_us
         == 10 * S
-    )  # a later start holds
+    )  # a later start takes precedence
     assert (
         o.member_under_commands(listed, enabled, 9 * S + o.RE_ENABLED_RETENTION_US).started_at_us == 1 * S
-    )  # long after, the list's own
+    )  # after the retention, the start time of the list applies
     assert o.member_under_commands(member("c1"), enabled, 9 * S) == member("c1")
 
 
@@ -111,18 +111,18 @@
 def test_known_ids_are_bounded_and_the_oldest_go_first() -> None:
     known = o.KnownCaches(max_ids=3)
     known.add(["a", "b", "c"])
-    known.add(["a", "d"])  # 'a' listed again is young again
+    known.add(["a", "d"])  # 'a' becomes the newest when it is listed again
     assert "b" not in known and all(name in known for name in "acd")
 
 
 def test_the_file_holds_all_commands_and_is_read_once_for_each_change(tmp_path: Path) -> None:
     mine, theirs = PersistedCommands(tmp_path, "n1"), PersistedCommands(tmp_path, "n1")
-    assert theirs.read() is None  # nothing yet
+    assert theirs.read() is None  # no file exists yet
     commands = o.enable_cache(o.disable_cache(o.OperatorCommands(), "c0", 1 * S), "c0", 2 * S)
     known = o.KnownCaches()
     known.add(["c0", "c1"])
     mine.write(o.set_drained(commands, True), known)
-    assert mine.read() is None  # what it wrote itself is no change to it
+    assert mine.read() is None  # its own write does not count as a change
     stored = theirs.read()
     assert stored is not None and stored.commands == o.set_drained(commands, True)
     assert stored.known_caches == ["c0", "c1"]
@@ -130,7 +130,7 @@
     (tmp_path / "onyxwick-orders-n1.json").write_text('{"v": 1, "version": "x"}')
     with pytest.raises(ValueError, match="version"):
         theirs.read()
-    assert [p.name for p in tmp_path.iterdir()] == ["onyxwick-orders-n1.json"]  # no draft is left behind
+    assert [p.name for p in tmp_path.iterdir()] == ["onyxwick-orders-n1.json"]  # no temporary file remains
 
 
 @pytest.mark.parametrize(
--- a/tests/test_operator_commands.py
+++ b/tests/test_operator_commands.py
@@ -1,4 +1,4 @@
-"""Operator commands are kept though their file cannot be read or written for a while."""
+"""Tests that operator commands are not lost while their file cannot be read or written."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
     exchange = Exchange(tmp_path, operations=True)
     file = tmp_path / f"onyxwick-orders-{exchange.config['name']}.json"
     try:
-        file.mkdir()  # in the way: a write fails, and so does a read
+        file.mkdir()  # a folder in place of the file makes reads and writes fail
         (file / "x").touch()
         answer = _post("/caches/disable/c0")
         assert " 200 " in answer and '"kept":false' in answer
@@ -107,7 +107,7 @@
         exchange.program.kill()
         exchange.program.communicate()
         file.rename(tmp_path / "away")
-        file.mkdir()  # in the way, for longer than a start waits
+        file.mkdir()  # a folder in place of the file, for longer than a starting process retries
         exchange.program = exchange._start()
         exchange._until("serving")
         if commanded_while_unreadable:
@@ -127,7 +127,7 @@
 def test_a_shutdown_waits_for_the_folder_with_commands_that_are_not_written_yet(tmp_path: Path) -> None:
     exchange = Exchange(tmp_path, operations=True)
     file = tmp_path / f"onyxwick-orders-{exchange.config['name']}.json"
-    file.mkdir()  # in the way for 1.5 s, longer than the end takes otherwise
+    file.mkdir()  # a folder in place of the file for 1.5 s, longer than a shutdown takes otherwise
     assert " 200 " in _post("/caches/disable/c0")
     exchange.program.send_signal(signal.SIGTERM)
     time.sleep(1.5)
@@ -137,7 +137,7 @@
 
 
 def _server(folder: Path) -> OperationsServer:
-    """A server that listens nowhere; its file is the one that it shares with others of the folder."""
+    """Return a server that does not listen. It shares its command file with other servers of the folder."""
     known = o.KnownCaches()
     known.add(["c0", "c1"])
     director = SimpleNamespace(
@@ -153,18 +153,18 @@
 def test_two_processes_that_write_their_file_in_the_same_moment_both_keep_their_commands(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The other one writes between this one's look at the file and its own write."""
+    """The second process writes after the first has read the file and before the first writes it."""
     first, second, replace = _server(tmp_path), _server(tmp_path), os.replace
 
     def meanwhile(source: Path, target: Path) -> None:
         monkeypatch.setattr(os, "replace", replace)
-        monkeypatch.setattr(os, "getpid", lambda: 1)  # the other process
+        monkeypatch.setattr(os, "getpid", lambda: 1)  # acts as the other process
         second._apply("c1", partial(o.disable_cache, cache="c1", now_us=2))
         replace(source, target)
 
     monkeypatch.setattr(os, "replace", meanwhile)
     first._apply("c0", partial(o.disable_cache, cache="c0", now_us=1))
-    for server in (second, first, second):  # as each looks ten times a second
+    for server in (second, first, second):  # each process checks the file ten times per second
         server._synchronise()
     assert first.commands.disabled_caches == second.commands.disabled_caches == {"c0", "c1"}
     assert sorted(_disabled(tmp_path / "onyxwick-orders-n1.json")) == ["c0", "c1"]
