--- a/onyxwick/routing/router.py
+++ b/onyxwick/routing/router.py
@@ -349,7 +349,7 @@
     # ---- overdue attempts -------------------------------------------------------------------------------
 
     def _on_overdue(self, request: RequestState, index: int) -> None:
-        """Hedge an overdue attempt, or record the silence of a member that has stopped answering."""
+        """Hedge an overdue attempt, or record a member's silence and, if it is ejected, cancel attempts."""
         if index >= len(request.attempts):
             return  # The timer belongs to an earlier request with the same id.
         attempt = request.attempts[index]
