--- a/onyxwick/core/attempt_invariants.py
+++ b/onyxwick/core/attempt_invariants.py
@@ -31,7 +31,7 @@
 TIMEOUT_SLACK_US = 150_000
 """The timeout sent to a member may exceed the time that the client still waits by at most this much."""
 SOCKET_SLACK_US = 50_000
-"""Tolerance added to each time limit for sends over sockets."""
+"""Each time limit of a drain or a purge is longer by this much, because attempts are sent over sockets."""
 SMALL_LIMIT_REQUESTS = 30
 SMALL_LIMIT_DEVIATIONS = 3
 LIMIT_DEVIATIONS = 2
--- a/onyxwick/core/shutdown.py
+++ b/onyxwick/core/shutdown.py
@@ -38,7 +38,8 @@
 PARTIAL_REQUESTS_BEFORE_KILL_S = 0.6
 """Time before SIGKILL from which partly received requests are no longer waited for."""
 MIN_ACCEPT_S = 0.45
-"""Shortest time after SIGTERM for which new connections are accepted. Clients may still connect for 0.4 s."""
+"""Shortest time after SIGTERM for which new connections are accepted, unless a successor serves. Like
+`MAX_ACCEPT_S` it is longer than the 0.4 s for which clients may still connect."""
 MAX_ACCEPT_S = 0.75
 """Longest time after SIGTERM for which new connections are accepted."""
 GUARANTEED_UNTIL_S = 0.7
