--- a/onyxwick/net/accept_loop.py
+++ b/onyxwick/net/accept_loop.py
@@ -46,7 +46,7 @@
         self.wait_for_evictions = wait_for_evictions
         self.counters = counters
         self.failures = 0
-        self.failing_since_s = 0.0  # monotonic time since which accept has failed, or 0
+        self.failing_since_s = 0.0  # monotonic: since when connections may wait as accept failed, or 0
 
     async def run(self, sock: socket.socket) -> None:
         """Accept connections until cancelled."""
