--- a/onyxwick/sites/lifecycle.py
+++ b/onyxwick/sites/lifecycle.py
@@ -340,7 +340,7 @@
             self.setbacks += 1
         doublings = min(MAX_SETBACK_DOUBLINGS, self.setbacks)
         self.hold_until_us = now + (self.policy.hold_us // 2 << doublings)
-        self.reason = f"return suspended: {signals.pressure:.0%} late or rejected at the site"
+        self.reason = f"return stepped back: {signals.pressure:.0%} late or rejected at the site"
 
     def _step_forward(self, now: int, signals: SiteHealthSignals) -> None:
         """Return as much traffic as the site's caches can serve now.
--- a/onyxwick/sites/loss_outcome.py
+++ b/onyxwick/sites/loss_outcome.py
@@ -62,9 +62,9 @@
     """The solution for one loss.
 
     `serving_shares`: by (site, class), the sites that serve its objects, each with its share of the served
-    load.     `served_shares`: by (site, class, tenant), the share of its requests that is served, if it is
-    below 1.     `missing_capacity`: additional concurrent transfers of each resource that would avoid all
-    rejections."""
+    load. `served_shares`: by (site, class, tenant), the share of its requests that is served, if it is below
+    1. `missing_capacity`: additional concurrent transfers of each resource that would avoid all rejections.
+    """
 
     loss: SiteLoss
     serving_shares: dict[tuple[str, str], dict[str, float]] = field(default_factory=dict)
--- a/onyxwick/sites/operator_commands.py
+++ b/onyxwick/sites/operator_commands.py
@@ -136,7 +136,7 @@
         return SiteDirective.RETURN if site in self.exercise_end_reasons else command.directive
 
     def step_exercises(self, now: int, lifecycles: Mapping[str, SiteLifecycle], pressure: float) -> list[str]:
-        """Step the exercises. Returns the sites whose exercise is completed and removed.
+        """Step the exercises. Returns the sites whose exercise has ended, with their commands removed.
 
         `pressure`: share of late and rejected answers among the latest answers of the director, 0 to 1."""
         unsteady_sites = [
@@ -152,7 +152,7 @@
             if site not in self.exercise_end_reasons and not lifecycle.was_unreachable:
                 self._check_exercise(now, command, lifecycle, unsteady_sites, pressure)
             elif lifecycle.phase is SitePhase.STEADY or lifecycle.was_unreachable:
-                # The exercise is completed, or an actual loss supersedes it.
+                # The exercise is over, or an actual loss supersedes it.
                 ended.append(site)
                 self.apply(SiteCommand(site, SiteDirective.NONE))
         return ended
--- a/onyxwick/sites/traffic_slices.py
+++ b/onyxwick/sites/traffic_slices.py
@@ -42,7 +42,7 @@
 
 
 def serving_site_table(origin_site: str, weights: Mapping[str, float]) -> list[str | None]:
-    """Return the site that serves each slice of a lost site's objects, by slice slice_number."""
+    """Return the site that serves each slice of a lost site's objects, by slice number."""
     return [serving_site_of_slice(origin_site, slice_number, weights) for slice_number in range(SLICE_COUNT)]
 
 
