--- a/onyxwick/store/opening.py
+++ b/onyxwick/store/opening.py
@@ -159,7 +159,7 @@
                 return
 
     def _replay_segment(self, segment: NumberedFile, following: str | None) -> bool:
-        """Replay one segment. Returns False after removing it if it is the last one and holds no record."""
+        """Replay one segment. Returns False after removing it if it is the last one and was never written."""
         name = segment.name
         data = self.files.read(name)
         try:
