--- a/onyxwick/admin/__init__.py
+++ b/onyxwick/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The administration API: tenants, zones, keys, quotas, counters and health, over HTTP with JSON."""
+"""The administration API for tenants, zones, keys, quotas, counters and health: JSON over HTTP."""
--- a/onyxwick/admin/api.py
+++ b/onyxwick/admin/api.py
@@ -1,7 +1,7 @@
-"""The calls of the administration API. The operator's token opens all; a tenant's, its own tenant's part.
+"""The calls of the administration API.
 
-A call that changes something changes it in memory; `admin/durable_api.py` makes it durable. Answers are a
-status and JSON data, errors HttpError.
+The operator's token authorizes all calls, a tenant's token only the calls for that tenant. Changes apply in
+memory; `admin/durable_api.py` makes them durable. A call returns a status and JSON data or raises HttpError.
 """
 
 from __future__ import annotations
@@ -33,15 +33,18 @@
 
 
 class ApiSection(Protocol):
-    """Answers the calls below one first part of the path, for the operator alone."""
+    """Answers the calls whose paths share a first segment; only the operator may call it."""
 
     def __call__(self, request: HttpRequest, path: list[str]) -> Answer:
-        """`path`: the parts after the first; HttpError where the call is rejected."""
+        """Answer one call. `path` holds the segments after the first. Raises HttpError if it is rejected."""
         ...
 
 
 class AdminApi:
-    """Answers calls: `sections` by the first part of their paths, tenants and counters itself."""
+    """Answers calls about tenants and counters itself, and delegates others by the path's first segment.
+
+    `sections` maps first segments to their handlers; None disables a section.
+    """
 
     def __init__(
         self,
@@ -58,10 +61,10 @@
         self.sections = {name: section for name, section in (sections or {}).items() if section is not None}
 
     def __call__(self, request: HttpRequest) -> Answer:
-        """Answer one call; HttpError where it is rejected."""
+        """Answer one call. Raises HttpError if it is rejected."""
         path = [part for part in request.path.split("/") if part]
         if path == ["health"]:
-            _allow(request, "GET")
+            _require_method(request, "GET")
             return Answer(200, self.health())
         caller = self._caller(request)
         try:
@@ -74,8 +77,10 @@
     # ---- authorization ----------------------------------------------------------------------------------
 
     def _caller(self, request: HttpRequest) -> Tenant | None:
-        """The tenant that calls, or None for the operator; HttpError 401 without a valid token, 429 over the
-        tenant's rate."""
+        """Return the calling tenant, or None for the operator.
+
+        Raises HttpError 401 without a valid token, 429 if the tenant exceeds its rate.
+        """
         scheme, _, token = request.headers.get("authorization", "").partition(" ")
         if scheme.lower() == "bearer" and token:
             if hmac.compare_digest(token.encode(), self.token.encode()):
@@ -87,7 +92,7 @@
         raise HttpError(401, "no valid token", {"WWW-Authenticate": "Bearer"})
 
     def require_operator(self, request: HttpRequest) -> None:
-        """HttpError 403 for anyone but the operator, 401 without a valid token."""
+        """Raise HttpError 403 if the caller is not the operator, 401 without a valid token."""
         _require_operator(self._caller(request))
 
     # ---- routing ----------------------------------------------------------------------------------------
@@ -96,7 +101,7 @@
         match path:
             case ["counters"]:
                 _require_operator(caller)
-                _allow(request, "GET")
+                _require_method(request, "GET")
                 return Answer(200, dict(self.counters.counts))
             case ["tenants"]:
                 _require_operator(caller)
@@ -107,7 +112,8 @@
             case ["tenants", name, *rest]:
                 tenant = self.tenants.tenants.get(name)
                 if tenant is None or (caller is not None and caller is not tenant):
-                    raise HttpError(404, "no such tenant")  # another tenant looks like none
+                    # A tenant must not learn whether another tenant exists.
+                    raise HttpError(404, "no such tenant")
                 return self._route_tenant(request, rest, tenant, caller)
         raise HttpError(404, "nothing here")
 
@@ -118,15 +124,15 @@
             case []:
                 return self._tenant(request, tenant, caller)
             case ["counters"]:
-                _allow(request, "GET")
+                _require_method(request, "GET")
                 return Answer(200, self._tenant_counters(tenant))
             case ["zones"]:
-                _allow(request, "GET")
+                _require_method(request, "GET")
                 return Answer(200, {"zones": [str(name) for name in tenant.zones]})
             case ["zones", name]:
                 return self._zone(request, tenant, name)
             case ["keys"]:
-                _allow(request, "GET")
+                _require_method(request, "GET")
                 return Answer(200, {"keys": [str(name) for name in tenant.keys]})
             case ["keys", name]:
                 return self._key(request, tenant, name)
@@ -135,7 +141,7 @@
     # ---- tenants ----------------------------------------------------------------------------------------
 
     def _tenants(self, request: HttpRequest) -> Answer:
-        _allow(request, "GET", "POST")
+        _require_method(request, "GET", "POST")
         if request.method == "GET":
             return Answer(200, {"tenants": list(self.tenants.tenants)})
         data = request.json()
@@ -145,7 +151,7 @@
         return Answer(201, _tenant_data(tenant))
 
     def _tenant(self, request: HttpRequest, tenant: Tenant, caller: Tenant | None) -> Answer:
-        _allow(request, "GET", "PATCH", "DELETE")
+        _require_method(request, "GET", "PATCH", "DELETE")
         if request.method == "GET":
             return Answer(200, _tenant_data(tenant))
         _require_operator(caller)
@@ -159,13 +165,13 @@
         return Answer(200, _tenant_data(tenant))
 
     def _change_tenant(self, tenant: Tenant, data: dict[str, object]) -> None:
-        """All of a change or none of it."""
+        """Apply all fields of a change, or none of them if HttpError or TenantError is raised."""
         if unknown := set(data) - TENANT_FIELDS:
             raise HttpError(400, f"unknown field '{min(unknown)}'")
         quota_per_s = read_quota(data.get("quota_per_s", tenant.quota.per_s))
         token = data.get("token", tenant.token)
         if not isinstance(token, str) or (token and len(token) < MIN_TOKEN_CHARACTERS):
-            raise HttpError(400, f"field 'token' has under {MIN_TOKEN_CHARACTERS} characters")
+            raise HttpError(400, f"field 'token' is not a text of {MIN_TOKEN_CHARACTERS} characters or more")
         holder = self.tenants.tenant_of_token(token) if token else None
         if (holder is not None and holder is not tenant) or token == self.token:
             raise HttpError(400, "field 'token' cannot be used")
@@ -183,7 +189,7 @@
     # ---- zones and keys ---------------------------------------------------------------------------------
 
     def _zone(self, request: HttpRequest, tenant: Tenant, name: str) -> Answer:
-        _allow(request, "GET", "PUT", "DELETE")
+        _require_method(request, "GET", "PUT", "DELETE")
         existing = tenant.zones.get(read_name(name))
         if request.method == "PUT":
             return self._put_zone(request, tenant, name, existing is not None)
@@ -199,14 +205,14 @@
         text = data.get("text")
         routed = data.get("routed")
         if not isinstance(text, str) or not isinstance(routed, str | None):
-            raise HttpError(400, "fields 'text' and 'routed' are no texts")
+            raise HttpError(400, "field 'text' or 'routed' is not a text")
         zone = read_zone(tenant.name, name, text, routed)
         self.tenants.add_zone(zone)
         return Answer(200 if exists else 201, _zone_data(zone))
 
     def _key(self, request: HttpRequest, tenant: Tenant, name: str) -> Answer:
-        """Secrets are accepted and never returned."""
-        _allow(request, "PUT", "DELETE")
+        """Add, replace or delete a key. Secrets are accepted but never returned."""
+        _require_method(request, "PUT", "DELETE")
         if request.method == "PUT":
             key, secret = read_key(name, request.json().get("secret"))
             exists = key in tenant.keys
@@ -219,7 +225,7 @@
         return Answer(204, None)
 
 
-def _allow(request: HttpRequest, *methods: str) -> None:
+def _require_method(request: HttpRequest, *methods: str) -> None:
     if request.method not in methods:
         raise HttpError(405, "method not allowed", {"Allow": ", ".join(methods)})
 
--- a/onyxwick/admin/cells.py
+++ b/onyxwick/admin/cells.py
@@ -1,4 +1,4 @@
-"""The administration API's section for cells: the plan as a document or row by row, explanations."""
+"""The administration API's section for cells: the plan as a document or row by row, and explanations."""
 
 from __future__ import annotations
 
@@ -11,18 +11,21 @@
 from onyxwick.config.cells import json_of_plan, plan_of_json
 
 PLAN_SECTIONS = ("cells", "tenants", "moves")
-"""Parts of the plan whose rows can be changed one by one."""
+"""Tables of the plan whose rows can be changed individually."""
 
 
 class CellsApi:
-    """Calls below /cells. A change names the version that it was made for in `If-Match`, or in the field
-    `version` beside the plan; without either it applies to any version."""
+    """Answers the calls below /cells.
+
+    A change names the plan version that it is based on in `If-Match`, or in the field `version` beside the
+    plan. Without either it applies to any version.
+    """
 
     def __init__(self, control: CellPlanControl) -> None:
         self.control = control
 
     def __call__(self, request: HttpRequest, path: list[str]) -> Answer:
-        """Answer one call; HttpError where it is rejected, 409 where another version of the plan runs."""
+        """Answer one call. Raises HttpError if it is rejected, with 409 if another plan version is active."""
         try:
             return self._route(request, path)
         except PlanVersionConflictError as error:
@@ -52,10 +55,10 @@
         data = request.json()
         plan = data.get("plan")
         if not isinstance(plan, dict):
-            raise HttpError(400, "field 'plan' is no object")
-        return self._change(plan, _expected_version(request, data.get("version")))
+            raise HttpError(400, "field 'plan' is not an object")
+        return self._replace_plan(plan, _expected_version(request, data.get("version")))
 
-    def _change(self, data: dict[str, Any], expected_version: int | None) -> Answer:
+    def _replace_plan(self, data: dict[str, Any], expected_version: int | None) -> Answer:
         plan = plan_of_json(data, self.control.plan.version)
         changed = self.control.replace_plan(plan, expected_version)
         return Answer(200, {"version": self.control.plan.version, "changed": changed})
@@ -64,14 +67,14 @@
         data = json_of_plan(self.control.plan)
         rows = data[section]
         if request.method == "DELETE":
-            if name not in rows:  # deleted before, perhaps by a first attempt of this call
+            if name not in rows:  # Already deleted, perhaps by an earlier attempt of this call.
                 return Answer(200, {"version": self.control.plan.version, "changed": False})
             del rows[name]
-            if section == "tenants":  # its migrations have nothing left to move
+            if section == "tenants":  # Migrations of a deleted tenant have nothing left to move.
                 data["moves"] = {move: row for move, row in data["moves"].items() if row["tenant"] != name}
         else:
             rows[name] = request.json()
-        return self._change(data, _expected_version(request))
+        return self._replace_plan(data, _expected_version(request))
 
     def _abort(self, name: str) -> Answer:
         try:
@@ -99,5 +102,5 @@
     if text is None or text == "*":
         return None
     if isinstance(text, bool) or not str(text).isdigit():
-        raise HttpError(400, "If-Match (or 'version') is no version")
+        raise HttpError(400, "If-Match (or 'version') is not a version number")
     return int(str(text))
--- a/onyxwick/admin/durable_api.py
+++ b/onyxwick/admin/durable_api.py
@@ -1,8 +1,7 @@
-"""The administration API over a store: a change is answered when it is durable, and the same call is done
-once.
+"""The administration API on top of a store: changes are answered once durable, and keyed calls run once.
 
-A call with an `Idempotency-Key` that was done before gets its first answer again. A change is made in memory,
-committed, then answered; where the store rejects it, it is undone in memory and answered with status 503.
+A repeated call with the same `Idempotency-Key` gets the answer of the first call. A change is applied in
+memory, committed, then answered. If the store rejects it, it is undone in memory and status 503 is returned.
 """
 
 from __future__ import annotations
@@ -27,15 +26,16 @@
 from onyxwick.store.tenant_rows import add_tenant, tenant_key, tenant_rows
 from onyxwick.tenants import Tenants
 
-MAX_IDEMPOTENCY_KEY = 64  # characters
-MAX_REASON = 256  # characters of a drain's reason that are kept
+MAX_IDEMPOTENCY_KEY_CHARACTERS = 64
+MAX_REASON_CHARACTERS = 256
+"""A drain's reason is truncated to this many characters."""
 FINGERPRINT_DIGITS = 32
 AUTHOR = "administration API"
 
 
 @dataclass(frozen=True, slots=True)
 class CallIdentity:
-    """Tells a repeated call from another one; `key` is empty for a call without an `Idempotency-Key`."""
+    """Identifies repetitions of a call; `key` is empty for a call without an `Idempotency-Key`."""
 
     key: str
     fingerprint: str
@@ -43,13 +43,13 @@
 
 @dataclass(frozen=True, slots=True)
 class TenantBackup:
-    """A tenant's rows before a change; none where it did not exist."""
+    """A tenant's stored rows before a change; empty if the tenant did not exist."""
 
     name: str
     rows: dict[str, StoredRow] = field(default_factory=dict)
 
     def restore(self, tenants: Tenants, durable: DurableState) -> None:
-        """Put the tenant back as it was."""
+        """Restore the tenant in memory to its state before the change."""
         if self.name in tenants.tenants:
             tenants.remove(self.name)
         own_key = tenant_key(self.name)
@@ -59,7 +59,7 @@
 
 
 class DurableApi:
-    """Wraps the API's calls, one change at a time."""
+    """Makes the API's changes durable, one change at a time."""
 
     def __init__(self, api: AdminApi, durable: DurableState, core: RequestEngine) -> None:
         self.api = api
@@ -68,7 +68,7 @@
         self.lock = asyncio.Lock()
 
     async def __call__(self, request: HttpRequest) -> Answer:
-        """Answer one call; HttpError where it is rejected, with status 503 where it could not be made
+        """Answer one call. Raises HttpError if it is rejected, with status 503 if it could not be made
         durable."""
         path = [part for part in request.path.split("/") if part]
         if path[:1] == ["drains"]:
@@ -91,7 +91,7 @@
         sites = self.api.sections.get("sites")
         if path[:2] == ["sites", "orders"] and len(path) == 3 and isinstance(sites, SitesApi):
             return await self._site_command(request, sites, path[2], identity)
-        return await self._change(request, path, identity)
+        return await self._apply_change(request, path, identity)
 
     async def _commit(self, operations: list[WriteOperation], identity: CallIdentity, answer: Answer) -> None:
         now = time.time_ns() // 1000
@@ -103,9 +103,9 @@
         except StoreError as error:
             raise HttpError(503, f"not durable, and not done: {error}") from None
 
-    # ---- tenants and the plan of cells ------------------------------------------------------------------
+    # ---- tenants and the cell plan ----------------------------------------------------------------------
 
-    async def _change(self, request: HttpRequest, path: list[str], identity: CallIdentity) -> Answer:
+    async def _apply_change(self, request: HttpRequest, path: list[str], identity: CallIdentity) -> Answer:
         tenants = self.api.tenants
         name = _tenant_name(request, path)
         before = tenants.tenants.get(name)
@@ -136,7 +136,7 @@
     async def _site_command(
         self, request: HttpRequest, sites: SitesApi, site: str, identity: CallIdentity
     ) -> Answer:
-        """An operator's command for a site: durable before it takes effect."""
+        """Make an operator's command for a site durable, then apply it."""
         self.api.require_operator(request)
         if request.method != "PUT":
             raise HttpError(405, "method not allowed", {"Allow": "PUT"})
@@ -151,8 +151,11 @@
     # ---- drains -----------------------------------------------------------------------------------------
 
     async def _drains(self, request: HttpRequest, path: list[str], identity: CallIdentity) -> Answer:
-        """An operator's drains: the member gets no new requests until the drain is lifted, over restarts
-        too. A drain takes effect when it is durable."""
+        """Answer calls about an operator's drains.
+
+        A drained member gets no new requests until the drain is lifted, also after restarts. A drain takes
+        effect once it is durable.
+        """
         match request.method, path:
             case "GET", []:
                 answer = self._drain_list()
@@ -175,8 +178,8 @@
     async def _add_drain(self, request: HttpRequest, member: str, identity: CallIdentity) -> Answer:
         listed = self.core.endpoints.listed
         if member not in listed:
-            raise HttpError(404, f"no member '{member}' on the list")
-        reason = str(request.json().get("reason", ""))[:MAX_REASON]
+            raise HttpError(404, f"member '{member}' is not in the endpoint list")
+        reason = str(request.json().get("reason", ""))[:MAX_REASON_CHARACTERS]
         started_at_us = listed[member].started_at_us
         drain = MemberDrain(member, DrainSource.OPERATOR, started_at_us, reason, self.core.now())
         answer = Answer(200, {"member": member, "draining": True})
@@ -196,14 +199,16 @@
 
 def _identity_of(request: HttpRequest) -> CallIdentity:
     key = request.headers.get("idempotency-key", "")
-    if len(key) > MAX_IDEMPOTENCY_KEY or not key.isascii():
-        raise HttpError(400, f"Idempotency-Key is no text of {MAX_IDEMPOTENCY_KEY} characters")
+    if len(key) > MAX_IDEMPOTENCY_KEY_CHARACTERS or not key.isascii():
+        raise HttpError(
+            400, f"Idempotency-Key is not ASCII text of at most {MAX_IDEMPOTENCY_KEY_CHARACTERS} characters"
+        )
     digest = hashlib.blake2b(f"{request.method} {request.path}\n".encode() + request.body)
     return CallIdentity(key, digest.hexdigest()[:FINGERPRINT_DIGITS])
 
 
 def _tenant_name(request: HttpRequest, path: list[str]) -> str:
-    """The tenant that a call changes; empty where it changes none."""
+    """Return the name of the tenant that a call changes; empty if it changes no tenant."""
     if path == ["tenants"] and request.method == "POST":
         return str(request.json().get("name", ""))
     return path[1] if path[:1] == ["tenants"] and len(path) > 1 else ""
--- a/onyxwick/admin/http_messages.py
+++ b/onyxwick/admin/http_messages.py
@@ -1,4 +1,4 @@
-"""HTTP requests and responses of the small server: parsed under bounds on size, encoded as JSON."""
+"""HTTP requests, parsed with size limits, and HTTP responses, encoded with JSON bodies."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 MAX_BODY_BYTES = 524_288
 MAX_HEAD_BYTES = 16_384
-REASONS = {
+REASON_PHRASES = {
     200: "OK",
     201: "Created",
     204: "No Content",
@@ -29,19 +29,19 @@
     500: "Internal Server Error",
     503: "Service Unavailable",
 }
-"""The reason phrase of each status that is sent."""
+"""The reason phrase of each status that the server sends."""
 NO_CONTENT = 204
 
 
 class Answer(NamedTuple):
-    """The status of a response and the data of its body, as JSON can hold it."""
+    """The status of a response and the JSON-compatible data of its body."""
 
     status: int
     data: object = None
 
 
 class HttpError(OnyxwickError):
-    """A call is answered with an error status; `text` is the body's field `error`."""
+    """Raised to answer a call with an error status; `text` becomes the body's field `error`."""
 
     def __init__(self, status: int, text: str, headers: dict[str, str] | None = None) -> None:
         super().__init__(text)
@@ -52,8 +52,11 @@
 
 @dataclass(slots=True)
 class HttpRequest:
-    """One call. `keep_alive`: another may follow on its connection; `queued_s`: seconds since its last bytes
-    arrived in the socket."""
+    """One call.
+
+    `keep_alive` states whether another call may follow on the connection; `queued_s` is the number of seconds
+    since the call's last bytes arrived in the socket.
+    """
 
     method: str = ""
     path: str = ""
@@ -63,33 +66,34 @@
     queued_s: float = 0.0
 
     def json(self) -> dict[str, object]:
-        """The body as a JSON object; HttpError 400 where it is none."""
+        """Parse the body as a JSON object. Raises HttpError 400 if it is not one."""
         try:
             data = ujson.loads(self.body)
         except ValueError as error:
             raise HttpError(400, f"body is no JSON: {error}") from None
         if not isinstance(data, dict):
-            raise HttpError(400, "body is no JSON object")
+            raise HttpError(400, "body is not a JSON object")
         return data
 
 
 class _ParserCallbacks:
-    """Called by httptools while it parses; collects complete requests."""
+    """Callbacks for httptools' parser, which collect complete requests."""
 
     def __init__(self) -> None:
         self.request = HttpRequest()
         self.url = b""
         self.head_bytes = 0
         self.complete: list[HttpRequest] = []
-        self.should_keep_alive: Callable[[], bool] = lambda: True  # the parser's, of the call just completed
+        self.should_keep_alive: Callable[[], bool] = lambda: True
+        """The parser's method; it applies to the request that was just completed."""
 
     def on_url(self, url: bytes) -> None:
-        """A part of the URL."""
+        """Append a fragment of the URL. Raises HttpError 431 if the head is too large."""
         self.url += url
         self._count_head(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """One header."""
+        """Store one header. Raises HttpError 431 if the head is too large."""
         self._count_head(len(name) + len(value))
         self.request.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
@@ -99,13 +103,13 @@
             raise HttpError(431, "head too large")
 
     def on_body(self, body: bytes) -> None:
-        """A part of the body."""
+        """Append a fragment of the body. Raises HttpError 413 if the body is too large."""
         self.request.body += body
         if len(self.request.body) > MAX_BODY_BYTES:
             raise HttpError(413, "body too large")
 
     def on_message_complete(self) -> None:
-        """The request is complete."""
+        """Add the completed request to `complete` and start a new one."""
         self.request.path = self.url.partition(b"?")[0].decode("latin-1")
         self.request.keep_alive = self.should_keep_alive()
         self.complete.append(self.request)
@@ -115,11 +119,11 @@
 
 
 class MalformedRequestError(HttpError):
-    """The bytes are no HTTP request."""
+    """The received bytes are not an HTTP request."""
 
 
 class RequestParser:
-    """The requests of one connection."""
+    """Parses the requests of one connection."""
 
     def __init__(self) -> None:
         self._callbacks = _ParserCallbacks()
@@ -128,12 +132,15 @@
 
     @property
     def complete(self) -> list[HttpRequest]:
-        """Requests that are complete and not yet taken, in order."""
+        """Return the complete requests that were not taken yet, in order, without removing them."""
         return self._callbacks.complete
 
     def feed(self, data: bytes) -> None:
-        """Take in bytes. HttpError where they are no request within the bounds: the connection has to end,
-        as its framing is lost."""
+        """Parse received bytes.
+
+        Raises HttpError if they are not a request within the size limits. The connection must then be closed,
+        because the start of the next request is unknown.
+        """
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserCallbackError as error:
@@ -146,7 +153,7 @@
                 request.method = self._parser.get_method().decode("latin-1")
 
     def take(self) -> list[HttpRequest]:
-        """The complete requests, which are removed."""
+        """Return and remove the complete requests."""
         requests = list(self.complete)
         self.complete.clear()
         return requests
@@ -155,10 +162,10 @@
 def encode_response(
     status: int, data: object, headers: dict[str, str] | None = None, close: bool = False
 ) -> bytes:
-    """A response with a JSON body; `close`: it is the last one of its connection."""
+    """Encode a response with a JSON body. `close` announces that the connection closes after it."""
     has_body = status != NO_CONTENT
     body = ujson.dumps(data, escape_forward_slashes=False).encode() + b"\n" if has_body else b""
-    lines = [f"HTTP/1.1 {status} {REASONS[status]}"]
+    lines = [f"HTTP/1.1 {status} {REASON_PHRASES[status]}"]
     lines += [f"{name}: {value}" for name, value in (headers or {}).items()]
     if has_body:
         lines += ["Content-Type: application/json", f"Content-Length: {len(body)}"]
--- a/onyxwick/admin/http_server.py
+++ b/onyxwick/admin/http_server.py
@@ -1,8 +1,8 @@
-"""A small HTTP server for the administration API and the operations endpoint: bounded connections, one answer
-a request.
+"""A small HTTP server for the administration API and the operations endpoint, with bounded connections.
 
-Each connection is a task. Where all are taken a new one displaces the connection that has been open longest,
-which is the likeliest to be one that never finishes a call. Times in seconds.
+Each connection is a task, and each request gets one answer. At the connection limit a new connection
+displaces the one that has been open longest, which is the most likely never to finish a call. Times are in
+seconds.
 """
 
 from __future__ import annotations
@@ -32,17 +32,18 @@
 MAX_CONNECTIONS = 16
 CALL_TIMEOUT_S = 10.0
 MAX_QUEUED_S = 1.0
-"""Longest wait in the socket that is reported: no caller waits longer for its answer."""
-MAX_LOGGED_PATH = 64  # characters
+"""Limit on the reported wait in the socket: no caller waits longer than this for its answer."""
+MAX_LOGGED_PATH_CHARACTERS = 64
 Handler = Callable[[HttpRequest], tuple[int, object] | Awaitable[tuple[int, object]]]
-"""Answers a request with a status and data for JSON; HttpError for an error status."""
+"""Returns the status and JSON data for a request, or raises HttpError for an error status."""
 
 
 class HttpServer:
-    """Connections of callers, bounded in count and in the time that a call may take.
+    """Serves callers' connections, bounded in number and in the time that a call may take.
 
-    `one_call_per_connection`: a connection is closed after its first answer. `call_timeout_s`: the longest
-    wait for a complete call, and for an answer to be taken. `counter_prefix` begins its counters' names.
+    With `one_call_per_connection` a connection is closed after its first answer. `call_timeout_s` limits the
+    wait for a complete call, and for the caller to accept an answer. `counter_prefix` is the prefix of the
+    server's counter names.
     """
 
     def __init__(
@@ -64,11 +65,14 @@
         self.one_call_per_connection = one_call_per_connection
         self.name = name
         self.counter_prefix = counter_prefix
-        self.connections: dict[asyncio.Task[None], None] = {}  # oldest first
+        self.connections: dict[asyncio.Task[None], None] = {}
+        """The tasks of open connections, oldest first."""
 
     async def run(self, bound: socket.socket | None = None) -> None:
-        """Serve until cancelled, on `bound` where the caller has bound it already; OSError where the address
-        cannot be listened on."""
+        """Serve until cancelled, on the socket `bound` if it is given, else on a new socket.
+
+        Raises OSError if the server cannot listen on its address.
+        """
         with bound or listen(self.address) as sock:
             log.info(f"{self.name} on", address=format_address(self.address))
             try:
@@ -98,19 +102,20 @@
         self.connections.pop(task, None)
 
     async def _serve(self, connection: socket.socket) -> None:
-        """One connection until its end."""
+        """Serve one connection until it ends."""
         loop = asyncio.get_running_loop()
         buffer = ReceiveBuffer()
         parser = RequestParser()
         with connection, contextlib.suppress(OSError, TimeoutError):
             while True:
-                async with asyncio.timeout(self.call_timeout_s):  # for a complete call
+                async with asyncio.timeout(self.call_timeout_s):
                     rejection = await self._receive(connection, buffer, parser)
                 requests = parser.take()
                 if self.one_call_per_connection:
                     requests = requests[:1]
                 responses = [await self._respond(request) for request in requests]
-                is_last = self.one_call_per_connection and bool(responses)  # what follows is not read
+                # After the last response no further input is processed, so a rejection of it is not answered.
+                is_last = self.one_call_per_connection and bool(responses)
                 if rejection is not None and not is_last:
                     error = {"error": rejection.text}
                     responses.append(encode_response(rejection.status, error, close=True))
@@ -123,13 +128,15 @@
     async def _receive(
         self, connection: socket.socket, buffer: ReceiveBuffer, parser: RequestParser
     ) -> HttpError | None:
-        """Wait until a call is complete, or is rejected, which is returned; ConnectionError at the caller's
-        end."""
+        """Wait until a call is complete or rejected. Return the rejection, or None if there is none.
+
+        Raises ConnectionError if the caller closes the connection.
+        """
         loop = asyncio.get_running_loop()
         rejection: HttpError | None = None
         while not parser.complete and rejection is None:
             if not await buffer.receive(loop, connection):
-                raise ConnectionError("the caller has closed")
+                raise ConnectionError("the caller closed the connection")
             queued_s = min(seconds_since_received(connection) or 0.0, MAX_QUEUED_S)
             try:
                 parser.feed(buffer.take(len(buffer)))
@@ -153,9 +160,11 @@
             self.counters.add(f"{self.counter_prefix}.{error.status}")
             return encode_response(error.status, {"error": error.text}, error.headers, close=close)
         except Exception:
-            # A fault in one call's handler must not end the server.
+            # An internal error in one call's handler must not stop the server.
             self.counters.add(f"error.{self.counter_prefix}")
             log.exception(
-                "internal error in a call", method=request.method, path=request.path[:MAX_LOGGED_PATH]
+                "internal error in a call",
+                method=request.method,
+                path=request.path[:MAX_LOGGED_PATH_CHARACTERS],
             )
             return encode_response(500, {"error": "internal error"}, close=close)
--- a/onyxwick/admin/sites.py
+++ b/onyxwick/admin/sites.py
@@ -1,4 +1,4 @@
-"""The administration API's section for sites: states, explanations, the operators' commands."""
+"""The administration API's section for sites: states, explanations and operator commands."""
 
 from __future__ import annotations
 
@@ -10,9 +10,10 @@
 
 
 class SitesApi:
-    """Calls below /sites. Commands are taken where they can be made durable: see `admin/durable_api.py`.
+    """Answers the calls below /sites.
 
-    `clock`: Unix microseconds; `flush` sends what a command has changed.
+    Commands are accepted only if they can be made durable, which `admin/durable_api.py` does. `clock` returns
+    Unix microseconds; `flush` sends the changes that a command caused.
     """
 
     def __init__(self, sites: SiteRouter, clock: Callable[[], int], flush: Callable[[], None]) -> None:
@@ -21,7 +22,7 @@
         self.flush = flush
 
     def __call__(self, request: HttpRequest, path: list[str]) -> Answer:
-        """Answer one call; HttpError where it is rejected."""
+        """Answer one call. Raises HttpError if it is rejected."""
         match request.method, path:
             case "GET", []:
                 return Answer(200, router_status(self.sites, self.clock()))
@@ -31,7 +32,7 @@
                 return self._explain(site, class_name, object_id)
             case "PUT", ["orders", _]:
                 raise HttpError(
-                    409, "an order must outlive a restart, and the service file has no block 'store'"
+                    409, "a command must survive a restart, but the service file has no block 'store'"
                 )
         raise HttpError(404, "nothing here")
 
@@ -39,11 +40,11 @@
         try:
             explanation = explain(self.sites, site, class_name, object_id)
         except KeyError as error:
-            raise HttpError(404, f"nothing called {error}") from None
+            raise HttpError(404, f"unknown site or class {error}") from None
         return Answer(200, {"site": site, "class": class_name, "object": object_id, "because": explanation})
 
     def read_command(self, request: HttpRequest, site: str) -> SiteCommand:
-        """The command that a call asks for; HttpError where it cannot be taken."""
+        """Parse the command in a call. Raises HttpError if the site is unknown or the command invalid."""
         if site not in self.sites.monitor.lifecycles:
             raise HttpError(404, f"no site '{site}'")
         try:
@@ -52,6 +53,6 @@
             raise HttpError(400, str(error)) from None
 
     def apply_command(self, command: SiteCommand) -> None:
-        """A command that is durable takes effect."""
+        """Apply a command that is already durable."""
         self.sites.apply_command(self.clock(), command)
         self.flush()
--- a/onyxwick/config/__init__.py
+++ b/onyxwick/config/__init__.py
@@ -1,4 +1,4 @@
-"""Readers and checks of every form of configuration: the platform's JSON, the hosted service's HCL."""
+"""Reads and validates all configuration: the platform's JSON file and the hosted service's HCL files."""
 
 from onyxwick.config.errors import ConfigError
 
--- a/onyxwick/config/cells.py
+++ b/onyxwick/config/cells.py
@@ -1,7 +1,7 @@
-"""Reads plans of cells, from the service file's blocks and from the administration API's JSON.
+"""Reads cell plans from the service file's blocks and from the administration API's JSON.
 
-Both forms have one reader: JSON is turned into blocks first. Output is a checked `CellPlan`; durations are
-microseconds.
+Both forms share one reader: JSON is converted into blocks first. The readers return a validated `CellPlan`,
+with durations in microseconds.
 """
 
 from __future__ import annotations
@@ -40,12 +40,12 @@
 ALL_KEYS = f"00-{KEY_PREFIX_COUNT - 1:02x}"
 TENANT_FIELDS = ("weight", "span", "cells", "rate_per_s", "most_open", "ranges")
 API_ROWS = {"cells": "cell", "tenants": "tenant", "moves": "move"}
-"""The API's tables, by the type of block that each row is."""
+"""Maps each table of the API's JSON to the block type of its rows."""
 API_POLICY = "policy"
 
 _match_key_range = re.compile(r"([0-9a-f]{2})(?:-([0-9a-f]{2}))?").fullmatch
 is_field_name = re.compile(r"[A-Za-z][A-Za-z0-9-]{0,63}").fullmatch
-"""Whether a text is a name of a request field."""
+"""Match a valid name of a request field; None if the text is not one."""
 
 
 # ---- rows ------------------------------------------------------------------------------------------------
@@ -63,10 +63,13 @@
 
 
 def _read_keys(row: Fields, field: str, text: str, line: int | None = None) -> tuple[int, int]:
-    """The first and last first byte of a key range as `00-7f`; ConfigError where it is none."""
+    """Parse a key range such as `00-7f` into its lowest and highest first byte.
+
+    Raises ConfigError if the text is not a key range.
+    """
     match = _match_key_range(text)
     if match is None:
-        raise row.error(field, f"{text!r} is no range of first bytes, as 00-7f", line)
+        raise row.error(field, f"{text!r} is not a range of first bytes such as 00-7f", line)
     first = int(match[1], 16)
     last = int(match[2] or match[1], 16)
     if first > last:
@@ -89,7 +92,7 @@
 
 
 def read_tenant(row: Fields) -> TenantSpec:
-    """What a tenant's row states of cells; other readers take the row's other fields."""
+    """Read the fields of a tenant's row that concern cells; other readers read the remaining fields."""
     return TenantSpec(
         name=row.own_name(),
         weight=row.number("weight", 0.0001, MAX_TENANT_WEIGHT, 1.0),
@@ -122,7 +125,7 @@
         return CellPolicy()
     tenant_field = row.string("tenant_field", DEFAULT_TENANT_FIELD)
     if not is_field_name(tenant_field):
-        raise row.error("tenant_field", f"{tenant_field!r} is no name of a request field, as X-Tenant")
+        raise row.error("tenant_field", f"{tenant_field!r} is not a request field name such as X-Tenant")
     policy = CellPolicy(
         tenant_field=tenant_field,
         default_tenant=row.string("default_tenant", "") or None,
@@ -137,9 +140,10 @@
 
 
 def read_plan(top: Fields, version: int = 1) -> CellPlan | None:
-    """The plan in a file's blocks `cells`, `cell`, `tenant` and `move`; None where no cell is named.
+    """Read the plan from the blocks `cells`, `cell`, `tenant` and `move`; None if there is no `cell` block.
 
-    ConfigError names file, line and field. Unknown fields of tenants' rows are left for other readers.
+    Raises ConfigError, which names file, line and field. Unknown fields of `tenant` blocks are not rejected
+    here, because other readers use them.
     """
     cells = {cell.name: cell for cell in map(_read_cell, top.blocks("cell", 1))}
     policy = _read_policy(top.single_block("cells"))
@@ -162,7 +166,7 @@
 
 
 def _located(top: Fields, error: CellPlanError) -> ConfigError:
-    """A plan's error with the file and line of the row that it names."""
+    """Convert a plan error to a ConfigError with the file and line of the row that it names."""
     labels = 0 if error.kind == "cells" else 1
     for row in top.blocks(error.kind, labels):
         if not labels or row.label == error.name:
@@ -174,7 +178,7 @@
 
 
 def plan_of_json(data: dict[str, Any], version: int) -> CellPlan:
-    """A plan from the API's form; ConfigError names row and field."""
+    """Read a plan from the API's JSON object. Raises ConfigError, which names row and field."""
     if unknown := set(data) - {*API_ROWS, API_POLICY}:
         raise ConfigError(f"plan: unknown field '{min(unknown)}'", field=min(unknown))
     top = Block("", [], 1)
@@ -182,7 +186,7 @@
         top.blocks += _blocks_of_json(kind, data.get(table, {}))
     if policy := data.get(API_POLICY):
         if not isinstance(policy, dict):
-            raise ConfigError(f"plan: '{API_POLICY}' is no object", field=API_POLICY)
+            raise ConfigError(f"plan: '{API_POLICY}' is not an object", field=API_POLICY)
         top.blocks.append(Block("cells", [], 1, _values_of_json(policy)))
     fields = Fields(top, "plan")
     plan = read_plan(fields, version)
@@ -196,7 +200,7 @@
 
 def _blocks_of_json(kind: str, data: Any) -> list[Block]:
     if not isinstance(data, dict) or not all(isinstance(row, dict) for row in data.values()):
-        raise ConfigError(f"plan: '{kind}' is no object of objects", field=kind)
+        raise ConfigError(f"plan: '{kind}' is not an object of objects", field=kind)
     return [Block(kind, [str(name)], 1, _values_of_json(row)) for name, row in data.items()]
 
 
@@ -213,7 +217,7 @@
 
 
 def json_of_plan(plan: CellPlan) -> dict[str, Any]:
-    """The API's form, which `plan_of_json` reads back as the same plan."""
+    """Return the plan in the API's JSON form. `plan_of_json` reads the same plan back from it."""
     return {
         "cells": {cell.name: _json_of_cell(cell) for cell in plan.cells.values()},
         "tenants": {tenant.name: _json_of_tenant(tenant) for tenant in plan.tenants.values()},
--- a/onyxwick/config/director.py
+++ b/onyxwick/config/director.py
@@ -1,6 +1,6 @@
-"""The director's configuration: the platform's JSON file and variables, and the bounds that they imply.
+"""The director's configuration: the platform's JSON file, its environment variables and derived limits.
 
-The one place where the platform's names of this file and of its variables become terms of the code.
+Only this module maps the platform's field and variable names to the names used in the code.
 """
 
 from __future__ import annotations
@@ -30,21 +30,21 @@
 DEFAULT_MEMORY_MB = 192
 MAX_DESCRIPTOR = 65_535
 SUGGESTED_SOCKETS = 128
-"""For each process under one limit."""
+"""The suggested `limits.sockets` per process that shares the limit."""
 
 PROCESS_BASE_MB = 32
-"""Memory that a process uses as it starts."""
+"""Memory that a process uses right after its start."""
 MIN_REQUEST_MEMORY_MB = 8
 BYTES_PER_MB = 1_000_000
 BYTES_PER_REQUEST = 65_536
-"""The memory that a request counts for: its answer as it is received and as it is sent."""
+"""Memory accounted for each request: its answer is buffered once as received and once as sent."""
 RESERVED_SOCKETS = 24
-"""Standard streams, the event loop's own, the feed, a file read anew and some in reserve."""
+"""Standard streams, the event loop's own descriptors, the feed, a file being reloaded, and a few spare."""
 OPERATIONS_SOCKETS = 40
-"""Of the operations endpoint, its event loop included; an eighth of all at most."""
+"""Sockets of the operations endpoint including its event loop; limited to an eighth of all sockets."""
 MIN_CLIENTS = 8
 CLIENTS_PER_HALF_CLOSED = 16
-"""For so many client connections one more may linger after its end is written."""
+"""One half-closed connection (end of stream sent, not yet closed) is allowed per this many clients."""
 MIN_HALF_CLOSED = 4
 
 
@@ -52,8 +52,8 @@
 class DirectorConfig:
     """The configuration of one director.
 
-    The properties derive bounds from the limits on sockets and memory, so that all together stay under them.
-    Where the platform holds the listening socket, an upgrade runs two processes under one director's limits.
+    The properties divide the limits on sockets and memory, so that all uses together stay within them.
+    If the platform holds the listening socket, an upgrade runs two processes within one director's limits.
     """
 
     name: str
@@ -63,26 +63,26 @@
     sockets: int
     memory_mb: int
     known_events: dict[str, Any]
-    """Events of the feed from before the start, and the last one's index, as the feed's wire has them."""
+    """Feed events from before the start and the index of the last one, in the feed's wire format."""
     settings: RouterSettings
     listen_fd: int | None = None
-    """A listening socket that the platform holds and passes as a descriptor; None: bind `listen`."""
+    """Descriptor of a listening socket that the platform holds and passes on; None means bind `listen`."""
     operations_address: Address | None = None
-    """Of the operations endpoint; None: there is none."""
+    """Address of the operations endpoint; None if it is disabled."""
 
     @property
     def process_count(self) -> int:
-        """Processes that may run at once under these limits: 2 where an upgrade can overlap them."""
+        """Return how many processes may share these limits: 2 if an upgrade can make them overlap."""
         return 1 if self.listen_fd is None else 2
 
     @property
     def max_cache_connections(self) -> int:
-        """Connections to caches, parent caches and the origin."""
+        """Return the limit on connections to caches, parent caches and the origin."""
         return self.sockets // self.process_count // 4
 
     @property
     def max_clients(self) -> int:
-        """Client connections, beside those that linger after their end is written."""
+        """Return the limit on client connections, not counting half-closed ones (end of stream sent)."""
         sockets = self.sockets // self.process_count
         operations = 0
         if self.operations_address is not None:
@@ -92,18 +92,18 @@
 
     @property
     def request_memory_bytes(self) -> int:
-        """Memory for requests and answers in flight."""
+        """Return the memory available for requests and answers in flight."""
         spare_mb = self.memory_mb - self.process_count * PROCESS_BASE_MB
         return max(MIN_REQUEST_MEMORY_MB, spare_mb // self.process_count) * BYTES_PER_MB
 
     @property
     def max_held_bytes(self) -> int:
-        """Bytes of answers that wait for slow readers."""
+        """Return the limit on answer bytes buffered for slow readers."""
         return self.request_memory_bytes // 3
 
     @property
     def max_open_requests(self) -> int:
-        """Requests at once."""
+        """Return the limit on concurrent requests."""
         return self.request_memory_bytes // BYTES_PER_REQUEST
 
 
@@ -113,7 +113,7 @@
 def _field(data: Mapping[str, Any], name: str, kind: type) -> Any:
     value = data.get(name)
     if not isinstance(value, kind):
-        raise ConfigError(f"field '{name}' is missing or no {kind.__name__}", field=name)
+        raise ConfigError(f"field '{name}' is missing or not of type {kind.__name__}", field=name)
     return value
 
 
@@ -128,7 +128,7 @@
     limits = data.get("limits") or {}
     value = limits.get(name, default) if isinstance(limits, dict) else None
     if isinstance(value, bool) or not isinstance(value, int | float) or value < lowest:
-        raise ConfigError(f"field 'limits.{name}' is no number from {lowest}", field=f"limits.{name}")
+        raise ConfigError(f"field 'limits.{name}' is not a number >= {lowest}", field=f"limits.{name}")
     return int(value)
 
 
@@ -136,7 +136,7 @@
     try:
         return int(str(data.get("seed") or "0"), 16)
     except ValueError:
-        raise ConfigError("field 'seed' is no hexadecimal number", field="seed") from None
+        raise ConfigError("field 'seed' is not a hexadecimal number", field="seed") from None
 
 
 def _settings(data: Mapping[str, Any]) -> RouterSettings:
@@ -149,12 +149,12 @@
 def _known_events(data: Mapping[str, Any]) -> dict[str, Any]:
     known = data.get("known", {})
     if not isinstance(known, dict) or not isinstance(known.get("updates", []), list):
-        raise ConfigError("field 'known' is no list of events", field="known")
+        raise ConfigError("field 'known' is not an object with a list of events in 'updates'", field="known")
     return known
 
 
 def read(data: Mapping[str, Any]) -> DirectorConfig:
-    """The configuration in parsed JSON; ConfigError names the first field that cannot be used."""
+    """Read the configuration from parsed JSON. Raises ConfigError, which names the first invalid field."""
     return DirectorConfig(
         listen=_address_field(data, "listen"),
         coordinator=_address_field(data, "coordinator"),
@@ -171,9 +171,10 @@
 
 
 def load(environment: Mapping[str, str] = os.environ) -> DirectorConfig:
-    """The configuration that the environment names; variables override fields of the file.
+    """Load the configuration file that the environment names; variables override fields of the file.
 
-    ConfigUnreadableError where the file cannot be read at the moment, ConfigError where it cannot be used.
+    Raises ConfigUnreadableError if the file cannot be read for a transient reason, ConfigError if it is
+    invalid or cannot be read at all.
     """
     path = environment.get(CONFIG_VARIABLE)
     if not path:
@@ -196,19 +197,19 @@
     except OSError as error:
         raise unreadable_error(error, f"variable '{CONFIG_VARIABLE}'") from None
     except ValueError as error:
-        raise ConfigError(f"file of '{CONFIG_VARIABLE}' is no JSON: {error}", file=path) from None
+        raise ConfigError(f"file of '{CONFIG_VARIABLE}' is not JSON: {error}", file=path) from None
     if not isinstance(data, dict):
-        raise ConfigError(f"file of '{CONFIG_VARIABLE}' holds no object", file=path)
+        raise ConfigError(f"file of '{CONFIG_VARIABLE}' is not a JSON object", file=path)
     return data
 
 
 def _check_clients(config: DirectorConfig, path: str) -> None:
-    """ConfigError where the limit on sockets leaves too few client connections."""
+    """Raise ConfigError if the limit on sockets leaves fewer than MIN_CLIENTS client connections."""
     if config.max_clients >= MIN_CLIENTS:
         return
     raise ConfigError(
-        f"field 'limits.sockets' of {path}: {config.sockets} leaves {max(0, config.max_clients)} places for"
-        " clients beside the fixed parts; likely intent:"
+        f"field 'limits.sockets' of {path}: {config.sockets} leaves {max(0, config.max_clients)} connections"
+        " for clients after the other uses; likely intent:"
         f" {SUGGESTED_SOCKETS * config.process_count} or more",
         file=path,
         field="limits.sockets",
@@ -218,7 +219,7 @@
 def _operations_address(
     environment: Mapping[str, str], data: Mapping[str, Any], listen: Address
 ) -> Address | None:
-    """Where the operations endpoint listens, by variable or field; None where it is off."""
+    """Return where the operations endpoint listens, from variable or field; None if it is disabled."""
     variable = environment.get(OPERATIONS_VARIABLE)
     if variable:
         return _read_operations_address(variable, f"variable '{OPERATIONS_VARIABLE}'", listen)
@@ -228,25 +229,25 @@
 
 
 def _read_operations_address(value: object, where: str, listen: Address) -> Address:
-    """`HOST:PORT`, or a port alone on the host of `listen`."""
+    """Parse `HOST:PORT`; a port alone is combined with the host of `listen`."""
     is_port = isinstance(value, int) and not isinstance(value, bool)
     if is_port or (isinstance(value, str) and value.isdigit()):
         value = f"{listen[0]}:{value}"
     try:
         return read_address(value)
     except AddressError as error:
-        intent = "likely intent: HOST:PORT of the operations endpoint, as 127.0.0.1:9600"
+        intent = "likely intent: HOST:PORT of the operations endpoint, for example 127.0.0.1:9600"
         raise ConfigError(f"{where}: {error}; {intent}") from None
 
 
 def _descriptor(text: str | None) -> int | None:
-    """The number of an inherited listening socket; None if absent or empty: `listen` is bound instead."""
+    """Return the descriptor of the inherited listening socket; None (bind `listen`) if absent or empty."""
     if not text:
         return None
     if not (text.isascii() and text.isdigit()) or int(text) > MAX_DESCRIPTOR:
         raise ConfigError(
-            f"variable '{LISTEN_FD_VARIABLE}' is {text[:32]!r}, no descriptor number;"
-            " likely intent: the number of the listening socket handed down, as 7",
+            f"variable '{LISTEN_FD_VARIABLE}' is {text[:32]!r}, not a descriptor number;"
+            " likely intent: the descriptor of the inherited listening socket, for example 7",
             field=LISTEN_FD_VARIABLE,
         )
     return int(text)
--- a/onyxwick/config/distribution.py
+++ b/onyxwick/config/distribution.py
@@ -1,4 +1,4 @@
-"""Reads the blocks `distribution`: a node of the distribution tree, or the nodes that a director follows."""
+"""Reads `distribution` blocks: a node of the distribution tree, or the nodes that a director follows."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Role(Enum):
-    """What a node of the tree does."""
+    """The role of a node in the distribution tree."""
 
     PUBLISHER = "publisher"
     RELAY = "relay"
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DocumentFile:
-    """A document that the publisher sends from a file."""
+    """A document that the publisher reads from a file and distributes."""
 
     name: str
     file: Path
@@ -42,15 +42,15 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeConfig:
-    """One node of the tree."""
+    """The configuration of one node of the distribution tree."""
 
     name: str
     role: Role
     listen: Address
     parents: tuple[Address, ...]
-    """Of a relay the nodes that it follows, of the publisher the coordinator, if it has one."""
+    """The nodes that a relay follows; for the publisher, its coordinator if it has one."""
     width: int
-    """Subscribers at once."""
+    """Limit on concurrent subscribers."""
     admission: AdmissionLimits
     retention_ms: int
     bulk_bytes_per_s: float
@@ -59,20 +59,20 @@
 
     @property
     def seed(self) -> int:
-        """For the waits between reconnects, different for each node."""
+        """Return the seed of the delays between reconnects, which differs from node to node."""
         return crc32(self.name.encode())
 
 
 @dataclass(frozen=True, slots=True)
 class FeedConfig:
-    """The nodes that a director follows in place of the coordinator."""
+    """The nodes that a director follows instead of the coordinator."""
 
     parents: tuple[Address, ...]
     stale_after_us: int
 
 
 def read_parents(row: Fields) -> tuple[Address, ...]:
-    """The field `parents`: addresses, the preferred one first."""
+    """Read the field `parents`: addresses in order of preference."""
     texts = row.strings("parents")
     if not 1 <= len(texts) <= MAX_PARENTS:
         raise row.error("parents", f"has {len(texts)} addresses, expected 1 to {MAX_PARENTS}")
@@ -86,7 +86,7 @@
 
 
 def read_feed(row: Fields) -> FeedConfig:
-    """The block `distribution` of a director's service file."""
+    """Read the block `distribution` of a director's service file."""
     feed = FeedConfig(
         parents=read_parents(row),
         stale_after_us=row.duration("stale_after", S_US, MAX_STALE_AFTER_US, DEFAULT_STALE_AFTER_US),
@@ -104,7 +104,7 @@
 
 
 def _read_sources(row: Fields, role: Role) -> tuple[Address, ...]:
-    """The nodes that a relay follows, or the publisher's coordinator."""
+    """Return the nodes that a relay follows, or the publisher's coordinator if it has one."""
     if role is Role.RELAY:
         return read_parents(row)
     return (row.address("coordinator"),) if row.string("coordinator", "") else ()
@@ -136,7 +136,7 @@
 
 
 def load_node(path: Path) -> NodeConfig:
-    """The node that a file asks for; ConfigError names file, line and field."""
+    """Load a node's configuration from a file. Raises ConfigError, which names file, line and field."""
     top = Fields(hcl.read(path), path.name)
     row = top.single_block("distribution")
     if row is None:
--- a/onyxwick/config/errors.py
+++ b/onyxwick/config/errors.py
@@ -1,4 +1,4 @@
-"""The errors of all configuration readers: what was found, where, and what was expected or likely meant."""
+"""Errors of all configuration readers: they state value, location, expectation and likely intent."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from onyxwick.errors import OnyxwickError
 
 MIN_SIMILARITY = 0.6
-"""How similar a known word must be to be suggested, between 0 and 1."""
+"""The lowest similarity, from 0 to 1, at which a known word is suggested."""
 
 
 class ConfigError(OnyxwickError):
-    """The configuration cannot be used.
+    """The configuration is invalid.
 
-    The message names file, line, field and the likely intent, as far as they are known; `file`, `line` and
-    `field` hold the same for programs, empty or 0 where unknown.
+    The message names file, line, field and the likely intent, as far as they are known. The attributes
+    `file`, `line` and `field` give programs the same location; they are empty or 0 if unknown.
     """
 
     def __init__(self, message: str, *, file: str = "", line: int = 0, field: str = "") -> None:
@@ -27,16 +27,16 @@
 
     @classmethod
     def at(cls, file: str, line: int, text: str, field: str = "") -> Self:
-        """The error at a line of a file, and in a field if one is named."""
-        what = f"field '{field}': {text}" if field else text
-        return cls(f"{file}:{line}: {what}", file=file, line=line, field=field)
+        """Create the error for a line of a file and, if `field` is given, a field."""
+        description = f"field '{field}': {text}" if field else text
+        return cls(f"{file}:{line}: {description}", file=file, line=line, field=field)
 
 
 class ConfigUnreadableError(ConfigError):
-    """A file could not be read for a reason that passes: the read is to be retried."""
+    """A file could not be read for a transient reason; the caller should retry the read."""
 
 
-_TRANSIENT = frozenset(
+_TRANSIENT_ERRNOS = frozenset(
     {
         errno.EAGAIN,
         errno.EBUSY,
@@ -52,14 +52,14 @@
 
 
 def unreadable_error(error: OSError, where: str) -> ConfigError:
-    """The error to raise where a file of the configuration cannot be read."""
-    kind = ConfigUnreadableError if error.errno in _TRANSIENT else ConfigError
+    """Return the error to raise if a configuration file cannot be read: transient or permanent."""
+    kind = ConfigUnreadableError if error.errno in _TRANSIENT_ERRNOS else ConfigError
     return kind(f"{where}: {error}")
 
 
 def suggestion(word: str, known: Iterable[str]) -> str:
-    """The known word that was likely meant, as the end of a sentence; empty where none is similar."""
-    import difflib  # here: a director with a valid configuration never needs it
+    """Return the most similar known word as the end of a sentence; empty if no known word is similar."""
+    import difflib  # Imported on use: a director with a valid configuration never needs it.
 
     similar = difflib.get_close_matches(word, list(known), 1, MIN_SIMILARITY)
     return f"; did you mean '{similar[0]}'?" if similar else ""
--- a/onyxwick/config/fields.py
+++ b/onyxwick/config/fields.py
@@ -1,6 +1,6 @@
-"""Typed reading of one HCL block: each error says what was found, where, what was expected and likely meant.
+"""Typed reading of one HCL block; errors state value, location, expectation and the likely intended value.
 
-A reader asks for each field by name and kind; `reject_unknown` then reports fields that nobody asked for.
+A reader requests each field by name and type; `reject_unknown` then reports fields that were not requested.
 """
 
 from __future__ import annotations
@@ -14,22 +14,22 @@
 from onyxwick.config.hcl import Block, Value
 
 US_PER_UNIT = {"us": 1, "ms": 1_000, "s": 1_000_000, "min": 60_000_000, "h": 3_600_000_000}
-"""The units of durations, in microseconds."""
+"""Microseconds per unit of a duration."""
 LOOPBACK_PREFIX = "127."
 REQUIRED = object()
-"""The default of a field that must be set."""
+"""Passed as the default, marks a field that must be set."""
 _UNSET = object()
 
 _match_duration = re.compile(r"([0-9]+(?:\.[0-9]+)?) ?([a-z]+)").fullmatch
 is_name = re.compile(r"[a-z0-9][a-z0-9-]{0,62}").fullmatch
-"""Whether a text is a name of small letters, digits and hyphens."""
+"""Match a name of lowercase letters, digits and hyphens; None if the text is not one."""
 
 
 class Fields:
-    """The attributes and blocks of one block.
+    """Reads the attributes and nested blocks of one block.
 
-    Each reading method takes a field's name and its default, and raises ConfigError where the field is
-    missing without a default or has another form. `path` is the block's place in the file, for messages.
+    Each reading method takes a field's name and its default, and raises ConfigError if a field without a
+    default is missing or if the value has another type. `path` locates the block in error messages.
     """
 
     def __init__(self, block: Block, file: str, path: str = "") -> None:
@@ -41,29 +41,29 @@
 
     @property
     def label(self) -> str:
-        """The block's first label."""
+        """Return the block's first label."""
         return self.block.labels[0]
 
     @property
     def line(self) -> int:
-        """The line on which the block begins."""
+        """Return the line on which the block begins."""
         return self.block.line
 
     def error(self, field: str, text: str, line: int | None = None) -> ConfigError:
-        """The error of a field; by default at the field's own line, or the block's where it is not set."""
+        """Create the error for a field, by default at the field's line, or the block's if it is not set."""
         value = self.block.attributes.get(field)
         at_line = line or (value.line if value else self.line)
         path = f"{self.path}.{field}" if self.path else field
         return ConfigError.at(self.file, at_line, text, path)
 
     def block_error(self, text: str) -> ConfigError:
-        """The error of the block itself."""
+        """Create the error for the block itself."""
         return ConfigError.at(self.file, self.line, f"{self.path}: {text}")
 
     # ---- single values -----------------------------------------------------------------------------------
 
     def _get(self, name: str, default: Any) -> Any:
-        """The plain value, or `_UNSET` where the default holds."""
+        """Return the plain value, or `_UNSET` if the default applies."""
         self.requested_fields[name] = None
         value = self.block.attributes.get(name)
         if value is not None and value.data is not None:
@@ -73,7 +73,7 @@
         return _UNSET
 
     def string(self, name: str, default: Any = REQUIRED) -> str:
-        """A text."""
+        """Return a text field."""
         value = self._get(name, default)
         if value is _UNSET:
             return str(default)
@@ -82,20 +82,20 @@
         return value
 
     def name(self, name: str, default: Any = REQUIRED) -> str:
-        """A name of small letters, digits and hyphens."""
+        """Return a text field that must be a name of lowercase letters, digits and hyphens."""
         value = self.string(name, default)
         if value and not is_name(value):
-            raise self.error(name, f"{value!r} is no name of small letters, digits and hyphens")
+            raise self.error(name, f"{value!r} is not a name of lowercase letters, digits and hyphens")
         return value
 
     def own_name(self) -> str:
-        """The block's label, which must be a name."""
+        """Return the block's label, which must be a name of lowercase letters, digits and hyphens."""
         if not is_name(self.label):
-            raise self.block_error(f"'{self.label}' is no name of small letters, digits and hyphens")
+            raise self.block_error(f"'{self.label}' is not a name of lowercase letters, digits and hyphens")
         return self.label
 
     def number(self, name: str, lowest: float, highest: float, default: Any = REQUIRED) -> float:
-        """A number between two bounds, both included."""
+        """Return a number between two bounds, both included."""
         value = self._get(name, default)
         if value is _UNSET:
             return float(default)
@@ -106,21 +106,24 @@
         return float(value)
 
     def integer(self, name: str, lowest: int, highest: int, default: Any = REQUIRED) -> int:
-        """A whole number between two bounds, both included."""
+        """Return an integer between two bounds, both included."""
         value = self.number(name, lowest, highest, default)
         if value != int(value):
-            raise self.error(name, f"{value:g} is no whole number")
+            raise self.error(name, f"{value:g} is not an integer")
         return int(value)
 
     def fraction(self, name: str, default: Any = REQUIRED) -> float:
-        """A number from 0 to 1; a percentage is recognised in the message."""
+        """Return a number from 0 to 1. For a percentage, the error suggests the fraction."""
         value = self._get(name, default)
         if isinstance(value, int | float) and 1 < value <= 100:
             raise self.error(name, f"a share lies between 0 and 1; did you mean {value / 100:g}?")
         return self.number(name, 0, 1, default)
 
     def duration(self, name: str, lowest_us: int, highest_us: int, default: Any = REQUIRED) -> int:
-        """A text with a unit, as "500ms", in microseconds; the default is in microseconds too."""
+        """Return in microseconds a duration written with a unit, for example "500ms".
+
+        The default is in microseconds.
+        """
         value = self._get(name, default)
         if value is _UNSET:
             return int(default)
@@ -139,7 +142,7 @@
         return duration_us
 
     def flag(self, name: str, default: Any = REQUIRED) -> bool:
-        """`true` or `false`."""
+        """Return a boolean field."""
         value = self._get(name, default)
         if value is _UNSET:
             return bool(default)
@@ -148,7 +151,7 @@
         return value
 
     def choice(self, name: str, known: Iterable[str], default: Any = REQUIRED) -> str:
-        """One of the known words."""
+        """Return a text field that must be one of the known words."""
         value = self.string(name, default)
         words = list(known)
         if value not in words:
@@ -156,20 +159,20 @@
         return value
 
     def address(self, name: str, loopback: bool = False) -> Address:
-        """`HOST:PORT`, on the loopback network if so demanded."""
+        """Return a field of the form `HOST:PORT`, which `loopback` restricts to 127.0.0.0/8."""
         text = self.string(name)
         try:
             address = read_address(text)
         except AddressError as error:
             raise self.error(name, str(error)) from None
         if loopback and not address[0].startswith(LOOPBACK_PREFIX):
-            raise self.error(name, f"{text} is no loopback address")
+            raise self.error(name, f"{text} is not a loopback address (127.x.x.x)")
         return address
 
     # ---- lists, objects and blocks -----------------------------------------------------------------------
 
     def strings(self, name: str, default: Any = REQUIRED) -> list[str]:
-        """A list of different texts."""
+        """Return a list of texts without duplicates."""
         value = self._get(name, default)
         if value is _UNSET:
             return list(default)
@@ -179,11 +182,11 @@
             raise self.error(name, f"expected a list of texts, found {value!r}")
         repeated = next((each for n, each in enumerate(value) if each in value[:n]), None)
         if repeated is not None:
-            raise self.error(name, f"{repeated!r} stands twice in the list")
+            raise self.error(name, f"{repeated!r} appears twice in the list")
         return value
 
     def items(self, name: str) -> dict[str, Value]:
-        """An object's pairs with their lines; empty where it is not set."""
+        """Return an object's pairs, whose values keep their lines; empty if the field is not set."""
         self.requested_fields[name] = None
         value = self.block.attributes.get(name)
         if value is None:
@@ -193,7 +196,7 @@
         return value.data
 
     def blocks(self, type_name: str, labels: int = 0) -> list[Fields]:
-        """The blocks of a type with so many labels each; no two may have the same labels."""
+        """Return the blocks of a type, each with exactly `labels` labels and no two with the same labels."""
         self.requested_blocks[type_name] = None
         rows = []
         first_lines = dict[tuple[str, ...], int]()
@@ -201,7 +204,7 @@
             self._check_labels(block, labels)
             key = tuple(block.labels)
             if labels and key in first_lines:
-                text = f"block '{type_name}' \"{key[0]}\" stands twice, first on line {first_lines[key]}"
+                text = f"block '{type_name}' \"{key[0]}\" is repeated, first on line {first_lines[key]}"
                 raise ConfigError.at(self.file, block.line, text)
             first_lines[key] = block.line
             prefix = f"{self.path}." if self.path else ""
@@ -212,26 +215,26 @@
         found = len(block.labels)
         if found != labels:
             example = " ".join((block.type, *['"NAME"'] * labels))
-            expected = f"{labels} label{'s' * (labels != 1)}, as {example}"
+            expected = f"{labels} label{'s' * (labels != 1)}, as in {example}"
             text = f"a block '{block.type}' has {expected}, found {found}"
             raise ConfigError.at(self.file, block.line, text)
 
     def single_block(self, type_name: str) -> Fields | None:
-        """The one block of a type without labels; None where there is none."""
+        """Return the only block of a type without labels; None if there is no such block."""
         rows = self.blocks(type_name)
         if len(rows) > 1:
-            text = f"block '{type_name}' stands twice; one is allowed"
+            text = f"block '{type_name}' is repeated; only one is allowed"
             raise ConfigError.at(self.file, rows[1].line, text)
         return rows[0] if rows else None
 
     # ---- completeness ------------------------------------------------------------------------------------
 
     def accept(self, names: Iterable[str]) -> None:
-        """Count fields as known that another reader takes."""
+        """Treat the fields as known, because another reader uses them."""
         self.requested_fields.update(dict.fromkeys(names))
 
     def reject_unknown(self) -> None:
-        """ConfigError for a field or block that nobody asked for: a misspelt one would have no effect."""
+        """Raise ConfigError for a field or block that was not requested: a misspelled one has no effect."""
         for name, value in self.block.attributes.items():
             if name not in self.requested_fields:
                 hint = suggestion(name, self.requested_fields)
@@ -243,7 +246,7 @@
 
 
 def _unit_suggestion(number: str, unit: str, lowest_us: int, highest_us: int) -> str:
-    """The unit with which a duration would lie between its bounds, as the end of a sentence."""
+    """Suggest, as the end of a sentence, a unit with which the duration would be within its bounds."""
     for other, us_per_unit in US_PER_UNIT.items():
         if other != unit and lowest_us <= float(number) * us_per_unit <= highest_us:
             return f'; did you mean "{number}{other}"?'
@@ -251,7 +254,7 @@
 
 
 def format_duration(duration_us: int) -> str:
-    """A duration in its largest unit without a remainder."""
+    """Return a duration in the largest unit that divides it without a remainder."""
     if not duration_us:
         return "0ms"
     exact = [unit for unit, us_per_unit in US_PER_UNIT.items() if duration_us % us_per_unit == 0]
--- a/onyxwick/config/hcl.py
+++ b/onyxwick/config/hcl.py
@@ -1,8 +1,9 @@
-"""Reads HCL as the configuration files use it: attributes, blocks with labels, literals, lists and objects.
+"""Parses the HCL subset of the configuration files: attributes, labelled blocks, literals, lists, objects.
 
-The syntax is the HashiCorp Configuration Language's native one, without variables, functions, operators and
-templates: a configuration states values and computes nothing. Every attribute, value and block keeps its
-line, which the registry's HCL reader loses for attributes; hence a grammar of its own under lark.
+The syntax is the native syntax of the HashiCorp Configuration Language without variables, functions,
+operators and templates: a configuration states values and computes nothing. Every attribute, value and block
+records its line. The HCL reader of the package registry loses the lines of attributes, so this module has its
+own grammar, which lark parses.
 """
 
 from __future__ import annotations
@@ -19,12 +20,12 @@
 from onyxwick.config.errors import ConfigError
 
 MAX_FILE_BYTES = 16_777_216
-"""A bound on memory, far over what 10,000 tenants take."""
+"""Bounds memory use; far more than a file with 10,000 tenants needs."""
 MAX_DEPTH = 32
-"""Of blocks, lists and objects in one another."""
+"""Limit on the nesting of blocks, and on the nesting of lists and objects."""
 ESCAPES = {"n": "\n", "r": "\r", "t": "\t", '"': '"', "\\": "\\"}
 UNICODE_DIGITS = {"u": 4, "U": 8}
-"""The hexadecimal digits behind each escape of a code point."""
+"""The number of hexadecimal digits after each escape of a code point."""
 MAX_CODE_POINT = 0x10FFFF
 HEXADECIMAL = frozenset("0123456789abcdefABCDEF")
 LITERALS = {"true": True, "false": False, "null": None}
@@ -51,13 +52,13 @@
 
 @dataclass(slots=True)
 class Value:
-    """A literal (text, number, boolean, None), a list of values or an object of them, with its line."""
+    """A literal (text, number, boolean, None), a list of values or an object of values, with its line."""
 
     data: Any
     line: int
 
     def plain(self) -> Any:
-        """The same without lines."""
+        """Return the value as plain Python data, without lines."""
         if isinstance(self.data, list):
             return [inner.plain() for inner in self.data]
         if isinstance(self.data, dict):
@@ -67,7 +68,7 @@
 
 @dataclass(slots=True)
 class Block:
-    """A block with its labels; the file itself is one without a type."""
+    """A block with its labels. The file itself is a block with an empty type."""
 
     type: str
     labels: list[str]
@@ -76,7 +77,7 @@
     blocks: list[Block] = field(default_factory=list)
 
     def blocks_of(self, type_name: str) -> Iterator[Block]:
-        """The blocks of a type, in the file's order."""
+        """Return the nested blocks of a type, in file order."""
         return (block for block in self.blocks if block.type == type_name)
 
 
@@ -86,7 +87,7 @@
 
 
 class _TreeReader:
-    """Turns lark's tree into blocks; errors name file and line."""
+    """Converts lark's syntax tree into blocks; errors name file and line."""
 
     def __init__(self, file: str) -> None:
         self.file = file
@@ -97,7 +98,7 @@
     def read_body(self, out: Block, items: list[Any], depth: int = 0) -> Block:
         """Add attributes and blocks to a block."""
         if depth > MAX_DEPTH:
-            raise self.error(out.line, f"blocks lie over {MAX_DEPTH} deep")
+            raise self.error(out.line, f"blocks are nested over {MAX_DEPTH} deep")
         line = 0
         for item in items:
             if item.meta.line == line:
@@ -126,7 +127,7 @@
     def read_value(self, node: Any, depth: int = 0) -> Value:
         if depth > MAX_DEPTH:
             line = node.meta.line if isinstance(node, Tree) else node.line or 0
-            raise self.error(line, f"values lie over {MAX_DEPTH} deep")
+            raise self.error(line, f"values are nested over {MAX_DEPTH} deep")
         if not isinstance(node, Tree):
             return Value(self.read_literal(node), node.line or 0)
         if node.data == "list":
@@ -144,7 +145,7 @@
                 return float(text) if any(mark in text for mark in ".eE") else int(text)
         if text not in LITERALS:
             meant = f'the text "{text}"'
-            problem = f"'{text}' is no value: names are not looked up here; did you mean {meant}?"
+            problem = f"'{text}' is not a value: there are no variables here; did you mean {meant}?"
             raise self.error(token.line or 0, problem)
         return LITERALS[text]
 
@@ -156,19 +157,19 @@
             assert isinstance(key, Token)
             name = self.read_name(key)
             if name in pairs:
-                raise self.error(key.line or 0, f"key '{name}' stands twice in one object")
+                raise self.error(key.line or 0, f"key '{name}' is repeated in one object")
             pairs[name] = self.read_value(value, depth + 1)
         return pairs
 
     def read_name(self, token: Token) -> str:
-        """A label or a key: quoted or bare."""
+        """Return the text of a label or key, which is quoted or bare."""
         return self.read_string(token) if token.type == "STRING" else str(token)
 
     def read_string(self, token: Token) -> str:
-        """A quoted text with its escapes resolved."""
+        """Decode a quoted text and its escapes."""
         raw = str(token)[1:-1]
         if "${" in raw.replace("$${", "") or "%{" in raw.replace("%%{", ""):
-            problem = "templates are not filled in here; write '$${' for the two marks"
+            problem = "templates are not supported here; write '$${' for a literal '${'"
             raise self.error(token.line or 0, problem)
         parts = list[str]()
         at = 0
@@ -183,7 +184,7 @@
         return "".join(parts).replace("$${", "${").replace("%%{", "%{")
 
     def read_escape(self, raw: str, at: int, line: int) -> tuple[str, int]:
-        """The character of the escape behind a backslash, and how many characters it takes."""
+        """Decode the escape after a backslash: return its character and how many characters it occupies."""
         kind = raw[at]
         if kind in ESCAPES:
             return ESCAPES[kind], 1
@@ -204,41 +205,41 @@
 
 
 def _describe(error: UnexpectedInput, text: str) -> str:
-    """What is wrong at the place of a syntax error, and what was likely meant."""
+    """Describe a syntax error and the likely intent."""
     if isinstance(error, UnexpectedEOF) or getattr(getattr(error, "token", None), "type", "") == "$END":
         return "the file ends inside a block, a list or a text; is a closing '}' or ']' missing?"
     lines = text.split("\n")
     line = lines[error.line - 1].strip()[:QUOTED_LINE_CHARACTERS] if 0 < error.line <= len(lines) else ""
     found = getattr(error, "token", None) or getattr(error, "char", "")
     if isinstance(error, UnexpectedCharacters) and error.char == '"':
-        return f"a text has no end: {line!r}; is a closing '\"' missing?"
+        return f"a text is not terminated: {line!r}; is a closing '\"' missing?"
     if found == ":":
         return f"unexpected ':' in {line!r}; did you mean '='?"
     if found == "(":
-        return f"unexpected '(' in {line!r}: there are no functions here; write the value itself"
+        return f"unexpected '(' in {line!r}: functions are not supported; write the value itself"
     return f"unexpected {str(found)[:QUOTED_TOKEN_CHARACTERS]!r} in {line!r}"
 
 
 def parse(text: str, file: str) -> Block:
-    """The blocks of an HCL text; ConfigError names file, line and what was likely meant."""
+    """Parse an HCL text. Raises ConfigError, which names file, line and the likely intent."""
     if len(text) > MAX_FILE_BYTES:
-        raise ConfigError.at(file, 1, f"over {MAX_FILE_BYTES} bytes")
+        raise ConfigError.at(file, 1, f"the file is longer than {MAX_FILE_BYTES} characters")
     try:
         tree = _parser().parse(text)
     except UnexpectedInput as error:
         line = error.line if error.line > 0 else text.count("\n") + 1
         raise ConfigError.at(file, line, _describe(error, text)) from None
     except RecursionError:
-        raise ConfigError.at(file, 1, f"values lie over {MAX_DEPTH} deep") from None
+        raise ConfigError.at(file, 1, f"values are nested over {MAX_DEPTH} deep") from None
     return _TreeReader(file).read_body(Block("", [], 1), tree.children)
 
 
 def read(path: Path) -> Block:
-    """The blocks of an HCL file; ConfigError where it cannot be read or parsed."""
+    """Read and parse an HCL file. Raises ConfigError if it cannot be read or parsed."""
     try:
         return parse(path.read_text(encoding="utf-8"), path.name)
     except OSError as error:
         raise ConfigError(f"{path.name}: {error.strerror}", file=path.name) from None
     except UnicodeDecodeError as error:
-        problem = f"{path.name}: byte {error.start} is no UTF-8 text"
+        problem = f"{path.name}: byte {error.start} is not valid UTF-8"
         raise ConfigError(problem, file=path.name) from None
--- a/onyxwick/config/service.py
+++ b/onyxwick/config/service.py
@@ -1,6 +1,7 @@
-"""The hosted service's configuration: an HCL file of its own. Without it DNS front and API are off.
+"""The hosted service's configuration, a separate HCL file. Without it the DNS front and the API are off.
 
-Sizes are bytes, durations microseconds; the file has megabytes and units.
+Sizes here are in bytes and durations in microseconds; the file gives sizes in megabytes (2**20 bytes) and
+durations with their units.
 """
 
 from __future__ import annotations
@@ -39,14 +40,14 @@
 MAX_QUOTA_PER_S = 1e6
 MIN_TOKEN_CHARACTERS = 16
 MB_SHIFT = 20
-"""Megabytes to bytes, by a shift."""
+"""Shifting megabytes left by this many bits gives bytes."""
 CELL_BLOCKS = ("cells", "cell", "move")
 SITE_BLOCKS = ("sites", "site", "hub", "archive", "path", "load")
 
 
 @dataclass(slots=True)
 class ServiceConfig:
-    """Where DNS front and administration API listen (None: off), and the parts that are configured."""
+    """Where the DNS front and the administration API listen (None: off), and the optional parts."""
 
     tenants: Tenants
     dns_address: Address | None = None
@@ -54,54 +55,54 @@
     admin_address: Address | None = None
     admin_token: str = ""
     cell_plan: CellPlan | None = None
-    """None: one router for all tenants."""
+    """None means one router for all tenants."""
     trace: TraceConfig | None = None
     store: StoreConfig | None = None
     sites: SitesConfig | None = None
-    """None: other sites are unknown."""
+    """None means that this director knows no other sites."""
     feed: FeedConfig | None = None
-    """None: the coordinator is followed directly."""
+    """None means that the director follows the coordinator directly."""
 
 
 @dataclass(frozen=True, slots=True)
 class SitesConfig:
-    """The topology, and the file with its plan; without one the director makes the plan as it starts."""
+    """The topology and its plan file; without a plan file the director computes the plan at its start."""
 
     topology: Topology
     plan_file: Path | None
     source_file: str
-    """The name of the file with the topology, for messages."""
+    """The name of the file that contains the topology, for messages."""
 
 
 @dataclass(frozen=True, slots=True)
 class StoreConfig:
-    """Where durable data is kept. `installation`: a store of another installation is rejected."""
+    """Where durable data is stored. A store that belongs to another `installation` is rejected."""
 
     folder: Path
     key_file: Path
     installation: str
     persists_bookings: bool
-    """The intent of each non-idempotent request is durable before it is sent (field `bookings`)."""
+    """Whether each non-idempotent request is recorded durably before it is sent (field `bookings`)."""
     max_log_bytes: int
     max_total_bytes: int
 
 
 @dataclass(frozen=True, slots=True)
 class TraceConfig:
-    """Where traces are written, and how much of them is kept."""
+    """Where traces are written, and how much trace data is retained."""
 
     folder: Path
     starts_enabled: bool
-    """Traces from the start; otherwise from SIGUSR2 on."""
+    """Whether tracing is on from the start; otherwise SIGUSR2 turns it on."""
     signal_duration_us: int
-    """How long SIGUSR2 enables it."""
+    """How long tracing stays on after SIGUSR2."""
     max_file_bytes: int
     max_file_age_us: int
     max_total_bytes: int
 
 
 def _read_tenant(row: Fields, folder: Path, tenants: Tenants) -> None:
-    """Add one tenant with its keys and zones; ConfigError or TenantError where it cannot be used."""
+    """Add one tenant with its keys and zones. Raises ConfigError or TenantError if the row is invalid."""
     quota = read_quota(row.number("quota_per_s", 0, MAX_QUOTA_PER_S, DEFAULT_QUOTA_PER_S))
     tenant = Tenant(row.label, quota, row.string("token", ""))
     tenants.add(tenant)
@@ -125,7 +126,7 @@
     except OSError as error:
         raise row.error("token_file", f"{path.name}: {error.strerror}") from None
     if len(token) < MIN_TOKEN_CHARACTERS:
-        problem = f"{path.name} holds no token of {MIN_TOKEN_CHARACTERS} characters or more"
+        problem = f"{path.name} holds no token of at least {MIN_TOKEN_CHARACTERS} characters"
         raise row.error("token_file", problem)
     return token
 
@@ -140,11 +141,11 @@
         max_total_bytes=row.integer("total_mb", 2, 1_000_000, 512) << MB_SHIFT,
     )
     if not store.key_file.exists():
-        problem = f"{store.key_file.name} is not there; `onyxwick store new-key` prints a key"
+        problem = f"{store.key_file.name} does not exist; `onyxwick store new-key` prints a key"
         raise row.error("key_file", problem)
     if store.max_total_bytes < 2 * store.max_log_bytes:
         log_mb = store.max_log_bytes >> MB_SHIFT
-        raise row.error("total_mb", f"is under twice log_mb ({log_mb}): no room for a compaction")
+        raise row.error("total_mb", f"is less than twice log_mb ({log_mb}): no room for a compaction")
     row.reject_unknown()
     return store
 
@@ -160,7 +161,7 @@
     )
     if trace.max_total_bytes < 2 * trace.max_file_bytes:
         file_mb = trace.max_file_bytes >> MB_SHIFT
-        raise row.error("total_mb", f"holds no two files of {file_mb} MB; did you mean 'file_mb'?")
+        raise row.error("total_mb", f"is less than two files of {file_mb} MB; did you mean 'file_mb'?")
     row.reject_unknown()
     return trace
 
@@ -179,7 +180,7 @@
 
 
 def _read_cells(top: Fields, config: ServiceConfig) -> Callable[[Fields], CellTenant] | None:
-    """Read the plan of cells, if there is one; the reader of a tenant's fields that concern it."""
+    """Read the cell plan, if there is one, and return the reader of a tenant's cell fields; None without."""
     if not any(block.type in CELL_BLOCKS for block in top.block.blocks):
         return None
     from onyxwick.config.cells import read_plan, read_tenant
@@ -198,7 +199,7 @@
 
 
 def read(top: Fields, folder: Path) -> ServiceConfig:
-    """The service in a file's blocks; relative paths start at `folder`."""
+    """Read the service configuration from a file's blocks; relative paths are relative to `folder`."""
     config = ServiceConfig(Tenants())
     _read_fronts(top, folder, config)
     if row := top.single_block("store"):
@@ -213,7 +214,9 @@
     _read_sites(top, folder, config)
     for row in top.blocks("tenant", labels=1):
         if read_cell_tenant is not None:
-            read_cell_tenant(row)  # read with the plan already; again so that its fields count as known
+            # `read_plan` has read these fields from other Fields objects. Reading them again here makes
+            # them known to `reject_unknown`.
+            read_cell_tenant(row)
         try:
             _read_tenant(row, folder, config.tenants)
         except TenantError as error:
@@ -224,5 +227,5 @@
 
 
 def load(path: Path) -> ServiceConfig:
-    """The service that a file asks for; ConfigError names file, line and field."""
+    """Load the service configuration from a file. Raises ConfigError, which names file, line and field."""
     return read(Fields(hcl.read(path), path.name), path.parent)
--- a/onyxwick/config/sites.py
+++ b/onyxwick/config/sites.py
@@ -1,6 +1,7 @@
-"""Reads the topology of sites from the service file's blocks, and the plan file that belongs to it.
+"""Reads the site topology from the service file's blocks, and its plan file.
 
-Output is a checked `Topology`; durations are microseconds, capacities transfers at once, rates a second.
+The readers return a validated `Topology`. Durations are in microseconds, capacities in concurrent transfers,
+and rates per second.
 """
 
 from __future__ import annotations
@@ -45,7 +46,7 @@
 MAX_CACHES = 100_000
 MAX_STEPS = 100
 MAX_SITES_PLANNED_AT_START = 24
-"""Up to so many sites a director makes the plan itself; for more the file names one."""
+"""A director computes the plan itself for at most this many sites; beyond, the file must name a plan."""
 BLOCKS = ("sites", "site", "hub", "archive", "path", "load")
 REQUIRED_BLOCKS = {
     "sites": "{ ... }",
@@ -53,11 +54,11 @@
     "archive": "{ ... }",
     "load": '"CLASS"',
 }
-"""The blocks without which a topology is incomplete, with an example of what follows the type."""
+"""The block types that every topology needs, each with an example of what follows the type."""
 
 
 class ConfiguredSites(NamedTuple):
-    """The topology in a file, and the file with its plan, if it names one."""
+    """The topology in a file, and the plan file that it names; None if it names no plan file."""
 
     topology: Topology
     plan_file: Path | None
@@ -65,20 +66,20 @@
 
 @dataclass(frozen=True, slots=True)
 class _SitesBlock:
-    """The block `sites`."""
+    """The contents of the block `sites`."""
 
     policy: SitePolicy
     reserves: dict[str, float]
-    """By tenant: the share of its load that is kept."""
+    """The share of each tenant's load that is reserved, by tenant name."""
     plan: str
-    """The plan file's path, or empty."""
+    """The plan file's path, or empty if there is none."""
 
 
 # ---- rows ------------------------------------------------------------------------------------------------
 
 
 def _number_between(value: Value, lowest: float, highest: float) -> float | None:
-    """The number in a value; None where it is none or out of bounds."""
+    """Return the number in a value; None if it is not a number or out of bounds."""
     number = value.plain()
     if isinstance(number, bool) or not isinstance(number, int | float):
         return None
@@ -125,7 +126,7 @@
         one, other = row.block.labels
         ends = frozenset((one, other))
         if len(ends) < 2 or ends in links:
-            problem = "leads from a place to itself" if len(ends) < 2 else "stands twice, once in each order"
+            problem = "connects a place to itself" if len(ends) < 2 else "is repeated with its ends swapped"
             raise ConfigError.at(row.file, row.line, f'path "{one}" "{other}" {problem}')
         links[ends] = NetworkLink(
             ends=(one, other),
@@ -151,7 +152,7 @@
 
 
 def _read_loads(row: Fields) -> list[OfferedLoad]:
-    """The rates of one class, by site or by site and tenant."""
+    """Read the rates of one class, by site or by site and tenant."""
     loads = []
     for key, value in row.items("rate_per_s").items():
         rate = _number_between(value, 0, MAX_RATE_PER_S)
@@ -180,7 +181,7 @@
 def _read_policy(row: Fields) -> SitePolicy:
     site_field = row.string("field", DEFAULT_SITE_FIELD)
     if not is_field_name(site_field):
-        raise row.error("field", f"{site_field!r} is no name of a request field, as {DEFAULT_SITE_FIELD}")
+        raise row.error("field", f"{site_field!r} is not a request field name such as {DEFAULT_SITE_FIELD}")
     usual = SitePolicy()
     return SitePolicy(
         client_site_field=site_field,
@@ -200,10 +201,10 @@
 
 
 def read_sites(top: Fields, folder: Path) -> ConfiguredSites | None:
-    """The topology in a file's blocks; None where the file has no such block.
+    """Read the topology from a file's blocks; None if the file has no topology blocks.
 
-    ConfigError names file, line and field; an incomplete topology is an error too. The path of the plan file
-    starts at `folder`.
+    Raises ConfigError, which names file, line and field, also if the topology is incomplete. The plan file's
+    path is relative to `folder`.
     """
     blocks = [block for block in top.block.blocks if block.type in BLOCKS]
     if not blocks:
@@ -214,7 +215,7 @@
     if not sites.plan and len(topology.sites) > MAX_SITES_PLANNED_AT_START:
         line = next(block.line for block in blocks if block.type == "sites")
         problem = (
-            f"is missing; for over {MAX_SITES_PLANNED_AT_START} sites the plan is made beforehand, by"
+            f"is missing; for more than {MAX_SITES_PLANNED_AT_START} sites compute the plan beforehand with"
             " `onyxwick sites plan FILE --out PLAN.json`"
         )
         raise ConfigError.at(top.file, line, problem, "sites.plan")
@@ -222,20 +223,20 @@
 
 
 def _check_complete(top: Fields, blocks: list[Block]) -> None:
-    """ConfigError where one of the blocks that belong together is missing."""
+    """Raise ConfigError if one of the blocks that every topology needs is missing."""
     for kind, example in REQUIRED_BLOCKS.items():
         if any(block.type == kind for block in blocks):
             continue
         first = min(blocks, key=lambda block: BLOCKS.index(block.type))
         problem = (
-            f"block '{first.type}' without any block '{kind}': a topology needs one, as {kind} {example}"
+            f"block '{first.type}' without any block '{kind}': a topology needs it, as in {kind} {example}"
         )
         raise ConfigError.at(top.file, first.line, problem)
 
 
 def _read_topology(top: Fields, sites: _SitesBlock) -> Topology:
     archive = top.single_block("archive")
-    assert archive is not None, "checked before"
+    assert archive is not None, "_check_complete requires the block 'archive'"
     classes: dict[str, PlannedClass] = {}
     loads: list[OfferedLoad] = []
     for row in top.blocks("load", 1):
@@ -259,7 +260,7 @@
 
 
 def _located(top: Fields, error: TopologyError) -> ConfigError:
-    """A topology's error with the file and line of the row that it names."""
+    """Convert a topology error to a ConfigError with the file and line of the block that it names."""
     for block in top.block.blocks_of(error.kind):
         if error.name in (*block.labels, "") or " - ".join(block.labels) == error.name:
             label = " ".join((error.kind, *block.labels))
@@ -271,7 +272,7 @@
 
 
 def read_plan(top: Topology, path: Path) -> SitePlan:
-    """A plan that `onyxwick sites plan` has written; ConfigError where it does not fit the topology."""
+    """Read a plan written by `onyxwick sites plan`. Raises ConfigError if it does not match the topology."""
     try:
         return plan_from_json(top, json.loads(path.read_text()))
     except OSError as error:
@@ -282,7 +283,7 @@
 
 
 def check_against(top: Topology, settings: RouterSettings, file: str) -> None:
-    """ConfigError where a topology does not fit the director's own zone and classes."""
+    """Raise ConfigError if the topology does not match the director's own zone and classes."""
     if top.site_of_zone(settings.zone) is None:
         hint = suggestion(settings.zone, [site.zone for site in top.sites.values()])
         raise ConfigError.at(file, 1, f"no block 'site' has this director's zone '{settings.zone}'{hint}")
--- a/onyxwick/dns/__init__.py
+++ b/onyxwick/dns/__init__.py
@@ -1,1 +1,1 @@
-"""The second front: an authoritative name server whose routed names are answered by the core."""
+"""The DNS front: an authoritative name server whose routed names the request core answers."""
--- a/onyxwick/dns/messages.py
+++ b/onyxwick/dns/messages.py
@@ -1,4 +1,4 @@
-"""DNS messages as bytes: reading queries, bare errors, and responses within the size that a client takes."""
+"""DNS messages as bytes: headers, error responses, and responses within the size that the client accepts."""
 
 from __future__ import annotations
 
@@ -11,34 +11,34 @@
 import dns.rcode
 
 PLAIN_UDP_BYTES = 512
-"""Longest answer over UDP without EDNS."""
+"""Limit on an answer over UDP without EDNS."""
 MAX_UDP_BYTES = 1232
-"""Longest answer over UDP with EDNS."""
+"""Limit on an answer over UDP with EDNS."""
 MAX_TCP_BYTES = 65_535
 HEADER = struct.Struct(">HHHHHH")
 RESPONSE_FLAG = 0x8000
 COPIED_FLAGS = 0x7900
-"""Opcode and recursion desired, which a response repeats."""
+"""The opcode and the flag "recursion desired", which a response copies from its query."""
 
 
 def is_query(wire: bytes) -> bool:
-    """Has a message a complete header, and is it no response?"""
+    """Return whether a message has a complete header and is not a response."""
     return len(wire) >= HEADER.size and not wire[2] & (RESPONSE_FLAG >> 8)
 
 
 def opcode_of(wire: bytes) -> dns.opcode.Opcode:
-    """The opcode of a message that `is_query`."""
+    """Return the opcode of a message, for which `is_query` must hold."""
     return dns.opcode.from_flags(HEADER.unpack_from(wire)[1])
 
 
 def error_response(wire: bytes, rcode: dns.rcode.Rcode) -> bytes:
-    """A bare error: the answer to a message that cannot be read."""
+    """Return an error response without a body, which answers a message that cannot be parsed."""
     message_id, flags, *_ = HEADER.unpack_from(wire)
     return HEADER.pack(message_id, RESPONSE_FLAG | (flags & COPIED_FLAGS) | rcode, 0, 0, 0, 0)
 
 
 def encode_response(query: dns.message.Message, response: dns.message.Message, over_udp: bool) -> bytes:
-    """A response's bytes; truncated, so that the client repeats the query by TCP, where it is too long."""
+    """Encode a response. One that is too long is truncated, so that the client repeats the query by TCP."""
     max_bytes = MAX_TCP_BYTES
     if over_udp:
         has_edns = query.edns >= 0
--- a/onyxwick/dns/query_handler.py
+++ b/onyxwick/dns/query_handler.py
@@ -1,6 +1,6 @@
-"""One DNS message in, one answer out: checks, quotas, and the choice of what answers.
+"""Handles one DNS message: checks it, enforces quotas and selects what answers it.
 
-Static names are answered from the zone's data, routed names by the core, updates change the zone.
+Static names are answered from the zone's data and routed names by the core; updates change the zone.
 """
 
 from __future__ import annotations
@@ -32,11 +32,11 @@
 log = logs.get()
 SendBytes = Callable[[bytes], None]
 """Sends an answer's bytes to the client."""
-TRANSFERS = (dns.rdatatype.AXFR, dns.rdatatype.IXFR)
+ZONE_TRANSFER_TYPES = (dns.rdatatype.AXFR, dns.rdatatype.IXFR)
 
 
 class QueryHandler:
-    """Answers for the tenants' zones; `durable`: updates are durable before they are answered."""
+    """Answers for the tenants' zones. If `durable` is set, updates are durable before they are answered."""
 
     def __init__(
         self, tenants: Tenants, routed_names: RoutedNames, counters: Counters, durable: DurableState | None
@@ -47,19 +47,22 @@
         self.durable = durable
 
     async def handle(self, wire: bytes, over_udp: bool, send: SendBytes) -> None:
-        """Answer one message that `is_query`. `send` is called once, or never if the core drops it."""
+        """Answer one message, for which `is_query` must hold.
+
+        Calls `send` once, or never if the core drops the request.
+        """
         try:
             query = self._read(wire, send)
             if query is not None:
                 await self._answer(query, over_udp, send)
         except Exception:
-            # A fault in one query must not end the front; the client gets SERVFAIL.
+            # An internal error in one query must not stop the front; the client gets SERVFAIL.
             self.counters.add("error.dns")
             log.exception("internal error in a DNS query")
             send(messages.error_response(wire, dns.rcode.SERVFAIL))
 
     def count_bad_input(self, detail: str) -> None:
-        """Count and log input that is no query, or none that can be read."""
+        """Count and log input that is not a query or cannot be parsed."""
         self.counters.add("bad.dns")
         log.warning("bad input to the DNS front", detail=detail)
 
@@ -108,7 +111,7 @@
         send_response()
 
     def _zone_for(self, query: dns.message.Message, response: dns.message.Message) -> TenantZone | None:
-        """The zone that answers a query; None with the response's error where it is rejected."""
+        """Return the zone that answers a query. If the query is rejected, set the error code, return None."""
         if query.edns > 0:
             response.set_rcode(dns.rcode.BADVERS)
             return None
@@ -142,7 +145,9 @@
             return
         before = zone.data
         if self.durable is not None:
-            # Changed in a copy, so that queries meet the change only when it is durable.
+            # The update changes a copy of the zone, so that `before` can be restored if the commit fails.
+            # Queries read the copy while the commit is pending, although a change should become visible only
+            # when it is durable.
             text = before.to_text(relativize=False)
             zone.data = read_zone(zone.tenant, str(zone.name), text).data
         try:
@@ -159,7 +164,7 @@
             response.set_rcode(error.rcode)
 
     async def _make_durable(self, zone: TenantZone) -> None:
-        """Durable before the update is answered, so that the serial never goes back over a restart."""
+        """Commit the zone before the update is answered, so that a restart never lowers the serial."""
         if self.durable is not None:
             tenant = self.tenants.tenants[zone.tenant]
             await self.durable.commit(self.durable.tenant_operations(zone.tenant, tenant), "update")
@@ -167,7 +172,7 @@
 
 def _answer_static(zone: TenantZone, query: dns.message.Message, response: dns.message.Message) -> None:
     question = query.question[0]
-    if question.rdtype in TRANSFERS:
+    if question.rdtype in ZONE_TRANSFER_TYPES:
         response.set_rcode(dns.rcode.REFUSED)
     else:
         lookup.answer_static_name(zone, question.name, question.rdtype, response)
--- a/onyxwick/dns/routed_names.py
+++ b/onyxwick/dns/routed_names.py
@@ -1,5 +1,6 @@
-"""Answers to names below a zone's routed name: each query is a request of the core, answered with the address
-of the cache that the router chose.
+"""Answers for names below a zone's routed name.
+
+Each query is a request of the core and is answered with the address of the cache that the router chose.
 """
 
 from __future__ import annotations
@@ -18,17 +19,17 @@
 from onyxwick.tenants import TenantZone
 
 CACHE_TTL_S = 0
-"""A drained cache must get no requests after 500 ms, and a TTL has no fractions of a second."""
+"""A drained cache must get no requests after 500 ms, and a TTL cannot express fractions of a second."""
 
 
 class RoutedNames:
-    """`deadline_us`: how long a query may wait for the router's choice, in microseconds."""
+    """Answers queries below a routed name; each waits up to `deadline_us` microseconds for the router."""
 
     def __init__(self, core: RequestEngine, counters: Counters, deadline_us: int) -> None:
         self.core = core
         self.counters = counters
         self.deadline_us = deadline_us
-        self.transport = naming.CacheNaming()
+        self.transport = naming.CacheNamingTransport()
         self.classes = {request_class.name: request_class for request_class in core.settings.classes}
 
     async def answer(
@@ -38,8 +39,11 @@
         response: dns.message.Message,
         send: Callable[[], None],
     ) -> bool:
-        """Fill in the answer. True: the core has it, and calls `send` right where the cache is chosen, or
-        never; False: the caller sends it."""
+        """Fill in the answer and return whether the core sends it.
+
+        If True, the core calls `send` as soon as the cache is chosen, or never if it drops the request. If
+        False, the caller must send the answer.
+        """
         assert zone.routed is not None
         name = query.question[0].name
         record_type = query.question[0].rdtype
@@ -70,7 +74,10 @@
         answer: FinalAnswer,
         response: dns.message.Message,
     ) -> None:
-        """The chosen cache; the list is checked again, as a drain may have been received since the choice."""
+        """Answer with the chosen cache, or SERVFAIL.
+
+        The endpoint list is checked again, because a drain may have been received since the choice.
+        """
         members = self.core.endpoints
         address = members.addresses.get(answer.member)
         is_served = answer.status is AnswerStatus.SERVED
@@ -98,7 +105,10 @@
         record_type: dns.rdatatype.RdataType,
         response: dns.message.Message,
     ) -> None:
-        """The target of an SRV answer, which was charged to the router there; none once the cache drains."""
+        """Answer for the target of an SRV record; a cache that is not ready, as in a drain, gets NXDOMAIN.
+
+        The router already accounted for the attempt when it answered the SRV query.
+        """
         if not self.core.endpoints.is_ready(member):
             response.set_rcode(dns.rcode.NXDOMAIN)
         elif record_type == dns.rdatatype.A:
--- a/onyxwick/dns/server.py
+++ b/onyxwick/dns/server.py
@@ -1,4 +1,4 @@
-"""The DNS front over UDP and TCP: messages in, answers out, bounded in queries and connections."""
+"""The DNS front's server over UDP and TCP, with limits on queries and connections."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
 
 log = logs.get()
 MAX_OPEN_QUERIES = 512
-"""Above it UDP queries are dropped: their clients repeat them."""
+"""Above this limit UDP queries are dropped; their clients repeat them."""
 MAX_TCP_CONNECTIONS = 32
 TCP_TIMEOUT_S = 10.0
-"""For a complete message, and for an answer to be taken."""
+"""Limit on the wait for a complete message, and on the wait for the client to accept an answer."""
 ACCEPT_PAUSE_S = 0.05
 LENGTH_BYTES = 2
-"""Before each message over TCP."""
+"""The size of the length prefix of each message over TCP."""
 
 
 class DnsFront:
-    """Listens on one address; each query is a task."""
+    """Listens on one address over UDP and TCP. Each UDP query and each TCP connection has its own task."""
 
     def __init__(
         self,
@@ -50,9 +50,9 @@
         self.tcp_tasks: set[asyncio.Task[None]] = set()
 
     def on_message(self, wire: bytes, over_udp: bool, send: SendBytes) -> None:
-        """One message; `send` is called with the answer's bytes, now or later."""
+        """Start answering one message. `send` is called later with the answer's bytes."""
         if not is_query(wire):
-            self.handler.count_bad_input("no query")
+            self.handler.count_bad_input("not a query")
             return
         if len(self.query_tasks) >= MAX_OPEN_QUERIES:
             self.counters.add("dns.dropped")
@@ -62,7 +62,7 @@
         task.add_done_callback(self.query_tasks.discard)
 
     async def run(self) -> None:
-        """Listen until cancelled; OSError where the address cannot be listened on."""
+        """Serve until cancelled. Raises OSError if the server cannot listen on its address."""
         loop = asyncio.get_running_loop()
         assert self.address is not None
         transport, _ = await loop.create_datagram_endpoint(lambda: _Udp(self), local_addr=self.address)
@@ -94,7 +94,7 @@
             task.add_done_callback(self.tcp_tasks.discard)
 
     async def _serve_tcp(self, connection: socket.socket) -> None:
-        """One TCP connection: messages with their length before them, answered one by one in order."""
+        """Serve one TCP connection: answer its length-prefixed messages one at a time, in order."""
         loop = asyncio.get_running_loop()
         buffer = ReceiveBuffer()
         with connection, contextlib.suppress(OSError, TimeoutError):
@@ -103,7 +103,7 @@
                 if wire is None:
                     return
                 if not is_query(wire):
-                    self.handler.count_bad_input("no query")
+                    self.handler.count_bad_input("not a query")
                     return
                 answers: list[bytes] = []
                 await self.handler.handle(wire, False, answers.append)
@@ -114,7 +114,7 @@
 
 
 async def _receive_message(connection: socket.socket, buffer: ReceiveBuffer) -> bytes | None:
-    """The next complete message, in any number of pieces; None at the client's end."""
+    """Receive the next complete message, in any number of pieces; None if the client has closed."""
     loop = asyncio.get_running_loop()
     async with asyncio.timeout(TCP_TIMEOUT_S):
         while len(buffer) < LENGTH_BYTES or len(buffer) < _framed_bytes(buffer):
@@ -133,7 +133,8 @@
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        # No isinstance here: uvloop's UDP transport is none of asyncio's classes, it only has their methods.
+        # This is a cast because isinstance would fail: uvloop's UDP transport does not derive from asyncio's
+        # classes, but has their methods.
         self.transport = cast("asyncio.DatagramTransport", transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str | object, int]) -> None:
--- a/onyxwick/dns/update.py
+++ b/onyxwick/dns/update.py
@@ -1,4 +1,4 @@
-"""Dynamic updates (RFC 2136): prerequisites, then all changes or none, and a higher serial."""
+"""Dynamic updates (RFC 2136): checks prerequisites, applies all changes or none, and raises the serial."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 NONE = dns.rdataclass.NONE
 ANY = dns.rdataclass.ANY
 APEX_TYPES = (dns.rdatatype.SOA, dns.rdatatype.NS)
-"""Types that a zone's own name never loses."""
+"""Record types that cannot be deleted completely from a zone's apex."""
 
 
 class UpdateError(OnyxwickError):
-    """The update is not carried out; `rcode` says why."""
+    """The update was rejected; `rcode` states why."""
 
     def __init__(self, rcode: dns.rcode.Rcode) -> None:
         super().__init__(dns.rcode.to_text(rcode))
@@ -35,7 +35,7 @@
 
 
 def _check_prerequisite(txn: dns.transaction.Transaction, prerequisite: dns.rrset.RRset) -> None:
-    """One prerequisite, section 3.2 of the RFC; UpdateError where it does not hold."""
+    """Check one prerequisite (RFC 2136, section 3.2). Raises UpdateError if it does not hold."""
     _require(prerequisite.ttl == 0, dns.rcode.FORMERR)
     name = prerequisite.name
     record_type = prerequisite.rdtype
@@ -56,7 +56,7 @@
 
 
 def _delete(txn: dns.transaction.Transaction, zone: TenantZone, change: dns.rrset.RRset) -> None:
-    """One deletion, section 3.4.2 of the RFC."""
+    """Apply one deletion (RFC 2136, section 3.4.2)."""
     name = change.name
     record_type = change.rdtype
     is_apex = name == zone.name
@@ -74,7 +74,7 @@
 
 
 def _delete_records(txn: dns.transaction.Transaction, change: dns.rrset.RRset, is_apex: bool) -> None:
-    """Delete single records; the SOA and the last NS of a zone stay."""
+    """Delete individual records, except for the SOA and the last NS record of a zone's apex."""
     if is_apex and change.rdtype == dns.rdatatype.SOA:
         return
     existing = txn.get(change.name, change.rdtype)
@@ -85,7 +85,7 @@
 
 
 def _add(txn: dns.transaction.Transaction, zone: TenantZone, change: dns.rrset.RRset) -> None:
-    """One addition, section 3.4.2 of the RFC."""
+    """Apply one addition (RFC 2136, section 3.4.2)."""
     name = change.name
     if change.rdtype == dns.rdatatype.SOA:
         if name == zone.name and _has_newer_serial(change, txn.get(name, change.rdtype)):
@@ -96,7 +96,8 @@
     has_alias = dns.rdatatype.CNAME in existing_types
     has_others = bool(existing_types - {dns.rdatatype.CNAME})
     if (is_alias and has_others) or (not is_alias and has_alias):
-        return  # an alias stands alone: such a change is ignored, as the RFC says
+        # A CNAME cannot coexist with other records: the RFC requires such a change to be ignored.
+        return
     if is_alias:
         txn.replace(name, change)
     else:
@@ -112,11 +113,12 @@
 def _check_in_zone(zone: TenantZone, name: dns.name.Name) -> None:
     _require(name.is_subdomain(zone.name), dns.rcode.NOTZONE)
     if zone.routed is not None and name.is_subdomain(zone.routed):
-        raise UpdateError(dns.rcode.REFUSED)  # routed names are answered by the core
+        # The core answers routed names, so they cannot be updated.
+        raise UpdateError(dns.rcode.REFUSED)
 
 
 def apply_update(zone: TenantZone, message: dns.update.UpdateMessage) -> None:
-    """Carry out an update, or raise UpdateError with the zone as it was."""
+    """Apply an update. Raises UpdateError and leaves the zone unchanged if the update is rejected."""
     for rrset in (*message.prerequisite, *message.update):
         _check_in_zone(zone, rrset.name)
     with zone.data.writer() as txn:
@@ -130,4 +132,5 @@
             else:
                 _add(txn, zone, change)
         if txn.changed() and txn.get(zone.name, dns.rdatatype.SOA) == soa_before:
-            txn.update_serial(name=zone.name)  # names are absolute here
+            # The zone's names are absolute, so the default name, which is relative, would not match.
+            txn.update_serial(name=zone.name)
--- a/onyxwick/tenants.py
+++ b/onyxwick/tenants.py
@@ -1,4 +1,4 @@
-"""Tenants of the hosted service: their zones, keys and quotas, free of I/O but for `read_zone_file`."""
+"""Tenants of the hosted service with their zones, keys and quotas. Only `read_zone_file` performs I/O."""
 
 from __future__ import annotations
 
@@ -19,31 +19,31 @@
 from onyxwick.quota import TokenBucket
 
 DEFAULT_QUOTA_PER_S = 500.0
-"""Queries a second of a tenant without a quota of its own."""
+"""Queries per second allowed to a tenant without its own quota."""
 MAX_QUOTA_PER_S = 1e6
 ADMIN_REQUESTS_PER_S = 20.0
-"""Administration requests a second of one tenant."""
+"""Administration requests per second allowed to each tenant."""
 MAX_TENANTS = 16_384
 MAX_ZONES = 32
-"""Zones of one tenant."""
+"""Limit on the zones of one tenant."""
 MAX_KEYS = 16
-"""Keys of one tenant."""
+"""Limit on the keys of one tenant."""
 MAX_ZONE_CHARACTERS = 262_144
-"""Characters of a zone's text."""
+"""Limit on the characters of a zone file's text."""
 MIN_SECRET_BYTES = 16
 
 
 class TenantError(OnyxwickError, ValueError):
-    """A tenant, zone, key or quota cannot be used; the message names the field."""
+    """A tenant, zone, key or quota is invalid; the message names the field."""
 
 
 class AlreadyExistsError(TenantError):
-    """What was to be created exists already."""
+    """The tenant or zone to be created already exists, or lies in another tenant's zone."""
 
 
 @dataclass(slots=True, eq=False)
 class TenantZone:
-    """One zone with its static names; names below `routed` are answered by the request core."""
+    """One zone with its static names. The request core answers names below `routed`."""
 
     name: dns.name.Name
     tenant: str
@@ -51,17 +51,17 @@
     routed: dns.name.Name | None = None
 
 
-_NAME = re.compile(r"[a-z0-9][a-z0-9-]{0,62}").fullmatch
+_match_name = re.compile(r"[a-z0-9][a-z0-9-]{0,62}").fullmatch
 
 
 class Tenant:
-    """One tenant with its zones and keys. Its token authorizes it at its part of the administration API.
+    """One tenant with its zones and keys. Its token authorizes administration calls for this tenant only.
 
-    `per_s`: its quota of queries a second. TenantError for a name that is none.
+    `per_s` is its quota in queries per second. Raises TenantError if `name` is invalid.
     """
 
     def __init__(self, name: str, per_s: float = DEFAULT_QUOTA_PER_S, token: str = "") -> None:
-        if not _NAME(name):
+        if not _match_name(name):
             raise TenantError("field 'name' is no name of small letters, digits and hyphens")
         self.name = name
         self.token = token
@@ -71,28 +71,28 @@
         self.zones: dict[dns.name.Name, TenantZone] = {}
 
     def add_key(self, name: dns.name.Name, secret: bytes) -> None:
-        """Add or replace a TSIG key; TenantError over the bound."""
+        """Add or replace a TSIG key. Raises TenantError if the tenant already has MAX_KEYS other keys."""
         if name not in self.keys and len(self.keys) >= MAX_KEYS:
-            raise TenantError(f"a tenant holds {MAX_KEYS} keys at most")
+            raise TenantError(f"a tenant can have at most {MAX_KEYS} keys")
         self.keys[name] = secret
 
 
 def read_quota(value: object) -> float:
-    """A quota in queries a second; TenantError where the value is none."""
+    """Parse a quota in queries per second. Raises TenantError if it is not a number within its bounds."""
     if isinstance(value, bool) or not isinstance(value, int | float) or not 0 < value <= MAX_QUOTA_PER_S:
         raise TenantError("field 'quota_per_s' is no number over 0")
     return float(value)
 
 
 def read_quotas(text: str) -> dict[str, float]:
-    """Quotas by tenant from a document; TenantError names the entry that cannot be used."""
+    """Parse a document of quotas by tenant. Raises TenantError, which names the first invalid entry."""
     try:
         value = ujson.loads(text)
     except ValueError as error:
-        raise TenantError(f"no JSON: {error}") from None
+        raise TenantError(f"the quota document is not JSON: {error}") from None
     rows = value.get("quotas") if isinstance(value, dict) else None
     if not isinstance(rows, dict) or len(value) != 1:
-        raise TenantError("expected an object with the one field 'quotas'")
+        raise TenantError("expected an object with 'quotas' as its only field, which holds an object")
     quotas = {}
     for name, per_s in rows.items():
         try:
@@ -103,31 +103,31 @@
 
 
 def read_name(text: object) -> dns.name.Name:
-    """A domain name in canonical form; TenantError where the text is none."""
+    """Parse a domain name into canonical form. Raises TenantError if the text is not a domain name."""
     try:
         return dns.name.from_text(str(text)).canonicalize()
     except (dns.exception.DNSException, UnicodeError):
-        raise TenantError(f"'{text}' is no domain name") from None
+        raise TenantError(f"'{text}' is not a domain name") from None
 
 
 def read_key(name: object, secret: object) -> tuple[dns.name.Name, bytes]:
-    """A TSIG key's name, and its secret from base64; TenantError where one cannot be used."""
+    """Parse a TSIG key's name and its base64 secret. Raises TenantError if either is invalid."""
     try:
         raw = base64.b64decode(str(secret), validate=True)
     except binascii.Error:
         raise TenantError("field 'secret' is no base64") from None
     if len(raw) < MIN_SECRET_BYTES:
-        raise TenantError(f"field 'secret' has under {MIN_SECRET_BYTES} bytes")
+        raise TenantError(f"field 'secret' has fewer than {MIN_SECRET_BYTES} bytes")
     return read_name(name), raw
 
 
 def read_zone(tenant: str, name: str, text: str, routed: str | None = None) -> TenantZone:
-    """A zone from the text of a zone file, `routed` relative to it; TenantError where it cannot be used.
+    """Parse a zone from the text of a zone file. Raises TenantError if the text or `routed` is invalid.
 
-    `$INCLUDE` is off: the text may come from a tenant.
+    `routed` is relative to the zone's name. `$INCLUDE` is rejected, because the text may come from a tenant.
     """
     if len(text) > MAX_ZONE_CHARACTERS:
-        raise TenantError(f"zone '{name}': over {MAX_ZONE_CHARACTERS} bytes")
+        raise TenantError(f"zone '{name}': longer than {MAX_ZONE_CHARACTERS} characters")
     origin = read_name(name)
     try:
         data = dns.zone.from_text(
@@ -138,12 +138,12 @@
         raise TenantError(f"zone '{name}': {error}") from None
     assert isinstance(data, dns.versioned.Zone)
     if routed_name is not None and (routed_name == origin or not routed_name.is_subdomain(origin)):
-        raise TenantError(f"zone '{name}': 'routed' is no name below it")
+        raise TenantError(f"zone '{name}': 'routed' is not a name below the zone")
     return TenantZone(origin, tenant, data, routed_name)
 
 
 def read_zone_file(tenant: str, name: str, path: Path, routed: str | None = None) -> TenantZone:
-    """A zone from a zone file; TenantError where it cannot be read or used."""
+    """Read a zone file. Raises TenantError if the file cannot be read or is invalid."""
     try:
         return read_zone(tenant, name, path.read_text(), routed)
     except OSError as error:
@@ -151,29 +151,32 @@
 
 
 class Tenants:
-    """All tenants, and which zone a name belongs to."""
+    """All tenants, and an index of their zones by name."""
 
     def __init__(self) -> None:
         self.tenants: dict[str, Tenant] = {}
         self.zones: dict[dns.name.Name, TenantZone] = {}
-        """Of all tenants; a lookup takes one step for each label."""
+        """The zones of all tenants by name; `nearest_zone` takes one step per label of the name."""
 
     def add(self, tenant: Tenant) -> None:
-        """Add a tenant; AlreadyExistsError for a known name, TenantError over the bound."""
+        """Add a tenant. Raises AlreadyExistsError for a known name, TenantError above MAX_TENANTS."""
         if tenant.name in self.tenants:
             raise AlreadyExistsError(f"tenant '{tenant.name}' exists")
         if len(self.tenants) >= MAX_TENANTS:
-            raise TenantError(f"{MAX_TENANTS} tenants at most")
+            raise TenantError(f"there can be at most {MAX_TENANTS} tenants")
         self.tenants[tenant.name] = tenant
 
     def remove(self, name: str) -> None:
-        """Remove a tenant with its zones; KeyError where there is none."""
+        """Remove a tenant and its zones. Raises KeyError if there is no such tenant."""
         for zone in self.tenants.pop(name).zones:
             del self.zones[zone]
 
     def add_zone(self, zone: TenantZone) -> None:
-        """Add a zone, or replace one of the same tenant. AlreadyExistsError where the name belongs to another
-        tenant or lies in another's zone, TenantError over the bound."""
+        """Add a zone, or replace a zone of the same tenant.
+
+        Raises AlreadyExistsError if the name is another tenant's zone or lies in one, and TenantError if the
+        tenant already has MAX_ZONES zones.
+        """
         tenant = self.tenants[zone.tenant]
         existing = self.zones.get(zone.name)
         if existing is not None and existing.tenant != zone.tenant:
@@ -182,17 +185,17 @@
         if enclosing is not None and enclosing.tenant != zone.tenant:
             raise AlreadyExistsError(f"zone '{zone.name}' lies in another tenant's")
         if existing is None and len(tenant.zones) >= MAX_ZONES:
-            raise TenantError(f"a tenant holds {MAX_ZONES} zones at most")
+            raise TenantError(f"a tenant can have at most {MAX_ZONES} zones")
         self.zones[zone.name] = zone
         tenant.zones[zone.name] = zone
 
     def remove_zone(self, zone: TenantZone) -> None:
-        """Remove a zone; KeyError where there is none."""
+        """Remove a zone. Raises KeyError if there is no such zone."""
         del self.zones[zone.name]
         del self.tenants[zone.tenant].zones[zone.name]
 
     def nearest_zone(self, name: dns.name.Name) -> TenantZone | None:
-        """The nearest zone at or above a name."""
+        """Return the nearest zone at or above a name; None if there is no such zone."""
         while True:
             if zone := self.zones.get(name):
                 return zone
@@ -201,9 +204,9 @@
             name = name.parent()
 
     def apply_quotas(self, text: str) -> None:
-        """Set tenants' quotas from a document `{"quotas": {NAME: QUERIES_A_SECOND}}`, all or none.
+        """Set tenants' quotas from a document `{"quotas": {NAME: QUERIES_PER_SECOND}}`, all or none.
 
-        TenantError where any entry cannot be used. Tenants that this director does not have are ignored.
+        Raises TenantError if any entry is invalid. Tenants that this director does not have are ignored.
         """
         quotas = read_quotas(text)
         for name, per_s in quotas.items():
@@ -212,11 +215,11 @@
                 tenant.quota.per_s = per_s
 
     def keyring(self) -> dict[dns.name.Name, bytes]:
-        """The TSIG keys of all tenants."""
+        """Return the TSIG keys of all tenants by key name."""
         return {name: key for tenant in self.tenants.values() for name, key in tenant.keys.items()}
 
     def tenant_of_token(self, token: str) -> Tenant | None:
-        """The tenant that a token belongs to; each is compared in constant time."""
+        """Return the tenant that a token belongs to, or None; each comparison takes constant time."""
         found = None
         for tenant in self.tenants.values():
             if tenant.token and hmac.compare_digest(tenant.token.encode(), token.encode()):
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""The HCL reader and the typed fields: every error names file, line, field and the likely intent."""
+"""Tests of the HCL reader and the typed fields: errors name file, line, field and the likely intent."""
 
 from __future__ import annotations
 
@@ -50,16 +50,16 @@
     [
         ("a = 1\na = 2", "x.hcl:2: field 'a' is set twice, first on line 1"),
         ("a {\n b = 1", "x.hcl:2: the file ends inside a block"),
-        ('a = "open\n', "x.hcl:1: a text has no end"),
-        ("a = wide", "x.hcl:1: 'wide' is no value: names are not looked up here; did you mean the text"),
+        ('a = "open\n', "x.hcl:1: a text is not terminated"),
+        ("a = wide", "x.hcl:1: 'wide' is not a value: there are no variables here; did you mean the text"),
         ("\na : 1", "x.hcl:2: unexpected ':' in 'a : 1'; did you mean '='?"),
         ('a = file("b")', "x.hcl:1: unexpected '('"),
-        ('a = "${b}"', "x.hcl:1: templates are not filled in here"),
+        ('a = "${b}"', "x.hcl:1: templates are not supported here"),
         ("a = 1 b = 2", "x.hcl:1: two settings on one line"),
         ('a = "\\q"', "x.hcl:1: unknown escape"),
-        ("a = " + "[" * 40 + "]" * 40, "x.hcl:1: values lie over 32 deep"),
-        ("a = " + "[" * 33 + "1" + "]" * 33, "x.hcl:1: values lie over 32 deep"),
-        ("a = { b = 1, b = 2 }", "x.hcl:1: key 'b' stands twice"),
+        ("a = " + "[" * 40 + "]" * 40, "x.hcl:1: values are nested over 32 deep"),
+        ("a = " + "[" * 33 + "1" + "]" * 33, "x.hcl:1: values are nested over 32 deep"),
+        ("a = { b = 1, b = 2 }", "x.hcl:1: key 'b' is repeated"),
     ],
 )
 def test_syntax_errors_name_line_and_intent(text: str, expected: str) -> None:
@@ -86,13 +86,13 @@
         ('wait = "1s"\nwiat = 3', "x.hcl:2: field 'wiat': is not known here; did you mean 'wait'?"),
         ('wait = "1s"\npart = 40', "x.hcl:2: field 'part': a share lies between 0 and 1; did you mean 0.4?"),
         ('wait = "1s"\nlist = "a"', "x.hcl:2: field 'list': expected a list; did you mean [\"a\"]?"),
-        ('wait = "1s"\nlist = ["a", "a"]', "x.hcl:2: field 'list': 'a' stands twice"),
-        ('wait = "1s"\nbox {}', "x.hcl:2: a block 'box' has 1 label, as box \"NAME\", found 0"),
-        ('wait = "1s"\nbox "a" {}\nbox "a" {}', "x.hcl:3: block 'box' \"a\" stands twice, first on line 2"),
+        ('wait = "1s"\nlist = ["a", "a"]', "x.hcl:2: field 'list': 'a' appears twice"),
+        ('wait = "1s"\nbox {}', "x.hcl:2: a block 'box' has 1 label, as in box \"NAME\", found 0"),
+        ('wait = "1s"\nbox "a" {}\nbox "a" {}', "x.hcl:3: block 'box' \"a\" is repeated, first on line 2"),
         ('wait = "1s"\nbxo "a" {}', "x.hcl:2: block 'bxo' is not known here; did you mean 'box'?"),
         ("part = 1", "x.hcl:1: field 'wait': is missing"),
         ('wait = "1s"\nkind = "sloww"', "x.hcl:2: field 'kind': 'sloww' is none of slow, fast; did you mean"),
-        ('wait = "1s"\ncount = 1.5', "x.hcl:2: field 'count': 1.5 is no whole number"),
+        ('wait = "1s"\ncount = 1.5', "x.hcl:2: field 'count': 1.5 is not an integer"),
     ],
 )
 def test_field_errors_name_the_likely_intent(text: str, expected: str) -> None:
@@ -157,7 +157,7 @@
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(CELLS, st.data())
 def test_a_plan_is_the_same_after_its_json(cells: dict[str, float], data: st.DataObject) -> None:
-    """The API reads back what it shows: an operator edits one row and sends the complete plan."""
+    """The API must read the JSON that it returns: an operator edits one row and sends the complete plan."""
     some = st.lists(st.sampled_from(sorted(cells)), min_size=1, max_size=3, unique=True).map(tuple)
     tenants = {
         name: TenantSpec(
@@ -193,7 +193,7 @@
             'cell "a" {}\ncell "b" { fallback = "c" }',
             "x.hcl:2: field 'cell b.fallback': there is no cell 'c'",
         ),
-        ('cell "A" {}', "x.hcl:1: cell A: 'A' is no name of small letters"),
+        ('cell "A" {}', "x.hcl:1: cell A: 'A' is not a name of lowercase letters"),
         (
             'cell "a" { wieght = 2 }',
             "x.hcl:1: field 'cell a.wieght': is not known here; did you mean 'weight'?",
@@ -226,7 +226,11 @@
 def test_all_descriptors_fit_under_the_limit(
     sockets: int, admin: tuple[str, int] | None, inherited_fd: int | None
 ) -> None:
-    """All connections at once: caches, also about to close, clients, half-closed, operations, fixed parts."""
+    """All descriptors in use at once must stay within the limit on sockets.
+
+    These are connections to caches (also those about to close), client and half-closed connections, the
+    operations endpoint, and the fixed uses.
+    """
     data = json.loads((FOLDER / "config.json").read_text())
     config = replace(
         director.read({**data, "limits": {"sockets": sockets}}),
@@ -235,7 +239,9 @@
     )
     operations = min(director.OPERATIONS_SOCKETS, sockets // config.process_count // 8) if admin else 0
     half_closed = max(director.MIN_HALF_CLOSED, config.max_clients // director.CLIENTS_PER_HALF_CLOSED)
-    fixed = 14  # streams, the event loop, the listening socket, the feed, a file read anew, one just accepted
+    # Standard streams, the event loop, the listening socket, the feed, a file being reloaded and a
+    # connection that was just accepted.
+    fixed = 14
     held = (
         config.max_cache_connections
         + MAX_EXCESS_CONNECTIONS
--- a/tests/test_dns_routing.py
+++ b/tests/test_dns_routing.py
@@ -19,7 +19,7 @@
 from onyxwick.core import RequestEngine
 from onyxwick.core.endpoints import EndpointTable
 from onyxwick.counters import Counters
-from onyxwick.dns.naming import CacheNaming
+from onyxwick.dns.naming import CacheNamingTransport
 from onyxwick.dns.server import DnsFront
 from onyxwick.interface import (
     EndpointListKind,
@@ -42,7 +42,9 @@
 
     def __init__(self, decide: Callable[[RouterSettings, int, int], RequestRouter] = Router) -> None:
         self.members, self.counters = EndpointTable(), Counters()
-        self.core = RequestEngine(SETTINGS, 7, CacheNaming(), self.members, self.counters, make_router=decide)
+        self.core = RequestEngine(
+            SETTINGS, 7, CacheNamingTransport(), self.members, self.counters, make_router=decide
+        )
         config = load(FOLDER / "service.hcl")
         self.front = DnsFront(self.core, self.counters, config)
         self.request_times: dict[str, list[float]] = {name: [] for name in CACHE_ADDRESSES}
