--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,7 @@
-"""Capacity: fits, drivers, small fleets; planted faults of growth must be seen. Counts and bounds alone."""
+"""Capacity tests: fits, drivers and small fleets, and detection of planted faults that make a cost grow.
+
+The tests check counts and bounds only, no times.
+"""
 
 from __future__ import annotations
 
@@ -33,12 +36,12 @@
     return asyncio.run(main())
 
 
-SMALL_MARK = FanOutLimits(high_water_bytes=2_000)
-PADDED_BYTES = 401_000
+LOW_HIGH_WATER_LIMITS = FanOutLimits(high_water_bytes=2_000)
+MAX_PADDED_EVENT_BYTES = 401_000
 
 
-def small_mark(tree: SmallTree) -> None:
-    """Little is held for a subscriber, and events are large enough to fill the sockets' own buffers."""
+def use_low_high_water(tree: SmallTree) -> None:
+    """Buffer little for each subscriber, and make events large enough to fill the sockets' own buffers."""
     tell = tree.tell
 
     def padded(payload: dict[str, Any]) -> None:
@@ -49,13 +52,13 @@
 
     tree.tell = padded  # type: ignore[method-assign]
     for relay in tree.relays:
-        relay.fanout.limits = SMALL_MARK
+        relay.fanout.limits = LOW_HIGH_WATER_LIMITS
 
 
 # ---- fits and drivers -----------------------------------------------------------------------------------
 
 
-def test_a_line_is_told_from_what_grows_faster() -> None:
+def test_linear_growth_is_distinguished_from_faster_growth() -> None:
     line = fit([(x, 3 + 2 * x + wobble) for x in (1, 2, 4, 8, 16) for wobble in (-0.01, 0.01)])
     assert line.is_line
     assert not line.grows_faster
@@ -76,14 +79,14 @@
     assert 13 <= size.directors_at_largest_site <= 100
     assert 2 <= size.p99_over_mean <= 5
     some, many = size.objects_counted(100), size.objects_counted(1000)
-    assert 0.5 * 3_320 < some < 3_320, "most reads of so many objects are of different ones"
+    assert 0.5 * 3_320 < some < 3_320, "most reads of this many objects are of different objects"
     assert some < many < 33_200
     twice = size.times(2)
     assert (twice.directors, twice.caches, twice.sites) == (2000, 380, 83)
     assert twice.requests_per_director == size.requests_per_director
 
 
-def test_a_size_is_read_from_a_file_and_a_slip_is_named(tmp_path: Path) -> None:
+def test_a_size_is_read_from_a_file_and_a_misspelled_field_is_named(tmp_path: Path) -> None:
     path = tmp_path / "size.hcl"
     path.write_text("size {\n  directors = 50\n  purges_per_s = 2.5\n}\n")
     assert read(path) == Size(directors=50, purges_per_s=2.5)
@@ -106,10 +109,10 @@
     assert bounds.free_of_objects(base, objects) == []
 
 
-def test_a_subscriber_that_reads_nothing_is_held_to_its_bound() -> None:
-    report = run(SmallPlan(directors=2, events=300, slot=3), small_mark, stuck=True)
-    assert report.unsent_bytes > 0, "the sockets were full"
-    assert bounds.queue_bounded(report, SMALL_MARK, PADDED_BYTES) == []
+def test_the_queue_of_a_subscriber_that_reads_nothing_stays_bounded() -> None:
+    report = run(SmallPlan(directors=2, events=300, slot=3), use_low_high_water, stuck=True)
+    assert report.unsent_bytes > 0, "the sockets were not filled"
+    assert bounds.queue_bounded(report, LOW_HIGH_WATER_LIMITS, MAX_PADDED_EVENT_BYTES) == []
 
 
 # ---- planted faults -------------------------------------------------------------------------------------
@@ -117,7 +120,8 @@
 
 def test_a_message_count_that_grows_with_directors_times_caches_is_seen() -> None:
     def planted(tree: SmallTree) -> None:
-        def change(number: int) -> None:  # one event for each cache where one would do
+        # The planted fault: one event for each cache where a single event would be enough.
+        def change(number: int) -> None:
             for cache in range(tree.plan.caches):
                 SmallTree.change(tree, cache)
 
@@ -130,7 +134,7 @@
 
 
 class RemembersObjects(HollowDirector):
-    """Planted: what each request asked for stays in a table of the control."""
+    """A planted fault: the name of each requested object stays in the endpoint table's purge times."""
 
     async def ask(self, name: str, number: int) -> None:
         await super().ask(name, number)
@@ -149,19 +153,19 @@
 
 
 def test_a_follower_without_a_bound_on_its_queue_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
-    taken = FanOut.next_bytes
+    original_next_bytes = FanOut.next_bytes
 
     def without_bound(self: FanOut, subscriber: Subscriber, room: int, now: int) -> bytes:
-        return taken(self, subscriber, 1 << 30, now)
+        return original_next_bytes(self, subscriber, 1 << 30, now)
 
     monkeypatch.setattr(FanOut, "next_bytes", without_bound)
     monkeypatch.setattr("onyxwick.net.fanout_server._SubscriberConnection.pause_writing", lambda self: None)
 
-    report = run(SmallPlan(directors=2, events=300, slot=8), small_mark, stuck=True)
-    assert bounds.queue_bounded(report, SMALL_MARK, PADDED_BYTES)
+    report = run(SmallPlan(directors=2, events=300, slot=8), use_low_high_water, stuck=True)
+    assert bounds.queue_bounded(report, LOW_HIGH_WATER_LIMITS, MAX_PADDED_EVENT_BYTES)
 
 
-def test_a_made_up_request_is_answered_by_the_true_core() -> None:
+def test_a_synthetic_request_is_answered_by_the_real_core() -> None:
     async def main() -> int:
         tree = SmallTree(SmallPlan(directors=1, events=3, objects=4, slot=9))
         await tree.run()
@@ -174,15 +178,15 @@
 # ---- what must not grow ---------------------------------------------------------------------------------
 
 
-def test_a_purge_is_taken_in_without_a_copy_of_all_others() -> None:
-    members, held = EndpointTable(), None
+def test_a_purge_is_recorded_without_copying_all_others() -> None:
+    members, first_table = EndpointTable(), None
     reference: dict[tuple[int | None, str | None], int] = {}
     for n in range(3_000):
         now = n * 50_000
         name = f"o{n * 7 % 500}"
         members.record_purge(-1, name, now)
-        held = held if held is not None else members.purge_times
-        assert members.purge_times is held, "not copied: the cost would grow with the rate"
+        first_table = first_table if first_table is not None else members.purge_times
+        assert members.purge_times is first_table, "copying the table would make the cost grow with the rate"
         reference = {k: at for k, at in reference.items() if at > now - PURGE_RETENTION_US}
         reference[(None, name)] = now
         assert {key: at for key, (at, _) in members.purge_times.items()} == reference
--- a/tests/test_dns_routing.py
+++ b/tests/test_dns_routing.py
@@ -1,4 +1,4 @@
-"""Routing by name on loopback: emulated resolvers and clients, and a count of late requests at each cache."""
+"""DNS routing on loopback, with emulated resolvers and clients, counting late requests at each cache."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 class DnsDirector:
-    """A core with the DNS front, and caches that record when they get requests."""
+    """A core with the DNS front, and caches that record when they receive requests."""
 
     def __init__(self, decide: Callable[[RouterSettings, int, int], RequestRouter] = Router) -> None:
         self.members, self.counters = EndpointTable(), Counters()
@@ -84,97 +84,115 @@
 
 def run_scenario(scenario: Callable[[DnsDirector], Awaitable[None]]) -> None:
     async def main() -> None:
-        await DnsDirector().run(scenario)  # made where the loop runs: the core sets its first timer at once
+        # The director is created inside the running loop, because the core sets its first timer at once.
+        await DnsDirector().run(scenario)
 
     asyncio.run(main())
 
 
 class Resolver:
-    """A stand-in resolver. One that keeps answers too long uses each for `keeps_s`, whatever its TTL says."""
+    """A resolver stub. With `cache_s` it caches each answer at least that long, regardless of its TTL."""
 
-    def __init__(self, keeps_s: float = 0.0) -> None:
-        self.keeps_s = keeps_s
-        self.kept: dict[str, tuple[float, str]] = {}
-        self.named: list[tuple[float, str]] = []  # fresh answers of the front
-        self.stale = 0  # answers from the cache
+    def __init__(self, cache_s: float = 0.0) -> None:
+        self.cache_s = cache_s
+        self.cached: dict[str, tuple[float, str]] = {}
+        """By name: when the cached answer expires, and its address."""
+        self.fresh_answers: list[tuple[float, str]] = []
+        """When the front answered, and the address it named."""
+        self.cached_answer_count = 0
 
     async def address(self, name: str) -> str:
         now = time.monotonic()
-        if name in self.kept and now < self.kept[name][0]:
-            self.stale += 1
-            return self.kept[name][1]
+        if name in self.cached and now < self.cached[name][0]:
+            self.cached_answer_count += 1
+            return self.cached[name][1]
         answer = await dns.asyncquery.udp(dns.message.make_query(name, "A"), DNS[0], 10, DNS[1])
         (rrset,) = answer.answer
         assert rrset.ttl == 0
-        self.kept[name] = (now + max(rrset.ttl, self.keeps_s), rrset[0].address)
-        self.named.append((time.monotonic(), rrset[0].address))
+        self.cached[name] = (now + max(rrset.ttl, self.cache_s), rrset[0].address)
+        self.fresh_answers.append((time.monotonic(), rrset[0].address))
         return str(rrset[0].address)
 
 
 async def client(resolver: Resolver, part: int) -> None:
-    """A tablet: resolves the name of a part and asks the box that was named."""
+    """Act as a client: resolve the name of a part and connect to the cache that was named."""
     address = await resolver.address(NAME.format(part))
     _, writer = await asyncio.open_connection(address, CACHE_ADDRESSES["c0"][1])
     writer.close()
 
 
 async def _drain(depot: DnsDirector, resolver: Resolver) -> tuple[str, float]:
-    """Ask for parts until c0 has been named, drain it, ask on; the box and the moment it was told."""
+    """Request 24 parts, then drain c0. Return its name and when the director received the drain."""
     for part in range(24):
         await client(resolver, part)
     depot.receive_list(replace(member("c0"), state=MemberState.DRAINING))
     return "c0", time.monotonic()
 
 
-def _late(times: list[float], told: float) -> int:
-    return sum(at > told + GRACE_S for at in times)
+def _count_late(times: list[float], drained_at: float) -> int:
+    return sum(at > drained_at + GRACE_S for at in times)
 
 
-def test_a_drained_cache_is_not_named_and_honest_resolvers_send_nothing_late() -> None:
+def test_a_drained_cache_is_not_named_and_resolvers_that_obey_the_ttl_send_nothing_late() -> None:
     async def scenario(depot: DnsDirector) -> None:
         resolver = Resolver()
-        box, told = await _drain(depot, resolver)
-        assert depot.request_times[box]
-        while time.monotonic() < told + GRACE_S + 0.2:
+        cache, drained_at = await _drain(depot, resolver)
+        assert depot.request_times[cache]
+        while time.monotonic() < drained_at + GRACE_S + 0.2:
             await asyncio.gather(*(client(resolver, part) for part in range(24)))
-        assert not [at for at, address in resolver.named if at > told and address == CACHE_ADDRESSES[box][0]]
-        assert _late(depot.request_times[box], told) == 0
+        assert not [
+            at
+            for at, address in resolver.fresh_answers
+            if at > drained_at and address == CACHE_ADDRESSES[cache][0]
+        ]
+        assert _count_late(depot.request_times[cache], drained_at) == 0
 
     run_scenario(scenario)
 
 
 def test_answers_cached_too_long_reach_a_drained_cache_and_are_counted() -> None:
-    """What naming alone cannot prevent: every late request comes from a kept answer, none from a naming."""
+    """DNS routing cannot prevent this: every late request uses a cached answer, none a fresh one."""
 
     async def scenario(depot: DnsDirector) -> None:
-        resolver = Resolver(keeps_s=60.0)
-        box, told = await _drain(depot, resolver)
-        kept = [part for part in range(24) if resolver.kept[NAME.format(part)][1] == CACHE_ADDRESSES[box][0]]
+        resolver = Resolver(cache_s=60.0)
+        cache, drained_at = await _drain(depot, resolver)
+        cached = [
+            part for part in range(24) if resolver.cached[NAME.format(part)][1] == CACHE_ADDRESSES[cache][0]
+        ]
         await asyncio.sleep(GRACE_S + 0.1)
-        before, resolver.stale = len(depot.request_times[box]), 0
+        before, resolver.cached_answer_count = len(depot.request_times[cache]), 0
         for part in range(24):
             await client(resolver, part)
-        while len(depot.request_times[box]) < before + len(kept):  # the box counts when it accepts
+        # A cache records a request when it accepts the connection, which may follow the client's connect.
+        while len(depot.request_times[cache]) < before + len(cached):
             await asyncio.sleep(0.01)
-        assert resolver.stale == 24 and _late(depot.request_times[box], told) == len(kept) > 0
-        assert not [at for at, address in resolver.named if at > told and address == CACHE_ADDRESSES[box][0]]
+        assert (
+            resolver.cached_answer_count == 24
+            and _count_late(depot.request_times[cache], drained_at) == len(cached) > 0
+        )
+        assert not [
+            at
+            for at, address in resolver.fresh_answers
+            if at > drained_at and address == CACHE_ADDRESSES[cache][0]
+        ]
 
     run_scenario(scenario)
 
 
 def test_a_restarted_cache_is_named_within_its_slow_start_budget() -> None:
-    """Namings are charged to the cold budget: a flood of names does not all go to the empty box."""
+    """Naming counts against the cold budget: a flood of queries must not all go to the empty cache."""
 
     async def scenario(depot: DnsDirector) -> None:
         depot.receive_list(replace(member("c0"), started_at_us=depot.core.now()))
         resolver = Resolver()
         for part in range(150):
             await client(resolver, part)
-        cold = sum(address == CACHE_ADDRESSES["c0"][0] for _, address in resolver.named)
+        cold = sum(address == CACHE_ADDRESSES["c0"][0] for _, address in resolver.fresh_answers)
         router = depot.core.router
         assert isinstance(router, Router)
         peer = router.endpoints.members["c0"]
-        rules, work = SETTINGS.rules, 250_000.0  # first guess of a chunk's sending: half its aim
+        # The initial estimate of a chunk's sending time in microseconds is half its aim.
+        rules, work = SETTINGS.rules, 250_000.0
         most = (
             rules.overload_multiple
             * peer.info.weight
@@ -183,7 +201,7 @@
             * 1.3
         )
         assert 0 < cold * work <= most and len(peer.warm_up_sends) == cold
-        # A naming teaches neither latency nor hits.
+        # Naming a cache adds neither latency nor hit observations.
         popularity = router.popularity
         assert (popularity.hits, popularity.answers) == (0, 0) and not popularity.recent_hits
 
@@ -204,7 +222,7 @@
         assert soa.answer[0][0].serial == 8
         found = await ask(dns.message.make_query("new.depot.test.", "A"))
         assert found.answer[0][0].address == "127.77.9.9"
-        # The same again: its prerequisite fails, and nothing of it is done.
+        # The prerequisite of the repeated update fails, and none of its changes is applied.
         change.add("other", 60, "A", "127.77.9.9")
         assert (await ask(change)).rcode() == dns.rcode.YXDOMAIN
         other = await ask(dns.message.make_query("other.depot.test.", "A"))
@@ -217,7 +235,7 @@
 
 
 def test_names_are_routed_through_cells() -> None:
-    """A tenant's names lead to its own cell's boxes, at any load, and leave nothing open behind them."""
+    """A tenant's names resolve to its own cell's caches at any load, and no request stays in flight."""
     plan = CellPlan(
         {"a": Cell("a", ("c0",)), "b": Cell("b", ("c1", "c2"))}, {"depot": TenantSpec("depot", cells=("a",))}
     )
@@ -226,7 +244,7 @@
         resolver = Resolver()
         for part in range(40):
             await client(resolver, part)
-        assert {address for _, address in resolver.named} == {CACHE_ADDRESSES["c0"][0]}
+        assert {address for _, address in resolver.fresh_answers} == {CACHE_ADDRESSES["c0"][0]}
         cells = depot.core.router
         assert isinstance(cells, CellRouter)
         assert not cells.requests and cells.cells["a"].in_flight == 0
--- a/tests/test_largest.py
+++ b/tests/test_largest.py
@@ -1,4 +1,7 @@
-"""Long transfers get their share of answers: they are neither a silence nor a lost answer."""
+"""Tests that long transfers get their share of answers.
+
+The router must mistake a long transfer neither for a silent cache nor for a lost answer.
+"""
 
 from __future__ import annotations
 
@@ -13,8 +16,8 @@
 SHORT_TRANSFER_S = 0.25
 LONG_TRANSFER_S = 4.2
 TICK_US = 20_000
-LONG_EVERY = 10
-"""One request in so many is a long transfer."""
+REQUESTS_PER_LONG_TRANSFER = 10
+"""One of this many requests is a long transfer."""
 
 
 class _Transfer(NamedTuple):
@@ -24,7 +27,7 @@
 
 
 class _Load:
-    """Requests at a fixed interval, of which some take long transfers; caches answer all of them."""
+    """Requests of which some need long transfers. The caches answer every attempt that is not cancelled."""
 
     def __init__(self, routers: int) -> None:
         limits = replace(SETTINGS.limits, hedging=True)
@@ -77,7 +80,9 @@
 
     def ask(self) -> None:
         asked = self.harness.request_count
-        self.is_long[f"r{asked + 1}"] = len(self.is_long) % LONG_EVERY == LONG_EVERY - 1
+        self.is_long[f"r{asked + 1}"] = (
+            len(self.is_long) % REQUESTS_PER_LONG_TRANSFER == REQUESTS_PER_LONG_TRANSFER - 1
+        )
         self.perform(self.harness.request(object_id=f"o{asked % 7}", part=asked % 3, expires_in_us=6 * S))
 
     def answered_share(self, is_long: bool) -> float:
@@ -86,7 +91,7 @@
 
 
 def _answered_shares(interval_s: float, routers: int, requests: int = 150) -> tuple[float, float]:
-    """The answered share of the long requests and of the others."""
+    """Send requests at a fixed interval; return the answered shares of long requests and of the others."""
     load = _Load(routers)
     next_at_us = load.harness.now
     while len(load.is_long) < requests or load.transfers:
@@ -111,6 +116,6 @@
     ],
 )
 def test_the_largest_requests_get_their_share(interval_s: float, routers: int, lowest_ratio: float) -> None:
-    """Two thirds of the others' on quiet days, half where capacity is short (the last rows)."""
+    """Their share must be two thirds of the others' at low load, half if capacity is short (last rows)."""
     long, others = _answered_shares(interval_s, routers)
     assert others > 0.3 and long >= lowest_ratio * others, (long, others)
