--- a/onyxwick/trace/__init__.py
+++ b/onyxwick/trace/__init__.py
@@ -1,4 +1,5 @@
-"""Traces: for each request what the director decided and why, and how it ended (docs/design/trace.md).
+"""Traces record for each request the director's decisions, their reasons and the outcome.
 
-`decision_tracer.DecisionTracer` writes one, `reader.open_trace` reads one; `cli/trace.py` has the commands.
+The design is in docs/design/trace.md. `decision_tracer.DecisionTracer` writes a trace, `reader.open_trace`
+reads a trace, and `cli/trace.py` has the commands.
 """
--- a/onyxwick/trace/anonymise.py
+++ b/onyxwick/trace/anonymise.py
@@ -1,8 +1,9 @@
-"""Anonymises traces: replaces every id and name by a keyed hash of it, the same in every file of one key.
+"""Anonymises traces: replaces every id and name with its keyed hash.
 
-Input: tables and a secret key. Output: tables in which no id or name is left; times, classes, sizes and
-verdicts stay. Keyed BLAKE3 (O'Connor, Aumasson, Neves and Wilcox-O'Hearn 2020, section 2.3), with another
-key derived for each kind of name, so that equal texts of two kinds are not linked.
+The module takes tables and a secret key and returns tables without the original ids and names. Times,
+classes, sizes and verdicts are unchanged. Files anonymised with the same key get the same hashes. The hash
+is keyed BLAKE3 (O'Connor, Aumasson, Neves and Wilcox-O'Hearn 2020, section 2.3). A separate key is derived
+for each kind of name, so that equal texts of two kinds cannot be linked.
 """
 
 from __future__ import annotations
@@ -24,18 +25,18 @@
 
 
 def read_key(path: Path) -> bytes:
-    """Read a secret of 32 bytes or more; TraceError if it is shorter or cannot be read."""
+    """Read a secret of at least 32 bytes. Raises TraceError if it is shorter or cannot be read."""
     try:
         data = path.read_bytes()
     except OSError as error:
         raise TraceError(f"{path.name}: {error.strerror}") from None
     if len(data) < KEY_BYTES:
-        raise TraceError(f"{path.name}: a key has {KEY_BYTES} bytes or more")
+        raise TraceError(f"{path.name}: the key is too short, at least {KEY_BYTES} bytes are required")
     return blake3(data, derive_key_context="onyxwick trace anonymise 1 key").digest()
 
 
 class Anonymiser:
-    """Replaces ids and names by their hashes under one key."""
+    """Replaces ids and names with their hashes under one key."""
 
     def __init__(self, key: bytes) -> None:
         self.keys = {
@@ -49,42 +50,45 @@
         return f"{kind[0]}-{blake3(name.encode(), key=self.keys[kind]).hexdigest(8)}"
 
     def number(self, kind: str, value: int) -> int:
-        """The replacement of an id."""
+        """Return the replacement for an id."""
         digest = blake3(value.to_bytes(8, "little"), key=self.keys[kind]).digest(8)
         return int.from_bytes(digest, "little")
 
     def numbers(self, kind: str, column: Column) -> Column:
-        """The replacements of a column of ids; each different one is hashed once."""
-        unique, back = np.unique(column, return_inverse=True)
+        """Return the replacements for a column of ids. Each distinct id is hashed once."""
+        unique, inverse = np.unique(column, return_inverse=True)
         new = np.array([self.number(kind, value) for value in unique.tolist()], np.uint64)
-        return new[back] if len(unique) else column
+        return new[inverse] if len(unique) else column
 
     def table(self, table: Table, strings: StringTable) -> Table:
-        """A table with the replacements; their names go to `strings`, which holds no others."""
-        lives, attempts = dict(table.requests), dict(table.attempts)
-        lives["id"] = self.numbers("request", lives["id"])
-        lives["object"] = self.numbers("object", lives["object"])
+        """Return an anonymised table.
+
+        Its names are added to `strings`, which must not contain original names. Class names are not replaced.
+        """
+        request_columns, attempts = dict(table.requests), dict(table.attempts)
+        request_columns["id"] = self.numbers("request", request_columns["id"])
+        request_columns["object"] = self.numbers("object", request_columns["object"])
         for column in REQUEST_NAME_COLUMNS:
-            # Class names stay, as the figures by class need them.
-            lives[column] = self._column(column, lives[column], table.strings, strings)
+            # Class names are not replaced, because statistics by class need them.
+            request_columns[column] = self._column(column, request_columns[column], table.strings, strings)
         for column in ("member", "source"):
             attempts[column] = self._column("member", attempts[column], table.strings, strings)
         return Table(
-            lives,
+            request_columns,
             attempts,
             strings,
             [self.notification(notification) for notification in table.notifications],
         )
 
     def _column(self, kind: str, column: Column, old: StringTable, new: StringTable) -> Column:
-        unique, back = np.unique(column, return_inverse=True)
+        unique, inverse = np.unique(column, return_inverse=True)
         names = [old[int(n)] for n in unique]
         hidden = names if kind == "class" else [self.name(kind, name) for name in names]
         numbers = np.array([new.number(name) for name in hidden], np.int64)
-        return numbers[back] if len(unique) else column.astype(np.int64)
+        return numbers[inverse] if len(unique) else column.astype(np.int64)
 
     def notification(self, notification: f.Notification) -> f.Notification:
-        """A notification with the replacements; fields that are not known are left out."""
+        """Return an anonymised notification. Unknown fields are omitted."""
         kind, at_us, data = notification
         hidden: dict[str, Any] = {}
         if "director" in data:
@@ -113,7 +117,7 @@
         return f.Notification(kind, at_us, hidden)
 
     def header(self, header: f.FileHeader) -> f.FileHeader:
-        """A header with the replacements."""
+        """Return an anonymised header."""
         director = "+".join(self.name("director", name) for name in header.director.split("+"))
         run = self.name("director", f"run {header.run}")
         clocks = {self.name("director", name): row for name, row in header.clocks.items()}
--- a/onyxwick/trace/audit.py
+++ b/onyxwick/trace/audit.py
@@ -1,9 +1,9 @@
-"""Audits a trace: which rules were kept or broken, or why that cannot be told. Independent of the routing
-code.
+"""Audits a trace: reports for each rule whether it was followed or broken, or why this cannot be determined.
 
-Input: the header, the notifications and all tables of one file. Output: an `AuditReport`; each finding
-names the records that prove it. Where the clocks of two directors matter, a finding that their uncertainty
-could explain is reported as doubtful. Times are Unix microseconds.
+The audit is independent of the routing code. It takes the header, the notifications and all tables of one
+file and returns an `AuditReport`. Each finding names the records that prove it. If a finding depends on the
+clocks of two directors and the uncertainty of these clocks could explain it, it is reported as doubtful.
+Times are Unix microseconds.
 """
 
 from __future__ import annotations
@@ -28,20 +28,20 @@
 from onyxwick.trace.warm_up_audit import WarmUpAudit
 
 SOCKET_SLACK_US = 50_000
-"""Added to each time limit for the time on sockets."""
+"""Added to each time limit to allow for delays on sockets."""
 SAME_REQUEST_US = 60_000_000
-"""An id that is used again later than this is another request."""
+"""If an id is used again after this time, it belongs to a different request."""
 DEFAULT_DRAIN_GRACE_US = 500_000
 DEFAULT_PURGE_GRACE_US = 1_000_000
 DATE_STEP_US = 1000
-"""Precision of the origin's dates."""
+"""Precision of the dates that the origin reports, in microseconds."""
 NOT_EXECUTED = ("full", "connect_failed", "not_sent", "miss")
 NOT_EXECUTED_STATUSES = np.array([STATUS_WORDS.index(word) for word in NOT_EXECUTED])
 
 
 @dataclass(frozen=True, slots=True)
 class NonIdempotentRun:
-    """The attempts of one request that must not be executed twice, at one director."""
+    """The attempts that one director made for a non-idempotent request."""
 
     arrived_us: int
     possibly_executed: bool
@@ -49,29 +49,29 @@
 
 @dataclass(frozen=True, slots=True)
 class AuditedPurge:
-    """A purge as one director was notified of it."""
+    """A purge and the time at which one director was notified of it."""
 
     received_us: int
     purged_us: int
 
 
 PurgeKey = tuple[str, str, int]
-"""Director, `group` or `object`, and its number."""
+"""Director, scope (`group` or `object`), and number of the group or object."""
 
 
 @dataclass(frozen=True, slots=True)
 class SentAttempts:
-    """The attempts of a table, with columns that the rules share."""
+    """The attempts of a table, with columns that several rules use."""
 
     table: Table
     owner: Column
-    """Row of the request."""
+    """Row of the request that each attempt belongs to."""
     sent_at: Column
     sent: Column
-    """Whether it was sent at all."""
+    """Whether each attempt was sent."""
 
     def request_id(self, attempt: int) -> str:
-        """The id of an attempt's request."""
+        """Return the request id of an attempt, in hexadecimal."""
         return _request_id(self.table, int(self.owner[attempt]))
 
 
@@ -80,7 +80,7 @@
 
 
 class Auditor:
-    """Takes the notifications first, then every table once (`add`), then gives the report."""
+    """Audits one file: create it with the notifications, `add` every table once, then call `report`."""
 
     def __init__(self, header: f.FileHeader, notifications: list[f.Notification]) -> None:
         self.header = header
@@ -94,9 +94,9 @@
         self.ids: list[Column] = []
         self.arrivals: list[Column] = []
         self.non_idempotent: dict[int, list[NonIdempotentRun]] = {}
-        """By request id."""
+        """Runs by request id."""
         self.announced_sends: dict[int, list[int]] = {}
-        """By request id: times at which a non-idempotent write was announced as sent."""
+        """By request id, the times at which a non-idempotent write was announced as sent."""
         for kind, at_us, data in notifications:
             if kind == NotificationKind.SENT:
                 self.announced_sends.setdefault(int(data["id"]), []).append(at_us)
@@ -156,15 +156,18 @@
             self.non_idempotent.setdefault(int(requests["id"][row]), []).append(run)
 
     def _check_repeated_ids(self) -> None:
-        """One id twice within a minute: two answers, or one write executed at two directors."""
+        """Report ids that occur twice within `SAME_REQUEST_US`.
+
+        Such a request had two final answers, or its write may have been executed at two directors.
+        """
         if not self.ids:
             return
         ids = np.concatenate(self.ids)
         arrivals = np.concatenate(self.arrivals)
         order = np.lexsort((arrivals, ids))
         same = (ids[order][1:] == ids[order][:-1]) & (np.diff(arrivals[order]) < SAME_REQUEST_US)
-        for place in np.flatnonzero(same).tolist():
-            request_id = f"{int(ids[order][place]):016x}"
+        for position in np.flatnonzero(same).tolist():
+            request_id = f"{int(ids[order][position]):016x}"
             self.result.add(ONE_ANSWER, True, request=request_id, found="two final answers")
         for request, runs in self.non_idempotent.items():
             executed = sorted(run.arrived_us for run in runs if run.possibly_executed)
@@ -173,10 +176,13 @@
                 self.result.add(NON_IDEMPOTENT_ONCE, True, request=request_id, may_have_run=len(executed))
 
     def _check_announced_sends(self) -> None:
-        """Writes announced as sent whose records a crash has taken: announced twice, they were sent twice."""
+        """Report writes that were announced as sent twice and whose records were lost in a crash.
+
+        Two announcements of the same write mean that it was sent twice.
+        """
         for request, times in self.announced_sends.items():
             if request in self.non_idempotent:
-                continue  # judged by the outcomes of its attempts
+                continue  # `_audit_non_idempotent` has checked the outcomes of its attempts.
             if len(times) > 1 and max(times) - min(times) < SAME_REQUEST_US:
                 request_id = f"{request:016x}"
                 self.result.add(NON_IDEMPOTENT_ONCE, True, request=request_id, may_have_run=len(times))
@@ -184,7 +190,7 @@
     # ---- members ----------------------------------------------------------------------------------------
 
     def _audit_members(self, attempts: SentAttempts, role: str) -> None:
-        """Whether each member, or fill source, was listed and ready as its director knew it."""
+        """Check that each member or fill source was listed and ready as far as its director knew."""
         table = attempts.table
         numbers = table.attempts[role]
         directors = table.requests["director"][attempts.owner]
@@ -210,28 +216,34 @@
     def _audit_history(
         self, attempts: SentAttempts, rows: Column, history: MemberHistory, member: str, role: str
     ) -> None:
-        """Attempts at a member that was not ready for longer than the grace. One clock: no doubt."""
+        """Report attempts at a member that had been unready for longer than the grace period.
+
+        All times are from one director's clock, so no finding is doubtful.
+        """
         sent_at = attempts.sent_at[rows]
-        place = np.searchsorted(np.array(history.changed_us), sent_at, side="right") - 1
-        unknown = place < 0
+        position = np.searchsorted(np.array(history.changed_us), sent_at, side="right") - 1
+        unknown = position < 0
         if unknown.any():
             self._add_unlisted(attempts, rows[unknown], member, role, "not yet told of")
         ready = np.array(history.ready)
         unready_since = _unready_since(history)
         known = ~unknown
         late = np.zeros(len(rows), bool)
-        limit = unready_since[place[known]] + self.drain_us
-        late[known] = ~ready[place[known]] & (sent_at[known] > limit)
+        limit = unready_since[position[known]] + self.drain_us
+        late[known] = ~ready[position[known]] & (sent_at[known] > limit)
         for index in np.flatnonzero(late).tolist():
-            rule = DRAIN if history.listed[place[index]] else NOT_LISTED
-            late_us = int(sent_at[index] - unready_since[place[index]] - self.drain_us)
+            rule = DRAIN if history.listed[position[index]] else NOT_LISTED
+            late_us = int(sent_at[index] - unready_since[position[index]] - self.drain_us)
             request_id = attempts.request_id(int(rows[index]))
             self.result.add(rule, True, request=request_id, member=member, role=role, late_us=late_us)
 
     # ---- purges -----------------------------------------------------------------------------------------
 
     def _audit_purges(self, attempts: SentAttempts) -> None:
-        """Answers from a copy older than a purge that the director had known for longer than the grace."""
+        """Report answers from a copy older than a purge.
+
+        Only purges that the director had known for longer than the grace period count.
+        """
         table = attempts.table
         dated = table.attempts["dated"]
         served = attempts.sent & (table.attempts["status"] == STATUS_OK) & (dated > 0)
@@ -256,10 +268,10 @@
                         told_unix_us=purge.received_us,
                     )
 
-    # ---- the end ----------------------------------------------------------------------------------------
+    # ---- report -----------------------------------------------------------------------------------------
 
     def report(self) -> AuditReport:
-        """The report, after the last table."""
+        """Finish the audit after the last table and return the report."""
         self._check_repeated_ids()
         self._check_announced_sends()
         self.warm_up.check()
@@ -267,16 +279,16 @@
 
 
 def _unready_since(history: MemberHistory) -> Column:
-    """For each change the last time at which the member stopped being ready."""
+    """Return for each change the last time at which the member stopped being ready."""
     since = np.array(history.changed_us)
-    for place in range(1, len(since)):
-        if not history.ready[place] and not history.ready[place - 1]:
-            since[place] = since[place - 1]
+    for position in range(1, len(since)):
+        if not history.ready[position] and not history.ready[position - 1]:
+            since[position] = since[position - 1]
     return since
 
 
 def audit(header: f.FileHeader, tables: Iterable[Table], notifications: list[f.Notification]) -> AuditReport:
-    """Audit all tables of a file."""
+    """Audit all tables of a file and return the report."""
     auditor = Auditor(header, notifications)
     for table in tables:
         auditor.add(table)
--- a/onyxwick/trace/audit_report.py
+++ b/onyxwick/trace/audit_report.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 MAX_FINDINGS = 1000
-"""Kept of one rule."""
+"""Maximum number of findings stored for each rule."""
 ONE_ANSWER = "one answer"
 NON_IDEMPOTENT_ONCE = "booking once"
 DRAIN = "drain"
@@ -21,17 +21,17 @@
 
 @dataclass(slots=True)
 class AuditReport:
-    """What an audit has found. A rule without findings was kept or could not be judged."""
+    """The findings of an audit. A rule without findings was followed or could not be checked."""
 
     broken: list[dict[str, Any]] = field(default_factory=list)
     doubtful: list[dict[str, Any]] = field(default_factory=list)
     """Findings that the uncertainty of the clocks could explain."""
     counts: dict[str, int] = field(default_factory=dict)
-    """Findings by rule; those in doubt are counted on their own."""
+    """Number of findings by rule. Doubtful findings are counted under a separate key."""
     looked_at: dict[str, int] = field(default_factory=dict)
-    """Cases by rule."""
+    """Number of cases checked, by rule."""
     reasons: dict[str, str] = field(default_factory=dict)
-    """Why a rule cannot be judged."""
+    """By rule, why it cannot be checked."""
 
     def add(self, rule: str, certain: bool, **proof: Any) -> None:
         """Add a finding with the records that prove it."""
@@ -41,11 +41,11 @@
             (self.broken if certain else self.doubtful).append({"rule": rule, **proof})
 
     def count_cases(self, rule: str, cases: int) -> None:
-        """Count cases in which a rule could have been broken."""
+        """Add to the number of cases in which a rule could have been broken."""
         self.looked_at[rule] = self.looked_at.get(rule, 0) + cases
 
     def verdicts(self) -> dict[str, str]:
-        """By rule: kept, broken, or why it cannot be told."""
+        """Return for each rule "kept", "broken", or why this cannot be determined."""
         return {rule: self._verdict(rule) for rule in RULES}
 
     def _verdict(self, rule: str) -> str:
@@ -58,7 +58,7 @@
         return "kept"
 
     def as_document(self) -> dict[str, Any]:
-        """The whole report for JSON."""
+        """Return the complete report as a document for JSON."""
         return {
             "verdicts": self.verdicts(),
             "counts": self.counts,
--- a/onyxwick/trace/clocks.py
+++ b/onyxwick/trace/clocks.py
@@ -1,13 +1,13 @@
-"""Estimates how the clocks of directors differ, from notifications that all received and from client
-retries.
+"""Estimates the clock differences between directors from common notifications and client retries.
 
-Input: times in microseconds. Output: for each director an offset and a drift against the first one, with
-their uncertainty.
+The module takes times in microseconds and returns for each director an offset and a drift relative to the
+first director, with their uncertainty.
 
-Each director's times are first put on its own monotonic clock, by the pairs of both clocks that it records,
-which undoes steps of the Unix clock. The rest is an offset and a drift, fitted to the notifications that
-both received (Theil 1950 and Sen 1968: the median of slopes, which a few late notifications do not move),
-and bounded by retries: a client that one director rejected comes to another one later, never earlier.
+Each director records pairs of its Unix and monotonic clocks. With these pairs, its times are first converted
+to its own monotonic clock, which removes steps of the Unix clock. The remaining difference is an offset and
+a drift. Both are fitted to the notifications that both directors received, with the median of slopes (Theil
+1950 and Sen 1968), which a few late notifications do not affect. Retries bound the result: a client that
+one director rejected reaches another director after the rejection, never before it.
 """
 
 from __future__ import annotations
@@ -21,29 +21,32 @@
 
 SAMPLED_SLOPES = 2000
 MIN_EVENTS = 3
-UNKNOWN_DOUBT_US = 1e9
-"""Uncertainty where two directors have nothing in common."""
+UNKNOWN_UNCERTAINTY_US = 1e9
+"""Uncertainty if two directors have no notifications or retries in common."""
 MAX_DRIFT = 1e-3
-"""A larger slope is noise of few events."""
+"""A larger slope is noise from too few events and is ignored."""
 MIN_SLOPE_SPAN = 0.2
-"""Of the whole time: pairs of events that are closer give no useful slope."""
-DOUBT_QUANTILE = 0.9
-DOUBT_FACTOR = 3
-MIN_DOUBT_US = 1000.0
+"""Share of the total time span. Pairs of events that are closer together give no useful slope."""
+UNCERTAINTY_QUANTILE = 0.9
+UNCERTAINTY_FACTOR = 3
+MIN_UNCERTAINTY_US = 1000.0
 
 
 class MonotonicClock:
-    """One director's recorded Unix times on its own monotonic clock."""
+    """Converts the Unix times that one director recorded to its own monotonic clock."""
 
     def __init__(self, samples: Sequence[tuple[int, int]]) -> None:
-        """`samples`: (Unix, monotonic) microseconds at the same instants; none: the clock is trusted."""
+        """Take (Unix, monotonic) pairs in microseconds, each read at the same instant.
+
+        With fewer than two pairs, Unix times are used unchanged.
+        """
         ordered = sorted(samples)
         self.unix = np.array([u for u, _ in ordered], np.float64)
         self.mono = np.array([m for _, m in ordered], np.float64)
         self.base = float(self.unix[0] - self.mono[0]) if len(ordered) else 0.0
 
     def to_monotonic(self, times: Column) -> Column:
-        """Unix times moved to where the monotonic clock puts them."""
+        """Return Unix times corrected by the monotonic clock, in microseconds."""
         times = np.asarray(times, np.float64)
         if len(self.unix) < 2:
             return times
@@ -56,7 +59,7 @@
 
     @property
     def steps_us(self) -> float:
-        """How far the Unix clock stepped back against the monotonic one, at most."""
+        """Largest backward step of the Unix clock relative to the monotonic clock, in microseconds."""
         if len(self.unix) < 2:
             return 0.0
         ahead = self.unix - self.mono
@@ -65,20 +68,23 @@
 
 @dataclass(frozen=True, slots=True)
 class ClockFit:
-    """A director's clock: t - offset - drift * (t - origin) is the time on the first director's."""
+    """The fit of a director's clock to the first director's clock.
+
+    The time t of this director is t - offset - drift * (t - origin) on the first director's clock.
+    """
 
     offset_us: float = 0.0
     drift: float = 0.0
     origin_us: float = 0.0
-    doubt_us: float = 0.0
-    """How far off the result may be."""
+    uncertainty_us: float = 0.0
+    """Uncertainty of the converted times, in microseconds."""
     events: int = 0
     retries: int = 0
-    """Bounds from retries that were checked."""
-    violated_retries: int = 0  # of them, those that the fit contradicts
+    """Number of retries that the fit was checked against."""
+    violated_retries: int = 0  # Number of these retries that contradict the fit.
 
     def to_first(self, times: Column) -> Column:
-        """Times of this director on the first one's clock."""
+        """Convert times of this director to the first director's clock."""
         times = np.asarray(times, np.float64)
         out: Column = times - self.offset_us - self.drift * (times - self.origin_us)
         return out
@@ -87,37 +93,45 @@
 def fit_clock(
     first: Column, other: Column, earlier: Column | None = None, later: Column | None = None, seed: int = 1
 ) -> ClockFit:
-    """The other director's clock against the first one's.
+    """Fit the other director's clock to the first director's clock.
 
-    `first` and `other`: when each received the same notifications, on its monotonic clock. `earlier` and
-    `later`: when the first rejected a request, and when its retry came to the other.
+    `first` and `other` are the times at which each director received the same notifications, on its own
+    monotonic clock. `earlier` are the times at which the first director rejected requests, and `later` the
+    times at which their retries reached the other director. None means that there are no retries.
     """
     events = len(first)
     bounds = 0 if earlier is None else len(earlier)
     if events < MIN_EVENTS:
         if not bounds or earlier is None or later is None:
-            return ClockFit(doubt_us=UNKNOWN_DOUBT_US)
-        # Retries alone: the other's clock is at least so far behind that each comes after its rejection.
+            return ClockFit(uncertainty_us=UNKNOWN_UNCERTAINTY_US)
+        # Only retries are known. The other clock is at least so far behind that each retry comes after its
+        # rejection.
         gap = float(np.min(np.asarray(later, float) - np.asarray(earlier, float)))
         return ClockFit(
-            min(0.0, gap), doubt_us=abs(gap) + UNKNOWN_DOUBT_US / 1e3, events=events, retries=bounds
+            min(0.0, gap),
+            uncertainty_us=abs(gap) + UNKNOWN_UNCERTAINTY_US / 1e3,
+            events=events,
+            retries=bounds,
         )
     gaps = np.asarray(other, np.float64) - np.asarray(first, np.float64)
     origin = float(np.median(other))
     slope = _slope(np.asarray(other, np.float64), gaps, seed)
     rest = gaps - slope * (np.asarray(other, np.float64) - origin)
     offset = float(np.median(rest))
-    # Notifications are delayed at random, for both alike: the rest is this delay and the uncertainty.
+    # Notifications are delayed at random, in the same manner for both directors. The residual consists of
+    # this delay and the uncertainty.
     spread = np.abs(rest - offset)
-    doubt = float(np.quantile(spread, DOUBT_QUANTILE)) / max(1.0, events**0.5)
-    doubt = doubt * DOUBT_FACTOR + MIN_DOUBT_US
-    out = ClockFit(offset, slope, origin, doubt, events, bounds)
+    uncertainty = float(np.quantile(spread, UNCERTAINTY_QUANTILE)) / max(1.0, events**0.5)
+    uncertainty = uncertainty * UNCERTAINTY_FACTOR + MIN_UNCERTAINTY_US
+    out = ClockFit(offset, slope, origin, uncertainty, events, bounds)
     if earlier is None or later is None or not bounds:
         return out
     broken = np.asarray(earlier, np.float64) - out.to_first(np.asarray(later))
     worst = float(broken.max())
     if worst > 0:
-        out = ClockFit(offset, slope, origin, max(doubt, worst), events, bounds, int((broken > 0).sum()))
+        out = ClockFit(
+            offset, slope, origin, max(uncertainty, worst), events, bounds, int((broken > 0).sum())
+        )
     return out
 
 
--- a/onyxwick/trace/compare.py
+++ b/onyxwick/trace/compare.py
@@ -1,8 +1,9 @@
-"""Compares two traces, or two windows of one: under which names was more priority weight lost.
+"""Compares the lost priority weight of two traces, or of two time windows of one trace, by name.
 
-Input: the losses of both. Output: rows by class, tenant, cell, member, source, outcome and reason, the
-largest difference first. The lost weight is what the requests would have earned if all had been answered
-within their objectives.
+The module takes the losses of both and returns rows by class, tenant, cell, member, source, outcome and
+reason, sorted by descending absolute difference. Lost weight is the difference between the requested weight,
+which all requests would be credited with if they were answered within their latency objectives, and the
+weight credited for the recorded answers.
 """
 
 from __future__ import annotations
@@ -25,20 +26,20 @@
 from onyxwick.trace.table import Column, Table
 
 MIN_DIFFERENCE = 0.0005
-"""Of all weight: a smaller difference is not listed."""
+"""Share of the total weight. Rows with a smaller difference are not listed."""
 REASON_COUNT = 256
 DETAIL_COUNT = 16
-"""Answer details told apart; higher ones count as the last."""
+"""Number of distinct answer details. Higher detail numbers are counted as the last one."""
 
 
 @dataclass(slots=True)
 class Losses:
-    """Priority weight requested and lost, in all and by (kind, name)."""
+    """Requested and lost priority weight, in total and by (kind, name)."""
 
     requested: float = 0.0
     lost: float = 0.0
     by_name: dict[tuple[str, str], list[float]] = field(default_factory=dict)
-    """[requested, lost]"""
+    """[requested, lost] weight by (kind, name)."""
 
     def add(self, header: f.FileHeader, table: Table) -> None:
         """Add the requests of a table."""
@@ -59,12 +60,15 @@
 
     @property
     def service(self) -> float:
-        """Share of the requested weight that was earned."""
+        """Share of the requested weight that was not lost; 1.0 if no weight was requested."""
         return round(1 - self.lost / self.requested, 4) if self.requested else 1.0
 
 
 def _names(table: Table) -> dict[str, tuple[Column, list[str]]]:
-    """By kind: for each request a number, and the list of names that it is a place in."""
+    """Return for each kind the name numbers of all requests and the names.
+
+    The number of a request is an index into the list of names.
+    """
     strings = table.strings.names
     requests = table.requests
     names = {kind: (requests[kind].astype(np.int64), strings) for kind in ("class", "tenant", "cell")}
@@ -81,7 +85,7 @@
 
 
 def _outcomes(table: Table) -> tuple[Column, list[str]]:
-    """Status and detail of the last attempt, as one name."""
+    """Return names that combine status and detail, and the number of each request's last attempt."""
     status = np.minimum(table.last_attempt("status", NOT_ENDED_STATUS), len(STATUS_WORDS))
     detail = np.minimum(table.last_attempt("detail"), DETAIL_COUNT - 1)
     names = [f"{word} / {number}" for word in (*STATUS_WORDS, "none") for number in range(DETAIL_COUNT)]
@@ -89,7 +93,7 @@
 
 
 def losses(header: f.FileHeader, tables: Iterable[Table]) -> Losses:
-    """The losses of all tables."""
+    """Return the total losses of all tables."""
     total = Losses()
     for table in tables:
         total.add(header, table)
@@ -101,10 +105,11 @@
 
 
 def compare(a: Losses, b: Losses) -> dict[str, Any]:
-    """B against A, as a document for JSON.
+    """Compare B with A and return a document for JSON.
 
-    Each row: how much more of all weight was lost under a name, and which part of it is due to more of such
-    requests (`by_more_of_it`) and which to more loss on each (`by_worse_service`).
+    Each row states how much larger the share of the total weight lost under a name is in B (`lost_more`). The
+    row splits this difference into the part caused by a larger share of such requests (`by_more_of_it`) and
+    the part caused by a higher loss rate (`by_worse_service`).
     """
     rows = [_row(kind, name, a, b) for kind, name in sorted(set(a.by_name) | set(b.by_name))]
     listed = [row for row in rows if row is not None]
--- a/onyxwick/trace/decision_reason.py
+++ b/onyxwick/trace/decision_reason.py
@@ -1,9 +1,9 @@
-"""Why a router chose a member or gave a request up, derived from its state right after the decision.
+"""Derives why a router chose a member or gave up a request, from its state right after the decision.
 
-Input: a router between two calls of `handle`, and one of its actions or requests. Output: a
-`DecisionReason`, and the router's estimates of the chosen member. It reads the router's rules and its open
-requests, and repeats none of their formulas. A reason is the most likely one: a router keeps no record of
-the candidates it passed over.
+The module takes a router between two calls of `handle` and one of its actions or requests. It returns a
+`DecisionReason` and the router's estimates of the chosen member. It reads the router's rules and open
+requests and does not duplicate their formulas. The reason is the most likely one, because a router does not
+record the candidates that it skipped.
 """
 
 from __future__ import annotations
@@ -15,11 +15,14 @@
 from onyxwick.trace.recorder import MemberEstimate
 
 MAX_EXPLAINED_CACHES = 64
-"""With more caches the ones before the chosen one are not examined, as that costs time on each attempt."""
+"""With more caches, those before the chosen one are not examined, because this takes time on each attempt."""
 
 
 def member_estimate(router: Router, action: ForwardRequest | ForwardWithFill) -> MemberEstimate:
-    """What the router estimated of the member that an action names, and why it chose that one."""
+    """Return the router's estimates of the member that an action names, and why it was chosen.
+
+    Returns a default estimate if the member is not in the endpoint list.
+    """
     member = router.endpoints.members.get(action.member)
     if member is None:
         return MemberEstimate()
@@ -35,7 +38,7 @@
 
 
 def choice_reason(router: Router, request: RequestState | None, member: MemberRecord) -> DecisionReason:
-    """Why an attempt of a request went to a member."""
+    """Return why an attempt of a request was sent to a member."""
     if request is None:
         return DecisionReason.UNKNOWN
     caches = router.endpoints.caches
@@ -46,19 +49,19 @@
     if len(caches) > MAX_EXPLAINED_CACHES:
         return DecisionReason.OTHERS_TRIED if len(request.attempts) > 1 else DecisionReason.UNKNOWN
     order = router.cache_selector.order(request.arrival)
-    place = order.index(member)
-    if place == 0:
+    position = order.index(member)
+    if position == 0:
         return DecisionReason.HOME_CACHE
-    passed_over = _passed_over_reason(router, request, order[:place])
+    passed_over = _passed_over_reason(router, request, order[:position])
     if passed_over is not None:
         return passed_over
-    return DecisionReason.ALTERNATED if place == 1 else DecisionReason.UNKNOWN
+    return DecisionReason.ALTERNATED if position == 1 else DecisionReason.UNKNOWN
 
 
 def _passed_over_reason(
     router: Router, request: RequestState, before: list[MemberRecord]
 ) -> DecisionReason | None:
-    """Why the caches before the chosen one were passed over; None if each of them could have been chosen."""
+    """Return why the caches before the chosen one were skipped; None if each could have been chosen."""
     tried = [attempt.member for attempt in request.attempts[:-1] if not attempt.missed]
     if any(cache in tried for cache in before):
         return DecisionReason.OTHERS_TRIED
@@ -75,7 +78,7 @@
 
 
 def final_answer_reason(router: Router, request: RequestState | None, now_us: int) -> DecisionReason:
-    """Why a router gave a request up; `request` as it was while it was open."""
+    """Return why a router gave up a request. `request` is its state from when it was still open."""
     if request is None:
         return DecisionReason.UNKNOWN
     if not router.retry_policy.has_time(request, now_us):
--- a/onyxwick/trace/decision_tracer.py
+++ b/onyxwick/trace/decision_tracer.py
@@ -1,8 +1,8 @@
-"""Writes a trace of what a director decides: hands the core's events and actions to the recorder.
+"""Traces the decisions of a director: passes the core's events and actions to the recorder.
 
-Input: calls of the core, around its router and around its attempts; times in microseconds of the core's
-clock. Output: records. Every call is bounded and none raises: an error in the trace ends the trace, never a
-request.
+The core calls this module around its router and around its attempts, with times in microseconds of the
+core's clock. The module produces records. Every call does a bounded amount of work and none raises: an error
+in the trace ends the trace, never a request.
 """
 
 from __future__ import annotations
@@ -52,9 +52,9 @@
 
 log = logs.get()
 CLOCK_INTERVAL_US = 1_000_000
-"""Between two records of both clocks."""
+"""Interval between two records of the Unix and monotonic clocks."""
 MIN_ATTEMPT_TIME_US = 1000
-"""A request that expires sooner had no time for an attempt."""
+"""A request that expires within this time after its arrival has no time for an attempt."""
 NS_PER_US = 1000
 RUN_ID_BYTES = 8
 VERDICTS = {
@@ -65,7 +65,10 @@
 
 
 def file_header(settings: RouterSettings, director: str, unix_us: int, mono_us: int) -> f.FileHeader:
-    """What an audit needs beside the records: the classes and the rules' figures. The keys are stored."""
+    """Return the header with the data that an audit needs in addition to the records.
+
+    These are the request classes and the limits of the service rules. The keys are stored in the file.
+    """
     return f.FileHeader(
         version=(FORMAT_MAJOR, FORMAT_MINOR),
         director=director,
@@ -106,7 +109,7 @@
 
 
 def monotonic_us() -> int:
-    """The machine's monotonic clock."""
+    """Return the time of the machine's monotonic clock in microseconds."""
     return time.monotonic_ns() // NS_PER_US
 
 
@@ -114,19 +117,19 @@
     """A router that distributes requests among others: `CellRouter`, `SiteRouter`."""
 
     shed_now: dict[str, str]
-    """Requests that its last `handle` rejected before any router decided on them, and why."""
+    """By request id, why the last `handle` rejected a request before any router decided on it."""
 
     def router_of(self, request_id: str) -> RequestRouter | None:
-        """The innermost router that decides on a request now; None if there is none."""
+        """Return the innermost router that currently decides on a request; None if there is none."""
         ...
 
     def cell_of(self, request_id: str) -> str:
-        """The name of the cell that a request belongs to; empty if there is none."""
+        """Return the name of the cell that a request belongs to; empty if there is none."""
         ...
 
 
 class DecisionTracer:
-    """What a core calls while a trace is written."""
+    """The interface that a core calls while a trace is written."""
 
     def __init__(
         self,
@@ -156,12 +159,12 @@
         self.recorder.record_notification(now_us, NotificationKind.CLOCK, data)
 
     def _fail(self) -> None:
-        """End the trace after an error of its own."""
+        """End the trace after an internal error."""
         self.failed = True
         log.exception("trace stopped after an internal error")
 
     def on_endpoints_known(self, now_us: int, members: Iterable[Member]) -> None:
-        """Record the endpoint list as it is when the trace starts."""
+        """Record the endpoint list at the start of the trace."""
         self._record_event(now_us, None, EndpointsChanged(EndpointListKind.RESTORED, tuple(members)))
 
     # ---- around the router ------------------------------------------------------------------------------
@@ -169,7 +172,7 @@
     def on_decisions(
         self, now_us: int, router: RequestRouter, events: tuple[Event, ...], actions: list[Action]
     ) -> None:
-        """Record the events that a router was given and the actions that it returned."""
+        """Record the events passed to a router and the actions that it returned."""
         if self.failed:
             return
         try:
@@ -177,7 +180,7 @@
                 self._record_event(now_us, router, event)
             for action in actions:
                 self._record_action(now_us, router, action)
-        except Exception:  # a fault of the trace must not reach the request that it records
+        except Exception:  # An error in the trace must not affect the traced request.
             self._fail()
 
     def _record_event(self, now_us: int, router: RequestRouter | None, event: Event) -> None:
@@ -220,7 +223,7 @@
         recorded = self.recorder.open_requests.get(action.request_id)
         if deciding is None or recorded is None:
             return
-        # Kept, as the router forgets the request with its final answer, when the reason is needed.
+        # The router drops its state at the final answer, but the reason is derived from it then.
         recorded.state = deciding.requests.get(action.request_id)
         estimate = decision_reason.member_estimate(deciding, action)
         self.recorder.on_attempt_started(now_us, action, estimate)
@@ -247,7 +250,7 @@
     def on_attempt_ended(
         self, now_us: int, event: AttemptEnded, sent_us: int, outcome: AttemptOutcome
     ) -> None:
-        """Record the end of an attempt. `sent_us`: when its first byte was sent; 0: never."""
+        """Record the end of an attempt. `sent_us` is when its first byte was sent; 0 means never."""
         if self.failed:
             return
         try:
@@ -256,16 +259,16 @@
             if event.status is not outcome.status:
                 event = replace(event, status=outcome.status)
             self.recorder.on_attempt_ended(now_us, event, outcome.origin_date_us)
-        except Exception:  # as in `on_decisions`
+        except Exception:  # See `on_decisions`.
             self._fail()
 
     def on_final_answer(self, now_us: int, request_id: str, answer: FinalAnswer | None) -> None:
-        """Record the final answer; None: the client has left before it."""
+        """Record the final answer; None means that the client left before it."""
         if self.failed:
             return
         try:
             self._record_final_answer(now_us, request_id, answer)
-        except Exception:  # as in `on_decisions`
+        except Exception:  # See `on_decisions`.
             self._fail()
 
     def _record_final_answer(self, now_us: int, request_id: str, answer: FinalAnswer | None) -> None:
@@ -286,18 +289,18 @@
     # ---- time -------------------------------------------------------------------------------------------
 
     def tick(self, now_us: int) -> None:
-        """Record the clocks and close old blocks; to be called several times a second."""
+        """Record the clocks and close old blocks. Must be called several times per second."""
         if self.failed:
             return
         try:
             if now_us - self.clock_recorded_us >= CLOCK_INTERVAL_US:
                 self._record_clock(now_us)
             self.recorder.tick(now_us)
-        except Exception:  # as in `on_decisions`
+        except Exception:  # See `on_decisions`.
             self._fail()
 
     def stop(self, now_us: int) -> None:
-        """Write what is recorded and close the file."""
+        """Write all recorded data and close the file."""
         if not self.failed:
             self.recorder.finish(now_us)
         self.writer.stop()
--- a/onyxwick/trace/explain.py
+++ b/onyxwick/trace/explain.py
@@ -1,7 +1,7 @@
 """Explains one request in plain sentences.
 
-Input: the row of a request in a table. Output: lines of text for a terminal; their wording is part of the
-command's output.
+The module takes the row of a request in a table and returns lines of text for a terminal. Their wording is
+part of the command's output.
 """
 
 from __future__ import annotations
@@ -76,7 +76,7 @@
 
 
 def explain_request(table: Table, row: int) -> list[str]:
-    """The lines on the request in one row of a table: its arrival, each attempt, its final answer."""
+    """Return the lines for the request in one row: its arrival, each attempt, and its final answer."""
     lines = [_arrival(table, row)]
     first = int(table.starts[row])
     for index in range(int(table.requests["attempts"][row])):
--- a/onyxwick/trace/export.py
+++ b/onyxwick/trace/export.py
@@ -1,8 +1,8 @@
-"""Exports traces for other programs: JSON lines, and Parquet.
+"""Exports traces to JSON lines and Parquet for use by other programs.
 
-Input: tables. Output: one JSON object a request, or one row a request; its attempts are nested in it. The
-names of the fields are those of the format's columns, and the words those of `model.VERDICT_WORDS` and
-`REASON_WORDS`.
+The module takes tables and writes one JSON object or one row per request, with its attempts nested in it.
+Fields have the names of the format's columns, and verdicts and reasons are the words from
+`model.VERDICT_WORDS` and `REASON_WORDS`.
 """
 
 from __future__ import annotations
@@ -26,11 +26,11 @@
 from onyxwick.trace.table import ATTEMPT_NAME_COLUMNS, REQUEST_NAME_COLUMNS, Table
 
 TIME_COLUMNS = ("decided", "sent", "ended", "cancel")
-"""Null where it did not happen."""
+"""Columns that are null if the event did not happen."""
 
 
 def rows(table: Table) -> Iterator[dict[str, Any]]:
-    """Each request as plain values, ready for JSON."""
+    """Yield each request as plain values for JSON."""
     starts = table.starts
     requests = {name: column.tolist() for name, column in table.requests.items()}
     attempts = {name: column.tolist() for name, column in table.attempts.items()}
@@ -74,7 +74,7 @@
 
 
 def json_lines(tables: Iterable[Table], path: Path) -> int:
-    """Write JSON lines; returns how many requests were written."""
+    """Write JSON lines and return the number of requests written."""
     count = 0
     with path.open("w", encoding="utf-8") as out:
         for table in tables:
@@ -85,7 +85,7 @@
 
 
 def parquet(tables: Iterable[Table], path: Path) -> int:
-    """Write Parquet, one row group for each block; returns how many requests were written."""
+    """Write Parquet with one row group per block and return the number of requests written."""
     import pyarrow as pa
     import pyarrow.parquet as pq
 
--- a/onyxwick/trace/filter.py
+++ b/onyxwick/trace/filter.py
@@ -1,7 +1,7 @@
 """Selects requests of a trace by time, class, tenant, cell, object, request, member and verdict.
 
-Input: a filter and a trace. Output: tables with the requests that match. Only blocks that may hold a match
-are read, by their heads and Bloom filters. Times are Unix microseconds.
+The module takes a filter and a trace and yields tables with the matching requests. It reads only the blocks
+that may contain a match according to their heads and Bloom filters. Times are Unix microseconds.
 """
 
 from __future__ import annotations
@@ -18,12 +18,15 @@
 from onyxwick.trace.table import Column, StringTable, Table
 
 NO_NUMBER = -1
-"""In place of the number of a name that the table does not have."""
+"""Used instead of a string number if the string table does not contain a name."""
 
 
 @dataclass(frozen=True, slots=True)
 class TraceFilter:
-    """What requests must match; None: anything. `begin` and `end` are of the arrival, `end` is exclusive."""
+    """The conditions that requests must match; None matches anything.
+
+    `begin` (inclusive) and `end` (exclusive) limit the arrival time.
+    """
 
     begin: int | None = None
     end: int | None = None
@@ -36,7 +39,7 @@
     verdict: RecordedVerdict | None = None
 
     def may_match(self, head: f.BlockHead) -> bool:
-        """Whether a block may hold a request that matches."""
+        """Return whether a block may contain a matching request."""
         if not self.overlaps(head):
             return False
         named = (
@@ -53,19 +56,19 @@
         return not keys or all(key in f.Bloom(head.bloom) for key in keys)
 
     def overlaps(self, head: f.BlockHead) -> bool:
-        """Whether a block overlaps the time of the filter."""
+        """Return whether a block overlaps the time range of the filter."""
         if self.begin is not None and head.last < self.begin:
             return False
         return self.end is None or head.first < self.end
 
     def contains(self, at_us: int) -> bool:
-        """Whether a time is within the filter's."""
+        """Return whether a time is within the time range of the filter."""
         if self.begin is not None and at_us < self.begin:
             return False
         return self.end is None or at_us < self.end
 
     def matching_rows(self, table: Table) -> Column:
-        """For each request of a table whether it matches."""
+        """Return a mask of the requests of a table that match."""
         requests = table.requests
         matching = np.ones(len(table), bool)
         if self.begin is not None:
@@ -91,7 +94,7 @@
 def select_requests(
     trace: TraceReader, wanted: TraceFilter, strings: StringTable, notifications: bool = True
 ) -> Iterator[Table]:
-    """The requests that match, block by block, and the notifications of the filter's time."""
+    """Yield the matching requests by block, with the notifications in the filter's time range."""
 
     def is_needed(head: f.BlockHead) -> bool:
         return wanted.may_match(head) or (notifications and head.told > 0 and wanted.overlaps(head))
--- a/onyxwick/trace/format.py
+++ b/onyxwick/trace/format.py
@@ -1,8 +1,8 @@
-"""The trace format: frames and blocks to bytes and back. See docs/trace-format.md.
+"""Encodes and decodes the frames and blocks of the trace format. See docs/trace-format.md.
 
-Input and output are bytes; no I/O except in `read_opening`. A frame is a head in MessagePack and a body in
-zstandard, with a CRC-32C over both. Every size that a file claims is checked against a bound before memory
-is allocated for it; what does not hold raises `TraceDamagedError`.
+The functions work on bytes and do no I/O, except `read_opening`. A frame is a head in MessagePack and a body
+in zstandard, with a CRC-32C over both. Every size stated in a file is checked against a bound before memory
+is allocated for it. Data that fails a check raises `TraceDamagedError`.
 """
 
 from __future__ import annotations
@@ -31,26 +31,26 @@
 INDEX = b"OWX1"
 END = b"OWTREND\n"
 FRAME = struct.Struct("<4sIIII")
-"""Magic, bytes of the head, of the body, of the decompressed body, checksum."""
+"""Magic, size of the head, of the body and of the decompressed body in bytes, checksum."""
 OPENING = struct.Struct("<8sII")
-"""Magic, bytes of the header, checksum."""
+"""Magic, size of the header in bytes, checksum."""
 CLOSING = struct.Struct("<Q8s")
 """Offset of the index, magic."""
 MAX_HEAD_BYTES = 1 << 20
 MAX_BODY_BYTES = 16 << 20
 MAX_RAW_BYTES = 64 << 20
-"""Of a decompressed body."""
+"""Maximum size of a decompressed body."""
 MAX_STRINGS = 65_535
 MAX_ROWS = 1 << 20
 COMPRESSION_LEVEL = 3
 BLOOM_HASHES = 4
 BLOOM_BITS_PER_KEY = 8
-"""With four hashes one absent key in forty is taken for present."""
+"""With four hashes, one in forty absent keys is reported as present."""
 MIN_BLOOM_BITS = 64
 
 
 class Notification(NamedTuple):
-    """What a director was notified of, or reported of itself. `data` has the fields of its kind."""
+    """A notification that a director received, or a report on itself. `data` has the fields of its kind."""
 
     kind: int
     at_us: int
@@ -58,27 +58,27 @@
 
 
 class BlockHead(msgspec.Struct, omit_defaults=True):
-    """What can be read of a block without decompressing it. The names of the fields are stored."""
+    """The part of a block that can be read without decompression. The names of the fields are stored."""
 
     lives: int = 0
     """Number of requests."""
     attempts: int = 0
     first: int = 0
-    """Unix microseconds: the earliest arrival."""
+    """The earliest arrival or notification, in Unix microseconds."""
     last: int = 0
-    """The latest end."""
+    """The latest final answer or notification, in Unix microseconds."""
     classes: list[str] = []
     tenants: list[str] = []
     cells: list[str] = []
     members: list[str] = []
     verdicts: int = 0
-    """One bit for each verdict that occurs."""
+    """Bit mask of the verdicts that occur."""
     bloom: bytes = b""
-    """Bloom filter of object and request ids."""
+    """Bloom filter of the object and request ids."""
     dropped: int = 0
-    """Requests left out since the block before."""
+    """Number of requests omitted since the previous block."""
     open: int = 0
-    """Open requests when it was closed."""
+    """Number of requests that were open when the block was closed."""
     told: int = 0
     """Number of notifications."""
 
@@ -99,17 +99,17 @@
     version: tuple[int, int]
     director: str
     run: str
-    """New at each start of a director."""
+    """Random id of the director's run, new at each start."""
     unix_us: int
     mono_us: int
     classes: list[dict[str, Any]]
     rules: dict[str, float]
     clocks: dict[str, dict[str, float]] = {}
-    """Of a merged file, by director: offset_us, drift_ppm, doubt_us and more."""
+    """In a merged file, by director: offset_us, drift_ppm, doubt_us and more."""
 
 
 class BlockIndexEntry(msgspec.Struct, array_like=True):
-    """Where a block is in the file, and its head."""
+    """The offset and size of a block in the file, in bytes, and its head."""
 
     offset: int
     size: int
@@ -124,7 +124,7 @@
 
 
 def mix64(key: int) -> int:
-    """The 64-bit finaliser of MurmurHash3 (Appleby 2011)."""
+    """Mix a 64-bit key with the finaliser of MurmurHash3 (Appleby 2011)."""
     key = ((key ^ (key >> 33)) * 0xFF51AFD7ED558CCD) & 0xFFFFFFFFFFFFFFFF
     key = ((key ^ (key >> 33)) * 0xC4CEB9FE1A85EC53) & 0xFFFFFFFFFFFFFFFF
     return key ^ (key >> 33)
@@ -133,14 +133,14 @@
 class Bloom:
     """A Bloom filter of 64-bit keys (Bloom 1970): may report an absent key as present, never the reverse.
 
-    Two hashes stand for all, as in Kirsch and Mitzenmacher 2006, section 4.
+    All hashes are derived from two, as in Kirsch and Mitzenmacher 2006, section 4.
     """
 
     def __init__(self, bits: bytes | int) -> None:
-        """From stored bits, or empty with a number of bits."""
+        """Create a filter from stored bits, or an empty filter with the given number of bits."""
         self.bits = bytearray(max(8, -(-bits // 8))) if isinstance(bits, int) else bytearray(bits)
 
-    def _places(self, key: int) -> Iterable[int]:
+    def _bit_positions(self, key: int) -> Iterable[int]:
         hashed = mix64(key)
         size = len(self.bits) * 8
         step = hashed >> 32 | 1
@@ -151,18 +151,18 @@
 
     def add(self, key: int) -> None:
         """Add a key."""
-        for place in self._places(key):
-            self.bits[place >> 3] |= 1 << (place & 7)
+        for position in self._bit_positions(key):
+            self.bits[position >> 3] |= 1 << (position & 7)
 
     def __contains__(self, key: int) -> bool:
-        """Whether a key may have been added; always true of a filter that was not stored."""
+        """Return whether a key may have been added; always true if the filter was not stored."""
         if not self.bits:
             return True
-        return all(self.bits[place >> 3] >> (place & 7) & 1 for place in self._places(key))
+        return all(self.bits[position >> 3] >> (position & 7) & 1 for position in self._bit_positions(key))
 
 
 def bloom_of(keys: Iterable[int]) -> bytes:
-    """The stored form of a filter of these keys."""
+    """Return the stored form of a filter with these keys."""
     unique = set(keys)
     bloom = Bloom(max(MIN_BLOOM_BITS, len(unique) * BLOOM_BITS_PER_KEY))
     for key in unique:
@@ -171,84 +171,98 @@
 
 
 def encode_frame(magic: bytes, head: bytes, raw: bytes) -> bytes:
-    """A frame of a head and a body that is not yet compressed."""
+    """Encode a frame from a head and an uncompressed body."""
     body = zstandard.ZstdCompressor(level=COMPRESSION_LEVEL).compress(raw)
     check = crc32c.crc32c(body, crc32c.crc32c(head))
     return FRAME.pack(magic, len(head), len(body), len(raw), check) + head + body
 
 
 def encode_opening(header: FileHeader) -> bytes:
-    """The first bytes of a file."""
+    """Encode the first bytes of a file, with its header."""
     data = encode(header)
     return OPENING.pack(FILE_MAGIC, len(data), crc32c.crc32c(data)) + data
 
 
 def read_opening(file: BinaryIO) -> tuple[FileHeader, int]:
-    """The header, and the offset of the first frame. TraceError says what is wrong."""
+    """Return the header and the offset of the first frame. Raises TraceError if the header is invalid."""
     data = file.read(OPENING.size)
     if len(data) < OPENING.size or not data.startswith(FILE_MAGIC):
-        raise TraceError("no trace: it does not begin as one")
+        raise TraceError("not a trace file: the magic number is missing")
     _, size, check = OPENING.unpack(data)
     text = file.read(size) if size <= MAX_HEAD_BYTES else b""
     if len(text) < size:
-        raise TraceError("no trace: its header is cut")
+        raise TraceError("not a trace file: the header is truncated or too large")
     if crc32c.crc32c(text) != check:
-        raise TraceError("no trace: its header is damaged")
+        raise TraceError("not a trace file: the header checksum does not match")
     try:
         version = msgspec.msgpack.decode(text).get("version", (0, 0))
         if version[0] > FORMAT_MAJOR:
             known = f"{FORMAT_MAJOR}.{FORMAT_MINOR}"
-            raise TraceError(f"format {version[0]}.{version[1]} is newer than {known}, known here")
+            raise TraceError(
+                f"format {version[0]}.{version[1]} is newer than {known}, the newest supported format"
+            )
         return _headers.decode(text), OPENING.size + size
     except (msgspec.MsgspecError, AttributeError, TypeError, IndexError, RecursionError) as error:
-        raise TraceError(f"no trace: its header cannot be read: {error}") from None
+        raise TraceError(f"not a trace file: cannot decode the header: {error}") from None
 
 
 def read_frame_sizes(data: bytes) -> tuple[bytes, int, int, int, int]:
-    """Magic, sizes of head, body and decompressed body, checksum. Damaged if no frame can have them."""
+    """Return magic, sizes of head, body and decompressed body in bytes, and checksum of a frame.
+
+    Raises TraceDamagedError if a frame cannot have these values.
+    """
     if len(data) < FRAME.size:
-        raise TraceDamagedError("a frame is cut")
+        raise TraceDamagedError("the start of a frame is truncated")
     magic, head, body, raw, check = FRAME.unpack_from(data)
     if magic not in (BLOCK, INDEX):
-        raise TraceDamagedError("no frame begins here")
+        raise TraceDamagedError("no frame starts here: unknown magic number")
     if head > MAX_HEAD_BYTES or body > MAX_BODY_BYTES or raw > MAX_RAW_BYTES:
-        raise TraceDamagedError(f"a frame claims {head}, {body} and {raw} bytes")
+        raise TraceDamagedError(
+            f"frame sizes exceed the limits: head {head}, body {body}, decompressed body {raw} bytes"
+        )
     return magic, head, body, raw, check
 
 
 def verify_checksum(head: bytes, body: bytes, check: int) -> None:
-    """TraceDamagedError if the checksum of a frame does not match."""
+    """Verify the checksum of a frame. Raises TraceDamagedError if it does not match."""
     if crc32c.crc32c(body, crc32c.crc32c(head)) != check:
-        raise TraceDamagedError("a frame's checksum does not hold")
+        raise TraceDamagedError("frame checksum does not match")
 
 
 def read_head(data: bytes) -> BlockHead:
-    """The head of a block; TraceDamagedError if it cannot be read."""
+    """Decode the head of a block. Raises TraceDamagedError if it is invalid."""
     try:
         return _heads.decode(data)
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
-        raise TraceDamagedError(f"a block's head cannot be read: {error}") from None
+        raise TraceDamagedError(f"cannot decode the head of a block: {error}") from None
 
 
 def decompress(body: bytes, raw: int) -> bytes:
-    """The decompressed body, of the size that the frame claims, which the caller has bounded."""
+    """Decompress a body. `raw` is the size stated in the frame, which the caller has checked.
+
+    Raises TraceDamagedError if the body cannot be decompressed or has another size.
+    """
     try:
         out = zstandard.ZstdDecompressor().decompress(body, max_output_size=max(1, raw))
     except zstandard.ZstdError as error:
-        raise TraceDamagedError(f"a block cannot be unpacked: {error}") from None
+        raise TraceDamagedError(f"cannot decompress a block: {error}") from None
     if len(out) != raw:
-        raise TraceDamagedError("a block unpacks to another size than told")
+        raise TraceDamagedError("decompressed size of a block differs from the size stated in its frame")
     return out
 
 
 def read_body(raw: bytes, head: BlockHead) -> BlockBody:
-    """The body of a block; TraceDamagedError unless each column has the length that the head claims."""
+    """Decode the body of a block.
+
+    Raises TraceDamagedError if it is invalid, exceeds a limit, or has a column of another length than the
+    head states.
+    """
     try:
         body = _bodies.decode(raw)
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
-        raise TraceDamagedError(f"a block cannot be read: {error}") from None
+        raise TraceDamagedError(f"cannot decode the body of a block: {error}") from None
     if len(body.strings) > MAX_STRINGS or max(head.lives, head.attempts) > MAX_ROWS:
-        raise TraceDamagedError("a block holds too much")
+        raise TraceDamagedError("a block exceeds the limit on strings, requests or attempts")
     _check_lengths(body.lives, REQUEST_COLUMNS, head.lives)
     _check_lengths(body.attempts, ATTEMPT_COLUMNS, head.attempts)
     return body
@@ -257,27 +271,27 @@
 def _check_lengths(columns: dict[str, bytes], types: dict[str, str], rows: int) -> None:
     for name, code in types.items():
         if len(columns.get(name, b"")) != rows * COLUMN_BYTES[code]:
-            raise TraceDamagedError(f"column '{name}' does not hold {rows} values")
+            raise TraceDamagedError(f"column '{name}' does not have the expected {rows} values")
 
 
 def encode_index(entries: list[BlockIndexEntry], offset: int) -> bytes:
-    """The last bytes of a file: its index and where it is.
+    """Encode the last bytes of a file: its index and the offset of the index.
 
-    The index leaves the Bloom filters to the blocks: they are most of a head, and only a search for one id
-    needs them.
+    The index omits the Bloom filters, which remain in the blocks. They are the largest part of a head, and
+    only a search for an id needs them.
     """
     bare = [BlockIndexEntry(e.offset, e.size, msgspec.structs.replace(e.head, bloom=b"")) for e in entries]
     return encode_frame(INDEX, b"", encode(bare)) + CLOSING.pack(offset, END)
 
 
 def read_index(raw: bytes) -> list[BlockIndexEntry]:
-    """The entries of an index; TraceDamagedError if it cannot be read."""
+    """Decode the entries of an index. Raises TraceDamagedError if it is invalid."""
     try:
         return _indexes.decode(raw)
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
-        raise TraceDamagedError(f"the index cannot be read: {error}") from None
+        raise TraceDamagedError(f"cannot decode the index: {error}") from None
 
 
 def empty_columns(types: dict[str, str]) -> dict[str, array[int]]:
-    """Columns of these names and type codes, to be filled."""
+    """Return empty columns with these names and type codes."""
     return {name: array(code) for name, code in types.items()}
--- a/onyxwick/trace/member_history.py
+++ b/onyxwick/trace/member_history.py
@@ -1,7 +1,7 @@
-"""What each director was notified of each member over time, from the lists and starts in a trace.
+"""Reconstructs the member states that each director knew over time, from the lists and starts in a trace.
 
-Input: notifications. Output: by director and member, the times at which the member's state changed for that
-director, on the director's clock (Unix microseconds).
+The module takes notifications and returns, by director and member, the times at which the member's state
+changed for that director, on the director's clock in Unix microseconds.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True)
 class MemberHistory:
-    """The states of one member as one director knew them, one entry for each change."""
+    """The states of one member as known to one director, with one entry per change."""
 
     changed_us: list[int] = field(default_factory=list)
     ready: list[bool] = field(default_factory=list)
@@ -29,11 +29,14 @@
 
 
 Histories = dict[tuple[str, str], MemberHistory]
-"""By director and member."""
+"""Histories by (director, member)."""
 
 
 def member_histories(notifications: Iterable[f.Notification], file_director: str) -> Histories:
-    """The histories of all members. `file_director`: the director of notifications that name none."""
+    """Return the histories of all members.
+
+    `file_director` is the director of the notifications that do not name one.
+    """
     histories: Histories = {}
     known: dict[str, set[str]] = {}
     kinds = (NotificationKind.LIST, NotificationKind.START)
--- a/onyxwick/trace/merge.py
+++ b/onyxwick/trace/merge.py
@@ -1,7 +1,8 @@
 """Merges the traces of several directors into one, in the order of arrival on one clock.
 
-Input: files of one or more directors. Output: one file, whose header tells how far each director's clock is
-off and how certain that is. Each file is read twice: for its clock (`clocks`), then for its requests.
+The module takes files of one or more directors and writes one file. Its header states the offset of each
+director's clock and the uncertainty of this offset. Each file is read twice, first for its clock
+(`clocks`), then for its requests.
 Memory is bounded by the requests that arrive within `MAX_REQUEST_DURATION_US`.
 """
 
@@ -21,40 +22,40 @@
 from onyxwick.trace.table import Column, StringTable, Table, concatenate, encode_block
 
 BLOCK_REQUESTS = 16_384
-"""In one block of the merged file."""
+"""Maximum number of requests in one block of the merged file."""
 BUFFERED_BLOCKS = 4
 MAX_REQUEST_DURATION_US = 30_000_000
-"""A request is recorded within this time after its arrival."""
+"""A request is recorded within this time after its arrival, which bounds the buffering."""
 MAX_RETRY_DELAY_US = 10_000_000
 """A client retries within this time after a rejection."""
 NOT_SERVED = (RecordedVerdict.REJECTED, RecordedVerdict.FAILED)
 
 EventKey = tuple[Any, ...]
-"""What tells that two directors received the same notification."""
+"""Identifies a notification that several directors receive."""
 PartKey = tuple[int, int]
 """Object id and part."""
 
 
 @dataclass(slots=True)
 class DirectorTraces:
-    """All files of one director, over its restarts."""
+    """All files of one director, from all of its runs."""
 
     director: str
     traces: list[TraceReader] = field(default_factory=list)
     clocks: dict[str, MonotonicClock] = field(default_factory=dict)
-    """By run, which is a start of the director."""
+    """Clocks by run. Each start of the director begins a new run."""
     fit: ClockFit = field(default_factory=ClockFit)
 
     def to_monotonic(self, trace: TraceReader, times: Column) -> Column:
-        """Times of a file on the monotonic clock of its run."""
+        """Convert times of a file to the monotonic clock of its run."""
         return self.clocks[trace.header.run].to_monotonic(times)
 
     def to_first(self, trace: TraceReader, times: Column) -> Column:
-        """Times of a file on the first director's clock."""
+        """Convert times of a file to the first director's clock."""
         return self.fit.to_first(self.to_monotonic(trace, times))
 
     def notifications(self) -> Iterator[tuple[TraceReader, f.Notification]]:
-        """All notifications with their files."""
+        """Yield all notifications with their files."""
         strings = StringTable()
         for trace in self.traces:
             for _, table in trace.tables(strings, lambda head: head.told > 0):
@@ -64,23 +65,26 @@
 
 @dataclass(slots=True)
 class ClockEvidence:
-    """What a director's files tell of its clock. Times are on its monotonic clock."""
+    """Observations in a director's files about its clock. Times are on its monotonic clock."""
 
     events: dict[EventKey, float] = field(default_factory=dict)
-    """When it first received each notification."""
+    """Time at which the director first received each notification."""
     rejected: dict[PartKey, float] = field(default_factory=dict)
     retried: list[tuple[PartKey, float]] = field(default_factory=list)
 
 
 def open_sources(paths: list[Path]) -> list[DirectorTraces]:
-    """The files by director, in the order of the first file of each; TraceError if one cannot be read."""
+    """Open the files and group them by director, in the order of each director's first file.
+
+    Raises TraceError if there are no files or a file cannot be opened.
+    """
     sources: dict[str, DirectorTraces] = {}
     for path in paths:
         trace = open_trace(path)
         director = trace.header.director
         sources.setdefault(director, DirectorTraces(director)).traces.append(trace)
     if not sources:
-        raise TraceError("no trace is named")
+        raise TraceError("no trace files given")
     for source in sources.values():
         source.traces.sort(key=lambda trace: (trace.header.unix_us, trace.path.name))
     return list(sources.values())
@@ -98,7 +102,7 @@
 
 
 def _event_key(notification: f.Notification) -> EventKey | None:
-    """The key of a notification that all directors receive; None for a director's own."""
+    """Return the key of a notification that all directors receive; None for other notifications."""
     kind, _, data = notification
     if kind == NotificationKind.PURGE:
         return (kind, data.get("group"), data.get("object"), data.get("unix_us"))
@@ -135,7 +139,7 @@
 
 
 def align_clocks(sources: list[DirectorTraces]) -> None:
-    """Fit every director's clock to the first one's."""
+    """Fit every director's clock to the first director's clock."""
     for source in sources:
         _read_clocks(source)
     if len(sources) < 2:
@@ -156,7 +160,7 @@
         if key not in first.rejected:
             continue
         on_first = float(by_events.to_first(np.array([at_us]))[0])
-        if 0 <= on_first - first.rejected[key] + by_events.doubt_us < MAX_RETRY_DELAY_US:
+        if 0 <= on_first - first.rejected[key] + by_events.uncertainty_us < MAX_RETRY_DELAY_US:
             rejected.append(first.rejected[key])
             retried.append(at_us)
     return fit_clock(first_times, other_times, np.array(rejected), np.array(retried))
@@ -166,7 +170,10 @@
 
 
 def _aligned_tables(source: DirectorTraces, strings: StringTable) -> Iterator[tuple[float, Table]]:
-    """A director's tables on the first one's clock, each with the earliest arrival that may still follow."""
+    """Yield a director's tables on the first director's clock.
+
+    Each comes with the earliest arrival time that a later table may still contain.
+    """
     for trace in source.traces:
         for head, table in trace.tables(strings):
             requests = dict(table.requests)
@@ -183,7 +190,7 @@
 
 
 def merge_tables(sources: list[DirectorTraces], strings: StringTable) -> Generator[Table, None, None]:
-    """Tables of all directors, in the order of arrival."""
+    """Yield tables with the requests of all directors in the order of arrival."""
     feeds = [_aligned_tables(source, strings) for source in sources]
     earliest = [-np.inf] * len(feeds)
     buffered: list[Table] = []
@@ -204,7 +211,10 @@
 def _release(
     buffered: list[Table], before: float, strings: StringTable
 ) -> Generator[Table, None, list[Table]]:
-    """Yield what arrived before a time, which nothing can precede any more; return the rest."""
+    """Yield the buffered requests and notifications from before a time; return the rest.
+
+    No later table contains requests that arrived before this time.
+    """
     table = concatenate(buffered, strings)
     order = np.argsort(table.requests["at"], kind="stable")
     ready = order[table.requests["at"][order] < before]
@@ -236,7 +246,7 @@
         self.request_count = 0
 
     def add(self, table: Table, dropped: int = 0) -> None:
-        """Write a table as a block. `dropped`: requests left out before it."""
+        """Write a table as a block. `dropped` is the number of requests omitted before it."""
         head, data = encode_block(table, dropped)
         self.file.write(data)
         self.entries.append(f.BlockIndexEntry(self.offset, len(data), head))
@@ -250,7 +260,7 @@
 
 
 def merged_header(sources: list[DirectorTraces]) -> f.FileHeader:
-    """The first director's header, with the names and the clocks of all."""
+    """Return the first director's header with the names and clocks of all directors."""
     first = sources[0].traces[0].header
     return f.FileHeader(
         first.version,
@@ -268,7 +278,7 @@
     return {
         "offset_us": round(source.fit.offset_us, 1),
         "drift_ppm": round(source.fit.drift * 1e6, 3),
-        "doubt_us": round(source.fit.doubt_us, 1),
+        "doubt_us": round(source.fit.uncertainty_us, 1),
         "events": float(source.fit.events),
         "retries": float(source.fit.retries),
         "steps_us": round(max((clock.steps_us for clock in source.clocks.values()), default=0.0), 1),
@@ -276,7 +286,7 @@
 
 
 def merge_files(paths: list[Path], out: Path) -> dict[str, Any]:
-    """Merge files into `out`; returns the clocks and the losses, as a document for JSON."""
+    """Merge files into `out` and return a document for JSON with the clocks and the losses."""
     sources = open_sources(paths)
     align_clocks(sources)
     header = merged_header(sources)
--- a/tests/test_trace_format.py
+++ b/tests/test_trace_format.py
@@ -130,7 +130,7 @@
         open_trace(tmp_path / "a.owt")
     (tmp_path / "a.owt").write_bytes(f.encode_opening(f.FileHeader((1, 9), "n0", "ab", 0, 0, [], {})))
     assert not open_trace(tmp_path / "a.owt").entries
-    with pytest.raises(TraceError, match="no trace"):
+    with pytest.raises(TraceError, match="not a trace file"):
         open_trace(Path(__file__))
 
 
--- a/tests/test_trace_merge.py
+++ b/tests/test_trace_merge.py
@@ -54,8 +54,10 @@
     sound = fit_clock(first, other, early, early + 500_000 + 150_000)
     assert abs(sound.offset_us - 500_000) < 20_000 and sound.violated_retries == 0
     wrong = fit_clock(first, other, early, early + 500_000 - 300_000)
-    assert wrong.violated_retries == 1 and wrong.doubt_us >= 250_000, "a contradiction is doubt, not silence"
-    assert fit_clock(first[:2], other[:2]).doubt_us > 10**8
+    assert wrong.violated_retries == 1 and wrong.uncertainty_us >= 250_000, (
+        "a contradiction is doubt, not silence"
+    )
+    assert fit_clock(first[:2], other[:2]).uncertainty_us > 10**8
 
 
 def test_a_restart_under_the_same_name_is_one_director_in_one_order(tmp_path: Path) -> None:
