--- a/onyxwick/trace/merge.py
+++ b/onyxwick/trace/merge.py
@@ -1,9 +1,8 @@
 """Merges the traces of several directors into one, in the order of arrival on one clock.
 
 The module takes files of one or more directors and writes one file. Its header states the offset of each
-director's clock and the uncertainty of this offset. Each file is read twice, first for its clock
-(`clocks`), then for its requests.
-Memory is bounded by the requests that arrive within `MAX_REQUEST_DURATION_US`.
+director's clock and the uncertainty of this offset. Each file is read twice, first for its clock (`clocks`),
+then for its requests. Memory is bounded by the requests that arrive within `MAX_REQUEST_DURATION_US`.
 """
 
 from __future__ import annotations
--- a/onyxwick/trace/model.py
+++ b/onyxwick/trace/model.py
@@ -1,8 +1,8 @@
-"""The trace format's numbers and columns. See docs/trace-format.md.
+"""The numbers and columns of the trace format. See docs/trace-format.md.
 
-The numbers, the names of the columns and the printed words are part of the format: they are never reused or
-changed, and new ones are added at the end. Times are microseconds: Unix time where a column says so, else
-from the arrival of the request.
+The numbers, column names and printed words are part of the format. They are never reused or changed, and
+new ones are added at the end. Times are in microseconds, counted from the arrival of the request unless a
+column is described as Unix time.
 """
 
 from __future__ import annotations
@@ -14,23 +14,23 @@
 FORMAT_MAJOR = 1
 FORMAT_MINOR = 0
 NEVER = 0xFFFFFFFF
-"""In place of a time: it did not happen."""
+"""Stored instead of a time if the event did not happen."""
 US_PER_S = 1_000_000
 
 
 class TraceError(OnyxwickError):
-    """A file is not a trace, or has a format that this reader does not know. The message says which."""
+    """A file is not a trace or has an unsupported format. The message states which."""
 
 
 class TraceDamagedError(TraceError):
-    """A part of a trace cannot be read; the parts before and after it can."""
+    """A part of a trace cannot be read. The parts before and after it may still be readable."""
 
 
 class RecordedVerdict(IntEnum):
-    """How a request ended for its client."""
+    """The outcome of a request for its client."""
 
     OPEN = 0
-    """It had not ended when the file was closed."""
+    """The request had not ended when the file was closed."""
     SERVED = 1
     REJECTED = 2
     FAILED = 3
@@ -38,39 +38,39 @@
 
 
 class DecisionReason(IntEnum):
-    """Why an attempt went to its member, or why the final answer is what it is."""
+    """The reason for the choice of an attempt's member, or for a final answer."""
 
     UNKNOWN = 0
     HOME_CACHE = 1
-    """The cache is the first in the object's rendezvous order."""
+    """The cache is first in the object's rendezvous order."""
     ALTERNATED = 2
-    """The second one, as a hot part alternates between two."""
+    """The cache is second in the order. Requests for a hot part alternate between the first two caches."""
     OTHERS_EJECTED = 3
-    """Caches before it in the order are ejected."""
+    """A cache before it in the order is ejected."""
     OTHERS_WARMING_UP = 4
-    """Caches before it are warming up and have used their budget."""
+    """A cache before it is warming up and has used its budget."""
     OTHERS_AT_LIMIT = 5
-    """Caches before it are at their concurrency limit."""
+    """A cache before it is at its concurrency limit."""
     OTHERS_TRIED = 6
-    """Caches before it were tried."""
+    """A cache before it was already tried."""
     CACHES_BYPASSED = 7
-    """The member is no cache: the request is a write, or no cache is healthy."""
+    """The member is not a cache: the request is a write, or no cache is healthy."""
     HEDGED = 8
-    """A hedged request, beside an attempt that is overdue."""
+    """A hedged request, sent in addition to an overdue attempt."""
     ANSWERED = 20
-    """An attempt's answer."""
+    """The final answer is the answer of an attempt."""
     NO_TIME = 21
     """There was no time for an attempt before the client's deadline."""
     ATTEMPTS_EXHAUSTED = 22
     NO_CACHE = 23
-    """No cache could take it."""
+    """No cache could accept the request."""
     NO_FILL_SOURCE = 24
-    """The cache lacks the object and no member could fill it."""
+    """The cache does not have the object and no member could fill it."""
     POSSIBLY_EXECUTED = 25
-    """It may have been executed, and must not be twice."""
+    """The request may have been executed and must not be executed twice."""
     RETRY_BUDGET_EMPTY = 26
     LOAD_SHED = 27
-    """Its cell or site did not admit it."""
+    """The cell or site did not admit the request."""
     CLIENT_LEFT = 28
 
 
@@ -81,7 +81,7 @@
     RecordedVerdict.FAILED: "failed",
     RecordedVerdict.CLIENT_LEFT: "left",
 }
-"""As commands and exports print them."""
+"""The words that commands and exports print."""
 REASON_WORDS = {
     DecisionReason.UNKNOWN: "unknown",
     DecisionReason.HOME_CACHE: "home",
@@ -102,77 +102,79 @@
     DecisionReason.LOAD_SHED: "shed",
     DecisionReason.CLIENT_LEFT: "client_left",
 }
-"""As commands and exports print them."""
+"""The words that commands and exports print."""
 _VERDICT_WORD_BY_NUMBER = {int(verdict): word for verdict, word in VERDICT_WORDS.items()}
 _REASON_WORD_BY_NUMBER = {int(reason): word for reason, word in REASON_WORDS.items()}
 
 
 def verdict_word(number: int) -> str:
-    """The printed word of a verdict; the number itself if a newer version has written it."""
+    """Return the printed word of a verdict, or its number as text if a newer version defines it."""
     return _VERDICT_WORD_BY_NUMBER.get(number, str(number))
 
 
 def reason_word(number: int) -> str:
-    """The printed word of a reason; the number itself if a newer version has written it."""
+    """Return the printed word of a reason, or its number as text if a newer version defines it."""
     return _REASON_WORD_BY_NUMBER.get(number, str(number))
 
 
 class NotificationKind(IntEnum):
-    """What a director was notified of, or reports of itself."""
+    """Kinds of notifications that a director receives, and of reports on itself."""
 
     START = 1
     STOP = 2
     LIST = 3
-    """`members`: [id, zone, kind, state, weight, since_us]."""
+    """An endpoint list. `members` has rows of [id, zone, kind, state, weight, since_us]."""
     PURGE = 4
     CONFIG = 5
     SENT = 6
-    """A non-idempotent write is sent: recorded at once, so that it is known even if the director crashes."""
+    """A non-idempotent write is about to be sent. Recorded at once, so that a crash of the director does not
+    hide it.
+    """
     CLOCK = 7
-    """Both clocks at one instant."""
+    """The Unix and monotonic clocks at the same instant."""
     SITE = 8
-    """A site or hub is taken to be in another state: site, was, now, share, why."""
+    """A site or hub is considered to be in another state. Fields: site, was, now, share, why."""
 
 
-# Columns of the requests: type code of `array`; one value a request, in the order of the final answers.
+# Request columns with their `array` type codes: one value per request, in the order in which requests ended.
 REQUEST_COLUMNS: dict[str, str] = {
     "id": "Q",
-    "at": "q",  # arrival, Unix time
-    "left": "I",  # time that the client would wait
-    "class": "B",  # number of a string of the block, as are tenant and cell
+    "at": "q",  # arrival in Unix time
+    "left": "I",  # time until the client's deadline
+    "class": "B",  # number of a string in the block, also for tenant and cell
     "tenant": "H",
     "cell": "H",
     "object": "Q",
     "part": "H",
-    "group": "h",  # -1: none
+    "group": "h",  # -1 means none
     "flags": "B",  # CLIENT_RETRY_FLAG, WRITE_FLAG, NON_IDEMPOTENT_FLAG
     "verdict": "B",
     "why": "B",  # DecisionReason
-    "took": "I",  # time to the final answer
-    "after": "I",  # Retry-After that the client was given
+    "took": "I",  # time until the final answer
+    "after": "I",  # Retry-After time sent to the client; 0 means none
     "bytes": "I",
-    "director": "H",  # number of a string; 0, the empty one: the director of the file
-    "attempts": "B",  # rows of this request among the attempts
+    "director": "H",  # number of a string; 0, the empty string, means the director of the file
+    "attempts": "B",  # number of attempts of the request
 }
-# Columns of the attempts: one value an attempt, in the order of the requests and of their decisions.
+# Attempt columns: one value per attempt, in the order of the requests and of the decisions for each request.
 ATTEMPT_COLUMNS: dict[str, str] = {
     "decided": "I",
     "sent": "I",
     "ended": "I",
     "cancel": "I",
-    "member": "H",  # number of a string, as is source; 0, the empty one: none
+    "member": "H",  # number of a string, also for source; 0, the empty string, means none
     "source": "H",
     "rank": "B",
     "flags": "B",  # FillOption
-    "age": "I",  # ms: age of the oldest copy that may answer
-    "status": "B",  # place in STATUS_WORDS
+    "age": "I",  # maximum age of a copy that may be used to answer, in ms
+    "status": "B",  # index in STATUS_WORDS
     "detail": "B",
     "why": "B",  # DecisionReason
-    "pending": "H",  # the router's estimates of the member: attempts in flight
-    "room": "B",  # factor on its concurrency limit, in fiftieths
+    "pending": "H",  # router's estimate of the member, also in the next columns: attempts in flight
+    "room": "B",  # factor on the member's concurrency limit, in fiftieths
     "failing": "B",  # failure score, in 255ths
-    "warm": "B",  # share of its capacity while it is warming up, in 255ths
-    "dated": "q",  # when the origin gave out the copy, Unix time; 0: not known
+    "warm": "B",  # share of the member's capacity while it is warming up, in 255ths
+    "dated": "q",  # time at which the origin served the copy, Unix time; 0 means unknown
 }
 COLUMN_BYTES = {"B": 1, "H": 2, "h": 2, "I": 4, "Q": 8, "q": 8}
 CLIENT_RETRY_FLAG = 1
@@ -180,4 +182,4 @@
 NON_IDEMPOTENT_FLAG = 4
 STATUS_WORDS = ("ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "not_sent", "miss")
 NOT_ENDED_STATUS = 255
-"""In place of a status: the attempt had not ended when the file was closed."""
+"""Stored instead of a status if the attempt had not ended when the file was closed."""
--- a/onyxwick/trace/reader.py
+++ b/onyxwick/trace/reader.py
@@ -1,8 +1,8 @@
-"""Reads traces a block at a time, also damaged ones.
+"""Reads traces one block at a time, including damaged traces.
 
-Input: a file. Output: its header and the tables of its blocks. Blocks are found by the index at the end,
-or, after a crash, by scanning for frames; what is damaged is skipped and noted in `losses`. Memory is
-bounded by one block and the heads of all.
+The module takes a file and returns its header and the tables of its blocks. Blocks are located with the
+index at the end of the file or, after a crash, by scanning for frames. Damaged parts are skipped and recorded
+in `losses`. Memory is bounded by one block and the heads of all blocks.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 from onyxwick.trace.table import StringTable, Table, from_body
 
 SCAN_BYTES = 1 << 20
-"""Searched at a time for the next frame."""
+"""Number of bytes read at a time in the search for the next frame."""
 BlockFilter = Callable[[f.BlockHead], bool]
-"""Whether a block is needed, by its head."""
+"""Returns whether a block with this head is needed."""
 
 
 @dataclass(slots=True)
 class ReadLoss:
-    """Bytes of a file that could not be read, and why."""
+    """A range of bytes that could not be read, and the cause."""
 
     offset: int
     size: int
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True)
 class TraceReader:
-    """One open file."""
+    """An open trace file."""
 
     path: Path
     file: BinaryIO
@@ -52,40 +52,46 @@
         self.file.close()
 
     def read(self, offset: int, size: int) -> bytes:
-        """Bytes of the file; fewer at its end."""
+        """Read bytes of the file. Returns fewer than `size` at its end."""
         self.file.seek(offset)
         data = self.file.read(size)
         self.read_bytes += len(data)
         return data
 
     def head(self, entry: f.BlockIndexEntry) -> f.BlockHead:
-        """A block's own head, without its body. Not verified, as the checksum covers both."""
+        """Read the head in a block's frame, without the body.
+
+        The checksum is not verified, because it covers both. Raises TraceDamagedError if the head is invalid.
+        """
         _, size, _, _, _ = f.read_frame_sizes(self.read(entry.offset, f.FRAME.size))
         return f.read_head(self.read(entry.offset + f.FRAME.size, size))
 
     def block(self, entry: f.BlockIndexEntry, strings: StringTable) -> Table:
-        """One block as a table; TraceDamagedError if it cannot be read."""
+        """Read one block as a table. Raises TraceDamagedError if it cannot be read."""
         data = self.read(entry.offset, entry.size)
         magic, head, body, raw, check = f.read_frame_sizes(data)
         if magic != f.BLOCK or f.FRAME.size + head + body > len(data):
-            raise TraceDamagedError("a block is cut")
+            raise TraceDamagedError("a block is truncated or does not start with a block frame")
         head_bytes = data[f.FRAME.size : f.FRAME.size + head]
         body_bytes = data[f.FRAME.size + head : f.FRAME.size + head + body]
         f.verify_checksum(head_bytes, body_bytes, check)
-        # The head in the frame, not the one in the index: only the former is covered by the checksum.
+        # Use the head in the frame, not the one in the index: only the former is covered by the checksum.
         parsed = f.read_body(f.decompress(body_bytes, raw), f.read_head(head_bytes))
         return from_body(parsed, strings, self.header.director)
 
     def tables(
         self, strings: StringTable, wanted: BlockFilter | None = None
     ) -> Iterator[tuple[f.BlockHead, Table]]:
-        """The blocks that are needed, all if `wanted` is None; damaged ones are noted and skipped."""
+        """Yield the heads and tables of the blocks that are needed; all blocks if `wanted` is None.
+
+        Damaged blocks are skipped and recorded in `losses`.
+        """
         for entry in self.entries:
             if wanted is not None and not wanted(entry.head):
                 continue
             try:
                 if wanted is not None and not entry.head.bloom and not wanted(self.head(entry)):
-                    continue  # the index has no Bloom filters, the block's own head has one
+                    continue  # Heads in the index have no Bloom filter; the head in the block has one.
                 table = self.block(entry, strings)
             except TraceDamagedError as error:
                 self.losses.append(ReadLoss(entry.offset, entry.size, str(error)))
@@ -94,7 +100,7 @@
 
 
 def open_trace(path: Path) -> TraceReader:
-    """Open a trace; TraceError if the file is none. Damaged parts are noted in `losses`."""
+    """Open a trace. Raises TraceError if it is not a trace. Damaged parts are recorded in `losses`."""
     try:
         file = path.open("rb")
     except OSError as error:
@@ -112,7 +118,7 @@
 
 
 def _use_index(trace: TraceReader) -> bool:
-    """Use the index at the end of the file; False if there is no valid one."""
+    """Load the index at the end of the file. Returns False if there is no valid index."""
     if trace.size < trace.begin + f.CLOSING.size + f.FRAME.size:
         return False
     offset, magic = f.CLOSING.unpack(trace.read(trace.size - f.CLOSING.size, f.CLOSING.size))
@@ -135,7 +141,7 @@
 
 
 def _scan(trace: TraceReader) -> None:
-    """Rebuild the index from the frames; skip to the next one where a frame is damaged."""
+    """Rebuild the index by scanning the frames. Skips a damaged frame and continues at the next one."""
     at = trace.begin
     while at < trace.size:
         try:
@@ -151,14 +157,17 @@
 
 
 def _frame_at(trace: TraceReader, at: int) -> tuple[int, f.BlockIndexEntry | None]:
-    """Size of the frame at an offset, and its index entry if it is a block."""
+    """Return the size of the frame at an offset, and its index entry; None if it is not a block.
+
+    Raises TraceDamagedError if the frame is invalid.
+    """
     start = trace.read(at, f.FRAME.size)
     if start[-f.CLOSING.size :].endswith(f.END) or (len(start) == f.CLOSING.size and start.endswith(f.END)):
         return len(start), None
     magic, head, body, _, check = f.read_frame_sizes(start)
     data = trace.read(at + f.FRAME.size, head + body)
     if len(data) < head + body:
-        raise TraceDamagedError("the file ends inside a frame")
+        raise TraceDamagedError("a frame is truncated by the end of the file")
     f.verify_checksum(data[:head], data[head:], check)
     size = f.FRAME.size + head + body
     if magic == f.INDEX:
@@ -167,12 +176,12 @@
 
 
 def _next_magic(trace: TraceReader, at: int) -> int:
-    """Offset of the next frame's magic number, or the end of the file."""
+    """Return the offset of the next frame's magic number, or the end of the file."""
     while at < trace.size:
         data = trace.read(at, SCAN_BYTES)
-        places = [place for magic in (f.BLOCK, f.INDEX) if (place := data.find(magic)) >= 0]
-        if places:
-            return at + min(places)
+        positions = [position for magic in (f.BLOCK, f.INDEX) if (position := data.find(magic)) >= 0]
+        if positions:
+            return at + min(positions)
         if len(data) < len(f.BLOCK):
             break
         at += max(1, len(data) - len(f.BLOCK) + 1)
--- a/onyxwick/trace/recorder.py
+++ b/onyxwick/trace/recorder.py
@@ -1,8 +1,8 @@
-"""Records requests while they are open, and collects those that have ended in blocks.
+"""Records requests while they are open, and collects ended requests in blocks.
 
-Input: what a director decides and sees of each request; times in microseconds of its clock. Output: blocks
-of columns that are ready to be written. It does no I/O and has no clock. A request is recorded completely,
-when its last attempt has ended, or not at all; requests that are left out are counted.
+The module takes a director's decisions and events, with times in microseconds of the director's clock. It
+returns blocks of columns that are ready to be written. It does no I/O and has no clock. A request is recorded
+completely, once it is answered and its last attempt has ended, or not at all. Omitted requests are counted.
 """
 
 from __future__ import annotations
@@ -31,12 +31,12 @@
 
 MAX_BLOCK_REQUESTS = 4096
 MAX_BLOCK_AGE_US = 1_000_000
-"""A block is closed after this time, so that a crash loses little."""
+"""A block is closed after this time to limit the loss in a crash."""
 MAX_OPEN_REQUESTS = 8192
 MAX_ATTEMPTS = 64
-"""Of one request; one with more is left out."""
+"""Maximum number of attempts of a request. A request with more attempts is omitted."""
 MAX_NOTIFICATIONS = 4096
-"""In one block."""
+"""Maximum number of notifications in one block."""
 MAX_BLOCK_STRINGS = 60_000
 STATUS_NUMBER = {status: STATUS_WORDS.index(status.value) for status in AttemptStatus}
 MAX_U16 = 0xFFFF
@@ -45,7 +45,7 @@
 MAX_U64 = 0xFFFFFFFFFFFFFFFF
 MAX_BYTE = 255
 LIMIT_FACTOR_STEPS = 50
-"""The limit factor is recorded in fiftieths."""
+"""The limit factor is recorded as an integer, in fiftieths."""
 MS_US = 1000
 FNV_OFFSET = 0xCBF29CE484222325
 FNV_PRIME = 0x100000001B3
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True)
 class MemberEstimate:
-    """What the router estimated of a member when it chose it, and why it chose it."""
+    """The router's estimates of a member when it chose the member, and the reason for the choice."""
 
     reason: int = DecisionReason.UNKNOWN
     in_flight: int = 0
@@ -64,7 +64,7 @@
 
 @dataclass(slots=True)
 class RecordedAttempt:
-    """One attempt. Times are from the arrival of its request; NEVER: it did not happen."""
+    """One attempt. Times count from the arrival of its request; NEVER means that the event did not happen."""
 
     member: str
     fill_source: str
@@ -96,15 +96,15 @@
     retry_after_us: int = 0
     answer_bytes: int = 0
     state: RequestState | None = None
-    """The router's own record, from which the reason of a final answer is derived."""
+    """The router's state of the request, from which the reason of a final answer is derived."""
 
     def elapsed_us(self, now_us: int) -> int:
-        """Time since its arrival, as a column can hold it."""
+        """Return the time since the arrival, limited to the largest value that a column can store."""
         return min(now_us - self.arrived_us, NEVER - 1)
 
 
 def id_number(name: str) -> int:
-    """16 hex digits as a number; any other name by a hash of it."""
+    """Return 16 hex digits as a number, and any other name as its hash."""
     try:
         return int(name, 16) & MAX_U64
     except ValueError:
@@ -112,7 +112,7 @@
 
 
 def fnv1a(text: str) -> int:
-    """The 64-bit FNV-1a hash of a text: the same on every machine."""
+    """Return the 64-bit FNV-1a hash of a text. It is the same on every machine."""
     value = FNV_OFFSET
     for byte in text.encode():
         value = ((value ^ byte) * FNV_PRIME) & MAX_U64
@@ -120,7 +120,7 @@
 
 
 class RecordedBlock:
-    """The columns of a block while it fills."""
+    """The columns of a block that requests are being added to."""
 
     def __init__(self, now_us: int) -> None:
         self.started_us = now_us
@@ -136,23 +136,23 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether no further request is to be added."""
+        """Whether the block has reached a limit and no further request should be added."""
         return len(self.requests["id"]) >= MAX_BLOCK_REQUESTS or len(self.strings) >= MAX_BLOCK_STRINGS
 
     @property
     def is_empty(self) -> bool:
-        """Whether it holds neither requests nor notifications."""
+        """Whether the block contains neither requests nor notifications."""
         return not self.requests["id"] and not self.notifications
 
     def string_number(self, value: str) -> int:
-        """The number of a string in this block."""
+        """Return the number of a string in this block, adding the string if it is new."""
         number = self.strings.get(value)
         if number is None:
             number = self.strings[value] = len(self.strings)
         return number
 
     def add(self, request: RecordedRequest) -> None:
-        """Add a request that has ended, with its attempts."""
+        """Add an ended request with its attempts."""
         arrival = request.arrival
         head = self.head
         head.first = min(head.first or request.arrived_us, request.arrived_us)
@@ -169,7 +169,7 @@
                 column.append(value)
 
     def _request_row(self, request: RecordedRequest) -> tuple[int, ...]:
-        """The values of a request in the order of REQUEST_COLUMNS."""
+        """Return the values of a request in the order of REQUEST_COLUMNS."""
         arrival = request.arrival
         flags = CLIENT_RETRY_FLAG * arrival.is_retry
         flags |= WRITE_FLAG * arrival.is_write
@@ -195,7 +195,7 @@
         )
 
     def _attempt_row(self, attempt: RecordedAttempt) -> tuple[int, ...]:
-        """The values of an attempt in the order of ATTEMPT_COLUMNS."""
+        """Return the values of an attempt in the order of ATTEMPT_COLUMNS."""
         estimate = attempt.estimate
         return (
             attempt.decided_us,
@@ -218,7 +218,7 @@
         )
 
     def encode(self) -> tuple[f.BlockHead, bytes]:
-        """Its head and its frame. Runs in the writer's thread, so that it delays no request."""
+        """Return the head and the encoded frame. Runs in the writer thread to avoid delaying requests."""
         head = self.head
         head.lives = len(self.requests["id"])
         head.attempts = len(self.attempts["sent"])
@@ -243,7 +243,7 @@
 
 
 class Recorder:
-    """Records what a director does. `write_block` takes a finished block; False: it cannot take it now."""
+    """Records requests. `write_block` takes a finished block and returns False if it cannot accept it now."""
 
     def __init__(
         self,
@@ -256,12 +256,12 @@
         self.open_requests: dict[str, RecordedRequest] = {}
         self.block = RecordedBlock(now_us)
         self.dropped = 0
-        """Requests left out since the last block that was written."""
+        """Number of requests omitted since the last block was written."""
 
     # ---- events -----------------------------------------------------------------------------------------
 
     def on_request_arrived(self, now_us: int, arrival: RequestArrived, cell: str = "") -> None:
-        """Record a request from now on, unless too many are open."""
+        """Start to record a request. It is omitted if too many are open or if its id is already open."""
         if len(self.open_requests) >= MAX_OPEN_REQUESTS or arrival.request_id in self.open_requests:
             self.dropped += 1
             return
@@ -301,7 +301,7 @@
             request.attempts[index].sent_us = max(0, request.elapsed_us(sent_us))
 
     def record_non_idempotent_send(self, now_us: int, request_id: str, member: str) -> None:
-        """Record that a non-idempotent write is about to be sent; it reaches the disk with the next block."""
+        """Record that a non-idempotent write is about to be sent; written to disk with the next block."""
         request = self.open_requests.get(request_id)
         if request is None or not request.non_idempotent:
             return
@@ -316,7 +316,7 @@
             request.attempts[index].cancelled_us = request.elapsed_us(now_us)
 
     def on_attempt_ended(self, now_us: int, event: AttemptEnded, origin_date_us: int) -> None:
-        """Record how an attempt ended. `origin_date_us`: when the origin gave out the copy, Unix time."""
+        """Record how an attempt ended. `origin_date_us` is the Unix time when the origin served the copy."""
         request = self.open_requests.get(event.request_id)
         if request is None or not 0 <= event.attempt_index < len(request.attempts):
             return
@@ -336,7 +336,7 @@
         retry_after_us: int,
         answer_bytes: int,
     ) -> None:
-        """Record the final answer, or that the client has left; only the first of them counts."""
+        """Record the final answer, or that the client left. Only the first call for a request counts."""
         request = self.open_requests.get(request_id)
         if request is None or request.verdict:
             return
@@ -348,7 +348,7 @@
         self._close_if_ended(now_us, request_id, request)
 
     def record_notification(self, now_us: int, kind: NotificationKind, data: dict[str, Any]) -> None:
-        """Record what the director was notified of; left out where the block is full and not taken."""
+        """Record a notification. It is omitted if the block is full and `write_block` does not accept it."""
         if len(self.block.notifications) >= MAX_NOTIFICATIONS:
             self.flush(now_us)
         if len(self.block.notifications) < MAX_NOTIFICATIONS:
@@ -357,7 +357,7 @@
     # ---- blocks -----------------------------------------------------------------------------------------
 
     def _close_if_ended(self, now_us: int, request_id: str, request: RecordedRequest) -> None:
-        """Move a request into the block once it is answered and its attempts have ended."""
+        """Move a request into the block if it is answered and all of its attempts have ended."""
         ended = all(attempt.status != NOT_ENDED_STATUS for attempt in request.attempts)
         if not request.verdict or not ended:
             return
@@ -367,12 +367,15 @@
             self.flush(now_us)
 
     def tick(self, now_us: int) -> None:
-        """Close a block that is old enough; to be called several times a second."""
+        """Close the block if it has reached its maximum age. Must be called several times per second."""
         if now_us - self.block.started_us >= MAX_BLOCK_AGE_US:
             self.flush(now_us)
 
     def flush(self, now_us: int) -> None:
-        """Hand the block over and start a new one. If it is not taken its requests are left out."""
+        """Pass the block to `write_block` and start a new block.
+
+        If the block is not accepted, its requests are omitted and its notifications go into the new block.
+        """
         block = self.block
         if block.is_empty and not self.dropped:
             block.started_us = now_us
@@ -387,7 +390,7 @@
             self.block.notifications = block.notifications[-MAX_NOTIFICATIONS:]
 
     def finish(self, now_us: int) -> None:
-        """Record the requests that are still open as such, and hand over the last block."""
+        """Record the requests that are still open with the verdict OPEN, and pass on the last block."""
         for request_id, request in list(self.open_requests.items()):
             if not request.answered_after_us:
                 request.answered_after_us = max(0, now_us - request.arrived_us)
--- a/onyxwick/trace/sink.py
+++ b/onyxwick/trace/sink.py
@@ -1,8 +1,8 @@
-"""Writes blocks to files in a thread of its own, with bounds on memory, file size, age and disk usage.
+"""Writes blocks to files in a separate thread, with limits on memory, file size, age and disk usage.
 
-Input: blocks. Output: files NAME-RUN-NUMBER.owt. It never makes the director wait: a block that finds the
-queue full is refused at once. What the disk refuses is lost and counted, and a new file is tried after a
-while.
+The module takes blocks and writes files named NAME-RUN-NUMBER.owt. It never blocks the director: if the queue
+is full, a block is rejected at once. Blocks that cannot be written because of a disk error are lost and
+counted, and a new file is opened after `REOPEN_DELAY_S`.
 """
 
 from __future__ import annotations
@@ -21,15 +21,15 @@
 
 MAX_QUEUED_BLOCKS = 4
 REOPEN_DELAY_S = 5.0
-"""After an error of the disk, before a new file is tried."""
+"""Delay between a disk error and the attempt to open a new file."""
 STOP_TIMEOUT_S = 5.0
-KEPT_ERRORS = 8
+MAX_RECORDED_ERRORS = 8
 FILE_SUFFIX = ".owt"
 
 
 @dataclass(frozen=True, slots=True)
 class SinkLimits:
-    """Limits of one file, by size and age, and of all files; the oldest files are removed."""
+    """Size and age limits of one file, and the size limit of all files. The oldest files are removed."""
 
     file_bytes: int = 64 << 20
     file_s: float = 3600.0
@@ -37,21 +37,21 @@
 
 
 class TraceFiles:
-    """The file calls that the writer makes; tests replace them. All may raise OSError."""
+    """File operations of the writer, which tests can replace. All may raise OSError."""
 
     def open(self, path: Path) -> BinaryIO:
-        """Create a file, and its folder if need be."""
+        """Create a file, and its folder if it does not exist."""
         path.parent.mkdir(parents=True, exist_ok=True)
         return path.open("xb", buffering=0)
 
     def write(self, file: BinaryIO, data: bytes) -> None:
-        """Write all bytes; an unbuffered file may take them in several parts."""
+        """Write all bytes. An unbuffered file may accept only part of them in one call."""
         at = 0
         while at < len(data):
             at += file.write(data[at:]) or 0
 
     def sizes(self, folder: Path, prefix: str) -> list[tuple[Path, int]]:
-        """A director's files with their sizes, in the order of their names, which is their age."""
+        """Return a director's files with their sizes, sorted by name, which is the order of age."""
         found = sorted(folder.glob(f"{prefix}-*{FILE_SUFFIX}"))
         return [(path, path.stat().st_size) for path in found]
 
@@ -62,7 +62,7 @@
 
 @dataclass(slots=True)
 class SinkCounts:
-    """What was written and lost since the start."""
+    """Counts of blocks and requests written and lost since the start."""
 
     blocks: int = 0
     bytes: int = 0
@@ -70,11 +70,11 @@
     lost_requests: int = 0
     files: int = 0
     errors: list[str] = field(default_factory=list)
-    """The last few errors of the disk."""
+    """The latest disk errors, at most `MAX_RECORDED_ERRORS`."""
 
     def add_error(self, error: Exception) -> None:
-        """Keep an error's message."""
-        self.errors = [*self.errors, str(error)][-KEPT_ERRORS:]
+        """Add the message of an error and drop the oldest ones above the limit."""
+        self.errors = [*self.errors, str(error)][-MAX_RECORDED_ERRORS:]
 
 
 class TraceWriterThread:
@@ -88,7 +88,7 @@
         files: TraceFiles | None = None,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """`clock`: monotonic seconds."""
+        """`clock` returns monotonic seconds."""
         self.folder = folder
         self.header = header
         self.limits = limits or SinkLimits()
@@ -103,7 +103,7 @@
         self.file_count = 0
         self.reopen_s = 0.0
         self.unreported_lost_requests = 0
-        """Requests lost since the last block that was written; the next block reports them."""
+        """Requests lost since the last block was written. The next block reports them."""
         self.thread: threading.Thread | None = None
 
     # ---- called by the director -------------------------------------------------------------------------
@@ -114,7 +114,7 @@
         self.thread.start()
 
     def enqueue(self, block: RecordedBlock) -> bool:
-        """Have a block written; False at once if too many are queued."""
+        """Queue a block for writing. Returns False without waiting if the queue is full."""
         try:
             self.queue.put_nowait(block)
         except queue.Full:
@@ -122,7 +122,10 @@
         return True
 
     def stop(self, timeout_s: float = STOP_TIMEOUT_S) -> None:
-        """Write what is queued and close the file; without its index if the disk does not respond in time."""
+        """Write the queued blocks and close the file.
+
+        Gives up if the disk does not respond in time; the file then has no index.
+        """
         if self.thread is None:
             return
         try:
@@ -139,7 +142,7 @@
         self.close()
 
     def write(self, block: RecordedBlock) -> None:
-        """Write one block, or count its loss."""
+        """Write one block. If this fails, count it as lost."""
         block.head.dropped += self.unreported_lost_requests
         head, data = block.encode()
         try:
@@ -161,7 +164,7 @@
         self.counts.add_error(error)
         self.unreported_lost_requests = head.dropped + head.lives
         self.reopen_s = self.clock() + REOPEN_DELAY_S
-        if self.file is not None:  # it may end with part of a block, which a reader skips
+        if self.file is not None:  # The file may end with a partial block, which readers skip.
             self._close_file()
 
     def _close_file(self) -> None:
@@ -173,7 +176,7 @@
         self.file = None
 
     def _ensure_file(self, size: int) -> None:
-        """Have a file open that takes a block of this size; OSError if that is not possible now."""
+        """Ensure that an open file has room for a block of `size` bytes. Raises OSError if this fails."""
         limits = self.limits
         if self.file is not None:
             is_old = self.clock() - self.opened_s >= limits.file_s
@@ -182,7 +185,7 @@
         if self.file is not None:
             return
         if self.clock() < self.reopen_s:
-            raise OSError("the disk refused a while ago")
+            raise OSError("no new trace file yet: waiting after a disk error")
         self._remove_old_files()
         data = f.encode_opening(self.header)
         self.file_count += 1
@@ -195,7 +198,7 @@
         self.counts.files += 1
 
     def _remove_old_files(self) -> None:
-        """Remove this director's oldest files until one more fits into the limit of all files."""
+        """Remove this director's oldest files until a new file fits within the limit of all files."""
         existing = self.files.sizes(self.folder, self.header.director) if self.folder.exists() else []
         total = sum(size for _, size in existing)
         for path, size in existing:
--- a/onyxwick/trace/summary.py
+++ b/onyxwick/trace/summary.py
@@ -1,8 +1,8 @@
 """Summarises a trace: weights, verdicts, latencies, retries and fill sources, by name and by time.
 
-Input: tables in any order. Output: a document for JSON. One pass; memory is bounded by the number of names
-and of seconds. `Weight` is the priority weight of a request's class: what its answer within the objective
-earns.
+The module takes tables in any order and returns a document for JSON. It makes one pass, and memory is bounded
+by the number of names and of seconds. "Weight" is the priority weight of a request's class, which is credited
+for an answer within the latency objective.
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
 from onyxwick.trace.model import CLIENT_RETRY_FLAG, US_PER_S, VERDICT_WORDS, RecordedVerdict
 from onyxwick.trace.table import Column, Table
 
-WORST_S = 10
-"""Length of the worst window."""
+WORST_WINDOW_S = 10
+"""Length of the window with the worst service, in seconds."""
 MS_US = 1000
 MAX_LATENCY_US = 3_600_000_000
 LATENCY_DIGITS = 3
@@ -35,7 +35,7 @@
 
 
 class Weights(NamedTuple):
-    """Priority weight of each request: requested, earned within the objective, and earned in all."""
+    """Priority weight of each request: requested, credited within the objective, and credited in total."""
 
     requested: Column
     in_time: Column
@@ -55,7 +55,7 @@
     """The requests of one class, tenant, cell or member."""
 
     counts: Column = field(default_factory=lambda: np.zeros(len(RecordedVerdict), np.int64))
-    """Requests by verdict."""
+    """Number of requests by verdict."""
     requested_weight: float = 0.0
     in_time_weight: float = 0.0
     served_weight: float = 0.0
@@ -63,10 +63,10 @@
     attempts: int = 0
     bytes: int = 0
     latency: HdrHistogram = field(default_factory=_latency_histogram)
-    """Microseconds from arrival to answer, of what was served."""
+    """Time from arrival to answer of served requests, in microseconds."""
 
     def as_document(self) -> dict[str, Any]:
-        """Its figures for JSON."""
+        """Return the figures of the group for JSON."""
         quantile = self.latency.get_value_at_percentile
         return {
             "requests": int(self.counts.sum()),
@@ -84,7 +84,10 @@
 
 
 def record_values(histogram: HdrHistogram, values: Column) -> None:
-    """Record many values, each rounded down to three digits, each different one once with its count."""
+    """Record many values, each rounded down to four significant digits.
+
+    Each distinct rounded value is recorded once with its count.
+    """
     if not len(values):
         return
     scale = np.maximum(1, 10 ** np.maximum(0, np.floor(np.log10(np.maximum(values, 1))) - 3)).astype(np.int64)
@@ -94,13 +97,13 @@
 
 
 class PriorityWeights:
-    """Priority weights by class, from the header of a trace."""
+    """Priority weights by class, taken from the header of a trace."""
 
     def __init__(self, header: f.FileHeader) -> None:
         self.classes = {str(fields["name"]): fields for fields in header.classes}
 
     def column(self, table: Table, name: str, default: float) -> Column:
-        """A figure of its class for each request."""
+        """Return for each request the value of a field of its class, or `default` if it is unknown."""
         numbers = table.requests["class"]
         figures = np.full(len(table), default)
         for number in np.unique(numbers):
@@ -109,7 +112,7 @@
         return figures
 
     def of(self, table: Table) -> Weights:
-        """The weights of each request; an answer after the objective earns the class's late share."""
+        """Return the weights of each request. A later answer is credited with the late share of its class."""
         weight = self.column(table, "worth", 1.0)
         late_share = self.column(table, "late_worth", 0.0)
         limit_us = self.column(table, "aim_us", np.inf) + self.column(table, "grace_us", 0.0)
@@ -119,7 +122,7 @@
 
 
 class Summary:
-    """Add tables in any order, then ask for the document."""
+    """Accumulates the figures of a trace. `add` tables in any order, then call `as_document`."""
 
     def __init__(self, header: f.FileHeader) -> None:
         self.weights = PriorityWeights(header)
@@ -129,15 +132,15 @@
         self.seconds: dict[int, list[float]] = {}
         """[requested, served] weight by Unix second."""
         self.sources: dict[str, int] = {}
-        """Served requests by where the answer came from."""
+        """Number of served requests by the source of the answer."""
         self.origin_bytes: dict[str, int] = {}
-        """Bytes filled, by fill source."""
+        """Number of bytes filled, by fill source."""
         self.total = SummaryGroup()
         self.dropped = 0
         self.request_count = 0
 
     def add(self, table: Table, dropped: int = 0) -> None:
-        """Add a table. `dropped`: requests that its block reports as left out."""
+        """Add a table. `dropped` is the number of requests that its block reports as omitted."""
         self.dropped += dropped
         self.request_count += len(table)
         if not len(table):
@@ -173,9 +176,9 @@
         record_values(group.latency, requests["took"][served].astype(np.int64))
 
     def _add_seconds(self, table: Table, weights: Weights) -> None:
-        seconds, places = np.unique(table.requests["at"] // US_PER_S, return_inverse=True)
-        requested = np.bincount(places, weights.requested)
-        served = np.bincount(places, weights.served)
+        seconds, positions = np.unique(table.requests["at"] // US_PER_S, return_inverse=True)
+        requested = np.bincount(positions, weights.requested)
+        served = np.bincount(positions, weights.served)
         for second, requested_sum, served_sum in zip(
             seconds.tolist(), requested.tolist(), served.tolist(), strict=True
         ):
@@ -199,13 +202,16 @@
             self.origin_bytes[name] = self.origin_bytes.get(name, 0) + size
 
     def worst(self) -> dict[str, Any]:
-        """The ten seconds in which the least share of the requested weight was served."""
+        """Return the window of up to ten seconds in which the smallest share of requested weight was served.
+
+        Returns an empty document if there are no requests.
+        """
         if not self.seconds:
             return {}
         begin = min(self.seconds)
         end = max(self.seconds)
         rows = np.array([self.seconds.get(second, [0.0, 0.0]) for second in range(begin, end + 1)])
-        length = min(WORST_S, len(rows))
+        length = min(WORST_WINDOW_S, len(rows))
         requested = np.convolve(rows[:, 0], np.ones(length), "valid")
         served = np.convolve(rows[:, 1], np.ones(length), "valid")
         share = np.where(requested > 0, served / np.maximum(requested, 1e-9), 1.0)
@@ -213,7 +219,7 @@
         return {"begin_unix": begin + at, "seconds": length, "service": round(float(share[at]), 4)}
 
     def as_document(self) -> dict[str, Any]:
-        """All figures for JSON."""
+        """Return all figures for JSON."""
         groups = {
             kind: {name: group.as_document() for name, group in sorted(rows.items())}
             for kind, rows in self.groups.items()
@@ -230,7 +236,7 @@
 
 
 def summarise(header: f.FileHeader, tables: Iterable[tuple[f.BlockHead, Table]]) -> Summary:
-    """The summary of all blocks."""
+    """Return the summary of all blocks."""
     summary = Summary(header)
     for head, table in tables:
         summary.add(table, head.dropped)
--- a/onyxwick/trace/table.py
+++ b/onyxwick/trace/table.py
@@ -1,8 +1,8 @@
 """Requests and attempts as numpy columns, for the tools that read traces.
 
-Input: decoded blocks. Output: tables, one value for each request or attempt and column; names are numbers
-of one string table that all tables of a reader share. Tables can be selected from, concatenated and encoded
-as blocks again.
+The module takes decoded blocks and returns tables, with one value per column for each request or attempt.
+Names are stored as numbers of one string table that all tables of a reader share. Rows of tables can be
+selected, and tables can be concatenated and encoded as blocks again.
 """
 
 from __future__ import annotations
@@ -17,23 +17,23 @@
 from onyxwick.trace.model import ATTEMPT_COLUMNS, REQUEST_COLUMNS, STATUS_WORDS, TraceDamagedError
 
 REQUEST_NAME_COLUMNS = ("class", "tenant", "cell", "director")
-"""Columns of the requests that are numbers of strings."""
+"""Request columns that contain string numbers."""
 ATTEMPT_NAME_COLUMNS = ("member", "source")
-"""Columns of the attempts that are numbers of strings."""
+"""Attempt columns that contain string numbers."""
 STATUS_OK = STATUS_WORDS.index("ok")
 NUMPY_CODES = {"B": "u1", "H": "u2", "h": "i2", "I": "u4", "Q": "u8", "q": "i8"}
 Column = np.ndarray[Any, Any]
 
 
 class StringTable:
-    """Names as numbers; 0 is the empty one."""
+    """Maps names to numbers and back. 0 is the empty name."""
 
     def __init__(self) -> None:
         self.names: list[str] = [""]
         self.numbers: dict[str, int] = {"": 0}
 
     def number(self, name: str) -> int:
-        """The number of a name, a new one if it has none."""
+        """Return the number of a name, assigning a new number if the name is new."""
         found = self.numbers.get(name)
         if found is None:
             found = self.numbers[name] = len(self.names)
@@ -58,32 +58,35 @@
 
     @property
     def owner(self) -> Column:
-        """For each attempt the row of its request."""
+        """Row of the request, for each attempt."""
         return np.repeat(np.arange(len(self)), self.requests["attempts"])
 
     @property
     def starts(self) -> Column:
-        """For each request the row of its first attempt."""
+        """Row of the first attempt, for each request."""
         counts = self.requests["attempts"].astype(np.int64)
         return np.cumsum(counts) - counts
 
     def last_attempt(self, column: str, missing: int = 0) -> Column:
-        """A column of each request's last attempt; `missing` where it has none."""
+        """Return a column of each request's last attempt, with `missing` for requests without attempts."""
         counts = self.requests["attempts"].astype(np.int64)
         out = np.full(len(self), missing, dtype=np.int64)
-        some = counts > 0
-        out[some] = self.attempts[column][(self.starts + counts - 1)[some]]
+        has_attempts = counts > 0
+        out[has_attempts] = self.attempts[column][(self.starts + counts - 1)[has_attempts]]
         return out
 
     def serving_attempt(self, column: str, missing: int = 0) -> Column:
-        """A column of the attempt that served each request: the last one that ended with `ok`."""
+        """Return a column of the attempt that served each request: its last one that ended with `ok`.
+
+        The value is `missing` for requests without such an attempt.
+        """
         out = np.full(len(self), missing, dtype=np.int64)
-        well = self.attempts["status"] == STATUS_OK
-        out[self.owner[well]] = self.attempts[column][well]
+        ended_ok = self.attempts["status"] == STATUS_OK
+        out[self.owner[ended_ok]] = self.attempts[column][ended_ok]
         return out
 
     def take(self, rows: Column) -> Table:
-        """Some requests, in the order given, with their attempts; without notifications."""
+        """Return the given request rows, in this order, with their attempts but without notifications."""
         counts = self.requests["attempts"].astype(np.int64)[rows]
         starts = self.starts[rows]
         total = int(counts.sum())
@@ -97,12 +100,12 @@
         return Table(requests, attempts, self.strings)
 
     def name(self, column: str, row: int) -> str:
-        """The name in a column of a request."""
+        """Return the name in a column of a request."""
         return self.strings[int(self.requests[column][row])]
 
 
 def empty_table(strings: StringTable) -> Table:
-    """A table without rows."""
+    """Return a table without rows."""
     return Table(
         _empty_columns(REQUEST_COLUMNS, REQUEST_NAME_COLUMNS),
         _empty_columns(ATTEMPT_COLUMNS, ATTEMPT_NAME_COLUMNS),
@@ -115,7 +118,7 @@
 
 
 def concatenate(tables: Sequence[Table], strings: StringTable) -> Table:
-    """Tables that share one string table, one behind the other."""
+    """Concatenate tables that share one string table."""
     if not tables:
         return empty_table(strings)
     return Table(
@@ -127,12 +130,15 @@
 
 
 def from_body(body: f.BlockBody, strings: StringTable, director: str) -> Table:
-    """A block as a table, its names added to the string table; TraceDamagedError if it contradicts itself."""
+    """Convert the body of a block to a table and add its names to the string table.
+
+    Raises TraceDamagedError if the body is inconsistent.
+    """
     numbers = np.array([strings.number(name) for name in body.strings] or [0], np.int64)
     requests = _decode_columns(body.lives, REQUEST_COLUMNS, REQUEST_NAME_COLUMNS, numbers)
     attempts = _decode_columns(body.attempts, ATTEMPT_COLUMNS, ATTEMPT_NAME_COLUMNS, numbers)
     if int(requests["attempts"].sum(dtype=np.int64)) != len(attempts["sent"]):
-        raise TraceDamagedError("attempts do not add up")
+        raise TraceDamagedError("the attempt counts of the requests do not add up to the number of attempts")
     own = requests["director"] == 0
     if own.any():
         requests["director"] = np.where(own, strings.number(director), requests["director"])
@@ -142,20 +148,24 @@
 def _decode_columns(
     stored: dict[str, bytes], types: dict[str, str], names: Sequence[str], numbers: Column
 ) -> dict[str, Column]:
-    """Columns of a block; its numbers of strings are replaced by `numbers`, those of the string table."""
+    """Decode columns of a block.
+
+    The block's string numbers are replaced with those of the string table, which `numbers` contains. Raises
+    TraceDamagedError if a string number is out of range.
+    """
     columns: dict[str, Column] = {}
     for name, code in types.items():
         column: Column = np.frombuffer(stored[name], f"<{NUMPY_CODES[code]}")
         if name in names:
             if len(column) and int(column.max()) >= len(numbers):
-                raise TraceDamagedError(f"column '{name}' names what is not there")
+                raise TraceDamagedError(f"column '{name}' contains a string number that is out of range")
             column = numbers[column]
         columns[name] = column
     return columns
 
 
 def bloom_of_columns(keys: Column) -> bytes:
-    """The filter that `format.bloom_of` makes one key at a time."""
+    """Return the same filter as `format.bloom_of`, computed for all keys at once."""
     unique = np.unique(keys.astype(np.uint64))
     size = max(f.MIN_BLOOM_BITS, len(unique) * f.BLOOM_BITS_PER_KEY)
     size = -(-size // 8) * 8
@@ -174,7 +184,7 @@
 
 
 def _local_strings(columns: Iterable[Column], strings: StringTable) -> tuple[list[str], Column]:
-    """The names that some columns use, and the local number of each number of the string table."""
+    """Return the names used in the columns, and a column that maps table numbers to local numbers."""
     used = np.unique(np.concatenate([np.zeros(1, np.int64), *columns]))
     local = np.zeros(int(used.max()) + 1, np.int64)
     local[used] = np.arange(len(used))
@@ -182,7 +192,7 @@
 
 
 def encode_block(table: Table, dropped: int = 0, open_requests: int = 0) -> tuple[f.BlockHead, bytes]:
-    """A table as a block: its head and its frame."""
+    """Encode a table as a block and return its head and its frame."""
     head = _block_head(table)
     head.dropped = dropped
     head.open = open_requests
--- a/onyxwick/trace/warm_up_audit.py
+++ b/onyxwick/trace/warm_up_audit.py
@@ -1,9 +1,9 @@
-"""Audits the warm-up rule: no member that has just started is sent more than it can take.
+"""Audits the warm-up rule: a member that has just started must not receive more work than it can handle.
 
-Input: the starts of members from the lists, and all attempts. Output: findings where the work sent to a
-member within an overload window exceeds the multiple of the capacity that it had then. The work of an
-attempt is the transfer time of its class: from the header, or from the quicker hits in the trace. Times are
-microseconds.
+The module takes the starts of members from the endpoint lists, and all attempts. It reports a finding if the
+work sent to a member within an overload window exceeds a multiple of the member's capacity at that time. The
+work of an attempt is the transfer time of its class, taken from the header or from the faster hits in the
+trace. Times are in microseconds.
 """
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
 WITHOUT_SOURCE = (AnswerDetail.HIT.value, AnswerDetail.COALESCED.value, AnswerDetail.STALE.value)
 """Answers for which the fill source was not used."""
 TRANSFER_QUANTILE = 0.25
-"""Of the hits of a class: the slower ones shared their link."""
+"""Quantile of the hit latencies of a class. Slower hits shared their link with other transfers."""
 MAX_SAMPLES = 1000
 DEFAULT_WINDOW_US = 3.0 * US_PER_S
 
 
 @dataclass(frozen=True, slots=True)
 class MemberStart:
-    """A start of a member, as the lists announced it."""
+    """A start of a member as announced in the endpoint lists."""
 
     started_us: int
     weight: float
@@ -36,7 +36,7 @@
 
 
 def member_starts(notifications: list[f.Notification]) -> dict[str, list[MemberStart]]:
-    """The starts of each member, each one once with what was announced last."""
+    """Return the starts of each member. Each start occurs once, with the data announced last."""
     starts: dict[str, dict[int, MemberStart]] = {}
     for kind, _, data in notifications:
         if kind != NotificationKind.LIST:
@@ -49,22 +49,28 @@
 
 
 class WarmUpAudit:
-    """Collects what was sent to members that have started, then checks each start."""
+    """Collects the attempts sent to members that have started, then checks each start."""
 
     def __init__(
         self, header: f.FileHeader, notifications: list[f.Notification], report: AuditReport
     ) -> None:
         self.header = header
         self.report = report
-        self.doubt_us = max((clock.get("doubt_us", 0.0) for clock in header.clocks.values()), default=0.0)
+        self.uncertainty_us = max(
+            (clock.get("doubt_us", 0.0) for clock in header.clocks.values()), default=0.0
+        )
         self.starts = member_starts(notifications)
         self.sends: dict[str, list[tuple[Column, Column]]] = {}
-        """By member: times, and names of the classes, of what was sent to it."""
+        """By member, the times and the class names of the attempts sent to it."""
         self.hit_latencies: dict[str, list[Column]] = {}
         self.transfer_is_known = any(fields.get("sending_us") for fields in header.classes)
 
     def add(self, table: Table, owner: Column, sent_at: Column, sent: Column) -> None:
-        """Collect a table. By attempt: `owner`, row of its request; `sent_at`, when; `sent`, if at all."""
+        """Collect the attempts of a table.
+
+        For each attempt, `owner` is the row of its request, `sent_at` the time at which it was sent, and
+        `sent` whether it was sent.
+        """
         classes = table.requests["class"][owner]
         if self.starts and not self.transfer_is_known:
             self._add_hits(table, classes, sent)
@@ -77,9 +83,9 @@
                 if column == "source":
                     rows &= ~np.isin(table.attempts["detail"], WITHOUT_SOURCE)
                 if rows.any():
-                    unique, places = np.unique(classes[rows], return_inverse=True)
+                    unique, positions = np.unique(classes[rows], return_inverse=True)
                     names = np.array([table.strings[int(number)] for number in unique])
-                    self.sends.setdefault(member, []).append((sent_at[rows], names[places]))
+                    self.sends.setdefault(member, []).append((sent_at[rows], names[positions]))
 
     def _add_hits(self, table: Table, classes: Column, sent: Column) -> None:
         attempts = table.attempts
@@ -91,7 +97,7 @@
             self.hit_latencies.setdefault(table.strings[int(number)], []).append(samples)
 
     def _transfer_us(self) -> dict[str, float]:
-        """Transfer time by class."""
+        """Return the transfer time by class in microseconds, from the header or from hits in the trace."""
         known = {str(fields["name"]): float(fields.get("sending_us", 0.0)) for fields in self.header.classes}
         measured = {name: np.concatenate(columns) for name, columns in self.hit_latencies.items()}
         return known | {
@@ -101,7 +107,7 @@
         }
 
     def check(self) -> None:
-        """Check every start, after the last table."""
+        """Check every start. Must be called after the last table."""
         if not self.starts:
             return
         transfer_us = self._transfer_us()
@@ -119,7 +125,7 @@
                 self._check_start(member, start, times[order], work[order])
 
     def _check_start(self, member: str, start: MemberStart, at: Column, work: Column) -> None:
-        """Check one start against the work that was sent, in the order of time."""
+        """Check one start. `at` and `work` are times and work of the attempts, in the order of time."""
         rules = self.header.rules
         tier = "parent_" if start.kind == "parent" else ""
         start_share = rules.get(f"{tier}cold_start", 1.0)
@@ -134,8 +140,9 @@
         total = np.concatenate(([0.0], np.cumsum(work)))
         elapsed_share = np.clip((at - start.started_us) / warm_up_us, 0, 1)
         allowed = multiple * start.weight * (start_share + (1 - start_share) * elapsed_share) * window_us
-        # All that was sent within the window: narrowed by the clocks' doubt (certain), then widened by it.
-        for shift_us, certain in ((-self.doubt_us, True), (self.doubt_us, False)):
+        # Sum the work sent within the window. A finding is certain if the window is narrowed by the clock
+        # uncertainty, and doubtful if the window is widened by it.
+        for shift_us, certain in ((-self.uncertainty_us, True), (self.uncertainty_us, False)):
             begin = np.searchsorted(at, at - window_us - shift_us, side="right")
             sent = total[np.arange(1, len(at) + 1)] - total[begin]
             over = np.flatnonzero(warming & (sent > allowed))
