--- a/onyxwick/trace/anonymise.py
+++ b/onyxwick/trace/anonymise.py
@@ -63,7 +63,8 @@
     def table(self, table: Table, strings: StringTable) -> Table:
         """Return an anonymised table.
 
-        Its names are added to `strings`, which must not contain original names. Class names are not replaced.
+        Its names are added to `strings`, which must not contain names from the original table. Class
+        names are not replaced.
         """
         request_columns, attempts = dict(table.requests), dict(table.attempts)
         request_columns["id"] = self.numbers("request", request_columns["id"])
--- a/onyxwick/trace/audit.py
+++ b/onyxwick/trace/audit.py
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NonIdempotentRun:
-    """The attempts that one director made for a non-idempotent request."""
+    """The attempts of one director for a non-idempotent request, which must not be executed twice."""
 
     arrived_us: int
     possibly_executed: bool
--- a/tests/test_trace_format.py
+++ b/tests/test_trace_format.py
@@ -1,4 +1,4 @@
-"""Trace files: written, read back, cut and damaged at any byte, hostile, of other versions."""
+"""Tests of trace files: reading back, truncation and damage at any byte, hostile files, other versions."""
 
 from __future__ import annotations
 
@@ -36,30 +36,30 @@
             )
             if len(t)
         ]
-    story = "\n".join(explain_request(table, 0))
-    wanted = (
+    explanation = "\n".join(explain_request(table, 0))
+    phrases = (
         "0000000000000005 of tenant t1",
         "box-1 was chosen, the first box",
         "Sent at 0.5 ms",
         "ok, a hit",
     )
-    for words in (*wanted, "filled from parent-1 at rank 1", "It was served after 9.1 ms with 100 bytes"):
-        assert words in story
+    for phrase in (*phrases, "filled from parent-1 at rank 1", "It was served after 9.1 ms with 100 bytes"):
+        assert phrase in explanation
 
 
 def test_a_file_cut_at_any_byte_gives_all_blocks_before_the_cut(tmp_path: Path) -> None:
-    places = write_trace(tmp_path / "a.owt", recorded_blocks(30))
+    offsets = write_trace(tmp_path / "a.owt", recorded_blocks(30))
     data, path = (tmp_path / "a.owt").read_bytes(), tmp_path / "cut.owt"
-    tried = 0
-    for size in range(places[-3], len(data)):
+    tested_sizes = 0
+    for size in range(offsets[-3], len(data)):
         path.write_bytes(data[:size])
         ids, trace = request_ids(path)
-        whole = sum(place <= size for place in places[1:])
-        assert len(ids) == sum(b.head.lives for b in _BLOCKS[:whole]), size
-        inside = size not in places and size < places[-1]
-        assert trace.losses or not inside, "the loss is told"
-        tried += 1
-    assert tried > 1000
+        complete_blocks = sum(offset <= size for offset in offsets[1:])
+        assert len(ids) == sum(b.head.lives for b in _BLOCKS[:complete_blocks]), size
+        inside = size not in offsets and size < offsets[-1]
+        assert trace.losses or not inside, "a truncated block must be reported as a loss"
+        tested_sizes += 1
+    assert tested_sizes > 1000
 
 
 _BLOCKS = recorded_blocks(30)
@@ -68,13 +68,13 @@
 
 
 def test_a_flipped_bit_in_each_part_of_a_block_loses_that_block_alone(tmp_path: Path) -> None:
-    places = write_trace(tmp_path / "a.owt", recorded_blocks(48), index=False)
+    offsets = write_trace(tmp_path / "a.owt", recorded_blocks(48), index=False)
     data, path, rng = (tmp_path / "a.owt").read_bytes(), tmp_path / "bit.owt", random.Random(5)
     sizes = [e.head.lives for e in open_trace(tmp_path / "a.owt").entries]
-    for at in range(places[1], places[2], 3):
-        spoilt = bytearray(data)
-        spoilt[at] ^= 1 << rng.randrange(8)
-        path.write_bytes(spoilt)
+    for at in range(offsets[1], offsets[2], 3):
+        damaged = bytearray(data)
+        damaged[at] ^= 1 << rng.randrange(8)
+        path.write_bytes(damaged)
         ids, trace = request_ids(path)
         assert len(ids) == sum(sizes) - sizes[1] and trace.losses, at
 
@@ -86,10 +86,10 @@
 @pytest.mark.parametrize(
     "tail",
     [
-        _frame(f.BLOCK, 10, 10, 0xFFFFFFFF),  # a block that claims 4 GB
+        _frame(f.BLOCK, 10, 10, 0xFFFFFFFF),  # A block that states a size of 4 GB.
         _frame(f.BLOCK, 0xFFFFFFFF, 10, 10),
         f.encode_frame(f.BLOCK, f.encode(f.BlockHead(lives=1 << 30)), b""),
-        f.encode_frame(f.BLOCK, b"\x81" * 5000, b""),  # deep nesting
+        f.encode_frame(f.BLOCK, b"\x81" * 5000, b""),  # Deeply nested MessagePack data.
         f.encode_frame(f.BLOCK, f.encode(f.BlockHead(lives=1)), b"\x91" * 100_000),
         f.encode_frame(f.BLOCK, f.encode(f.BlockHead()), f.encode(f.BlockBody(["a"] * 70_000, {}, {}, []))),
         f.encode_frame(f.INDEX, b"", f.encode([f.BlockIndexEntry(1, 1 << 60, f.BlockHead())]))
@@ -139,6 +139,6 @@
     table = Table({"id": np.array(keys, np.uint64)}, {}, StringTable())
     from onyxwick.trace.table import bloom_of_columns
 
-    made = bloom_of_columns(table.requests["id"])
-    assert made == f.bloom_of(keys) and all(key in f.Bloom(made) for key in keys)
-    assert sum(n in f.Bloom(made) for n in range(10**6, 10**6 + 2000)) < 160
+    bloom = bloom_of_columns(table.requests["id"])
+    assert bloom == f.bloom_of(keys) and all(key in f.Bloom(bloom) for key in keys)
+    assert sum(n in f.Bloom(bloom) for n in range(10**6, 10**6 + 2000)) < 160
--- a/tests/test_trace_writer.py
+++ b/tests/test_trace_writer.py
@@ -1,4 +1,4 @@
-"""Writing a trace: full disks, removed folders, rotation; switched on in the running program."""
+"""Tests of writing a trace: full disks, removed folders, rotation, and the switch in the running program."""
 
 from __future__ import annotations
 
@@ -22,23 +22,23 @@
 from onyxwick.trace.sink import SinkLimits, TraceFiles, TraceWriterThread
 from onyxwick.trace.table import StringTable
 from tests.exchange import Exchange
-from tests.trace_files import HEADER, S, audited, recorded_blocks, request_ids
+from tests.trace_files import HEADER, US_PER_S, auditor_of, recorded_blocks, request_ids
 
-# Both distribute requests among routers, and are checked by mypy against what a tracer asks of them.
+# Both distribute requests among routers. mypy checks that they implement the protocol a tracer needs.
 DELEGATING_ROUTERS: tuple[type[DelegatingRouter], ...] = (CellRouter, SiteRouter)
 
 
 class LimitedDisk(TraceFiles):
-    """A disk that refuses: `room` bytes, then errors; or a folder that has gone."""
+    """A disk that accepts `room` bytes in total and then raises errors."""
 
     def __init__(self, room: int) -> None:
         self.room = room
 
     def write(self, file: BinaryIO, data: bytes) -> None:
-        taken = data[: self.room]
-        self.room -= len(taken)
-        super().write(file, taken)
-        if len(taken) < len(data):
+        accepted = data[: self.room]
+        self.room -= len(accepted)
+        super().write(file, accepted)
+        if len(accepted) < len(data):
             raise OSError(28, "No space left on device")
 
 
@@ -70,7 +70,7 @@
     assert sink.counts.blocks == 2 and sink.counts.files == 2
     recorder = Recorder(START, lambda block: False, frozenset())
     for n in range(10):
-        recorder.on_request_arrived(START, RequestArrived(f"{n:016x}", "job-sheet", "0" * 16, S))
+        recorder.on_request_arrived(START, RequestArrived(f"{n:016x}", "job-sheet", "0" * 16, US_PER_S))
         recorder.on_final_answer(
             START + 5, f"{n:016x}", RecordedVerdict.REJECTED, DecisionReason.NO_CACHE, 0, 0
         )
@@ -94,7 +94,10 @@
 
 
 def test_sigusr2_switches_a_trace_on_in_the_real_program(tmp_path: Path) -> None:
-    """Off it writes nothing; a signal later the same request is in it, whole, and the rules can be judged."""
+    """No trace is written while tracing is off.
+
+    After a signal, the trace contains the requests completely, and its audit finds no broken rule.
+    """
     exchange = Exchange(tmp_path, "trace.hcl")
     try:
         assert not (tmp_path / "trace").exists()
@@ -114,6 +117,6 @@
             )
             if len(t)
         ]
-    story = "\n".join(explain_request(table, 0))
-    assert "c0 was chosen, the first box" in story and "filled from p0 at rank 1" in story
-    assert "It was served" in story and not audited(path).report().broken
+    explanation = "\n".join(explain_request(table, 0))
+    assert "c0 was chosen, the first box" in explanation and "filled from p0 at rank 1" in explanation
+    assert "It was served" in explanation and not auditor_of(path).report().broken
