--- a/onyxwick/cli/__init__.py
+++ b/onyxwick/cli/__init__.py
@@ -1,6 +1,6 @@
-"""The command line: a lazy group of commands, each in a file that is loaded when it is called.
+"""The command line: a group of commands whose modules are imported only when the command is called.
 
-Exit codes: 0 success, 1 a finding, 2 input that cannot be used.
+Exit codes: 0 success, 1 a finding, 2 unusable input.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class CommandEntry(NamedTuple):
-    """A command as the help lists it: the module with a click command of its name, and its purpose."""
+    """A command of the help list: the module that defines the click command of that name, and its purpose."""
 
     module: str
     purpose: str
@@ -25,35 +25,37 @@
 
 COMMANDS = {
     "run": CommandEntry("onyxwick.cli.run", "Run one director in the foreground."),
-    "cells": CommandEntry("onyxwick.cli.cells", "What the cells do, what a plan would do, and moves."),
-    "sites": CommandEntry("onyxwick.cli.sites", "The loss of a whole site: plans, states, drills."),
-    "lab": CommandEntry("onyxwick.cli.lab", "Scenarios against the real program, judged from the sockets."),
-    "store": CommandEntry("onyxwick.cli.store", "What a store holds, and what to do when it refuses."),
-    "trace": CommandEntry(
-        "onyxwick.cli.trace", "What a trace tells: cut, merge, summarise, explain, audit and more."
+    "cells": CommandEntry("onyxwick.cli.cells", "Show the cells, preview a plan, and move tenants."),
+    "sites": CommandEntry("onyxwick.cli.sites", "Plan for, observe and rehearse the loss of a whole site."),
+    "lab": CommandEntry(
+        "onyxwick.cli.lab", "Run scenarios against the real program and judge them by its socket traffic."
     ),
+    "store": CommandEntry(
+        "onyxwick.cli.store", "Inspect and back up a store, and repair one that does not open."
+    ),
+    "trace": CommandEntry("onyxwick.cli.trace", "Cut, merge, summarise, explain and audit traces, and more."),
     "distribution": CommandEntry(
-        "onyxwick.cli.distribution", "The tree that carries lists, purges and documents."
+        "onyxwick.cli.distribution", "Run and plan the tree that distributes lists, purges and documents."
     ),
     "config": CommandEntry("onyxwick.cli.config", "Check configuration files."),
 }
 
 
 class UnusableInputError(click.ClickException):
-    """Input that cannot be used; the message says which and why."""
+    """Raised for unusable input; the message names the input and the reason."""
 
     exit_code = UNUSABLE_EXIT_CODE
 
 
 class LazyGroup(click.Group):
-    """A group that knows its commands by name and imports one only when it is called."""
+    """A group that lists its commands by name and imports a command only when it is called."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """The commands in the order of the help."""
+        """Return the command names in the order of the help."""
         return list(COMMANDS)
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """Import a command; None for an unknown name."""
+        """Import and return a command; None for an unknown name."""
         entry = COMMANDS.get(cmd_name)
         if entry is None:
             return None
@@ -62,7 +64,7 @@
         return command
 
     def format_commands(self, ctx: click.Context, formatter: click.HelpFormatter) -> None:
-        """Write the help's list from the table, without importing the commands."""
+        """Write the list of commands from `COMMANDS`, without importing their modules."""
         with formatter.section("Commands"):
             formatter.write_dl([(name, entry.purpose) for name, entry in COMMANDS.items()])
 
@@ -70,11 +72,11 @@
 @click.command(cls=LazyGroup, context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(package_name="onyxwick")
 def onyxwick() -> None:
-    """A request router for edge caches. Exit codes: 0 well, 1 a finding, 2 unusable input."""
+    """A request router for edge caches. Exit codes: 0 success, 1 a finding, 2 unusable input."""
 
 
 def main() -> int:
-    """Run the command line of this process; the exit code."""
+    """Run the command line of this process and return its exit code."""
     try:
         code = onyxwick(prog_name="onyxwick", standalone_mode=False)
     except click.ClickException as error:
--- a/onyxwick/cli/cells.py
+++ b/onyxwick/cli/cells.py
@@ -1,4 +1,4 @@
-"""`onyxwick cells`: what the cells do, what a plan would do, and moves."""
+"""`onyxwick cells`: shows the cells, previews a plan, and orders or aborts moves of tenants."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import click
 
 from onyxwick.cli import FINDING_EXIT_CODE
-from onyxwick.cli.remote import RemoteDirector, admin_option, json_option, remote_of, token_option
+from onyxwick.cli.remote import RemoteDirector, admin_option, json_option, remote_director, token_option
 
 
 @click.group()
@@ -18,26 +18,26 @@
 @token_option
 @click.pass_context
 def cells(ctx: click.Context, admin: str, token_file: Path | None) -> None:
-    """What the cells do, what a plan would do, and moves."""
+    """Show the cells, preview a plan, and move tenants."""
     ctx.obj = (admin, token_file)
 
 
 def _remote(ctx: click.Context) -> RemoteDirector:
-    return remote_of(ctx, "cells")
+    return remote_director(ctx, "cells")
 
 
 def _print_state(state: dict[str, Any]) -> None:
     click.echo(f"version {state['version']}, {state['tenants']} tenants")
     for name, row in state["cells"].items():
-        full = f"{row['open']} of {row['limit']:g} (at most {row['most']:g})"
+        open_text = f"{row['open']} of {row['limit']:g} (at most {row['most']:g})"
         click.echo(
             f"cell {name}: {row['ready']} of {len(row['members'])} boxes ready, {row['tenants']} tenants,"
-            f" open {full}, pressure {row['pressure']:.0%}, {row['parents_part']:.0%} of the parents"
+            f" open {open_text}, pressure {row['pressure']:.0%}, {row['parents_part']:.0%} of the parents"
             + (", leaving" if row["leaving"] else "")
         )
     for name, row in state["moves"].items():
-        where = f"{row['tenant']} to {', '.join(row['to'])}"
-        click.echo(f"move {name}: {where}: {row['phase']}, {row['share']:.0%} over: {row['why']}")
+        route_text = f"{row['tenant']} to {', '.join(row['to'])}"
+        click.echo(f"move {name}: {route_text}: {row['phase']}, {row['share']:.0%} over: {row['why']}")
     for name, count in state["counts"].items():
         click.echo(f"{name} {count}")
 
@@ -46,7 +46,7 @@
 @json_option
 @click.pass_context
 def show(ctx: click.Context, as_json: bool) -> None:
-    """The cells of a running director."""
+    """Show the cells of a running director."""
     answer = _remote(ctx).call("GET", "/cells")
     click.echo(json.dumps(answer)) if as_json else _print_state(answer)
 
@@ -57,7 +57,7 @@
 @json_option
 @click.pass_context
 def explain(ctx: click.Context, tenant: str, object_name: str, as_json: bool) -> None:
-    """Why an object of a tenant goes where it goes."""
+    """Explain how the cell and the cache of an object of TENANT are chosen."""
     answer = _remote(ctx).call("GET", f"/cells/explain/{quote(tenant, '')}/{quote(object_name, '')}")
     click.echo(json.dumps(answer) if as_json else "\n".join(answer["because"]))
 
@@ -66,10 +66,14 @@
 @click.argument("name")
 @click.argument("tenant")
 @click.argument("to", nargs=-1, required=True)
-@click.option("--keys", default="00-ff", show_default=True, help="First bytes of the objects' hashes.")
-@click.option("--warm", default="20s", show_default=True, help="Time in which the share grows to all.")
-@click.option("--bake", default="5s", show_default=True, help="Time after the cut.")
-@click.option("--for-version", type=int, help="Only if this version of the plan runs.")
+@click.option(
+    "--keys", default="00-ff", show_default=True, help="Range of the first bytes of the objects' hashes."
+)
+@click.option(
+    "--warm", default="20s", show_default=True, help="Time over which the moved share grows to 100 %."
+)
+@click.option("--bake", default="5s", show_default=True, help="Soak time after the cut-over.")
+@click.option("--for-version", type=int, help="Change the plan only if this version is active.")
 @json_option
 @click.pass_context
 def move(
@@ -83,11 +87,13 @@
     for_version: int | None,
     as_json: bool,
 ) -> None:
-    """Move TENANT to the cells TO. The same call again changes nothing."""
+    """Move TENANT to the cells TO. Repeating the same call changes nothing."""
     row = {"tenant": tenant, "to": list(to), "keys": keys, "warm": warm, "bake": bake}
     answer = _remote(ctx).call("PUT", f"/cells/plan/moves/{quote(name, '')}", row, for_version)
-    done = "ordered" if answer["changed"] else "was ordered already"
-    click.echo(json.dumps(answer) if as_json else f"move {name} {done}; version {answer['version']} runs")
+    order_result = "ordered" if answer["changed"] else "was ordered already"
+    click.echo(
+        json.dumps(answer) if as_json else f"move {name} {order_result}; version {answer['version']} runs"
+    )
 
 
 @cells.command()
@@ -95,7 +101,7 @@
 @json_option
 @click.pass_context
 def abort(ctx: click.Context, name: str, as_json: bool) -> None:
-    """Turn the move NAME back; exit 1 where it has ended."""
+    """Roll back the move NAME; exit 1 if it has already ended."""
     answer = _remote(ctx).call("POST", f"/cells/moves/{quote(name, '')}/abort")
     row = answer["move"]
     click.echo(json.dumps(answer) if as_json else f"move {name}: {row['phase']}: {row['why']}")
@@ -105,11 +111,15 @@
 
 @cells.command()
 @click.argument("file", type=click.Path(path_type=Path))
-@click.option("--list", "config", type=click.Path(path_type=Path), help="A director's JSON with its list.")
-@click.option("--against", type=click.Path(path_type=Path), help="An earlier file: what would move.")
+@click.option(
+    "--list", "config", type=click.Path(path_type=Path), help="A director's JSON file with its list."
+)
+@click.option(
+    "--against", type=click.Path(path_type=Path), help="An earlier plan file, to show what would move."
+)
 @json_option
 def plan(file: Path, config: Path | None, against: Path | None, as_json: bool) -> None:
-    """What the plan in FILE would do, without a running director; exit 1 where a cell has no box."""
+    """Preview the plan in FILE, without a running director; exit 1 if a cell has no cache."""
     from onyxwick.cells.offline import plan_summary
 
     outcome = plan_summary(file, config, against)
--- a/onyxwick/cli/config.py
+++ b/onyxwick/cli/config.py
@@ -1,4 +1,4 @@
-"""`onyxwick config`: checks of configuration files, without running anything."""
+"""`onyxwick config`: checks configuration files without starting a director."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def check_file(path: Path) -> str:
-    """The kind of a file, `director` or `service`; ConfigError where it cannot be used."""
+    """Return the kind of a file, `director` or `service`. Raises ConfigError if the file is invalid."""
     if path.suffix == ".json":
         from onyxwick.config import director
 
@@ -31,9 +31,9 @@
 
 @config.command()
 @click.argument("files", nargs=-1, required=True, type=click.Path(path_type=Path))
-@click.option("--json", "as_json", is_flag=True, help="One JSON object on standard output.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object to standard output.")
 def check(files: tuple[Path, ...], as_json: bool) -> None:
-    """Check director (.json) and service (.hcl) files; exit 2 where one cannot be used."""
+    """Check director (.json) and service (.hcl) files; exit 2 if a file is invalid."""
     rows: list[dict[str, object]] = []
     for path in files:
         try:
--- a/onyxwick/cli/distribution.py
+++ b/onyxwick/cli/distribution.py
@@ -1,4 +1,4 @@
-"""`onyxwick distribution`: the nodes that carry lists, purges and documents to the directors."""
+"""`onyxwick distribution`: runs and plans the nodes that distribute lists, purges and documents."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 @click.group()
 def distribution() -> None:
-    """The tree that carries lists, purges and documents to every director."""
+    """Run and plan the tree that distributes lists, purges and documents to every director."""
 
 
 @distribution.command("run")
 @click.argument("file", type=click.Path(path_type=Path))
 def run_node(file: Path) -> None:
-    """Run the node that FILE describes in the foreground, until SIGTERM.
+    """Run the node configured by FILE in the foreground, until SIGTERM.
 
-    SIGUSR1 prints its status as JSON; SIGHUP makes a publisher read its documents' files again.
+    SIGUSR1 prints the node's status as JSON; SIGHUP makes a publisher reload its document files.
     """
     import uvloop
 
@@ -44,26 +44,32 @@
 @click.option("--width", type=click.IntRange(1, 4096), default=256, show_default=True)
 @click.option("--parents", type=click.IntRange(2, 8), default=2, show_default=True)
 @click.option(
-    "--racks", type=click.IntRange(1, 4096), default=1, show_default=True, help="Of relays, in turn."
+    "--racks",
+    type=click.IntRange(1, 4096),
+    default=1,
+    show_default=True,
+    help="Racks that the relays are assigned to in turn.",
+)
+@click.option(
+    "--each/--loads", default=False, help="Print each director's parents too, or only the relays' loads."
 )
-@click.option("--each/--loads", default=False, help="Each director's parents, or the relays' loads alone.")
 def tree(relays: int, directors: int, width: int, parents: int, racks: int, each: bool) -> None:
-    """The tree of so many relays and directors, as JSON; exit 2 where it does not fit the width.
+    """Plan the tree of these numbers of relays and directors, as JSON; exit 2 if it exceeds the width.
 
-    With racks, each director's parents stand in different ones.
+    With more than one rack, the parents of each director are in different racks.
     """
     from onyxwick.distribution.tree import TreeError, TreeLimits, plan_tree
 
-    names = [f"relay-{number}" for number in range(1, relays + 1)]
-    leaves = [f"director-{number}" for number in range(1, directors + 1)]
-    domains = {name: f"rack-{place % racks}" for place, name in enumerate(names)} if racks > 1 else {}
+    relay_names = [f"relay-{number}" for number in range(1, relays + 1)]
+    director_names = [f"director-{number}" for number in range(1, directors + 1)]
+    domains = {name: f"rack-{index % racks}" for index, name in enumerate(relay_names)} if racks > 1 else {}
     try:
-        rows = plan_tree("root", names, leaves, TreeLimits(width, parents), domains)
+        rows = plan_tree("root", relay_names, director_names, TreeLimits(width, parents), domains)
     except TreeError as error:
         raise UnusableInputError(str(error)) from None
-    first_loads = Counter(rows[leaf][0] for leaf in leaves)
-    second_loads = Counter(rows[leaf][1] for leaf in leaves)
+    first_loads = Counter(rows[director][0] for director in director_names)
+    second_loads = Counter(rows[director][1] for director in director_names)
     summary: dict[str, object] = {"root": relays, "first": dict(first_loads), "second": dict(second_loads)}
     if each:
-        summary["parents"] = {leaf: rows[leaf] for leaf in leaves}
+        summary["parents"] = {director: rows[director] for director in director_names}
     click.echo(json.dumps(summary))
--- a/onyxwick/cli/faults.py
+++ b/onyxwick/cli/faults.py
@@ -1,4 +1,4 @@
-"""`onyxwick lab faults`: the bench of processes, and the same scenarios on a clock of their own."""
+"""`onyxwick lab faults`: fault scenarios with real processes, or with deciders alone on a simulated clock."""
 
 from __future__ import annotations
 
@@ -18,24 +18,24 @@
     from onyxwick.lab.soak.report import SoakReport
 
 NOT_JUDGED_EXIT_CODE = 3
-"""Of a soak whose own clients or servers were too late to judge."""
-path_argument = click.argument("file", type=click.Path(path_type=Path))
+"""Exit code of a soak whose own clients or servers ran too late for a verdict."""
+scenario_argument = click.argument("file", type=click.Path(path_type=Path))
 
 
 @click.group()
 def faults() -> None:
-    """The bench of processes: real directors, relays between all parties, faults by script or seed."""
+    """Run real directors, with relays between all parties, under faults from a script or a seed."""
 
 
 simulated_option = click.option(
-    "--simulated", is_flag=True, help="The deciders alone, on a clock of their own."
+    "--simulated", is_flag=True, help="Run only the deciders, on a simulated clock."
 )
 directors_option = click.option(
-    "--directors", type=click.IntRange(1, 1000), help="In all, in place of the scenario's."
+    "--directors", type=click.IntRange(1, 1000), help="Total number, in place of the scenario's."
 )
 
 
-def _fleet(file: Path, seed: int, directors: int | None) -> FleetScenario:
+def _read_fleet(file: Path, seed: int, directors: int | None) -> FleetScenario:
     from onyxwick.lab.faults.script import drawn, read, spread
 
     fleet = drawn(read(file), seed)
@@ -51,7 +51,7 @@
     program: Path | None,
     shows_progress: bool,
 ) -> tuple[FaultRun, History]:
-    """Play a scenario with real processes; the run is kept for what it leaves."""
+    """Play a scenario with real processes. Return the run, whose files the caller clears, and its history."""
     from onyxwick.lab.faults.run import FaultRun
 
     run = FaultRun(str(file), fleet, seed, variant, slot, program)
@@ -60,12 +60,14 @@
 
 
 @faults.command("run")
-@path_argument
+@scenario_argument
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option("--variant", type=click.Choice(["sites", "plain"]), default="sites", show_default=True)
-@click.option("--slot", type=click.IntRange(0, 49), default=0, help="Keeps apart what runs at once.")
-@click.option("--keep", type=click.Path(path_type=Path), help="A folder for the history, logs and stores.")
-@click.option("--program", type=click.Path(path_type=Path), help="The tree of another revision.")
+@click.option("--slot", type=click.IntRange(0, 49), default=0, help="Distinguishes concurrent runs.")
+@click.option("--keep", type=click.Path(path_type=Path), help="Folder for the history, logs and stores.")
+@click.option(
+    "--program", type=click.Path(path_type=Path), help="Source tree of another revision, to run instead."
+)
 @simulated_option
 @directors_option
 @json_option
@@ -80,13 +82,13 @@
     directors: int | None,
     as_json: bool,
 ) -> None:
-    """Play the scenario FILE once; exit 1 where a rule broke. A failed run keeps all it leaves."""
+    """Play the scenario FILE once; exit 1 if a rule was broken. The files of a failed run are kept."""
     import uvloop
 
     from onyxwick.lab.faults.checkers import report
     from onyxwick.lab.faults.history import write
 
-    fleet = _fleet(file, seed, directors)
+    fleet = _read_fleet(file, seed, directors)
 
     run = None
     if simulated:
@@ -120,12 +122,12 @@
 
 @faults.command()
 @click.argument("files", nargs=-1, required=True, type=click.Path(path_type=Path))
-@click.option("--seeds", default=3, show_default=True, help="Of them, from 1 on.")
+@click.option("--seeds", default=3, show_default=True, help="Number of seeds, counted from --first.")
 @click.option("--first", default=1, show_default=True, help="The first seed.")
-@click.option("--variants", default="sites,plain", show_default=True, help="Also: earlier, with --against.")
-@click.option("--at-once", type=int, help="Runs beside each other; without it what this machine bears.")
-@click.option("--against", help="A revision whose directors are played as `earlier`.")
-@click.option("--keep", type=click.Path(path_type=Path), help="A folder for the histories.")
+@click.option("--variants", default="sites,plain", show_default=True, help="With --against also: earlier.")
+@click.option("--at-once", type=int, help="Concurrent runs; by default set by the number of cores.")
+@click.option("--against", help="Revision whose directors run as the variant `earlier`.")
+@click.option("--keep", type=click.Path(path_type=Path), help="Folder for the histories.")
 @simulated_option
 @directors_option
 def sweep(
@@ -139,23 +141,23 @@
     simulated: bool,
     directors: int | None,
 ) -> None:
-    """Play the scenarios FILES with many seeds and variants, paired; exit 1 where a rule broke."""
+    """Play the scenarios FILES with many seeds and paired variants; exit 1 if a rule was broken."""
     from onyxwick.lab.cost import tree_of
     from onyxwick.lab.faults.sweep import Plays, at_once_here, paired
-    from onyxwick.lab.faults.sweep import sweep as played
+    from onyxwick.lab.faults.sweep import sweep as run_sweep
 
     names = variants.split(",")
-    numbers = list(range(first, first + seeds))
+    seed_numbers = list(range(first, first + seeds))
     with tree_of(against) as tree:
         plays = [Plays(file, keep, tree, simulated, directors) for file in files]
-        rows = played(plays, numbers, names, at_once or at_once_here(simulated), _report_progress)
+        rows = run_sweep(plays, seed_numbers, names, at_once or at_once_here(simulated), _report_progress)
     for row in rows:
         click.echo(json.dumps(row))
     for file in files:
-        here = [row for row in rows if row["scenario"] == str(file)]
-        for other in names[1:]:
-            pair = {"scenario": file.stem, "paired": [names[0], other]}
-            click.echo(json.dumps(pair | paired(here, names[0], other)))
+        file_rows = [row for row in rows if row["scenario"] == str(file)]
+        for other_variant in names[1:]:
+            pair = {"scenario": file.stem, "paired": [names[0], other_variant]}
+            click.echo(json.dumps(pair | paired(file_rows, names[0], other_variant)))
     if any(row["broken"] for row in rows):
         raise click.exceptions.Exit(FINDING_EXIT_CODE)
 
@@ -173,7 +175,7 @@
 @click.argument("history", type=click.Path(path_type=Path))
 @json_option
 def judge(history: Path, as_json: bool) -> None:
-    """Judge a HISTORY that was kept, and print the line that plays it again; exit 1 where a rule broke."""
+    """Judge a saved HISTORY and print the command that replays it; exit 1 if a rule was broken."""
     from onyxwick.lab.faults.checkers import report
 
     found = _read_history(history)
@@ -188,7 +190,7 @@
 @click.argument("history", type=click.Path(path_type=Path))
 @click.pass_context
 def replay(ctx: click.Context, history: Path) -> None:
-    """Play the run of a HISTORY again: the same scenario, seed and variant."""
+    """Replay the run of a HISTORY with the same scenario, seed and variant."""
     found = _read_history(history)
     ctx.invoke(
         faults_run,
@@ -209,12 +211,17 @@
 @click.option("--seeds", type=click.IntRange(1, 1000), default=1, show_default=True)
 @click.option("--directors", type=click.IntRange(1, 40), default=10, show_default=True)
 @click.option("--minutes", type=click.FloatRange(0.1, 60), default=1.0, show_default=True)
-@click.option("--only", default="", help="Numbers of the faults to keep, as 3,7; 0: none.")
-@click.option("--keep", type=click.Path(path_type=Path), help="A folder for what failed runs leave.")
+@click.option("--only", default="", help="Numbers of the faults to inject, as 3,7; 0 for none.")
+@click.option("--keep", type=click.Path(path_type=Path), help="Folder for the files of failed runs.")
+@click.option(
+    "--shrink",
+    type=click.IntRange(0, 200),
+    default=0,
+    help="Most runs spent on finding fewer faults that still fail.",
+)
 @click.option(
-    "--shrink", type=click.IntRange(0, 200), default=0, help="Plays to find fewer faults that fail."
+    "--program", type=click.Path(path_type=Path), help="Source tree of another revision, to run instead."
 )
-@click.option("--program", type=click.Path(path_type=Path), help="The tree of another revision.")
 def soak(
     first: int,
     seeds: int,
@@ -225,9 +232,9 @@
     shrink: int,
     program: Path | None,
 ) -> None:
-    """Real directors under overlapping faults of calls, clocks, signals, feeds, caches and clients.
+    """Run real directors under overlapping faults of calls, clocks, signals, feeds, caches and clients.
 
-    One report as JSON a seed; exit 1 where a rule broke, 3 where the lab itself was too late to judge.
+    Prints one JSON report per seed; exit 1 if a rule was broken, 3 if the lab itself was too late to judge.
     """
     from onyxwick.lab.soak.shim import ShimError
     from onyxwick.lab.soak.sweep import play_all
--- a/onyxwick/cli/lab.py
+++ b/onyxwick/cli/lab.py
@@ -1,4 +1,4 @@
-"""`onyxwick lab`: scenarios against the real program, judged from the sockets."""
+"""`onyxwick lab`: runs scenarios against the real program and judges them by its socket traffic."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 import click
 
 from onyxwick.cli import FINDING_EXIT_CODE, UnusableInputError
-from onyxwick.cli.faults import faults, path_argument
+from onyxwick.cli.faults import faults, scenario_argument
 from onyxwick.cli.remote import json_option
 from onyxwick.cli.scale import scale
 
 
 @click.group()
 def lab() -> None:
-    """Scenarios against the real program, judged from the sockets."""
+    """Run scenarios against the real program and judge them by its socket traffic."""
 
 
 @lab.command()
-@path_argument
+@scenario_argument
 @click.option("--seed", "seeds", multiple=True, type=int, default=(1,), show_default=True)
-@click.option("--at-once", default=1, show_default=True, help="Runs beside each other (two cores each).")
+@click.option("--at-once", default=1, show_default=True, help="Concurrent runs (two cores each).")
 @json_option
 def run(file: Path, seeds: tuple[int, ...], at_once: int, as_json: bool) -> None:
-    """Play the scenario FILE in all its variants; exit 1 where a rule broke or a bound was not met."""
+    """Play the scenario FILE in all its variants; exit 1 if a rule was broken or a bound was not met."""
     from onyxwick.lab.compare import play_all, summary
     from onyxwick.lab.scenario import read
 
@@ -35,12 +35,12 @@
     if as_json:
         click.echo(json.dumps({**result, "runs": runs}))
     else:
-        _print(result, runs)
+        _print_result(result, runs)
     if result["unmet"]:
         raise click.exceptions.Exit(FINDING_EXIT_CODE)
 
 
-def _print(result: dict[str, Any], runs: list[dict[str, Any]]) -> None:
+def _print_result(result: dict[str, Any], runs: list[dict[str, Any]]) -> None:
     for run in runs:
         click.echo(f"{run['variant']} seed {run['seed']}: {run['audited']} requests, broken {run['broken']}")
         for name, row in run["tenants"].items():
@@ -55,15 +55,17 @@
 
 
 @lab.command()
-@path_argument
+@scenario_argument
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option("--cells/--no-cells", default=True, show_default=True)
-@click.option("--fault", help="The way to misbehave that is played; none without it.")
-@click.option("--slot", type=click.IntRange(0, 99), default=0, help="Keeps apart what runs at once.")
-@click.option("--store/--no-store", default=False, help="The director keeps a store.")
-@click.option("--trace", type=click.Path(path_type=Path), help="A folder for the directors' traces.")
-@click.option("--idle", is_flag=True, help="A trace could be written and is not.")
-@click.option("--program", type=click.Path(path_type=Path), help="The tree of another revision.")
+@click.option("--fault", help="Fault of the scenario to inject; none by default.")
+@click.option("--slot", type=click.IntRange(0, 99), default=0, help="Distinguishes concurrent runs.")
+@click.option("--store/--no-store", default=False, help="Run the director with a store.")
+@click.option("--trace", type=click.Path(path_type=Path), help="Folder for the directors' traces.")
+@click.option("--idle", is_flag=True, help="Configure tracing but leave it off.")
+@click.option(
+    "--program", type=click.Path(path_type=Path), help="Source tree of another revision, to run instead."
+)
 def play(
     file: Path,
     seed: int,
@@ -75,7 +77,7 @@
     idle: bool,
     program: Path | None,
 ) -> None:
-    """Play one variant of the scenario FILE once; its report as JSON, exit 1 where a rule broke."""
+    """Play one variant of the scenario FILE once and print its report as JSON; exit 1 if a rule broke."""
     import uvloop
 
     from onyxwick.lab.play import ScenarioRun
@@ -84,9 +86,9 @@
     scenario = read(file)
     if fault is not None and fault not in scenario.faults:
         known = ", ".join(scenario.faults) or "none"
-        raise UnusableInputError(f"no fault '{fault}' in {file.name}; it has: {known}")
+        raise UnusableInputError(f"unknown fault '{fault}' in {file.name}; known faults: {known}")
 
-    async def once() -> dict[str, Any]:
+    async def play_once() -> dict[str, Any]:
         run = ScenarioRun(scenario, seed, cells, fault, slot)
         run.program = program
         run.trace = trace
@@ -94,21 +96,27 @@
         run.idle = idle
         return await run.play()
 
-    report = uvloop.run(once())
+    report = uvloop.run(play_once())
     click.echo(json.dumps(report))
     if report["broken"]:
         raise click.exceptions.Exit(FINDING_EXIT_CODE)
 
 
 @lab.command()
-@path_argument
-@click.option("--cells", type=int, default=0, show_default=True, help="0: the router alone.")
+@scenario_argument
+@click.option("--cells", type=int, default=0, show_default=True, help="0: the router without cells.")
 @click.option("--boxes", type=int, default=64, show_default=True)
 @click.option("--tenants", type=int, default=64, show_default=True)
 @click.option("--requests", type=int, default=20_000, show_default=True)
-@click.option("--sites", type=int, default=0, show_default=True, help="0: off. Else so many, all steady.")
+@click.option(
+    "--sites",
+    type=int,
+    default=0,
+    show_default=True,
+    help="0: off; otherwise the number of sites, all steady.",
+)
 def decider(file: Path, cells: int, boxes: int, tenants: int, requests: int, sites: int) -> None:
-    """The cost of a decider alone, with the settings of the scenario FILE, as JSON."""
+    """Measure the cost of a decider alone, with the settings of the scenario FILE, as JSON."""
     from onyxwick.lab import cost
     from onyxwick.lab.scenario import read
 
@@ -116,11 +124,11 @@
 
 
 @lab.command()
-@path_argument
-@click.option("--runs", default=3, show_default=True, help="Of each row, in turn.")
+@scenario_argument
+@click.option("--runs", default=3, show_default=True, help="Runs of each row, in turn.")
 @click.option("--requests", default=20_000, show_default=True)
 def cost(file: Path, runs: int, requests: int) -> None:
-    """Deciders with 0, 1, 8 and 64 cells over 64 and 512 boxes, each in its own process, as JSON lines."""
+    """Measure deciders of 0, 1, 8 and 64 cells over 64 and 512 caches, each in a process, as JSON lines."""
     from onyxwick.lab.cost import in_processes
 
     rows = [(cells, boxes, 64) for boxes in (64, 512) for cells in (0, 1, 8, 64)]
@@ -130,54 +138,54 @@
 
 @lab.command()
 @click.argument("revision")
-@path_argument
+@scenario_argument
 @click.option("--pairs", default=3, show_default=True)
 @click.option("--seed", default=1, show_default=True)
 def against(revision: str, file: Path, pairs: int, seed: int) -> None:
-    """The director of this tree beside that of an earlier REVISION: processor time and memory, as JSON."""
-    from onyxwick.lab.cost import against as compared
+    """Compare processor time and memory of this tree's director with an earlier REVISION's, as JSON."""
+    from onyxwick.lab.cost import against as measure_cost
 
-    click.echo(json.dumps(compared(file, revision, pairs, seed)))
+    click.echo(json.dumps(measure_cost(file, revision, pairs, seed)))
 
 
 @lab.command()
-@path_argument
+@scenario_argument
 @click.option("--pairs", default=3, show_default=True)
 @click.option("--seed", default=1, show_default=True)
 def tracing(file: Path, pairs: int, seed: int) -> None:
-    """What a trace costs the director: with it, without it, and without it again, as JSON."""
-    from onyxwick.lab.cost import tracing as compared
+    """Measure the cost of tracing in the director: with it, without it, and without it again, as JSON."""
+    from onyxwick.lab.cost import tracing as measure_cost
 
-    click.echo(json.dumps(compared(file, pairs, seed)))
+    click.echo(json.dumps(measure_cost(file, pairs, seed)))
 
 
 @lab.command()
-@path_argument
+@scenario_argument
 @click.option("--pairs", default=3, show_default=True)
 @click.option("--seed", default=1, show_default=True)
 def storing(file: Path, pairs: int, seed: int) -> None:
-    """What a store costs the director: with it, without it, and without it again, as JSON."""
-    from onyxwick.lab.cost import storing as compared
+    """Measure the cost of a store in the director: with it, without it, and without it again, as JSON."""
+    from onyxwick.lab.cost import storing as measure_cost
 
-    click.echo(json.dumps(compared(file, pairs, seed)))
+    click.echo(json.dumps(measure_cost(file, pairs, seed)))
 
 
 @lab.command()
 @click.option("--boxes", default=1000, show_default=True)
 @click.option("--tenants", default=10_000, show_default=True)
 def placement(boxes: int, tenants: int) -> None:
-    """Placing tenants in 16 and 64 cells: time, what moves, what a lost cell touches, as JSON lines."""
-    from onyxwick.lab.cost import placement as measured
+    """Measure placement of tenants in 16 and 64 cells: time, moves, effect of a lost cell, as JSON lines."""
+    from onyxwick.lab.cost import placement as measure_placement
 
     for cells, span in ((16, 1), (16, 2), (16, 4), (64, 1), (64, 2)):
-        click.echo(json.dumps(measured(cells, span, boxes, tenants)))
+        click.echo(json.dumps(measure_placement(cells, span, boxes, tenants)))
 
 
 @lab.command()
 @click.argument("revision")
 @click.option("--runs", default=10, show_default=True)
 def startup(revision: str, runs: int) -> None:
-    """Starts of the director until it is ready and has answered, beside an earlier REVISION, as JSON."""
+    """Time the director's start until it is ready and has answered, against an earlier REVISION, as JSON."""
     from onyxwick.lab.startup import measure
 
     click.echo(json.dumps(measure(revision, runs)))
@@ -186,12 +194,16 @@
 @lab.command()
 @click.option("--seeds", default=20, show_default=True)
 @click.option(
-    "--hard/--plain", default=False, help="Told late, restarts, uneven traffic, two start, full load."
+    "--hard/--plain",
+    default=False,
+    help="Late notification, restarts, uneven traffic, two starting, full load.",
+)
+@click.option("--at-once", default=4, show_default=True, help="Cases run concurrently.")
+@click.option(
+    "--parent-of", type=click.IntRange(1, 5000), help="Only a cold parent under this many directors."
 )
-@click.option("--at-once", default=4, show_default=True, help="Cases played beside each other.")
-@click.option("--parent-of", type=click.IntRange(1, 5000), help="Only a cold parent under so many directors.")
 def ramp(seeds: int, hard: bool, at_once: int, parent_of: int | None) -> None:
-    """What fleets send to a member that has just started, over what the rule allows, as JSON lines."""
+    """Measure what fleets send to a newly started member, against the rule's bound, as JSON lines."""
     from concurrent.futures import ProcessPoolExecutor
 
     from onyxwick.lab.ramp import Case, cases, measure
@@ -204,21 +216,23 @@
 
 @lab.command()
 @click.argument("sites", type=click.IntRange(2, 512))
-@click.option("--pairs/--no-pairs", default=True, help="The losses of two sites at once, too.")
+@click.option("--pairs/--no-pairs", default=True, help="Include simultaneous losses of two sites.")
 def plans(sites: int, pairs: bool) -> None:
-    """The plan for the losses of a made-up installation of so many SITES: seconds and memory, as JSON."""
+    """Measure seconds and memory of the loss plan of a synthetic installation of SITES sites, as JSON."""
     from onyxwick.lab.plans import measure
 
     click.echo(json.dumps(measure(sites, pairs)))
 
 
 @lab.command()
-@path_argument
+@scenario_argument
 @click.option("--count", default=25, show_default=True, help="Kills of each director.")
-@click.option("--at-once", default=4, show_default=True, help="Directors, each with a store of its own.")
+@click.option(
+    "--at-once", default=4, show_default=True, help="Concurrent directors, each with its own store."
+)
 @click.option("--seed", default=1, show_default=True)
 def kills(file: Path, count: int, at_once: int, seed: int) -> None:
-    """Kill directors in the middle of API calls; exit 1 where anything is half done or lost."""
+    """Kill directors in the middle of API calls; exit 1 if a change is half done or lost."""
     from concurrent.futures import ThreadPoolExecutor
 
     from onyxwick.lab.kills import kills as run_kills
@@ -236,11 +250,11 @@
 @lab.command()
 @click.argument("folder", type=click.Path(path_type=Path))
 @click.option("--directors", default=3, show_default=True)
-@click.option("--rate", default=170.0, show_default=True, help="Requests a second at each director.")
+@click.option("--rate", default=170.0, show_default=True, help="Requests per second at each director.")
 @click.option("--seconds", default=3600, show_default=True)
 @click.option("--seed", default=1, show_default=True)
 def traces(folder: Path, directors: int, rate: float, seconds: int, seed: int) -> None:
-    """Write stand-in traces of directors whose clocks disagree to FOLDER."""
+    """Write synthetic traces of directors whose clocks disagree to FOLDER."""
     from onyxwick.lab.traces import make
 
     made = make(folder, directors, rate, seconds, seed)
@@ -248,28 +262,30 @@
 
 
 @lab.command()
-@click.option("--calls", default=100, show_default=True, help="Calls timed in each phase, of each kind.")
+@click.option(
+    "--calls", default=100, show_default=True, help="Calls of each kind that are timed in each phase."
+)
 @click.option(
     "--flooders", default=64, show_default=True, help="Clients that connect, ping and leave at once."
 )
 def door(calls: int, flooders: int) -> None:
-    """Time the operators' door against the front's pings, calm and while the front is flooded (JSON)."""
+    """Time the operators' door and the front's pings, without load and with the front flooded (JSON)."""
     from onyxwick.lab.door import measure
 
     click.echo(json.dumps(measure(calls, flooders)))
 
 
 @lab.command()
-@path_argument
+@scenario_argument
 @click.option(
-    "--rate", default=100.0, show_default=True, help="Changes a second, half by the API, half by DNS."
+    "--rate", default=100.0, show_default=True, help="Changes per second, half by the API, half by DNS."
 )
-@click.option("--seconds", default=10.0, show_default=True, help="Of each play.")
-@click.option("--rounds", default=2, show_default=True, help="Plays of each variant, in turn.")
+@click.option("--seconds", default=10.0, show_default=True, help="Duration of each run.")
+@click.option("--rounds", default=2, show_default=True, help="Runs of each variant, in turn.")
 def changes(file: Path, rate: float, seconds: float, rounds: int) -> None:
     """Time durable changes of the API and of DNS updates, with the store off and on (JSON lines).
 
-    FILE is a scenario, for the classes of its settings.
+    FILE is a scenario, whose settings define the classes.
     """
     from onyxwick.lab.changes import measure
     from onyxwick.lab.scenario import read
@@ -282,7 +298,7 @@
 @click.option("--requests", type=click.IntRange(1000, 10_000_000), default=100_000, show_default=True)
 @click.option("--rounds", type=click.IntRange(1, 100), default=5, show_default=True)
 def checks(requests: int, rounds: int) -> None:
-    """The cost of the run-time invariants, as JSON: microseconds a made-up request."""
+    """Measure the cost of the run-time invariants, as JSON: microseconds per synthetic request."""
     from onyxwick.lab.checks import report
 
     click.echo(json.dumps(report(requests, rounds)))
--- a/onyxwick/cli/scale.py
+++ b/onyxwick/cli/scale.py
@@ -1,4 +1,4 @@
-"""`onyxwick lab scale`: slopes, a fleet of hollow directors, and the capacity page's tables."""
+"""`onyxwick lab scale`: measures slopes and a fleet of hollow directors, and prints capacity tables."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     from onyxwick.lab.scale.fleet_plan import FleetPlan
 
 FAULTS = ("none", "kill", "pause", "publisher", "restart", "cut")
-path_option = click.Path(path_type=Path)
+PATH_TYPE = click.Path(path_type=Path)
 
 
 def _report_progress(text: str) -> None:
@@ -23,32 +23,34 @@
 
 @click.group()
 def scale() -> None:
-    """Capacity at size: measured slopes, a hollow fleet, and the model over them."""
+    """Measure capacity at scale: cost slopes, a fleet of hollow directors, and the model built on them."""
 
 
 @scale.command()
 @click.argument("names", nargs=-1)
-@click.option("--repeats", type=click.IntRange(1, 50), help="Of each size; each sweep has its own default.")
-@click.option("--out", type=path_option, help="The JSON file; printed without it.")
-@click.option("--plot", type=path_option, help="A PNG of points and lines.")
+@click.option(
+    "--repeats", type=click.IntRange(1, 50), help="Repeats of each size; each sweep has its own default."
+)
+@click.option("--out", type=PATH_TYPE, help="JSON file to write; printed by default.")
+@click.option("--plot", type=PATH_TYPE, help="PNG file for the points and lines.")
 @click.option("--table", is_flag=True, help="Print the fits as a table.")
 def slopes(
     names: tuple[str, ...], repeats: int | None, out: Path | None, plot: Path | None, table: bool
 ) -> None:
-    """Measure the sweeps NAMES (all without any), each over five sizes and more, and fit lines."""
-    from onyxwick.lab.scale import slopes as measured
+    """Measure the sweeps NAMES (by default all), each over at least five sizes, and fit lines."""
+    from onyxwick.lab.scale import slopes as slope_sweeps
 
     try:
-        chosen = measured.by_name(names)
+        chosen = slope_sweeps.by_name(names)
     except KeyError as error:
         raise UnusableInputError(str(error.args[0])) from None
-    result = measured.run(chosen, repeats, _report_progress)
+    result = slope_sweeps.run(chosen, repeats, _report_progress)
     if out is not None:
         out.write_text(json.dumps(result, indent=1) + "\n")
     if plot is not None:
-        measured.plot(result, plot)
+        slope_sweeps.plot(result, plot)
     if table:
-        click.echo(measured.table(result))
+        click.echo(slope_sweeps.table(result))
     elif out is None:
         click.echo(json.dumps(result))
 
@@ -56,26 +58,44 @@
 @scale.command()
 @click.option("--shape", type=click.Choice(["tree", "single"]), default="tree", show_default=True)
 @click.option("--directors", type=click.IntRange(1, 2000), default=1000, show_default=True)
-@click.option("--regions", type=click.IntRange(1, 8), default=3, show_default=True, help="Two relays each.")
-@click.option("--hosts", type=click.IntRange(1, 64), default=6, show_default=True, help="Their processes.")
+@click.option(
+    "--regions",
+    type=click.IntRange(1, 8),
+    default=3,
+    show_default=True,
+    help="Regions, with two relays each.",
+)
+@click.option(
+    "--hosts",
+    type=click.IntRange(1, 64),
+    default=6,
+    show_default=True,
+    help="Processes that host the directors.",
+)
 @click.option("--caches", type=click.IntRange(1, 1000), default=190, show_default=True)
 @click.option("--seconds", type=click.FloatRange(2, 3600), default=60.0, show_default=True)
-@click.option("--purges", type=click.FloatRange(0, 1000), default=21.0, show_default=True, help="A second.")
 @click.option(
-    "--changes", type=click.IntRange(0, 10_000), default=650, show_default=True, help="In ten bursts."
+    "--purges", type=click.FloatRange(0, 1000), default=21.0, show_default=True, help="Purges per second."
+)
+@click.option(
+    "--changes",
+    type=click.IntRange(0, 10_000),
+    default=650,
+    show_default=True,
+    help="Changes, in ten bursts.",
 )
 @click.option(
     "--fault",
     type=click.Choice(FAULTS),
     default="none",
     show_default=True,
-    help="At a third of the time.",
+    help="Fault injected after a third of the time.",
 )
 @click.option(
     "--cut", "cut_s", type=click.FloatRange(0, 3600), default=20.0, show_default=True, help="Seconds."
 )
 @click.option("--seed", type=int, default=1, show_default=True)
-@click.option("--slot", type=click.IntRange(0, 50), default=0, help="Keeps apart what runs at once.")
+@click.option("--slot", type=click.IntRange(0, 50), default=0, help="Distinguishes concurrent runs.")
 def fleet(
     shape: str,
     directors: int,
@@ -90,7 +110,7 @@
     seed: int,
     slot: int,
 ) -> None:
-    """Hollow directors under a publisher's events; exit 1 where an event was lost, repeated or disordered."""
+    """Run hollow directors under published events; exit 1 if an event is lost, repeated or out of order."""
     from onyxwick.lab.scale.fleet_plan import FleetPlan
     from onyxwick.lab.scale.hollow import Shape
 
@@ -123,22 +143,26 @@
     report = uvloop.run(hollow_fleet.run())
     click.echo(json.dumps(report))
     if report["starved"]:
-        click.echo("the machine was short of cores: no verdict on times", err=True)
+        click.echo("the machine ran short of cores: no verdict on times", err=True)
     if report["lost"] or report["disordered"] or report["settled_s"] is None:
         raise click.exceptions.Exit(FINDING_EXIT_CODE)
 
 
 @scale.command()
-@click.argument("folder", type=path_option)
+@click.argument("folder", type=PATH_TYPE)
 @click.option(
-    "--size", "size_file", type=path_option, help="HCL with a block `size`; without it the default."
+    "--size", "size_file", type=PATH_TYPE, help="HCL file with a block `size`; by default the built-in size."
 )
 @click.option("--directors", type=click.IntRange(1, 10**6))
 @click.option("--caches", type=click.IntRange(1, 10**6))
-@click.option("--requests", type=click.FloatRange(1), help="A second, of all directors.")
-@click.option("--purges", type=click.FloatRange(0), help="A second.")
+@click.option("--requests", type=click.FloatRange(1), help="Requests per second of all directors.")
+@click.option("--purges", type=click.FloatRange(0), help="Purges per second.")
 @click.option(
-    "--times", type=click.FloatRange(0.01, 100), default=1.0, show_default=True, help="Of everything."
+    "--times",
+    type=click.FloatRange(0.01, 100),
+    default=1.0,
+    show_default=True,
+    help="Factor applied to the whole size.",
 )
 def capacity(
     folder: Path,
@@ -149,7 +173,7 @@
     purges: float | None,
     times: float,
 ) -> None:
-    """The capacity page's tables from the measured figures in FOLDER, for a size."""
+    """Print the capacity page's tables for a size, from the measurements in FOLDER."""
     from dataclasses import replace
 
     from onyxwick.lab.scale.capacity import page, read_inputs
@@ -161,4 +185,4 @@
     try:
         click.echo(page(size.times(times), read_inputs(folder)))
     except (OSError, KeyError) as error:
-        raise UnusableInputError(f"{folder}: a measured figure is missing: {error}") from None
+        raise UnusableInputError(f"{folder}: a measurement is missing or unreadable: {error}") from None
--- a/onyxwick/cli/store.py
+++ b/onyxwick/cli/store.py
@@ -1,4 +1,4 @@
-"""`onyxwick store`: what a store holds, and what to do when it refuses."""
+"""`onyxwick store`: inspects, backs up and restores a store, and repairs one that does not open."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from onyxwick.store.files import DiskFiles
 
 folder_argument = click.argument("folder", type=click.Path(path_type=Path, exists=True, file_okay=False))
-json_option = click.option("--json", "as_json", is_flag=True, help="JSON on standard output.")
+json_option = click.option("--json", "as_json", is_flag=True, help="Print JSON to standard output.")
 
 
 def _open(folder: Path) -> StoreEngine:
@@ -25,19 +25,19 @@
 
 def _check_new(folder: Path) -> None:
     if folder.exists():
-        raise UnusableInputError(f"{folder.name} is there already")
+        raise UnusableInputError(f"{folder.name} already exists; a new folder is required")
 
 
 @click.group()
 def store() -> None:
-    """What a store holds, and what to do when it refuses."""
+    """Inspect and back up a store, and repair one that does not open."""
 
 
 @store.command()
 @folder_argument
 @json_option
 def check(folder: Path, as_json: bool) -> None:
-    """Can the store be opened with nothing lost? Exit 1 where it refuses, with what may be lost."""
+    """Check that the store opens without loss; exit 1 if it refuses, with a report of what may be lost."""
     try:
         engine = StoreEngine(DiskFiles(folder))
     except StoreUnusableError as error:
@@ -52,7 +52,7 @@
 
 
 def _row_as_json(key: str, value: bytes | None) -> Any:
-    """A row as JSON can hold it; encrypted secrets stay encrypted."""
+    """Return a row in a form that JSON can hold; encrypted secrets stay encrypted."""
     if value is None:
         return None
     from onyxwick.store.row_schema import unpack_row
@@ -61,14 +61,17 @@
         row = unpack_row(key, value)
     except StoreError:
         return value.hex()
-    return {name: each.hex() if isinstance(each, bytes) else each for name, each in row.items()}
+    return {
+        name: field_value.hex() if isinstance(field_value, bytes) else field_value
+        for name, field_value in row.items()
+    }
 
 
 @store.command()
 @folder_argument
 @click.argument("prefix", default="")
 def dump(folder: Path, prefix: str) -> None:
-    """Every row whose key begins with PREFIX, as JSON lines."""
+    """Print every row whose key begins with PREFIX, as JSON lines."""
     engine = _open(folder)
     for key, value in engine.scan(prefix):
         line = {"key": key, "version": engine.version(key), "value": _row_as_json(key, value)}
@@ -80,10 +83,11 @@
 @folder_argument
 @click.argument("key")
 def history(folder: Path, key: str) -> None:
-    """Every change of KEY that the log still holds: when, by whom, to what."""
+    """Print every change of KEY that the log still holds: its time, author and new value."""
     from onyxwick.store.backup import read_log
 
-    _open(folder).close()  # fails where the log cannot be trusted
+    # Opening the store fails if its log cannot be trusted.
+    _open(folder).close()
     is_found = False
     for number, payload in read_log(folder):
         for name, value, version in payload.operations:
@@ -98,7 +102,7 @@
 @store.command()
 @folder_argument
 def compact(folder: Path) -> None:
-    """Write a checkpoint and remove the log that it makes redundant. The director must not run."""
+    """Write a checkpoint and remove the log that it makes redundant. The director must not be running."""
     engine = _open(folder)
     bytes_before = engine.total_bytes()
     engine.compact()
@@ -110,7 +114,7 @@
 @folder_argument
 @click.argument("out", type=click.Path(path_type=Path))
 def backup(folder: Path, out: Path) -> None:
-    """Copy the store to the new folder OUT, also while a director runs: the copy is checked by opening it.
+    """Copy the store to the new folder OUT, even while a director runs, and check the copy by opening it.
 
     The commit mark is copied first: the records that it acknowledges are in the log that is copied after it.
     """
@@ -126,10 +130,10 @@
 @store.command()
 @folder_argument
 @click.argument("out", type=click.Path(path_type=Path))
-@click.option("--until", type=int, help="Unix microseconds: changes after it are left out.")
-@click.option("--record", type=int, help="The last record that is taken.")
+@click.option("--until", type=int, help="Leave out changes after this Unix time in microseconds.")
+@click.option("--record", type=int, help="Number of the last record to restore.")
 def restore(folder: Path, out: Path, until: int | None, record: int | None) -> None:
-    """Make a new store in OUT from the backup FOLDER, up to a moment, as far back as its log reaches."""
+    """Make a new store in OUT from the backup FOLDER, up to a time or record that its log reaches."""
     from onyxwick.store.backup import BackupError, restore_store
 
     source = _open(folder)
@@ -145,32 +149,32 @@
 @store.command()
 @folder_argument
 @click.argument("out", type=click.Path(path_type=Path))
-@click.option("--accept-loss", is_flag=True, help="Yes, what is told to be lost may be lost.")
+@click.option("--accept-loss", is_flag=True, help="Accept the reported losses.")
 def repair(folder: Path, out: Path, accept_loss: bool) -> None:
-    """Make a new store in OUT from what can still be read of a FOLDER that refuses; says what is missing.
+    """Make a new store in OUT from the readable records of a FOLDER that does not open; report the losses.
 
-    The folder itself is not touched. Exit 1 without --accept-loss.
+    FOLDER itself is not changed. Exit 1 without --accept-loss.
     """
     from onyxwick.store.backup import write_payload
     from onyxwick.store.salvage import salvage
 
     _check_new(out)
-    found = salvage(folder)
-    for text in found.losses:
+    salvaged = salvage(folder)
+    for text in salvaged.losses:
         click.echo(f"lost: {text}")
-    click.echo(f"{len(found.payloads)} records can be read")
+    click.echo(f"{len(salvaged.payloads)} records can be read")
     if not accept_loss:
-        click.echo("nothing was written; with --accept-loss a new store is made of them")
+        click.echo("nothing was written; with --accept-loss a new store is made from these records")
         raise click.exceptions.Exit(FINDING_EXIT_CODE)
     target = StoreEngine(DiskFiles(out))
-    for payload in found.payloads:
+    for payload in salvaged.payloads:
         write_payload(target, payload)
     target.close()
 
 
 @store.command("new-key")
 def new_key() -> None:
-    """Print a new key for the key file; put it on its first line to seal with it from now on."""
+    """Print a new key. Put it on the first line of the key file to encrypt with it from then on."""
     from onyxwick.store.encryption import generate_key
 
     click.echo(generate_key())
@@ -178,12 +182,12 @@
 
 @store.command()
 @click.option(
-    "--folder", type=click.Path(path_type=Path, file_okay=False), help="Where: the disk to measure."
+    "--folder", type=click.Path(path_type=Path, file_okay=False), help="Folder on the disk to measure."
 )
-@click.option("--seconds", default=3.0, show_default=True, help="Of each row.")
+@click.option("--seconds", default=3.0, show_default=True, help="Duration of each row's measurement.")
 @click.option("--records", default=1_000_000, show_default=True)
 def bench(folder: Path | None, seconds: float, records: int) -> None:
-    """Commits a second beside sqlite3, opening, write amplification, as JSON lines."""
+    """Measure commits per second against sqlite3, opening time and write amplification, as JSON lines."""
     from onyxwick.lab.storage import amplification, commits, opening
 
     for row in commits(folder, seconds):
--- a/onyxwick/cli/trace.py
+++ b/onyxwick/cli/trace.py
@@ -1,4 +1,4 @@
-"""`onyxwick trace`: what a trace tells: cut, merge, summarise, explain, audit, compare and export."""
+"""`onyxwick trace`: cuts, merges, anonymises, summarises, explains, audits, compares and exports traces."""
 
 from __future__ import annotations
 
@@ -24,19 +24,19 @@
 US_PER_S = 1_000_000
 MAX_PRINTED_ROWS = 20
 SUMMARY_KINDS = ("class", "tenant", "cell", "member")
-json_option = click.option("--json", "as_json", is_flag=True, help="JSON on standard output.")
+json_option = click.option("--json", "as_json", is_flag=True, help="Print JSON to standard output.")
 file_argument = click.argument("file", type=click.Path(path_type=Path))
 files_argument = click.argument("files", nargs=-1, required=True, type=click.Path(path_type=Path))
 Command = Callable[..., None]
 
 
 def _report_unusable(command: Command) -> Command:
-    """Turn errors about a trace file into UnusableInputError."""
+    """Wrap a command so that errors in reading or writing a trace file become UnusableInputError."""
 
     @wraps(command)
-    def wrapped(*arguments: Any, **named: Any) -> None:
+    def wrapped(*arguments: Any, **options_by_name: Any) -> None:
         try:
-            command(*arguments, **named)
+            command(*arguments, **options_by_name)
         except TraceError as error:
             raise UnusableInputError(str(error)) from None
         except OSError as error:
@@ -46,7 +46,7 @@
 
 
 def read_time(text: str | None) -> int | None:
-    """Unix seconds, or an ISO time (UTC where it names no zone), as Unix microseconds."""
+    """Convert Unix seconds, or an ISO time (UTC if it names no zone), to Unix microseconds."""
     if text is None:
         return None
     try:
@@ -56,34 +56,38 @@
     try:
         when = datetime.fromisoformat(text)
     except ValueError:
-        raise UnusableInputError(f"{text!r} is no time; as 1767262800.5 or 2026-03-02T07:00:00") from None
+        raise UnusableInputError(
+            f"{text!r} is not a time; expected 1767262800.5 or 2026-03-02T07:00:00"
+        ) from None
     return int((when if when.tzinfo else when.replace(tzinfo=UTC)).timestamp() * US_PER_S)
 
 
 def _with_filter(command: Command) -> Command:
-    """Add the options that select requests; the command receives them as one `wanted`."""
+    """Add the options that select requests; the command receives them as one TraceFilter, `wanted`."""
     verdicts = {word: verdict for verdict, word in VERDICT_WORDS.items()}
     options = [
-        click.option("--from", "begin", help="Arrived at this time or later."),
-        click.option("--to", "end", help="Arrived before this time."),
+        click.option("--from", "begin", help="Only requests that arrived at this time or later."),
+        click.option("--to", "end", help="Only requests that arrived before this time."),
         click.option("--class", "class_name"),
         click.option("--tenant"),
         click.option("--cell"),
         click.option("--object"),
-        click.option("--member", help="With an attempt at this member."),
+        click.option("--member", help="Only requests with an attempt at this member."),
         click.option("--verdict", type=click.Choice(list(verdicts))),
     ]
 
     @wraps(command)
-    def wrapped(**named: Any) -> None:
+    def wrapped(**options_by_name: Any) -> None:
         from onyxwick.trace.filter import TraceFilter
 
-        chosen = {n: named.pop(n) for n in ("class_name", "tenant", "cell", "object", "member")}
-        verdict = named.pop("verdict")
-        begin = read_time(named.pop("begin"))
-        end = read_time(named.pop("end"))
-        named["wanted"] = TraceFilter(begin, end, **chosen, verdict=verdicts[verdict] if verdict else None)
-        command(**named)
+        chosen = {n: options_by_name.pop(n) for n in ("class_name", "tenant", "cell", "object", "member")}
+        verdict = options_by_name.pop("verdict")
+        begin = read_time(options_by_name.pop("begin"))
+        end = read_time(options_by_name.pop("end"))
+        options_by_name["wanted"] = TraceFilter(
+            begin, end, **chosen, verdict=verdicts[verdict] if verdict else None
+        )
+        command(**options_by_name)
 
     for option in reversed(options):
         wrapped = option(wrapped)
@@ -91,8 +95,12 @@
 
 
 def _report_losses(traces: list[TraceReader]) -> list[str]:
-    """Print what is lost in the files on standard error; the same as texts."""
-    texts = [f"{t.path.name}: {x.size} bytes at {x.offset} lost: {x.cause}" for t in traces for x in t.losses]
+    """Print the losses in the files to standard error, and return the printed texts."""
+    texts = [
+        f"{reader.path.name}: {loss.size} bytes at {loss.offset} lost: {loss.cause}"
+        for reader in traces
+        for loss in reader.losses
+    ]
     for text in texts:
         click.echo(text, err=True)
     return texts
@@ -100,7 +108,7 @@
 
 @click.group()
 def trace() -> None:
-    """What a trace tells."""
+    """Cut, merge, anonymise, summarise, explain, audit, compare and export traces."""
 
 
 @trace.command()
@@ -108,8 +116,8 @@
 @json_option
 @_report_unusable
 def info(files: tuple[Path, ...], as_json: bool) -> None:
-    """Who wrote each file, when, how much is in it; exit 1 where some of it is lost."""
-    rows = [_describe(path) for path in files]
+    """Show each file's director, time span and size; exit 1 if part of a file is lost."""
+    rows = [_trace_info(path) for path in files]
     if as_json:
         click.echo(json.dumps({"files": rows}))
     else:
@@ -119,29 +127,29 @@
         raise click.exceptions.Exit(FINDING_EXIT_CODE)
 
 
-def _describe(path: Path) -> dict[str, Any]:
-    """What `info` prints of one file; all its blocks are read."""
+def _trace_info(path: Path) -> dict[str, Any]:
+    """Return the fields that `info` prints for one file. Reads all of its blocks."""
     from onyxwick.trace.reader import open_trace
     from onyxwick.trace.table import StringTable
 
-    with open_trace(path) as opened:
-        for _ in opened.tables(StringTable()):
+    with open_trace(path) as reader:
+        for _ in reader.tables(StringTable()):
             pass
-        heads = [entry.head for entry in opened.entries]
+        heads = [entry.head for entry in reader.entries]
         return {
             "file": path.name,
-            "director": opened.header.director,
-            "version": ".".join(map(str, opened.header.version)),
-            "index": "whole" if opened.indexed else "made anew",
+            "director": reader.header.director,
+            "version": ".".join(map(str, reader.header.version)),
+            "index": "whole" if reader.indexed else "made anew",
             "blocks": len(heads),
             "requests": sum(head.lives for head in heads),
             "dropped": sum(head.dropped for head in heads),
             "open_at_end": heads[-1].open if heads else 0,
             "begin_unix": min((head.first for head in heads if head.first), default=0) / US_PER_S,
             "end_unix": max((head.last for head in heads), default=0) / US_PER_S,
-            "bytes": opened.size,
-            "clocks": opened.header.clocks,
-            "losses": [f"{loss.size} bytes at {loss.offset}: {loss.cause}" for loss in opened.losses],
+            "bytes": reader.size,
+            "clocks": reader.header.clocks,
+            "losses": [f"{loss.size} bytes at {loss.offset}: {loss.cause}" for loss in reader.losses],
         }
 
 
@@ -152,22 +160,22 @@
 @json_option
 @_report_unusable
 def cut(file: Path, out: Path, wanted: TraceFilter, as_json: bool) -> None:
-    """Write to OUT the requests that are wanted, and what was told in that time."""
-    from onyxwick.trace.filter import select_requests as chosen
+    """Write to OUT the selected requests and the notifications of that time."""
+    from onyxwick.trace.filter import select_requests
     from onyxwick.trace.merge import TraceFileWriter
     from onyxwick.trace.reader import open_trace
     from onyxwick.trace.table import StringTable
 
-    with open_trace(file) as opened:
-        writer = TraceFileWriter(out, opened.header)
-        for table in chosen(opened, wanted, StringTable()):
+    with open_trace(file) as reader:
+        writer = TraceFileWriter(out, reader.header)
+        for table in select_requests(reader, wanted, StringTable()):
             writer.add(table)
         writer.close()
         result: dict[str, Any] = {
             "requests": writer.request_count,
-            "read_bytes": opened.read_bytes,
-            "file_bytes": opened.size,
-            "losses": _report_losses([opened]),
+            "read_bytes": reader.read_bytes,
+            "file_bytes": reader.size,
+            "losses": _report_losses([reader]),
         }
     text = f"{result['requests']} requests; {result['read_bytes']} bytes read"
     click.echo(json.dumps(result) if as_json else text)
@@ -179,10 +187,10 @@
 @json_option
 @_report_unusable
 def merge(out: Path, files: tuple[Path, ...], as_json: bool) -> None:
-    """Write to OUT the FILES of several directors, in the order of what happened."""
-    from onyxwick.trace.merge import merge_files as merged
+    """Write to OUT the FILES of several directors, in the order in which the events happened."""
+    from onyxwick.trace.merge import merge_files
 
-    result = merged(list(files), out)
+    result = merge_files(list(files), out)
     if as_json:
         click.echo(json.dumps(result))
         return
@@ -199,89 +207,90 @@
 @trace.command()
 @file_argument
 @click.argument("out", type=click.Path(path_type=Path))
-@click.option("--key", required=True, type=click.Path(path_type=Path), help="A file of 32 bytes or more.")
+@click.option("--key", required=True, type=click.Path(path_type=Path), help="Key file of 32 bytes or more.")
 @_report_unusable
 def anonymise(file: Path, out: Path, key: Path) -> None:
-    """Write to OUT the same trace with every id and name hidden by the key."""
+    """Write to OUT the same trace with every id and name replaced by means of the key."""
     from onyxwick.trace.anonymise import Anonymiser, read_key
     from onyxwick.trace.merge import TraceFileWriter
     from onyxwick.trace.reader import open_trace
     from onyxwick.trace.table import StringTable
 
-    hide = Anonymiser(read_key(key))
-    with open_trace(file) as opened:
-        writer = TraceFileWriter(out, hide.header(opened.header))
-        hidden = StringTable()
-        for head, table in opened.tables(StringTable()):
-            writer.add(hide.table(table, hidden), head.dropped)
+    anonymiser = Anonymiser(read_key(key))
+    with open_trace(file) as reader:
+        writer = TraceFileWriter(out, anonymiser.header(reader.header))
+        anonymised_strings = StringTable()
+        for head, table in reader.tables(StringTable()):
+            writer.add(anonymiser.table(table, anonymised_strings), head.dropped)
         writer.close()
-        _report_losses([opened])
+        _report_losses([reader])
     click.echo(f"{writer.request_count} requests")
 
 
 @trace.command()
 @files_argument
 @_with_filter
-@click.option("--plots", type=click.Path(path_type=Path), help="A folder for PNG files and an HTML page.")
+@click.option("--plots", type=click.Path(path_type=Path), help="Folder for PNG files and an HTML page.")
 @json_option
 @_report_unusable
 def summarise(files: tuple[Path, ...], wanted: TraceFilter, plots: Path | None, as_json: bool) -> None:
-    """Worth, verdicts, latencies, retries and sources by class, tenant, cell and member."""
+    """Summarise worth, verdicts, latencies, retries and sources by class, tenant, cell and member."""
     from onyxwick.trace.reader import open_trace
     from onyxwick.trace.summary import Summary
     from onyxwick.trace.table import StringTable
 
     summary = None
     for path in files:
-        with open_trace(path) as opened:
-            summary = summary or Summary(opened.header)
-            for head, table in opened.tables(StringTable(), wanted.may_match):
+        with open_trace(path) as reader:
+            summary = summary or Summary(reader.header)
+            for head, table in reader.tables(StringTable(), wanted.may_match):
                 rows = wanted.matching_rows(table)
                 summary.add(table if rows.all() else table.take(rows.nonzero()[0]), head.dropped)
-            _report_losses([opened])
+            _report_losses([reader])
     assert summary is not None
     if plots:
         from onyxwick.trace.plots import write
 
         write(summary, plots, ", ".join(path.name for path in files))
-    shown = summary.as_document()
-    click.echo(json.dumps(shown)) if as_json else _print_summary(shown)
+    document = summary.as_document()
+    click.echo(json.dumps(document)) if as_json else _print_summary(document)
 
 
-def _print_summary(shown: dict[str, Any]) -> None:
-    worst = f"worst ten seconds {shown['worst']}"
-    click.echo(f"{shown['requests']} requests, {shown['dropped']} dropped, {worst}")
+def _print_summary(document: dict[str, Any]) -> None:
+    worst = f"worst ten seconds {document['worst']}"
+    click.echo(f"{document['requests']} requests, {document['dropped']} dropped, {worst}")
     for kind in SUMMARY_KINDS:
-        for name, row in shown[kind].items():
+        for name, row in document[kind].items():
             click.echo(
                 f"{kind} {name or '(none)'}: {row['requests']} requests, service {row['service']:.4f}, served"
                 f" {row['served']}, refused {row['refused']}, failed {row['failed']}, left {row['left']},"
                 f" p50 {row['p50_ms']} ms, p99 {row['p99_ms']} ms"
             )
-    click.echo(f"answers {shown['answers']}, bytes filled {shown['fill_bytes']}")
+    click.echo(f"answers {document['answers']}, bytes filled {document['fill_bytes']}")
 
 
 @trace.command()
 @files_argument
-@click.option("--request", required=True, help="The request's id.")
+@click.option("--request", required=True, help="Id of the request.")
 @_report_unusable
 def explain(files: tuple[Path, ...], request: str) -> None:
-    """Tell one request's story; exit 1 where no file has it."""
-    from onyxwick.trace.explain import explain_request as story
-    from onyxwick.trace.filter import TraceFilter
-    from onyxwick.trace.filter import select_requests as chosen
+    """Explain the course of one request; exit 1 if no file contains it."""
+    from onyxwick.trace.explain import explain_request
+    from onyxwick.trace.filter import TraceFilter, select_requests
     from onyxwick.trace.reader import open_trace
     from onyxwick.trace.table import StringTable
 
     found = 0
     with ExitStack() as stack:
-        for opened in [stack.enter_context(open_trace(path)) for path in files]:
-            for table in chosen(opened, TraceFilter(request=request), StringTable(), notifications=False):
+        for reader in [stack.enter_context(open_trace(path)) for path in files]:
+            for table in select_requests(
+                reader, TraceFilter(request=request), StringTable(), notifications=False
+            ):
                 for row in range(len(table)):
-                    click.echo("\n".join(story(table, row)))
+                    click.echo("\n".join(explain_request(table, row)))
                     found += 1
     if not found:
-        click.echo(f"no request {request} here", err=True)
+        click.echo(f"request {request} is in none of the files", err=True)
         raise click.exceptions.Exit(FINDING_EXIT_CODE)
 
 
@@ -290,26 +299,26 @@
 @json_option
 @_report_unusable
 def audit(file: Path, as_json: bool) -> None:
-    """Judge the rules from one file (of several directors: a merged one); exit 1 where one is broken."""
+    """Check the rules in one file (for several directors, a merged one); exit 1 if a rule is broken."""
     from onyxwick.trace.audit import Auditor
     from onyxwick.trace.reader import open_trace
     from onyxwick.trace.table import StringTable
 
-    with open_trace(file) as opened:
+    with open_trace(file) as reader:
         strings = StringTable()
-        tables = opened.tables(strings, lambda head: head.told > 0)
-        judge = Auditor(opened.header, [notice for _, table in tables for notice in table.notifications])
-        for _, table in opened.tables(strings):
-            judge.add(table)
-        report = judge.report()
-        _report_losses([opened])
-    shown = report.as_document()
+        tables = reader.tables(strings, lambda head: head.told > 0)
+        auditor = Auditor(reader.header, [notice for _, table in tables for notice in table.notifications])
+        for _, table in reader.tables(strings):
+            auditor.add(table)
+        report = auditor.report()
+        _report_losses([reader])
+    document = report.as_document()
     if as_json:
-        click.echo(json.dumps(shown))
+        click.echo(json.dumps(document))
     else:
-        for rule, verdict in shown["verdicts"].items():
-            click.echo(f"{rule}: {verdict} ({shown['looked_at'].get(rule, 0)} cases)")
-        for row in (*shown["broken"][:MAX_PRINTED_ROWS], *shown["doubtful"][:MAX_PRINTED_ROWS]):
+        for rule, verdict in document["verdicts"].items():
+            click.echo(f"{rule}: {verdict} ({document['looked_at'].get(rule, 0)} cases)")
+        for row in (*document["broken"][:MAX_PRINTED_ROWS], *document["doubtful"][:MAX_PRINTED_ROWS]):
             click.echo(json.dumps(row))
     if report.broken:
         raise click.exceptions.Exit(FINDING_EXIT_CODE)
@@ -318,9 +327,9 @@
 @trace.command()
 @click.argument("a", type=click.Path(path_type=Path))
 @click.argument("b", required=False, type=click.Path(path_type=Path))
-@click.option("--a-from", help="Window of A.")
+@click.option("--a-from", help="Start of the window of A.")
 @click.option("--a-to")
-@click.option("--b-from", help="Window of B (of A again, where no B is given).")
+@click.option("--b-from", help="Start of the window of B, or of a second window of A without B.")
 @click.option("--b-to")
 @click.option("--most", default=20, show_default=True)
 @json_option
@@ -335,21 +344,20 @@
     most: int,
     as_json: bool,
 ) -> None:
-    """What accounts for the worth that B lost more than A, the largest first."""
-    from onyxwick.trace.compare import compare as compared
+    """List the contributions to the worth that B lost beyond A's losses, the largest first."""
+    from onyxwick.trace.compare import compare as compare_losses
     from onyxwick.trace.compare import losses
-    from onyxwick.trace.filter import TraceFilter
-    from onyxwick.trace.filter import select_requests as chosen
+    from onyxwick.trace.filter import TraceFilter, select_requests
     from onyxwick.trace.reader import open_trace
     from onyxwick.trace.table import StringTable
 
     def window(path: Path, begin: str | None, end: str | None) -> Any:
-        with open_trace(path) as opened:
+        with open_trace(path) as reader:
             wanted = TraceFilter(read_time(begin), read_time(end))
-            tables: Iterator[Table] = chosen(opened, wanted, StringTable(), notifications=False)
-            return losses(opened.header, tables)
+            tables: Iterator[Table] = select_requests(reader, wanted, StringTable(), notifications=False)
+            return losses(reader.header, tables)
 
-    result = compared(window(a, a_from, a_to), window(b or a, b_from, b_to))
+    result = compare_losses(window(a, a_from, a_to), window(b or a, b_from, b_to))
     result["rows"] = result["rows"][:most]
     if as_json:
         click.echo(json.dumps(result))
@@ -373,9 +381,9 @@
     from onyxwick.trace.reader import open_trace
     from onyxwick.trace.table import StringTable
 
-    with open_trace(file) as opened:
-        tables = (table for _, table in opened.tables(StringTable()) if len(table))
+    with open_trace(file) as reader:
+        tables = (table for _, table in reader.tables(StringTable()) if len(table))
         write = exports.json_lines if kind == "json" else exports.parquet
         count = write(tables, out)
-        _report_losses([opened])
+        _report_losses([reader])
     click.echo(f"{count} requests", file=sys.stdout)
