--- a/tests/test_accept_loop.py
+++ b/tests/test_accept_loop.py
@@ -9,21 +9,21 @@
 
 from onyxwick.net.front import FastCgiFront
 from onyxwick.net.listening import listen
+from tests.director_harness import DirectorHarness, run_scenario
 from tests.failing_sockets import FailingListener
-from tests.ground import Ground, played
 
 
 def test_connected_clients_are_accepted_at_the_end_although_accept_fails_briefly() -> None:
-    async def play(ground: Ground) -> None:
+    async def scenario(harness: DirectorHarness) -> None:
         listener = listen(("127.0.0.1", 0))
-        ground.opened.append(listener)
+        harness.open_sockets.append(listener)
         clients = [socket.create_connection(listener.getsockname()) for _ in range(3)]
-        ground.opened += clients
+        harness.open_sockets += clients
         errors = (errno.ENFILE, errno.ECONNABORTED, errno.EMFILE, errno.ENOBUFS, errno.EPROTO, errno.ENOMEM)
-        await ground.front.accept_remaining(FailingListener(listener, *errors))  # type: ignore[arg-type]
-        assert len(ground.front.connections) == 3
+        await harness.front.accept_remaining(FailingListener(listener, *errors))  # type: ignore[arg-type]
+        assert len(harness.front.connections) == 3
 
-    played(play)
+    run_scenario(scenario)
 
 
 def test_the_full_backlog_is_accepted_at_the_end() -> None:
@@ -41,22 +41,22 @@
         def close(self) -> None:
             pass
 
-    async def play(ground: Ground) -> None:
-        front = FastCgiFront(ground.core, ground.counters, lambda: True, 0, 10_000_000)
+    async def scenario(harness: DirectorHarness) -> None:
+        front = FastCgiFront(harness.core, harness.counters, lambda: True, 0, 10_000_000)
         await front.accept_remaining(FullBacklogListener())  # type: ignore[arg-type]
-        assert ground.counters.counts["client.refused"] == 1025
+        assert harness.counters.counts["client.refused"] == 1025
 
-    played(play)
+    run_scenario(scenario)
 
 
 def test_a_connection_aborted_before_its_accept_delays_no_other() -> None:
-    async def play(ground: Ground) -> None:
+    async def scenario(harness: DirectorHarness) -> None:
         listener = listen(("127.0.0.1", 0))
-        ground.opened += [listener, socket.create_connection(listener.getsockname())]
+        harness.open_sockets += [listener, socket.create_connection(listener.getsockname())]
         failing = FailingListener(listener, *[errno.ECONNABORTED] * 40)
-        ground.tasks.append(asyncio.get_running_loop().create_task(ground.front.accept(failing)))  # type: ignore[arg-type]
+        harness.tasks.append(asyncio.get_running_loop().create_task(harness.front.accept(failing)))  # type: ignore[arg-type]
         started_at_s = asyncio.get_running_loop().time()
-        await ground.until(lambda: ground.front.connections)
+        await harness.wait_until(lambda: harness.front.connections)
         assert asyncio.get_running_loop().time() - started_at_s < 0.5
 
-    played(play)
+    run_scenario(scenario)
--- a/tests/test_arrival_clock.py
+++ b/tests/test_arrival_clock.py
@@ -15,40 +15,42 @@
 from onyxwick.interface import RejectRequest
 from onyxwick.net.buffer import ReceiveBuffer
 from onyxwick.net.listening import listen
+from tests.director_harness import DirectorHarness, encode_call, forward_to, run_scenario
 from tests.failing_sockets import FailingListener, receive_piece, sent_timeout_ms
-from tests.ground import Ground, ask, call, played
 
 
 def test_time_in_an_unread_socket_counts() -> None:
-    async def scenario(ground: Ground) -> None:
-        cache, loop = ground.cache("c0"), asyncio.get_running_loop()
-        ground.script.arrived = lambda request: ask(request, "c0")
-        client = await ground.client()
-        await loop.sock_sendall(client, b"".join(call(n, path="/nowhere") for n in range(1, 16)))
-        await ground.until(lambda: ground.counters.counts["bad.client"] == 15)
+    async def scenario(harness: DirectorHarness) -> None:
+        cache, loop = harness.add_cache("c0"), asyncio.get_running_loop()
+        harness.router.on_arrival = lambda request: forward_to(request, "c0")
+        client = await harness.connect_client()
+        await loop.sock_sendall(client, b"".join(encode_call(n, path="/nowhere") for n in range(1, 16)))
+        await harness.wait_until(lambda: harness.counters.counts["bad.client"] == 15)
         sent_at_s = time.monotonic()  # after 15 protocol errors reading pauses for 0.3 s
-        await loop.sock_sendall(client, call(20, more={"HTTP_X_TIMEOUT_MS": "1000"}))
-        conn = await ground.accepted(cache)
-        timeout_ms = sent_timeout_ms(await ground.read(conn, f"{20:016x}".encode()))
+        await loop.sock_sendall(client, encode_call(20, extra_params={"HTTP_X_TIMEOUT_MS": "1000"}))
+        conn = await harness.accept(cache)
+        timeout_ms = sent_timeout_ms(await harness.read_until(conn, f"{20:016x}".encode()))
         assert timeout_ms <= 1000 - 1000 * (time.monotonic() - sent_at_s) + 150
 
-    played(scenario)
+    run_scenario(scenario)
 
 
 def test_idle_time_after_a_read_pause_does_not_count() -> None:
-    async def scenario(ground: Ground) -> None:
-        cache, loop = ground.cache("c0"), asyncio.get_running_loop()
-        ground.script.arrived = lambda request: ask(request, "c0")
-        client = await ground.client()
-        await loop.sock_sendall(client, call(1, path="/nowhere"))
-        await ground.read(client, b"404")
+    async def scenario(harness: DirectorHarness) -> None:
+        cache, loop = harness.add_cache("c0"), asyncio.get_running_loop()
+        harness.router.on_arrival = lambda request: forward_to(request, "c0")
+        client = await harness.connect_client()
+        await loop.sock_sendall(client, encode_call(1, path="/nowhere"))
+        await harness.read_until(client, b"404")
         await asyncio.sleep(0.4)  # the read pause has ended, and nothing was received since
         short_limit = {"HTTP_X_TIMEOUT_MS": "300"}
-        await loop.sock_sendall(client, call(2, more=short_limit) + call(3, path="/ping"))
-        conn = await ground.accepted(cache)
-        assert sent_timeout_ms(await ground.read(conn, f"{2:016x}".encode())) > 200
+        await loop.sock_sendall(
+            client, encode_call(2, extra_params=short_limit) + encode_call(3, path="/ping")
+        )
+        conn = await harness.accept(cache)
+        assert sent_timeout_ms(await harness.read_until(conn, f"{2:016x}".encode())) > 200
 
-    played(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("piece_bytes", [2048, 7])
@@ -59,22 +61,22 @@
         ReceiveBuffer, "receive_available", partialmethod(receive_piece, piece_bytes=piece_bytes)
     )
 
-    async def scenario(ground: Ground) -> None:
-        cache, loop = ground.cache("c0"), asyncio.get_running_loop()
-        ground.script.arrived = lambda request: ask(request, "c0")
+    async def scenario(harness: DirectorHarness) -> None:
+        cache, loop = harness.add_cache("c0"), asyncio.get_running_loop()
+        harness.router.on_arrival = lambda request: forward_to(request, "c0")
         listener = listen(("127.0.0.1", 0))
         client = socket.create_connection(listener.getsockname())
-        ground.opened += [listener, client]
-        client.sendall(call(1, more={"HTTP_X_TIMEOUT_MS": "1000"}))
+        harness.open_sockets += [listener, client]
+        client.sendall(encode_call(1, extra_params={"HTTP_X_TIMEOUT_MS": "1000"}))
         sent_at_s = time.monotonic()
         failing = FailingListener(listener, *[errno.ENOMEM] * 8)
-        ground.tasks.append(loop.create_task(ground.front.accept(failing)))  # type: ignore[arg-type]
-        ground.tasks.append(loop.create_task(ground.front.record_loop_ticks()))
-        conn = await ground.accepted(cache)
-        timeout_ms = sent_timeout_ms(await ground.read(conn, f"{1:016x}".encode()))
+        harness.tasks.append(loop.create_task(harness.front.accept(failing)))  # type: ignore[arg-type]
+        harness.tasks.append(loop.create_task(harness.front.record_loop_ticks()))
+        conn = await harness.accept(cache)
+        timeout_ms = sent_timeout_ms(await harness.read_until(conn, f"{1:016x}".encode()))
         assert timeout_ms <= 1000 - 1000 * (time.monotonic() - sent_at_s) + 150
 
-    played(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("followed", [False, True])
@@ -91,44 +93,44 @@
         ReceiveBuffer, "receive_available", partialmethod(receive_piece, piece_bytes=piece_bytes)
     )
 
-    async def scenario(ground: Ground) -> None:
-        cache, loop = ground.cache("c0"), asyncio.get_running_loop()
-        ground.script.arrived = lambda request: ask(request, "c0")
+    async def scenario(harness: DirectorHarness) -> None:
+        cache, loop = harness.add_cache("c0"), asyncio.get_running_loop()
+        harness.router.on_arrival = lambda request: forward_to(request, "c0")
         listener = listen(("127.0.0.1", 0))
         client = socket.create_connection(listener.getsockname())
-        ground.opened += [listener, client]
-        client.sendall(call(1, more={"HTTP_X_TIMEOUT_MS": "1000"}))
+        harness.open_sockets += [listener, client]
+        client.sendall(encode_call(1, extra_params={"HTTP_X_TIMEOUT_MS": "1000"}))
         sent_at_s = time.monotonic()
         await asyncio.sleep(0.4)
-        ground.core.stalls.observe(time.monotonic())  # as in a front that has just started
-        ground.tasks.append(loop.create_task(ground.front.record_loop_ticks()))
+        harness.core.stalls.observe(time.monotonic())  # as in a front that has just started
+        harness.tasks.append(loop.create_task(harness.front.record_loop_ticks()))
         await asyncio.sleep(0.1)
-        client.sendall(call(2, path="/ping") if followed else b"")
-        ground.tasks.append(loop.create_task(ground.front.accept(listener)))
-        conn = await ground.accepted(cache)
-        timeout_ms = sent_timeout_ms(await ground.read(conn, f"{1:016x}".encode()))
+        client.sendall(encode_call(2, path="/ping") if followed else b"")
+        harness.tasks.append(loop.create_task(harness.front.accept(listener)))
+        conn = await harness.accept(cache)
+        timeout_ms = sent_timeout_ms(await harness.read_until(conn, f"{1:016x}".encode()))
         assert timeout_ms <= 1000 - 1000 * (time.monotonic() - sent_at_s) + 150
 
-    played(scenario)
+    run_scenario(scenario)
 
 
 def test_time_during_a_long_event_loop_turn_counts() -> None:
-    async def scenario(ground: Ground) -> None:
-        cache, loop = ground.cache("c0"), asyncio.get_running_loop()
-        ground.script.arrived = lambda request: ask(request, "c0")
-        client = await ground.client()
-        await loop.sock_sendall(client, call(1, path="/ping"))
-        await ground.read(client, b"200 OK")
-        client.send(call(2, more={"HTTP_X_TIMEOUT_MS": "1000"}))
+    async def scenario(harness: DirectorHarness) -> None:
+        cache, loop = harness.add_cache("c0"), asyncio.get_running_loop()
+        harness.router.on_arrival = lambda request: forward_to(request, "c0")
+        client = await harness.connect_client()
+        await loop.sock_sendall(client, encode_call(1, path="/ping"))
+        await harness.read_until(client, b"200 OK")
+        client.send(encode_call(2, extra_params={"HTTP_X_TIMEOUT_MS": "1000"}))
         # With a second call, the arrival of the last bytes does not give that of the first call.
-        client.send(call(3, path="/ping"))
+        client.send(encode_call(3, path="/ping"))
         sent_at_s = time.monotonic()
         time.sleep(0.4)  # an iteration with a long list, or a paused process
-        conn = await ground.accepted(cache)
-        timeout_ms = sent_timeout_ms(await ground.read(conn, f"{2:016x}".encode()))
+        conn = await harness.accept(cache)
+        timeout_ms = sent_timeout_ms(await harness.read_until(conn, f"{2:016x}".encode()))
         assert timeout_ms <= 1000 - 1000 * (time.monotonic() - sent_at_s) + 150
 
-    played(scenario)
+    run_scenario(scenario)
 
 
 def test_time_in_sockets_during_a_stall_counts_although_the_read_is_late() -> None:
@@ -155,34 +157,39 @@
 
 
 def test_the_end_of_a_slow_call_received_in_a_stall_counts_although_another_call_follows() -> None:
-    async def scenario(ground: Ground) -> None:
-        cache = ground.cache("c0")
-        ground.script.arrived = lambda request: ask(request, "c0")
-        client, text = await ground.client(), call(1, more={"HTTP_X_TIMEOUT_MS": "1000"})
+    async def scenario(harness: DirectorHarness) -> None:
+        cache = harness.add_cache("c0")
+        harness.router.on_arrival = lambda request: forward_to(request, "c0")
+        client, text = (
+            await harness.connect_client(),
+            encode_call(1, extra_params={"HTTP_X_TIMEOUT_MS": "1000"}),
+        )
         client.send(text[:100])
-        await ground.until(lambda: any(each.parser.has_partial_call for each in ground.front.connections))
+        await harness.wait_until(
+            lambda: any(each.parser.has_partial_call for each in harness.front.connections)
+        )
         client.send(text[100:])
         sent_at_s = time.monotonic()
         time.sleep(0.4)
         # With a second call, the arrival of the last bytes does not give that of the first call.
-        client.send(call(2, path="/ping"))
+        client.send(encode_call(2, path="/ping"))
         time.sleep(0.02)
-        conn = await ground.accepted(cache)
-        timeout_ms = sent_timeout_ms(await ground.read(conn, b"w="))
+        conn = await harness.accept(cache)
+        timeout_ms = sent_timeout_ms(await harness.read_until(conn, b"w="))
         assert timeout_ms <= 1000 - 1000 * (time.monotonic() - sent_at_s) + 150
 
-    played(scenario)
+    run_scenario(scenario)
 
 
 def test_time_counts_for_a_call_read_in_pieces_over_many_turns() -> None:
     """No event loop iteration is long, and each read takes only a few bytes, as a read may."""
 
-    async def scenario(ground: Ground) -> None:
-        cache, loop = ground.cache("c0"), asyncio.get_running_loop()
-        ground.script.arrived = lambda request: ask(request, "c0")
-        client = await ground.client()
-        await ground.until(lambda: ground.front.connections)
-        ((served, _),) = ground.front.connections.items()
+    async def scenario(harness: DirectorHarness) -> None:
+        cache, loop = harness.add_cache("c0"), asyncio.get_running_loop()
+        harness.router.on_arrival = lambda request: forward_to(request, "c0")
+        client = await harness.connect_client()
+        await harness.wait_until(lambda: harness.front.connections)
+        ((served, _),) = harness.front.connections.items()
         buffer = served.parser.buffer
 
         def receive_few_bytes(sock: socket.socket) -> bool:
@@ -196,26 +203,26 @@
                 await asyncio.sleep(0)
 
         buffer.receive_available = receive_few_bytes  # type: ignore[method-assign]
-        ground.tasks.append(loop.create_task(keep_loop_busy()))
+        harness.tasks.append(loop.create_task(keep_loop_busy()))
         sent_at_s = time.monotonic()
-        text = call(1, more={"HTTP_X_TIMEOUT_MS": "3000"})
-        client.send(text + call(2, path="/ping")[:40])  # a part of another call follows
-        conn = await ground.accepted(cache)
-        timeout_ms = sent_timeout_ms(await ground.read(conn, b"w="))
+        text = encode_call(1, extra_params={"HTTP_X_TIMEOUT_MS": "3000"})
+        client.send(text + encode_call(2, path="/ping")[:40])  # a part of another call follows
+        conn = await harness.accept(cache)
+        timeout_ms = sent_timeout_ms(await harness.read_until(conn, b"w="))
         assert timeout_ms <= 3000 - 1000 * (time.monotonic() - sent_at_s) + 150
 
-    played(scenario)
+    run_scenario(scenario)
 
 
 def test_a_stall_between_read_and_estimate_makes_a_call_no_younger() -> None:
-    async def scenario(ground: Ground) -> None:
+    async def scenario(harness: DirectorHarness) -> None:
         arrivals = list[int]()
-        ground.script.arrived = lambda request: (
-            arrivals.append(ground.core.lifecycles[request].request.arrived_us) or [RejectRequest(request)]  # type: ignore[func-returns-value]
+        harness.router.on_arrival = lambda request: (
+            arrivals.append(harness.core.lifecycles[request].request.arrived_us) or [RejectRequest(request)]  # type: ignore[func-returns-value]
         )
-        client = await ground.client()
-        await ground.until(lambda: ground.front.connections)
-        ((served, _),) = ground.front.connections.items()
+        client = await harness.connect_client()
+        await harness.wait_until(lambda: harness.front.connections)
+        ((served, _),) = harness.front.connections.items()
         estimate = served.arrivals.waited_s
 
         def stall_after_estimate(now_s: float, stalled_since_s: float) -> float:
@@ -224,9 +231,9 @@
             return waited_s
 
         served.arrivals.waited_s = stall_after_estimate  # type: ignore[method-assign]
-        client.send(call(1))
+        client.send(encode_call(1))
         sent_us = steady_us()
-        await ground.read(client, b"503")
+        await harness.read_until(client, b"503")
         assert arrivals[0] < sent_us + 150_000
 
-    played(scenario)
+    run_scenario(scenario)
--- a/tests/test_cache_connection.py
+++ b/tests/test_cache_connection.py
@@ -15,109 +15,110 @@
 from onyxwick.interface import AttemptEnded, AttemptStatus, SetTimer, TimerFired
 from onyxwick.net import resp
 from onyxwick.net.cache_pool import MIN_CONNECTIONS_PER_MEMBER, CacheConnectionPool
+from tests.director_harness import HIT_REPLY_FIELDS, DirectorHarness, forward_to, run_scenario
 from tests.failing_sockets import FailingSocket, sent_timeout_ms
-from tests.ground import FOUND, Ground, ask, played
 
 
 def test_a_cache_gets_no_longer_timeout_than_is_left_once_its_connection_is_up() -> None:
-    async def play(ground: Ground) -> None:
-        (establish,) = ground.held("c0")
-        ground.script.arrived = lambda request: ask(request, "c0")
-        lifecycle = ground.start(timeout_us=1_500_000)
-        await ground.until(lambda: ground.caches.connections.get("c0"))
+    async def scenario(harness: DirectorHarness) -> None:
+        (establish,) = harness.cache_with_full_backlog("c0")
+        harness.router.on_arrival = lambda request: forward_to(request, "c0")
+        lifecycle = harness.start(timeout_us=1_500_000)
+        await harness.wait_until(lambda: harness.caches.connections.get("c0"))
         await asyncio.sleep(0.6)
         conn = await establish()
-        timeout_ms = sent_timeout_ms(await ground.read(conn, lifecycle.request.request_id.encode()))
-        left_ms = (lifecycle.request.arrived_us + 1_500_000 - ground.core.now()) / 1000
+        timeout_ms = sent_timeout_ms(await harness.read_until(conn, lifecycle.request.request_id.encode()))
+        left_ms = (lifecycle.request.arrived_us + 1_500_000 - harness.core.now()) / 1000
         assert timeout_ms <= left_ms + 150
 
-    played(play)
+    run_scenario(scenario)
 
 
 def test_a_local_connect_error_is_retried_and_not_blamed_on_the_cache(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def play(ground: Ground, number: int) -> None:
-        cache = ground.cache("c0")
+    async def scenario(harness: DirectorHarness, number: int) -> None:
+        cache = harness.add_cache("c0")
         monkeypatch.setattr(FailingSocket, "address", cache.getsockname())
         monkeypatch.setattr(FailingSocket, "number", number)
         monkeypatch.setattr(FailingSocket, "until", time.monotonic() + 0.3)
         monkeypatch.setattr(socket, "socket", FailingSocket)
-        ground.script.arrived = lambda request: ask(request, "c0")
-        lifecycle = ground.start()
-        conn = await ground.accepted(cache)
-        await ground.read(conn, lifecycle.request.request_id.encode())
+        harness.router.on_arrival = lambda request: forward_to(request, "c0")
+        lifecycle = harness.start()
+        conn = await harness.accept(cache)
+        await harness.read_until(conn, lifecycle.request.request_id.encode())
         await asyncio.get_running_loop().sock_sendall(
-            conn, resp.encode_command(lifecycle.request.request_id.encode(), b"data", FOUND, b"walk")
+            conn,
+            resp.encode_command(lifecycle.request.request_id.encode(), b"data", HIT_REPLY_FIELDS, b"walk"),
         )
-        await ground.until(lambda: ground.answers)
-        assert ground.script.ends() == [AttemptStatus.OK]
+        await harness.wait_until(lambda: harness.answers)
+        assert harness.router.attempt_statuses() == [AttemptStatus.OK]
 
     for number in (errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENOBUFS):
-        played(partial(play, number=number))
+        run_scenario(partial(scenario, number=number))
 
 
 def test_a_second_attempt_gets_the_timeout_that_is_left() -> None:
     """Covers a retry after an error, and a hedged request while the first attempt is in flight."""
 
-    async def play(ground: Ground, hedge: bool) -> None:
-        first, second, loop = ground.cache("c0"), ground.cache("c1"), asyncio.get_running_loop()
-        ground.script.arrived = lambda request: ask(request, "c0")
-        lifecycle = ground.start(timeout_us=1_000_000)
+    async def scenario(harness: DirectorHarness, hedge: bool) -> None:
+        first, second, loop = harness.add_cache("c0"), harness.add_cache("c1"), asyncio.get_running_loop()
+        harness.router.on_arrival = lambda request: forward_to(request, "c0")
+        lifecycle = harness.start(timeout_us=1_000_000)
         name = lifecycle.request.request_id
-        conn = await ground.accepted(first)
-        await ground.read(conn, name.encode())
+        conn = await harness.accept(first)
+        await harness.read_until(conn, name.encode())
         await asyncio.sleep(0.4)
         if hedge:
-            ground.script.timer = lambda: ask(name, "c1")
-            ground.core.handle(TimerFired("hedge"))
+            harness.router.on_timer = lambda: forward_to(name, "c1")
+            harness.core.handle(TimerFired("hedge"))
         else:
-            ground.script.ended = lambda request, status: (
-                ask(request, "c1") if status is AttemptStatus.ERROR else []
+            harness.router.on_attempt_ended = lambda request, status: (
+                forward_to(request, "c1") if status is AttemptStatus.ERROR else []
             )
             await loop.sock_sendall(conn, resp.encode_command(name.encode(), b"failed", b"-", b""))
-        timeout_ms = sent_timeout_ms(await ground.read(await ground.accepted(second), name.encode()))
+        timeout_ms = sent_timeout_ms(await harness.read_until(await harness.accept(second), name.encode()))
         assert timeout_ms <= 600 + 150
 
     for hedge in (False, True):
-        played(partial(play, hedge=hedge))
+        run_scenario(partial(scenario, hedge=hedge))
 
 
 def test_after_a_stall_an_answer_received_in_time_precedes_timers() -> None:
     """If timers ran first, each cache with an attempt in flight would seem unresponsive after a stall."""
 
-    async def play(ground: Ground) -> None:
-        cache, loop = ground.cache("c0"), asyncio.get_running_loop()
-        due = ground.core.now() + 300_000
-        ground.script.arrived = lambda request: [*ask(request, "c0"), SetTimer(due, "hedge")]
-        lifecycle = ground.start()
-        conn, name = await ground.accepted(cache), lifecycle.request.request_id.encode()
-        await ground.read(conn, name)
-        await loop.sock_sendall(conn, resp.encode_command(name, b"data", FOUND, b"x"))
+    async def scenario(harness: DirectorHarness) -> None:
+        cache, loop = harness.add_cache("c0"), asyncio.get_running_loop()
+        due = harness.core.now() + 300_000
+        harness.router.on_arrival = lambda request: [*forward_to(request, "c0"), SetTimer(due, "hedge")]
+        lifecycle = harness.start()
+        conn, name = await harness.accept(cache), lifecycle.request.request_id.encode()
+        await harness.read_until(conn, name)
+        await loop.sock_sendall(conn, resp.encode_command(name, b"data", HIT_REPLY_FIELDS, b"x"))
         time.sleep(0.6)
-        await ground.until(lambda: TimerFired("hedge") in ground.script.events)
-        fired = ground.script.events.index(TimerFired("hedge"))
-        assert any(isinstance(event, AttemptEnded) for event in ground.script.events[:fired])
+        await harness.wait_until(lambda: TimerFired("hedge") in harness.router.events)
+        fired = harness.router.events.index(TimerFired("hedge"))
+        assert any(isinstance(event, AttemptEnded) for event in harness.router.events[:fired])
 
-    played(play)
+    run_scenario(scenario)
 
 
 def test_a_connection_established_during_a_stall_is_used() -> None:
     """The connect limit expires during the stall, which is not a fault of the cache."""
 
-    async def play(ground: Ground) -> None:
-        list(ground.held("c0"))
-        ground.caches.connect_timeout_s = 0.3
-        ground.script.arrived = lambda request: ask(request, "c0")
-        lifecycle = ground.start()
-        await ground.until(lambda: ground.caches.connections.get("c0"))
+    async def scenario(harness: DirectorHarness) -> None:
+        list(harness.cache_with_full_backlog("c0"))
+        harness.caches.connect_timeout_s = 0.3
+        harness.router.on_arrival = lambda request: forward_to(request, "c0")
+        lifecycle = harness.start()
+        await harness.wait_until(lambda: harness.caches.connections.get("c0"))
         # Makes room in the backlog: the pending connection is established when its SYN is retransmitted.
-        ground.opened[0].accept()[0].close()
+        harness.open_sockets[0].accept()[0].close()
         time.sleep(1.3)
-        conn = await ground.accepted(ground.opened[0])
-        await ground.read(conn, lifecycle.request.request_id.encode())
+        conn = await harness.accept(harness.open_sockets[0])
+        await harness.read_until(conn, lifecycle.request.request_id.encode())
 
-    played(play)
+    run_scenario(scenario)
 
 
 def test_connections_per_member_grow_with_the_warm_up_share() -> None:
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -13,7 +13,7 @@
 from onyxwick.interface import AttemptStatus, EndpointsChanged, ObjectsPurged, SetTimer, TimerFired
 from onyxwick.net.coordinator_feed import CoordinatorFeed
 from onyxwick.net.feed_wire import newest_stamp_us
-from tests.ground import Ground, ask, played
+from tests.director_harness import DirectorHarness, forward_to, run_scenario
 
 HOUR_US = 3_600_000_000
 
@@ -50,66 +50,66 @@
 
 
 def test_a_purge_has_its_age_while_the_wall_clock_is_stepped(wall: WallClock) -> None:
-    async def play(ground: Ground) -> None:
-        feed = CoordinatorFeed(ground.core, ground.counters)
+    async def scenario(harness: DirectorHarness) -> None:
+        feed = CoordinatorFeed(harness.core, harness.counters)
         feed.handle_line(b"0")
         for step_us in (HOUR_US, -HOUR_US, 5_000_000, 0):
             wall.step_us = step_us
             _send_purge(feed, wall.true_us() - 100_000)
-            purge = ground.script.events[-1]
+            purge = harness.router.events[-1]
             assert isinstance(purge, ObjectsPurged) and purge.age_us < 1_000_000, (step_us, purge)
-            before_us = ground.core.now()
+            before_us = harness.core.now()
             await asyncio.sleep(0.02)
             # The age of a received purge keeps growing.
-            assert ground.core.now() - before_us >= 15_000, step_us
+            assert harness.core.now() - before_us >= 15_000, step_us
 
-    played(play)
+    run_scenario(scenario)
 
 
 def test_a_cache_that_starts_while_the_wall_clock_is_stepped_is_cold(wall: WallClock) -> None:
-    async def play(ground: Ground) -> None:
-        feed = CoordinatorFeed(ground.core, ground.counters)
+    async def scenario(harness: DirectorHarness) -> None:
+        feed = CoordinatorFeed(harness.core, harness.counters)
         feed.handle_line(b"0")
         for step_us in (HOUR_US, -HOUR_US, 5_000_000, 0):
             wall.step_us = step_us
             _send_start(feed, wall.true_us() - 1_000_000)
-            change = ground.script.events[-1]
+            change = harness.router.events[-1]
             assert isinstance(change, EndpointsChanged)
-            age_us = ground.core.now() - change.members[0].started_at_us
+            age_us = harness.core.now() - change.members[0].started_at_us
             assert 0 <= age_us < 2_000_000, (step_us, age_us)
 
-    played(play)
+    run_scenario(scenario)
 
 
 def test_timers_and_deadlines_run_on_while_the_wall_clock_is_an_hour_back(wall: WallClock) -> None:
-    async def play(ground: Ground) -> None:
-        ground.cache("c0")
-        ground.script.arrived = lambda request: [
-            SetTimer(ground.core.now() + 50_000, "hedge"),
-            *ask(request, "c0"),
+    async def scenario(harness: DirectorHarness) -> None:
+        harness.add_cache("c0")
+        harness.router.on_arrival = lambda request: [
+            SetTimer(harness.core.now() + 50_000, "hedge"),
+            *forward_to(request, "c0"),
         ]
-        lifecycle = ground.start(timeout_us=300_000)
+        lifecycle = harness.start(timeout_us=300_000)
         wall.step_us = -HOUR_US
         started_s = time.monotonic()
-        await ground.until(lambda: TimerFired("hedge") in ground.script.events)
+        await harness.wait_until(lambda: TimerFired("hedge") in harness.router.events)
         assert time.monotonic() - started_s < 0.2
-        assert lifecycle.request.request_id in ground.core.lifecycles
+        assert lifecycle.request.request_id in harness.core.lifecycles
 
-    played(play)
+    run_scenario(scenario)
 
 
 def test_a_purge_received_between_a_decision_and_its_attempt_applies_to_it() -> None:
-    async def play(ground: Ground) -> None:
-        ground.cache("c0")
-        lifecycle = ground.start()
-        await ground.until(lambda: ground.script.events)
-        ground.script.ended = lambda request, status: []
-        ground.script.timer = lambda: ask(lifecycle.request.request_id, "c0")
-        ground.core.handle(TimerFired("hedge"))
-        ground.core.feed.apply_purge(17, None, ground.core.now())
-        await ground.until(lambda: ground.script.ends() == [AttemptStatus.NOT_SENT])
+    async def scenario(harness: DirectorHarness) -> None:
+        harness.add_cache("c0")
+        lifecycle = harness.start()
+        await harness.wait_until(lambda: harness.router.events)
+        harness.router.on_attempt_ended = lambda request, status: []
+        harness.router.on_timer = lambda: forward_to(lifecycle.request.request_id, "c0")
+        harness.core.handle(TimerFired("hedge"))
+        harness.core.feed.apply_purge(17, None, harness.core.now())
+        await harness.wait_until(lambda: harness.router.attempt_statuses() == [AttemptStatus.NOT_SENT])
 
-    played(play)
+    run_scenario(scenario)
 
 
 # ---- timestamps of a feed whose clock differs -------------------------------------------------------------
@@ -160,9 +160,9 @@
     Their purges were dropped, and caches that had just started were taken as warm.
     """
 
-    async def play(ground: Ground) -> None:
+    async def scenario(harness: DirectorHarness) -> None:
         # `now_us` is the time by the feed's clock.
-        feed, now_us = CoordinatorFeed(ground.core, ground.counters), wall.true_us() - HOUR_US
+        feed, now_us = CoordinatorFeed(harness.core, harness.counters), wall.true_us() - HOUR_US
         row = {"id": "c0", "addr": "127.0.0.1:1", "zone": "edge-1", "kind": "box", "state": "SERVING"}
         servers = [{**row, "weight": 6, "started_ms": (now_us - 2 * S_US) // 1000}]
         purge = {"shard": 17, "unix_ms": (now_us - 3 * S_US) // 1000}
@@ -172,13 +172,13 @@
         live = {"index": 3, "evict": {"ref": "00000000000000aa", "unix_ms": (now_us - 100_000) // 1000}}
         feed.handle_line(json.dumps(live).encode())
         replayed_purge = [
-            e for e in ground.script.events if isinstance(e, ObjectsPurged) and e.object_group == 17
+            e for e in harness.router.events if isinstance(e, ObjectsPurged) and e.object_group == 17
         ][-1]
         assert replayed_purge.age_us < 5 * S_US
-        change = [e for e in ground.script.events if isinstance(e, EndpointsChanged)][-1]
-        assert ground.core.now() - change.members[0].started_at_us < 4 * S_US
+        change = [e for e in harness.router.events if isinstance(e, EndpointsChanged)][-1]
+        assert harness.core.now() - change.members[0].started_at_us < 4 * S_US
 
-    played(play)
+    run_scenario(scenario)
 
 
 def test_a_late_first_purge_after_an_outage_does_not_shift_the_clock_offset() -> None:
@@ -221,13 +221,15 @@
 ) -> None:
     """No purge is received over the live feed."""
 
-    async def play(ground: Ground, ahead_us: int) -> None:
-        feed = CoordinatorFeed(ground.core, ground.counters)
+    async def scenario(harness: DirectorHarness, ahead_us: int) -> None:
+        feed = CoordinatorFeed(harness.core, harness.counters)
         feed.load_configured(_configured_events(wall.true_us() - ahead_us))
-        purge = next(e for e in ground.script.events if isinstance(e, ObjectsPurged) and e.object_group == 17)
+        purge = next(
+            e for e in harness.router.events if isinstance(e, ObjectsPurged) and e.object_group == 17
+        )
         assert 2 * S_US < purge.age_us < 4 * S_US, ahead_us
-        age_us = ground.core.now() - ground.members.listed["c0"].started_at_us
+        age_us = harness.core.now() - harness.members.listed["c0"].started_at_us
         assert S_US < age_us < 3 * S_US, ahead_us
 
     for ahead_us in (HOUR_US, -HOUR_US, 8 * S_US, -8 * S_US, 0):
-        played(partial(play, ahead_us=ahead_us))
+        run_scenario(partial(scenario, ahead_us=ahead_us))
--- a/tests/test_coordinator_feed.py
+++ b/tests/test_coordinator_feed.py
@@ -18,7 +18,14 @@
 from onyxwick.net.cache_pool import CacheConnectionPool
 from onyxwick.net.coordinator_feed import FIRST_RETRY_US, MAX_RETRY_US, CoordinatorFeed
 from onyxwick.net.listening import listen
-from tests.ground import FOUND, PATIENCE_S, Ground, ask, call, played
+from tests.director_harness import (
+    HIT_REPLY_FIELDS,
+    TIMEOUT_S,
+    DirectorHarness,
+    encode_call,
+    forward_to,
+    run_scenario,
+)
 from tests.router_harness import SETTINGS
 
 ROW = {"addr": "127.0.0.1:1", "zone": "edge-1", "kind": "box", "state": "SERVING", "weight": 6}
@@ -44,29 +51,29 @@
 ) -> None:
     monkeypatch.setattr(coordinator_feed, "SILENCE_LIMIT_S", 0.2)
 
-    async def play(ground: Ground) -> None:
+    async def scenario(harness: DirectorHarness) -> None:
         feed, line = socket.create_server(("127.0.0.1", 0)), _list_line(1, 200)
         feed.setblocking(False)
-        ground.opened.append(feed)
-        subscription = CoordinatorFeed(ground.core, ground.counters)
+        harness.open_sockets.append(feed)
+        subscription = CoordinatorFeed(harness.core, harness.counters)
         subscription.set_address(feed.getsockname())
-        ground.tasks.append(asyncio.get_running_loop().create_task(subscription.follow()))
-        conn = await ground.accepted(feed)
-        await ground.read(conn, b"follow 0\n")
+        harness.tasks.append(asyncio.get_running_loop().create_task(subscription.follow()))
+        conn = await harness.accept(feed)
+        await harness.read_until(conn, b"follow 0\n")
         # The line takes longer than the silence limit in total, but no pause is that long.
         for at in range(0, len(line), 2000):
             await asyncio.get_running_loop().sock_sendall(conn, line[at : at + 2000])
             await asyncio.sleep(0.05)
-        await ground.until(lambda: "c199" in ground.members.listed)
+        await harness.wait_until(lambda: "c199" in harness.members.listed)
 
-    played(play)
+    run_scenario(scenario)
 
 
 def test_an_event_that_cannot_be_applied_is_requested_again_and_the_feed_goes_on(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def play(ground: Ground) -> None:
-        subscription = CoordinatorFeed(ground.core, ground.counters)
+    async def scenario(harness: DirectorHarness) -> None:
+        subscription = CoordinatorFeed(harness.core, harness.counters)
         failures_left = 2
         applied = list[str | None]()
 
@@ -77,7 +84,7 @@
                 raise KeyError("injected error")
             applied.append(name)
 
-        monkeypatch.setattr(ground.core.feed, "apply_purge", purged)
+        monkeypatch.setattr(harness.core.feed, "apply_purge", purged)
         first, second = (
             json.dumps({"index": n, "evict": {"ref": ref * 16, "unix_ms": 1}}).encode()
             for n, ref in ((1, "a"), (2, "b"))
@@ -90,12 +97,12 @@
         subscription.handle_line(second)
         assert applied == ["a" * 16, "b" * 16] and subscription.last_index == 2
 
-    played(play)
+    run_scenario(scenario)
 
 
 def test_a_line_that_is_never_complete_does_not_stop_the_feed() -> None:
-    async def play(ground: Ground) -> None:
-        subscription = CoordinatorFeed(ground.core, ground.counters)
+    async def scenario(harness: DirectorHarness) -> None:
+        subscription = CoordinatorFeed(harness.core, harness.counters)
         event = json.dumps({"index": 2, "evict": {"ref": "b" * 16, "unix_ms": 1}}).encode()
         for connection in range(coordinator_feed.MAX_GAP_CONNECTIONS):
             subscription.handle_line(b'{"index":1,"evi')
@@ -103,9 +110,9 @@
                 with pytest.raises(OSError):
                     subscription.handle_line(event)
         subscription.handle_line(event)
-        assert subscription.last_index == 2 and ground.counters.counts["error.gap"] == 1
+        assert subscription.last_index == 2 and harness.counters.counts["error.gap"] == 1
 
-    played(play)
+    run_scenario(scenario)
 
 
 def _purge_lines(first: int, count: int) -> bytes:
@@ -114,23 +121,23 @@
 
 
 async def _stall_process(
-    ground: Ground, stop_s: float, events: bytes
+    harness: DirectorHarness, stop_s: float, events: bytes
 ) -> tuple[CoordinatorFeed, socket.socket]:
     """Stall the process while a call and events arrive. Returns the feed and the idle cache connection."""
-    cache, loop = ground.cache("c0"), asyncio.get_running_loop()
-    ground.script.arrived = lambda request: ask(request, "c0")
+    cache, loop = harness.add_cache("c0"), asyncio.get_running_loop()
+    harness.router.on_arrival = lambda request: forward_to(request, "c0")
     feed = listen(("127.0.0.1", 0))
-    ground.opened.append(feed)
-    subscription = ground.follow(feed.getsockname())
-    feed_connection = await ground.accepted(feed)
-    await ground.read(feed_connection, b"follow 0\n")
-    client = await ground.client()
-    await loop.sock_sendall(client, call(1))
-    conn = await ground.accepted(cache)
-    await ground.read(conn, f"{1:016x}".encode())
-    await loop.sock_sendall(conn, resp.encode_command(f"{1:016x}".encode(), b"data", FOUND, b"x"))
-    await ground.read(client, b"200 OK")
-    client.send(call(2))
+    harness.open_sockets.append(feed)
+    subscription = harness.follow(feed.getsockname())
+    feed_connection = await harness.accept(feed)
+    await harness.read_until(feed_connection, b"follow 0\n")
+    client = await harness.connect_client()
+    await loop.sock_sendall(client, encode_call(1))
+    conn = await harness.accept(cache)
+    await harness.read_until(conn, f"{1:016x}".encode())
+    await loop.sock_sendall(conn, resp.encode_command(f"{1:016x}".encode(), b"data", HIT_REPLY_FIELDS, b"x"))
+    await harness.read_until(client, b"200 OK")
+    client.send(encode_call(2))
     feed_connection.send(events)
     time.sleep(stop_s)
     return subscription, conn
@@ -143,54 +150,56 @@
     The stall exceeds the grace period of a drain and, in the second case, the feed's silence limit.
     """
 
-    async def play(ground: Ground) -> None:
+    async def scenario(harness: DirectorHarness) -> None:
         row = {"id": "c0", "addr": "127.0.0.1:1", "zone": "edge-1", "kind": "box", "state": "DRAINING"}
         drain = {"index": 401, "endpoints": {"version": 2, "servers": [row]}}
         events = _purge_lines(1, 400) + json.dumps(drain).encode() + b"\n"
-        subscription, _ = await _stall_process(ground, stop_s, events)
-        await ground.until(lambda: len(ground.script.ends()) == 2)
-        assert ground.script.ends()[1] is AttemptStatus.NOT_SENT and subscription.last_index == 401
+        subscription, _ = await _stall_process(harness, stop_s, events)
+        await harness.wait_until(lambda: len(harness.router.attempt_statuses()) == 2)
+        assert (
+            harness.router.attempt_statuses()[1] is AttemptStatus.NOT_SENT and subscription.last_index == 401
+        )
 
-    played(play)
+    run_scenario(scenario)
 
 
 def test_a_feed_error_after_a_stall_delays_no_send(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def play(ground: Ground) -> None:
+    async def scenario(harness: DirectorHarness) -> None:
         def fails(index: int) -> None:
             raise RuntimeError("planted")
 
-        monkeypatch.setattr(ground.core.feed, "record_feed_index", fails)
-        _, conn = await _stall_process(ground, 0.3, _purge_lines(1, 1))
-        await ground.read(conn, f"{2:016x}".encode())
-        assert ground.counters.counts["error.coordinator"] == 1
+        monkeypatch.setattr(harness.core.feed, "record_feed_index", fails)
+        _, conn = await _stall_process(harness, 0.3, _purge_lines(1, 1))
+        await harness.read_until(conn, f"{2:016x}".encode())
+        assert harness.counters.counts["error.coordinator"] == 1
 
-    played(play)
+    run_scenario(scenario)
 
 
 def test_an_unreadable_row_leaves_the_others_of_its_list() -> None:
-    async def play(ground: Ground) -> None:
-        feed = CoordinatorFeed(ground.core, ground.counters)
+    async def scenario(harness: DirectorHarness) -> None:
+        feed = CoordinatorFeed(harness.core, harness.counters)
         rows = [{"id": "c0", **ROW}, {"id": "c1", **ROW, "state": "UNHEARD-OF"}, {"id": "c2", **ROW}]
         event = {"index": 1, "endpoints": {"version": 2, "full": True, "servers": rows}}
         feed.handle_line(json.dumps(event).encode())
-        assert set(ground.members.listed) == {"c0", "c2"} and ground.counters.counts["bad.coordinator"] == 1
+        assert set(harness.members.listed) == {"c0", "c2"} and harness.counters.counts["bad.coordinator"] == 1
 
-    played(play)
+    run_scenario(scenario)
 
 
 def test_a_feed_whose_address_changes_while_bytes_arrive_is_followed_there() -> None:
-    async def play(ground: Ground) -> None:
+    async def scenario(harness: DirectorHarness) -> None:
         old, new = socket.create_server(("127.0.0.1", 0)), socket.create_server(("127.0.0.1", 0))
         for feed in (old, new):
             feed.setblocking(False)
-            ground.opened.append(feed)
-        subscription = CoordinatorFeed(ground.core, ground.counters)
+            harness.open_sockets.append(feed)
+        subscription = CoordinatorFeed(harness.core, harness.counters)
         subscription.set_address(old.getsockname())
         # The address changes while a line is being handled.
         subscription.on_line = lambda: subscription.set_address(new.getsockname())
-        ground.tasks.append(asyncio.get_running_loop().create_task(subscription.follow()))
-        conn = await ground.accepted(old)
-        await ground.read(conn, b"follow 0\n")
+        harness.tasks.append(asyncio.get_running_loop().create_task(subscription.follow()))
+        conn = await harness.accept(old)
+        await harness.read_until(conn, b"follow 0\n")
         while True:  # lines keep arriving at intervals below the silence limit
             with contextlib.suppress(OSError):  # the feed has already closed this connection
                 await asyncio.get_running_loop().sock_sendall(conn, b"0\n")
@@ -199,23 +208,23 @@
                 break
             except BlockingIOError:
                 await asyncio.sleep(0.05)
-        ground.opened.append(moved)
-        assert not ground.counters.counts["error.coordinator"]
+        harness.open_sockets.append(moved)
+        assert not harness.counters.counts["error.coordinator"]
 
-    async def bounded(ground: Ground) -> None:
-        async with asyncio.timeout(PATIENCE_S / 4):
-            await play(ground)
+    async def bounded(harness: DirectorHarness) -> None:
+        async with asyncio.timeout(TIMEOUT_S / 4):
+            await scenario(harness)
 
-    played(bounded)
+    run_scenario(bounded)
 
 
 def test_the_feed_reconnects_after_waits_drawn_below_a_bound_that_doubles() -> None:
-    async def play() -> list[list[int]]:
+    async def scenario() -> list[list[int]]:
         members, counters = EndpointTable(), Counters()
         core = RequestEngine(SETTINGS, 7, CacheConnectionPool(members, counters, 0), members, counters)
         feeds = [CoordinatorFeed(core, counters, seed, 40) for seed in (1, 2)]
         return [[feed.backoff.next_delay_us(FIRST_RETRY_US) for _ in range(8)] for feed in feeds]
 
-    one, two = asyncio.run(play())
+    one, two = asyncio.run(scenario())
     assert one != two  # directors that lost the feed at the same time do not reconnect at the same time
     assert all(row[0] <= FIRST_RETRY_US and max(row) <= MAX_RETRY_US for row in (one, two))
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -12,7 +12,7 @@
 from onyxwick.core.invariant_model import AttemptStarted, InvariantRule, Violation
 from onyxwick.core.invariants import Invariants
 from onyxwick.interface import EndpointListKind, EndpointsChanged, Member, MemberState
-from tests.ground import FOUND, Ground, ask, call, played
+from tests.director_harness import HIT_REPLY_FIELDS, DirectorHarness, encode_call, forward_to, run_scenario
 from tests.router_harness import SETTINGS, member
 
 S_US = 1_000_000
@@ -209,37 +209,39 @@
 
 
 def test_a_failure_of_the_guard_is_counted_and_changes_nothing() -> None:
-    async def play(ground: Ground) -> None:
-        cache = ground.cache("c0")
-        ground.script.arrived = lambda request: ask(request, "c0", "c0")
-        ground.core.guard.is_retry_permitted = lambda lifecycle, attempt_index: True  # type: ignore[method-assign]  # planted fault
-        lifecycle = ground.start("save")
-        conn = await ground.accepted(cache)
-        await ground.read(conn, lifecycle.request.request_id.encode())
-        await ground.until(lambda: ground.counters.counts["violation.repeated_unsafely"] == 1)
-        assert not ground.answers  # the violation is counted, and the request continues
+    async def scenario(harness: DirectorHarness) -> None:
+        cache = harness.add_cache("c0")
+        harness.router.on_arrival = lambda request: forward_to(request, "c0", "c0")
+        harness.core.guard.is_retry_permitted = lambda lifecycle, attempt_index: True  # type: ignore[method-assign]  # planted fault
+        lifecycle = harness.start("save")
+        conn = await harness.accept(cache)
+        await harness.read_until(conn, lifecycle.request.request_id.encode())
+        await harness.wait_until(lambda: harness.counters.counts["violation.repeated_unsafely"] == 1)
+        assert not harness.answers  # the violation is counted, and the request continues
 
-    played(play)
+    run_scenario(scenario)
 
 
 def test_a_served_request_violates_nothing_and_its_connections_have_close_reasons() -> None:
     from onyxwick.net import resp
 
-    async def play(ground: Ground) -> None:
-        cache, loop = ground.cache("c0"), asyncio.get_running_loop()
-        ground.script.arrived = lambda request: ask(request, "c0")
-        client = await ground.client()
-        await loop.sock_sendall(client, call(1))
-        conn = await ground.accepted(cache)
-        await ground.read(conn, f"{1:016x}".encode())
-        await loop.sock_sendall(conn, resp.encode_command(f"{1:016x}".encode(), b"data", FOUND, b"walk"))
-        await ground.read(client, b"walk")
+    async def scenario(harness: DirectorHarness) -> None:
+        cache, loop = harness.add_cache("c0"), asyncio.get_running_loop()
+        harness.router.on_arrival = lambda request: forward_to(request, "c0")
+        client = await harness.connect_client()
+        await loop.sock_sendall(client, encode_call(1))
+        conn = await harness.accept(cache)
+        await harness.read_until(conn, f"{1:016x}".encode())
+        await loop.sock_sendall(
+            conn, resp.encode_command(f"{1:016x}".encode(), b"data", HIT_REPLY_FIELDS, b"walk")
+        )
+        await harness.read_until(client, b"walk")
         client.close()
         conn.close()
-        counts = ground.counters.counts
-        await ground.until(lambda: counts["ended.client.closed_by_peer"] == 1)
-        await ground.until(lambda: counts["ended.cache.closed_by_peer"] == 1)
+        counts = harness.counters.counts
+        await harness.wait_until(lambda: counts["ended.client.closed_by_peer"] == 1)
+        await harness.wait_until(lambda: counts["ended.cache.closed_by_peer"] == 1)
         assert not [name for name in counts if name.startswith("violation.")]
-        assert not ground.core.invariants.requests
+        assert not harness.core.invariants.requests
 
-    played(play)
+    run_scenario(scenario)
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -13,8 +13,8 @@
 
 from onyxwick import lifecycle
 from onyxwick.config import director as director_config
+from tests.director_harness import TIMEOUT_S
 from tests.exchange import FOLDER
-from tests.ground import PATIENCE_S
 
 
 def test_a_reload_is_retried_while_its_file_cannot_be_read(
@@ -35,7 +35,7 @@
         monkeypatch.setattr(Path, "read_text", read_text)
         monkeypatch.setenv("RELAY_CONFIG", str(FOLDER / "config.json"))
         director.reload()
-        async with asyncio.timeout(PATIENCE_S / 2):
+        async with asyncio.timeout(TIMEOUT_S / 2):
             while director.coordinator.address != moved.coordinator:
                 await asyncio.sleep(0.01)
 
--- a/tests/test_shutdown_program.py
+++ b/tests/test_shutdown_program.py
@@ -17,8 +17,8 @@
 import pytest
 
 from onyxwick.net import resp
+from tests.director_harness import HIT_REPLY_FIELDS, encode_call
 from tests.exchange import COORDINATOR, FOLDER, LISTEN, MOVED, OPERATIONS, PATIENCE_S, ROOT, Exchange
-from tests.ground import FOUND, call
 
 CONFIG = (FOLDER / "config.json").read_text()
 
@@ -86,14 +86,14 @@
     exchange = Exchange(tmp_path)
     try:
         client, request_id = exchange._peer("client"), f"{7:016x}"
-        client.sendall(call(1, request_id, path="/call/site-video"))
+        client.sendall(encode_call(1, request_id, path="/call/site-video"))
         cache = exchange._peer("c0")
         assert request_id.encode() in cache.recv(65_536)
         for signal_number in (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
             exchange.program.send_signal(signal_number)
         exchange._until("draining")
         exchange.program.send_signal(signal.SIGTERM)
-        cache.sendall(resp.encode_command(request_id.encode(), b"data", FOUND, b"walk"))
+        cache.sendall(resp.encode_command(request_id.encode(), b"data", HIT_REPLY_FIELDS, b"walk"))
         answer = b""
         while b"walk" not in answer:
             chunk = client.recv(65_536)
@@ -113,7 +113,7 @@
         time.sleep(0.3)
         exchange.program.send_signal(signal.SIGSTOP)
         client = exchange._peer("client")
-        client.sendall(call(1, path="/ping"))
+        client.sendall(encode_call(1, path="/ping"))
         time.sleep(0.8)
         exchange.program.send_signal(signal.SIGCONT)
         answer = client.recv(65_536)
@@ -132,7 +132,7 @@
     listener, request_id, received = exchange.listeners[member], _request_id(number).encode(), b""
     with socket.create_connection(LISTEN, PATIENCE_S) as client:
         client.settimeout(PATIENCE_S)
-        client.sendall(call(1, _request_id(number), path="/call/site-video"))
+        client.sendall(encode_call(1, _request_id(number), path="/call/site-video"))
         while request_id not in received:
             ready, _, _ = select.select([listener, *member_sockets], [], [], PATIENCE_S)
             assert ready, "the program sent nothing to the member"
@@ -140,7 +140,7 @@
                 if sock is listener:
                     member_sockets.append(listener.accept()[0])
                 elif request_id in (received := sock.recv(65_536)):
-                    sock.sendall(resp.encode_command(request_id, b"data", FOUND, b"walk"))
+                    sock.sendall(resp.encode_command(request_id, b"data", HIT_REPLY_FIELDS, b"walk"))
                     break
         answer = client.recv(65_536)
         assert b"200 OK" in answer and b"walk" in answer, answer
@@ -158,12 +158,14 @@
         exchange.listeners["coordinator"].close()
         client_sockets.append(socket.create_connection(LISTEN, PATIENCE_S))
         client_sockets[0].sendall(
-            b"".join(call(n, _request_id(100 + n), path="/call/site-video") for n in range(1, 7))
+            b"".join(encode_call(n, _request_id(100 + n), path="/call/site-video") for n in range(1, 7))
         )
         for number in range(120):
             with contextlib.suppress(OSError):
                 client_sockets.append(sock := socket.create_connection(LISTEN, PATIENCE_S))
-                sock.sendall((b"", call(1, path="/ping")[:20], call(1, path="/ping"))[number % 3])
+                sock.sendall(
+                    (b"", encode_call(1, path="/ping")[:20], encode_call(1, path="/ping"))[number % 3]
+                )
         # All connections of the operations endpoint are taken as well.
         client_sockets += [socket.create_connection(OPERATIONS, PATIENCE_S) for _ in range(32)]
         time.sleep(0.4)  # new connections keep their slots for 0.25 s
@@ -218,7 +220,7 @@
     while time.monotonic() < started_at_s + timeout_s:
         with contextlib.suppress(OSError), socket.create_connection(address, 1.0) as sock:
             sock.settimeout(1.0)
-            sock.sendall(call(1, path="/ping"))
+            sock.sendall(encode_call(1, path="/ping"))
             if b"200 OK" in sock.recv(4096):
                 return time.monotonic() - started_at_s
         time.sleep(0.02)
