--- a/onyxwick/admin/api.py
+++ b/onyxwick/admin/api.py
@@ -162,14 +162,14 @@
         """All of a change or none of it."""
         if unknown := set(data) - TENANT_FIELDS:
             raise HttpError(400, f"unknown field '{min(unknown)}'")
-        quota_per_s = read_quota(data.get("quota_per_s", tenant.quota.per_s))
+        quota_per_s = read_quota(data.get("quota_per_s", tenant.quota.tokens_per_s))
         token = data.get("token", tenant.token)
         if not isinstance(token, str) or (token and len(token) < MIN_TOKEN_CHARACTERS):
             raise HttpError(400, f"field 'token' has under {MIN_TOKEN_CHARACTERS} characters")
         holder = self.tenants.tenant_of_token(token) if token else None
         if (holder is not None and holder is not tenant) or token == self.token:
             raise HttpError(400, "field 'token' cannot be used")
-        tenant.quota.per_s = quota_per_s
+        tenant.quota.tokens_per_s = quota_per_s
         tenant.token = token
 
     def _tenant_counters(self, tenant: Tenant) -> dict[str, int]:
@@ -232,7 +232,7 @@
 def _tenant_data(tenant: Tenant) -> dict[str, object]:
     return {
         "name": tenant.name,
-        "quota_per_s": tenant.quota.per_s,
+        "quota_per_s": tenant.quota.tokens_per_s,
         "zones": [str(name) for name in tenant.zones],
         "keys": [str(name) for name in tenant.keys],
     }
--- a/onyxwick/admin/http_server.py
+++ b/onyxwick/admin/http_server.py
@@ -84,7 +84,7 @@
             connection, _ = await loop.sock_accept(sock)
         except OSError as error:
             log.warning("accept failed", error=str(error))
-            await asyncio.sleep(ACCEPT_PAUSE_S if errors.is_exhausted(error) else 0)
+            await asyncio.sleep(ACCEPT_PAUSE_S if errors.is_resource_exhausted(error) else 0)
             return
         connection.setblocking(False)
         if len(self.connections) >= self.max_connections:
--- a/onyxwick/cells/limits.py
+++ b/onyxwick/cells/limits.py
@@ -56,7 +56,7 @@
     def set_rates(self, rates_per_s: Mapping[str, float]) -> None:
         """Replace the rates; 0 means unlimited. A tenant with the same rate as before keeps its tokens."""
         unchanged = {
-            name: quota for name, quota in self.quotas.items() if rates_per_s.get(name) == quota.per_s
+            name: quota for name, quota in self.quotas.items() if rates_per_s.get(name) == quota.tokens_per_s
         }
         added = {
             name: TokenBucket(rate, self.clock)
--- a/onyxwick/cells/membership.py
+++ b/onyxwick/cells/membership.py
@@ -20,7 +20,11 @@
     RouterSettings,
     WeightSource,
 )
-from onyxwick.routing.capacity import INFERRED_CAPACITY_MARGIN, LINK_PER_CACHES, PARENT_PER_LINK
+from onyxwick.routing.capacity import (
+    INFERRED_CAPACITY_SHARE,
+    PARENT_CAPACITY_PER_ZONE_LINK,
+    ZONE_LINK_PER_CACHE_CAPACITY,
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -74,12 +78,12 @@
         if member is not None and member.kind not in self.upstream_kinds:
             self.departed[address] = DepartedCache(member, now)
 
-    def expire_departed(self, now: int, seat_retention_us: int) -> bool:
-        """Unassign caches that departed over `seat_retention_us` ago and return whether there were any."""
+    def expire_departed(self, now: int, assignment_retention_us: int) -> bool:
+        """Unassign caches that departed over `assignment_retention_us` ago; return whether there were any."""
         expired = [
             address
             for address, departed in self.departed.items()
-            if now - departed.departed_us > seat_retention_us
+            if now - departed.departed_us > assignment_retention_us
         ]
         for address in expired:
             del self.departed[address]
@@ -125,13 +129,17 @@
             return member
         transfers = settings.zone_link_kb_per_s / settings.transfer_kb_per_s
         if member.kind in self.upstream_kinds:
-            return replace(member, weight=INFERRED_CAPACITY_MARGIN * transfers * PARENT_PER_LINK)
+            return replace(member, weight=INFERRED_CAPACITY_SHARE * transfers * PARENT_CAPACITY_PER_ZONE_LINK)
         caches_in_zone = sum(
             other.zone == member.zone and other.kind not in self.upstream_kinds
             for other in self.members.values()
         )
         return replace(
-            member, weight=INFERRED_CAPACITY_MARGIN * transfers / LINK_PER_CACHES / max(1, caches_in_zone)
+            member,
+            weight=INFERRED_CAPACITY_SHARE
+            * transfers
+            / ZONE_LINK_PER_CACHE_CAPACITY
+            / max(1, caches_in_zone),
         )
 
     def local_cache_count(self, cells: Iterable[str]) -> int:
--- a/onyxwick/cells/model.py
+++ b/onyxwick/cells/model.py
@@ -12,7 +12,7 @@
 MICROSECONDS_PER_SECOND = 1_000_000
 DEFAULT_WARM_UP_US = 20 * MICROSECONDS_PER_SECOND
 DEFAULT_SOAK_US = 5 * MICROSECONDS_PER_SECOND
-DEFAULT_SEAT_RETENTION_US = 120 * MICROSECONDS_PER_SECOND
+DEFAULT_ASSIGNMENT_RETENTION_US = 120 * MICROSECONDS_PER_SECOND
 DEFAULT_TENANT_FIELD = "X-Tenant"
 DEFAULT_RESERVED_SHARE = 0.7
 KEY_PREFIX_COUNT = 256  # number of values of the first byte of an object's hash, which key ranges refer to
@@ -95,7 +95,7 @@
 
     tenant_field: str = DEFAULT_TENANT_FIELD  # the request field that names the tenant
     default_tenant: str | None = None  # the tenant of a request that names no tenant
-    seat_retention_us: int = DEFAULT_SEAT_RETENTION_US  # how long a departed cache stays assigned
+    assignment_retention_us: int = DEFAULT_ASSIGNMENT_RETENTION_US  # how long a departed cache stays assigned
     reserved_share: float = DEFAULT_RESERVED_SHARE  # share of each limit permanently reserved for the cells
 
 
--- a/onyxwick/cells/router.py
+++ b/onyxwick/cells/router.py
@@ -168,7 +168,7 @@
     ) -> None:
         """Reject a request before any cell's router receives it, and count the reason."""
         self._count(f"shed.{reason}.{tenant.name}")
-        self.shed_now[request.request_id] = reason.value
+        self.rejection_reason_by_request[request.request_id] = reason.value
         retry_after_us = self.admission.retry_after_us(wait_us)
         self._pending_actions.append(RejectRequest(request.request_id, retry_after_us))
 
@@ -291,7 +291,7 @@
             )
         if self.ticks % REBALANCE_TICKS == 0:
             self._dispatch_shares(self.arbiter.rebalance(self.now))
-        if self.membership.expire_departed(self.now, self.plan.policy.seat_retention_us):
+        if self.membership.expire_departed(self.now, self.plan.policy.assignment_retention_us):
             self._report_members()
 
     def _health_signals(self, migration: Migration) -> CellHealthSignals:
--- a/onyxwick/config/cells.py
+++ b/onyxwick/config/cells.py
@@ -10,8 +10,8 @@
 from typing import Any
 
 from onyxwick.cells.model import (
+    DEFAULT_ASSIGNMENT_RETENTION_US,
     DEFAULT_RESERVED_SHARE,
-    DEFAULT_SEAT_RETENTION_US,
     DEFAULT_SOAK_US,
     DEFAULT_TENANT_FIELD,
     DEFAULT_WARM_UP_US,
@@ -126,7 +126,7 @@
     policy = CellPolicy(
         tenant_field=tenant_field,
         default_tenant=row.string("default_tenant", "") or None,
-        seat_retention_us=row.duration("seat", 0, HOUR_US, DEFAULT_SEAT_RETENTION_US),
+        assignment_retention_us=row.duration("seat", 0, HOUR_US, DEFAULT_ASSIGNMENT_RETENTION_US),
         reserved_share=row.fraction("reserved", DEFAULT_RESERVED_SHARE),
     )
     row.reject_unknown()
@@ -256,7 +256,7 @@
     row = {
         "tenant_field": policy.tenant_field,
         "default_tenant": policy.default_tenant,
-        "seat": format_duration(policy.seat_retention_us),
+        "seat": format_duration(policy.assignment_retention_us),
     }
     return _without_empty(row) | {"reserved": policy.reserved_share}
 
--- a/onyxwick/config/director.py
+++ b/onyxwick/config/director.py
@@ -16,7 +16,7 @@
 from onyxwick.config.address import Address, AddressError, read_address
 from onyxwick.config.errors import ConfigError, unreadable_error
 from onyxwick.interface import RouterSettings
-from onyxwick.settings import Pairs, SettingError, read_settings
+from onyxwick.settings import SettingError, SettingValues, read_settings
 
 CONFIG_VARIABLE = "RELAY_CONFIG"
 NAME_VARIABLE = "RELAY_NAME"
@@ -141,7 +141,7 @@
 
 def _settings(data: Mapping[str, Any]) -> RouterSettings:
     try:
-        return read_settings(Pairs.of_json(_field(data, "settings", dict)))
+        return read_settings(SettingValues.from_json(_field(data, "settings", dict)))
     except SettingError as error:
         raise ConfigError(f"field 'settings': {error}", field="settings") from None
 
--- a/onyxwick/core/backoff.py
+++ b/onyxwick/core/backoff.py
@@ -81,7 +81,7 @@
         self.doublings = 0
 
     @property
-    def limit_s(self) -> float:
+    def timeout_s(self) -> float:
         """Timeout of the next attempt, in seconds."""
         return self.initial_s * float(1 << self.doublings)
 
--- a/onyxwick/core/clock.py
+++ b/onyxwick/core/clock.py
@@ -73,7 +73,7 @@
     _delays_us: deque[int] = field(default_factory=lambda: deque(maxlen=REMEMBERED_DELAYS))
     _starts: dict[str, _KnownStart] = field(default_factory=dict)  # by cache id
 
-    def anchor(self, newest_us: int, now_us: int) -> None:
+    def set_newest_known(self, newest_us: int, now_us: int) -> None:
         """Record the newest timestamp known at the start, before any timestamp is converted."""
         self._initial_offset_us = now_us - newest_us
         self._delays_us.append(now_us - newest_us)
@@ -115,7 +115,7 @@
         """Forget the start of a cache that was removed from the list."""
         self._starts.pop(cache, None)
 
-    def keep_only(self, caches: set[str]) -> None:
+    def forget_all_except(self, caches: set[str]) -> None:
         """Forget the starts of all caches that a complete list, just received, does not contain."""
         for cache in [name for name in self._starts if name not in caches]:
             del self._starts[cache]
--- a/onyxwick/core/engine.py
+++ b/onyxwick/core/engine.py
@@ -135,7 +135,7 @@
             site=change.site,
             was=change.previous_state,
             now=change.state,
-            share=round(change.share_away, 3),
+            share=round(change.share_served_elsewhere, 3),
             why=change.reason,
         )
 
--- a/onyxwick/core/model.py
+++ b/onyxwick/core/model.py
@@ -40,7 +40,7 @@
     client_site: str | None = None
     connection_id: int = -1
     """Number of the connection at the front, for the logs; -1 if the request has no connection there."""
-    is_wanted: Callable[[], bool] = field(default=lambda: True, compare=False, repr=False)
+    is_client_waiting: Callable[[], bool] = field(default=lambda: True, compare=False, repr=False)
     """Returns whether the client still waits, as far as its socket shows.
 
     Called right before an attempt's first byte is sent.
--- a/onyxwick/core/send_guard.py
+++ b/onyxwick/core/send_guard.py
@@ -62,7 +62,7 @@
             or not self.is_retry_permitted(lifecycle, attempt_index)
         ):
             return False
-        if not lifecycle.request.is_wanted():
+        if not lifecycle.request.is_client_waiting():
             self.on_client_departed(lifecycle)
             return False
         return self.endpoints.is_still_valid(member, fill_source, lifecycle.request, snapshot)
--- a/onyxwick/core/shutdown.py
+++ b/onyxwick/core/shutdown.py
@@ -51,12 +51,12 @@
 """The rest of a partly received request is awaited while its last byte is younger than this."""
 FIRST_REQUEST_WAIT_S = 1.0
 """A new connection has this long to send its first request."""
-IN_FLIGHT_BYTES = 32_768
+MAX_IN_FLIGHT_BYTES = 32_768
 """With more answer bytes in flight than this, the peer would see the end of the connection late, and send
 requests that cross it."""
 DELIVERY_SETTLE_S = 0.2
-"""Wait after more than `IN_FLIGHT_BYTES` were last in flight. A slow reader's own buffer holds as many bytes
-again, which cannot be observed here."""
+"""Wait after more than `MAX_IN_FLIGHT_BYTES` were last in flight. A slow reader's own buffer holds as many
+bytes again, which cannot be observed here."""
 
 
 class ShutdownKind(Enum):
@@ -121,7 +121,7 @@
         """Return the start time of a stage after `SERVING`."""
         return self.stage_starts_s[stage - 1]
 
-    def earliest_of(self, other: ShutdownSchedule) -> ShutdownSchedule:
+    def with_earliest_starts(self, other: ShutdownSchedule) -> ShutdownSchedule:
         """Return this schedule with each stage no later than in `other`, which is also in force."""
         starts_s = tuple(min(pair) for pair in zip(self.stage_starts_s, other.stage_starts_s, strict=True))
         return replace(self, stage_starts_s=starts_s)
@@ -194,7 +194,7 @@
     unwritten_bytes: int
     """Answer bytes that this process has not written yet."""
     since_delivered_s: float
-    """Time since more than `IN_FLIGHT_BYTES` were last in flight."""
+    """Time since more than `MAX_IN_FLIGHT_BYTES` were last in flight."""
     has_partial_request: bool
     has_unread_input: bool
     """Input is waiting in the socket."""
--- a/onyxwick/distribution/codec.py
+++ b/onyxwick/distribution/codec.py
@@ -35,7 +35,7 @@
 )
 
 DELETED_STATE = "DELETED"
-OVERSIZED_HEAD_BYTES = 64
+RETAINED_HEAD_BYTES = 64
 """How much of an oversized line is retained, so that its event number can be read."""
 _INDEX_OF_HEAD = re.compile(rb'\s*\{\s*"index"\s*:\s*(\d{1,19})\b').match
 _CACHE_STATES = ("SERVING", "DRAINING", DELETED_STATE)
--- a/onyxwick/distribution/follower_actions.py
+++ b/onyxwick/distribution/follower_actions.py
@@ -33,7 +33,7 @@
     max_snapshot_bytes: int = 67_108_864
 
 
-PLAIN_COORDINATOR = FollowerLimits(silence_timeout_us=2_200_000, stale_after_us=None)
+PLAIN_COORDINATOR_LIMITS = FollowerLimits(silence_timeout_us=2_200_000, stale_after_us=None)
 """Limits for a coordinator that sends the number of its last event once per second and no freshness."""
 
 
--- a/onyxwick/interface/actions.py
+++ b/onyxwick/interface/actions.py
@@ -97,13 +97,13 @@
 class SiteStateChanged:
     """Report that the router's view of the state of a site or hub has changed.
 
-    `share_away` is the share of the site's objects that is served elsewhere.
+    `share_served_elsewhere` is the share of the site's objects that is served elsewhere.
     """
 
     site: str
     previous_state: str
     state: str
-    share_away: float
+    share_served_elsewhere: float
     reason: str
 
 
--- a/onyxwick/lab/checks.py
+++ b/onyxwick/lab/checks.py
@@ -10,7 +10,7 @@
 from onyxwick.interface import EndpointListKind, EndpointsChanged, Member, MemberState
 from onyxwick.lab.platform import settings
 from onyxwick.lab.soak.surroundings import DEADLINES_US, soak_jobs, soak_scenario
-from onyxwick.settings import Pairs, read_settings
+from onyxwick.settings import SettingValues, read_settings
 
 CACHES = 10
 S = 1_000_000
@@ -19,7 +19,7 @@
 def _measured(requests: int) -> tuple[float, int]:
     """Microseconds a request, and violations: none, as nothing is wrong with these."""
     found: list[Violation] = []
-    rules = read_settings(Pairs.of_json(settings(soak_scenario(soak_jobs(DEADLINES_US)))))
+    rules = read_settings(SettingValues.from_json(settings(soak_scenario(soak_jobs(DEADLINES_US)))))
     checks = Invariants(rules, found.append)
     rows = tuple(Member(f"c{n}", "depot-1", "box", 0, MemberState.READY, 6.0, 0) for n in range(CACHES))
     checks.endpoints_changed(EndpointsChanged(EndpointListKind.SNAPSHOT, rows), S)
--- a/onyxwick/lab/cost.py
+++ b/onyxwick/lab/cost.py
@@ -43,9 +43,9 @@
 
 def _settings(scenario: Scenario) -> RouterSettings:
     from onyxwick.lab.platform import settings
-    from onyxwick.settings import Pairs, read_settings
+    from onyxwick.settings import SettingValues, read_settings
 
-    return read_settings(Pairs.of_json({**settings(scenario), "self_index": 0}))
+    return read_settings(SettingValues.from_json({**settings(scenario), "self_index": 0}))
 
 
 def _resident_kb() -> int:
--- a/onyxwick/lab/faults/simulate.py
+++ b/onyxwick/lab/faults/simulate.py
@@ -52,7 +52,7 @@
 from onyxwick.lab.model import ScenarioClass
 from onyxwick.lab.platform import PlatformLayout, settings
 from onyxwick.routing import Router
-from onyxwick.settings import Pairs, read_settings
+from onyxwick.settings import SettingValues, read_settings
 from onyxwick.sites import SitePlan, SiteRouter
 from onyxwick.sites.model import Topology
 
@@ -226,7 +226,7 @@
         zones = (*self.fleet.hubs, *self.fleet.sites)
         place = PlatformLayout(front.site, site.directors, len(self.fronts), zones)
         told = settings(self.scenario, place)
-        read = read_settings(Pairs.of_json({**told, "self_index": front.number}))
+        read = read_settings(SettingValues.from_json({**told, "self_index": front.number}))
         seed = self.seed * 1000 + front.number
         if self.variant == "sites":
             front.decider = SiteRouter(read, seed, self.now, self.top, self.plan or SitePlan(self.top))
@@ -273,7 +273,7 @@
                 data = {
                     "was": action.previous_state,
                     "now": action.state,
-                    "share": action.share_away,
+                    "share": action.share_served_elsewhere,
                     "why": action.reason,
                 }
                 self.rows.append(Row("state", self.now, front.name, action.site, data))
--- a/onyxwick/lab/scale/sweeps.py
+++ b/onyxwick/lab/scale/sweeps.py
@@ -40,7 +40,7 @@
 )
 from onyxwick.net.coordinator_feed import CoordinatorFeed
 from onyxwick.routing import Router
-from onyxwick.settings import Pairs, read_settings
+from onyxwick.settings import SettingValues, read_settings
 from onyxwick.store.engine import StoreEngine
 from onyxwick.store.files import DiskFiles
 
@@ -93,7 +93,7 @@
 
 def settings() -> RouterSettings:
     """The example's settings."""
-    return read_settings(Pairs.of_json(ujson.loads(CONFIG.read_text())["settings"]))
+    return read_settings(SettingValues.from_json(ujson.loads(CONFIG.read_text())["settings"]))
 
 
 def core(clock: Callable[[], int]) -> RequestEngine:
--- a/onyxwick/net/accept_loop.py
+++ b/onyxwick/net/accept_loop.py
@@ -93,7 +93,7 @@
 
     def _on_failure(self, error: OSError) -> float:
         """Count and log a failed accept, and return the seconds to wait before the next one."""
-        is_exhausted = errors.is_exhausted(error)
+        is_exhausted = errors.is_resource_exhausted(error)
         self.counters.add("error.accept" if is_exhausted else "client.aborted")
         log.warning("accept failed", error=str(error))
         self.failing_since_s = self.failing_since_s or time.monotonic()
--- a/onyxwick/net/cache_connection.py
+++ b/onyxwick/net/cache_connection.py
@@ -137,7 +137,7 @@
             on_dropped=lambda: self._on_dropped(attempt),
             render=lambda: encode_attempt(spec),
             expected_bytes=EXPECTED_COMMAND_BYTES + len(request.body),
-            on_begun=lambda: spec.on_first_byte_sent(spec),
+            on_started=lambda: spec.on_first_byte_sent(spec),
         )
         self.attempts[attempt.request_id] = attempt
         self.last_used_at_s = now_s
@@ -227,7 +227,7 @@
                 await self._connect_within_limit(sock)
                 return sock
             except OSError as error:
-                self.failed_locally = errors.is_local(error)
+                self.failed_locally = errors.is_local_error(error)
                 if not self.failed_locally or time.monotonic() > deadline_s:
                     raise
                 self.pool.counters.add("error.connect")
--- a/onyxwick/net/cache_pool.py
+++ b/onyxwick/net/cache_pool.py
@@ -85,8 +85,8 @@
             raise
         finally:
             timer.cancel()
-            if attempt.write.begun_at_s:
-                since_s = time.monotonic() - attempt.write.begun_at_s
+            if attempt.write.started_at_s:
+                since_s = time.monotonic() - attempt.write.started_at_s
                 spec.sent_us = steady_us() - int(since_s * US_PER_S)
 
     def _connection_for(self, spec: AttemptSpec, address: tuple[str, int]) -> CacheConnection:
--- a/onyxwick/net/call_intake.py
+++ b/onyxwick/net/call_intake.py
@@ -127,7 +127,7 @@
         except BadCallError as error:
             self._reject_bad(call, str(error), "400 Bad Request")
             return
-        request.is_wanted = partial(self.connection.is_awaited, call.request_number)
+        request.is_client_waiting = partial(self.connection.is_awaited, call.request_number)
         request.connection_id = self.connection.number
         self._admit(call, request)
 
--- a/onyxwick/net/coordinator_feed.py
+++ b/onyxwick/net/coordinator_feed.py
@@ -29,7 +29,7 @@
     INDEX,
     MALFORMED_EVENT_ERRORS,
     FeedChanges,
-    newest_stamp_us,
+    newest_timestamp_us,
     read_changes,
 )
 from onyxwick.net.socket_state import unread_bytes, wait_readable
@@ -97,8 +97,8 @@
         """Apply the events from before the start, which the configuration contains."""
         events = known.get(CONFIGURED_EVENTS) or ()
         now_us = self.core.now()
-        if newest_us := newest_stamp_us(events, now_us + MAX_CLOCK_STEP_US):
-            self.stamps.anchor(newest_us, now_us)
+        if newest_us := newest_timestamp_us(events, now_us + MAX_CLOCK_STEP_US):
+            self.stamps.set_newest_known(newest_us, now_us)
         for event in events:
             for _ in range(MAX_APPLY_ATTEMPTS):
                 with contextlib.suppress(EventApplyError):
@@ -254,7 +254,7 @@
         if not len(self.buffer):
             self.line_started_s = time.monotonic()
             return
-        limit_s = self.line_limit.limit_s
+        limit_s = self.line_limit.timeout_s
         if time.monotonic() - self.line_started_s > limit_s:
             self.line_limit.extend()
             raise FeedConnectionError(f"line was not complete within {limit_s:g} s")
--- a/onyxwick/net/delivery.py
+++ b/onyxwick/net/delivery.py
@@ -7,7 +7,7 @@
 
 import socket
 
-from onyxwick.core.shutdown import IN_FLIGHT_BYTES
+from onyxwick.core.shutdown import MAX_IN_FLIGHT_BYTES
 from onyxwick.net.socket_state import in_flight_bytes
 
 CLIENT_STALLED_S = 10.0
@@ -37,10 +37,10 @@
         if not self._last_in_flight_bytes or acknowledged < 0 or acknowledged >= MIN_PROGRESS_BYTES:
             self._last_in_flight_bytes = in_flight
             self._progress_at_s = now_s
-        if in_flight > IN_FLIGHT_BYTES:
+        if in_flight > MAX_IN_FLIGHT_BYTES:
             self._backlog_seen_at_s = now_s
         return in_flight if now_s - self._progress_at_s < CLIENT_STALLED_S else 0
 
     def seconds_since_backlog(self, now_s: float) -> float:
-        """Return how long ago more than `IN_FLIGHT_BYTES` were last observed in flight."""
+        """Return how long ago more than `MAX_IN_FLIGHT_BYTES` were last observed in flight."""
         return now_s - self._backlog_seen_at_s
--- a/onyxwick/net/errors.py
+++ b/onyxwick/net/errors.py
@@ -69,12 +69,12 @@
 }
 
 
-def is_local(error: OSError) -> bool:
+def is_local_error(error: OSError) -> bool:
     """Return whether a connect or bind failed because of this machine and not because of the peer."""
     return error.errno in _LOCAL_ERRNOS
 
 
-def is_exhausted(error: OSError) -> bool:
+def is_resource_exhausted(error: OSError) -> bool:
     """Return whether a system call failed because descriptors or memory were exhausted.
 
     Any other error of accept(2) concerns a single connection that ended before it was accepted; the next
--- a/onyxwick/net/feed_wire.py
+++ b/onyxwick/net/feed_wire.py
@@ -128,7 +128,7 @@
             addresses[member.address] = address
     kind = EndpointListKind.SNAPSHOT if document.get(IS_SNAPSHOT) else EndpointListKind.CHANGE
     if kind is EndpointListKind.SNAPSHOT:
-        stamps.keep_only(set(addresses))
+        stamps.forget_all_except(set(addresses))
     version = int(document.get(LIST_VERSION) or 0)
     return ListUpdate(EndpointsChanged(kind, tuple(members), version), addresses)
 
@@ -146,7 +146,7 @@
     )
 
 
-def newest_stamp_us(events: Iterable[object], latest_us: int) -> int:
+def newest_timestamp_us(events: Iterable[object], latest_us: int) -> int:
     """Return the newest timestamp in the events, in microseconds of the feed's clock; 0 if there is none.
 
     Timestamps after `latest_us` are ignored, as a clock that was merely stepped would not show them.
--- a/onyxwick/net/front.py
+++ b/onyxwick/net/front.py
@@ -104,7 +104,7 @@
         deadline of both schedules for each stage.
         """
         if self.shutdown is not None and schedule.kind is not ShutdownKind.DRAIN:
-            schedule = schedule.earliest_of(self.shutdown)
+            schedule = schedule.with_earliest_starts(self.shutdown)
         self.shutdown = schedule
         self.stage = ShutdownStage.SERVING
         self._held_checked = False
--- a/onyxwick/net/listening.py
+++ b/onyxwick/net/listening.py
@@ -11,7 +11,7 @@
 ACCEPT_BACKLOG = 1024
 """The maximum number of connections that wait to be accepted."""
 BIND_RETRY_LIMIT_S = 3.0
-"""How long binding an address is retried at the start after a local error (`errors.is_local`)."""
+"""How long binding an address is retried at the start after a local error (`errors.is_local_error`)."""
 BIND_RETRY_DELAY_S = 0.05
 
 
@@ -26,7 +26,7 @@
         try:
             return _bind_and_listen(address)
         except OSError as error:
-            if not errors.is_local(error) or time.monotonic() > deadline_s:
+            if not errors.is_local_error(error) or time.monotonic() > deadline_s:
                 raise
             time.sleep(BIND_RETRY_DELAY_S)
 
--- a/onyxwick/net/publisher_node.py
+++ b/onyxwick/net/publisher_node.py
@@ -18,7 +18,7 @@
 from onyxwick.distribution.durable_feed import DurableFeed
 from onyxwick.distribution.fanout import FanOut, FanOutLimits
 from onyxwick.distribution.follower import Follower, FollowerState
-from onyxwick.distribution.follower_actions import PLAIN_COORDINATOR
+from onyxwick.distribution.follower_actions import PLAIN_COORDINATOR_LIMITS
 from onyxwick.distribution.model import (
     MAX_DOCUMENT_BYTES,
     ORIGIN,
@@ -85,7 +85,7 @@
         if not parents:
             return None
         delays = ReconnectDelays(self.config.seed, steady_us())
-        follower = Follower(1, delays, upstream, PLAIN_COORDINATOR, resets_on_restart=True)
+        follower = Follower(1, delays, upstream, PLAIN_COORDINATOR_LIMITS, resets_on_restart=True)
         return Subscription(follower, parents, self, self.counters)
 
     # ---- input -------------------------------------------------------------------------------------------
--- a/onyxwick/net/subscription.py
+++ b/onyxwick/net/subscription.py
@@ -15,7 +15,7 @@
 from onyxwick.core.backoff import BackoffPolicy, ReconnectBackoff
 from onyxwick.core.clock import steady_us
 from onyxwick.counters import Counters
-from onyxwick.distribution.codec import OVERSIZED_HEAD_BYTES, oversized_line_stub
+from onyxwick.distribution.codec import RETAINED_HEAD_BYTES, oversized_line_stub
 from onyxwick.distribution.follower import Follower
 from onyxwick.distribution.follower_actions import (
     Action,
@@ -100,7 +100,7 @@
         if self._oversized:
             self._partial_line.clear()
         elif len(self._partial_line) > MAX_LINE_BYTES:
-            self._oversized = bytes(self._partial_line[:OVERSIZED_HEAD_BYTES])
+            self._oversized = bytes(self._partial_line[:RETAINED_HEAD_BYTES])
             self._partial_line.clear()
 
     def connection_lost(self, exc: Exception | None) -> None:
--- a/onyxwick/net/write_queue.py
+++ b/onyxwick/net/write_queue.py
@@ -33,20 +33,20 @@
     `is_still_wanted` is called right before the first byte is sent. If it returns False, the write is dropped
     and `on_dropped` is called. `render` produces the bytes at that moment, and again on each later attempt to
     send them, so that a remaining time in them is current; until then `expected_bytes` is their estimated
-    size. `on_begun` is called once when the first bytes are written, and `on_released` once when the queue no
-    longer holds the bytes.
+    size. `on_started` is called once when the first bytes are written, and `on_released` once when the queue
+    no longer holds the bytes.
     """
 
     __slots__ = (
-        "begun_at_s",
         "counted_bytes",
         "data",
         "is_still_wanted",
-        "on_begun",
         "on_dropped",
         "on_released",
+        "on_started",
         "progress",
         "render",
+        "started_at_s",
     )
 
     def __init__(
@@ -57,16 +57,16 @@
         on_released: Callable[[], None] | None = None,
         render: Callable[[], bytes] | None = None,
         expected_bytes: int = 0,
-        on_begun: Callable[[], None] | None = None,
+        on_started: Callable[[], None] | None = None,
     ) -> None:
         self.data = data
         self.is_still_wanted = is_still_wanted
         self.on_dropped = on_dropped
         self.on_released = on_released
         self.render = render
-        self.on_begun = on_begun
+        self.on_started = on_started
         self.counted_bytes = expected_bytes or len(data)  # its share of the queue's `pending_bytes`
-        self.begun_at_s = 0.0  # when its first byte was written, or 0
+        self.started_at_s = 0.0  # when its first byte was written, or 0
         self.progress = WriteProgress.WAITING
 
 
@@ -78,10 +78,10 @@
 
 
 def _call_on_begun(pending_write: PendingWrite) -> None:
-    on_begun = pending_write.on_begun
-    if on_begun is not None:
-        pending_write.on_begun = None
-        on_begun()
+    on_started = pending_write.on_started
+    if on_started is not None:
+        pending_write.on_started = None
+        on_started()
 
 
 class ByteBudget:
@@ -187,7 +187,7 @@
                     pending_write.on_dropped()
                 continue
             pending_write.progress = WriteProgress.BEGUN
-            pending_write.begun_at_s = now_s
+            pending_write.started_at_s = now_s
             if pending_write.render is not None:
                 self._render(pending_write, pending_write.render)
             size += len(pending_write.data)
@@ -222,7 +222,7 @@
                 self._batch.append(pending_write)
             else:
                 pending_write.progress = WriteProgress.WAITING
-                pending_write.begun_at_s = 0.0
+                pending_write.started_at_s = 0.0
                 not_begun.append(pending_write)
             written = max(0, written - size)
         self.queue.extendleft(reversed(not_begun))
--- a/onyxwick/quota.py
+++ b/onyxwick/quota.py
@@ -10,21 +10,21 @@
 
 
 class TokenBucket:
-    """A rate limit of `per_s` tokens per second for one owner, so that no owner can starve another.
+    """A rate limit of `tokens_per_s` tokens per second for one owner, so that no owner can starve another.
 
     `clock` returns monotonic seconds.
     """
 
-    def __init__(self, per_s: float, clock: Callable[[], float] = time.monotonic) -> None:
-        self.per_s = per_s
+    def __init__(self, tokens_per_s: float, clock: Callable[[], float] = time.monotonic) -> None:
+        self.tokens_per_s = tokens_per_s
         self.clock = clock
-        self.tokens = per_s * BURST_S
+        self.tokens = tokens_per_s * BURST_S
         self.refilled_at_s = clock()
 
     def _refill(self) -> None:
         now_s = self.clock()
-        new_tokens = (now_s - self.refilled_at_s) * self.per_s
-        self.tokens = min(max(1.0, self.per_s * BURST_S), self.tokens + new_tokens)
+        new_tokens = (now_s - self.refilled_at_s) * self.tokens_per_s
+        self.tokens = min(max(1.0, self.tokens_per_s * BURST_S), self.tokens + new_tokens)
         self.refilled_at_s = now_s
 
     def take(self) -> bool:
@@ -38,4 +38,4 @@
     def wait_s(self) -> float:
         """Return the seconds until a token is available; 0 if there is one now."""
         self._refill()
-        return max(0.0, (1 - self.tokens) / self.per_s)
+        return max(0.0, (1 - self.tokens) / self.tokens_per_s)
--- a/onyxwick/routing/capacity.py
+++ b/onyxwick/routing/capacity.py
@@ -20,13 +20,13 @@
 from onyxwick.routing.state import MemberRecord
 from onyxwick.routing.units import US_PER_S
 
-LINK_PER_CACHES = 0.38
+ZONE_LINK_PER_CACHE_CAPACITY = 0.38
 """Ratio of a zone's link capacity to that of its caches: a quarter of answers are fills, plus headroom."""
 REFERENCE_CACHE_COUNT = 6
 """A zone with fewer caches has a link wider by the square root of (this number / its cache count)."""
-PARENT_PER_LINK = 3.9
+PARENT_CAPACITY_PER_ZONE_LINK = 3.9
 """Ratio of a parent's capacity to a zone link's: it serves the fills of four zones at full load."""
-INFERRED_CAPACITY_MARGIN = 0.6
+INFERRED_CAPACITY_SHARE = 0.6
 """Share of an inferred capacity that a member is assumed to have while it is warming up."""
 DEMAND_WINDOW_US = 10 * US_PER_S
 MIN_OBSERVED_SHARE = 0.01
@@ -66,7 +66,7 @@
         self.demand_transfers += mean_transfer_us / DEMAND_WINDOW_US
         self.demand_at_us = now_us
         observed_share = max(MIN_OBSERVED_SHARE, 1 - math.exp((self.started_us - now_us) / DEMAND_WINDOW_US))
-        demand = LINK_PER_CACHES * self.demand_transfers / observed_share
+        demand = ZONE_LINK_PER_CACHE_CAPACITY * self.demand_transfers / observed_share
         self.zone_link_transfers = demand * self.zone_router_count
 
     def transfers(self, member: MemberRecord) -> float:
@@ -74,8 +74,8 @@
         if not self.zone_link_transfers:
             return member.info.weight if member.info.weight > 0 else 1.0
         if member.info.kind == self.parent_kind:
-            return self.zone_link_transfers * PARENT_PER_LINK
-        return self.zone_link_transfers / LINK_PER_CACHES / self.endpoints.max_ready_cache_count
+            return self.zone_link_transfers * PARENT_CAPACITY_PER_ZONE_LINK
+        return self.zone_link_transfers / ZONE_LINK_PER_CACHE_CAPACITY / self.endpoints.max_ready_cache_count
 
     def sharing_routers(self, member: MemberRecord) -> float:
         """Return how many routers share a member's capacity; routers known to be idle reduce the number."""
--- a/onyxwick/routing/slow_start.py
+++ b/onyxwick/routing/slow_start.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass
 
 from onyxwick.interface import RouterSettings, WeightSource
-from onyxwick.routing.capacity import INFERRED_CAPACITY_MARGIN, CapacityModel
+from onyxwick.routing.capacity import INFERRED_CAPACITY_SHARE, CapacityModel
 from onyxwick.routing.endpoints import MemberRoles
 from onyxwick.routing.latency import LatencyTracker
 from onyxwick.routing.rendezvous import exponential_draw
@@ -66,7 +66,7 @@
         self.router_index = settings.router_index
         self.window_us = rules.overload_window_us
         inferred = settings.weight_source is WeightSource.NONE
-        self.budget_margin = BUDGET_MARGIN * (INFERRED_CAPACITY_MARGIN if inferred else 1.0)
+        self.budget_margin = BUDGET_MARGIN * (INFERRED_CAPACITY_SHARE if inferred else 1.0)
         self.cache_curve = WarmUpCurve(rules.warm_up_start_share, rules.warm_up_us, rules.overload_multiple)
         self.parent_curve = WarmUpCurve(
             rules.parent_warm_up_start_share, rules.parent_warm_up_us, rules.parent_overload_multiple
--- a/onyxwick/settings.py
+++ b/onyxwick/settings.py
@@ -50,19 +50,19 @@
     """A setting that must be a name is an empty string."""
 
 
-class Pairs:
+class SettingValues:
     """The settings of one router: a text value for each path."""
 
     def __init__(self, values: dict[str, str]) -> None:
         self.values = values
 
     @classmethod
-    def from_words(cls, words: Iterable[str]) -> Pairs:
+    def from_words(cls, words: Iterable[str]) -> SettingValues:
         """Return the settings in the simulator's `path=value` words; words without `=` are ignored."""
         return cls(dict(word.split("=", 1) for word in words if "=" in word))
 
     @classmethod
-    def of_json(cls, tree: object) -> Pairs:
+    def from_json(cls, tree: object) -> SettingValues:
         """Return the settings in nested JSON.
 
         The paths are those of the simulator's words, so that `read_settings` reads both sources.
@@ -93,7 +93,7 @@
         values = self.values.get(path, "").split(",")
         if index >= len(values) or not values[index]:
             return default
-        return Pairs({path: values[index]}).get(path, read)
+        return SettingValues({path: values[index]}).get(path, read)
 
     def name_list(self, path: str) -> list[str]:
         """Return the names of a comma-separated list; a missing list gives one empty name."""
@@ -128,7 +128,7 @@
     return text
 
 
-def read_settings(pairs: Pairs) -> RouterSettings:
+def read_settings(pairs: SettingValues) -> RouterSettings:
     """Return all settings of one router.
 
     Raises SettingError for the first setting that is missing or cannot be parsed.
@@ -165,14 +165,14 @@
     )
 
 
-def _read_kind(pairs: Pairs, path: str) -> str | None:
+def _read_kind(pairs: SettingValues, path: str) -> str | None:
     """Return the member kind whose index in the list `kinds` is set at `path`, or None if there is none."""
     kinds = pairs.name_list("kinds")
     index = pairs.get(path, int, NO_KIND_INDEX)
     return kinds[index] if 0 <= index < len(kinds) else None
 
 
-def _read_class(pairs: Pairs, index: int) -> RequestClass:
+def _read_class(pairs: SettingValues, index: int) -> RequestClass:
     get, list_entry, flag = pairs.get, pairs.list_entry, BOOLEAN.__getitem__
     prefix = f"grades.{index}."
     return RequestClass(
@@ -194,7 +194,7 @@
     )
 
 
-def _read_rules(pairs: Pairs) -> ServiceRules:
+def _read_rules(pairs: SettingValues) -> ServiceRules:
     get = pairs.get
     return ServiceRules(
         answer_grace_us=get(RULES_PREFIX + "grace_to_answer_us", int, 0),
@@ -214,7 +214,7 @@
     )
 
 
-def _read_limits(pairs: Pairs) -> RequestLimits:
+def _read_limits(pairs: SettingValues) -> RequestLimits:
     get, flag = pairs.get, BOOLEAN.__getitem__
     return RequestLimits(
         max_attempts=get(LIMITS_PREFIX + "attempts_cap", int),
--- a/onyxwick/simulator_adapter.py
+++ b/onyxwick/simulator_adapter.py
@@ -45,7 +45,7 @@
     TimerFired,
 )
 from onyxwick.routing import Router
-from onyxwick.settings import Pairs, SettingError, read_settings
+from onyxwick.settings import SettingError, SettingValues, read_settings
 
 STATUS_BY_CODE = {
     "100": AttemptStatus.OK,
@@ -339,7 +339,7 @@
 
 def _start_router(line: WireLine, now_us: int) -> Router:
     try:
-        settings = read_settings(Pairs.from_words(line.values[3:]))
+        settings = read_settings(SettingValues.from_words(line.values[3:]))
     except SettingError as error:
         raise WireError(f"line {line.number}: {error}") from None
     return Router(settings, line.integer(2, "entropy"), now_us)
--- a/onyxwick/sites/load_shedding.py
+++ b/onyxwick/sites/load_shedding.py
@@ -22,7 +22,7 @@
 from onyxwick.subrouters.admission_gate import AdmissionGate
 from onyxwick.subrouters.rejection import AdmissionRejection
 
-PRESSURE_WEIGHT = 0.04  # weight of one answer in the moving averages
+ANSWER_SMOOTHING = 0.04  # weight of one answer in the moving averages
 PRESSURE_HALVING_US = 500_000  # without answers, the pressure halves after each such interval
 LEVEL_THRESHOLDS = (0.15, 0.35, 0.55)  # pressure at which each level is entered
 LEAVE_THRESHOLD_FACTOR = 0.5  # a level is left below this factor times its threshold
@@ -57,10 +57,10 @@
         """Update the pressure and the mean service time with one answer of the site's router.
 
         `bad`: late, rejected or failed. `taken_us`: service time in us; 0 if not measured."""
-        self.pressure += PRESSURE_WEIGHT * (bad - self.pressure)
+        self.pressure += ANSWER_SMOOTHING * (bad - self.pressure)
         self.last_answer_us = now
         if taken_us:
-            self.service_time_us += PRESSURE_WEIGHT * (taken_us - self.service_time_us)
+            self.service_time_us += ANSWER_SMOOTHING * (taken_us - self.service_time_us)
 
     def record_outcome(self, now: int, late: bool, objective_us: int) -> None:
         """Adapt the concurrency limit of the site to one answer; `objective_us`: its latency objective."""
--- a/onyxwick/sites/router.py
+++ b/onyxwick/sites/router.py
@@ -197,7 +197,7 @@
     def _shed(self, request: RequestArrived, site: ActiveSite, reason: AdmissionRejection) -> None:
         """Reject a request immediately, before the router of any site receives it."""
         self._count(f"refused.{reason}.{request.class_name}")
-        self.shed_now[request.request_id] = reason.value
+        self.rejection_reason_by_request[request.request_id] = reason.value
         limits = self.settings.limits
         retry_after_us = site.shedding.retry_after_us(limits.max_retry_after_us) if limits.retry_after else 0
         self._pending_actions.append(RejectRequest(request.request_id, retry_after_us))
--- a/onyxwick/store/tenant_rows.py
+++ b/onyxwick/store/tenant_rows.py
@@ -45,7 +45,7 @@
 def tenant_rows(tenant: Tenant, cipher: SecretCipher) -> StoredRows:
     """Convert a tenant to its rows, by key."""
     token = cipher.encrypt(tenant.token.encode()) if tenant.token else b""
-    rows: StoredRows = {tenant_key(tenant.name): {"quota_per_s": tenant.quota.per_s, "token": token}}
+    rows: StoredRows = {tenant_key(tenant.name): {"quota_per_s": tenant.quota.tokens_per_s, "token": token}}
     for name, zone in tenant.zones.items():
         routed = str(zone.routed) if zone.routed is not None else None
         text = zone.data.to_text(relativize=False)
--- a/onyxwick/subrouters/dispatcher.py
+++ b/onyxwick/subrouters/dispatcher.py
@@ -78,7 +78,7 @@
         self.requests: dict[str, OwnerType] = {}
         self.counts: dict[str, int] = {}
         # By request id, the reason why the last `handle` rejected a request without asking a subrouter.
-        self.shed_now: dict[str, str] = {}
+        self.rejection_reason_by_request: dict[str, str] = {}
         self.ticks = 0
         self._purges: deque[tuple[int, ObjectsPurged]] = deque(maxlen=MAX_REMEMBERED_PURGES)
         self._pending_actions: list[Action] = []
@@ -131,7 +131,7 @@
     def handle(self, now: int, events: list[Event]) -> list[Action]:
         """Dispatch the events of the instant `now` (us) and return the resulting actions."""
         self.now = now
-        self.shed_now.clear()
+        self.rejection_reason_by_request.clear()
         for event in events:
             self._handle_event(event)
         actions = self._pending_actions
--- a/onyxwick/tenants.py
+++ b/onyxwick/tenants.py
@@ -208,8 +208,8 @@
         quotas = read_quotas(text)
         for name, per_s in quotas.items():
             tenant = self.tenants.get(name)
-            if tenant is not None and tenant.quota.per_s != per_s:
-                tenant.quota.per_s = per_s
+            if tenant is not None and tenant.quota.tokens_per_s != per_s:
+                tenant.quota.tokens_per_s = per_s
 
     def keyring(self) -> dict[dns.name.Name, bytes]:
         """The TSIG keys of all tenants."""
--- a/onyxwick/trace/decision_tracer.py
+++ b/onyxwick/trace/decision_tracer.py
@@ -113,7 +113,7 @@
 class DelegatingRouter(Protocol):
     """A router that distributes requests among others: `CellRouter`, `SiteRouter`."""
 
-    shed_now: dict[str, str]
+    rejection_reason_by_request: dict[str, str]
     """Requests that its last `handle` rejected before any router decided on them, and why."""
 
     def router_of(self, request_id: str) -> RequestRouter | None:
@@ -209,7 +209,7 @@
                     "was": action.previous_state,
                     "now": action.state,
                     "why": action.reason,
-                    "share": action.share_away,
+                    "share": action.share_served_elsewhere,
                 }
                 self.recorder.record_notification(now_us, NotificationKind.SITE, data)
 
@@ -334,4 +334,4 @@
 def _is_shed(router: RequestRouter, request_id: str) -> bool:
     if isinstance(router, Router):
         return False
-    return request_id in cast(DelegatingRouter, router).shed_now
+    return request_id in cast(DelegatingRouter, router).rejection_reason_by_request
--- a/tests/cells.py
+++ b/tests/cells.py
@@ -21,7 +21,7 @@
     RequestLimits,
     TimerFired,
 )
-from tests.router_harness import ORIGIN, PARENTS, SETTINGS, S, forwards, member
+from tests.router_harness import ORIGIN, PARENTS, SETTINGS, US_PER_S, forwards, member
 
 CACHES = tuple(member(f"b{n}") for n in range(8))
 LIMITS = RequestLimits(max_attempts=6, cancellation=True, retry_after=True, max_retry_after_us=500_000)
@@ -48,7 +48,7 @@
     def __init__(
         self, plan: CellPlan | None = None, caches: tuple[Member, ...] = CACHES, max_in_flight: int = 400
     ) -> None:
-        self.now = 100 * S
+        self.now = 100 * US_PER_S
         self.request_count = 0
         self.in_flight: dict[tuple[str, int], str] = {}  # cache address by request id and attempt number
         self.attempts: dict[str, int] = {}  # number of attempts by request id
@@ -73,7 +73,7 @@
         return out
 
     def send_request(
-        self, tenant: str | None = "t1", kind: str = "chunk", name: str = "", time_left_us: int = 3 * S
+        self, tenant: str | None = "t1", kind: str = "chunk", name: str = "", time_left_us: int = 3 * US_PER_S
     ) -> str:
         """Send a request and return its id. The resulting actions are in `last`."""
         self.request_count += 1
--- a/tests/director_with_store.py
+++ b/tests/director_with_store.py
@@ -20,7 +20,7 @@
 from onyxwick.store.encryption import SecretCipher, generate_key
 from onyxwick.tenants import Tenants
 from tests.faulty_files import FaultyFiles
-from tests.router_harness import CACHES, ORIGIN, PARENTS, SETTINGS, S
+from tests.router_harness import CACHES, ORIGIN, PARENTS, SETTINGS, US_PER_S
 
 KEY = generate_key()
 ROWS = (*CACHES, *PARENTS, ORIGIN)
@@ -28,7 +28,9 @@
 
 
 def open_state(files: FaultyFiles, bookings: bool = False) -> DurableState:
-    return DurableState(files, SecretCipher([KEY]), b"installation-one", 100 * S, 6 * S, bookings)
+    return DurableState(
+        files, SecretCipher([KEY]), b"installation-one", 100 * US_PER_S, 6 * US_PER_S, bookings
+    )
 
 
 class ImmediateTransport:
--- a/tests/failing_sockets.py
+++ b/tests/failing_sockets.py
@@ -31,15 +31,15 @@
 
 
 class FailingSocket(socket.socket):
-    """A socket whose `connect` to `address` fails with error `number` until the monotonic time `until`."""
+    """A socket whose `connect` to `address` fails with `error_number` until monotonic time `fail_until_s`."""
 
     address: tuple[str, int] = ("", 0)
-    number = 0
-    until = 0.0
+    error_number = 0
+    fail_until_s = 0.0
 
     def connect(self, address: Any) -> None:
-        if address == self.address and time.monotonic() < FailingSocket.until:
-            raise make_os_error(self.number)
+        if address == self.address and time.monotonic() < FailingSocket.fail_until_s:
+            raise make_os_error(self.error_number)
         super().connect(address)
 
 
--- a/tests/router_harness.py
+++ b/tests/router_harness.py
@@ -30,12 +30,12 @@
 )
 from onyxwick.routing.state import MemberRecord
 
-S = 1_000_000
+US_PER_S = 1_000_000
 CHUNK = RequestClass(
     "chunk",
     Idempotency.IDEMPOTENT,
     500_000,
-    6 * S,
+    6 * US_PER_S,
     latency_objective_stretch=1.6,
     priority_weight=2.0,
     segmented=True,
@@ -44,26 +44,34 @@
     "thumb",
     Idempotency.IDEMPOTENT,
     300_000,
-    3 * S,
+    3 * US_PER_S,
     latency_objective_stretch=2.0,
-    freshness_lifetime_us=8 * S,
+    freshness_lifetime_us=8 * US_PER_S,
+)
+SAVE = RequestClass(
+    "save", Idempotency.NON_IDEMPOTENT, 800_000, 3 * US_PER_S, priority_weight=3.0, is_write=True
 )
-SAVE = RequestClass("save", Idempotency.NON_IDEMPOTENT, 800_000, 3 * S, priority_weight=3.0, is_write=True)
 HOLD = RequestClass(
-    "hold", Idempotency.WITH_KEY, 800_000, 3 * S, priority_weight=3.0, is_write=True, key_window_us=2 * S
+    "hold",
+    Idempotency.WITH_KEY,
+    800_000,
+    3 * US_PER_S,
+    priority_weight=3.0,
+    is_write=True,
+    key_window_us=2 * US_PER_S,
 )
 RULES = ServiceRules(
     answer_grace_us=8_000,
-    drain_grace_us=S,
+    drain_grace_us=US_PER_S,
     warm_up_start_share=0.2,
-    warm_up_us=16 * S,
+    warm_up_us=16 * US_PER_S,
     overload_multiple=3.0,
-    overload_window_us=2 * S,
+    overload_window_us=2 * US_PER_S,
     parent_warm_up_start_share=0.06,
-    parent_warm_up_us=20 * S,
+    parent_warm_up_us=20 * US_PER_S,
     parent_overload_multiple=2.0,
     purge_grace_us=300_000,
-    purge_retention_us=6 * S,
+    purge_retention_us=6 * US_PER_S,
 )
 SETTINGS = RouterSettings(
     zone="edge-1",
@@ -99,7 +107,7 @@
     def __init__(
         self, settings: RouterSettings = SETTINGS, members: tuple[Member, ...] = ALL, age_us: int = 0
     ) -> None:
-        self.now = 100 * S
+        self.now = 100 * US_PER_S
         self.router = Router(settings, 7, self.now)
         self.request_count = 0
         self.announce(EndpointListKind.RESTORED, *members)
@@ -145,7 +153,7 @@
         object_id: str = "o1",
         part: int = 0,
         group: int = 1,
-        expires_in_us: int = 3 * S,
+        expires_in_us: int = 3 * US_PER_S,
         is_retry: bool = False,
     ) -> list[Action]:
         """Send the next request; its id is `r` followed by its number, counted from 1."""
--- a/tests/test_cache_connection.py
+++ b/tests/test_cache_connection.py
@@ -40,8 +40,8 @@
     async def play(ground: Ground, number: int) -> None:
         cache = ground.cache("c0")
         monkeypatch.setattr(FailingSocket, "address", cache.getsockname())
-        monkeypatch.setattr(FailingSocket, "number", number)
-        monkeypatch.setattr(FailingSocket, "until", time.monotonic() + 0.3)
+        monkeypatch.setattr(FailingSocket, "error_number", number)
+        monkeypatch.setattr(FailingSocket, "fail_until_s", time.monotonic() + 0.3)
         monkeypatch.setattr(socket, "socket", FailingSocket)
         ground.script.arrived = lambda request: ask(request, "c0")
         lifecycle = ground.start()
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -45,7 +45,7 @@
 from onyxwick.net.front import FastCgiFront
 from onyxwick.net.front_connection import FrontConnection
 from tests.cells import CACHES, CELL_SETTINGS, CellHarness, plan_of, rejections
-from tests.router_harness import ORIGIN, PARENTS, S, forwards
+from tests.router_harness import ORIGIN, PARENTS, US_PER_S, forwards
 
 HEALTHY = CellHealthSignals(
     target_caches=4,
@@ -56,11 +56,11 @@
     source_in_flight=0,
     target_in_flight=0,
 )
-MIGRATION = MigrationSpec("m", "t1", ("b",), warm_up_us=2 * S, soak_us=S)
+MIGRATION = MigrationSpec("m", "t1", ("b",), warm_up_us=2 * US_PER_S, soak_us=US_PER_S)
 
 
 def _pass_seconds(harness: CellHarness, seconds: float) -> None:
-    harness.pass_time(int(seconds * S))
+    harness.pass_time(int(seconds * US_PER_S))
 
 
 def test_each_tenant_stays_in_its_cell() -> None:
@@ -99,11 +99,11 @@
     later = plan_of((Cell("a"), Cell("b"), Cell("c")))
     harness.cells.apply_plan(harness.now, later)
     harness.handle()
-    harness.now += S
+    harness.now += US_PER_S
     purges = {name: active_cell.router.purges for name, active_cell in harness.cells.cells.items()}
     assert set(purges) == {"a", "b", "c"} and len({tuple(p.groups.items()) for p in purges.values()}) == 1
     assert not any(p.objects for p in purges.values())
-    assert purges["c"].groups[1] == harness.now - S - 10_000
+    assert purges["c"].groups[1] == harness.now - US_PER_S - 10_000
 
 
 def test_an_unknown_tenant_is_rejected_and_the_default_one_used() -> None:
@@ -125,7 +125,7 @@
     assert len(answers) == 20 and all(0 < a.retry_after_us <= 500_000 for a in answers)
     harness.send_request("t2")
     assert not rejections(harness.last)
-    harness.now += S
+    harness.now += US_PER_S
     harness.send_request("t1")
     assert not rejections(harness.last)
 
@@ -171,7 +171,7 @@
 
 def test_departed_caches_stay_assigned_for_a_while() -> None:
     """A cell whose caches fail does not get another cell's at once, as its load could fail those too."""
-    harness = CellHarness(plan_of(policy=CellPolicy(seat_retention_us=5 * S)))
+    harness = CellHarness(plan_of(policy=CellPolicy(assignment_retention_us=5 * US_PER_S)))
     caches_of_b = harness.cells.membership.placement.members("b")
     for cache in CACHES:
         if cache.address not in caches_of_b:
@@ -224,7 +224,7 @@
 
 
 def test_a_migration_into_cold_caches_never_exceeds_their_warm_share() -> None:
-    start_time_us = 100 * S
+    start_time_us = 100 * US_PER_S
     plan = plan_of(
         (Cell("a", tuple(f"b{n}" for n in range(4))), Cell("b", tuple(f"b{n}" for n in range(4, 8))))
     )
@@ -275,14 +275,14 @@
         phase,
         0.7 * (phase not in (MigrationPhase.RETURNING, MigrationPhase.ABORTED)),
     )
-    assert migration.abort(S, "aborted by a test") is (phase is not MigrationPhase.ABORTED)
+    assert migration.abort(US_PER_S, "aborted by a test") is (phase is not MigrationPhase.ABORTED)
     assert migration.share == 0
-    migration.step(2 * S, replace(HEALTHY, target_in_flight=3))
+    migration.step(2 * US_PER_S, replace(HEALTHY, target_in_flight=3))
     assert migration.phase is MigrationPhase.RETURNING or phase in (
         MigrationPhase.PLANNED,
         MigrationPhase.ABORTED,
     )
-    migration.step(3 * S, HEALTHY)
+    migration.step(3 * US_PER_S, HEALTHY)
     assert migration.phase is MigrationPhase.ABORTED and not any(
         migration.is_migrated(k) for k in range(0, 2**64, 2**58)
     )
@@ -317,7 +317,7 @@
 
 
 def test_two_crossing_migrations_and_a_tenant_deleted_while_it_migrates() -> None:
-    crossing = (MIGRATION, MigrationSpec("n", "t2", ("a",), warm_up_us=2 * S, soak_us=S))
+    crossing = (MIGRATION, MigrationSpec("n", "t2", ("a",), warm_up_us=2 * US_PER_S, soak_us=US_PER_S))
     harness = CellHarness(plan_of(migrations=crossing))
     _pass_seconds(harness, 1)
     write_request = harness.send_request("t1", "save")
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -12,7 +12,7 @@
 from onyxwick.core.clock import FeedTimestamps
 from onyxwick.interface import AttemptStatus, EndpointsChanged, ObjectsPurged, SetTimer, TimerFired
 from onyxwick.net.coordinator_feed import CoordinatorFeed
-from onyxwick.net.feed_wire import newest_stamp_us
+from onyxwick.net.feed_wire import newest_timestamp_us
 from tests.ground import Ground, ask, played
 
 HOUR_US = 3_600_000_000
@@ -183,7 +183,7 @@
 
 def test_a_late_first_purge_after_an_outage_does_not_shift_the_clock_offset() -> None:
     timestamps, now_us = FeedTimestamps(), 10 * HOUR_US
-    timestamps.anchor(now_us - S_US, now_us)
+    timestamps.set_newest_known(now_us - S_US, now_us)
     start_us = timestamps.start_time_us("c0", now_us - 2 * S_US, now_us)
     timestamps.mark_caught_up(now_us)
     timestamps.purge_time_us(now_us + 5 * S_US, now_us + 25 * S_US)  # the feed was disconnected for 20 s
@@ -199,8 +199,9 @@
 def test_an_impossible_timestamp_makes_no_other_event_seem_older() -> None:
     now_us, row = 10 * HOUR_US, {"started_ms": 5 * HOUR_US // 1000}
     events = [{"evict": {"unix_ms": 1 << 60}}, {"endpoints": {"servers": [row, {"started_ms": "x"}, 3]}}, 7]
-    assert newest_stamp_us(events, now_us) == 0  # a list that cannot be read completely gives no timestamp
-    assert newest_stamp_us([events[0], {"endpoints": {"servers": [row]}}], now_us) == 5 * HOUR_US
+    # A list that cannot be read completely gives no timestamp.
+    assert newest_timestamp_us(events, now_us) == 0
+    assert newest_timestamp_us([events[0], {"endpoints": {"servers": [row]}}], now_us) == 5 * HOUR_US
 
 
 def _configured_events(feed_now_us: int) -> dict[str, object]:
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -20,7 +20,7 @@
 from onyxwick.distribution.fanout import FanOut, FanOutLimits, SubscriberState
 from onyxwick.distribution.follower import TRANSITIONS, Follower, FollowerState
 from onyxwick.distribution.follower_actions import (
-    PLAIN_COORDINATOR,
+    PLAIN_COORDINATOR_LIMITS,
     ConnectToParent,
     DeliverEvent,
     DisconnectFromParent,
@@ -278,7 +278,7 @@
 
             def refresh(self, freshness: Freshness) -> None: ...
 
-        follower = Follower(1, ImmediateBackoff(), limits=PLAIN_COORDINATOR)
+        follower = Follower(1, ImmediateBackoff(), limits=PLAIN_COORDINATOR_LIMITS)
         address = server.sockets[0].getsockname()
         task = asyncio.create_task(Subscription(follower, [address], Sink(), Counters()).run())
         async with asyncio.timeout(10):
--- a/tests/test_durable_api.py
+++ b/tests/test_durable_api.py
@@ -19,7 +19,7 @@
 from onyxwick.store import StoreFailedError, StoreFullError
 from tests.director_with_store import ADDRESSES, DirectorWithStore, open_state
 from tests.faulty_files import FaultyFiles
-from tests.router_harness import CACHES, S
+from tests.router_harness import CACHES, US_PER_S
 
 ZONE = "@ 60 IN SOA ns. a. {} 1 1 1 60\n@ 60 IN NS ns.\n"
 
@@ -42,7 +42,11 @@
         assert b"onyxwick-test-key" not in b"".join(director.files.read(n) for n in director.files.names())
         again = DirectorWithStore(director.files.after_crash(random.Random(1)))
         tenant = again.tenants.tenants["yard"]
-        assert set(again.tenants.tenants) == {"yard"} and tenant.quota.per_s == 5 and tenant.token == "t" * 16
+        assert (
+            set(again.tenants.tenants) == {"yard"}
+            and tenant.quota.tokens_per_s == 5
+            and tenant.token == "t" * 16
+        )
         assert [z.data.get_soa().serial for z in tenant.zones.values()] == [7]
         assert list(tenant.keys.values()) == [b"onyxwick-test-key"]
         assert not again.core.endpoints.is_ready("c1"), "the drain is in force before the first request"
@@ -81,7 +85,7 @@
             status, text = await director.call(method, path, data)
             assert status == 503 and "not done" in str(text)
         tenant = director.tenants.tenants["yard"]
-        assert list(director.tenants.tenants) == ["yard"] and tenant.quota.per_s == 5
+        assert list(director.tenants.tenants) == ["yard"] and tenant.quota.tokens_per_s == 5
         assert [z.data.get_soa().serial for z in tenant.zones.values()] == [1]
         assert director.core.endpoints.is_ready("c0")
 
@@ -164,7 +168,7 @@
                 return AttemptOutcome(AttemptStatus.OK, body=b"done")
 
         director.core.context.transport = Origin()
-        request = ClientRequest("b" * 16, "save", "0" * 16, 0, None, director.core.now(), 3 * S)
+        request = ClientRequest("b" * 16, "save", "0" * 16, 0, None, director.core.now(), 3 * US_PER_S)
         answers: list[FinalAnswer] = []
         await director.core.serve(request, answers.append)
         assert [a.status for a in answers] == [AnswerStatus.SERVED] and sent == ["b" * 16]
@@ -178,7 +182,7 @@
         await before.durable.record_intent("c" * 16, 1)
         again = DirectorWithStore(open_.after_crash(random.Random(3)), bookings=True)
         answers.clear()
-        twice = ClientRequest("c" * 16, "save", "0" * 16, 0, None, again.core.now(), 3 * S)
+        twice = ClientRequest("c" * 16, "save", "0" * 16, 0, None, again.core.now(), 3 * US_PER_S)
         await again.core.serve(twice, answers.append)
         assert [a.status for a in answers] == [AnswerStatus.FAILED] and sent == ["b" * 16]
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -22,7 +22,7 @@
 from onyxwick.lab.faults.script import read as read_fleet
 from onyxwick.lab.faults.sweep import paired
 from tests.exchange import ROOT
-from tests.router_harness import S
+from tests.router_harness import US_PER_S
 
 EXAMPLES = ROOT / "examples" / "lab" / "faults"
 LOSS = EXAMPLES / "site-loss.hcl"
@@ -172,19 +172,28 @@
 
 def _sound() -> History:
     """A minute of a fleet with one loss, all rules kept, and service back 4 s after it."""
-    rows = [_call(n, n * S) for n in range(60)]
-    rows += [Row("gave", n * S + 10, "", f"r{n}", {"tag": f"x{n}", "dated_us": n * S}) for n in range(60)]
-    rows += [Row("sent", n * S + 5, "box", f"r{n}", {"source": None}) for n in range(60)]
-    rows += [_earned(n * S // 2, 0.5 if 20 * S <= n * S // 2 < 34 * S else 1.0) for n in range(120)]
-    rows += [Row("ran", 0, "", "w1"), Row("late", 60 * S, "lab", "", {"p99_ms": 2.0, "most_ms": 9.0})]
-    for on, at in ((True, 20 * S), (False, 30 * S)):
+    rows = [_call(n, n * US_PER_S) for n in range(60)]
+    rows += [
+        Row("gave", n * US_PER_S + 10, "", f"r{n}", {"tag": f"x{n}", "dated_us": n * US_PER_S})
+        for n in range(60)
+    ]
+    rows += [Row("sent", n * US_PER_S + 5, "box", f"r{n}", {"source": None}) for n in range(60)]
+    rows += [
+        _earned(n * US_PER_S // 2, 0.5 if 20 * US_PER_S <= n * US_PER_S // 2 < 34 * US_PER_S else 1.0)
+        for n in range(120)
+    ]
+    rows += [Row("ran", 0, "", "w1"), Row("late", 60 * US_PER_S, "lab", "", {"p99_ms": 2.0, "most_ms": 9.0})]
+    for on, at in ((True, 20 * US_PER_S), (False, 30 * US_PER_S)):
         rows.append(
             Row("fault", at, "loss", "lose", {"on": on, "sites": ["north"], "name": "north", "how": ""})
         )
     state = {"was": "suspect", "now": "evacuating", "share": 0.0, "why": "dark"}
-    rows.append(Row("state", 22 * S, "n2", "north", state))
-    rows += [Row("used", n * S, "west", "", {"work_us": 3 * S if n < 20 else 6 * S}) for n in range(60)]
-    return History("x.hcl", 1, "sites", 0, 60 * S, rows)
+    rows.append(Row("state", 22 * US_PER_S, "n2", "north", state))
+    rows += [
+        Row("used", n * US_PER_S, "west", "", {"work_us": 3 * US_PER_S if n < 20 else 6 * US_PER_S})
+        for n in range(60)
+    ]
+    return History("x.hcl", 1, "sites", 0, 60 * US_PER_S, rows)
 
 
 def test_a_sound_history_is_judged_sound_and_told_in_figures() -> None:
@@ -192,17 +201,17 @@
     assert not told["broken"] and not told["false_alarms"] and not told["late"]
     assert told["before"] == 1.0 and told["during"] == 0.5 and told["recovered_s"] == 4.0
     assert told["worst_10s"] == pytest.approx(0.5) and told["peak"]["west"] == pytest.approx(6.0)
-    assert c.reached(_sound(), "north", "evacuating", 20 * S) == [2.0]
+    assert c.reached(_sound(), "north", "evacuating", 20 * US_PER_S) == [2.0]
 
 
 WRONG: list[tuple[str, Row]] = [
-    ("one answer", _call(1, S, answers=2)),
-    ("no answer", _call(70, 9 * S, answers=0, verdict="")),
-    ("made by no cache", _call(71, 9 * S, tag="nobody's")),
+    ("one answer", _call(1, US_PER_S, answers=2)),
+    ("no answer", _call(70, 9 * US_PER_S, answers=0, verdict="")),
+    ("made by no cache", _call(71, 9 * US_PER_S, tag="nobody's")),
     ("ran twice", Row("ran", 0, "", "w1")),
     ("drain", Row("drained", 0, "box", "", {"lifted": 0})),
-    ("purge", Row("purged", 5 * S, "", "", {"group": 7, "told": 5 * S})),
-    ("pushed over", Row("fell", 9 * S, "box")),
+    ("purge", Row("purged", 5 * US_PER_S, "", "", {"group": 7, "told": 5 * US_PER_S})),
+    ("pushed over", Row("fell", 9 * US_PER_S, "box")),
     ("director ended", Row("ended", 0, "n0")),
 ]
 
@@ -211,7 +220,7 @@
 def test_every_planted_wrong_history_is_refused(rule: str, row: Row) -> None:
     history = _sound()
     if rule == "purge":
-        history.rows.append(Row("gave", 9 * S, "", "r9", {"tag": "x9", "dated_us": 4 * S}))
+        history.rows.append(Row("gave", 9 * US_PER_S, "", "r9", {"tag": "x9", "dated_us": 4 * US_PER_S}))
     history.rows.append(row)
     assert rule in c.report(history)["broken"]
 
@@ -219,19 +228,19 @@
 def test_what_must_not_be_said_of_a_history_is_not_said() -> None:
     early = _sound()
     early.rows.append(
-        Row("state", 5 * S, "n2", "north", {"was": "suspect", "now": "lost", "share": 0, "why": "?"})
+        Row("state", 5 * US_PER_S, "n2", "north", {"was": "suspect", "now": "lost", "share": 0, "why": "?"})
     )
     assert len(c.report(early)["false_alarms"]) == 1, "before the loss"
     other = _sound()
     other.rows.append(
-        Row("state", 25 * S, "n2", "west", {"was": "suspect", "now": "lost", "share": 0, "why": "?"})
+        Row("state", 25 * US_PER_S, "n2", "west", {"was": "suspect", "now": "lost", "share": 0, "why": "?"})
     )
     assert len(c.report(other)["false_alarms"]) == 1, "another site"
     down = _sound()
-    down.rows += [_earned(55 * S + n, 0.0) for n in range(50)]
+    down.rows += [_earned(55 * US_PER_S + n, 0.0) for n in range(50)]
     assert c.report(down)["recovered_s"] is None, "service that does not stay is no recovery"
     busy = _sound()
-    busy.rows.append(Row("late", 60 * S, "lab", "", {"p99_ms": 400.0, "most_ms": 900.0}))
+    busy.rows.append(Row("late", 60 * US_PER_S, "lab", "", {"p99_ms": 400.0, "most_ms": 900.0}))
     assert "no verdict" in c.report(busy)["late"]
     twice = _sound()
     twice.rows.append(Row("ran", 0, "", "w1"))
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -18,10 +18,10 @@
 from onyxwick.lab.link import EmulatedLink
 from onyxwick.lab.model import Tier
 from tests.exchange import ROOT
-from tests.router_harness import S
+from tests.router_harness import US_PER_S
 
 EXAMPLES = ROOT / "examples" / "lab"
-BOX = Tier(1, 2.0, 0.18, 17 * S, 4.0)
+BOX = Tier(1, 2.0, 0.18, 17 * US_PER_S, 4.0)
 
 
 def test_transfers_share_a_link_and_keep_its_pace() -> None:
@@ -37,13 +37,15 @@
 
 
 def test_a_cold_machine_warms_up_and_falls_over_when_pushed() -> None:
-    link = EmulatedLink(BOX, S, started=S)
-    assert link.warmth(S) == pytest.approx(0.18) and link.warmth(S + 17 * S) == 1.0
-    pushed = [link.asked(S + n * 10_000, 100_000) for n in range(400)]
+    link = EmulatedLink(BOX, US_PER_S, started=US_PER_S)
+    assert link.warmth(US_PER_S) == pytest.approx(0.18) and link.warmth(US_PER_S + 17 * US_PER_S) == 1.0
+    pushed = [link.asked(US_PER_S + n * 10_000, 100_000) for n in range(400)]
     assert any(pushed), "ten transfers' work a second and more, where it can do a fifth of two"
-    calm = EmulatedLink(BOX, S, started=S)
-    assert not any(calm.asked(S + n * 200_000, 100_000) for n in range(80))
-    assert not any(EmulatedLink(BOX, S).asked(n, 10**9) for n in range(5)), "a warm one only slows down"
+    calm = EmulatedLink(BOX, US_PER_S, started=US_PER_S)
+    assert not any(calm.asked(US_PER_S + n * 200_000, 100_000) for n in range(80))
+    assert not any(EmulatedLink(BOX, US_PER_S).asked(n, 10**9) for n in range(5)), (
+        "a warm one only slows down"
+    )
 
 
 def test_copies_age_are_ranked_and_purged() -> None:
@@ -64,13 +66,13 @@
     """Two requests, one purge and one drain, all kept."""
     records = Records()
     for n in range(2):
-        taken = Taken(f"r{n}", "t", 7, False, 5 * S, answers=1, verdict="served", tag="x")
+        taken = Taken(f"r{n}", "t", 7, False, 5 * US_PER_S, answers=1, verdict="served", tag="x")
         records.taken[taken.id] = taken
-        records.sends.append(RecordedSend(5 * S, "b1", taken.id, "p1"))
-        records.given.append(Given(taken.id, "x", 3 * S, 5 * S))
+        records.sends.append(RecordedSend(5 * US_PER_S, "b1", taken.id, "p1"))
+        records.given.append(Given(taken.id, "x", 3 * US_PER_S, 5 * US_PER_S))
     records.ran.append("w")
-    records.purged.append((7, 2 * S, 2 * S))
-    records.drained.append(("b2", S, 0))
+    records.purged.append((7, 2 * US_PER_S, 2 * US_PER_S))
+    records.drained.append(("b2", US_PER_S, 0))
     return records
 
 
@@ -79,10 +81,10 @@
     ("no answer", lambda r: setattr(r.taken["r0"], "answers", 0)),
     ("made by no cache", lambda r: setattr(r.taken["r0"], "tag", "y")),
     ("ran twice", lambda r: r.ran.append("w")),
-    ("drain", lambda r: r.sends.append(RecordedSend(S + 550_001, "b2", "r0", None))),
-    ("drain", lambda r: r.sends.append(RecordedSend(9 * S, "b1", "r0", "b2"))),
-    ("purge", lambda r: r.given.append(Given("r0", "x", 2 * S - 1, 3 * S + 50_001))),
-    ("pushed over", lambda r: r.fallen.append(("b1", S))),
+    ("drain", lambda r: r.sends.append(RecordedSend(US_PER_S + 550_001, "b2", "r0", None))),
+    ("drain", lambda r: r.sends.append(RecordedSend(9 * US_PER_S, "b1", "r0", "b2"))),
+    ("purge", lambda r: r.given.append(Given("r0", "x", 2 * US_PER_S - 1, 3 * US_PER_S + 50_001))),
+    ("pushed over", lambda r: r.fallen.append(("b1", US_PER_S))),
     ("director ended", lambda r: r.crashed.append("n0")),
 ]
 
@@ -97,8 +99,8 @@
 
 def test_the_rules_own_slack_is_no_breach_and_strays_are_seen() -> None:
     records = _sound()
-    records.sends.append(RecordedSend(S + 550_000, "b2", "r0", None))
-    records.given.append(Given("r0", "x", S, 3 * S + 50_000))
+    records.sends.append(RecordedSend(US_PER_S + 550_000, "b2", "r0", None))
+    records.given.append(Given("r0", "x", US_PER_S, 3 * US_PER_S + 50_000))
     records.taken["r1"].answers, records.taken["r1"].left = 0, True
     assert not audit(records).counts
     seats = {"b1": "a", "b2": "b"}
@@ -110,7 +112,7 @@
     calm, bad = (arrivals.draw(told, 5, fault) for fault in (None, "unique"))
     assert calm == arrivals.draw(told, 5, None) != arrivals.draw(told, 6, None)
     assert [a for a in calm if a.tenant != "noisy"] == [a for a in bad if a.tenant != "noisy"]
-    flood = [a for a in bad if a.tenant == "noisy" and 6 * S <= a.at_us < 22 * S]
+    flood = [a for a in bad if a.tenant == "noisy" and 6 * US_PER_S <= a.at_us < 22 * US_PER_S]
     assert 4000 < len(flood) < 9000
     assert len({a.object for a in flood if a.class_name == "job-sheet"}) > 1000, "no key comes again"
 
--- a/tests/test_largest.py
+++ b/tests/test_largest.py
@@ -8,7 +8,7 @@
 import pytest
 
 from onyxwick.interface import Action, AnswerDetail, AttemptStatus, CancelAttempt, TimerFired
-from tests.router_harness import SETTINGS, RouterHarness, S, final_answers, forwards
+from tests.router_harness import SETTINGS, US_PER_S, RouterHarness, final_answers, forwards
 
 SHORT_TRANSFER_S = 0.25
 LONG_TRANSFER_S = 4.2
@@ -41,7 +41,7 @@
             number = self.last_attempt.get(action.request_id, -1) + 1
             self.last_attempt[action.request_id] = number
             transfer_s = LONG_TRANSFER_S if self.is_long[action.request_id] else SHORT_TRANSFER_S
-            ends_at_us = self.harness.now + int(transfer_s * S)
+            ends_at_us = self.harness.now + int(transfer_s * US_PER_S)
             transfer = _Transfer(ends_at_us, self.harness.now, action.member)
             self.transfers[action.request_id, number] = transfer
         for final in final_answers(actions):
@@ -78,7 +78,9 @@
     def ask(self) -> None:
         asked = self.harness.request_count
         self.is_long[f"r{asked + 1}"] = len(self.is_long) % LONG_EVERY == LONG_EVERY - 1
-        self.perform(self.harness.request(object_id=f"o{asked % 7}", part=asked % 3, expires_in_us=6 * S))
+        self.perform(
+            self.harness.request(object_id=f"o{asked % 7}", part=asked % 3, expires_in_us=6 * US_PER_S)
+        )
 
     def answered_share(self, is_long: bool) -> float:
         answers = [self.answered[request] for request, long in self.is_long.items() if long is is_long]
@@ -94,7 +96,7 @@
         load.perform(load.harness.handle(TimerFired("due")))
         load.finish_transfers()
         if load.harness.now >= next_at_us and len(load.is_long) < requests:
-            next_at_us += int(interval_s * S)
+            next_at_us += int(interval_s * US_PER_S)
             load.ask()
     return load.answered_share(is_long=True), load.answered_share(is_long=False)
 
--- a/tests/test_routing_event_orders.py
+++ b/tests/test_routing_event_orders.py
@@ -27,7 +27,7 @@
     RouterSettings,
     TimerFired,
 )
-from tests.router_harness import ALL, HOLD, RULES, SETTINGS, S
+from tests.router_harness import ALL, HOLD, RULES, SETTINGS, US_PER_S
 
 NOT_EXECUTED = {
     AttemptStatus.OVERLOADED,
@@ -42,7 +42,7 @@
     st.tuples(st.just("purge"), st.booleans(), st.integers(0, 5)),
     st.tuples(st.just("left"), st.just(0), st.integers(0, 400)),
     st.tuples(st.just("late"), st.sampled_from(list(AttemptStatus)), st.integers(0, 400)),
-    st.tuples(st.just("wait"), st.just(0), st.integers(1, 2 * S)),
+    st.tuples(st.just("wait"), st.just(0), st.integers(1, 2 * US_PER_S)),
 )
 Steps = list[tuple[str, object, int]]
 
@@ -51,7 +51,7 @@
     """Simulates caches that carry out the actions, and asserts the rules on each action."""
 
     def __init__(self, how: RouterSettings) -> None:
-        self.settings, self.now = how, 50 * S
+        self.settings, self.now = how, 50 * US_PER_S
         self.router = Router(how, 3, self.now)
         self.arrivals: dict[str, RequestArrived] = {}
         self.final_answers: dict[str, str] = {}
@@ -120,7 +120,7 @@
             case "ask":
                 name = f"r{len(self.arrivals)}"
                 self.arrivals[name] = RequestArrived(
-                    name, str(kind), f"o{number}", 3 * S, object_group=number % 3
+                    name, str(kind), f"o{number}", 3 * US_PER_S, object_group=number % 3
                 )
                 self.handle(self.arrivals[name])
             case "end" if pending and isinstance(kind, AttemptStatus):
@@ -152,10 +152,10 @@
         self.now += duration_us
         for request, n in in_flight:
             at, member = self.attempts[request][n]
-            if self.now - at >= 3 * S:
+            if self.now - at >= 3 * US_PER_S:
                 self.ended[(request, n)] = AttemptStatus.TIMEOUT
                 final = request in self.final_answers
-                self.handle(AttemptEnded(request, n, member, AttemptStatus.TIMEOUT, 3 * S, final))
+                self.handle(AttemptEnded(request, n, member, AttemptStatus.TIMEOUT, 3 * US_PER_S, final))
         self.handle(TimerFired("due"))
 
 
@@ -167,8 +167,8 @@
     for checker in runs:
         for what, kind, number in steps:
             checker.step(what, kind, number)
-        checker.step("wait", 0, 4 * S)
-        checker.step("wait", 0, 4 * S)
+        checker.step("wait", 0, 4 * US_PER_S)
+        checker.step("wait", 0, 4 * US_PER_S)
         assert set(checker.arrivals) == set(checker.final_answers)  # rule 1: all answered
         assert not checker.router.requests  # and nothing kept
     assert runs[0].log == runs[1].log
--- a/tests/test_routing_failures.py
+++ b/tests/test_routing_failures.py
@@ -25,8 +25,8 @@
     ORIGIN,
     PARENTS,
     SETTINGS,
+    US_PER_S,
     RouterHarness,
-    S,
     final_answers,
     forwards,
     member,
@@ -40,11 +40,11 @@
     for _ in range(10):
         harness.request(object_id=f"slow{harness.request_count}")
         slow = f"r{harness.request_count}"
-        harness.now += S
+        harness.now += US_PER_S
         harness.request(object_id=f"quick{harness.request_count}")
         harness.end_attempt(AttemptStatus.OK, detail=AnswerDetail.HIT)
-        harness.now += 2 * S
-        harness.end_attempt(AttemptStatus.TIMEOUT, request_id=slow, latency_us=3 * S, is_final=False)
+        harness.now += 2 * US_PER_S
+        harness.end_attempt(AttemptStatus.TIMEOUT, request_id=slow, latency_us=3 * US_PER_S, is_final=False)
     record = harness.record("c0")
     assert not record.ejected and harness.warm_share(record.info.address) == 1.0
 
@@ -93,9 +93,12 @@
     harness = RouterHarness()
     harness.record("origin").recent_answers = 100.0
     forward = single_forward(harness.request())
-    harness.now += 2 * S
+    harness.now += 2 * US_PER_S
     harness.end_attempt(
-        AttemptStatus.OK, member=forward.member, latency_us=2 * S, detail=AnswerDetail.FILLED_FROM_ORIGIN
+        AttemptStatus.OK,
+        member=forward.member,
+        latency_us=2 * US_PER_S,
+        detail=AnswerDetail.FILLED_FROM_ORIGIN,
     )
     assert rejected < harness.record("origin").limit_factor < 1.0
 
@@ -104,16 +107,16 @@
     """If all fills are slow, the origin is slow: the parents are not ejected, nor warmed up later."""
     harness = RouterHarness()
     for n in range(12):
-        forward = single_forward(harness.request(object_id=f"o{n}", expires_in_us=6 * S))
-        harness.now += S // 5
+        forward = single_forward(harness.request(object_id=f"o{n}", expires_in_us=6 * US_PER_S))
+        harness.now += US_PER_S // 5
         harness.request(object_id="warm", part=n)
         harness.end_attempt(AttemptStatus.OK, member=forward.member, detail=AnswerDetail.HIT)
-    harness.advance(5 * S)
+    harness.advance(5 * US_PER_S)
     for n in range(12):
         harness.end_attempt(
             AttemptStatus.ERROR,
             request_id=f"r{2 * n + 1}",
-            latency_us=6 * S,
+            latency_us=6 * US_PER_S,
             detail=AnswerDetail.SOURCE_UNREACHABLE,
         )
     members = harness.router.endpoints.members
@@ -127,11 +130,11 @@
         if forward.fill_source != "p0":
             harness.now += 50_000
             harness.end_attempt(AttemptStatus.OK, member=forward.member, detail=AnswerDetail.FILLED)
-    harness.advance(2 * S)
+    harness.advance(2 * US_PER_S)
     for n in range(40):
         if single_forward(harness.request(object_id=f"q{n}")).fill_source == "p1":
             harness.end_attempt(AttemptStatus.OK, detail=AnswerDetail.FILLED)
-    harness.advance(2 * S)
+    harness.advance(2 * US_PER_S)
     assert harness.record("p0").ejected and not harness.record("p1").ejected
 
 
@@ -141,7 +144,7 @@
     for n in range(160):
         harness.request(object_id=f"o{n}")
         harness.end_attempt(
-            AttemptStatus.OK, latency_us=2 * S if n % 8 == 0 else 100_000, detail=AnswerDetail.HIT
+            AttemptStatus.OK, latency_us=2 * US_PER_S if n % 8 == 0 else 100_000, detail=AnswerDetail.HIT
         )
     assert harness.record("c0").limit_factor < 0.9
 
@@ -154,7 +157,7 @@
         for a in harness.announce(EndpointListKind.UNAVAILABLE)
         if isinstance(a, SubscribeToEndpoints)
     ]
-    assert len([a for a in harness.advance(3 * S) if isinstance(a, SubscribeToEndpoints)]) == 1
+    assert len([a for a in harness.advance(3 * US_PER_S) if isinstance(a, SubscribeToEndpoints)]) == 1
 
 
 def test_lost_answers_eject_no_member_and_decrease_no_limit() -> None:
@@ -162,8 +165,8 @@
     harness = RouterHarness(replace(SETTINGS, limits=replace(SETTINGS.limits, cancellation=False)))
     lost: list[tuple[int, str, str]] = []
     for n in range(120):
-        harness.advance(S // 10)
-        forward = single_forward(harness.request(object_id=f"o{n}", expires_in_us=3 * S))
+        harness.advance(US_PER_S // 10)
+        forward = single_forward(harness.request(object_id=f"o{n}", expires_in_us=3 * US_PER_S))
         if n % 4 == 0:
             lost.append((harness.now, f"r{harness.request_count}", forward.member))
         else:
@@ -174,9 +177,9 @@
                 latency_us=spread,
                 detail=AnswerDetail.FILLED_FROM_ORIGIN,
             )
-        while lost and harness.now - lost[0][0] >= 3 * S:
+        while lost and harness.now - lost[0][0] >= 3 * US_PER_S:
             _, request, address = lost.pop(0)
-            harness.end_attempt(AttemptStatus.TIMEOUT, request, member=address, latency_us=3 * S)
+            harness.end_attempt(AttemptStatus.TIMEOUT, request, member=address, latency_us=3 * US_PER_S)
     members = harness.router.endpoints.members.values()
     assert not any(p.ejected for p in members) and all(p.limit_factor >= 1 for p in members)
 
@@ -250,8 +253,8 @@
     assert 0.45 < harness.record("origin").limit_factor < 1.0
     harness = RouterHarness()
     forward = single_forward(harness.request(object_id="lost"))
-    harness.now += 3 * S
-    harness.end_attempt(AttemptStatus.TIMEOUT, "r1", member=forward.member, latency_us=3 * S)
+    harness.now += 3 * US_PER_S
+    harness.end_attempt(AttemptStatus.TIMEOUT, "r1", member=forward.member, latency_us=3 * US_PER_S)
     assert harness.record("origin").limit_factor == 1.0
 
 
@@ -272,16 +275,19 @@
         record = harness.record("origin")
         record.limit_factor = 0.9
         forward = single_forward(harness.request(object_id="lost"))
-        harness.now += S
+        harness.now += US_PER_S
         harness.request(object_id="other")
         harness.end_attempt(AttemptStatus.OK, member=forward.member, detail=AnswerDetail.FILLED_FROM_ORIGIN)
         record.limit_factor = 0.9
         harness.end_attempt(
-            AttemptStatus.TIMEOUT, f"r{harness.request_count - 1}", member=forward.member, latency_us=3 * S
+            AttemptStatus.TIMEOUT,
+            f"r{harness.request_count - 1}",
+            member=forward.member,
+            latency_us=3 * US_PER_S,
         )
         return record.limit_factor
 
-    assert limit_factor_after_timeout(50_000) == 0.9 > limit_factor_after_timeout(2 * S)
+    assert limit_factor_after_timeout(50_000) == 0.9 > limit_factor_after_timeout(2 * US_PER_S)
 
 
 def test_resets_of_one_connection_count_once() -> None:
@@ -298,7 +304,7 @@
 def test_an_overdue_attempt_is_hedged_at_another_cache() -> None:
     """If one answer of a cache never arrives while others do, a hedged request is sent."""
     harness = RouterHarness(replace(SETTINGS, limits=replace(SETTINGS.limits, hedging=True)))
-    first = single_forward(harness.request(object_id="lost", expires_in_us=6 * S))
+    first = single_forward(harness.request(object_id="lost", expires_in_us=6 * US_PER_S))
     copies = []
     for _ in range(50):
         copies += forwards(harness.advance(100_000))
@@ -316,7 +322,7 @@
     harness.request()
     assert any(isinstance(a, CancelAttempt) for a in harness.handle(ClientDisconnected("r1")))
     harness.request()
-    harness.now += 2 * S
+    harness.now += 2 * US_PER_S
     assert not any(isinstance(a, CancelAttempt) for a in harness.handle(ClientDisconnected("r2")))
 
 
@@ -341,7 +347,7 @@
     rejected = 0
     per_s = 8
     for n in range(40 * per_s):
-        harness.advance(S // per_s)
+        harness.advance(US_PER_S // per_s)
         for ended in [attempt for attempt in in_flight if attempt[0] <= harness.now]:
             in_flight.remove(ended)
             _, request, at = ended
--- a/tests/test_routing_fleet.py
+++ b/tests/test_routing_fleet.py
@@ -26,8 +26,8 @@
     PARENTS,
     RULES,
     SETTINGS,
+    US_PER_S,
     RouterHarness,
-    S,
     final_answers,
     forwards,
     single_forward,
@@ -57,7 +57,7 @@
     load: list[tuple[int, float]] = []
     open_: list[tuple[int, Router, ForwardWithFill]] = []
     for n in range(int(seconds * rate)):
-        now = start + n * S // rate
+        now = start + n * US_PER_S // rate
         while open_ and open_[0][0] <= now:
             at, router, forward = open_.pop(0)
             done = AttemptEnded(
@@ -71,7 +71,7 @@
             )
             router.handle(at, [done])
         for k, router in enumerate(fleet):
-            arrival = RequestArrived(f"r{n}-{k}", "chunk", f"o{(n * 31 + k * 7) % 211}", 3 * S)
+            arrival = RequestArrived(f"r{n}-{k}", "chunk", f"o{(n * 31 + k * 7) % 211}", 3 * US_PER_S)
             for a in forwards(router.handle(now, [arrival])):
                 if isinstance(a, ForwardWithFill) and address in (a.member, a.fill_source):
                     load.append((now, router.mean_transfer_us()["chunk"]))
@@ -82,7 +82,7 @@
 
 def test_no_number_of_routers_overloads_a_warming_parent() -> None:
     """A share under one fill is neither zero nor one fill per router: the total stays within the budget."""
-    now, window = 1000 * S, RULES.overload_window_us
+    now, window = 1000 * US_PER_S, RULES.overload_window_us
     warming = replace(PARENTS[0], started_at_us=now)
     for routers in (3, 30, 180):
         fleet = _fleet(routers, 3, (*CACHES, warming, PARENTS[1], ORIGIN), now)
@@ -98,7 +98,7 @@
 
 
 def test_no_number_of_routers_overloads_a_warming_cache() -> None:
-    now, window = 1000 * S, RULES.overload_window_us
+    now, window = 1000 * US_PER_S, RULES.overload_window_us
     warming = replace(CACHES[0], started_at_us=now)
     for routers in (1, 6, 30):
         fleet = _fleet(routers, routers, (warming, *CACHES[1:], *PARENTS, ORIGIN), now)
@@ -115,14 +115,14 @@
 
 def test_no_number_of_routers_keeps_a_failing_origin_busy() -> None:
     """Limits under one attempt are enforced by pauses between attempts."""
-    now = 1000 * S
+    now = 1000 * US_PER_S
     fleet = _fleet(60, 6, (*CACHES, *PARENTS, ORIGIN), now)
     origin_fills = 0
     pending: list[tuple[int, Router, str, int, str, bool]] = []
     for n in range(60):
-        now += S // 5
+        now += US_PER_S // 5
         for k, router in enumerate(fleet):
-            arrival = RequestArrived(f"r{n}-{k}", "chunk", f"o{n}-{k}", 3 * S)
+            arrival = RequestArrived(f"r{n}-{k}", "chunk", f"o{n}-{k}", 3 * US_PER_S)
             for a in forwards(router.handle(now, [arrival])):
                 if isinstance(a, ForwardWithFill) and a.fill_source != a.member:
                     pending.append(
@@ -149,7 +149,7 @@
     """With 14 routers in a zone most objects read once by each are cached; a single router caches none."""
     for in_zone, min_kept, max_kept in ((1, 0, 0), (14, 150, 199)):
         harness = RouterHarness(
-            replace(SETTINGS, router_count=3 * in_zone, zone_router_count=in_zone), age_us=12 * S
+            replace(SETTINGS, router_count=3 * in_zone, zone_router_count=in_zone), age_us=12 * US_PER_S
         )
         harness.router.popularity.bronze_threshold, kept = 1.0, 0  # Objects read once are bronze.
         for n in range(200):
@@ -172,7 +172,7 @@
         assert harness.warm_share(record.info.address) < 0.5
         if announced:
             harness.change_state(PARENTS[0], MemberState.READY, started_at_us=harness.now)
-        harness.advance(6 * S)
+        harness.advance(6 * US_PER_S)
         assert (harness.warm_share(record.info.address) < 1.0) == announced
 
 
--- a/tests/test_routing_modules.py
+++ b/tests/test_routing_modules.py
@@ -17,7 +17,7 @@
     RequestArrived,
     WeightSource,
 )
-from onyxwick.routing.capacity import PARENT_PER_LINK, CapacityModel
+from onyxwick.routing.capacity import PARENT_CAPACITY_PER_ZONE_LINK, CapacityModel
 from onyxwick.routing.endpoints import MemberRoles
 from onyxwick.routing.latency import OVERDUE_DEVIATIONS, LatencyEstimate
 from onyxwick.routing.outlier_detection import MAX_EJECTION_US, MIN_EJECTION_US, OutlierDetector, is_usable
@@ -37,11 +37,11 @@
     SAVE,
     SETTINGS,
     THUMB,
+    US_PER_S,
     RouterHarness,
-    S,
 )
 
-NOW_US = 1_000 * S
+NOW_US = 1_000 * US_PER_S
 
 
 def _endpoints(*members: Member) -> MemberRoles:
@@ -52,10 +52,10 @@
 
 def _request(request_class_name: str = "chunk", **fields: object) -> RequestState:
     request_class = next(c for c in SETTINGS.classes if c.name == request_class_name)
-    arrival = RequestArrived("r1", request_class_name, "o1", 3 * S, object_group=1)
+    arrival = RequestArrived("r1", request_class_name, "o1", 3 * US_PER_S, object_group=1)
     for name, value in fields.items():
         setattr(arrival, name, value)
-    return RequestState(arrival, request_class, NOW_US + 3 * S, retention_rank=1)
+    return RequestState(arrival, request_class, NOW_US + 3 * US_PER_S, retention_rank=1)
 
 
 def test_an_estimate_moves_towards_its_samples() -> None:
@@ -115,7 +115,10 @@
     )
     inferred = CapacityModel(unset, endpoints, NOW_US)
     inferred.on_endpoints_changed()
-    assert inferred.transfers(endpoints.parents[0]) == inferred.zone_link_transfers * PARENT_PER_LINK
+    assert (
+        inferred.transfers(endpoints.parents[0])
+        == inferred.zone_link_transfers * PARENT_CAPACITY_PER_ZONE_LINK
+    )
     assert 0 < inferred.zone_link_transfers < 200.0 / 10.0, "a zone of three caches has a wider link"
 
 
@@ -228,11 +231,11 @@
     purges = PurgeTimes(SETTINGS)
     request = _request(THUMB.name)
     assert purges.max_age_us(request, False, NOW_US) == 0, "0 stands for the class's freshness lifetime"
-    purges.record(ObjectsPurged(1, None, 2 * S), NOW_US)
-    assert purges.max_age_us(request, False, NOW_US) == 2 * S
-    purges.record(ObjectsPurged(1, "o1", S), NOW_US)
-    assert purges.max_age_us(request, False, NOW_US) == S and len(purges) == 2
-    purges.record(ObjectsPurged(1, "o1", 5 * S), NOW_US)
-    assert purges.max_age_us(request, False, NOW_US) == S, "an older purge changes nothing"
-    purges.drop_expired(NOW_US + RULES.purge_retention_us + 2 * S)
+    purges.record(ObjectsPurged(1, None, 2 * US_PER_S), NOW_US)
+    assert purges.max_age_us(request, False, NOW_US) == 2 * US_PER_S
+    purges.record(ObjectsPurged(1, "o1", US_PER_S), NOW_US)
+    assert purges.max_age_us(request, False, NOW_US) == US_PER_S and len(purges) == 2
+    purges.record(ObjectsPurged(1, "o1", 5 * US_PER_S), NOW_US)
+    assert purges.max_age_us(request, False, NOW_US) == US_PER_S, "an older purge changes nothing"
+    purges.drop_expired(NOW_US + RULES.purge_retention_us + 2 * US_PER_S)
     assert not purges and purges.max_age_us(request, False, NOW_US) == 0
--- a/tests/test_routing_popularity.py
+++ b/tests/test_routing_popularity.py
@@ -21,9 +21,9 @@
 )
 from onyxwick.routing import popularity
 from onyxwick.routing.popularity import Popularity
-from tests.router_harness import CACHES, ORIGIN, PARENTS, SETTINGS, S
+from tests.router_harness import CACHES, ORIGIN, PARENTS, SETTINGS, US_PER_S
 
-START_US = 1_000 * S
+START_US = 1_000 * US_PER_S
 
 
 class RecomputedPopularity(Popularity):
@@ -87,7 +87,9 @@
     for n in range(requests):
         now += int(rng.expovariate(1 / 15_000))
         object_id = f"o{min(objects, int(rng.paretovariate(0.6)))}"
-        actions = router.handle(now, [RequestArrived(f"r{n}", "chunk", object_id, 3 * S, part=n % 3 // 2)])
+        actions = router.handle(
+            now, [RequestArrived(f"r{n}", "chunk", object_id, 3 * US_PER_S, part=n % 3 // 2)]
+        )
         forwards = [action for action in actions if isinstance(action, ForwardWithFill)]
         decisions += [(forward.retention_rank, forward.member) for forward in forwards]
         detail = AnswerDetail.HIT if rng.random() < 0.6 else AnswerDetail.FILLED
@@ -117,8 +119,8 @@
     router = Router(SETTINGS, 5, 0)
     now = 0
     for n in range(3 * 86_400 // 60):
-        now += 60 * S
+        now += 60 * US_PER_S
         router.handle(now, [TimerFired("due")])
-        router.handle(now, [RequestArrived(f"r{n}", "chunk", "daily", 3 * S)])
+        router.handle(now, [RequestArrived(f"r{n}", "chunk", "daily", 3 * US_PER_S)])
         assert router.popularity.count("daily", now) == pytest.approx(1, rel=0.02)
     assert all(math.isfinite(count) for count in router.popularity.counts.values())
--- a/tests/test_routing_rules.py
+++ b/tests/test_routing_rules.py
@@ -25,8 +25,8 @@
     PARENTS,
     RULES,
     SETTINGS,
+    US_PER_S,
     RouterHarness,
-    S,
     final_answers,
     forwards,
     member,
@@ -54,18 +54,20 @@
     for kind in ("chunk", "save"):
         harness = RouterHarness()
         forward = forwards(harness.request(kind))[0]
-        assert forward.timeout_us == 3 * S
-        harness.now += 3 * S
-        actions = harness.end_attempt(AttemptStatus.TIMEOUT, latency_us=3 * S, is_final=False)
+        assert forward.timeout_us == 3 * US_PER_S
+        harness.now += 3 * US_PER_S
+        actions = harness.end_attempt(AttemptStatus.TIMEOUT, latency_us=3 * US_PER_S, is_final=False)
         assert len(final_answers(actions)) == 1 and not forwards(actions)
-        assert not forwards(harness.advance(5 * S))
+        assert not forwards(harness.advance(5 * US_PER_S))
 
 
 def test_nothing_is_sent_for_a_disconnected_client() -> None:
     harness = RouterHarness()
     harness.request()
     harness.handle(ClientDisconnected("r1"))
-    assert not forwards(harness.end_attempt(AttemptStatus.ERROR)) and not final_answers(harness.advance(S))
+    assert not forwards(harness.end_attempt(AttemptStatus.ERROR)) and not final_answers(
+        harness.advance(US_PER_S)
+    )
 
 
 def test_late_and_unknown_events_are_ignored() -> None:
@@ -99,10 +101,10 @@
 def test_an_idempotency_key_allows_retries_within_its_window_only() -> None:
     harness = RouterHarness()
     harness.request("hold")
-    harness.now += S
-    assert len(forwards(harness.end_attempt(AttemptStatus.ERROR, latency_us=S))) == 1
-    harness.now += S
-    assert not forwards(harness.end_attempt(AttemptStatus.ERROR, attempt=1, latency_us=S))
+    harness.now += US_PER_S
+    assert len(forwards(harness.end_attempt(AttemptStatus.ERROR, latency_us=US_PER_S))) == 1
+    harness.now += US_PER_S
+    assert not forwards(harness.end_attempt(AttemptStatus.ERROR, attempt=1, latency_us=US_PER_S))
 
 
 # Rule 3: drains are respected, for fill sources too.
@@ -128,7 +130,7 @@
     """Return the most requests sent to a member, as cache or source, within any overload window."""
     times: list[int] = []
     for n in range(int(seconds * rate)):
-        harness.now += S // rate
+        harness.now += US_PER_S // rate
         for a in harness.request(object_id=f"x{n % 97}", part=n % 7):
             if isinstance(a, ForwardWithFill) and address in (a.member, a.fill_source):
                 times.append(harness.now)
@@ -175,7 +177,7 @@
             if not ok:
                 harness.end_attempt(AttemptStatus.OK, attempt=1)
     assert harness.record("c0").ejected
-    harness.advance(10 * S)
+    harness.advance(10 * US_PER_S)
     for n in range(40):
         harness.request(object_id=f"o{n}")
         harness.end_attempt(AttemptStatus.OK)
@@ -208,7 +210,7 @@
 def test_purges_expire() -> None:
     harness = RouterHarness()
     harness.handle(ObjectsPurged(1, "o1", 0))
-    harness.advance(12 * S)
+    harness.advance(12 * US_PER_S)
     assert not harness.router.purges and single_forward(harness.request("chunk")).max_age_us == 0
 
 
--- a/tests/test_shutdown_schedule.py
+++ b/tests/test_shutdown_schedule.py
@@ -44,7 +44,7 @@
 
 
 def test_a_termination_keeps_the_stages_of_an_earlier_drain() -> None:
-    both = termination_schedule(102.0, 102.0, 3.0, False).earliest_of(drain_schedule(100.0))
+    both = termination_schedule(102.0, 102.0, 3.0, False).with_earliest_starts(drain_schedule(100.0))
     assert both.stage_starts_s == drain_schedule(100.0).stage_starts_s
     assert both.fail_at_s == termination_schedule(102.0, 102.0, 3.0, False).fail_at_s
 
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -58,7 +58,7 @@
 from tests.director_with_store import ImmediateTransport, open_state
 from tests.exchange import ROOT
 from tests.faulty_files import FaultyFiles
-from tests.router_harness import SETTINGS, S
+from tests.router_harness import SETTINGS, US_PER_S
 
 LOSS = ROOT / "examples" / "lab" / "faults" / "site-loss.hcl"
 
@@ -78,7 +78,7 @@
     )
     boxes = replace(full_scenario.boxes, count=3, capacity=full_scenario.boxes.capacity / 2)
     scenario = replace(
-        full_scenario, loads=loads, boxes=boxes, parents=parents, origin=origin, duration_us=42 * S
+        full_scenario, loads=loads, boxes=boxes, parents=parents, origin=origin, duration_us=42 * US_PER_S
     )
     sites = {n: replace(s, boxes=3) for n, s in fleet.sites.items()}
     small = replace(fleet, scenario=scenario, sites=sites, faults=())
@@ -89,7 +89,9 @@
 def fault(
     what: str, name: str, at: float = 8, lasts: float = 10, how: str = "", amount: float = 0.0
 ) -> InjectedFault:
-    return InjectedFault(f"{what} {name}", When(int(at * S)), what, name, int(lasts * S), how, amount)
+    return InjectedFault(
+        f"{what} {name}", When(int(at * US_PER_S)), what, name, int(lasts * US_PER_S), how, amount
+    )
 
 
 def simulate(
@@ -114,7 +116,9 @@
 
 
 def service_between(history: History, begin: float, end: float) -> float:
-    return checkers.service(history.rows, history.began_us + int(begin * S), history.began_us + int(end * S))
+    return checkers.service(
+        history.rows, history.began_us + int(begin * US_PER_S), history.began_us + int(end * US_PER_S)
+    )
 
 
 def directors_that_evacuated(history: History, site: str) -> set[str]:
@@ -149,8 +153,8 @@
     history = assert_no_violations(simulate(fault("lose", "north", how="boxes")))
     assert {"n0", "n1"} <= directors_that_evacuated(history, "north")
     plain = simulate(fault("lose", "north", how="boxes"), variant="plain")
-    begin = history.began_us + 9 * S
-    peaks = [checkers.peak(h, begin, begin + 9 * S).get("archive", 0.0) for h in (history, plain)]
+    begin = history.began_us + 9 * US_PER_S
+    peaks = [checkers.peak(h, begin, begin + 9 * US_PER_S).get("archive", 0.0) for h in (history, plain)]
     assert peaks[0] < peaks[1] and service_between(history, 12, 18) > 0.85
 
 
@@ -159,7 +163,7 @@
     these caches continue to serve them over the link."""
     history = assert_no_violations(simulate(fault("lose", "north", how="directors")))
     assert not directors_that_evacuated(history, "north") and service_between(history, 13, 18) > 0.9
-    boxes = {row.who for row in history.of("sent") if row.at_us > history.began_us + 13 * S}
+    boxes = {row.who for row in history.of("sent") if row.at_us > history.began_us + 13 * US_PER_S}
     assert {"north-1", "north-2", "north-3"} <= boxes
 
 
@@ -178,13 +182,13 @@
 
 def test_a_loss_that_the_list_reports_7_s_late_or_never_is_detected_from_evidence() -> None:
     def late(fleet: FleetScenario) -> FleetScenario:
-        return replace(fleet, scenario=replace(fleet.scenario, told_after_us=7 * S))
+        return replace(fleet, scenario=replace(fleet.scenario, told_after_us=7 * US_PER_S))
 
     for history in (
         assert_no_violations(simulate(fault("lose", "north"), change=late)),
         assert_no_violations(simulate(fault("unlisted", "all", 1, 40), fault("lose", "north"))),
     ):
-        found = checkers.reached(history, "north", "evacuating", history.began_us + 11 * S)
+        found = checkers.reached(history, "north", "evacuating", history.began_us + 11 * US_PER_S)
         assert found and found[0] < 3.0, (
             "not detected within 3 s of the arrival of its clients, which is 3 s after the loss"
         )
@@ -197,14 +201,14 @@
 
 def test_with_two_of_three_sites_lost_the_last_is_prompt_and_rejects_at_once() -> None:
     history = assert_no_violations(simulate(fault("lose", "north", 8, 14), fault("lose", "west", 8.5, 14)))
-    begin = history.began_us + 14 * S
-    calls = [r for r in history.of("call") if begin <= r.at_us < begin + 7 * S]
+    begin = history.began_us + 14 * US_PER_S
+    calls = [r for r in history.of("call") if begin <= r.at_us < begin + 7 * US_PER_S]
     refused = [r for r in calls if r.data["verdict"] == "refused"]
     assert len(refused) > 20 and not [r for r in calls if r.data["verdict"] == "failed"]
     kinds = {r.data["class"] for r in refused}
     assert "booking" not in kinds, "bookings must be rejected last"
-    south = [r for r in history.of("earned") if r.who == "south" and begin <= r.at_us < begin + 7 * S]
-    assert checkers.service(south, begin, begin + 7 * S) > 0.3
+    south = [r for r in history.of("earned") if r.who == "south" and begin <= r.at_us < begin + 7 * US_PER_S]
+    assert checkers.service(south, begin, begin + 7 * US_PER_S) > 0.3
 
 
 @pytest.mark.parametrize("when", [8.2, 12.0, 19.0])
@@ -232,13 +236,13 @@
     }
     real = assert_no_violations(simulate(fault("drill", "west", 6, 0, amount=30), fault("lose", "north", 9)))
     back = [r for r in checkers.states(real, "west") if r.data["now"] == "returning"]
-    assert back and min(r.at_us for r in back) < real.began_us + 16 * S
+    assert back and min(r.at_us for r in back) < real.began_us + 16 * US_PER_S
 
 
 def test_writes_in_flight_at_the_instant_of_loss_are_executed_once() -> None:
     def bookings(fleet: FleetScenario) -> FleetScenario:
         loads = [replace(load, mix=(("booking", 1.0),)) for load in fleet.scenario.loads]
-        return replace(fleet, scenario=replace(fleet.scenario, loads=tuple(loads), duration_us=20 * S))
+        return replace(fleet, scenario=replace(fleet.scenario, loads=tuple(loads), duration_us=20 * US_PER_S))
 
     for seed in range(3):
         history = assert_no_violations(simulate(fault("lose", "north", 6, 6), seed=seed, change=bookings))
@@ -247,16 +251,16 @@
 
 def test_a_tenant_whose_capacity_was_all_there_is_served_elsewhere() -> None:
     history = assert_no_violations(simulate(fault("lose", "north")))
-    begin = history.began_us + 13 * S
+    begin = history.began_us + 13 * US_PER_S
     for rows in checkers.split(history.of("earned"), "tenant").values():
-        assert checkers.service(rows, begin, begin + 5 * S) > 0.7
+        assert checkers.service(rows, begin, begin + 5 * US_PER_S) > 0.7
 
 
 @pytest.mark.parametrize("how", ["part", "new"])
 def test_a_site_that_returns_smaller_or_under_new_names(how: str) -> None:
     history = assert_no_violations(simulate(fault("lose", "north", how=how)))
     assert service_between(history, 38, 44) > 0.9
-    boxes = {row.who for row in history.of("sent") if row.at_us > history.began_us + 36 * S}
+    boxes = {row.who for row in history.of("sent") if row.at_us > history.began_us + 36 * US_PER_S}
     assert any(name.startswith("north-") and name.endswith("-b") is (how == "new") for name in boxes)
 
 
@@ -291,7 +295,7 @@
 
     def hard(fleet: FleetScenario) -> FleetScenario:
         loads = [replace(load, rate_per_s=load.rate_per_s * 1.35) for load in fleet.scenario.loads]
-        return replace(fleet, scenario=replace(fleet.scenario, loads=tuple(loads), duration_us=60 * S))
+        return replace(fleet, scenario=replace(fleet.scenario, loads=tuple(loads), duration_us=60 * US_PER_S))
 
     history = assert_no_violations(
         simulate(fault("lose", "north", 6, 10), fault("lose", "west", 6, 10), change=hard)
@@ -318,7 +322,7 @@
         name,
         kind,
         "7f3a9c21e0b4d655",
-        2 * S,
+        2 * US_PER_S,
         object_group=1,
         client_site=site,
         is_retry=again,
@@ -333,7 +337,7 @@
     nested = SiteRouter(
         plain.settings,
         1,
-        1_000 * S,
+        1_000 * US_PER_S,
         plain.topology,
         plain.monitor.serving_sites.plan,
         lambda settings, seed, now: CellRouter(settings, seed, now, cell_plan, 400),
@@ -341,16 +345,16 @@
     for router, expected in ((plain, "north"), (nested, "north/only")):
         members = tuple(plain.monitor.membership.members.values())
         snapshot = EndpointsChanged(EndpointListKind.SNAPSHOT, members)
-        router.handle(1_001 * S, [snapshot, _request("a")])
+        router.handle(1_001 * US_PER_S, [snapshot, _request("a")])
         assert router.cell_of("a") == expected
         assert isinstance(router.router_of("a"), Router)
 
 
 def test_while_all_sites_are_steady_everything_passes_through_unchanged() -> None:
-    router, now = _site_router(), 1_001 * S
+    router, now = _site_router(), 1_001 * US_PER_S
     out = router.handle(now, [_request("a"), _request("b", site="north"), _request("c", site="nowhere")])
     assert [type(a) for a in out if not isinstance(a, SetTimer)] == [ForwardWithFill] * 3
-    assert set(router.sites) == {"north"} and not router.shed_now
+    assert set(router.sites) == {"north"} and not router.rejection_reason_by_request
     fetch = next(a for a in out if isinstance(a, ForwardWithFill))
     out = router.handle(
         now + 1000, [AttemptEnded("a", 0, fetch.member, AttemptStatus.OK, 1000, True, AnswerDetail.HIT)]
@@ -363,7 +367,7 @@
 def test_remote_requests_are_tried_at_their_site_and_relocated_with_their_attempts_counted() -> None:
     """The first requests are sent to the caches of their own site. If these are unreachable, the request is
     relocated to its serving site with consecutive attempt numbers, and no answer is withheld."""
-    router, now = _site_router(), 1_001 * S
+    router, now = _site_router(), 1_001 * US_PER_S
     sent = [a for a in router.handle(now, [_request("a", site="west")]) if isinstance(a, ForwardWithFill)]
     assert sent[0].member.startswith("west-") and router.monitor.lifecycles["west"].phase is SitePhase.SUSPECT
     for number in range(4):
@@ -383,21 +387,21 @@
 
 
 def test_a_command_is_reported_explained_and_withdrawn() -> None:
-    router, now = _site_router(), 1_001 * S
+    router, now = _site_router(), 1_001 * US_PER_S
     router.apply_command(now, SiteCommand("north", SiteDirective.EVACUATE, "flood"))
     for n in range(40):
         router.handle(now + n * 100_000, [TimerFired("sites")])
-    status = router_status(router, now + 4 * S)
+    status = router_status(router, now + 4 * US_PER_S)
     assert status["sites"]["north"]["state"] == "evacuated" and status["orders"]["north"]["reason"] == "flood"
     explanation = " ".join(explain(router, "north", "job-sheet", "7f3a9c21e0b4d655"))
     assert "is evacuated: operator command" in explanation and "It goes to '" in explanation
     assert "archive" in " ".join(explain(router, "north", "booking", "7f3a9c21e0b4d655"))
     with pytest.raises(KeyError):
         explain(router, "east", "job-sheet", "x")
-    router.apply_command(now + 5 * S, SiteCommand("north", SiteDirective.NONE))
+    router.apply_command(now + 5 * US_PER_S, SiteCommand("north", SiteDirective.NONE))
     for n in range(200):
-        router.handle(now + 5 * S + n * 100_000, [TimerFired("sites")])
-    assert router_status(router, now + 30 * S)["sites"]["north"]["state"] == "steady"
+        router.handle(now + 5 * US_PER_S + n * 100_000, [TimerFired("sites")])
+    assert router_status(router, now + 30 * US_PER_S)["sites"]["north"]["state"] == "steady"
 
 
 def test_an_operators_command_applies_once_durable_and_outlives_the_director() -> None:
@@ -411,7 +415,7 @@
             durable.start()
             orders.append([command_from_row(row) for row in durable.site_command_rows()])
             core = RequestEngine(SETTINGS, 7, ImmediateTransport(), EndpointTable(), Counters())
-            sites = SitesApi(router, lambda: 1_002 * S, lambda: None)
+            sites = SitesApi(router, lambda: 1_002 * US_PER_S, lambda: None)
             api = AdminApi(Tenants(), Counters(), "operator-token-1", dict, {"sites": sites})
             body = json.dumps({"word": "evacuate", "reason": "flood"}).encode()
             head = {"authorization": "Bearer operator-token-1"}
@@ -430,7 +434,7 @@
         assert orders[0] == [] and [o.directive for o in orders[1]] == [SiteDirective.EVACUATE]
         router.monitor.restore_commands(orders[1])
         for n in range(30):
-            router.handle(1_003 * S + n * 100_000, [TimerFired("sites")])
+            router.handle(1_003 * US_PER_S + n * 100_000, [TimerFired("sites")])
         assert router.monitor.lifecycles["north"].phase is SitePhase.EVACUATED
 
     asyncio.run(run())
@@ -446,11 +450,11 @@
             ImmediateTransport(),
             EndpointTable(),
             Counters(),
-            lambda: 1_002 * S,
+            lambda: 1_002 * US_PER_S,
             make_router=lambda *_: router,
         )
         core.context.tracer = DecisionTracer(SETTINGS, "n0", tmp_path, SinkLimits(), core.now(), lambda: 1)
-        router.apply_command(1_002 * S, SiteCommand("north", SiteDirective.EVACUATE, "flood"))
+        router.apply_command(1_002 * US_PER_S, SiteCommand("north", SiteDirective.EVACUATE, "flood"))
         core.handle()
         core.context.tracer.stop(core.now())
         assert core.counters.counts["sites.evacuating.north"] == 1
@@ -505,12 +509,16 @@
 
 def test_an_object_that_own_clients_request_is_local() -> None:
     local_demand = LocalDemand()
-    local_demand.record_request(S, "o")
-    assert local_demand.is_local(S + RECENT_US, "o") and not local_demand.is_local(2 * S + RECENT_US, "o")
-    local_demand.record_request(50 * S, "o")
-    assert local_demand.is_local(S + REPEATED_WITHIN_US - 1, "o") and not local_demand.is_local(S, "p")
+    local_demand.record_request(US_PER_S, "o")
+    assert local_demand.is_local(US_PER_S + RECENT_US, "o") and not local_demand.is_local(
+        2 * US_PER_S + RECENT_US, "o"
+    )
+    local_demand.record_request(50 * US_PER_S, "o")
+    assert local_demand.is_local(US_PER_S + REPEATED_WITHIN_US - 1, "o") and not local_demand.is_local(
+        US_PER_S, "p"
+    )
     for n in range(30_000):
-        local_demand.record_request(60 * S, f"o{n}")
+        local_demand.record_request(60 * US_PER_S, f"o{n}")
     assert len(local_demand.last_requests) == 20_000
 
 
--- a/tests/test_sites_processes.py
+++ b/tests/test_sites_processes.py
@@ -19,7 +19,7 @@
 from onyxwick.lab.faults import checkers
 from onyxwick.lab.faults.history import History, read
 from tests.exchange import ROOT
-from tests.router_harness import S
+from tests.router_harness import US_PER_S
 
 LOSS = ROOT / "examples" / "lab" / "faults" / "site-loss.hcl"
 MAX_CONCURRENT_RUNS, FIRST_SLOT = 3, 40
@@ -188,7 +188,7 @@
         and not checkers.false_alarms(history)
     )
     if not checkers.late(history):
-        assert checkers.service(history.rows, history.ended_us - 2 * S, history.ended_us) > 0.7
+        assert checkers.service(history.rows, history.ended_us - 2 * US_PER_S, history.ended_us) > 0.7
     return history
 
 
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -95,7 +95,7 @@
     assert state.load_tenants(tenants) == 3, "two tenants and the row of a deleted tenant"
     assert sorted(tenants.tenants) == ["acme", "globex"]
     acme = tenants.tenants["acme"]
-    assert (acme.quota.per_s, acme.token) == (300.0, "acme-token-0123456789")
+    assert (acme.quota.tokens_per_s, acme.token) == (300.0, "acme-token-0123456789")
     assert acme.keys == {read_name("update.acme.example."): b"secret-of-the-acme-key"}
     assert set(acme.zones) == {read_name("acme.example."), read_name("static.example.")}
     zone = acme.zones[read_name("acme.example.")]
@@ -103,7 +103,7 @@
     assert "www.acme.example. 300 IN A 192.0.2.80" in zone.data.to_text(relativize=False)
     assert acme.zones[read_name("static.example.")].routed is None
     globex = tenants.tenants["globex"]
-    assert (globex.quota.per_s, globex.token, globex.keys, globex.zones) == (20.0, "", {}, {})
+    assert (globex.quota.tokens_per_s, globex.token, globex.keys, globex.zones) == (20.0, "", {}, {})
     assert tenants.tenant_of_token("acme-token-0123456789") is acme
     assert state.tenant_operations("acme", acme) == [], "a tenant that was just loaded needs no write"
 
--- a/tests/test_subrouters.py
+++ b/tests/test_subrouters.py
@@ -28,7 +28,7 @@
 from onyxwick.subrouters.admission_gate import AdaptiveLimit, AdmissionGate
 from onyxwick.subrouters.dispatcher import MAX_COUNTER_NAMES, TICK_INTERVAL_US
 from onyxwick.subrouters.share_arbiter import ShareArbiter
-from tests.router_harness import SETTINGS, S, member
+from tests.router_harness import SETTINGS, US_PER_S, member
 
 # ---- dispatch -------------------------------------------------------------------------------------------
 
@@ -45,7 +45,7 @@
         for event in events:
             if isinstance(event, RequestArrived):
                 actions.append(ForwardRequest(event.request_id, "cache-1"))
-                actions.append(SetTimer(now + S, "due"))
+                actions.append(SetTimer(now + US_PER_S, "due"))
         return actions
 
     def ejected_count(self) -> int:
@@ -116,14 +116,14 @@
 
 
 def _request(request_id: str, tenant: str) -> RequestArrived:
-    return RequestArrived(request_id, SETTINGS.classes[0].name, "o", S, object_group=1, tenant=tenant)
+    return RequestArrived(request_id, SETTINGS.classes[0].name, "o", US_PER_S, object_group=1, tenant=tenant)
 
 
 def test_timers_return_to_the_subrouter_that_set_them() -> None:
     dispatcher = TenantNameDispatcher()
     assert dispatcher.handle(5, [_request("r", "b")]) == [
         ForwardRequest("r", "cache-1"),
-        SetTimer(5 + S, "b/due"),
+        SetTimer(5 + US_PER_S, "b/due"),
     ]
     assert dispatcher.handle(6, [TimerFired("b/due"), TimerFired("c/due"), TimerFired("a")]) == []
     assert dispatcher.inner["b"].router.events[1:] == [TimerFired("due")]
@@ -189,7 +189,7 @@
     steps: list[tuple[int, int, bool]],
 ) -> None:
     """The largest shares in any window add up to at most 1, under any demand and any change of the cells."""
-    window = 3 * S
+    window = 3 * US_PER_S
     arbiter, now, names = ShareArbiter(dict.fromkeys("abcd", 1.0), window), 0, set("abcd")
     history = [(now, dict(arbiter.shares))]
     for cell, added_demand, is_removed in steps:
@@ -209,7 +209,7 @@
 
 
 def test_a_flood_in_one_router_leaves_the_others_half_of_their_share() -> None:
-    arbiter = ShareArbiter(dict.fromkeys("abcd", 1.0), 3 * S)
+    arbiter = ShareArbiter(dict.fromkeys("abcd", 1.0), 3 * US_PER_S)
     for n in range(100):
         arbiter.demand["a"] += 1000
         arbiter.demand["b"] += 1
