--- a/onyxwick/tenants.py
+++ b/onyxwick/tenants.py
@@ -211,8 +211,8 @@
         quotas = read_quotas(text)
         for name, per_s in quotas.items():
             tenant = self.tenants.get(name)
-            if tenant is not None and tenant.quota.per_s != per_s:
-                tenant.quota.per_s = per_s
+            if tenant is not None and tenant.quota.tokens_per_s != per_s:
+                tenant.quota.tokens_per_s = per_s
 
     def keyring(self) -> dict[dns.name.Name, bytes]:
         """Return the TSIG keys of all tenants by key name."""
