--- a/onyxwick/cli/trace.py
+++ b/onyxwick/cli/trace.py
@@ -160,7 +160,7 @@
 @json_option
 @_report_unusable
 def cut(file: Path, out: Path, wanted: TraceFilter, as_json: bool) -> None:
-    """Write to OUT the selected requests and the notifications of that time."""
+    """Write to OUT the selected requests, and all notifications in the selected time range."""
     from onyxwick.trace.filter import select_requests
     from onyxwick.trace.merge import TraceFileWriter
     from onyxwick.trace.reader import open_trace
--- a/onyxwick/core/attempt_invariants.py
+++ b/onyxwick/core/attempt_invariants.py
@@ -247,9 +247,10 @@
         return self.rules.parent_warm_up_us if is_parent else self.rules.warm_up_us
 
     def _warm_capacity_share(self, member: Member, age_us: int) -> float:
-        """Return the share of its weight that a member may be sent at this age.
+        """Return the load that a member may be sent at this age, as a multiple of its weight.
 
-        It is the warm-up share at this age times the multiple of this load that overloads the member.
+        It is the member's warm-up share at this age times the overload multiple: a member that gets this many
+        times the load of its warm-up is overloaded.
         """
         rules = self.rules
         if member.kind == self.settings.parent_kind:
--- a/onyxwick/core/backoff.py
+++ b/onyxwick/core/backoff.py
@@ -22,15 +22,18 @@
     spread_us: int = 2_000_000
     """The first connections of all directors are spread over this time."""
     ramp_us: int = 10_000_000
-    """Time from the end of the initial delay to full limits."""
+    """Time after the initial delay in which the director's limits rise to their normal values."""
     initial_share: float = 0.2
-    """Share (0 to 1) of the full limits that applies at the start."""
+    """Share (0 to 1) of the normal limits that applies at the start."""
     max_delay_us: int = 8_000_000
     """The longest delay between two attempts."""
 
 
 class ReconnectBackoff:
-    """Computes one director's exponential backoff with jitter, and its ramp to full limits."""
+    """Computes one director's exponential backoff with jitter, and the rise of its limits after a restart.
+
+    Such limits are the number of connections per member and the share of the parents.
+    """
 
     def __init__(self, seed: int, now_us: int, policy: BackoffPolicy, director_count: int) -> None:
         self.random = random.Random(seed)
@@ -47,7 +50,7 @@
         return now_us - self.started_at_us >= self.initial_delay_us
 
     def ramp_share(self, now_us: int) -> float:
-        """Return the share (0 to 1) of its full limits that the director may use at this time."""
+        """Return the share (0 to 1) of its normal limits that the director may use at this time."""
         policy = self.policy
         elapsed_us = max(0, now_us - self.started_at_us - self.initial_delay_us)
         gained = (1 - policy.initial_share) * elapsed_us / max(1, policy.ramp_us)
--- a/onyxwick/distribution/codec.py
+++ b/onyxwick/distribution/codec.py
@@ -1,9 +1,9 @@
 """Encoding and decoding of feed lines. The format is that of the coordinator: one JSON value per line.
 
 A bare integer is an announcement; an object with `index` and one payload field is an event. The `index` of a
-line with `published_ms` repeats an event number that the reader already has, and that of a line with
-`snapshot` takes the reader beyond a gap. A reader that does not know these lines ignores the former and
-reconnects at the latter.
+line with `published_ms` is that of an event that the reader already has, so a reader that does not know such
+lines ignores it. The `index` of a line with `snapshot` lies beyond a gap, so a reader that does not know such
+lines reconnects.
 """
 
 from __future__ import annotations
--- a/onyxwick/net/arrival_clock.py
+++ b/onyxwick/net/arrival_clock.py
@@ -26,10 +26,10 @@
         self._noted_until_bytes: float = math.inf  # bytes received plus bytes unread at that time
 
     def note_unread(self, is_paused: bool) -> None:
-        """Record after a read that bytes are still unread or that reading pauses: bytes wait from now on.
+        """Record after a read that bytes are still unread, or that reading pauses, so that bytes may wait.
 
-        Once all bytes that were unread at this time have been read, bytes that are still unread arrived after
-        it, and their wait counts from it.
+        Their wait counts from the time of this call. Once all bytes that were unread then have been read, any
+        bytes still unread arrived after this call, and their wait too counts from it.
         """
         now_s = time.monotonic()
         unread = unread_bytes(self.sock)
--- a/onyxwick/routing/concurrency_limit.py
+++ b/onyxwick/routing/concurrency_limit.py
@@ -29,13 +29,16 @@
 """The limit is this share of the transfers that can share a link and still meet the objective."""
 INCREASE_PER_ANSWER = 0.005
 LATE_MULTIPLIER = 0.93
-"""Multiplies the factor after a late answer; with the increase it sets the tolerated late share."""
+"""Multiplies a member's limit factor after a late answer.
+
+Together with `INCREASE_PER_ANSWER` it sets the share of late answers at which the factor settles.
+"""
 FAILED_MULTIPLIER = 0.8
-"""Multiplies the factor after a failed fill or a rejection, which used the member's capacity in vain."""
+"""Multiplies the limit factor after a failed fill or rejection, which used the member's capacity in vain."""
 MIN_FACTOR = 0.02
 MAX_FACTOR = 2.0
 MIN_INCREASE_SCALE = 0.3
-"""The increase shrinks in proportion to the factor, down to this share of the full increase."""
+"""The increase shrinks in proportion to the limit factor, down to this share of the full increase."""
 MIN_USED_SHARE = 0.5
 """Share of the limit that must be in use when an answer is received, for it to raise the factor."""
 
--- a/onyxwick/routing/popularity.py
+++ b/onyxwick/routing/popularity.py
@@ -174,6 +174,8 @@
         over_once = total - bisect_right(ranked, 1 * unit)
         over_twice = total - bisect_right(ranked, 2 * unit)  # Objects read more than twice are never bronze.
         kept = min(max(over_once + int(self.bronze_shift * total), over_twice), total)
-        if kept in (over_twice, total):  # At a bound, the shift must not wind up beyond it.
+        # At either bound the shift is set to that bound. Otherwise it would move on beyond it, and the first
+        # steps back would have no effect.
+        if kept in (over_twice, total):
             self.bronze_shift = (kept - over_once) / max(1, total)
         self.bronze_threshold = ranked[-1 - kept] / unit if kept < total else 0.0
--- a/onyxwick/routing/retry.py
+++ b/onyxwick/routing/retry.py
@@ -52,7 +52,7 @@
 
     @property
     def is_full_reserve(self) -> bool:
-        """Whether hedging and other extras are allowed."""
+        """Whether hedged requests, and serving stale copies while they are revalidated, are allowed."""
         return self.reserve >= 1
 
 
--- a/onyxwick/sites/linear_program.py
+++ b/onyxwick/sites/linear_program.py
@@ -20,7 +20,7 @@
     *((0.3, 0.3), (0.4, 0.6), (0.5, 1.0), (0.55, 1.4), (0.6, 2.0), (0.65, 2.8), (0.7, 4.0)),
     *((0.75, 5.6), (0.8, 8.0), (0.85, 11.0), (0.9, 16.0), (0.95, 22.0)),
 )
-CONGESTION_WEIGHT = 1e-3  # share of the total value that bounds what congestion may outweigh
+CONGESTION_WEIGHT = 1e-3  # share of the total value: most value that is given up to avoid congestion
 CONGESTION_SCALE = 16
 DELAY_WEIGHT = 1e-6  # share of the total value; delay only decides between otherwise equal solutions
 RESERVE_WEIGHT = 100.0  # multiplies the value of a request within a tenant's reserve
--- a/onyxwick/sites/load_shedding.py
+++ b/onyxwick/sites/load_shedding.py
@@ -2,10 +2,11 @@
 
 Takes answers (late, rejected or in time) and the time in microseconds, and determines a shedding level (0 to
 3), the reason to reject a request, and a Retry-After. A level is entered at a given share of late and
-rejected answers at the site, and left more slowly: (1) fewer hedged requests, renewals and further attempts;
-(2) clients' retries are rejected; (3) the classes with the lowest priority weight for their work are rejected
-first. Within the learned limit of the site no tenant of a class is preferred: a tenant over its max-min fair
-share is rejected, and a tenant under its reserve is admitted.
+rejected answers at the site, and left more slowly: (1) no hedged requests, fewer further attempts, and stale
+copies are not served while they are revalidated; (2) clients' retries are rejected; (3) the classes with the
+lowest priority weight for their work are rejected first. Within the learned limit of the site no tenant of a
+class is preferred: a tenant over its max-min fair share is rejected, and a tenant under its reserve is
+admitted.
 
 Further attempts and clients' retries are work caused by an earlier rejection. They are rejected before all
 other work, which prevents overload that sustains itself (Bronson, Aghayev, Charapko and Zhu, "Metastable
@@ -46,7 +47,7 @@
         self.random = random.Random(seed)
         self.pressure = 0.0  # share of late and rejected among the latest answers, 0 to 1
         self.level = 0
-        self.plan_strictness = 0.0  # share of the load that the plan may reject which is rejected now, 0 to 1
+        self.plan_strictness = 0.0  # of the load that the plan may reject, the share rejected now, 0 to 1
         self.level_changed_us = 0
         self.last_answer_us = 0
         self.service_time_us = float(INITIAL_SERVICE_TIME_US)
@@ -110,7 +111,7 @@
         if request_class.is_write or request_class.idempotency is Idempotency.NON_IDEMPOTENT:
             return None  # shed last of all; the limits of the origin apply
         if self.level < RETRY_SHEDDING_LEVEL:
-            return None  # the limits of the site's router are sufficient
+            return None  # below this level nothing is rejected here; the limits of the site's router suffice
         if is_retry:
             return AdmissionRejection.CLIENT_RETRY
         reserve = self.tenant_reserves.get(tenant, 0.0)
--- a/onyxwick/sites/loss_demand.py
+++ b/onyxwick/sites/loss_demand.py
@@ -22,7 +22,7 @@
 
     load: OfferedLoad
     rate_per_s: float
-    arrivals: dict[str, float]  # share by site that the clients connect to
+    arrivals: dict[str, float]  # share of the requests, by the site that their clients connect to
     places: tuple[str, ...]
     is_moved: bool = False  # its objects are assigned to other sites by the plan
 
--- a/onyxwick/sites/monitor.py
+++ b/onyxwick/sites/monitor.py
@@ -33,7 +33,9 @@
 # After this time without demand there are no trials, and the endpoint list alone decides the return.
 NO_DEMAND_US = 10 * MICROSECONDS_PER_SECOND
 TRIAL_PHASES = (SitePhase.SUSPECT, SitePhase.LOST, SitePhase.EVACUATED)
-SiteMeasure = Callable[[str], float]  # by site, a measure of its caches as used by this director, 0 to 1
+# Takes the name of a site and returns a share, 0 to 1, that this director determines from its own use of the
+# site's caches.
+SiteMeasure = Callable[[str], float]
 
 
 @dataclass(frozen=True, slots=True)
@@ -142,8 +144,8 @@
     ) -> SiteRoute | AdmissionRejection:
         """Return the site that a client's request is sent to, or why the request is rejected.
 
-        If the site `lacks_observation`, the caller has to step it first. `plan_strictness`: by site, the
-        share of the load that the plan may reject which is rejected now."""
+        If the site `lacks_observation`, the caller has to call `step_site` for it first. `plan_strictness`:
+        by site, of the load that the plan may reject, the share that is rejected now."""
         route = self._route(now, request, request_class, client_site)
         if isinstance(route, AdmissionRejection) or route.is_trial:
             return route
--- a/onyxwick/sites/serving_sites.py
+++ b/onyxwick/sites/serving_sites.py
@@ -102,7 +102,7 @@
     def is_served(self, site: str, class_name: str, tenant: str, object_name: str, strictness: float) -> bool:
         """Return whether the plan serves an object during the present losses; the same for all its segments.
 
-        `strictness`: the share of the load that the plan may reject which is rejected now, 0 to 1. As it
+        `strictness`: of the load that the plan may reject, the share that is rejected now, 0 to 1. As it
         rises or falls, complete objects become rejected or served."""
         served_shares = self.row.served_shares
         if not served_shares or strictness <= 0:
--- a/onyxwick/trace/compare.py
+++ b/onyxwick/trace/compare.py
@@ -34,12 +34,12 @@
 
 @dataclass(slots=True)
 class Losses:
-    """Requested and lost priority weight, in total and by (kind, name)."""
+    """Requested and lost priority weight, in total and for each class, tenant, member and so on."""
 
     requested: float = 0.0
     lost: float = 0.0
     by_name: dict[tuple[str, str], list[float]] = field(default_factory=dict)
-    """[requested, lost] weight by (kind, name)."""
+    """[requested, lost] weight by (kind, name), for example by ("tenant", the tenant's name)."""
 
     def add(self, header: f.FileHeader, table: Table) -> None:
         """Add the requests of a table."""
