--- a/onyxwick/lab/soak/__init__.py
+++ b/onyxwick/lab/soak/__init__.py
@@ -1,1 +1,1 @@
-"""The fault soak: real directors under overlapping faults, judged from outside and by their invariants."""
+"""The fault soak: real directors run under overlapping faults, judged from outside and by invariants."""
--- a/onyxwick/lab/soak/acts.py
+++ b/onyxwick/lab/soak/acts.py
@@ -1,4 +1,4 @@
-"""What each kind of fault does and how it ends."""
+"""Injects each kind of fault and undoes it."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from onyxwick.lab.faults.relay import LinkDirection
 from onyxwick.lab.feed import row_of
 from onyxwick.lab.soak.clients import OBJECTS
-from onyxwick.lab.soak.ground import FaultState, SoakGround
-from onyxwick.lab.soak.model import Down
-from onyxwick.lab.soak.operator_acts import OperatorActs
+from onyxwick.lab.soak.ground import FaultState, SoakEnvironment
+from onyxwick.lab.soak.model import DirectorOutage
+from onyxwick.lab.soak.operator_acts import OperatorActions
 from onyxwick.lab.soak.persistent import Habit
-from onyxwick.lab.soak.plan import STEPS_S, SoakFault, SoakFaultKind, drawn
+from onyxwick.lab.soak.plan import STEPS_S, SoakFault, SoakFaultKind, choose
 from onyxwick.lab.soak.process import SoakDirector
 from onyxwick.lab.soak.servers import ConnectionLoss, SoakServer
 from onyxwick.lab.soak.shim import (
@@ -29,23 +29,23 @@
 from onyxwick.lab.soak.told import Span
 
 S = 1_000_000
-TERM_CONNECTS_S = 0.3  # after SIGTERM new connections come for so long
+CONNECTS_AFTER_TERM_S = 0.3  # clients go on opening connections for this time after SIGTERM
 TERM, RELOAD = signal.SIGTERM, signal.SIGHUP
-TERM_SIGNALS = ((TERM,), (TERM,), (RELOAD, TERM, RELOAD), (TERM, TERM))
-ACCEPT_AGAIN_US = 60_000  # until it is tried again after an error
-DOWN_S = 0.2
-PURGE_DONE_S = 5.0
-CROWD = 250  # clients of one crowd
+TERM_SIGNAL_SERIES = ((TERM,), (TERM,), (RELOAD, TERM, RELOAD), (TERM, TERM))
+ACCEPT_RETRY_US = 60_000  # a director retries accepting this long after an error
+RESTART_DELAY_S = 0.2
+MAX_PURGE_DELAY_S = 5.0
+CROWD_CLIENTS = 250  # clients that one CROWD_CLIENTS fault connects
 
 
 class SoakActions:
-    """The faults of one soak."""
+    """Plays the faults of one soak."""
 
-    def __init__(self, soak: SoakGround) -> None:
+    def __init__(self, soak: SoakEnvironment) -> None:
         self.soak = soak
         self.state = FaultState(soak.servers)
-        self.operators = OperatorActs(soak, self.state)
-        self.doing = {
+        self.operators = OperatorActions(soak, self.state)
+        self.injectors = {
             SoakFaultKind.CLOCK: self._clock,
             SoakFaultKind.ACCEPT: self._accept,
             SoakFaultKind.SOCKET: self._socket,
@@ -54,8 +54,8 @@
             SoakFaultKind.BROKEN: self._broken,
             SoakFaultKind.DISK: self._disk,
             SoakFaultKind.STOP: self._stop,
-            SoakFaultKind.TERM: self._end,
-            SoakFaultKind.HANDOVER: self._end,
+            SoakFaultKind.TERM: self._restart,
+            SoakFaultKind.HANDOVER: self._restart,
             SoakFaultKind.KILL: self._kill,
             SoakFaultKind.TORN_WRITE: self._torn_write,
             SoakFaultKind.RELOAD: self._reload,
@@ -73,51 +73,53 @@
         }
 
     async def play(self, fault: SoakFault) -> None:
-        """Bring it about, wait, undo it."""
+        """Inject a fault, wait for its length, undo it and record it."""
         begun = self.soak.clock()
         director = self.soak.directors[fault.director]
         try:
-            await self.doing[fault.kind](fault, director)
+            await self.injectors[fault.kind](fault, director)
         finally:
-            self.state.played.spans.append(Span(fault.kind, fault.director, begun, self.soak.clock()))
+            self.state.history.spans.append(Span(fault.kind, fault.director, begun, self.soak.clock()))
 
     # ---- system calls ------------------------------------------------------------------------------------
 
     async def _clock(self, fault: SoakFault, director: SoakDirector) -> None:
         step = STEPS_S[fault.draw % len(STEPS_S)]
-        await self._calls(fault, director, {Field.CLOCK_OFFSET_NS: step * 1_000_000_000})
+        await self._fail_system_calls(fault, director, {Field.CLOCK_OFFSET_NS: step * 1_000_000_000})
 
     async def _accept(self, fault: SoakFault, director: SoakDirector) -> None:
         begun = self.soak.clock()
-        await self._calls(fault, director, {Field.ACCEPT_ERRNO: drawn(fault, ACCEPT_ERRORS)})
-        ended = self.soak.clock() + ACCEPT_AGAIN_US
-        self.soak.records.unaccepted.append(Down(director.number, begun, ended))
+        await self._fail_system_calls(fault, director, {Field.ACCEPT_ERRNO: choose(fault, ACCEPT_ERRORS)})
+        ended = self.soak.clock() + ACCEPT_RETRY_US
+        self.soak.records.unaccepted.append(DirectorOutage(director.number, begun, ended))
 
     async def _socket(self, fault: SoakFault, director: SoakDirector) -> None:
-        await self._calls(fault, director, {Field.SOCKET_ERRNO: drawn(fault, SOCKET_ERRORS)})
+        await self._fail_system_calls(fault, director, {Field.SOCKET_ERRNO: choose(fault, SOCKET_ERRORS)})
 
     async def _connect(self, fault: SoakFault, director: SoakDirector) -> None:
-        await self._calls(fault, director, {Field.CONNECT_ERRNO: drawn(fault, CONNECT_ERRORS)})
+        await self._fail_system_calls(fault, director, {Field.CONNECT_ERRNO: choose(fault, CONNECT_ERRORS)})
 
     async def _transfer(self, fault: SoakFault, director: SoakDirector) -> None:
-        fields = {Field.TRANSFER_BYTES: drawn(fault, (1, 7, 64, 1000))}
+        fields = {Field.TRANSFER_BYTES: choose(fault, (1, 7, 64, 1000))}
         fields[Field.INTERRUPTED] = (0, 5, 30)[fault.draw // 8 % 3]
-        director.crawls = fields[Field.TRANSFER_BYTES] == 1
+        director.transfers_single_bytes = fields[Field.TRANSFER_BYTES] == 1
         try:
-            await self._calls(fault, director, fields)
+            await self._fail_system_calls(fault, director, fields)
         finally:
-            director.crawls = False
+            director.transfers_single_bytes = False
 
     async def _broken(self, fault: SoakFault, director: SoakDirector) -> None:
-        await self._calls(fault, director, {Field.BROKEN_ERRNO: drawn(fault, BROKEN_ERRORS)})
+        await self._fail_system_calls(fault, director, {Field.BROKEN_ERRNO: choose(fault, BROKEN_ERRORS)})
 
     async def _disk(self, fault: SoakFault, director: SoakDirector) -> None:
         begun = self.soak.clock()
         self.state.disk_since[director.number].append(begun)
-        await self._calls(fault, director, {Field.DISK_ERRNO: drawn(fault, DISK_ERRORS)})
+        await self._fail_system_calls(fault, director, {Field.DISK_ERRNO: choose(fault, DISK_ERRORS)})
         self.state.disk_since[director.number].remove(begun)
 
-    async def _calls(self, fault: SoakFault, director: SoakDirector, fields: dict[Field, int]) -> None:
+    async def _fail_system_calls(
+        self, fault: SoakFault, director: SoakDirector, fields: dict[Field, int]
+    ) -> None:
         for name, value in fields.items():
             director.control.set(name, value)
         try:
@@ -138,15 +140,17 @@
             await asyncio.sleep(fault.for_s)
         finally:
             process.signal(signal.SIGCONT)
-            self.soak.records.stopped.append(Down(director.number, begun, self.soak.clock() + 20_000))
+            self.soak.records.stopped.append(
+                DirectorOutage(director.number, begun, self.soak.clock() + 20_000)
+            )
 
-    async def _end(self, fault: SoakFault, director: SoakDirector) -> None:
-        """A planned restart, or where the lab holds the listening socket an upgrade.
+    async def _restart(self, fault: SoakFault, director: SoakDirector) -> None:
+        """Restart the director or, if the lab owns the listening socket, upgrade it to a successor process.
 
-        Clients use their open connections until the process has left, at its SIGKILL at the latest.
+        Clients use their open connections until the process has ended, at its SIGKILL at the latest.
         """
-        signals, kill_after_s = drawn(fault, TERM_SIGNALS), self.soak.plan.kill_after_s
-        async with director.busy:
+        signals, kill_after_s = choose(fault, TERM_SIGNAL_SERIES), self.soak.plan.kill_after_s
+        async with director.lifecycle_lock:
             old = director.process
             if old is None or not director.takes_connections:
                 return
@@ -155,16 +159,16 @@
                 await director.terminate(old, signals, kill_after_s)
                 return
             ending = asyncio.get_running_loop().create_task(director.terminate(old, signals, kill_after_s))
-            await asyncio.sleep(TERM_CONNECTS_S)
+            await asyncio.sleep(CONNECTS_AFTER_TERM_S)
             director.takes_connections = False
             await ending
             await self.soak.start(director)
 
     async def _kill(self, fault: SoakFault, director: SoakDirector) -> None:
-        async with director.busy:
-            await self._killed(director)
+        async with director.lifecycle_lock:
+            await self._kill_and_restart(director)
 
-    async def _killed(self, director: SoakDirector) -> None:
+    async def _kill_and_restart(self, director: SoakDirector) -> None:
         process = director.process
         if process is None:
             return
@@ -172,58 +176,61 @@
         director.takes_connections = False
         process.signal(signal.SIGKILL)
         await process.wait(5.0)
-        await asyncio.sleep(DOWN_S)
+        await asyncio.sleep(RESTART_DELAY_S)
         director.control.set(Field.DISK_ERRNO, 0)
         await self.soak.start(director)
-        self.soak.records.down.append(Down(director.number, begun, self.soak.clock()))
+        self.soak.records.down.append(DirectorOutage(director.number, begun, self.soak.clock()))
 
     async def _torn_write(self, fault: SoakFault, director: SoakDirector) -> None:
-        """Killed in the middle of writing the operators' file: the call gets no yes, so nothing is owed."""
-        async with director.busy:
+        """Kill the director in the middle of writing the operator command file.
+
+        The call is not confirmed, so the director owes nothing for it.
+        """
+        async with director.lifecycle_lock:
             server = self.state.reserve_server(fault, ("box",))
             if server is None:
                 return
             begun = self.soak.clock()
             director.control.set(Field.DISK_ERRNO, KILL_IN_WRITE)
             await director.call("POST", f"/caches/disable/{server.name}", 0.5)
-            await self._killed(director)
-            self.soak.records.down.append(Down(director.number, begun, self.soak.clock()))
-            await self.operators.called(director, f"/caches/enable/{server.name}")
-            self.state.taken.discard(server.name)
+            await self._kill_and_restart(director)
+            self.soak.records.down.append(DirectorOutage(director.number, begun, self.soak.clock()))
+            await self.operators.call_until_ok(director, f"/caches/enable/{server.name}")
+            self.state.reserved.discard(server.name)
 
     async def _reload(self, fault: SoakFault, director: SoakDirector) -> None:
-        async with director.busy:
-            director.feed_at ^= 1
-            director.write(self.soak.told(director))
+        async with director.lifecycle_lock:
+            director.feed_index ^= 1
+            director.write(self.soak.director_configuration(director))
             if director.process is not None:
                 director.process.signal(signal.SIGHUP)
 
     # ---- the feed ----------------------------------------------------------------------------------------
 
     async def _feed_lost(self, fault: SoakFault, director: SoakDirector) -> None:
-        await self._way(fault, director, cut=True)
+        await self._impair_feed(fault, director, cut=True)
 
     async def _feed_slow(self, fault: SoakFault, director: SoakDirector) -> None:
-        await self._way(fault, director, cut=False)
+        await self._impair_feed(fault, director, cut=False)
 
-    async def _way(self, fault: SoakFault, director: SoakDirector, cut: bool) -> None:
-        ways = [relay.way for relay in director.relays]
-        for way in ways:
+    async def _impair_feed(self, fault: SoakFault, director: SoakDirector, cut: bool) -> None:
+        links = [relay.way for relay in director.relays]
+        for link in links:
             if cut:
-                way.cut_there = way.cut_back = True
+                link.cut_there = link.cut_back = True
             else:
-                way.bytes_per_s = float(drawn(fault, (300, 2000, 20_000)))
-            way.changed()
+                link.bytes_per_s = float(choose(fault, (300, 2000, 20_000)))
+            link.changed()
         try:
             await asyncio.sleep(fault.for_s)
         finally:
-            for way in ways:
+            for link in links:
                 if cut:
-                    way.cut_there = way.cut_back = False
+                    link.cut_there = link.cut_back = False
                 else:
-                    way.bytes_per_s = 0.0
-                    _pass_on(way)
-                way.changed()
+                    link.bytes_per_s = 0.0
+                    _release_held_data(link)
+                link.changed()
 
     async def _clients_leave(self, fault: SoakFault, director: SoakDirector) -> None:
         self.soak.clients.leaving.add(director.number)
@@ -231,8 +238,9 @@
         self.soak.clients.leaving.discard(director.number)
 
     async def _crowd(self, fault: SoakFault, director: SoakDirector) -> None:
-        """Many connect and say nothing, again as soon as they are ended, for as long as connections come."""
-        members = [self.soak.persistent(director, Habit.SILENT) for _ in range(CROWD)]
+        """Have many clients connect and send nothing. They reconnect once they are disconnected, while the
+        director takes connections."""
+        members = [self.soak.persistent(director, Habit.SILENT) for _ in range(CROWD_CLIENTS)]
         tasks = [asyncio.get_running_loop().create_task(member.run()) for member in members]
         try:
             await asyncio.sleep(fault.for_s)
@@ -245,8 +253,8 @@
 
     # ---- caches ------------------------------------------------------------------------------------------
 
-    def _list(self, server: SoakServer, state: str) -> int:
-        """Tell all lists; when."""
+    def _publish_state(self, server: SoakServer, state: str) -> int:
+        """Publish a server's state to the feeds of all directors and return the time, in microseconds."""
         for director in self.soak.directors:
             director.feed.list([row_of(server, state)])
         return self.soak.clock()
@@ -254,11 +262,11 @@
     async def _cache_drain(self, fault: SoakFault, director: SoakDirector) -> None:
         if (server := self.state.reserve_server(fault, ("box", "parent"))) is None:
             return
-        told = self._list(server, "DRAINING")
+        published = self._publish_state(server, "DRAINING")
         await asyncio.sleep(fault.for_s)
-        self.state.played.drained.append((server.name, told, self.soak.clock()))
-        self._list(server, "SERVING")
-        self.state.taken.discard(server.name)
+        self.state.history.drained.append((server.name, published, self.soak.clock()))
+        self._publish_state(server, "SERVING")
+        self.state.reserved.discard(server.name)
 
     async def _cache_restart(self, fault: SoakFault, director: SoakDirector) -> None:
         if (server := self.state.reserve_server(fault, ("box", "parent"))) is None:
@@ -268,8 +276,8 @@
         server.cold_start()
         await server.listen()
         began = self.soak.clock()
-        self.state.played.starts.append((server.name, began, self._list(server, "SERVING")))
-        self.state.taken.discard(server.name)
+        self.state.history.starts.append((server.name, began, self._publish_state(server, "SERVING")))
+        self.state.reserved.discard(server.name)
 
     async def _cache_hang(self, fault: SoakFault, director: SoakDirector) -> None:
         if (server := self.state.reserve_server(fault, ("box", "parent"))) is None:
@@ -277,32 +285,32 @@
         server.hang(True)
         await asyncio.sleep(fault.for_s)
         server.hang(False)
-        self.state.taken.discard(server.name)
+        self.state.reserved.discard(server.name)
 
     async def _cache_forget(self, fault: SoakFault, director: SoakDirector) -> None:
         if (server := self.state.reserve_server(fault, ("box", "parent"))) is None:
             return
-        server.end_connections(drawn(fault, tuple(ConnectionLoss)))
+        server.end_connections(choose(fault, tuple(ConnectionLoss)))
         await asyncio.sleep(fault.for_s)
-        self.state.taken.discard(server.name)
+        self.state.reserved.discard(server.name)
 
     async def _purge(self, fault: SoakFault, director: SoakDirector) -> None:
         world, now = self.soak.world, self.soak.clock()
         names = [f"{n:016x}" for n in range(OBJECTS)]
         group = world.group(names[fault.draw % OBJECTS])
         world.truth.purge(group, now)
-        self.state.played.purges.append((group, now))
+        self.state.history.purges.append((group, now))
         for each in self.soak.directors:
             each.feed.purge(group, now)
         purged = {name for name in names if world.group(name) == group}
         rng, loop = random.Random(fault.draw), asyncio.get_running_loop()
         for server in self.soak.servers.values():
-            loop.call_later(rng.uniform(0.5, PURGE_DONE_S), server.store.purge, purged, now)
+            loop.call_later(rng.uniform(0.5, MAX_PURGE_DELAY_S), server.store.purge, purged, now)
 
 
-def _pass_on(way: LinkDirection) -> None:
-    """What a slow way holds back goes on now: else it would stay slow long after it is sound again."""
-    for relay in way.relays:
+def _release_held_data(link: LinkDirection) -> None:
+    """Release the data that a slow link holds back; otherwise it would stay slow long after the fault."""
+    for relay in link.relays:
         for pair in relay.pairs:
             for end in (pair.near, pair.far):
                 end.free_at = 0.0
--- a/onyxwick/lab/soak/clients.py
+++ b/onyxwick/lab/soak/clients.py
@@ -1,4 +1,5 @@
-"""Clients of a soak over FastCGI: they ask, leave, write slowly or in a hurry, and note what they see."""
+"""FastCGI clients of a soak: they send requests, leave early, write slowly or set short timeouts, and record
+what they observe."""
 
 from __future__ import annotations
 
@@ -16,24 +17,24 @@
 CLASSES = {SITE_VIDEO: 0.5, JOB_SHEET: 0.42, BOOKING: 0.08}
 TIMEOUTS_MS = {SITE_VIDEO: (1500, 3000), JOB_SHEET: (800, 1500), BOOKING: (1000, 2000)}
 OBJECTS, PARTS = 60, 3
-REUSE, LEAVES, SLOW, HURRIED, BAD = 0.6, 0.12, 0.06, 0.04, 0.02
-IDLE_MOST_S = 4.0  # the platform's clients close what is idle for so long
-SLOW_PARTS, SLOW_REST_S = 9, (0.02, 0.5)  # pieces of a call at most, and the rest between two of them
-CONNECT_S = 2.0
-CROSSED_US = 50_000
-END_S = 3.5  # after its time a request is waited for so long before it counts as never answered
+REUSE_CHANCE, LEAVE_CHANCE, SLOW_CHANCE, SHORT_TIMEOUT_CHANCE, BAD_CALL_CHANCE = 0.6, 0.12, 0.06, 0.04, 0.02
+MAX_IDLE_S = 4.0  # the platform's clients close connections idle for longer
+MAX_PIECES, PIECE_PAUSE_S = 9, (0.02, 0.5)  # most pieces of a call, and the pause between two of them
+CONNECT_TIMEOUT_S = 2.0
+CROSSING_WINDOW_US = 50_000
+ANSWER_GRACE_S = 3.5  # a request unanswered this long after its timeout counts as never answered
 
 
 class SoakConnection(Connection):
-    """One connection, with what the soak's clients need to know of it."""
+    """One connection with the state that the soak's clients keep of it."""
 
     def __init__(self) -> None:
         super().__init__(reads=True)
         self.asked = 0
-        self.half = False  # a call is being written on it, slowly
+        self.half = False  # a call is being written slowly, or the first call is still to come
         self.used_at = 0.0
         self.closed_us = 0
-        self.calls: dict[str, SoakCall] = {}  # that wait for their answer
+        self.calls: dict[str, SoakCall] = {}  # calls that wait for their answer
         self.clock: Callable[[], int] = lambda: 0
         self.record: ClientConnection | None = None
 
@@ -42,13 +43,13 @@
             self.record.ended_us = self.record.ended_us or self.clock()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Note when; whoever waits learns it."""
+        """Record the time of the loss; the base class notifies the waiting calls."""
         self.closed_us = self.closed_us or self.clock()
         self._ended()
         super().connection_lost(exc)
 
     def eof_received(self) -> bool:
-        """The director has written its end: nothing new may be asked here."""
+        """Mark the connection as closed by the director: no new request may be sent on it."""
         self.closed = True
         self.closed_us = self.closed_us or self.clock()
         self._ended()
@@ -59,7 +60,7 @@
 
 
 class SoakClients:
-    """All clients of one run. `clock`: the lab's, in microseconds."""
+    """All clients of one run. `clock`: the lab's clock, in microseconds."""
 
     def __init__(
         self,
@@ -70,23 +71,23 @@
         deadline_share: float = 1.0,
     ) -> None:
         self.records, self.clock, self.group = records, clock, group
-        self.deadline_share = deadline_share  # of the usual deadlines
+        self.deadline_share = deadline_share  # share of the usual deadlines
         self.random = random.Random(f"soak clients {seed}")
         self.pools: dict[int, list[SoakConnection]] = {}
-        self.leaving: set[int] = set()  # directors whose clients leave early just now
+        self.leaving: set[int] = set()  # directors whose clients leave early at present
         self.twice = 0
 
     async def ask(self, director: int, address: Address, fresh_allowed: bool) -> None:
-        """One request to a director, with its client's habits drawn anew."""
+        """Send one request to a director, with newly drawn client behavior."""
         rng = self.random
-        connection = self._idle(director) if rng.random() < REUSE or not fresh_allowed else None
+        connection = self._idle(director) if rng.random() < REUSE_CHANCE or not fresh_allowed else None
         if connection is None and not fresh_allowed:
             return
         if connection is None:
             connection = await self._connect(director, address)
             if connection is None:
                 return
-        if rng.random() < BAD and connection.transport is not None:
+        if rng.random() < BAD_CALL_CHANCE and connection.transport is not None:
             connection.transport.write(_bad_call())
             connection.asked += 1
         await self._request(director, address, connection)
@@ -95,7 +96,7 @@
         now = asyncio.get_running_loop().time()
         pool = self.pools.setdefault(director, [])
         for connection in list(pool):
-            idle = not connection.half and now - connection.used_at > IDLE_MOST_S
+            idle = not connection.half and now - connection.used_at > MAX_IDLE_S
             if connection.closed or idle:
                 pool.remove(connection)
                 self.twice += connection.twice
@@ -107,23 +108,24 @@
     async def _connect(self, director: int, address: Address) -> SoakConnection | None:
         loop = asyncio.get_running_loop()
         try:
-            async with asyncio.timeout(CONNECT_S):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 _, connection = await loop.create_connection(SoakConnection, *address)
         except (OSError, TimeoutError):
             return None
         connection.clock = self.clock
         connection.record = ClientConnection(director, "ordinary", self.clock())
         self.records.connections.append(connection.record)
-        connection.used_at, connection.half = loop.time(), True  # it is its own client's first
+        # It is reserved for the first call of the client that opened it.
+        connection.used_at, connection.half = loop.time(), True
         self.pools.setdefault(director, []).append(connection)
         if self.random.random() < 0.3:
-            await asyncio.sleep(self.random.uniform(0.01, 0.2))  # it asks a moment after it came
+            await asyncio.sleep(self.random.uniform(0.01, 0.2))  # the request follows after a moment
         return connection
 
     async def _request(self, director: int, address: Address, connection: SoakConnection) -> None:
         rng = self.random
         name = rng.choices(list(CLASSES), list(CLASSES.values()))[0]
-        least, most = (20, 120) if rng.random() < HURRIED else TIMEOUTS_MS[name]
+        least, most = (20, 120) if rng.random() < SHORT_TIMEOUT_CHANCE else TIMEOUTS_MS[name]
         item, part = f"{rng.randrange(OBJECTS):016x}", rng.randrange(PARTS)
         request_id = f"{rng.getrandbits(64):016x}"
         timeout_us = max(20, int(rng.randint(least, most) * self.deadline_share)) * 1000
@@ -140,22 +142,22 @@
         }
         if connection.closed or connection.transport is None:
             return
-        slowly, connection.half = rng.random() < SLOW and not connection.waiting, False
+        slowly, connection.half = rng.random() < SLOW_CHANCE and not connection.waiting, False
         number, future = await self._write(director, connection, params, slowly)
         if future is None:
-            return  # the connection ended under half a call: nothing was asked
+            return  # the connection ended before the call was completely written: it does not count
         connection.asked += 1
         connection.used_at = asyncio.get_running_loop().time()
         call.sent_us = self.clock()
         self.records.calls[call.id] = connection.calls[call.id] = call
         if connection.record is not None:
             connection.record.calls.append(call)
-        if rng.random() < (0.7 if director in self.leaving else LEAVES):
+        if rng.random() < (0.7 if director in self.leaving else LEAVE_CHANCE):
             await self._leave(connection, number, future, call)
             return
         await self._wait(connection, future, call)
         if not (call.answers or call.fresh or call.left_us) and self._crossed(connection, call):
-            await self._again(director, address, params, call)
+            await self._send_again(director, address, params, call)
 
     async def _write(
         self, director: int, connection: SoakConnection, params: dict[str, str], slowly: bool
@@ -168,12 +170,12 @@
         number, future = connection.send(params)
         connection.transport = real
         data = b"".join(pieces)
-        parts = self.random.randint(2, SLOW_PARTS)
+        parts = self.random.randint(2, MAX_PIECES)
         ends = [len(data) * n // parts for n in range(parts + 1)]
         transport.write(data[: ends[1]])
         connection.half = True
         for begin, end in itertools.pairwise(ends[1:]):
-            await asyncio.sleep(self.random.uniform(*SLOW_REST_S))
+            await asyncio.sleep(self.random.uniform(*PIECE_PAUSE_S))
             if connection.closed:
                 self.records.cut.append((director, self.clock()))
                 connection.waiting.pop(number, None)
@@ -186,7 +188,7 @@
     async def _leave(
         self, connection: SoakConnection, number: int, future: asyncio.Future[bytes | None], call: SoakCall
     ) -> None:
-        """Wait for a moment, then cancel or close, unless the answer has come."""
+        """Wait for a moment, then cancel the call or close the connection unless the answer has arrived."""
         await asyncio.wait([future], timeout=self.random.choice((0.0, 0.005, 0.03, 0.15, 0.5)))
         connection.calls.pop(call.id, None)
         if future.done():
@@ -196,7 +198,7 @@
         if self.random.random() < 0.5:
             connection.abort(number)
             return
-        for other in connection.calls.values():  # whoever else asked on it has left too
+        for other in connection.calls.values():  # the other calls on the connection are given up too
             other.left_us = other.left_us or call.left_us
         connection.closed = True
         if connection.transport is not None:
@@ -206,7 +208,7 @@
         self, connection: SoakConnection, future: asyncio.Future[bytes | None], call: SoakCall
     ) -> None:
         connection.calls[call.id] = call
-        await asyncio.wait([future], timeout=call.timeout_us / S + END_S)
+        await asyncio.wait([future], timeout=call.timeout_us / S + ANSWER_GRACE_S)
         connection.calls.pop(call.id, None)
         if future.done():
             self._note(connection, future, call)
@@ -222,13 +224,15 @@
         call.verdict, call.tag = reply.verdict, reply.tag
 
     def _crossed(self, connection: SoakConnection, call: SoakCall) -> bool:
-        """Did it cross the end of a resting connection? Then it is sent again, once."""
-        return connection.closed_us > 0 and connection.closed_us - call.sent_us <= CROSSED_US
+        """Return whether a call crossed the end of an idle connection. It is then sent again, once."""
+        return connection.closed_us > 0 and connection.closed_us - call.sent_us <= CROSSING_WINDOW_US
 
-    async def _again(self, director: int, address: Address, params: dict[str, str], call: SoakCall) -> None:
+    async def _send_again(
+        self, director: int, address: Address, params: dict[str, str], call: SoakCall
+    ) -> None:
         connection = await self._connect(director, address)
         if connection is None or connection.transport is None or connection.closed:
-            call.left_us = call.ended_us  # nobody takes connections there any more
+            call.left_us = call.ended_us  # the director takes no connections any more
             return
         call.again, call.fresh, call.ended_us = True, True, 0
         left = call.sent_us + call.timeout_us - self.clock()
@@ -238,7 +242,7 @@
         await self._wait(connection, future, call)
 
     def close(self) -> None:
-        """End all connections."""
+        """Abort all connections."""
         for pool in self.pools.values():
             for connection in pool:
                 self.twice += connection.twice
@@ -247,14 +251,14 @@
 
 
 class _Recorder:
-    """In a transport's place: keeps what is written."""
+    """A stand-in for a transport that collects the written data."""
 
     def __init__(self, pieces: list[bytes]) -> None:
         self.write = pieces.append
 
 
 def _bad_call() -> bytes:
-    """A call that can be told apart and not used."""
+    """Encode a call that can be parsed but names an unknown class."""
     begin = fastcgi.BEGIN_BODY.pack(fastcgi.RESPONDER, 1)
     pairs = fastcgi.encode_pairs({b"SCRIPT_NAME": b"/call/unheard-of"})
     kind = fastcgi.RecordType
--- a/onyxwick/lab/soak/ground.py
+++ b/onyxwick/lab/soak/ground.py
@@ -1,4 +1,4 @@
-"""What fault actions need of the soak that they run in, and the state that they share. Free of I/O."""
+"""The interface of a soak that fault actions use, and the state that they share. Free of I/O."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from onyxwick.lab.soak.process import SoakDirector
 from onyxwick.lab.soak.report import SoakPlan
 from onyxwick.lab.soak.servers import SoakServer
-from onyxwick.lab.soak.told import Played
+from onyxwick.lab.soak.told import FaultHistory
 
 MAX_FAULTY_SERVERS = 4
-"""Servers with a fault at once."""
+"""The largest number of servers that have a fault at the same time."""
 
 
-class SoakGround(Protocol):
+class SoakEnvironment(Protocol):
     """The directors, servers, clients and records of one soak. Times are microseconds."""
 
     plan: SoakPlan
@@ -31,38 +31,42 @@
     directors: list[SoakDirector]
 
     def clock(self) -> int:
-        """The time now, in Unix microseconds that never jump."""
+        """Return the present time in Unix microseconds, from a clock that never jumps."""
         ...
 
-    def told(self, director: SoakDirector) -> dict[str, Any]:
-        """A director's configuration as the platform writes it."""
+    def director_configuration(self, director: SoakDirector) -> dict[str, Any]:
+        """Return a director's configuration as the platform writes it."""
         ...
 
     async def start(self, director: SoakDirector) -> None:
-        """Start a director, or start it again under its name."""
+        """Start a director, or restart it under the same name."""
         ...
 
     def persistent(self, director: SoakDirector, habit: Habit) -> PersistentClient:
-        """A client that keeps its connection open."""
+        """Return a client that keeps its connection open."""
         ...
 
 
 @dataclass(slots=True)
 class FaultState:
-    """The faults that were played or are under way."""
+    """The faults that have been played or are under way."""
 
     servers: dict[str, SoakServer]
-    played: Played = field(default_factory=Played)
+    history: FaultHistory = field(default_factory=FaultHistory)
     disk_since: dict[int, list[int]] = field(default_factory=lambda: defaultdict(list))
-    """By director: since when each disk fault under way lasts, in microseconds."""
-    taken: set[str] = field(default_factory=set)
-    """Servers that have a fault now."""
+    """By director: the start of each disk fault that is under way, in microseconds."""
+    reserved: set[str] = field(default_factory=set)
+    """The names of the servers that have a fault now."""
 
     def reserve_server(self, fault: SoakFault, kinds: tuple[str, ...]) -> SoakServer | None:
-        """A server without a fault, drawn, or None; the caller removes it from `taken` at the end."""
-        candidates = [s for s in self.servers.values() if s.kind in kinds and s.name not in self.taken]
-        if len(self.taken) >= MAX_FAULTY_SERVERS or not candidates:
+        """Reserve a server without a fault, chosen by the fault's draw; the caller removes it from `reserved`
+        at the end.
+
+        Returns None if no server of these kinds is free or enough servers have a fault already.
+        """
+        candidates = [s for s in self.servers.values() if s.kind in kinds and s.name not in self.reserved]
+        if len(self.reserved) >= MAX_FAULTY_SERVERS or not candidates:
             return None
         server = candidates[fault.draw % len(candidates)]
-        self.taken.add(server.name)
+        self.reserved.add(server.name)
         return server
--- a/onyxwick/lab/soak/model.py
+++ b/onyxwick/lab/soak/model.py
@@ -1,4 +1,4 @@
-"""What a soak writes down, for the oracle to judge. Times are microseconds of the lab's one steady clock."""
+"""The records of a soak, for the oracle. Times are microseconds of the lab's single monotonic clock."""
 
 from __future__ import annotations
 
@@ -9,26 +9,26 @@
 
 @dataclass(slots=True)
 class SoakCall:
-    """One request as its client saw it."""
+    """One request as its client observed it."""
 
     id: str
     class_name: str
     group: int
     director: int
-    sent_us: int  # when its last byte was written
+    sent_us: int  # when the last byte of the request was written
     timeout_us: int
-    fresh: bool  # the first on its connection
-    left_us: int = 0  # when its client cancelled or closed; 0: it waited
-    ended_us: int = 0  # when its answer, or its connection's end, was seen; 0: never
+    fresh: bool  # this is the first request on its connection
+    left_us: int = 0  # when the client cancelled or closed; 0: the client waited
+    ended_us: int = 0  # when the answer or the end of the connection was received; 0: never
     answers: int = 0
     verdict: str = ""
     tag: str = ""
-    again: bool = False  # it was sent a second time, as it had crossed a close
+    again: bool = False  # sent a second time, because the first time it crossed a close of the connection
 
 
 @dataclass(slots=True)
 class ClientConnection:
-    """One connection to a director as its client saw it. `ended_us`: 0 while it is open."""
+    """One connection to a director as its client observed it. `ended_us` is 0 while it is open."""
 
     director: int
     habit: str
@@ -38,8 +38,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DirectorDrained:
-    """The operators drained a director: when they called, and when they called its end."""
+class DirectorDrain:
+    """A drain of a director by the operators: the times of the calls that began and ended it."""
 
     director: int
     called_us: int
@@ -48,30 +48,30 @@
 
 @dataclass(frozen=True, slots=True)
 class SoakTermination:
-    """A director was told to end. `killed`: it still ran at the platform's SIGKILL, at `ended_us`."""
+    """A director was signalled to end. `killed`: it still ran at the platform's SIGKILL, at `ended_us`."""
 
     director: int
     told_us: int
     ended_us: int
     killed: bool
-    successor: bool = False  # another process of it serves meanwhile
+    successor: bool = False  # another process of the same director serves in the meantime
 
 
 @dataclass(frozen=True, slots=True)
 class Sent:
-    """One attempt as the cache, parent or origin saw it that it came to."""
+    """One attempt as observed by the cache, parent or origin that received it."""
 
     at_us: int
     server: str
     request: str
     source: str | None
-    told_us: int  # `w`
+    told_us: int  # the time left that the attempt states, field `w`
     accept_us: int
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
-    """Work that came to a server, by request or fill."""
+class ServerWork:
+    """Work that a server received, by request or fill."""
 
     at_us: int
     server: str
@@ -80,17 +80,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Unready:
-    """A server was not to be sent to by one director (all: -1) from the time it was told on."""
+    """A server that one director (-1: all) must not use after it has been notified, at `told_us`."""
 
     server: str
     director: int
     told_us: int
-    until_us: int  # when it was told that it may be sent to again, or that is no longer known
+    until_us: int  # when the director was notified that the server is usable, or lost that state
 
 
 @dataclass(frozen=True, slots=True)
 class SoakPurge:
-    """A group was purged, and when one director had been told at the latest."""
+    """A purge of a group, and when one director had been notified at the latest."""
 
     group: int
     at_us: int
@@ -99,8 +99,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Started:
-    """A server started cold, and when the directors had been told at the latest."""
+class ColdStart:
+    """A cold start of a server, and when the directors had been notified at the latest."""
 
     server: str
     at_us: int
@@ -108,8 +108,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Down:
-    """A director was killed, and up again."""
+class DirectorOutage:
+    """A time during which a director was killed, stopped or unable to accept."""
 
     director: int
     from_us: int
@@ -118,26 +118,28 @@
 
 @dataclass(slots=True)
 class SoakRecords:
-    """Everything of one run."""
+    """All records of one run."""
 
     calls: dict[str, SoakCall] = field(default_factory=dict)
     sent: list[Sent] = field(default_factory=list)
-    asked: list[Asked] = field(default_factory=list)
-    given: dict[str, list[tuple[str, int, int]]] = field(default_factory=dict)  # request: tag, dated, sent
+    asked: list[ServerWork] = field(default_factory=list)
+    # By request: the tag of each answer sent, the date of the copy and the time of sending.
+    given: dict[str, list[tuple[str, int, int]]] = field(default_factory=dict)
     ran: list[str] = field(default_factory=list)
     unready: list[Unready] = field(default_factory=list)
     purged: list[SoakPurge] = field(default_factory=list)
-    started: list[Started] = field(default_factory=list)
-    down: list[Down] = field(default_factory=list)
+    started: list[ColdStart] = field(default_factory=list)
+    down: list[DirectorOutage] = field(default_factory=list)
     connections: list[ClientConnection] = field(default_factory=list)
-    drained: list[DirectorDrained] = field(default_factory=list)
+    drained: list[DirectorDrain] = field(default_factory=list)
     terminations: list[SoakTermination] = field(default_factory=list)
-    lab_errors: list[str] = field(default_factory=list)  # what the lab's own tasks raised
-    stopped: list[Down] = field(default_factory=list)  # SIGSTOP
-    cut: list[tuple[int, int]] = field(default_factory=list)  # director, when: ended in the middle of a call
-    unaccepted: list[Down] = field(default_factory=list)  # no connection could be accepted
-    late: list[tuple[int, int]] = field(default_factory=list)  # of the lab's own timers: when, by how much
-    counters: dict[str, int] = field(default_factory=dict)  # of all directors, as they printed them
+    lab_errors: list[str] = field(default_factory=list)  # exceptions of the lab's own tasks
+    stopped: list[DirectorOutage] = field(default_factory=list)  # by SIGSTOP
+    # Director and time: it closed a connection in the middle of a call.
+    cut: list[tuple[int, int]] = field(default_factory=list)
+    unaccepted: list[DirectorOutage] = field(default_factory=list)  # the director could accept no connection
+    late: list[tuple[int, int]] = field(default_factory=list)  # time and delay of the lab's own late timers
+    counters: dict[str, int] = field(default_factory=dict)  # sums over all directors, as printed by them
     logged: list[str] = field(default_factory=list)  # violations and errors in the directors' logs
-    ended: list[str] = field(default_factory=list)  # directors that ended wrongly, or were not ready in time
-    met: dict[str, int] = field(default_factory=dict)  # faults of system calls that directors met
+    ended: list[str] = field(default_factory=list)  # messages: a wrong exit, not ready in time, and the like
+    met: dict[str, int] = field(default_factory=dict)  # system call faults that directors met, by name
--- a/onyxwick/lab/soak/persistent.py
+++ b/onyxwick/lab/soak/persistent.py
@@ -1,7 +1,7 @@
-"""Clients that do not help a director to end: they use their connection for as long as it is open.
+"""Clients that do not help a director to shut down: they use their connection for as long as it is open.
 
-Each has a habit and one connection at a time, on which it goes on whatever is answered, and none closes its
-own side before the director has written its end. What they see is written down for the oracle.
+Each has a habit and one connection at a time, which it goes on using whatever the answers are. None closes
+its own side before the director has closed the other. What they observe is recorded for the oracle.
 """
 
 from __future__ import annotations
@@ -15,36 +15,38 @@
 
 from onyxwick.config.address import Address
 from onyxwick.lab.clients import read_reply
-from onyxwick.lab.soak.clients import CLASSES, PARTS
-from onyxwick.lab.soak.clients import OBJECTS as ITEMS
+from onyxwick.lab.soak.clients import CLASSES, OBJECTS, PARTS
 from onyxwick.lab.soak.model import ClientConnection, SoakCall, SoakRecords
 from onyxwick.net import fastcgi
 
-CONNECT_S, RECONNECT_S = 2.0, 0.3
-PIPELINED = 3  # calls at once
-SMALL_WINDOW = 65_536  # bytes of receive buffer of a slow reader
-SLOW_READ, SLOW_BYTES_PER_S = 16_384, 1_000_000
-PIECES, PIECE_S = 8, 0.4
-ENDED_REST_S = 1.0
-"""How long a client keeps its side open after the director has written its end."""
+CONNECT_TIMEOUT_S, RECONNECT_DELAY_S = 2.0, 0.3
+PIPELINED_CALLS = 3  # calls in flight at once
+SMALL_RECEIVE_BUFFER_BYTES = 65_536  # receive buffer of a slow reader
+SLOW_READ_BYTES, SLOW_BYTES_PER_S = 16_384, 1_000_000
+PIECES_PER_CALL, PIECE_INTERVAL_S = 8, 0.4
+CLOSE_DELAY_S = 1.0
+"""How long a client keeps its side open after the director has closed the other."""
 
 
 class Habit(Enum):
     """How a client uses its connection."""
 
-    BUSY = "busy"  # a call every `every_s`, whatever became of the others
+    BUSY = "busy"  # a call every `every_s`, regardless of earlier calls
     PIPELINED = "pipelined"  # several at once, each followed by another as soon as it is answered
-    PIECES = "pieces"  # one answer, then a call written in pieces
-    SLOW_READER = "slow_reader"  # a call every `every_s`, and 1 MB/s read at most
-    RESTING = "resting"  # one answer, then nothing
+    PIECES = "pieces"  # one answered call, then calls written in pieces
+    SLOW_READER = "slow_reader"  # a call every `every_s`, answers read at 1 MB/s at most
+    RESTING = "resting"  # one call, then nothing
     SILENT = "silent"  # nothing at all
     PINGS = "pings"  # a ping every `every_s`
 
 
 class PersistentClient:
-    """One client of one director. `clock`: microseconds; `connects`, `asks`: may it open a connection,
-    or write a call, now?
-    `every_s`: between two calls; `rest_s`: between an answer and the call pipelined in its place."""
+    """One client of one director.
+
+    `clock` returns microseconds; `connects` and `asks` return whether the client may open a connection or
+    write a call now. `every_s` is the time between two calls, `rest_s` the time between an answer and the
+    call that replaces the answered one in the pipeline.
+    """
 
     def __init__(
         self,
@@ -73,20 +75,20 @@
         self.answered = asyncio.Event()
 
     async def run(self) -> None:
-        """Connect, use the connection until it ends, and again, until cancelled."""
+        """Connect, use the connection until it ends and repeat this until cancelled."""
         while True:
             if self.connects():
                 with contextlib.suppress(OSError, TimeoutError):
                     await self._use_one()
-            await asyncio.sleep(RECONNECT_S)
+            await asyncio.sleep(RECONNECT_DELAY_S)
 
     async def _use_one(self) -> None:
         loop = asyncio.get_running_loop()
         with socket.socket() as sock:
             sock.setblocking(False)
             if self.habit is Habit.SLOW_READER:
-                sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_WINDOW)
-            async with asyncio.timeout(CONNECT_S):
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_RECEIVE_BUFFER_BYTES)
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 await loop.sock_connect(sock, self.address)
             record = self.connection = ClientConnection(self.director, self.habit.value, self.clock())
             self.records.connections.append(record)
@@ -96,23 +98,23 @@
             try:
                 await self._read(sock)
             except asyncio.CancelledError:
-                self._leave()
+                self._give_up_waiting()
                 raise
             finally:
                 record.ended_us = record.ended_us or self.clock()
                 asking.cancel()
                 await asyncio.gather(asking, return_exceptions=True)
                 self._settle(record)
-            await asyncio.sleep(ENDED_REST_S)
+            await asyncio.sleep(CLOSE_DELAY_S)
 
-    def _leave(self) -> None:
-        """The run is over: what waits is given up."""
+    def _give_up_waiting(self) -> None:
+        """Mark the waiting calls as given up by the client, at the end of the run."""
         for call in self.waiting.values():
             if call is not None:
                 call.left_us = self.clock()
 
     def _settle(self, record: ClientConnection) -> None:
-        """Its calls without an answer ended with it; the oracle knows which of them crossed the end."""
+        """Mark unanswered calls as ended with their connection; the oracle decides which crossed its end."""
         for call in self.waiting.values():
             if call is not None:
                 call.ended_us = record.ended_us
@@ -130,7 +132,7 @@
                     await self._call(sock)
                     await self.answered.wait()
                     while True:
-                        await self._call(sock, PIECES)
+                        await self._call(sock, PIECES_PER_CALL)
                 case Habit.PIPELINED:
                     await self._pipeline(sock)
                 case _:
@@ -141,24 +143,24 @@
 
     async def _pipeline(self, sock: socket.socket) -> None:
         while True:
-            while len(self.waiting) < PIPELINED:
+            while len(self.waiting) < PIPELINED_CALLS:
                 await self._call(sock)
             self.answered.clear()
             await self.answered.wait()
             await asyncio.sleep(self.rest_s)
 
     async def _call(self, sock: socket.socket, pieces: int = 1) -> None:
-        """Write one call; in pieces it may end with its connection, and was never asked then."""
+        """Write one call. It counts as sent only if its connection lasts until its last piece."""
         while not self.asks():
-            await asyncio.sleep(PIECE_S / 4)
+            await asyncio.sleep(PIECE_INTERVAL_S / 4)
         loop, number = asyncio.get_running_loop(), self._next_number()
         call = None if self.habit is Habit.PINGS else self._draw()
         data = _call_bytes(number, self._params(call))
         for n in range(pieces):
             if n:
-                await asyncio.sleep(PIECE_S)
+                await asyncio.sleep(PIECE_INTERVAL_S)
             if n == pieces - 1:
-                self._asked(number, call)  # its last byte goes out now
+                self._record_asked(number, call)  # the last byte is written now
             await loop.sock_sendall(sock, data[n * len(data) // pieces : (n + 1) * len(data) // pieces])
 
     def _next_number(self) -> int:
@@ -169,7 +171,7 @@
 
     def _draw(self) -> SoakCall:
         name = self.rng.choices(list(CLASSES), list(CLASSES.values()))[0]
-        self.item = f"{self.rng.randrange(ITEMS):016x}"
+        self.item = f"{self.rng.randrange(OBJECTS):016x}"
         request, group = f"{self.rng.getrandbits(64):016x}", self.group(self.item)
         return SoakCall(request, name, group, self.director, 0, self.timeouts_us[name], fresh=False)
 
@@ -185,7 +187,7 @@
             "HTTP_X_BATCH": str(call.group),
         }
 
-    def _asked(self, number: int, call: SoakCall | None) -> None:
+    def _record_asked(self, number: int, call: SoakCall | None) -> None:
         assert self.connection is not None
         self.waiting[number] = call
         if call is not None:
@@ -196,9 +198,9 @@
     # ---- reading -----------------------------------------------------------------------------------------
 
     async def _read(self, sock: socket.socket) -> None:
-        """Until the director's end; OSError where the connection breaks."""
+        """Read until the director closes the connection. Raises OSError if the connection breaks."""
         loop, data, bodies = asyncio.get_running_loop(), bytearray(), dict[int, bytearray]()
-        most = SLOW_READ if self.habit is Habit.SLOW_READER else 262_144
+        most = SLOW_READ_BYTES if self.habit is Habit.SLOW_READER else 262_144
         while more := await loop.sock_recv(sock, most):
             data += more
             self._take(data, bodies)
--- a/onyxwick/lab/soak/plan.py
+++ b/onyxwick/lab/soak/plan.py
@@ -1,8 +1,9 @@
-"""Which faults a soak plays when: drawn whole from one seed, two or three that overlap, no I/O.
+"""Draws the fault schedule of a soak from one seed: two or three faults overlap. Free of I/O.
 
-Each director has episodes of its own, one after the other with a rest between; an episode is a pair of kinds
-that overlap in time, sometimes with a third. Pairs are dealt from a shuffled deck, so that all come up before
-one comes again; `pairs_of` counts what overlapped, so that gaps show.
+Each director has its own episodes, one after the other with a rest between them. An episode is a pair of
+fault kinds that overlap in time, sometimes with a third. Pairs are taken from a shuffled list, so that each
+pair is used once before any is repeated; `overlapping_pairs` counts the pairs that overlapped, which shows
+the missing ones.
 """
 
 from __future__ import annotations
@@ -15,39 +16,39 @@
 from enum import Enum
 from typing import TypeVar
 
-Drawn = TypeVar("Drawn")
+Value = TypeVar("Value")
 
 
 class SoakFaultKind(Enum):
-    """What is done. Those of `FLEET` are done to a cache or the feed of all directors."""
+    """The kinds of faults. Those in `SHARED_KINDS` concern a cache or the feeds of all directors."""
 
-    CLOCK = "clock"  # the wall clock is stepped, and back
+    CLOCK = "clock"  # the wall clock is stepped, and later stepped back
     ACCEPT = "accept"
     SOCKET = "socket"
     CONNECT = "connect"
     TRANSFER = "transfer"  # short reads and writes, EINTR
-    BROKEN = "broken"  # connections to caches and the feed break, with errors of the network
+    BROKEN = "broken"  # connections to caches and the feed break with network errors
     DISK = "disk"
     STOP = "stop"  # SIGSTOP, SIGCONT
     TERM = "term"
     KILL = "kill"
-    TORN_WRITE = "torn_write"  # killed in the middle of a write
-    HANDOVER = "handover"  # a successor on the same listening socket
-    RELOAD = "reload"  # the feed moves, SIGHUP
+    TORN_WRITE = "torn_write"  # SIGKILL in the middle of a write
+    HANDOVER = "handover"  # a successor process takes over the listening socket
+    RELOAD = "reload"  # the configuration names another feed address, then SIGHUP
     DRAIN = "drain"
-    HOLD = "hold"  # the operators leave a cache out
+    HOLD = "hold"  # the operators disable a cache
     FEED_LOST = "feed_lost"
     FEED_SLOW = "feed_slow"
     CLIENTS_LEAVE = "clients_leave"
-    CROWD = "crowd"  # many clients that connect and say nothing
+    CROWD = "crowd"  # many clients connect and send nothing
     CACHE_DRAIN = "cache_drain"
     CACHE_RESTART = "cache_restart"
     CACHE_HANG = "cache_hang"
-    CACHE_FORGET = "cache_forget"  # connections to a cache are closed, reset or forgotten without a word
+    CACHE_FORGET = "cache_forget"  # connections to a cache are closed, reset or silently no longer read
     PURGE = "purge"
 
 
-FLEET = frozenset(
+SHARED_KINDS = frozenset(
     {
         SoakFaultKind.CACHE_DRAIN,
         SoakFaultKind.CACHE_RESTART,
@@ -78,16 +79,17 @@
     SoakFaultKind.CACHE_RESTART: (0.5, 1.5),
     SoakFaultKind.CACHE_HANG: (0.5, 2.0),
 }
-AT_ONCE_S = (0.1, 0.1)  # of kinds that are done in an instant
-STEPS_S = (-3600, -30, -3, 3, 30, 3600)  # of the wall clock
-QUIET_S, REST_S, THIRD = 3.0, (1.0, 4.0), 0.3
-LONG_QUIET_FROM_S, LONG_QUIET = 150.0, 0.5  # a run so long is quiet for this share of it first
-LAST_S = 8.0  # of a run without new faults: what was owed has time to come
+INSTANT_LENGTH_S = (0.1, 0.1)  # length of the kinds that happen in an instant
+STEPS_S = (-3600, -30, -3, 3, 30, 3600)  # steps of the wall clock
+QUIET_S, REST_S, THIRD_FAULT_CHANCE = 3.0, (1.0, 4.0), 0.3
+LONG_RUN_S, LONG_RUN_QUIET_SHARE = 150.0, 0.5
+"""A run of at least this length begins with this share of it without faults."""
+FAULT_FREE_END_S = 8.0  # no fault starts in this last part of a run, so that outstanding answers can arrive
 
 
 @dataclass(frozen=True, slots=True)
 class SoakFault:
-    """One fault. `draw`: a number from which its details are taken, the same in each play."""
+    """One fault. `draw`: a random number that fixes its details, the same in each run of the plan."""
 
     number: int
     kind: SoakFaultKind
@@ -98,40 +100,40 @@
 
     @property
     def until_s(self) -> float:
-        """When it ends."""
+        """The end of the fault, in seconds from the start of the run."""
         return self.at_s + self.for_s
 
 
-def _sound(pair: Iterable[SoakFaultKind]) -> bool:
-    """Can these be played together? Two ends of one process cannot."""
+def _can_overlap(pair: Iterable[SoakFaultKind]) -> bool:
+    """Return whether these kinds can overlap: at most one of them may end the process."""
     return sum(kind in ENDS_PROCESS for kind in pair) <= 1
 
 
-def _deck(rng: random.Random) -> Iterator[tuple[SoakFaultKind, SoakFaultKind]]:
-    pairs = [pair for pair in itertools.combinations(SoakFaultKind, 2) if _sound(pair)]
+def _shuffled_pairs(rng: random.Random) -> Iterator[tuple[SoakFaultKind, SoakFaultKind]]:
+    pairs = [pair for pair in itertools.combinations(SoakFaultKind, 2) if _can_overlap(pair)]
     while True:
         rng.shuffle(pairs)
         yield from pairs
 
 
-def draw(seed: int, directors: int, duration_s: float) -> list[SoakFault]:
-    """All faults of a run in order of time."""
+def draw_faults(seed: int, directors: int, duration_s: float) -> list[SoakFault]:
+    """Return all faults of a run in order of time."""
     rng, out = random.Random(f"soak {seed}"), list[SoakFault]()
-    deck, numbers = _deck(rng), itertools.count(1)
-    quiet = duration_s * LONG_QUIET if duration_s >= LONG_QUIET_FROM_S else QUIET_S
+    pairs, numbers = _shuffled_pairs(rng), itertools.count(1)
+    quiet = duration_s * LONG_RUN_QUIET_SHARE if duration_s >= LONG_RUN_S else QUIET_S
     ready = [quiet + rng.uniform(*REST_S) for _ in range(directors)]
-    while min(ready) < duration_s - LAST_S:
+    while min(ready) < duration_s - FAULT_FREE_END_S:
         director = ready.index(min(ready))
-        at, kinds = ready[director], list(next(deck))
+        at, kinds = ready[director], list(next(pairs))
         rng.shuffle(kinds)
-        if rng.random() < THIRD:
+        if rng.random() < THIRD_FAULT_CHANCE:
             third = rng.choice(
-                [kind for kind in SoakFaultKind if kind not in kinds and _sound((*kinds, kind))]
+                [kind for kind in SoakFaultKind if kind not in kinds and _can_overlap((*kinds, kind))]
             )
             kinds.insert(0, third)
         end = at
         for n, kind in enumerate(kinds):
-            length = rng.uniform(*LENGTHS_S.get(kind, AT_ONCE_S))
+            length = rng.uniform(*LENGTHS_S.get(kind, INSTANT_LENGTH_S))
             begin = at if n == 0 else rng.uniform(at, max(at + 0.05, min(end, at + 1.0)))
             out.append(SoakFault(next(numbers), kind, director, begin, length, rng.getrandbits(32)))
             end = max(end, begin + length)
@@ -140,13 +142,16 @@
 
 
 def overlap(one: SoakFault, other: SoakFault) -> bool:
-    """Do two faults meet at one director? What is done in an instant works on for a moment."""
+    """Return whether two faults overlap at one director.
+
+    Each counts as 0.5 s longer than it is, because the effects of an instant fault last for a moment.
+    """
     near = one.at_s < other.until_s + 0.5 and other.at_s < one.until_s + 0.5
-    return near and (one.director == other.director or one.kind in FLEET or other.kind in FLEET)
+    return near and (one.director == other.director or one.kind in SHARED_KINDS or other.kind in SHARED_KINDS)
 
 
-def pairs_of(faults: Iterable[SoakFault]) -> Counter[tuple[str, str]]:
-    """How often each pair of kinds overlapped."""
+def overlapping_pairs(faults: Iterable[SoakFault]) -> Counter[tuple[str, str]]:
+    """Return how often each pair of kinds overlapped."""
     out: Counter[tuple[str, str]] = Counter()
     for one, other in itertools.combinations(sorted(faults, key=lambda fault: fault.at_s), 2):
         if one.kind is not other.kind and overlap(one, other):
@@ -155,16 +160,16 @@
     return out
 
 
-def gaps(pairs: Counter[tuple[str, str]]) -> list[tuple[str, str]]:
-    """Pairs that could be played and were not."""
+def missing_pairs(pairs: Counter[tuple[str, str]]) -> list[tuple[str, str]]:
+    """Return the pairs that can be played and were not."""
     all_pairs = (
         tuple(sorted(k.value for k in pair))
         for pair in itertools.combinations(SoakFaultKind, 2)
-        if _sound(pair)
+        if _can_overlap(pair)
     )
     return [(a, b) for a, b in all_pairs if (a, b) not in pairs]
 
 
-def drawn(fault: SoakFault, values: tuple[Drawn, ...]) -> Drawn:
-    """One of some values, by the fault's own number."""
+def choose(fault: SoakFault, values: tuple[Value, ...]) -> Value:
+    """Return one of the values, chosen by the fault's draw."""
     return values[fault.draw % len(values)]
--- a/onyxwick/lab/soak/process.py
+++ b/onyxwick/lab/soak/process.py
@@ -1,4 +1,4 @@
-"""One director of a soak over all its processes: started with the shim, asked, signalled, upgraded, ended."""
+"""One director of a soak and its processes: starts them with the shim, calls, signals and ends them."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 from onyxwick.net import fastcgi
 from onyxwick.net.listening import ACCEPT_BACKLOG
 
-READY_S, END_S, PING_S = 10.0, 10.0, 1.0
-NOTABLE = ('"event":"invariant violated"', "Traceback", '"level":"critical"', "error in ")
-MOST_LOGGED = 200
+READY_TIMEOUT_S, EXIT_TIMEOUT_S, PING_TIMEOUT_S = 10.0, 10.0, 1.0
+REPORTED_MARKS = ('"event":"invariant violated"', "Traceback", '"level":"critical"', "error in ")
+MAX_REPORTED_LINES = 200
 
 
 class Process:
-    """One process of a director: its log is read line by line, its counters as it ends."""
+    """One process of a director. Its log is read line by line, its counters as it prints them at the end."""
 
     def __init__(self, name: str, folder: Path, records: SoakRecords, tree: Path | None) -> None:
         self.name, self.records, self.tree = name, records, tree
@@ -37,7 +37,7 @@
         self.reading: list[asyncio.Task[None]] = []
 
     async def start(self, environment: dict[str, str], pass_fd: int | None) -> None:
-        """Start it; RuntimeError where it cannot be."""
+        """Start the process with this environment and, if given, a listening socket's descriptor."""
         self.child = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -60,7 +60,10 @@
             while line := await stream.readline():
                 log.write(line)
                 text = line.decode(errors="replace")
-                if any(mark in text for mark in NOTABLE) and len(self.records.logged) < MOST_LOGGED:
+                if (
+                    any(mark in text for mark in REPORTED_MARKS)
+                    and len(self.records.logged) < MAX_REPORTED_LINES
+                ):
                     self.records.logged.append(f"{self.name}: {text.strip()}")
 
     async def _read_counters(self, stream: asyncio.StreamReader) -> None:
@@ -70,17 +73,17 @@
                 self.records.counters[name] = self.records.counters.get(name, 0) + int(count)
 
     @property
-    def runs(self) -> bool:
-        """Has it been started, and not ended?"""
+    def is_running(self) -> bool:
+        """Whether the process has been started and has not ended."""
         return self.child is not None and self.child.returncode is None
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal, if it runs."""
-        if self.runs and self.child is not None:
+        """Send a signal if the process is running."""
+        if self.is_running and self.child is not None:
             self.child.send_signal(number)
 
     async def wait(self, most_s: float) -> int | None:
-        """Its exit code; None where it does not end in time."""
+        """Wait for the end of the process and return its exit code; None if it does not end in time."""
         assert self.child is not None
         try:
             async with asyncio.timeout(most_s):
@@ -92,9 +95,9 @@
 
 
 class SoakDirector:
-    """A director under one name. `held`: the listening socket is the lab's, and successors take it over."""
+    """A director under one name. `held`: the lab owns the listening socket, which successors take over."""
 
-    tree: Path | None = None  # of another revision, whose program is run
+    tree: Path | None = None  # source tree of another revision, whose program is run
 
     def __init__(
         self, number: int, base: str, folder: Path, held: bool, records: SoakRecords, clock: Callable[[], int]
@@ -106,18 +109,19 @@
         self.folder.mkdir()
         self.feeds: list[Address] = [(f"{base}.8.{number + 1}", port) for port in (7070, 7071)]
         self.relays: list[LinkRelay] = []
-        self.feed_at = 0  # which of its two addresses the configuration names
+        self.feed_index = 0  # index of the feed address that the configuration names
         self.coordinator: CoordinatorEmulator
         self.feed: Feed
         self.control: Control
         self.process: Process | None = None
         self.starts = 0
-        self.takes_connections = False  # new ones come; open ones are used for as long as they are open
-        self.crawls = False  # its calls move a byte each: the ordinary clients are all that it can bear
-        self.busy = asyncio.Lock()  # one end or start at a time
-        self.held = self._hold() if held else None
+        self.takes_connections = False  # clients may open new ones; open ones are used until they end
+        # While each transfer moves a single byte, more than the ordinary clients would overload the director.
+        self.transfers_single_bytes = False
+        self.lifecycle_lock = asyncio.Lock()  # serializes restarts, drains and reloads
+        self.held = self._listen() if held else None
 
-    def _hold(self) -> socket.socket:
+    def _listen(self) -> socket.socket:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.bind(self.listen)
@@ -126,22 +130,22 @@
 
     @property
     def config(self) -> Path:
-        """Its configuration file."""
+        """The path of the configuration file."""
         return self.folder / "config.json"
 
     @property
     def admin(self) -> Address:
-        """The operators' address of its newest process."""
+        """The operator address of the newest process."""
         return self.admins[self.starts % 2]
 
-    def write(self, told: dict[str, Any]) -> None:
-        """Write its configuration, whole."""
+    def write(self, configuration: dict[str, Any]) -> None:
+        """Write the configuration file atomically."""
         draft = self.folder / "config.draft"
-        draft.write_text(json.dumps(told))
+        draft.write_text(json.dumps(configuration))
         os.replace(draft, self.config)
 
     async def start(self, shim: dict[str, str]) -> Process:
-        """A process more, once it is ready; a late start is noted."""
+        """Start another process and return it when ready. A late or failed start goes into the records."""
         self.starts += 1
         environment = {**os.environ, **shim, "RELAY_CONFIG": str(self.config), "TMPDIR": str(self.folder)}
         environment |= {
@@ -155,19 +159,21 @@
         await process.start(environment, fd)
         begun = asyncio.get_running_loop().time()
         while not await self._ready(process):
-            if not process.runs or asyncio.get_running_loop().time() - begun > READY_S:
+            if not process.is_running or asyncio.get_running_loop().time() - begun > READY_TIMEOUT_S:
                 code = process.child.returncode if process.child is not None else None
-                self.records.ended.append(f"{process.name} was not ready in {READY_S} s (exit {code})")
+                self.records.ended.append(
+                    f"{process.name} was not ready in {READY_TIMEOUT_S} s (exit {code})"
+                )
                 break
             await asyncio.sleep(0.05)
-        self.process, self.takes_connections = process, process.runs
+        self.process, self.takes_connections = process, process.is_running
         return process
 
     async def _ready(self, process: Process) -> bool:
         if self.held is not None:
             return await self.call("GET", "/ready", 0.5) == 200
         with contextlib.suppress(OSError, TimeoutError):
-            async with asyncio.timeout(PING_S):
+            async with asyncio.timeout(PING_TIMEOUT_S):
                 reader, writer = await asyncio.open_connection(*self.listen)
                 writer.write(_ping())
                 data = await reader.read(4096)
@@ -176,7 +182,7 @@
         return False
 
     async def call(self, method: str, path: str, most_s: float = 1.0) -> int:
-        """A call of the operators'; its status, 0 where there was no answer in time."""
+        """Make an operator call and return its HTTP status; 0 if there was no answer in time."""
         with contextlib.suppress(OSError, TimeoutError, ValueError, IndexError):
             async with asyncio.timeout(most_s):
                 reader, writer = await asyncio.open_connection(*self.admin)
@@ -187,37 +193,37 @@
         return 0
 
     async def term(self, process: Process) -> None:
-        """SIGTERM, and its clean end."""
+        """End a process with SIGTERM. If it does not exit with 0 in time, record this and send SIGKILL."""
         process.signal(signal.SIGTERM)
-        code = await process.wait(END_S)
+        code = await process.wait(EXIT_TIMEOUT_S)
         if code != 0:
             self.records.ended.append(f"{process.name} ended with {code} after SIGTERM")
             process.signal(signal.SIGKILL)
-            await process.wait(END_S)
+            await process.wait(EXIT_TIMEOUT_S)
 
     async def terminate(
         self, process: Process, signals: Sequence[signal.Signals], kill_after_s: float
     ) -> bool:
-        """A series of signals with SIGTERM in it, and SIGKILL as early as the platform sends it.
+        """Send a series of signals that includes SIGTERM, then SIGKILL as early as the platform sends it.
 
-        Its exit, or its kill, is written down; True where it had to be killed.
+        The exit or the kill goes into the records. Returns True if the process had to be killed.
         """
-        told = self.clock()
+        signalled = self.clock()
         for number in signals:
             process.signal(number)
         code = await process.wait(kill_after_s)
         ended = self.clock()
         if code is None:
             process.signal(signal.SIGKILL)
-            await process.wait(END_S)
+            await process.wait(EXIT_TIMEOUT_S)
         elif code != 0:
             self.records.ended.append(f"{process.name} ended with {code} after SIGTERM")
-        end = SoakTermination(self.number, told, ended, code is None, self.held is not None)
+        end = SoakTermination(self.number, signalled, ended, code is None, self.held is not None)
         self.records.terminations.append(end)
         return code is None
 
     def close(self) -> None:
-        """Give the sockets back."""
+        """Close the listening socket if the lab owns it."""
         if self.held is not None:
             self.held.close()
 
--- a/onyxwick/lab/soak/report.py
+++ b/onyxwick/lab/soak/report.py
@@ -1,4 +1,4 @@
-"""What one soak plays, and what came of it."""
+"""The plan of one soak and the report of its run."""
 
 from __future__ import annotations
 
@@ -9,53 +9,54 @@
 
 from onyxwick.lab.soak.oracle import Finding
 from onyxwick.lab.soak.persistent import Habit
-from onyxwick.lab.soak.plan import SoakFault, draw, gaps
+from onyxwick.lab.soak.plan import SoakFault, draw_faults, missing_pairs
 from onyxwick.lab.soak.surroundings import DEADLINES_US
 
 S = 1_000_000
-LONGEST_S, KILL_S = 3.0, 0.7
-"""SIGKILL comes the longest deadline, counted as so long at most, and so long more after SIGTERM."""
-SHORT_DEADLINES, SHORT_SEEDS = 0.27, 3
-"""Of the usual deadlines, in each so many-th seed's run: SIGKILL comes soon there."""
+MAX_COUNTED_DEADLINE_S, KILL_MARGIN_S = 3.0, 0.7
+"""The platform sends SIGKILL after SIGTERM by the longest deadline, of which at most the first value counts,
+plus the second value."""
+SHORT_DEADLINE_SHARE, SHORT_DEADLINE_EVERY = 0.27, 3
+"""In every third seed's run deadlines are this share of the usual ones, so that SIGKILL comes early."""
 
 
 @dataclass(frozen=True, slots=True)
 class SoakPlan:
-    """What is played. `only`: numbers of the faults that are kept, as the shrinker does; None: all."""
+    """The parameters of one run. `only`: numbers of the faults to play, as set by the shrinker; None: all."""
 
     seed: int
     directors: int
     seconds: float
     only: tuple[int, ...] | None = None
-    tree: Path | None = None  # of another revision, whose program is run
-    scripted: tuple[SoakFault, ...] | None = None  # in place of what the seed draws
-    habits: tuple[Habit, ...] | None = None  # of each director's persistent clients; None: drawn
-    deadline_share: float | None = None  # of the usual deadlines; None: by the seed
-    answer_bytes: int = 2000  # of the largest class's answers
-    held: bool | None = None  # are the listening sockets the lab's? None: each third one
+    tree: Path | None = None  # source tree of another revision, whose program is run
+    scripted: tuple[SoakFault, ...] | None = None  # faults that replace those drawn from the seed
+    habits: tuple[Habit, ...] | None = None  # habits of each director's persistent clients; None: drawn
+    deadline_share: float | None = None  # share of the usual deadlines; None: chosen by the seed
+    answer_bytes: int = 2000  # answer size of the class with the largest answers
+    held: bool | None = None  # the lab owns the listening sockets; None: those of every third director
 
     @property
     def deadlines_us(self) -> dict[str, int]:
-        """By class."""
+        """The deadlines by class, in microseconds."""
         share = self.deadline_share
         if share is None:
-            share = SHORT_DEADLINES if self.seed % SHORT_SEEDS == 0 else 1.0
+            share = SHORT_DEADLINE_SHARE if self.seed % SHORT_DEADLINE_EVERY == 0 else 1.0
         return {name: int(deadline * share) for name, deadline in DEADLINES_US.items()}
 
     @property
     def kill_after_s(self) -> float:
-        """From SIGTERM to the earliest SIGKILL of the platform."""
-        return min(LONGEST_S, max(self.deadlines_us.values()) / S) + KILL_S
+        """The time from SIGTERM to the earliest SIGKILL of the platform, in seconds."""
+        return min(MAX_COUNTED_DEADLINE_S, max(self.deadlines_us.values()) / S) + KILL_MARGIN_S
 
     def faults(self) -> list[SoakFault]:
-        """The faults in order of time."""
+        """Return the faults in order of time."""
         if self.scripted is not None:
             return list(self.scripted)
-        drawn = draw(self.seed, self.directors, self.seconds)
+        drawn = draw_faults(self.seed, self.directors, self.seconds)
         return [fault for fault in drawn if self.only is None or fault.number in self.only]
 
-    def line(self) -> str:
-        """What plays it again."""
+    def command_line(self) -> str:
+        """Return the command line that runs this plan again."""
         only = "" if self.only is None else f" --only {','.join(map(str, self.only)) or '0'}"
         head = f"onyxwick lab faults soak --seed {self.seed} --directors {self.directors}"
         tree = "" if self.tree is None else f" --program {self.tree}"
@@ -64,7 +65,7 @@
 
 @dataclass(slots=True)
 class SoakReport:
-    """What came of one run."""
+    """The results of one run."""
 
     plan: SoakPlan
     calls: int
@@ -79,7 +80,7 @@
     kept: Path | None = None
 
     def data(self) -> dict[str, Any]:
-        """As JSON."""
+        """Return the report as a JSON object."""
         return {
             "seed": self.plan.seed,
             "directors": self.plan.directors,
@@ -90,11 +91,11 @@
             "faults": dict(self.faults),
             "calls_failed_by_shim": self.met,
             "pairs_played": len(self.pairs),
-            "pairs_missing": len(gaps(self.pairs)),
+            "pairs_missing": len(missing_pairs(self.pairs)),
             "lab_late_ms": round(self.lab_late_ms, 1),
             "judged": self.judged,
             "broken": dict(Counter(finding.rule for finding in self.findings)),
             "findings": [asdict(finding) for finding in self.findings[:40]],
-            "again": self.plan.line(),
+            "again": self.plan.command_line(),
             "kept": None if self.kept is None else str(self.kept),
         }
--- a/onyxwick/lab/soak/run.py
+++ b/onyxwick/lab/soak/run.py
@@ -1,4 +1,4 @@
-"""One soak: the ground is laid, directors start, clients ask, faults overlap; then the oracle judges."""
+"""One soak: starts servers, directors and clients, plays overlapping faults, then has the oracle judge."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from onyxwick.lab.soak.model import SITE_VIDEO, SoakRecords
 from onyxwick.lab.soak.oracle import Oracle
 from onyxwick.lab.soak.persistent import Habit, PersistentClient
-from onyxwick.lab.soak.plan import SoakFault, pairs_of
+from onyxwick.lab.soak.plan import SoakFault, overlapping_pairs
 from onyxwick.lab.soak.process import SoakDirector
 from onyxwick.lab.soak.report import SoakPlan, SoakReport
 from onyxwick.lab.soak.servers import SoakServer
@@ -34,34 +34,34 @@
 
 S = 1_000_000
 GROUPS = 16
-RATE_PER_S = 5.0  # requests of each director's clients
-SETTLE_S, TIMER_S, LAST_S = 1.0, 0.01, 5.0
-HELD = 3  # each third director's listening socket is the lab's
-STARTS_AT_ONCE = 6
-TOO_LATE_US = 400_000  # of the lab's own timers: past it a run says nothing of the service
+REQUESTS_PER_S = 5.0  # arrival rate of the ordinary clients' requests, for each director
+START_SETTLE_S, TIMER_PERIOD_S, FINAL_WAIT_S = 1.0, 0.01, 5.0
+LAB_SOCKET_EVERY = 3  # the lab owns the listening socket of every third director
+MAX_CONCURRENT_STARTS = 6
+MAX_LAB_DELAY_US = 400_000  # if the lab's own timers are later than this, a run cannot judge the service
 
 
-PERSISTENT = 2  # of each director's clients, that use a connection for as long as it is open
+PERSISTENT_CLIENTS = 2  # for each director; they use a connection for as long as it is open
 PERSISTENT_EVERY_S, PERSISTENT_REST_S = (0.1, 0.15, 0.4), 0.1
-"""Of drawn clients, which ask nothing while a director's transfers move a byte a call: with five calls a
-second alone answers take up to 0.9 s then."""
+"""For clients of drawn plans. They send nothing while a director's transfers move one byte each: even at five
+calls a second, answers take up to 0.9 s then."""
 SCRIPTED_EVERY_S = (0.04, 0.15)
 DRAWN_HABITS = tuple(Habit)
 
 
 class SoakClock:
-    """Unix microseconds that never jump."""
+    """A clock of Unix microseconds that never jumps."""
 
     def __init__(self) -> None:
         self.base = time.time_ns() // 1000 - time.monotonic_ns() // 1000
 
     def __call__(self) -> int:
-        """The time now."""
+        """Return the present time."""
         return self.base + time.monotonic_ns() // 1000
 
 
 class Soak:
-    """One run on loopback; `slot` keeps apart what runs at once."""
+    """One run on loopback addresses; concurrent runs need different values of `slot`."""
 
     def __init__(self, plan: SoakPlan, slot: int = 0, keep: Path | None = None) -> None:
         self.plan, self.keep, self.base = plan, keep, f"127.{160 + slot}"
@@ -75,16 +75,16 @@
         self.clients = SoakClients(self.records, self.clock, plan.seed, self.world.group, share)
         self.servers: dict[str, SoakServer] = {}
         self.directors: list[SoakDirector] = []
-        self.acts = SoakActions(self)
+        self.actions = SoakActions(self)
         self.library = build(self.folder)
-        self.starting = asyncio.Semaphore(STARTS_AT_ONCE)
+        self.starting = asyncio.Semaphore(MAX_CONCURRENT_STARTS)
 
     async def play(self) -> SoakReport:
-        """Play and judge it; everything that was started ends with it."""
+        """Run the plan, end everything that was started and return the judged report."""
         side: list[asyncio.Task[Any]] = []
         faults = self.plan.faults()
         try:
-            await self._lay()
+            await self._set_up()
             loop = asyncio.get_running_loop()
             side.append(loop.create_task(self._watch_clock()))
             begun = loop.time()
@@ -93,32 +93,32 @@
             played = [loop.create_task(self._fault(fault, begun)) for fault in faults]
             side += played
             await asyncio.sleep(self.plan.seconds)
-            await asyncio.wait(played, timeout=LAST_S) if played else None
+            await asyncio.wait(played, timeout=FINAL_WAIT_S) if played else None
             for task in side[1:]:
                 if task.done() and not task.cancelled() and (error := task.exception()):
                     raise error
             for task in side[1:]:
                 task.cancel()
-            await asyncio.sleep(LAST_S)  # what was asked last has its time
+            await asyncio.sleep(FINAL_WAIT_S)  # time for the last requests to be answered
         finally:
             for task in side:
                 task.cancel()
             await asyncio.gather(*side, return_exceptions=True)
-            await self._end()
+            await self._shut_down()
         return self._report(faults)
 
-    # ---- the ground --------------------------------------------------------------------------------------
+    # ---- set-up ------------------------------------------------------------------------------------------
 
-    async def _lay(self) -> None:
+    async def _set_up(self) -> None:
         for kind, tier in TIERS.items():
             for n in range(tier.count):
-                await self._server(f"{kind}-{n}" if kind != "origin" else "origin", kind, n)
+                await self._add_server(f"{kind}-{n}" if kind != "origin" else "origin", kind, n)
         for number in range(self.plan.directors):
-            await self._director(number)
+            await self._add_director(number)
         await asyncio.gather(*(self.start(director) for director in self.directors))
-        await asyncio.sleep(SETTLE_S)
+        await asyncio.sleep(START_SETTLE_S)
 
-    async def _server(self, name: str, kind: str, n: int) -> None:
+    async def _add_server(self, name: str, kind: str, n: int) -> None:
         net = {"box": 2, "parent": 3, "origin": 4}[kind]
         zone = "depot-1" if kind == "box" else "hub"
         address = (f"{self.base}.{net}.{n + 1}", 5050)
@@ -126,8 +126,12 @@
         self.servers[name] = self.world.machines[name] = made
         await made.listen()
 
-    async def _director(self, number: int) -> None:
-        held = self.plan.held if self.plan.held is not None else number % HELD == HELD - 1
+    async def _add_director(self, number: int) -> None:
+        held = (
+            self.plan.held
+            if self.plan.held is not None
+            else number % LAB_SOCKET_EVERY == LAB_SOCKET_EVERY - 1
+        )
         director = SoakDirector(number, self.base, self.folder, held, self.records, self.clock)
         director.tree = self.plan.tree
         director.control = Control(self.folder / f"{director.name}.control")
@@ -142,36 +146,36 @@
         director.feed.begun()
         self.directors.append(director)
 
-    def told(self, director: SoakDirector) -> dict[str, Any]:
-        """A director's configuration as the platform writes it."""
+    def director_configuration(self, director: SoakDirector) -> dict[str, Any]:
+        """Return a director's configuration as the platform writes it."""
         here = self.plan.directors
         place = PlatformLayout(directors_here=here, directors=here)
         made = configuration(
             director.name,
             self.plan.seed * 1000 + director.number,
             director.listen,
-            director.feeds[director.feed_at],
+            director.feeds[director.feed_index],
             director.feed.known(),
             {**settings(self.scenario, place), "self_index": director.number},
         )
-        return {**made, "coordinator": format_address(director.feeds[director.feed_at])}
+        return {**made, "coordinator": format_address(director.feeds[director.feed_index])}
 
     async def start(self, director: SoakDirector) -> None:
-        """For the first time, or again under its name."""
+        """Write a director's configuration and start it, for the first time or again under the same name."""
         async with self.starting:
-            director.write(self.told(director))
+            director.write(self.director_configuration(director))
             await director.start(director.control.environment(self.library, director.folder))
 
     # ---- load --------------------------------------------------------------------------------------------
 
     async def _load(self, director: SoakDirector, begun: float) -> None:
-        """Open loop: each arrival at its time, whatever became of the others."""
+        """Send requests in an open loop: each arrives at its time, regardless of earlier ones."""
         rng = random.Random(f"soak load {self.plan.seed} {director.number}")
         loop, tasks = asyncio.get_running_loop(), set[asyncio.Task[None]]()
         due = begun
         while due < begun + self.plan.seconds:
             burst = 6.0 if director.number in self.clients.leaving else 1.0
-            due += rng.expovariate(RATE_PER_S * burst)
+            due += rng.expovariate(REQUESTS_PER_S * burst)
             await asyncio.sleep(max(0.0, due - loop.time()))
             takes = director.takes_connections
             task = loop.create_task(self.clients.ask(director.number, director.listen, takes))
@@ -182,7 +186,7 @@
             await asyncio.wait(tasks)
 
     def _note_error(self, task: asyncio.Task[Any]) -> None:
-        """What a task of the lab raises fails the run: its clients saw less than they should have."""
+        """Record an exception of a lab task. It fails the run: the clients observed less than they should."""
         if not task.cancelled() and (error := task.exception()) is not None:
             self.records.lab_errors.append("".join(traceback.format_exception(error))[-600:])
 
@@ -191,13 +195,15 @@
         out = []
         for director in self.directors:
             habits = (
-                self.plan.habits if self.plan.habits is not None else rng.sample(DRAWN_HABITS, PERSISTENT)
+                self.plan.habits
+                if self.plan.habits is not None
+                else rng.sample(DRAWN_HABITS, PERSISTENT_CLIENTS)
             )
             out += [self.persistent(director, habit) for habit in habits]
         return out
 
     def persistent(self, director: SoakDirector, habit: Habit) -> PersistentClient:
-        """A client that uses its connection to this director for as long as it is open."""
+        """Return a client that uses its connection to this director for as long as it is open."""
         rng, drawn = random.Random(self.random.getrandbits(64)), self.plan.scripted is None
         every_s = rng.choice(PERSISTENT_EVERY_S if drawn else SCRIPTED_EVERY_S)
         rest_s = PERSISTENT_REST_S if drawn else 0.0
@@ -213,31 +219,31 @@
             every_s,
             rest_s,
             lambda: director.takes_connections,
-            lambda: not director.crawls,
+            lambda: not director.transfers_single_bytes,
         )
 
     async def _fault(self, fault: SoakFault, begun: float) -> None:
         await asyncio.sleep(max(0.0, begun + fault.at_s - asyncio.get_running_loop().time()))
-        await self.acts.play(fault)
+        await self.actions.play(fault)
 
     async def _watch_clock(self) -> None:
-        """How late the lab's own timers are."""
+        """Record the delays of the lab's own timers that exceed 2 ms."""
         loop = asyncio.get_running_loop()
         while True:
-            due = loop.time() + TIMER_S
-            await asyncio.sleep(TIMER_S)
+            due = loop.time() + TIMER_PERIOD_S
+            await asyncio.sleep(TIMER_PERIOD_S)
             late = int((loop.time() - due) * S)
             if late > 2_000:
                 self.records.late.append((self.clock(), late))
 
     # ---- the end -----------------------------------------------------------------------------------------
 
-    async def _end(self) -> None:
+    async def _shut_down(self) -> None:
         for director in self.directors:
             director.control.clear()
             if director.process is not None:
                 director.process.signal(signal.SIGCONT)
-        await asyncio.gather(*(self._end_one(director) for director in self.directors))
+        await asyncio.gather(*(self._end_director(director) for director in self.directors))
         self.clients.close()
         for director in self.directors:
             for relay in director.relays:
@@ -250,20 +256,22 @@
         for server in self.servers.values():
             await server.die()
 
-    async def _end_one(self, director: SoakDirector) -> None:
+    async def _end_director(self, director: SoakDirector) -> None:
         process = director.process
         if process is None:
             return
-        if process.runs:
+        if process.is_running:
             await director.term(process)
         elif process.child is not None and process.child.returncode:
-            self.records.ended.append(f"{process.name} had ended with {process.child.returncode}")
+            self.records.ended.append(
+                f"{process.name} had ended before the shutdown with exit code {process.child.returncode}"
+            )
 
     def _report(self, faults: list[SoakFault]) -> SoakReport:
         records = self.records
-        self.acts.state.played.settle(self.records, len(self.directors))
+        self.actions.state.history.record_notifications(self.records, len(self.directors))
         if self.clients.twice:
-            records.ended.append(f"{self.clients.twice} answers came a second time")
+            records.ended.append(f"{self.clients.twice} answers were received twice")
         tiers = {name: server.tier for name, server in self.servers.items()}
         oracle = Oracle(records, tiers, {job.kind.name: job.sending_us for job in self.jobs})
         findings = oracle.findings()
@@ -278,18 +286,18 @@
             len(records.sent),
             Counter(fault.kind.value for fault in faults),
             records.met,
-            pairs_of(faults),
+            overlapping_pairs(faults),
             findings,
             worst / 1000,
-            worst < TOO_LATE_US,
+            worst < MAX_LAB_DELAY_US,
         )
         if findings and self.keep is not None:
-            report.kept = self._keep_all(report)
+            report.kept = self._save_run(report)
         shutil.rmtree(self.folder, ignore_errors=True)
         return report
 
-    def _keep_all(self, report: SoakReport) -> Path:
-        """The run's logs, what was written down and the report, in a folder of their own."""
+    def _save_run(self, report: SoakReport) -> Path:
+        """Save the run's logs, records and report in a folder of its own and return the folder."""
         assert self.keep is not None
         folder = self.keep / f"seed-{self.plan.seed}"
         shutil.copytree(self.folder, folder, dirs_exist_ok=True)
--- a/onyxwick/lab/soak/servers.py
+++ b/onyxwick/lab/soak/servers.py
@@ -1,4 +1,4 @@
-"""Emulated caches, parents and the origin of a soak: they write down what comes, and hang when told."""
+"""Emulated caches, parents and the origin of a soak: they record what they receive, and hang on request."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 from onyxwick.lab.link import EmulatedLink
 from onyxwick.lab.machines import Machine, World, reset
 from onyxwick.lab.model import Tier
-from onyxwick.lab.soak.model import Asked, Sent, SoakRecords
+from onyxwick.lab.soak.model import Sent, ServerWork, SoakRecords
 from onyxwick.net import resp
 from onyxwick.net.socket_state import seconds_since_received
 
 S = 1_000_000
-FORGOTTEN_S = 8.0
-"""A connection that was forgotten stays open so long."""
+FORGOTTEN_OPEN_S = 8.0
+"""A forgotten connection stays open for this time."""
 
 
 class ConnectionLoss(Enum):
-    """How a server ends its connections."""
+    """The ways in which a server ends its connections."""
 
     CLOSED = "closed"
     RESET = "reset"
-    FORGOTTEN = "forgotten"  # nothing is read any more, and nobody is told
+    FORGOTTEN = "forgotten"  # no longer read, with no sign to the peer
 
 
 class SoakServer(Machine):
-    """A machine that judges nothing: the oracle does, from what is written down here."""
+    """A machine that only records what it receives; the oracle judges the records."""
 
     def __init__(
         self,
@@ -43,21 +43,22 @@
     ) -> None:
         super().__init__(world, name, kind, zone, tier, address)
         self.soak = records
-        # When the first bytes came of the command that a connection is at, and of those whose task is to run.
+        # When the first bytes were received: `began` for the present command of each connection, `arrived`
+        # for each command whose task has not run yet.
         self.began: WeakKeyDictionary[asyncio.StreamWriter, int] = WeakKeyDictionary()
         self.arrived: dict[str, int] = {}
         self.answering = asyncio.Event()
         self.answering.set()
 
     def hang(self, hung: bool) -> None:
-        """Say nothing more, with connections open, or answer again."""
+        """Stop answering with connections left open, or answer again."""
         if hung:
             self.answering.clear()
         else:
             self.answering.set()
 
     def end_connections(self, how: ConnectionLoss) -> None:
-        """All that are open now, at rest or not; new ones come up."""
+        """End all connections that are open now, idle or not. New ones are accepted."""
         loop = asyncio.get_running_loop()
         for writer in list(self.clients):
             if how is ConnectionLoss.CLOSED:
@@ -66,17 +67,17 @@
                 reset(writer)
             else:
                 cast("asyncio.Transport", writer.transport).pause_reading()
-                loop.call_later(FORGOTTEN_S, writer.transport.abort)
+                loop.call_later(FORGOTTEN_OPEN_S, writer.transport.abort)
 
     def cold_start(self) -> None:
-        """Its link is cold from now on."""
+        """Make the link of this server cold from now on."""
         now = self.world.clock()
         self.link = EmulatedLink(self.tier, now, started=now)
 
     def _asked(self, work_us: float) -> None:
         now = self.world.clock()
         self.link.asked(now, work_us)
-        self.soak.asked.append(Asked(now, self.name, work_us))
+        self.soak.asked.append(ServerWork(now, self.name, work_us))
 
     def _command(
         self, words: list[bytes], writer: asyncio.StreamWriter, tasks: dict[bytes, asyncio.Task[None]]
@@ -86,7 +87,7 @@
         super()._command(words, writer, tasks)
 
     def _command_began(self, writer: asyncio.StreamWriter) -> None:
-        # The lab may be some turns late in reading: when the bytes came is what the director is judged by.
+        # The lab may read some event-loop turns late. The director is judged by when the bytes were received.
         waited_s = seconds_since_received(writer.get_extra_info("socket")) or 0.0
         self.began[writer] = self.world.clock() - int(waited_s * S)
 
--- a/onyxwick/lab/soak/shim.c
+++ b/onyxwick/lab/soak/shim.c
@@ -1,8 +1,8 @@
-/* Faults of the system calls of one process, loaded by LD_PRELOAD and steered through a mapped file.
+/* Injects faults into the system calls of one process; loaded by LD_PRELOAD, controlled by a mapped file.
  *
- * The file named by ONYXWICK_SHIM_CONTROL holds a struct control, which the soak writes and this library reads
- * at each call. Nothing fails while all its fields are 0. Calls on files fail for the folder that
- * ONYXWICK_SHIM_FOLDER names alone. `counts` tells how often each fault was met.
+ * The file named by ONYXWICK_SHIM_CONTROL holds a struct control, which the soak writes and this library
+ * reads at each call. No call fails while all fields are 0. Calls on files fail only in the folder named by
+ * ONYXWICK_SHIM_FOLDER. `counts` holds how often each fault was met.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -29,10 +29,10 @@
     int64_t accept_errno;
     int64_t socket_errno;
     int64_t connect_errno;
-    int64_t disk_errno;      /* -1: a write goes out by half, then the process is killed */
-    int64_t transfer_bytes;  /* most bytes that a receive or send moves; 0: no bound */
-    int64_t interrupted;     /* waits and transfers in a hundred that are interrupted */
-    int64_t broken_errno;    /* of one transfer in BROKEN_IN on connections that this process opened */
+    int64_t disk_errno;      /* -1: half of a write is done, then the process is killed */
+    int64_t transfer_bytes;  /* most bytes that one receive or send moves; 0: no limit */
+    int64_t interrupted;     /* percentage of waits and transfers that are interrupted */
+    int64_t broken_errno;    /* error of one in BROKEN_IN transfers on connections that this process opened */
     int64_t counts[FAULTS];
 };
 
@@ -53,7 +53,7 @@
     const char *path = getenv("ONYXWICK_SHIM_CONTROL");
     folder = getenv("ONYXWICK_SHIM_FOLDER");
     if (!path) return;
-    prctl(PR_SET_PDEATHSIG, SIGKILL); /* a lab that is ended leaves no process behind */
+    prctl(PR_SET_PDEATHSIG, SIGKILL); /* so that a lab that ends leaves no process behind */
     int fd = open(path, O_RDWR | O_CLOEXEC);
     if (fd < 0) return;
     void *at = mmap(NULL, sizeof *control, PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
@@ -178,7 +178,7 @@
     return epoll_pwait(fd, events, most, timeout, NULL);
 }
 
-/* ---- files of the folder ---- */
+/* ---- files in the folder ---- */
 
 static int within(const char *path)
 {
--- a/onyxwick/lab/soak/surroundings.py
+++ b/onyxwick/lab/soak/surroundings.py
@@ -1,4 +1,4 @@
-"""What a soak's directors serve: classes, caches, parents and the origin, as the platform tells of them."""
+"""The environment of a soak's directors: request classes, caches, parents and the origin."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 def soak_jobs(deadlines_us: dict[str, int], answer_bytes: int = 2000) -> tuple[ScenarioClass, ...]:
-    """The classes of a soak's requests."""
+    """Return the request classes of a soak, with the given deadlines in microseconds."""
     return (
         _job(SITE_VIDEO, Idempotency.IDEMPOTENT, 60_000, deadlines_us[SITE_VIDEO], answer_bytes=answer_bytes),
         _job(JOB_SHEET, Idempotency.IDEMPOTENT, 20_000, deadlines_us[JOB_SHEET], 12 * S),
@@ -54,6 +54,6 @@
 
 
 def soak_scenario(jobs: tuple[ScenarioClass, ...]) -> Scenario:
-    """What a soak's directors are told of their surroundings."""
+    """Return the scenario from which the directors' configuration is made."""
     box, parent, origin = TIERS["box"], TIERS["parent"], TIERS["origin"]
     return Scenario("soak", 0, 0, 1, box, parent, origin, jobs, (), (), None, False, 0, 6 * S, 0, ())
--- a/onyxwick/lab/soak/sweep.py
+++ b/onyxwick/lab/soak/sweep.py
@@ -1,4 +1,4 @@
-"""Soaks of several seeds, one after the other, and the shrinker of those that fail."""
+"""Runs soaks of several seeds, one after the other, and shrinks the plans of those that fail."""
 
 from __future__ import annotations
 
@@ -12,25 +12,25 @@
 from onyxwick.lab.soak.report import SoakPlan, SoakReport
 from onyxwick.lab.soak.run import Soak
 
-LOOPS: list[asyncio.AbstractEventLoop] = []
-"""Of runs that are over, never closed: one in some hundred closes was seen to wait for good, within uvloop,
-with nothing of the run left. Each holds a few descriptors until the process ends."""
-CHUNKS = 8  # parts of the faults that are dropped at once at first
+FINISHED_LOOPS: list[asyncio.AbstractEventLoop] = []
+"""Event loops of finished runs, which are never closed: about one in a hundred closes blocked forever within
+uvloop, with nothing of the run left. Each loop holds a few descriptors until the process ends."""
+INITIAL_PARTS = 8  # the shrinker first divides the faults into this many parts
 
 
 def play(plan: SoakPlan, keep: Path | None = None) -> SoakReport:
-    """One run."""
+    """Run one soak and return its report. `keep`: folder for the files of a run with findings."""
 
     loop = uvloop.new_event_loop()
-    LOOPS.append(loop)
+    FINISHED_LOOPS.append(loop)
     asyncio.set_event_loop(loop)
     try:
-        return loop.run_until_complete(_played(plan, keep))
+        return loop.run_until_complete(_run_soak(plan, keep))
     finally:
         asyncio.set_event_loop(None)
 
 
-async def _played(plan: SoakPlan, keep: Path | None) -> SoakReport:
+async def _run_soak(plan: SoakPlan, keep: Path | None) -> SoakReport:
     report = await Soak(plan, keep=keep).play()
     tasks = asyncio.all_tasks() - {asyncio.current_task()}
     for task in tasks:
@@ -39,11 +39,11 @@
     return report
 
 
-def shrunk(plan: SoakPlan, fails: Callable[[SoakPlan], bool], plays: int) -> SoakPlan:
-    """A plan with fewer faults that still fails: parts are dropped, ever smaller ones, while it does
-    (delta debugging: Zeller and Hildebrandt 2002). `plays`: tried at most."""
+def shrink_plan(plan: SoakPlan, fails: Callable[[SoakPlan], bool], plays: int) -> SoakPlan:
+    """Return a plan with fewer faults that still fails, by dropping smaller and smaller parts of the faults
+    (delta debugging: Zeller and Hildebrandt 2002). `plays`: the largest number of runs."""
     kept = [fault.number for fault in plan.faults()]
-    size = max(1, len(kept) // CHUNKS)
+    size = max(1, len(kept) // INITIAL_PARTS)
     at = 0
     while plays > 0 and kept:
         rest = kept[:at] + kept[at + size :]
@@ -68,7 +68,7 @@
     shrink: int,
     tree: Path | None = None,
 ) -> Iterator[SoakReport]:
-    """A report for each seed; after one that failed, that of its plan with fewer faults."""
+    """Yield a report for each seed and, after a failed one, the report of its shrink_plan plan."""
     for seed in seeds:
         plan = SoakPlan(seed, directors, seconds, only, tree)
         report = play(plan, keep)
@@ -79,4 +79,4 @@
             def fails(tried: SoakPlan, rules: set[str] = rules) -> bool:
                 return bool(rules & {finding.rule for finding in play(tried).findings})
 
-            yield play(shrunk(plan, fails, shrink), keep)
+            yield play(shrink_plan(plan, fails, shrink), keep)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The fault soak: its plans, shim and oracle on planted breaches, and one short run of real directors."""
+"""Tests the fault soak: plans, shim, the oracle on planted breaches, and one short run of real directors."""
 
 from __future__ import annotations
 
@@ -16,23 +16,23 @@
 from onyxwick.lab.model import Tier
 from onyxwick.lab.soak import plan as p
 from onyxwick.lab.soak.model import (
-    Asked,
     ClientConnection,
-    DirectorDrained,
-    Down,
+    ColdStart,
+    DirectorDrain,
+    DirectorOutage,
     Sent,
+    ServerWork,
     SoakCall,
     SoakPurge,
     SoakRecords,
     SoakTermination,
-    Started,
     Unready,
 )
 from onyxwick.lab.soak.oracle import Oracle
 from onyxwick.lab.soak.report import SoakPlan
 from onyxwick.lab.soak.shim import KILL_IN_WRITE, Control, Field, build
-from onyxwick.lab.soak.sweep import play, shrunk
-from onyxwick.lab.soak.told import Played, Span
+from onyxwick.lab.soak.sweep import play, shrink_plan
+from onyxwick.lab.soak.told import FaultHistory, Span
 
 S = 1_000_000
 NOW = 1_000_000 * S
@@ -41,30 +41,30 @@
 
 
 def test_a_plan_is_the_same_for_its_seed_and_another_for_another() -> None:
-    assert p.draw(7, 10, 60) == p.draw(7, 10, 60) != p.draw(8, 10, 60)
+    assert p.draw_faults(7, 10, 60) == p.draw_faults(7, 10, 60) != p.draw_faults(8, 10, 60)
 
 
-def test_all_pairs_that_can_be_played_come_up_on_thirty_directors() -> None:
-    faults = [fault for seed in (1, 2) for fault in p.draw(seed, 30, 60)]
-    played = p.pairs_of(p.draw(1, 30, 60)) + p.pairs_of(p.draw(2, 30, 60))
-    assert not p.gaps(played)
+def test_all_possible_pairs_overlap_on_thirty_directors() -> None:
+    faults = [fault for seed in (1, 2) for fault in p.draw_faults(seed, 30, 60)]
+    played = p.overlapping_pairs(p.draw_faults(1, 30, 60)) + p.overlapping_pairs(p.draw_faults(2, 30, 60))
+    assert not p.missing_pairs(played)
     ends = [f for f in faults if f.kind in p.ENDS_PROCESS]
     for one, other in itertools.combinations(ends, 2):
         assert one.director != other.director or one.at_s != other.at_s
 
 
-def test_a_long_run_begins_with_a_long_quiet_time_and_a_gap_is_told() -> None:
-    assert min(fault.at_s for fault in p.draw(1, 10, 300)) > 140
-    assert ("accept", "clock") in p.gaps(p.pairs_of([]))
+def test_a_long_run_begins_with_a_long_quiet_time_and_missing_pairs_are_reported() -> None:
+    assert min(fault.at_s for fault in p.draw_faults(1, 10, 300)) > 140
+    assert ("accept", "clock") in p.missing_pairs(p.overlapping_pairs([]))
 
 
 def test_the_shrinker_finds_the_two_faults_that_fail_together() -> None:
     plan = SoakPlan(3, 10, 60)
     numbers = [fault.number for fault in plan.faults()]
     guilty = {numbers[5], numbers[-3]}
-    found = shrunk(plan, lambda tried: guilty <= set(tried.only or ()), 200)
+    found = shrink_plan(plan, lambda tried: guilty <= set(tried.only or ()), 200)
     assert set(found.only or ()) == guilty
-    assert found.line().endswith(f"--only {','.join(map(str, sorted(guilty)))}")
+    assert found.command_line().endswith(f"--only {','.join(map(str, sorted(guilty)))}")
 
 
 # ---- the shim ---------------------------------------------------------------------------------------------
@@ -73,7 +73,7 @@
 import os, socket, sys, time
 folder = sys.argv[1]
 print(int(time.time() - float(sys.argv[2])) // 1000)
-def told(call):
+def error_number(call):
     try:
         call()
         return 0
@@ -85,10 +85,10 @@
 server = socket.socket()
 server.bind(("127.0.0.1", 0)); server.listen(); server.setblocking(False)
 client = socket.socket()
-print(told(lambda: client.connect(server.getsockname())))
-print(told(server.accept))
-print(told(socket.socket))
-print(told(write))
+print(error_number(lambda: client.connect(server.getsockname())))
+print(error_number(server.accept))
+print(error_number(socket.socket))
+print(error_number(write))
 """
 
 
@@ -102,7 +102,7 @@
         ({Field.DISK_ERRNO: errno.ENOSPC}, [0, 0, 0, 0, errno.ENOSPC]),
     ],
 )
-def test_the_shim_fails_the_calls_that_it_is_told_to(
+def test_the_shim_fails_the_calls_set_in_its_control_file(
     fields: dict[Field, int], expected: list[int], tmp_path: Path
 ) -> None:
     import time
@@ -146,7 +146,7 @@
 
 
 def _sound() -> SoakRecords:
-    """One request that was served, with all that was told around it."""
+    """Return the records of one request that was served without a breach."""
     records = SoakRecords()
     call = SoakCall("r1", "site-video", 3, 0, NOW, 2 * S, True, 0, NOW + 100_000, 1, "served", "t1")
     records.calls["r1"] = call
@@ -193,8 +193,8 @@
 
 
 def _cold(r: SoakRecords) -> None:
-    r.started.append(Started("box-0", NOW, NOW))
-    r.asked += [Asked(NOW + n, "box-0", 33_333.0) for n in range(600)]
+    r.started.append(ColdStart("box-0", NOW, NOW))
+    r.asked += [ServerWork(NOW + n, "box-0", 33_333.0) for n in range(600)]
 
 
 def _violation(r: SoakRecords) -> None:
@@ -206,13 +206,14 @@
 
 
 def _held_idle(r: SoakRecords) -> None:
-    r.drained.append(DirectorDrained(0, NOW - 2 * S, NOW + 9 * S))
+    r.drained.append(DirectorDrain(0, NOW - 2 * S, NOW + 9 * S))
     r.connections.append(ClientConnection(0, "resting", NOW - 3 * S, 0, [r.calls["r1"]]))
 
 
 def _held_with_a_recent_request(r: SoakRecords) -> None:
-    r.drained.append(DirectorDrained(0, NOW - 3 * S, NOW + 9 * S))
-    call = replace(r.calls["r1"], ended_us=NOW + S + 200_000)  # sent 1 s before it had to be ended
+    r.drained.append(DirectorDrain(0, NOW - 3 * S, NOW + 9 * S))
+    # It was sent 1 s before its connection had to be closed.
+    call = replace(r.calls["r1"], ended_us=NOW + S + 200_000)
     r.connections.append(ClientConnection(0, "busy", NOW - 3 * S, 0, [call]))
 
 
@@ -272,10 +273,10 @@
     assert _rules(records) == [rule]
 
 
-def test_a_connection_that_ended_in_time_or_owes_an_old_request_is_not_held() -> None:
+def test_a_connection_that_ended_in_time_or_has_an_old_request_is_no_finding() -> None:
     for called, ended, answered in ((NOW - 2 * S, NOW + 2 * S, NOW), (NOW - S, 0, NOW + 9 * S)):
         records = _sound()
-        records.drained.append(DirectorDrained(0, called, NOW + 9 * S))
+        records.drained.append(DirectorDrain(0, called, NOW + 9 * S))
         call = replace(records.calls["r1"], ended_us=answered)
         records.connections.append(ClientConnection(0, "busy", NOW - 3 * S, ended, [call]))
         assert not _rules(records)
@@ -288,25 +289,25 @@
     assert not _rules(records)
 
 
-def test_a_killed_director_owes_nothing_and_a_stopped_one_has_its_time() -> None:
+def test_a_killed_director_owes_no_answer_and_a_stopped_one_gets_the_stop_as_extra_time() -> None:
     records = _sound()
     _lost(records)
-    records.down.append(Down(0, NOW + 50_000, NOW + S))
+    records.down.append(DirectorOutage(0, NOW + 50_000, NOW + S))
     assert not _rules(records)
     records = _sound()
     _late(records)
-    records.stopped.append(Down(0, NOW + S, NOW + S + 300_000))
+    records.stopped.append(DirectorOutage(0, NOW + S, NOW + S + 300_000))
     assert not _rules(records)
 
 
 @pytest.mark.parametrize(
     ("late_us", "director", "found"), [(700_000, 0, 0), (900_000, 0, 2), (700_000, 1, 2)]
 )
-def test_a_late_answer_told_by_a_director_is_excused_by_a_stop_as_long(
+def test_a_late_answer_logged_by_a_director_is_excused_by_a_stop_as_long(
     late_us: int, director: int, found: int
 ) -> None:
     records = _sound()
-    records.stopped.append(Down(0, NOW + S, NOW + S + 700_000))
+    records.stopped.append(DirectorOutage(0, NOW + S, NOW + S + 700_000))
     records.counters["violation.late_answer"] = 1
     records.logged.append(f'n{director}.1: {{"rule":"late_answer","cause":"{late_us} us after its time"}}')
     assert len(_rules(records)) == found
@@ -319,33 +320,33 @@
 def test_a_connection_that_ends_in_the_middle_of_a_call_is_found_unless_its_director_ends(
     kind: p.SoakFaultKind | None, director: int, found: int
 ) -> None:
-    records, played = _sound(), Played()
+    records, history = _sound(), FaultHistory()
     records.cut.append((0, NOW + S))
     if kind is not None:
-        played.spans.append(Span(kind, director, NOW, NOW + S))
-    played.settle(records, 2)
+        history.spans.append(Span(kind, director, NOW, NOW + S))
+    history.record_notifications(records, 2)
     assert _rules(records) == ["director"] * found
 
 
 @pytest.mark.parametrize(("kind", "late"), [(p.SoakFaultKind.STOP, False), (p.SoakFaultKind.FEED_LOST, True)])
-def test_a_lost_feed_puts_off_what_a_drain_binds_and_a_stop_does_not(
+def test_a_lost_feed_delays_the_start_of_a_drain_and_a_stop_does_not(
     kind: p.SoakFaultKind, late: bool
 ) -> None:
-    records, played = _sound(), Played()
-    played.drained.append(("box-0", NOW, NOW + 9 * S))
-    played.spans.append(Span(kind, 0, NOW - S, NOW + 2 * S))
-    played.settle(records, 1)
-    told = next(span.told_us for span in records.unready if span.server == "box-0")
-    assert (told > NOW + S) is late
+    records, history = _sound(), FaultHistory()
+    history.drained.append(("box-0", NOW, NOW + 9 * S))
+    history.spans.append(Span(kind, 0, NOW - S, NOW + 2 * S))
+    history.record_notifications(records, 1)
+    notified_us = next(span.told_us for span in records.unready if span.server == "box-0")
+    assert (notified_us > NOW + S) is late
 
 
 # ---- real directors ---------------------------------------------------------------------------------------
 
 
 def test_a_short_soak_of_real_directors_breaks_no_rule(tmp_path: Path) -> None:
-    """Thirty seconds under overlapping faults; a run that the lab was too late to judge says so."""
+    """Run 24 s under overlapping faults. If the lab was too late to judge, `judged` is false."""
     report = play(SoakPlan(seed=1, directors=10, seconds=24.0), tmp_path)
-    told = report.data()
-    assert report.calls > 500 and sum(report.met.values()) > 50 and report.pairs, told
+    data = report.data()
+    assert report.calls > 500 and sum(report.met.values()) > 50 and report.pairs, data
     if report.judged:
-        assert not report.findings, told
+        assert not report.findings, data
