--- a/onyxwick/routing/capacity.py
+++ b/onyxwick/routing/capacity.py
@@ -30,7 +30,7 @@
 """Share of an inferred capacity that a member is assumed to have while it is warming up."""
 DEMAND_WINDOW_US = 10 * US_PER_S
 MIN_OBSERVED_SHARE = 0.01
-"""Smallest observed share of the demand window that a request rate is computed from."""
+"""A request rate is computed as if at least this share of the demand window had been observed."""
 
 
 class CapacityModel:
--- a/onyxwick/routing/concurrency_limit.py
+++ b/onyxwick/routing/concurrency_limit.py
@@ -26,31 +26,35 @@
 from onyxwick.routing.units import US_PER_S
 
 USABLE_SHARE = 0.9
-"""The limit is this share of the transfers that can share a link and still meet the objective."""
+"""The limit is this share of the transfers that can use a link at once and still meet the latency
+objective."""
 INCREASE_PER_ANSWER = 0.005
 LATE_MULTIPLIER = 0.93
-"""Multiplies a member's limit factor after a late answer.
-
-Together with `INCREASE_PER_ANSWER` it sets the share of late answers at which the factor settles.
-"""
+"""A member's limit factor is multiplied by this after a late answer. Together with `INCREASE_PER_ANSWER` it
+sets the share of late answers at which the factor settles."""
 FAILED_MULTIPLIER = 0.8
-"""Multiplies the limit factor after a failed fill or rejection, which used the member's capacity in vain."""
+"""A member's limit factor is multiplied by this after a failed fill or a rejection, which used the member's
+capacity in vain."""
 MIN_FACTOR = 0.02
 MAX_FACTOR = 2.0
 MIN_INCREASE_SCALE = 0.3
-"""The increase shrinks in proportion to the limit factor, down to this share of the full increase."""
+"""The step by which an answer in time raises the limit factor shrinks in proportion to the factor, but not
+below this share of the full step."""
 MIN_USED_SHARE = 0.5
 """Share of the limit that must be in use when an answer is received, for it to raise the factor."""
 
 ANSWER_WINDOW_US = 4 * US_PER_S
 REFERENCE_ANSWERS_PER_S = 12.0
-"""Rate of answers for which the step sizes are set; at a lower rate each step is larger."""
+"""Rate of a member's answers for which the steps of its limit factor are sized; at a lower rate, steps are
+larger."""
 MAX_FAILED_STEPS = 3.0
-"""Caps the steps of one failed fill, so that it at most halves the limit."""
+"""Largest number of steps by which one failed fill or rejection lowers the limit factor, so that it at most
+halves the factor."""
 
 UTILISATION_WINDOW_US = 2 * US_PER_S
 LOW_UTILISATION = 0.5
-"""Mean share of the limit in use, up to which the full burst allowance is granted."""
+"""The full burst allowance is granted while the mean number of attempts in flight is at most this share of
+the limit."""
 
 LATE_SHARE_WEIGHT = 0.2
 OVERLOADED_LATE_SHARE = 0.25
@@ -128,7 +132,10 @@
         return allowance_share * min(math.sqrt(limit) + 1, math.sqrt(routers - 1))
 
     def record_outcome(self, member: MemberRecord, late: bool, failed: bool = False) -> None:
-        """Adjust the factor after an answer. `failed`: a rejection or a failed fill, which counts as late."""
+        """Adjust a member's limit factor after an answer.
+
+        `failed` means that the answer is a rejection or a failed fill, which counts as late.
+        """
         answers = member.recent_answers + 1
         steps = max(1.0, REFERENCE_ANSWERS_PER_S * ANSWER_WINDOW_US / US_PER_S / answers)
         if not failed:
--- a/onyxwick/routing/latency.py
+++ b/onyxwick/routing/latency.py
@@ -15,7 +15,7 @@
 OVERDUE_DEVIATIONS = 4.0
 SAMPLE_WEIGHT = 0.05
 INITIAL_FILL_US = 0.2 * US_PER_S
-INITIAL_TRANSFER_SHARE = 0.5  # Share of the latency objective.
+INITIAL_TRANSFER_SHARE = 0.5  # Mean transfer time at the start, as a share of the class's latency objective.
 
 
 class LatencyEstimate:
@@ -53,12 +53,12 @@
         """Latency of answers that were filled from another member, across all classes."""
 
     def observe_size(self, arrival: RequestArrived) -> None:
-        """Update the transfer time from a request whose size is known."""
+        """Update the mean transfer time of a class from a request whose answer's size is known."""
         if arrival.size_kb and self.transfer_kb_per_s:
             self.transfer[arrival.class_name].add(arrival.size_kb / self.transfer_kb_per_s * US_PER_S)
 
     def observe_local_answer(self, request: RequestState, latency_us: int) -> None:
-        """Update the transfer time from an answer without a fill, if the request's size is not known."""
+        """Update a class's mean transfer time from an answer without a fill whose size was not known."""
         if not request.arrival.size_kb:
             request_class = request.request_class
             objective_us = request_class.latency_objective_us
--- a/onyxwick/routing/outcomes.py
+++ b/onyxwick/routing/outcomes.py
@@ -106,7 +106,7 @@
         self.concurrency_limit.record_outcome(source, late)
 
     def _is_delay(self, request: RequestState, attempt: Attempt, event: AttemptEnded) -> bool:
-        """Return whether an attempt ran out of time in its fill, or at a cache that answers others."""
+        """Return whether an attempt ran out of time in its fill or at a cache that answers other attempts."""
         source = attempt.fill_source
         late = event.latency_us > request.request_class.latency_objective_us
         if source and late and not self.outliers.is_unresponsive(source, attempt.started_us):
@@ -115,7 +115,11 @@
         return timeout and attempt.member.last_answer_us > attempt.started_us
 
     def _record_delay(self, attempt: Attempt, event: AttemptEnded, now_us: int) -> None:
-        """Record a delay as overload, unless it was a timeout among answers in time: a lost answer."""
+        """Record a delay as overload of the attempt's member that is furthest from the client.
+
+        A timeout is recorded only if that member has given no expected answer since the attempt's start, or
+        is overloaded already. Otherwise the answer was probably lost.
+        """
         delayed_member = attempt.origin or attempt.fill_source or attempt.member
         started_us = attempt.started_us
         answered_since = delayed_member.last_answer_us > started_us
--- a/onyxwick/routing/outlier_detection.py
+++ b/onyxwick/routing/outlier_detection.py
@@ -33,7 +33,7 @@
 MAX_EJECTED_SHARE = 0.5
 """Largest share of a tier that is ejected for errors."""
 RESET_FAILURE_SHARE = 0.5
-"""Share of a failure that a reset connection counts for, as weak evidence against the member behind it."""
+"""A reset connection counts as this share of a failure: it is weak evidence against the member behind it."""
 RESET_WINDOW_US = 50_000
 """Attempts that are reset within this time were on one connection and count once."""
 CERTAIN_EXPECTED_ANSWERS = 3.0
@@ -106,7 +106,10 @@
             member.last_reset_us = now_us
 
     def record_silence(self, member: MemberRecord, since_us: int, now_us: int) -> None:
-        """Record that a member has not answered since `since_us`, weighted by the expected answers."""
+        """Record that a member has not answered since `since_us`, as one or two failures.
+
+        The more answers a healthy member would have given since then, the more this counts.
+        """
         expected = self.expected_answers(member, since_us, now_us)
         failures = 2 if expected > CERTAIN_EXPECTED_ANSWERS else 1
         for _ in range(failures):
@@ -129,7 +132,7 @@
         )
 
     def unresponsive_member(self, attempt: Attempt) -> MemberRecord | None:
-        """Return an attempt's member or fill source if unresponsive since the attempt's start, else None."""
+        """Return which of an attempt's member and fill source is unresponsive since its start, or None."""
         if self.is_unresponsive(attempt.member, attempt.started_us):
             return attempt.member
         source = attempt.fill_source
--- a/onyxwick/routing/popularity.py
+++ b/onyxwick/routing/popularity.py
@@ -26,10 +26,10 @@
 """The ranks have the values of the wire protocol, whose rank 2 is not used."""
 
 HALF_LIFE_US = 10 * US_PER_S
-"""Counts halve in this time; the objects hit within it are taken as the content of a cache."""
+"""Read counts halve in this time. The objects hit at a cache within it are taken as the cache's content."""
 RECOMPUTE_INTERVAL_US = 2 * US_PER_S
 GOLD_SHARE = 0.2
-"""Share of the objects that fit into one cache."""
+"""The gold objects are this share of the objects that fit into one cache, if the zone has one router."""
 MIN_GOLD_COUNT = 1.001
 """Lowest count of a gold object: an object that was read once is never gold."""
 BRONZE_STEP = 0.02
@@ -38,7 +38,7 @@
 """Ratio of the fill latency to that of the previous step, above which fills count as slower."""
 MAX_COUNTED_OBJECTS = 50_000
 MIN_COUNT = 0.1
-"""Objects with a lower count are dropped."""
+"""Objects whose decayed number of reads is below this are dropped."""
 COMPACTION_SHARE = 0.75
 MAX_COUNT_UNIT = 1e100
 """Largest unit of the stored counts, far below the largest float."""
@@ -63,7 +63,8 @@
         self.gold_threshold = math.inf
         self.bronze_threshold = 1.0
         self.bronze_shift = 0.0
-        """Distance of the bronze threshold from the objects read once, as a share of the counted objects."""
+        """Number of objects above the bronze threshold, minus the number read more than once, as a share of
+        the counted objects."""
         self.recent_hits: dict[str, dict[str, int]] = {}
         """Time of the last hit in microseconds, by cache and object."""
         self.hits = 0
@@ -174,8 +175,8 @@
         over_once = total - bisect_right(ranked, 1 * unit)
         over_twice = total - bisect_right(ranked, 2 * unit)  # Objects read more than twice are never bronze.
         kept = min(max(over_once + int(self.bronze_shift * total), over_twice), total)
-        # At either bound the shift is set to that bound. Otherwise it would move on beyond it, and the first
-        # steps back would have no effect.
+        # If the number of objects kept is at its minimum or maximum, the shift is set to match that number.
+        # Otherwise the shift would move on, and its first steps back would have no effect.
         if kept in (over_twice, total):
             self.bronze_shift = (kept - over_once) / max(1, total)
         self.bronze_threshold = ranked[-1 - kept] / unit if kept < total else 0.0
--- a/onyxwick/routing/retry.py
+++ b/onyxwick/routing/retry.py
@@ -31,10 +31,11 @@
         self.max_tokens = max(MIN_BURST_TOKENS, FLEET_BURST_TOKENS / router_count)
         self.tokens = self.max_tokens
         self.reserve = 1.0
-        """Share of the attempts beyond a request's first that may be used, 0 to 1 (`RetryReserveChanged`)."""
+        """Share, 0 to 1, of the permitted attempts after a request's first that may be used
+        (`RetryReserveChanged`)."""
 
     def scale(self, share: float) -> None:
-        """Reduce a new budget to a share of the director's budget, if several routers divide it."""
+        """Reduce a new budget to this share of the director's budget, which several routers divide."""
         self.max_tokens = max(MIN_BURST_TOKENS, self.max_tokens * share)
         self.tokens = self.max_tokens
 
@@ -52,7 +53,7 @@
 
     @property
     def is_full_reserve(self) -> bool:
-        """Whether hedged requests, and serving stale copies while they are revalidated, are allowed."""
+        """Whether hedged requests are allowed, and stale copies may be served while they are revalidated."""
         return self.reserve >= 1
 
 
--- a/onyxwick/routing/router.py
+++ b/onyxwick/routing/router.py
@@ -153,7 +153,7 @@
         return actions
 
     def _dispatch(self, event: Event) -> None:
-        """Process one event. Other kinds of event need no action; `handle` processes the timers due."""
+        """Process one event. A kind not named here needs no action; `handle` processes the timers due."""
         match event:
             case RequestArrived():
                 self._on_request_arrived(event)
@@ -349,7 +349,11 @@
     # ---- overdue attempts -------------------------------------------------------------------------------
 
     def _on_overdue(self, request: RequestState, index: int) -> None:
-        """Hedge an overdue attempt, or record a member's silence and, if it is ejected, cancel attempts."""
+        """Hedge an overdue attempt, unless it waits for an unresponsive member other than the origin.
+
+        The silence of such a member is recorded. If it is then ejected, the attempts at it are cancelled, if
+        the limits allow this.
+        """
         if index >= len(request.attempts):
             return  # The timer belongs to an earlier request with the same id.
         attempt = request.attempts[index]
--- a/onyxwick/routing/slow_start.py
+++ b/onyxwick/routing/slow_start.py
@@ -24,10 +24,11 @@
 from onyxwick.routing.units import US_PER_S
 
 BUDGET_MARGIN = 0.5
-"""Share of the allowed work that is used: weights are approximate and routers are loaded unevenly."""
+"""A router uses this share of the work that it may send to a member that is warming up, because weights are
+approximate and routers are loaded unevenly."""
 GOLDEN_RATIO_FRACTION = 0.6180339887
 SEND_PHASE_KEY = "turn"
-"""Hashed with a member's address to give each member a phase that is the same at all routers."""
+"""Hashed with a member's address, it gives the member's single sends a phase that all routers agree on."""
 RESTART_NOTICE_US = 5 * US_PER_S
 """The endpoint list announces a restart within this time."""
 
@@ -43,7 +44,10 @@
     """A member fails when it is sent more than this multiple of its capacity over the overload window."""
 
     def sends_until(self, age_us: int, full_budget: float, transfer_us: float) -> float:
-        """Return how many sends of `transfer_us` the budget has allowed since the start, with fractions."""
+        """Return how many sends the budget has allowed since the member's start, as a fractional number.
+
+        Each send is a request whose mean transfer time is `transfer_us`.
+        """
         start, duration = self.start_share, self.duration_us
         return full_budget / transfer_us * (start * age_us + (1 - start) * age_us * age_us / (2 * duration))
 
--- a/onyxwick/routing/state.py
+++ b/onyxwick/routing/state.py
@@ -34,11 +34,12 @@
     warming_since_us: int
     """Time of the member's last start, announced or assumed; 0 if it is not known or long past."""
     assumed_restarted: bool = False
-    """`warming_since_us` is assumed: the member was unresponsive, and the list has announced no restart."""
+    """Whether `warming_since_us` is only assumed: the member was unresponsive, but the list announced no
+    restart."""
     last_answer_us: int = 0
     """Time of the member's last answer; for a fill source, of its last completed fill."""
     recent_answers: float = 0.0
-    """Number of answers up to `last_answer_us`, with exponential decay."""
+    """Number of the member's answers up to `last_answer_us`, with exponential decay."""
     in_flight: dict[AttemptKey, None] = field(default_factory=dict)
     """Attempts that use the member, in the order in which they were started."""
     last_attempt_ended_us: int = 0
@@ -50,12 +51,12 @@
     ejected_until_us: int = 0
     consecutive_ejections: int = 0
     unresponsive: bool = False
-    """Whether it was ejected because it gave no answer; it may have restarted."""
+    """Whether the member was ejected because it gave no answer; such a member may have restarted."""
     last_reset_us: int = NEVER_US
     """Time at which an attempt at the member was last reset."""
 
     limit_factor: float = 1.0
-    """Learned factor on the member's concurrency limit."""
+    """Factor, learned from answers, by which the member's concurrency limit is multiplied."""
     concurrency_limit: float = 0.0
     """The limit that the last admission decision used, in transfers."""
     late_share: float = 0.0
--- a/onyxwick/routing/timers.py
+++ b/onyxwick/routing/timers.py
@@ -42,7 +42,7 @@
         return None
 
     def next_wake_up_us(self, now_us: int) -> int | None:
-        """Return the time for which a timer must be set; None if the timer set last is early enough."""
+        """Return when the caller must call the router again; None if the timer set last is early enough."""
         if not self.deadlines:
             return None
         earliest_us = self.deadlines[0].at_us
