--- a/onyxwick/core/attempt_invariants.py
+++ b/onyxwick/core/attempt_invariants.py
@@ -31,13 +31,13 @@
 TIMEOUT_SLACK_US = 150_000
 """The timeout sent to a member may exceed the time that the client still waits by at most this much."""
 SOCKET_SLACK_US = 50_000
-"""Each time limit of a drain or a purge is longer by this much, because attempts are sent over sockets."""
+"""The checks extend each limit of a drain or a purge by this time, because attempts are sent over sockets."""
 SMALL_LIMIT_REQUESTS = 30
 SMALL_LIMIT_DEVIATIONS = 3
 LIMIT_DEVIATIONS = 2
 """The slow-start limit N has slack: N + 2 sqrt(N) + 2 is tolerated, or N + 3 sqrt(N) + 3 if N is under 30."""
 MAX_REMEMBERED_ENTRIES = 4096
-"""Limit of the remembered sends to each recovering member, and of the remembered removed members."""
+"""At most this many sends to each recovering member, and this many removed members, are remembered."""
 
 
 def slow_start_limit(allowed: float) -> float:
@@ -80,7 +80,7 @@
         self.classes = {request_class.name: request_class for request_class in settings.classes}
         self.members: dict[str, _MemberRecord] = {}
         self.removed_at_us: dict[str, int] = {}  # members that have left the list, oldest first
-        self.purges: dict[PurgeScope, PurgeRecord] = {}  # by receipt, oldest first
+        self.purges: dict[PurgeScope, PurgeRecord] = {}  # in order of receipt, oldest first
 
     def endpoints_changed(self, event: EndpointsChanged, now_us: int) -> None:
         """Apply a complete endpoint list or a change of it, in the form that the router receives."""
--- a/onyxwick/core/attempt_runner.py
+++ b/onyxwick/core/attempt_runner.py
@@ -50,7 +50,7 @@
         task.add_done_callback(partial(self._on_ended, lifecycle, spec, attempt_index, started_at_us))
 
     def withdraw(self, lifecycle: RequestLifecycle, decided: AttemptDecided) -> None:
-        """Report an attempt that was decided after the final answer as not sent."""
+        """Report as not sent an attempt that was decided after its request had its final answer."""
         attempt_index = len(lifecycle.attempts)
         lifecycle.attempts.append(None)
         lifecycle.statuses.append(AttemptStatus.NOT_SENT)
--- a/onyxwick/core/backoff.py
+++ b/onyxwick/core/backoff.py
@@ -12,7 +12,7 @@
 
 MAX_DOUBLINGS = 20
 MIN_DELAY_SHARE = 0.1
-"""A drawn delay is at least this share of its bound."""
+"""A delay drawn at random is at least this share of the longest delay that could be drawn."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,10 +57,11 @@
         return min(1.0, policy.initial_share + gained)
 
     def next_delay_us(self, base_us: int) -> int:
-        """Return how long to wait after another failed attempt.
+        """Return how long to wait after another failed attempt, in microseconds.
 
-        The bound doubles each time, up to the policy's maximum. The delay is drawn uniformly below the bound
-        ("full jitter", Brooker 2015), so that directors that failed together do not retry together.
+        The longest possible delay doubles with each attempt, up to the policy's maximum. The delay is drawn
+        uniformly below it ("full jitter", Brooker 2015), so that directors that failed together do not retry
+        together.
         """
         self.attempts = min(self.attempts + 1, MAX_DOUBLINGS)
         bound_us = min(self.policy.max_delay_us, base_us << (self.attempts - 1))
--- a/onyxwick/core/clock.py
+++ b/onyxwick/core/clock.py
@@ -17,7 +17,7 @@
 MAX_FEED_DELAY_US = 7 * US_PER_S
 """The feed announces every event within this time after it happens."""
 REMEMBERED_DELAYS = 8
-"""Number of the most recent purges whose delays are remembered."""
+"""Number of the most recent purges whose delays between timestamp and receipt are remembered."""
 
 
 def wall_us() -> int:
--- a/onyxwick/core/engine.py
+++ b/onyxwick/core/engine.py
@@ -140,7 +140,7 @@
         )
 
     def _with_snapshot(self, action: Action) -> LifecycleMessage:
-        """Add the list's present state to an attempt, as the feed may change before it is carried out."""
+        """Add the endpoint list's present state to an attempt, as the list may change before it is sent."""
         if isinstance(action, ForwardRequest | ForwardWithFill):
             return AttemptDecided(action, self.endpoints.snapshot(action.member, fill_source(action)))
         return action
--- a/onyxwick/core/model.py
+++ b/onyxwick/core/model.py
@@ -67,7 +67,7 @@
     request: ClientRequest
     member: str
     timeout_us: int
-    """Counted from `created_at_s`."""
+    """Time that the attempt may take, in microseconds, counted from `created_at_s`."""
     fill_source: str | None = None
     """Source from which the member fills a miss; None if it does not fill."""
     retention_rank: int = 0
--- a/onyxwick/core/request_runner.py
+++ b/onyxwick/core/request_runner.py
@@ -169,7 +169,7 @@
         self.context.record_unserved(reason, request.request_id, request.connection_id)
 
     def _forget(self, request_id: str) -> None:
-        """End a request at the router after an error, as the router has its arrival and awaits its end."""
+        """End a request at the router after an error: the router knows of the request and awaits its end."""
         try:
             self.context.handle(ClientDisconnected(request_id))
         except Exception:  # the request has already failed
--- a/onyxwick/core/shutdown.py
+++ b/onyxwick/core/shutdown.py
@@ -55,8 +55,9 @@
 """With more answer bytes in flight than this, the peer would see the end of the connection late, and send
 requests that cross it."""
 DELIVERY_SETTLE_S = 0.2
-"""Wait after more than `MAX_IN_FLIGHT_BYTES` were last in flight. A slow reader's own buffer holds as many
-bytes again, which cannot be observed here."""
+"""Before the stage `RELEASE_REQUESTS`, a connection is kept open for this long after more than
+`MAX_IN_FLIGHT_BYTES` were last in flight on it. A slow reader's own buffer holds as many bytes again, which
+cannot be observed here."""
 
 
 class ShutdownKind(Enum):
@@ -176,11 +177,11 @@
 
     KEEP = "keep"
     RELEASE_REQUESTS = "give_back"
-    """Give its requests their final answers."""
+    """Give the connection's requests their final answers."""
     READ_REMAINING = "hear_last"
     """Read the input that has arrived, and none that arrives later."""
     CLOSE = "end"
-    """Write the end of the connection."""
+    """Write the connection's end of stream."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -194,7 +195,7 @@
     unwritten_bytes: int
     """Answer bytes that this process has not written yet."""
     since_delivered_s: float
-    """Time since more than `MAX_IN_FLIGHT_BYTES` were last in flight."""
+    """Time since more than `MAX_IN_FLIGHT_BYTES` were last in flight on the connection."""
     has_partial_request: bool
     has_unread_input: bool
     """Input is waiting in the socket."""
--- a/onyxwick/core/stall_detector.py
+++ b/onyxwick/core/stall_detector.py
@@ -17,7 +17,7 @@
 """Number of ticks after a stall in which bytes that are read may have arrived during it. A socket that was
 readable at the end of the stall is read two turns of the loop later, and each turn has at most one tick."""
 MAX_REMEMBERED_STALLS = 16
-"""Limit of the stalls that are remembered at the same time, if they occur in close succession."""
+"""Largest number of stalls that are remembered at the same time, if they occur in close succession."""
 
 
 @dataclass(slots=True)
--- a/onyxwick/core/termination.py
+++ b/onyxwick/core/termination.py
@@ -22,7 +22,7 @@
         self.max_deadline_s = max_deadline_s
         self.requested = asyncio.Event()
         self.schedule: ShutdownSchedule | None = None
-        """None until the termination is requested."""
+        """Start times of the shutdown stages; None until the termination is requested."""
         self.kill_at_s = 0.0
         """Time at which SIGKILL may come, computed from the receipt of SIGTERM."""
 
--- a/onyxwick/core/timers.py
+++ b/onyxwick/core/timers.py
@@ -19,7 +19,7 @@
 LATE_TIMER_US = 100_000
 """A timer that is later than this shows a stall, after which answers may be waiting unread."""
 LATE_TIMER_DELAY_S = 0.01
-"""Delay of such a late timer, so that waiting input is read first."""
+"""A timer later than `LATE_TIMER_US` is delayed by this much more, so that waiting input is read first."""
 EARLY_MARGIN_S = 0.0005
 """Added to the remaining delay of a timer that the event loop fired early."""
 
