--- a/onyxwick/interface/events.py
+++ b/onyxwick/interface/events.py
@@ -94,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryReserveChanged:
-    """The share, 0 to 1, of the limits on attempts beyond the first that a router may use."""
+    """The router may use this share, 0 to 1, of the permitted attempts after a request's first."""
 
     retry_reserve: float
 
--- a/onyxwick/interface/settings.py
+++ b/onyxwick/interface/settings.py
@@ -60,14 +60,15 @@
     name: str
     idempotency: Idempotency
     latency_objective_us: int
-    """An answer within this time counts with the full weight."""
+    """An answer within this time counts with the full weight of the class."""
     deadline_us: int
     """The total time for which a client waits, including retries."""
     latency_objective_stretch: float = 0.0
     """The latency objective is extended by this multiple of the request's own transfer time."""
     priority_weight: float = 1.0
     late_priority_weight: float = 0.0
-    """Share of the weight with which an answer between the latency objective and the deadline counts."""
+    """An answer after the latency objective but before the deadline counts with this share of the class's
+    weight."""
     key_scope: KeyScope = KeyScope.ALL
     key_window_us: int = 0
     """How long a cache recognises a retry, counted from the first attempt that may have been executed."""
@@ -81,7 +82,7 @@
     stale_grace_us: int = 0
     """How long after the end of its freshness lifetime a copy may still be served."""
     stale_priority_weight: float = 0.0
-    """Share of the weight with which an answer from a stale copy counts."""
+    """An answer from a stale copy counts with this share of the class's weight."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -91,7 +92,7 @@
     answer_grace_us: int
     """A final answer may be sent up to this long after the client's deadline."""
     drain_grace_us: int
-    """After this time no new requests may be sent to a cache that is draining or removed."""
+    """From this long after a cache starts to drain or is removed, no new requests may be sent to it."""
     warm_up_start_share: float
     """A cache that has just started has at least this share of its capacity."""
     warm_up_us: int
@@ -112,7 +113,8 @@
     """The origin pauses if the load sent to it exceeds this multiple of its capacity; 0 means never."""
     origin_overload_window_us: int = 0
     max_poll_interval_us: int = 0
-    """A router without a subscription counts as notified of the list if it has not polled for this long."""
+    """A router without a subscription counts as notified of the endpoint list if it has not polled the list
+    for this long."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/onyxwick/service.py
+++ b/onyxwick/service.py
@@ -35,7 +35,8 @@
 RECOVERY_CHECK_INTERVAL_S = 0.5
 RAMP_UP_SEED = 0xBAC
 SUBSCRIPTION_SEED = 0x5B5
-"""Both seeds are combined with the director's seed, so that each component has separate random numbers."""
+"""`RAMP_UP_SEED` and `SUBSCRIPTION_SEED` are combined with the director's seed, so that the ramp-up and the
+subscription have separate random numbers."""
 QUOTAS_DOCUMENT = "quotas"
 """Name of the distributed document with the tenants' quotas."""
 
@@ -194,7 +195,7 @@
             await self.durable.close()
 
     async def _finish_recovery(self, durable: DurableState) -> None:
-        """End the recovery without the feed if the feed stays silent too long; recorded drains stay."""
+        """End the recovery if the feed sends nothing for too long; recorded drains stay in force."""
         from onyxwick.store.recovery import RecoveryPhase
 
         while durable.recovery.phase is RecoveryPhase.CHECKING:
--- a/onyxwick/settings.py
+++ b/onyxwick/settings.py
@@ -74,8 +74,8 @@
     def get(self, path: str, read: Callable[[str], Value], default: Value | None = None) -> Value:
         """Return the value at `path` as parsed by `read`, or `default` if the value is missing, empty or `-`.
 
-        Without a default, `read` receives the value in any case, and a missing value as an empty string.
-        Raises SettingError if `read` raises ValueError or KeyError.
+        If there is no default, `read` also parses an empty value or `-`, and gets an empty string for a
+        missing value. Raises SettingError if `read` raises ValueError or KeyError.
         """
         value = self.values.get(path, "")
         if value in ("", "-") and default is not None:
