--- a/onyxwick/net/accept_loop.py
+++ b/onyxwick/net/accept_loop.py
@@ -24,9 +24,10 @@
 ACCEPT_PAUSE_S = 0.05
 """The pause after an accept that failed because descriptors or memory were exhausted."""
 FINAL_ACCEPT_LIMIT_S = 1.0
-"""How long `accept_remaining` accepts waiting connections at most, also if accept fails meanwhile."""
+"""`accept_remaining` accepts waiting connections for at most this long, even if accept fails meanwhile."""
 MAX_FINAL_ACCEPTS = 4 * ACCEPT_BACKLOG
-"""The maximum number of accepts in `accept_remaining`, as clients may go on connecting."""
+"""The maximum number of accepts in `accept_remaining`, which must end although clients may go on
+connecting."""
 
 
 class AcceptLoop:
@@ -46,7 +47,7 @@
         self.wait_for_evictions = wait_for_evictions
         self.counters = counters
         self.failures = 0
-        self.failing_since_s = 0.0  # monotonic: since when connections may wait as accept failed, or 0
+        self.failing_since_s = 0.0  # since when (monotonic) accept fails and connections may wait, or 0
 
     async def run(self, sock: socket.socket) -> None:
         """Accept connections until cancelled."""
@@ -64,7 +65,7 @@
                 pause_s = self._on_failure(error)
             await self.wait_for_evictions()
             accepted += 1
-            if pause_s or accepted % ACCEPTS_PER_TURN == 0:  # many accepts at once let others run
+            if pause_s or accepted % ACCEPTS_PER_TURN == 0:  # other tasks run between many accepts
                 await asyncio.sleep(pause_s)
                 pause_s = 0.0
 
--- a/onyxwick/net/arrival_clock.py
+++ b/onyxwick/net/arrival_clock.py
@@ -23,7 +23,7 @@
         self.parser = parser
         self.unread_since_s = 0.0  # since when bytes in the socket may have been unread, or 0
         self._noted_at_s = 0.0
-        self._noted_until_bytes: float = math.inf  # bytes received plus bytes unread at that time
+        self._noted_until_bytes: float = math.inf  # bytes received plus bytes unread at `_noted_at_s`
 
     def note_unread(self, is_paused: bool) -> None:
         """Record after a read that bytes are still unread, or that reading pauses, so that bytes may wait.
--- a/onyxwick/net/cache_connection.py
+++ b/onyxwick/net/cache_connection.py
@@ -145,7 +145,7 @@
         return attempt
 
     def _is_member_address(self) -> bool:
-        """Return whether the address still belongs to the member; another member may have it by now."""
+        """Return whether the address is still that of the connection's member; another may have it by now."""
         return self.pool.members.addresses.get(self.member) == self.address
 
     def _on_dropped(self, attempt: CacheAttempt) -> None:
--- a/onyxwick/net/cache_pool.py
+++ b/onyxwick/net/cache_pool.py
@@ -25,12 +25,14 @@
 log = logs.get()
 MIN_CONNECTIONS_PER_MEMBER = 2
 MAX_CONNECTIONS_PER_MEMBER = 8
-"""Greater than one, as an invalid reply closes the connection for all attempts on it."""
+"""Largest number of connections to one member. It is greater than one, because an invalid reply closes a
+connection for all attempts on it."""
 MAX_EXCESS_CONNECTIONS = 8
-"""Number of connections allowed beyond `max_connections` while evicted ones are still closing."""
+"""Number of connections allowed beyond `max_connections` while evicted connections are still closing."""
 SWEEP_INTERVAL_S = 0.2
 IDLE_LIMIT_S = 10.0
-"""Shorter than the members' own idle limit, so that nothing is sent on a connection that they are closing."""
+"""A connection that is idle for this long is closed. The time is shorter than the members' own idle limit, so
+that nothing is sent on a connection that they are closing."""
 WRITE_STALL_LIMIT_S = 3.0
 """A write that makes no progress for this long indicates that the machine is down."""
 DEFAULT_CONNECT_US = 400_000
--- a/onyxwick/net/connection_shutdown.py
+++ b/onyxwick/net/connection_shutdown.py
@@ -57,7 +57,7 @@
 
 
 def _receive_remaining(connection: FrontConnection) -> None:
-    """Read the bytes already received, and ignore later calls, which would otherwise keep it open."""
+    """Read the bytes already received, and ignore later calls, which would keep the connection open."""
     for _ in range(MAX_FINAL_READS):
         if not unread_bytes(connection.sock):
             break
--- a/onyxwick/net/coordinator_feed.py
+++ b/onyxwick/net/coordinator_feed.py
@@ -80,7 +80,7 @@
         self.last_index = 0  # index of the last event applied or skipped
         self.announced_index = 0  # the index last announced on a line without an event
         self.on_line: Callable[[], None] | None = None
-        self.sock: socket.socket | None = None  # of the connection that receives lines
+        self.sock: socket.socket | None = None  # socket of the connection that receives lines
         self.race: FeedRace | None = None  # while a connection is being established
         self.buffer = ReceiveBuffer()
         self.line_started_s = 0.0
--- a/onyxwick/net/fastcgi_parser.py
+++ b/onyxwick/net/fastcgi_parser.py
@@ -41,9 +41,9 @@
 INITIAL_BUFFER_BYTES = 2048
 """The initial buffer size of a connection, small because requests are short and connections may be many."""
 MAX_PARAMS_BYTES = 16_384
-"""The platform's requests have no longer parameters; a request that exceeds this is rejected."""
+"""A request whose parameters are longer than this is rejected; the platform sends no such request."""
 MAX_BODY_BYTES = 48_000
-"""The platform's requests have no longer body; a request that exceeds this is rejected."""
+"""A request whose body is longer than this is rejected; the platform sends no such request."""
 BAD_REQUEST = "400 Bad Request"
 TOO_LARGE = "413 Content Too Large"
 
--- a/onyxwick/net/feed_race.py
+++ b/onyxwick/net/feed_race.py
@@ -18,7 +18,7 @@
 from onyxwick.net.socket_state import unread_bytes, wait_readable
 
 MAX_CONCURRENT_CONNECTIONS = 4
-"""The oldest connection is stopped before this number is exceeded."""
+"""At most this many connections are raced: the oldest is stopped before the number is exceeded."""
 CONNECT_LIMIT_S = 0.8
 """If the newest connection is not established within this time, another one is started in parallel."""
 SILENCE_LIMIT_S = 2.2
@@ -110,7 +110,7 @@
         return self.winner
 
     async def _drop_failed(self) -> None:
-        """Remove failed connections. Raises the error of the last one if no connection remains."""
+        """Remove failed connections. Raises the error of the last failed one if no connection remains."""
         for attempt in [attempt for attempt in self.attempts if attempt.task.done()]:
             self.attempts.remove(attempt)
             await attempt.stop(None)
--- a/onyxwick/net/front.py
+++ b/onyxwick/net/front.py
@@ -37,7 +37,8 @@
 
 log = logs.get()
 MAX_OVERLOAD_RETRY_US = 500_000
-"""The maximum retry delay of an overload: a client that reads nothing is disconnected within seconds."""
+"""The retry delay of a call rejected for overload is at most this: a client that reads nothing is
+disconnected within seconds."""
 CLOSING_RETRY_US = 100_000
 """The retry delay for a new call on a connection that is about to close."""
 SWEEP_INTERVAL_S = 0.25
--- a/onyxwick/net/front_connection.py
+++ b/onyxwick/net/front_connection.py
@@ -39,7 +39,7 @@
 LINGER_S = 0.5
 """How long input is discarded after the end of stream: closing with unread bytes resets the connection."""
 MAX_LINGER_S = 15.0
-"""The maximum of this time while answers are still in flight."""
+"""`LINGER_S` is extended to at most this time while answers are still in flight."""
 PAUSE_READING_ABOVE_BYTES = 2_000_000
 """Reading from a connection pauses while it has more unwritten bytes than this."""
 RECEIVE_BYTES = 65_536
@@ -390,7 +390,7 @@
         return not unread_bytes(self.sock) and not self.delivery.in_flight_bytes(now_s)
 
     def exceeds_deadline(self, now_s: float) -> bool:
-        """Return whether it wastes a slot: it is silent, stuck in a partial call or idle for too long."""
+        """Return whether the connection is silent, stuck in a partial call or idle for too long."""
         if self.open_calls or self.writes.pending_bytes or self.is_closing or now_s < self.last_active_at_s:
             return False
         if not self.is_drained(now_s):
--- a/onyxwick/net/resp.py
+++ b/onyxwick/net/resp.py
@@ -12,9 +12,9 @@
 from onyxwick.net.errors import RespProtocolError
 
 MAX_ARRAY_LENGTH = 16
-"""The platform's replies are no longer than this; a longer array is rejected."""
+"""An array with more elements than this is rejected; the platform's replies have no more."""
 MAX_BULK_BYTES = 262_144
-"""The platform's replies hold no longer bulk string; a longer one is rejected."""
+"""A bulk string longer than this is rejected; the platform's replies contain no longer ones."""
 MAX_LINE_BYTES = 32
 """The maximum size of a line that holds a count or a length."""
 CRLF = b"\r\n"
@@ -34,7 +34,7 @@
 
     def __init__(self) -> None:
         self.buffer = ReceiveBuffer()
-        self.needed_bytes = 1  # parsing waits for these, as bodies arrive in many small pieces
+        self.needed_bytes = 1  # parsing waits for this many bytes, as bodies arrive in many small pieces
 
     def messages(self) -> Iterator[list[bytes]]:
         """Yield the complete arrays received.
--- a/onyxwick/net/subscription.py
+++ b/onyxwick/net/subscription.py
@@ -193,7 +193,7 @@
             self._deadline_changed.set()
 
     def on_connection_failed(self, connection: _ParentConnection, reason: str) -> None:
-        """Handle a connection that has ended or could not be opened. Ignored unless it is the one in use."""
+        """Handle the end of the connection in use, or the failure to open it; ignore any other connection."""
         if connection is not self._connection:
             return
         self._connection = None
@@ -216,7 +216,7 @@
         self._deadline_changed.set()
 
     def on_lines(self, connection: _ParentConnection, lines: Sequence[bytes]) -> None:
-        """Pass complete lines of a connection to the follower. Ignored unless it is the one in use."""
+        """Pass complete lines of the connection in use to the follower; ignore those of any other."""
         for line in lines:
             if connection is not self._connection:
                 return
