--- a/onyxwick/routing/concurrency_limit.py
+++ b/onyxwick/routing/concurrency_limit.py
@@ -41,7 +41,8 @@
 """The step by which an answer in time raises the limit factor shrinks in proportion to the factor, but not
 below this share of the full step."""
 MIN_USED_SHARE = 0.5
-"""Share of the limit that must be in use when an answer is received, for it to raise the factor."""
+"""An answer raises the limit factor only if at least this share of the limit is in use when it is
+received."""
 
 ANSWER_WINDOW_US = 4 * US_PER_S
 REFERENCE_ANSWERS_PER_S = 12.0
@@ -58,7 +59,8 @@
 
 LATE_SHARE_WEIGHT = 0.2
 OVERLOADED_LATE_SHARE = 0.25
-"""Share of late answers above which a timeout is taken as overload and not as a lost answer."""
+"""If more than this share of a member's answers is late, a timeout is taken as overload and not as a lost
+answer."""
 
 
 def is_overloaded(member: MemberRecord) -> bool:
@@ -105,7 +107,8 @@
         member.concurrency_limit = limit
         if limit >= 1:
             return len(member.in_flight) < limit
-        # Below a limit of 1, attempts run one at a time, with pauses that make the mean in flight the limit.
+        # If the limit is below 1, attempts run one at a time, with such pauses that the mean number in flight
+        # is the limit.
         pause_us = member.last_attempt_latency_us * (1 / limit - 1)
         return not member.in_flight and now_us >= member.last_attempt_ended_us + pause_us
 
--- a/onyxwick/routing/popularity.py
+++ b/onyxwick/routing/popularity.py
@@ -35,7 +35,7 @@
 BRONZE_STEP = 0.02
 """Share of the counted objects by which one step of the feedback moves the bronze threshold."""
 SLOWER_FILL_RATIO = 1.2
-"""Ratio of the fill latency to that of the previous step, above which fills count as slower."""
+"""Fills count as slower if their mean latency is more than this multiple of that at the previous step."""
 MAX_COUNTED_OBJECTS = 50_000
 MIN_COUNT = 0.1
 """Objects whose decayed number of reads is below this are dropped."""
@@ -68,7 +68,7 @@
         self.recent_hits: dict[str, dict[str, int]] = {}
         """Time of the last hit in microseconds, by cache and object."""
         self.hits = 0
-        """Hits since the last step; `answers` counts over the same time."""
+        """Hits since the last step of the feedback; `answers` counts all answers over the same time."""
         self.answers = 0
         self.previous_hit_share = 0.0
         self.previous_fill_us = 0.0
