--- a/onyxwick/core/attempt_invariants.py
+++ b/onyxwick/core/attempt_invariants.py
@@ -35,7 +35,8 @@
 SMALL_LIMIT_REQUESTS = 30
 SMALL_LIMIT_DEVIATIONS = 3
 LIMIT_DEVIATIONS = 2
-"""The slow-start limit N has slack: N + 2 sqrt(N) + 2 is tolerated, or N + 3 sqrt(N) + 3 if N is under 30."""
+"""A slow-start limit of N requests is checked with slack: N + 2 sqrt(N) + 2 requests are tolerated, or N + 3
+sqrt(N) + 3 if N is under 30."""
 MAX_REMEMBERED_ENTRIES = 4096
 """At most this many sends to each recovering member, and this many removed members, are remembered."""
 
--- a/onyxwick/core/invariants.py
+++ b/onyxwick/core/invariants.py
@@ -135,7 +135,7 @@
 
     @_report_check_errors
     def connection_closed(self, connection: int, unanswered: int, by_client: bool) -> None:
-        """Check that a client's connection is closed by the client, or with no unanswered requests."""
+        """Check that a closed client connection has no unanswered requests, unless the client closed it."""
         if unanswered and not by_client:
             cause = f"{unanswered} requests were unanswered"
             self.report(
