--- a/onyxwick/interface/settings.py
+++ b/onyxwick/interface/settings.py
@@ -71,7 +71,8 @@
     weight."""
     key_scope: KeyScope = KeyScope.ALL
     key_window_us: int = 0
-    """How long a cache recognises a retry, counted from the first attempt that may have been executed."""
+    """How long a cache recognises a retry by its idempotency key, counted from the first attempt that may
+    have been executed."""
     stream: bool = False
     is_write: bool = False
     """Requests are executed at the origin, and their answers are never cached."""
