--- a/onyxwick/hosting/routers.py
+++ b/onyxwick/hosting/routers.py
@@ -71,7 +71,7 @@
         return router
 
     def front_options(self, max_held_bytes: int, max_clients: int) -> FrontOptions:
-        """Return the information for the front, whose limits are the two arguments."""
+        """Return the information for the front; the two arguments are the front's limits."""
         site_field = self.sites.topology.policy.client_site_field if self.sites is not None else ""
         if self.cells is None:
             tenant_field = DEFAULT_TENANT_FIELD if self.sites is not None else ""
