--- a/onyxwick/net/front.py
+++ b/onyxwick/net/front.py
@@ -53,7 +53,7 @@
 MAX_PENDING_CLOSES = 8
 """Accepting waits while so many evicted connections are open; a close takes some event loop iterations."""
 ACCEPT_LATENCY_S = 0.02
-"""A connection that was established longer ago than this when it is accepted has waited for the accept."""
+"""A connection that is accepted later than this after it was established has waited for the accept."""
 TICK_INTERVAL_S = 0.6 * STALL_S
 
 
