--- a/onyxwick/net/front.py
+++ b/onyxwick/net/front.py
@@ -37,7 +37,8 @@
 
 log = logs.get()
 MAX_OVERLOAD_RETRY_US = 500_000
-"""The maximum retry delay of an overload: a client that reads nothing is disconnected within seconds."""
+"""The retry delay of a call rejected for overload is at most this: a client that reads nothing is
+disconnected within seconds."""
 CLOSING_RETRY_US = 100_000
 """The retry delay for a new call on a connection that is about to close."""
 SWEEP_INTERVAL_S = 0.25
@@ -52,7 +53,7 @@
 MAX_PENDING_CLOSES = 8
 """Accepting waits while so many evicted connections are open; a close takes some event loop iterations."""
 ACCEPT_LATENCY_S = 0.02
-"""A connection that was established longer ago than this when it is accepted has waited for the accept."""
+"""A connection that is accepted later than this after it was established has waited for the accept."""
 TICK_INTERVAL_S = 0.6 * STALL_S
 
 
