--- a/onyxwick/sites/fairness.py
+++ b/onyxwick/sites/fairness.py
@@ -17,18 +17,19 @@
 from onyxwick.sites.loss_demand import Choice
 
 MAX_FILLING_ROUNDS = 4
-MAX_VALUE_LOSS_SHARE = 0.03  # of the served value, given up to reject evenly
-VALUE_TIE_WEIGHT = 1e-2  # weight of value against the lowest share; chooses between equally fair solutions
+MAX_VALUE_LOSS_SHARE = 0.03  # largest share of the served value that is given up to reject evenly
+# Weight of the value relative to the lowest served share; decides between equally fair solutions.
+VALUE_TIE_WEIGHT = 1e-2
 NEGLIGIBLE = 1e-6  # rates (requests per second) and shares below this count as zero
-FLOOR_TOLERANCE = 1 - 1e-7  # factor on minimum rates that allows for rounding in the solver
-LIMIT_TOLERANCE = 1e-6  # transfers
+FLOOR_TOLERANCE = 1 - 1e-7  # minimum rates are multiplied by this, to allow for rounding in the solver
+LIMIT_TOLERANCE = 1e-6  # concurrent transfers by which the rates may exceed the limit of a resource
 
 
 def reject_evenly(program: LossProgram, rates: np.ndarray) -> np.ndarray:
     """Return rates of nearly the same value, with rejections evened out between all demands.
 
-    Classes with nearly the same value for their work are treated alike, and none is rejected entirely for one
-    percent more value."""
+    Classes with nearly the same value for their work are treated alike, and no class is rejected entirely to
+    gain one percent more value."""
     served = program.demand_matrix @ rates
     if float(np.sum(program.rates - served)) <= NEGLIGIBLE:
         return rates
--- a/onyxwick/sites/lifecycle.py
+++ b/onyxwick/sites/lifecycle.py
@@ -14,17 +14,23 @@
 from onyxwick.sites.model import MICROSECONDS_PER_SECOND, SitePolicy
 
 SILENT_CONFIRMATION_FACTOR = 4  # multiplies `confirm_us` if caches accept connections but do not answer
-SUSPICION_EXPIRY_US = 10 * MICROSECONDS_PER_SECOND  # without a further failure, the suspicion is dropped
+# A suspicion is dropped after this time without a further failure.
+SUSPICION_EXPIRY_US = 10 * MICROSECONDS_PER_SECOND
 PAUSE_PRESSURE = 0.35  # share of late and rejected answers above which a move pauses
-RESUME_PRESSURE = 0.2  # up to this share a return proceeds; above it a return may start early
-MIN_LISTED_SHARE = 0.5  # of a site's caches that must be listed before traffic returns to it
-FULL_CAPACITY_SHARE = 0.95  # of its planned capacity; from this share on a site counts as complete
-MAX_FLAPS = 5  # each flap doubles the hold time
+# A return proceeds up to this share of late and rejected answers; above it a return may start early.
+RESUME_PRESSURE = 0.2
+MIN_LISTED_SHARE = 0.5  # share of a site's caches that must be listed before traffic returns to it
+FULL_CAPACITY_SHARE = 0.95  # a site with this share of its planned capacity or more counts as complete
+MAX_FLAPS = 5  # highest flap count; each flap doubles the hold time
 MAX_SETBACK_DOUBLINGS = 2
 FLAP_WINDOW_US = 60 * MICROSECONDS_PER_SECOND  # a loss this soon after a return counts as a flap
-FLAP_DECAY_US = 300 * MICROSECONDS_PER_SECOND  # in the steady phase, until the flap count decreases by one
-MAX_STEP_INTERVAL_US = 2 * MICROSECONDS_PER_SECOND  # a longer interval means a paused process and stale state
-COLD_START_WARM_SHARE = 0.35  # of its listed capacity; a site below it at a director's start is returning
+# The flap count decreases by one after this time in the steady phase.
+FLAP_DECAY_US = 300 * MICROSECONDS_PER_SECOND
+# Longest interval between two steps; a longer one means that the process was paused and its state is stale.
+MAX_STEP_INTERVAL_US = 2 * MICROSECONDS_PER_SECOND
+# A site whose warm share is below this part of its listed capacity at a director's start is taken to be
+# returning.
+COLD_START_WARM_SHARE = 0.35
 MAX_TRANSITIONS_PER_STEP = 3
 SHARE_TOLERANCE = 1e-9
 NOT_LISTED = "none of its caches is listed as ready"
@@ -49,7 +55,8 @@
     SitePhase.EVACUATED: {SitePhase.RETURNING},
     SitePhase.RETURNING: {SitePhase.STEADY, SitePhase.LOST, SitePhase.EVACUATING},
 }
-AWAY_PHASES = (SitePhase.LOST, SitePhase.EVACUATING, SitePhase.EVACUATED)  # only trials are sent there
+# The phases from the loss or evacuation of a site until its traffic starts to return.
+AWAY_PHASES = (SitePhase.LOST, SitePhase.EVACUATING, SitePhase.EVACUATED)
 
 
 class IllegalSiteTransitionError(OnyxwickError, RuntimeError):
@@ -86,10 +93,10 @@
     cut_off: bool = False  # this director is isolated
     has_demand: bool = False  # requests of its clients arrive here, or it is a hub or the local site
     is_unobserved: bool = False  # its clients' requests arrive here, but it has not answered recently
-    listed_share: float = 1.0  # of its caches that are listed as ready
+    listed_share: float = 1.0  # share of its caches that are listed as ready
     list_loaded: bool = True  # an endpoint list has been received
-    capacity_share: float = 1.0  # of its planned capacity that the listed caches have when warm
-    warm_share: float = 1.0  # of its planned capacity that the listed caches can provide now
+    capacity_share: float = 1.0  # share of its planned capacity that the listed caches have when warm
+    warm_share: float = 1.0  # share of its planned capacity that the listed caches can provide now
     healthy_since_us: int = 0  # since when all trials have been answered; 0: they are not answered
     pressure: float = 0.0  # share of late and rejected answers at the sites that serve its objects
     cause: str = ""
@@ -173,7 +180,7 @@
                 return
 
     def _resume_after_pause(self, now: int) -> None:
-        """Drop a suspicion from before a pause of the process; it must be observed again."""
+        """Drop a suspicion that arose before a pause of this process; the failures must be observed again."""
         self.share_changed_us = now
         if self.phase is SitePhase.SUSPECT:
             self._transition(SitePhase.STEADY, now, "process was paused: observing again")
--- a/onyxwick/sites/load_shedding.py
+++ b/onyxwick/sites/load_shedding.py
@@ -23,18 +23,18 @@
 from onyxwick.subrouters.admission_gate import AdmissionGate
 from onyxwick.subrouters.rejection import AdmissionRejection
 
-ANSWER_SMOOTHING = 0.04  # weight of one answer in the moving averages
+ANSWER_SMOOTHING = 0.04  # weight of one answer in the moving averages of pressure and service time
 PRESSURE_HALVING_US = 500_000  # without answers, the pressure halves after each such interval
 LEVEL_THRESHOLDS = (0.15, 0.35, 0.55)  # pressure at which each level is entered
-LEAVE_THRESHOLD_FACTOR = 0.5  # a level is left below this factor times its threshold
+LEAVE_THRESHOLD_FACTOR = 0.5  # a level is left when the pressure is below its threshold times this
 MIN_LEVEL_TIME_US = 1 * MICROSECONDS_PER_SECOND  # shortest time at a level before it is left
 RETRY_SHEDDING_LEVEL = 2  # from this level on, clients' retries are rejected
-STRICTNESS_INCREASE = 0.05  # per step under pressure
-STRICTNESS_DECREASE = 0.02  # per step without pressure
+STRICTNESS_INCREASE = 0.05  # added to `plan_strictness` in each step under pressure
+STRICTNESS_DECREASE = 0.02  # subtracted from `plan_strictness` in each step without pressure
 INITIAL_SERVICE_TIME_US = 300_000  # assumed until answers are measured
 MIN_RETRY_AFTER_US = 100_000
 MAX_RETRY_AFTER_US = 8 * MICROSECONDS_PER_SECOND
-RETRY_AFTER_JITTER = (0.5, 1.5)  # range of the random factor on a Retry-After
+RETRY_AFTER_JITTER = (0.5, 1.5)  # a Retry-After is multiplied by a random factor from this range
 
 
 class SheddingLevels:
@@ -57,7 +57,8 @@
     def record_answer(self, now: int, bad: bool, taken_us: int = 0) -> None:
         """Update the pressure and the mean service time with one answer of the site's router.
 
-        `bad`: late, rejected or failed. `taken_us`: service time in us; 0 if not measured."""
+        `bad`: the answer was late, or the request was rejected or failed. `taken_us`: service time in us; 0
+        if not measured."""
         self.pressure += ANSWER_SMOOTHING * (bad - self.pressure)
         self.last_answer_us = now
         if taken_us:
@@ -107,9 +108,10 @@
     def rejection_reason(
         self, request_class: RequestClass, tenant: str, is_retry: bool, priority: float
     ) -> AdmissionRejection | None:
-        """Return why a request is not admitted; None if it is admitted. `priority`: of its class, 0 to 1."""
+        """Return why a request is not admitted; None if it is admitted. `priority`: the priority of its
+        class, 0 to 1."""
         if request_class.is_write or request_class.idempotency is Idempotency.NON_IDEMPOTENT:
-            return None  # shed last of all; the limits of the origin apply
+            return None  # such requests are shed last of all, by the limits of the origin
         if self.level < RETRY_SHEDDING_LEVEL:
             return None  # below this level nothing is rejected here; the limits of the site's router suffice
         if is_retry:
@@ -117,13 +119,14 @@
         reserve = self.tenant_reserves.get(tenant, 0.0)
         if reserve and self.gate.in_flight_of(tenant) < reserve * self.gate.adaptive_limit.limit:
             return None
-        # Below the highest level all classes share the full limit. At it the lowest priority is shed first.
+        # Below the highest level every class may use the full concurrency limit. At the highest level the
+        # class with the lowest priority is shed first.
         is_highest_level = self.level >= len(LEVEL_THRESHOLDS)
         return self.gate.rejection_reason(tenant, priority if is_highest_level else 1.0)
 
     def retry_after_us(self, max_retry_after_us: int) -> int:
         """Return the time after which a rejected client may retry, at most `max_retry_after_us` (0: no
-        bound).
+        limit).
 
         By Little's law, a full gate completes one request per service time divided by its limit, and all
         requests rejected in the meantime compete for these completions. The time is randomized so
--- a/onyxwick/sites/loss_demand.py
+++ b/onyxwick/sites/loss_demand.py
@@ -12,7 +12,7 @@
 from onyxwick.sites.loss_outcome import CACHES, PARENTS, Resource, SiteLoss, link_resource
 from onyxwick.sites.model import ORIGIN_PLACE, OfferedLoad, PlannedClass, Topology
 
-MAX_SURVIVORS = 12  # nearest sites that may take the load of a lost site
+MAX_SURVIVORS = 12  # number of nearest sites that may take the load of a lost site
 MAX_FULLY_SOLVED_SITES = 24  # with more sites, only the load that a loss can affect is decided on
 
 
@@ -22,7 +22,7 @@
 
     load: OfferedLoad
     rate_per_s: float
-    arrivals: dict[str, float]  # share of the requests, by the site that their clients connect to
+    arrivals: dict[str, float]  # by site, the share of the requests whose clients connect to it
     places: tuple[str, ...]
     is_moved: bool = False  # its objects are assigned to other sites by the plan
 
@@ -33,7 +33,7 @@
 
     demand: int  # index of the demand
     place: str
-    delay_us: float  # mean, from the clients' sites to the place
+    delay_us: float  # mean delay from the clients' sites to the place
     uses: dict[Resource, float]  # concurrent transfers for each request per second
 
 
--- a/onyxwick/sites/loss_outcome.py
+++ b/onyxwick/sites/loss_outcome.py
@@ -14,7 +14,7 @@
 CACHES = "boxes"
 PARENTS = "stores"
 LINK = "link"
-FEASIBLE_SHARE = 1 - 1e-6  # of the offered value; a loss that serves less is not feasible
+FEASIBLE_SHARE = 1 - 1e-6  # a loss is feasible if at least this share of the offered value is served
 
 
 def link_resource(one: str, other: str) -> Resource:
--- a/onyxwick/sites/loss_solver.py
+++ b/onyxwick/sites/loss_solver.py
@@ -10,8 +10,9 @@
 from onyxwick.sites.loss_outcome import LossOutcome, ResourceUse, SiteLoss
 from onyxwick.sites.model import Topology
 
-NEGLIGIBLE_SHARE = 1e-6  # of a class's moved requests
-FULLY_SERVED_SHARE = 1 - 1e-4  # of a demand; from this share on it counts as fully served
+NEGLIGIBLE_SHARE = 1e-6  # a serving site with no more than this share of a class's moved requests is left out
+# A demand counts as fully served if at least this share of its requests is served.
+FULLY_SERVED_SHARE = 1 - 1e-4
 
 
 def solve_loss(topology: Topology, loss: SiteLoss) -> LossOutcome:
--- a/onyxwick/sites/member_evidence.py
+++ b/onyxwick/sites/member_evidence.py
@@ -18,7 +18,7 @@
 OBSERVATION_WINDOW_US = 5 * MICROSECONDS_PER_SECOND  # how long an observation of a member counts
 OVERDUE_US = 700_000  # longer than a healthy member takes to answer, connecting included
 DEFAULT_CONNECT_TIMEOUT_US = 400_000  # used if the settings state none
-REFUSED_TIMEOUT_SHARE = 0.8  # of the connect timeout; a connect that failed sooner was refused
+REFUSED_TIMEOUT_SHARE = 0.8  # a connect that failed before this share of the connect timeout was refused
 UNREACHABLE_SCORE = 1.0  # failure score from which on a member is unreachable
 
 
@@ -60,9 +60,10 @@
     """The observations of one member."""
 
     answered_us: int = 0
-    waiting_since_us: int = 0  # since when an attempt is in flight with nothing received; 0: no attempt
+    # Time since which an attempt is in flight and nothing was received; 0: no attempt is in flight.
+    waiting_since_us: int = 0
     attempts_in_flight: int = 0
-    failure_score: float = 0.0  # sum over the failures since the last answer
+    failure_score: float = 0.0  # sum of the evidence weights of the failures since the last answer
     failed_us: int = 0  # last of these failures
     first_failed_us: int = 0  # first of these failures
     evidence: AttemptEvidence = AttemptEvidence.ANSWERED  # from the last ended attempt
--- a/onyxwick/sites/membership.py
+++ b/onyxwick/sites/membership.py
@@ -22,9 +22,9 @@
 class PlaceAvailability:
     """Shares of the members and capacity that the topology states for a place."""
 
-    listed_share: float = 1.0  # of its members, those listed as ready
-    capacity_share: float = 1.0  # of its capacity, that of the listed members when warm
-    warm_share: float = 1.0  # of its capacity, what the listed members can provide now
+    listed_share: float = 1.0  # share of its stated members that are listed as ready
+    capacity_share: float = 1.0  # share of its stated capacity that the listed members have when warm
+    warm_share: float = 1.0  # share of its stated capacity that the listed members can provide now
 
 
 @dataclass(frozen=True, slots=True)
--- a/onyxwick/sites/model.py
+++ b/onyxwick/sites/model.py
@@ -43,7 +43,7 @@
     capacity: float  # concurrent transfers of all its caches
     directors: int = 1
     caches: int = 1
-    # Other sites that its clients fail over to, by weight.
+    # The weights of the other sites that its clients fail over to, by site.
     failover: Mapping[str, float] = field(default_factory=dict)
 
 
@@ -72,11 +72,12 @@
     name: str
     transfer_us: int  # duration of one answer at full speed
     fill_us: int  # duration of one fill at full speed, at its source
-    fill_share: float  # of its requests that need a fill
-    parent_miss_share: float  # of its fills that a parent has to fetch from the origin
+    fill_share: float  # share of its requests that need a fill
+    parent_miss_share: float  # share of its fills that a parent has to fetch from the origin
     priority_weight: float = 1.0
     is_write: bool = False
-    shared_object_share: float = 0.0  # of its requests, for objects that other sites' clients also request
+    # Share of its requests that are for objects that other sites' clients also request.
+    shared_object_share: float = 0.0
 
     @property
     def work(self) -> float:
@@ -110,8 +111,9 @@
     step_interval_us: int = 250_000  # between two changes of the moved share
     evacuation_steps: int = 4
     return_steps: int = 8
-    hold_us: int = 4 * MICROSECONDS_PER_SECOND  # of answered trials before a return; doubled by each flap
-    remote_share: float = 0.3  # of a warming cache's budget, for all directors of other sites together
+    # Time of answered trials before a return; doubled by each flap.
+    hold_us: int = 4 * MICROSECONDS_PER_SECOND
+    remote_share: float = 0.3  # share of a warming cache's budget for all directors of other sites together
     max_trials: int = 4  # concurrent requests to a site that is not known to be reachable
 
 
@@ -157,7 +159,7 @@
         return next((site.name for site in self.sites.values() if site.zone == zone), None)
 
     def client_arrivals(self, site: str, lost: Iterable[str]) -> dict[str, float]:
-        """Return the sites that the clients of a site connect to while some sites are lost, by share.
+        """Return by site the share of one site's clients that connects to it while some sites are lost.
 
         Clients of a lost site use its remaining failover sites, or if there are none all remaining sites
         equally. Empty if all sites are lost."""
--- a/onyxwick/sites/monitor.py
+++ b/onyxwick/sites/monitor.py
@@ -30,7 +30,8 @@
 
 TRIAL_INTERVAL_US = 150_000  # between two trials of an evacuated site
 DEMAND_WINDOW_US = 5 * MICROSECONDS_PER_SECOND  # how long a client's request counts as demand
-# After this time without demand there are no trials, and the endpoint list alone decides the return.
+# After this time without requests from a site's clients there are no trials of the site, and the endpoint
+# list alone decides whether traffic returns to it.
 NO_DEMAND_US = 10 * MICROSECONDS_PER_SECOND
 TRIAL_PHASES = (SitePhase.SUSPECT, SitePhase.LOST, SitePhase.EVACUATED)
 # Takes the name of a site and returns a share, 0 to 1, that this director determines from its own use of the
@@ -201,7 +202,7 @@
     # ---- the tick ------------------------------------------------------------------------------------
 
     def tick(self, now: int, pressure: SiteMeasure) -> list[SiteTransition]:
-        """Step all sites and hubs and return their transitions. Called periodically.
+        """Advance the state machines of all sites and hubs and return their transitions. Called periodically.
 
         `pressure`: by site, the share of late and rejected answers."""
         if now - self.last_tick_us > MAX_STEP_INTERVAL_US:
@@ -240,8 +241,8 @@
         )
 
     def step_site(self, now: int, name: str, pressure: SiteMeasure) -> SiteTransition | None:
-        """Step the state machine of one site or hub. Returns its transition, or None if its phase is
-        unchanged."""
+        """Advance the state machine of one site or hub by its present signals. Returns its transition, or
+        None if its phase is unchanged."""
         lifecycle = self.lifecycles[name]
         previous_phase = lifecycle.phase
         signals = self._health_signals(now, name, lifecycle, pressure)
@@ -254,7 +255,7 @@
         return SiteTransition(name, previous_phase, lifecycle)
 
     def refresh_plan_row(self) -> None:
-        """Update the plan's row, and whether all sites and hubs are steady, from the present phases."""
+        """Select the plan's row for the present phases, and record whether all sites and hubs are steady."""
         sites = frozenset(name for name in self.topology.sites if is_evacuated(self.lifecycles[name]))
         hubs = frozenset(name for name in self.topology.hubs if self.lifecycles[name].phase in AWAY_PHASES)
         self.serving_sites.set_losses(sites, hubs)
@@ -318,7 +319,7 @@
                 self.commands.apply(command)
 
     def step_exercises(self, now: int, highest_pressure: float) -> list[str]:
-        """Step the failover exercises. Returns the sites whose exercise has ended."""
+        """Advance the failover exercises. Returns the sites whose exercise has ended."""
         return self.commands.step_exercises(now, self.lifecycles, highest_pressure)
 
     def replace_plan(self, plan: SitePlan) -> None:
--- a/onyxwick/sites/observation.py
+++ b/onyxwick/sites/observation.py
@@ -7,9 +7,10 @@
 
 from onyxwick.sites.member_evidence import AttemptEvidence, PlaceEvidence
 
-MIN_TRIED_MEMBERS = 3  # required to judge a place; all of its members if it has fewer
-MIN_FAILURE_WEIGHT = 2.0  # one failure of a single parent does not indicate a lost hub
-MIN_SILENT_FAILURE_WEIGHT = 3.0  # if silence is the only evidence, as slow members are also silent
+MIN_TRIED_MEMBERS = 3  # tried members required to judge a place; all of its members if it has fewer
+# Lowest failure weight that indicates a loss; one failure of a single parent does not reach it.
+MIN_FAILURE_WEIGHT = 2.0
+MIN_SILENT_FAILURE_WEIGHT = 3.0  # the same if silence is the only evidence, as slow members are also silent
 WAITING = "waiting"
 CONCLUSIVE_KINDS = (
     AttemptEvidence.REFUSED.value,
@@ -27,7 +28,7 @@
     answered_us: int = 0
     unreachable_since_us: int = 0  # 0: no member is unreachable
     evidence_counts: tuple[tuple[str, int], ...] = ()  # number of unreachable members by kind of failure
-    failure_weight: float = 0.0  # of the unreachable members' failures since their last answers
+    failure_weight: float = 0.0  # sum of the unreachable members' failure scores, at least 1 for each
 
     @property
     def is_mostly_unreachable(self) -> bool:
--- a/onyxwick/sites/operator_commands.py
+++ b/onyxwick/sites/operator_commands.py
@@ -19,7 +19,8 @@
 MIN_EXERCISE_S = 1
 MAX_EXERCISE_S = 3600
 ABORT_PRESSURE = 0.35  # share of late and rejected answers of the entire director that ends an exercise
-ABORT_AFTER_US = 2 * MICROSECONDS_PER_SECOND  # duration of that pressure
+# An exercise ends once the pressure has been above `ABORT_PRESSURE` for this time.
+ABORT_AFTER_US = 2 * MICROSECONDS_PER_SECOND
 EXERCISE_COMPLETED = "it has stayed away for its time"  # the command line compares this text: do not change
 DOCUMENT_FIELDS = frozenset(("word", "reason", "stay_s"))  # of the API document
 ROW_FIELDS = frozenset(("site", "word", "reason", "by", "at_us", "stay_us"))  # of the stored row
@@ -136,7 +137,7 @@
         return SiteDirective.RETURN if site in self.exercise_end_reasons else command.directive
 
     def step_exercises(self, now: int, lifecycles: Mapping[str, SiteLifecycle], pressure: float) -> list[str]:
-        """Step the exercises. Returns the sites whose exercise has ended, with their commands removed.
+        """Advance the exercises. Returns the sites whose exercise has ended; their commands are removed.
 
         `pressure`: share of late and rejected answers among the latest answers of the director, 0 to 1."""
         unsteady_sites = [
--- a/onyxwick/sites/plan.py
+++ b/onyxwick/sites/plan.py
@@ -21,8 +21,8 @@
 class LossPlanRow:
     """The planned response to one loss.
 
-    `serving_shares`: by (site, class), the sites that serve its objects, each with its share.
-    `served_shares`: by (site, class, tenant), the share that is served, if it is below 1.
+    `serving_shares`: by (site, class), the sites that serve its objects and their shares of the served load.
+    `served_shares`: by (site, class, tenant), the share of its requests that is served, if below 1.
     `guest_shares`: by remaining site, the share of its caches that clients of other sites use."""
 
     serving_shares: Mapping[tuple[str, str], Mapping[str, float]] = field(default_factory=dict)
@@ -60,8 +60,8 @@
     def _compose(self, sites: LossKey, hubs: LossKey, cache_sites: LossKey) -> LossPlanRow:
         """Compose a row from the rows of the single losses.
 
-        The objects of each lost site are served as in its own row, without the sites that are lost too.
-        The served share is the lowest of all single losses."""
+        The objects of each lost site are served as in its own row, but not by the other lost sites. The
+        served share is the lowest of all single losses."""
         lost = sites | cache_sites
         remaining = [site for site in self.topology.sites.values() if site.name not in lost]
         key_of_site = {site: loss_key([site]) for site in sites}
--- a/onyxwick/sites/serving_sites.py
+++ b/onyxwick/sites/serving_sites.py
@@ -82,8 +82,8 @@
     def _weights_of_any_class(self, row: LossPlanRow, site: str) -> dict[str, float]:
         """Return the weights of serving sites for a class that is not in the plan.
 
-        These are the sums over the other classes of the site, or the capacities of the remaining sites if
-        there is no planned class."""
+        These are the sums of the weights over the other classes of the site, or the capacities of the
+        remaining sites if there is no planned class."""
         weights: dict[str, float] = {}
         has_row = False
         for (origin_site, _), shares in row.serving_shares.items():
@@ -103,7 +103,7 @@
         """Return whether the plan serves an object during the present losses; the same for all its segments.
 
         `strictness`: of the load that the plan may reject, the share that is rejected now, 0 to 1. As it
-        rises or falls, complete objects become rejected or served."""
+        rises or falls, an object becomes rejected or served with all of its segments."""
         served_shares = self.row.served_shares
         if not served_shares or strictness <= 0:
             return True
--- a/onyxwick/sites/shares.py
+++ b/onyxwick/sites/shares.py
@@ -23,8 +23,12 @@
 from onyxwick.sites.model import Topology
 from onyxwick.sites.plan import LossPlanRow
 
-MIN_GUEST_SHARE = 0.25  # of a site's warm caches, for trials and load that is not in the plan
-GUEST_LOAD_FACTOR = 1.5  # on the planned guest load, which arrives unevenly; the limit must exceed it
+# Smallest share of a site's warm caches that other sites' directors may use together, for trials and for load
+# that is not in the plan.
+MIN_GUEST_SHARE = 0.25
+# The limit on load from other sites' clients is the planned load times this, because the load arrives
+# unevenly and the limit must exceed it.
+GUEST_LOAD_FACTOR = 1.5
 MIN_PARENT_SHARE = 1e-3
 
 
@@ -46,8 +50,9 @@
     """Return the share of a site's caches and of the parents for the router of `site` at a director of
     `local_site`.
 
-    `parent_share`: the part of the director's own share of the parents. `silent_directors`: the number of
-    directors that serve no clients now; the others use their share of the warm parents and of the origin."""
+    `parent_share`: the part of the director's own share of the parents that this router may use.
+    `silent_directors`: the number of directors that serve no clients now; the others use their share of the
+    warm parents and of the origin."""
     guest_share = topology.policy.remote_share
     cold_parents = max(MIN_PARENT_SHARE, parent_share)
     growth = topology.directors / max(1, topology.directors - silent_directors)
--- a/onyxwick/sites/site_pool.py
+++ b/onyxwick/sites/site_pool.py
@@ -23,11 +23,13 @@
 
 DEFAULT_TRANSFER_US = 1.0 * MICROSECONDS_PER_SECOND  # duration of an answer, used if the topology states none
 DEFAULT_MAX_IN_FLIGHT = 2000
-IDLE_SITE_US = 60 * MICROSECONDS_PER_SECOND  # after which an unused remote site's router is dropped
+# The router of a remote site is dropped after this time without a request.
+IDLE_SITE_US = 60 * MICROSECONDS_PER_SECOND
 RECENT_USE_US = 5 * MICROSECONDS_PER_SECOND
-GUARANTEED_PARENT_SHARE = 0.25  # of the parents' budget, divided by weight; the rest by demand
+# Part of the parents' budget that is divided by the sites' weights; the rest is divided by demand.
+GUARANTEED_PARENT_SHARE = 0.25
 LOCAL_WEIGHT = 1.0
-RECENTLY_USED_WEIGHT = 0.3  # of a remote site that was recently assigned a request
+RECENTLY_USED_WEIGHT = 0.3  # weight of a remote site with a request in flight or recently assigned
 IDLE_WEIGHT = 0.02
 MakeRouter = Callable[[RouterSettings, int, int], RequestRouter]
 
--- a/onyxwick/sites/topology_check.py
+++ b/onyxwick/sites/topology_check.py
@@ -4,7 +4,7 @@
 
 from onyxwick.sites.model import ORIGIN_PLACE, Topology, TopologyError
 
-# Bounds on memory and on the size of the linear program.
+# Limits on a topology, which bound memory and the size of the linear program.
 MAX_SITES = 512
 MAX_HUBS = 64
 MAX_CLASSES = 64
