--- a/onyxwick/cells/admission.py
+++ b/onyxwick/cells/admission.py
@@ -18,13 +18,14 @@
 from onyxwick.subrouters.admission_gate import AdmissionGate, class_priorities
 from onyxwick.subrouters.rejection import AdmissionRejection
 
-FALLBACK_LIMIT_SHARE = 0.5  # share of a cell's limit up to which it admits requests that fell back on it
+# A cell admits requests that fall back on it until this share of its limit is in use.
+FALLBACK_LIMIT_SHARE = 0.5
 MIN_RETRY_AFTER_US = 50_000
 WRITE_REASONS = {
     AdmissionRejection.LIMIT_REACHED: AdmissionRejection.WRITE_LIMIT_REACHED,
     AdmissionRejection.FAIR_SHARE_EXCEEDED: AdmissionRejection.WRITE_FAIR_SHARE_EXCEEDED,
 }
-RETRY_AFTER_JITTER = (0.5, 1.5)  # range of the random factor of a Retry-After
+RETRY_AFTER_JITTER = (0.5, 1.5)  # a Retry-After is multiplied by a random factor from this range
 
 
 class CellAdmission:
@@ -128,7 +129,8 @@
         gate.adaptive_limit.record_answer(now, late, request_class.latency_objective_us, gate.in_flight)
 
     def in_flight_of(self, tenant: str, cells: Iterable[str], inside: bool) -> int:
-        """Count a tenant's requests in flight in the given cells; in all others if `inside` is False."""
+        """Count a tenant's requests in flight in the given cells, or in all other cells if `inside` is
+        False."""
         selected = set(cells)
         return sum(
             count
--- a/onyxwick/cells/migration.py
+++ b/onyxwick/cells/migration.py
@@ -15,13 +15,16 @@
 from onyxwick.cells.placement import MAX_HASH, cells_hash, mix_hashes
 
 HEALTHY_BEFORE_RESUME_US = 2 * MICROSECONDS_PER_SECOND
-MAX_PAUSE_US = 120 * MICROSECONDS_PER_SECOND  # then the migration is aborted
+MAX_PAUSE_US = 120 * MICROSECONDS_PER_SECOND  # a migration that is paused for longer is aborted
 MIN_REDUCTION_INTERVAL_US = MICROSECONDS_PER_SECOND // 2
-REDUCTION_FACTOR = 0.7  # the share is multiplied by this in each reduction
-REDUCE_PRESSURE = 0.2  # share of rejected and late answers at the target above which less is moved
+REDUCTION_FACTOR = 0.7  # the moved share is multiplied by this in each reduction
+# Share of rejected and late answers at the target above which the moved share is reduced.
+REDUCE_PRESSURE = 0.2
 GROW_PRESSURE = 0.08  # pressure at the target up to which the moved share grows
 ABORT_PRESSURE = 0.5  # pressure at the target above which a migration is aborted after the cut-over
-MIN_PACE = 0.25  # share of the full growth rate; cold caches slow a migration down but never stop it
+# Lowest growth rate of the moved share, as a part of the full rate: cold caches slow a migration down but
+# never stop it.
+MIN_PACE = 0.25
 MIN_MOVED_SHARE = 0.02  # share of the objects that even entirely cold target caches may serve
 MIN_READY_SHARE = 0.5  # share of the target's caches that must be ready for the target to be healthy
 MAX_WARM_UP_FACTOR = 8  # a migration that takes this many times its warm-up time is aborted
--- a/onyxwick/cells/offline.py
+++ b/onyxwick/cells/offline.py
@@ -13,7 +13,8 @@
 
 @dataclass(frozen=True, slots=True)
 class KnownMembers:
-    """The members in a director's configuration, the kinds that no cell owns, and the director's zone."""
+    """The members in a director's configuration, the kinds of members that no cell owns, and the director's
+    zone."""
 
     members: list[Member]
     upstream_kinds: tuple[str | None, ...]
--- a/onyxwick/cells/placement.py
+++ b/onyxwick/cells/placement.py
@@ -88,8 +88,9 @@
 def _assign_in_zone(cells: Sequence[Cell], addresses: Sequence[str], zone_hash: int) -> dict[str, str]:
     """Return the cell of each cache of one zone.
 
-    Pairs are matched in ascending order of score. This gives a stable matching, which does not depend on the
-    order of the arguments and changes for few other caches when a cache leaves."""
+    Pairs of a cache and a cell are matched in ascending order of their rendezvous score. This gives a stable
+    matching, which does not depend on the order of the arguments and changes for few other caches when a
+    cache leaves."""
     remaining = _cache_quotas(cells, len(addresses), zone_hash)
     pairs = sorted(
         (rendezvous_score(cells_hash(address), cells_hash(cell.name)), address, cell.name)
--- a/onyxwick/cells/router.py
+++ b/onyxwick/cells/router.py
@@ -187,7 +187,8 @@
         None if neither the tenant's cells nor the fallback cell named in the plan has a ready cache."""
         names = self.cells_for(tenant.name, object_name)
         if request_class.is_write and self.settings.cache_bypass:
-            return CellSelection(self.cells[names[0]])  # executed at the origin, even if no cache is ready
+            # A write is executed at the origin, even if no cache is ready.
+            return CellSelection(self.cells[names[0]])
         for name in names:
             if self.has_ready_cache(name):
                 return CellSelection(self.cells[name])
@@ -267,7 +268,8 @@
 
     def _create_cell(self, index: int, name: str, weight: float) -> ActiveCell:
         """Create a cell and its router, with the cell's share of the director's retry budget."""
-        # The index is unique among the cells of all directors, which take turns by it to try cold members.
+        # The index is unique among the cells of all directors. They use it to take turns in trying cold
+        # members.
         router_index = self.settings.router_index * len(self.plan.cells) + index
         settings = replace(self.settings, router_index=router_index)
         if settings.weight_source == WeightSource.NONE and settings.zone_link_kb_per_s:
