--- a/onyxwick/subrouters/admission_gate.py
+++ b/onyxwick/subrouters/admission_gate.py
@@ -16,9 +16,10 @@
 LATENESS_SMOOTHING = 0.06  # weight of one answer in the moving average of that share
 DECREASE_FACTOR = 0.85
 DECREASE_INTERVAL_OBJECTIVES = 1.0  # minimum time between two decreases, in latency objectives
-MIN_LIMIT = 4.0  # without some answers, a limit could not grow again
-MIN_UTILISATION_TO_GROW = 0.5  # share of the limit in use; answers in time at low load prove nothing
-INITIAL_LIMIT_SHARE = 0.5  # share of the upper bound
+MIN_LIMIT = 4.0  # lowest limit; a limit so low that no answers arrive could not grow again
+# A limit grows only if this share of it is in use; answers in time at low load prove nothing.
+MIN_UTILISATION_TO_GROW = 0.5
+INITIAL_LIMIT_SHARE = 0.5  # a limit starts at this share of its upper bound
 HIGH_PRIORITY_RESERVE = 0.2  # share of the limit closed to the lowest class; the highest may use all
 FAIRNESS_UTILISATION = 0.6  # share of the limit in use from which owners are held to their fair shares
 
@@ -47,10 +48,11 @@
 class AdaptiveLimit:
     """A concurrency limit learned from whether answers arrive within their class's latency objective.
 
-    Additive increase, multiplicative decrease, which makes independent limits on one resource converge to
-    efficient and equal shares (Chiu and Jain, "Analysis of the increase and decrease algorithms for
-    congestion avoidance", 1989, section 3). By Little's law a limit of n at a mean latency of the objective
-    is n/objective answers per second, so late answers at a full limit mean that the resource delivers less.
+    The limit is increased additively and decreased multiplicatively, which makes independent limits on one
+    resource converge to efficient and equal shares (Chiu and Jain, "Analysis of the increase and decrease
+    algorithms for congestion avoidance", 1989, section 3). By Little's law a limit of n at a mean latency of
+    the objective is n/objective answers per second, so late answers at a full limit mean that the resource
+    delivers less.
     """
 
     def __init__(self, upper_bound: float) -> None:
@@ -71,8 +73,8 @@
             interval_passed = now - self.decreased_at_us >= DECREASE_INTERVAL_OBJECTIVES * objective_us
             if self.late_share > MAX_LATE_SHARE and interval_passed:
                 self.decreased_at_us = now
-                # The decrease starts from the use, as a limit far above it would take many decreases to have
-                # any effect.
+                # The decrease starts from the requests in flight if they are fewer than the limit: a limit
+                # far above them would take many decreases to have any effect.
                 in_use = max(in_flight + 1.0, MIN_LIMIT)
                 self.limit = max(MIN_LIMIT, DECREASE_FACTOR * min(self.limit, in_use))
         elif in_flight >= MIN_UTILISATION_TO_GROW * self.limit:
--- a/onyxwick/subrouters/rejection.py
+++ b/onyxwick/subrouters/rejection.py
@@ -23,7 +23,7 @@
     CELL_LIMIT = "cell_open"  # the cell has used up its share of the director's limit of requests in flight
     WRITE_LIMIT_REACHED = "writes_full"  # the limit of writes at the origin, common to all cells, is reached
     WRITE_FAIR_SHARE_EXCEEDED = "writes_fair"  # the cell has more than its fair share of the writes in flight
-    NO_READY_CACHE = "no_boxes"  # none in the tenant's cells, nor in a fallback cell
+    NO_READY_CACHE = "no_boxes"  # no cache is ready in the tenant's cells, nor in a fallback cell
     FALLBACK_LIMIT = "no_spare"  # the fallback cell has no spare capacity
 
     # Sites.
--- a/onyxwick/subrouters/share_arbiter.py
+++ b/onyxwick/subrouters/share_arbiter.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 
 GUARANTEED_SHARE = 0.5  # default part of its share by weight that a subrouter keeps whatever others demand
-MIN_SHARE_CHANGE = 0.02  # smaller reductions are skipped, as they are not worth an event
+MIN_SHARE_CHANGE = 0.02  # smaller reductions of a share are skipped, as they are not worth an event
 DEMAND_DECAY = 0.6  # part of the accumulated demand that remains after a rebalance
 NEGLIGIBLE_SHARE = 1e-9
 SHARE_TOLERANCE = 1e-12  # smaller changes of a share are rounding errors
