--- a/onyxwick/store/committer.py
+++ b/onyxwick/store/committer.py
@@ -53,7 +53,7 @@
         self.commit_count = 0
         self.batch_count = 0
         self.slowest_s = 0.0
-        self.compaction_s = 0.0  # spent on compaction since `window_started_at_s`
+        self.compaction_s = 0.0  # seconds spent on compaction since `window_started_at_s`
         self.window_started_at_s = clock()
         self.task = asyncio.get_running_loop().create_task(self._run())
 
--- a/onyxwick/store/engine.py
+++ b/onyxwick/store/engine.py
@@ -51,11 +51,12 @@
         self.log = opened.log
         self.last_record_number = opened.last_record_number
         self.checkpoint = CheckpointInfo(opened.checkpoint_number, opened.checkpoint_bytes)
-        self.torn_bytes = opened.torn_bytes  # after the commit mark; truncated when the store was opened
+        # Size of a torn write after the commit mark, which was truncated when the store was opened.
+        self.torn_bytes = opened.torn_bytes
 
     @property
     def store_id(self) -> bytes:
-        """The id in this store's files, which distinguishes them from another store's."""
+        """Return the id in this store's files, which distinguishes them from another store's."""
         return self.log.store_id
 
     # ---- reading ----------------------------------------------------------------------------------------
--- a/onyxwick/store/index.py
+++ b/onyxwick/store/index.py
@@ -28,7 +28,7 @@
 
 
 ABSENT_ENTRY = IndexEntry(None, 0, 0)
-"""The older entry of a key that did not exist before."""
+"""The entry that a snapshot sees for a key that did not exist before."""
 
 
 class StoreSnapshot:
@@ -44,7 +44,7 @@
         return entry.value if entry is not None else None
 
     def scan(self, prefix: str = "") -> Iterator[tuple[str, bytes]]:
-        """Keys with a prefix and their values, in order."""
+        """Iterate over the keys with a prefix and their values, in key order."""
         for key in list(self.index.keys(prefix)):
             value = self.get(key)
             if value is not None:
@@ -57,8 +57,9 @@
     def __init__(self, entries: dict[str, IndexEntry] | None = None) -> None:
         # A plain mapping is ordered once: a million ordered insertions would take seconds.
         self.entries: SortedDict[str, IndexEntry] = SortedDict(entries or {})
-        self.older_entries: dict[str, list[IndexEntry]] = {}  # that an open snapshot may need
-        self.open_snapshots: dict[int, int] = {}  # by record number, how many
+        # By key, the replaced entries that an open snapshot may need.
+        self.older_entries: dict[str, list[IndexEntry]] = {}
+        self.open_snapshots: dict[int, int] = {}  # by record number, the number of open snapshots
 
     def __len__(self) -> int:
         return len(self.entries)
--- a/onyxwick/store/opening.py
+++ b/onyxwick/store/opening.py
@@ -36,7 +36,8 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenedStore:
-    """The result of opening a store. `torn_bytes` bytes were truncated after the last intact record."""
+    """The result of opening a store. `torn_bytes` is the number of bytes that were truncated after the last
+    intact record."""
 
     index: StoreIndex
     log: SegmentLog
@@ -214,7 +215,7 @@
         for record in records.decode_records(data, end, preceding_number):
             end = record.end_offset
             if record.number <= self.last_record_number:
-                continue  # the checkpoint includes it
+                continue  # the checkpoint includes this record
             if record.number != self.last_record_number + 1:
                 raise StoreUnusableError(
                     f"record {self.last_record_number + 1} is missing before {record.number}"
--- a/onyxwick/store/row_schema.py
+++ b/onyxwick/store/row_schema.py
@@ -34,7 +34,7 @@
 }
 """The current schema of each kind of row. The kind is the first part of the row's key."""
 UPGRADES: dict[tuple[str, int], Callable[[StoredRow], StoredRow]] = {}
-"""Functions that upgrade a row to the next schema, by kind and present schema."""
+"""Functions that upgrade a row to the next schema, by the row's kind and its present schema."""
 PLAN_KEY = "plan/now"
 FEED_KEY = "feed/last"
 encode_row = msgspec.msgpack.Encoder().encode
