--- a/onyxwick/operations/command_executor.py
+++ b/onyxwick/operations/command_executor.py
@@ -92,7 +92,8 @@
             )
 
     def adjust_endpoints(self, event: EndpointsChanged, now_us: int) -> EndpointsChanged:
-        """Return the list as the router receives it under the commands, and remember the ids in it."""
+        """Return the endpoint list as the router receives it under the commands, and remember its caches'
+        ids."""
         self.known_caches.add([member.address for member in event.members])
         return endpoints_under_commands(event, self.commands, now_us)
 
@@ -103,7 +104,8 @@
         return self._metrics
 
     def apply_commands(self, commands: OperatorCommands, known_caches: list[str]) -> None:
-        """Apply commands: nothing is sent to a disabled cache from here on. Then notify the loop."""
+        """Apply commands: nothing is sent to a disabled cache from here on. Then notify the director's
+        loop."""
         self.commands = commands
         self.endpoints.excluded = commands.disabled_caches
         if self.loop is not None:
--- a/onyxwick/operations/operator_commands.py
+++ b/onyxwick/operations/operator_commands.py
@@ -19,7 +19,7 @@
 from onyxwick.operations.errors import OperatorCommandError
 
 RE_ENABLED_RETENTION_US = 40_000_000
-"""How long the time of enabling counts as the start time of a cache; this is longer than any warm-up."""
+"""How long the time at which a cache was enabled counts as its start time; longer than any warm-up."""
 MAX_DISABLED_CACHES = 4096
 """Maximum number of caches disabled at the same time; further calls are rejected."""
 MAX_KNOWN_CACHES = 8192
@@ -146,7 +146,8 @@
 def endpoints_under_commands(
     event: EndpointsChanged, commands: OperatorCommands, now_us: int
 ) -> EndpointsChanged:
-    """Return a change of the list as the router receives it, or the same event if nothing differs."""
+    """Return a change of the endpoint list as the router receives it, or the same event if nothing
+    differs."""
     members = tuple(member_under_commands(member, commands, now_us) for member in event.members)
     return event if members == event.members else replace(event, members=members)
 
--- a/onyxwick/operations/persisted_commands.py
+++ b/onyxwick/operations/persisted_commands.py
@@ -33,7 +33,8 @@
 MAX_FILE_BYTES = 1_000_000
 LOCK_ATTEMPTS = 5
 LOCK_RETRY_S = 0.002
-"""Pause between two attempts: the other process holds the lock for one read and one write."""
+"""Pause between two attempts to lock the folder; the other process holds its lock for one read and one
+write."""
 BOOT_ID_FILE = Path("/proc/sys/kernel/random/boot_id")
 
 
--- a/onyxwick/operations/server.py
+++ b/onyxwick/operations/server.py
@@ -44,7 +44,7 @@
 """A caller waits 1 s for its answer, so a connection that has not sent its call by then is not useful."""
 FILE_CHECK_INTERVAL_S = 0.1
 STOP_TIMEOUT_S = 1.0
-"""Maximum wait for the end of the thread."""
+"""Longest time that `stop` waits for the thread to end."""
 MAX_LOGGED_PATH_CHARS = 64
 DRAIN_TARGET = ""
 """The target of a drain, the director itself. All other targets of commands are cache ids."""
@@ -200,7 +200,8 @@
         return OperatorAnswer(200, {"cache": call.cache, "disabled": is_disabled, **self._unwritten_field()})
 
     def _unwritten_field(self) -> dict[str, bool]:
-        """Return an answer field while the file cannot be written: a successor would not know of the call."""
+        """Return an answer field while the command file cannot be written. It tells the caller that a
+        successor process would not know of the call."""
         return {"kept": False} if self.unwritten_changes else {}
 
     # ---- commands and their file ----------------------------------------------------------------------
@@ -266,6 +267,6 @@
             await asyncio.sleep(FILE_CHECK_INTERVAL_S)
             try:
                 self._synchronise()
-            except Exception:  # the checks must continue
+            except Exception:  # an error must not end the periodic checks
                 self.counters.add("error.door")
                 log.exception("error in operator command file check")
