--- a/onyxwick/distribution/codec.py
+++ b/onyxwick/distribution/codec.py
@@ -36,7 +36,7 @@
 
 DELETED_STATE = "DELETED"
 RETAINED_HEAD_BYTES = 64
-"""How much of an oversized line is retained, so that its event number can be read."""
+"""Number of bytes of an oversized line that are retained, so that its event number can be read."""
 _INDEX_OF_HEAD = re.compile(rb'\s*\{\s*"index"\s*:\s*(\d{1,19})\b').match
 _CACHE_STATES = ("SERVING", "DRAINING", DELETED_STATE)
 
--- a/onyxwick/distribution/tree.py
+++ b/onyxwick/distribution/tree.py
@@ -28,7 +28,7 @@
 
     `max_children` limits the children of one node, counted as if the children of one lost parent were spread
     over the others. `parents` is the number of parents of each child. `load_slack` is the maximum load of a
-    parent as a multiple of the mean.
+    parent as a multiple of the mean load.
     """
 
     max_children: int = 256
