--- a/onyxwick/trace/audit.py
+++ b/onyxwick/trace/audit.py
@@ -56,7 +56,8 @@
 
 
 PurgeKey = tuple[str, str, int]
-"""Director, scope (`group` or `object`), and number of the group or object."""
+"""Identifies the purges of one object or group at one director: director, scope (`group` or `object`), and
+number of the group or object."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/onyxwick/trace/clocks.py
+++ b/onyxwick/trace/clocks.py
@@ -22,11 +22,11 @@
 SAMPLED_SLOPES = 2000
 MIN_EVENTS = 3
 UNKNOWN_UNCERTAINTY_US = 1e9
-"""Uncertainty if two directors have no notifications or retries in common."""
+"""Uncertainty of the clock difference of two directors without common notifications or retries."""
 MAX_DRIFT = 1e-3
-"""A larger slope is noise from too few events and is ignored."""
+"""A fitted drift above this value is noise from too few events and is ignored."""
 MIN_SLOPE_SPAN = 0.2
-"""Share of the total time span. Pairs of events that are closer together give no useful slope."""
+"""Pairs of events that are closer together than this share of the total time span give no useful slope."""
 UNCERTAINTY_QUANTILE = 0.9
 UNCERTAINTY_FACTOR = 3
 MIN_UNCERTAINTY_US = 1000.0
@@ -59,7 +59,8 @@
 
     @property
     def steps_us(self) -> float:
-        """Largest backward step of the Unix clock relative to the monotonic clock, in microseconds."""
+        """Return the largest backward step of the Unix clock relative to the monotonic clock, in
+        microseconds."""
         if len(self.unix) < 2:
             return 0.0
         ahead = self.unix - self.mono
@@ -104,8 +105,8 @@
     if events < MIN_EVENTS:
         if not bounds or earlier is None or later is None:
             return ClockFit(uncertainty_us=UNKNOWN_UNCERTAINTY_US)
-        # Only retries are known. The other clock is at least so far behind that each retry comes after its
-        # rejection.
+        # Only retries are known. If a retry seems to come before its rejection, the other clock is behind by
+        # at least the time between the two.
         gap = float(np.min(np.asarray(later, float) - np.asarray(earlier, float)))
         return ClockFit(
             min(0.0, gap),
--- a/onyxwick/trace/compare.py
+++ b/onyxwick/trace/compare.py
@@ -26,7 +26,7 @@
 from onyxwick.trace.table import Column, Table
 
 MIN_DIFFERENCE = 0.0005
-"""Share of the total weight. Rows with a smaller difference are not listed."""
+"""Rows whose difference is below this share of the total weight are not listed."""
 REASON_COUNT = 256
 DETAIL_COUNT = 16
 """Number of distinct answer details. Higher detail numbers are counted as the last one."""
@@ -39,7 +39,8 @@
     requested: float = 0.0
     lost: float = 0.0
     by_name: dict[tuple[str, str], list[float]] = field(default_factory=dict)
-    """[requested, lost] weight by (kind, name), for example by ("tenant", the tenant's name)."""
+    """The [requested, lost] weight by kind and name, for example by ("tenant", the tenant's name). The kinds
+    are those of `_names`: class, tenant, cell, member, source, outcome, cause, choice and verdict."""
 
     def add(self, header: f.FileHeader, table: Table) -> None:
         """Add the requests of a table."""
@@ -60,12 +61,12 @@
 
     @property
     def service(self) -> float:
-        """Share of the requested weight that was not lost; 1.0 if no weight was requested."""
+        """Return the share of the requested weight that was not lost; 1.0 if no weight was requested."""
         return round(1 - self.lost / self.requested, 4) if self.requested else 1.0
 
 
 def _names(table: Table) -> dict[str, tuple[Column, list[str]]]:
-    """Return for each kind the name numbers of all requests and the names.
+    """Return for each kind of name (class, tenant and so on) the name number of each request, and the names.
 
     The number of a request is an index into the list of names.
     """
@@ -85,7 +86,8 @@
 
 
 def _outcomes(table: Table) -> tuple[Column, list[str]]:
-    """Return names that combine status and detail, and the number of each request's last attempt."""
+    """Return names that combine status and detail, and for each request the name number of its last
+    attempt."""
     status = np.minimum(table.last_attempt("status", NOT_ENDED_STATUS), len(STATUS_WORDS))
     detail = np.minimum(table.last_attempt("detail"), DETAIL_COUNT - 1)
     names = [f"{word} / {number}" for word in (*STATUS_WORDS, "none") for number in range(DETAIL_COUNT)]
--- a/onyxwick/trace/decision_reason.py
+++ b/onyxwick/trace/decision_reason.py
@@ -15,7 +15,8 @@
 from onyxwick.trace.recorder import MemberEstimate
 
 MAX_EXPLAINED_CACHES = 64
-"""With more caches, those before the chosen one are not examined, because this takes time on each attempt."""
+"""If there are more caches than this, those before the chosen one are not examined, because examining them
+takes time on each attempt."""
 
 
 def member_estimate(router: Router, action: ForwardRequest | ForwardWithFill) -> MemberEstimate:
--- a/onyxwick/trace/export.py
+++ b/onyxwick/trace/export.py
@@ -26,7 +26,7 @@
 from onyxwick.trace.table import ATTEMPT_NAME_COLUMNS, REQUEST_NAME_COLUMNS, Table
 
 TIME_COLUMNS = ("decided", "sent", "ended", "cancel")
-"""Columns that are null if the event did not happen."""
+"""Times of events of an attempt; the exported value is null if the event did not happen."""
 
 
 def rows(table: Table) -> Iterator[dict[str, Any]]:
--- a/onyxwick/trace/format.py
+++ b/onyxwick/trace/format.py
@@ -31,11 +31,11 @@
 INDEX = b"OWX1"
 END = b"OWTREND\n"
 FRAME = struct.Struct("<4sIIII")
-"""Magic, size of the head, of the body and of the decompressed body in bytes, checksum."""
+"""Start of a frame: magic, size of the head, of the body and of the decompressed body in bytes, checksum."""
 OPENING = struct.Struct("<8sII")
-"""Magic, size of the header in bytes, checksum."""
+"""Start of a file: magic, size of the header in bytes, checksum."""
 CLOSING = struct.Struct("<Q8s")
-"""Offset of the index, magic."""
+"""End of a file: offset of the index, magic."""
 MAX_HEAD_BYTES = 1 << 20
 MAX_BODY_BYTES = 16 << 20
 MAX_RAW_BYTES = 64 << 20
@@ -45,7 +45,7 @@
 COMPRESSION_LEVEL = 3
 BLOOM_HASHES = 4
 BLOOM_BITS_PER_KEY = 8
-"""With four hashes, one in forty absent keys is reported as present."""
+"""Size of a Bloom filter. With four hashes, it reports one in forty absent keys as present."""
 MIN_BLOOM_BITS = 64
 
 
--- a/onyxwick/trace/merge.py
+++ b/onyxwick/trace/merge.py
@@ -32,7 +32,7 @@
 EventKey = tuple[Any, ...]
 """Identifies a notification that several directors receive."""
 PartKey = tuple[int, int]
-"""Object id and part."""
+"""Identifies a part of an object: object id and part number."""
 
 
 @dataclass(slots=True)
--- a/onyxwick/trace/model.py
+++ b/onyxwick/trace/model.py
@@ -48,11 +48,11 @@
     OTHERS_EJECTED = 3
     """A cache before it in the order is ejected."""
     OTHERS_WARMING_UP = 4
-    """A cache before it is warming up and has used its budget."""
+    """A cache before it in the order is warming up and has used its budget."""
     OTHERS_AT_LIMIT = 5
-    """A cache before it is at its concurrency limit."""
+    """A cache before it in the order is at its concurrency limit."""
     OTHERS_TRIED = 6
-    """A cache before it was already tried."""
+    """A cache before it in the order was already tried."""
     CACHES_BYPASSED = 7
     """The member is not a cache: the request is a write, or no cache is healthy."""
     HEDGED = 8
@@ -141,7 +141,7 @@
     "id": "Q",
     "at": "q",  # arrival in Unix time
     "left": "I",  # time until the client's deadline
-    "class": "B",  # number of a string in the block, also for tenant and cell
+    "class": "B",  # number of a string in the block, as are `tenant` and `cell`
     "tenant": "H",
     "cell": "H",
     "object": "Q",
@@ -162,7 +162,7 @@
     "sent": "I",
     "ended": "I",
     "cancel": "I",
-    "member": "H",  # number of a string, also for source; 0, the empty string, means none
+    "member": "H",  # number of a string, as is `source`; 0, the empty string, means none
     "source": "H",
     "rank": "B",
     "flags": "B",  # FillOption
@@ -170,10 +170,11 @@
     "status": "B",  # index in STATUS_WORDS
     "detail": "B",
     "why": "B",  # DecisionReason
-    "pending": "H",  # router's estimate of the member, also in the next columns: attempts in flight
+    # Attempts in flight; this and the next three columns are the router's estimates of the member.
+    "pending": "H",
     "room": "B",  # factor on the member's concurrency limit, in fiftieths
-    "failing": "B",  # failure score, in 255ths
-    "warm": "B",  # share of the member's capacity while it is warming up, in 255ths
+    "failing": "B",  # failure score of the member, in 255ths
+    "warm": "B",  # share of its capacity that the member has while it is warming up, in 255ths
     "dated": "q",  # time at which the origin served the copy, Unix time; 0 means unknown
 }
 COLUMN_BYTES = {"B": 1, "H": 2, "h": 2, "I": 4, "Q": 8, "q": 8}
--- a/onyxwick/trace/recorder.py
+++ b/onyxwick/trace/recorder.py
@@ -45,7 +45,7 @@
 MAX_U64 = 0xFFFFFFFFFFFFFFFF
 MAX_BYTE = 255
 LIMIT_FACTOR_STEPS = 50
-"""The limit factor is recorded as an integer, in fiftieths."""
+"""The factor on a member's concurrency limit is recorded as an integer, in fiftieths."""
 MS_US = 1000
 FNV_OFFSET = 0xCBF29CE484222325
 FNV_PRIME = 0x100000001B3
@@ -136,12 +136,12 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether the block has reached a limit and no further request should be added."""
+        """Return whether the block has reached a limit and no further request should be added."""
         return len(self.requests["id"]) >= MAX_BLOCK_REQUESTS or len(self.strings) >= MAX_BLOCK_STRINGS
 
     @property
     def is_empty(self) -> bool:
-        """Whether the block contains neither requests nor notifications."""
+        """Return whether the block contains neither requests nor notifications."""
         return not self.requests["id"] and not self.notifications
 
     def string_number(self, value: str) -> int:
--- a/onyxwick/trace/table.py
+++ b/onyxwick/trace/table.py
@@ -58,12 +58,12 @@
 
     @property
     def owner(self) -> Column:
-        """Row of the request, for each attempt."""
+        """Return for each attempt the row of its request."""
         return np.repeat(np.arange(len(self)), self.requests["attempts"])
 
     @property
     def starts(self) -> Column:
-        """Row of the first attempt, for each request."""
+        """Return for each request the row of its first attempt."""
         counts = self.requests["attempts"].astype(np.int64)
         return np.cumsum(counts) - counts
 
