--- a/onyxwick/config/director.py
+++ b/onyxwick/config/director.py
@@ -30,7 +30,7 @@
 DEFAULT_MEMORY_MB = 192
 MAX_DESCRIPTOR = 65_535
 SUGGESTED_SOCKETS = 128
-"""The suggested `limits.sockets` per process that shares the limit."""
+"""The value of `limits.sockets` that an error suggests, for each process that shares the limit."""
 
 PROCESS_BASE_MB = 32
 """Memory that a process uses right after its start."""
--- a/onyxwick/config/hcl.py
+++ b/onyxwick/config/hcl.py
@@ -20,12 +20,13 @@
 from onyxwick.config.errors import ConfigError
 
 MAX_FILE_BYTES = 16_777_216
-"""Bounds memory use; far more than a file with 10,000 tenants needs."""
+"""Maximum number of characters that are parsed, which limits memory use; far more than a file with 10,000
+tenants needs."""
 MAX_DEPTH = 32
 """Limit on the nesting of blocks, and on the nesting of lists and objects."""
 ESCAPES = {"n": "\n", "r": "\r", "t": "\t", '"': '"', "\\": "\\"}
 UNICODE_DIGITS = {"u": 4, "U": 8}
-"""The number of hexadecimal digits after each escape of a code point."""
+"""Number of hexadecimal digits after each escape letter that gives a code point."""
 MAX_CODE_POINT = 0x10FFFF
 HEXADECIMAL = frozenset("0123456789abcdefABCDEF")
 LITERALS = {"true": True, "false": False, "null": None}
