--- a/onyxwick/admin/http_server.py
+++ b/onyxwick/admin/http_server.py
@@ -32,7 +32,7 @@
 MAX_CONNECTIONS = 16
 CALL_TIMEOUT_S = 10.0
 MAX_QUEUED_S = 1.0
-"""Limit on the reported wait in the socket: no caller waits longer than this for its answer."""
+"""Limit on the reported time that a call waited in the socket; no caller waits longer for its answer."""
 MAX_LOGGED_PATH_CHARACTERS = 64
 Handler = Callable[[HttpRequest], tuple[int, object] | Awaitable[tuple[int, object]]]
 """Returns the status and JSON data for a request, or raises HttpError for an error status."""
