--- a/onyxwick/dns/routed_names.py
+++ b/onyxwick/dns/routed_names.py
@@ -19,7 +19,7 @@
 from onyxwick.tenants import TenantZone
 
 CACHE_TTL_S = 0
-"""A drained cache must get no requests after 500 ms, and a TTL cannot express fractions of a second."""
+"""TTL of the answers: a drained cache must get no requests after 500 ms, and a TTL has whole seconds."""
 
 
 class RoutedNames:
--- a/onyxwick/dns/server.py
+++ b/onyxwick/dns/server.py
@@ -23,7 +23,7 @@
 
 log = logs.get()
 MAX_OPEN_QUERIES = 512
-"""Above this limit UDP queries are dropped; their clients repeat them."""
+"""Maximum number of queries in progress. Further UDP queries are dropped, and their clients repeat them."""
 MAX_TCP_CONNECTIONS = 32
 TCP_TIMEOUT_S = 10.0
 """Limit on the wait for a complete message, and on the wait for the client to accept an answer."""
--- a/onyxwick/dns/update.py
+++ b/onyxwick/dns/update.py
@@ -132,5 +132,5 @@
             else:
                 _add(txn, zone, change)
         if txn.changed() and txn.get(zone.name, dns.rdatatype.SOA) == soa_before:
-            # The zone's names are absolute, so the default name, which is relative, would not match.
+            # The zone's names are absolute. The default for `name` is a relative name, which would not match.
             txn.update_serial(name=zone.name)
