--- a/onyxwick/tenants.py
+++ b/onyxwick/tenants.py
@@ -25,11 +25,11 @@
 """Administration requests per second allowed to each tenant."""
 MAX_TENANTS = 16_384
 MAX_ZONES = 32
-"""Limit on the zones of one tenant."""
+"""Maximum number of zones of one tenant."""
 MAX_KEYS = 16
-"""Limit on the keys of one tenant."""
+"""Maximum number of keys of one tenant."""
 MAX_ZONE_CHARACTERS = 262_144
-"""Limit on the characters of a zone file's text."""
+"""Maximum length of a zone file's text, in characters."""
 MIN_SECRET_BYTES = 16
 
 
