--- a/onyxwick/sites/evidence.py
+++ b/onyxwick/sites/evidence.py
@@ -19,7 +19,7 @@
 )
 from onyxwick.sites.observation import PlaceObservation, observe_place
 
-MAX_FEED_INTERVAL_US = 1_100_000  # between two messages from the source of the endpoint list
+MAX_FEED_INTERVAL_US = 1_100_000  # longest time between two messages from the source of the endpoint list
 MAX_MEMBERS = 4096  # members beyond this number are not observed
 
 
--- a/onyxwick/sites/linear_program.py
+++ b/onyxwick/sites/linear_program.py
@@ -15,15 +15,16 @@
 from onyxwick.sites.loss_demand import OpenDemands, RemainingResources
 from onyxwick.sites.loss_outcome import Resource
 
-# Utilization of a resource at which each piece of the cost starts, and the slope of the piece.
+# The pieces of the congestion cost: the utilization of a resource at which a piece starts, and its slope.
 CONGESTION_COST = (
     *((0.3, 0.3), (0.4, 0.6), (0.5, 1.0), (0.55, 1.4), (0.6, 2.0), (0.65, 2.8), (0.7, 4.0)),
     *((0.75, 5.6), (0.8, 8.0), (0.85, 11.0), (0.9, 16.0), (0.95, 22.0)),
 )
-CONGESTION_WEIGHT = 1e-3  # share of the total value: most value that is given up to avoid congestion
+CONGESTION_WEIGHT = 1e-3  # largest share of the total value that is given up to avoid congestion
 CONGESTION_SCALE = 16
-DELAY_WEIGHT = 1e-6  # share of the total value; delay only decides between otherwise equal solutions
-RESERVE_WEIGHT = 100.0  # multiplies the value of a request within a tenant's reserve
+# Weight of the delay as a share of the total value; delay only decides between otherwise equal solutions.
+DELAY_WEIGHT = 1e-6
+RESERVE_WEIGHT = 100.0  # a request within a tenant's reserve that is not served costs its value times this
 NEGLIGIBLE_CAPACITY = 1e-9
 NEGLIGIBLE_MISSING_TRANSFERS = 1e-4
 
--- a/onyxwick/sites/model.py
+++ b/onyxwick/sites/model.py
@@ -108,7 +108,7 @@
     automatic: bool = True  # a lost site is evacuated without an operator command
     headroom: float = 0.1  # share of each capacity that the plan leaves unused
     confirm_us: int = 1_200_000  # time without an answer after which a suspected site is lost
-    step_interval_us: int = 250_000  # between two changes of the moved share
+    step_interval_us: int = 250_000  # shortest time between two changes of the moved share
     evacuation_steps: int = 4
     return_steps: int = 8
     # Time of answered trials before a return; doubled by each flap.
--- a/onyxwick/sites/monitor.py
+++ b/onyxwick/sites/monitor.py
@@ -28,7 +28,7 @@
 from onyxwick.sites.serving_sites import ServingSites, SiteRoute, is_evacuated
 from onyxwick.subrouters.rejection import AdmissionRejection
 
-TRIAL_INTERVAL_US = 150_000  # between two trials of an evacuated site
+TRIAL_INTERVAL_US = 150_000  # shortest time between two trials of an evacuated site
 DEMAND_WINDOW_US = 5 * MICROSECONDS_PER_SECOND  # how long a client's request counts as demand
 # After this time without requests from a site's clients there are no trials of the site, and the endpoint
 # list alone decides whether traffic returns to it.
