--- a/onyxwick/subrouters/admission_gate.py
+++ b/onyxwick/subrouters/admission_gate.py
@@ -13,14 +13,16 @@
 from onyxwick.subrouters.rejection import AdmissionRejection
 
 MAX_LATE_SHARE = 0.2  # share of late answers above which the limit decreases
-LATENESS_SMOOTHING = 0.06  # weight of one answer in the moving average of that share
+LATENESS_SMOOTHING = 0.06  # weight of one answer in the moving average of the late share
 DECREASE_FACTOR = 0.85
-DECREASE_INTERVAL_OBJECTIVES = 1.0  # minimum time between two decreases, in latency objectives
+# Minimum time between two decreases, in multiples of the latency objective.
+DECREASE_INTERVAL_OBJECTIVES = 1.0
 MIN_LIMIT = 4.0  # lowest limit; a limit so low that no answers arrive could not grow again
 # A limit grows only if this share of it is in use; answers in time at low load prove nothing.
 MIN_UTILISATION_TO_GROW = 0.5
 INITIAL_LIMIT_SHARE = 0.5  # a limit starts at this share of its upper bound
-HIGH_PRIORITY_RESERVE = 0.2  # share of the limit closed to the lowest class; the highest may use all
+# Share of the limit that the lowest class may not use; the highest class may use all of it.
+HIGH_PRIORITY_RESERVE = 0.2
 FAIRNESS_UTILISATION = 0.6  # share of the limit in use from which owners are held to their fair shares
 
 
