--- a/onyxwick/store/committer.py
+++ b/onyxwick/store/committer.py
@@ -23,7 +23,7 @@
 log = logs.get()
 MAX_BATCH_TRANSACTIONS = 256
 MAX_PENDING_COMMITS = 4096
-"""Further commits are rejected immediately."""
+"""Maximum number of commits that wait to be written; further commits are rejected immediately."""
 MAX_COMPACTION_SHARE = 0.2
 """Largest fraction of the time that compaction may use."""
 MIN_COMPACTION_WINDOW_S = 0.05
