--- a/onyxwick/cli/sites.py
+++ b/onyxwick/cli/sites.py
@@ -126,7 +126,8 @@
 
 
 def _exit_if_infeasible(study: LossStudy) -> None:
-    """Exit with code 1 if the loss of a single site, hub or cache site exceeds the capacity."""
+    """Exit with code 1 if the loss of a single site, of a hub, or of one site's caches exceeds the
+    capacity."""
     for outcome in study.outcomes.values():
         lost_locations = outcome.loss.sites | outcome.loss.hubs | outcome.loss.cache_sites
         if not outcome.is_feasible and len(lost_locations) < 2:
