--- a/onyxwick/logs.py
+++ b/onyxwick/logs.py
@@ -22,7 +22,7 @@
 from onyxwick.former_log_events import add_former_event
 
 MAX_LINES_PER_S = 10
-"""Limit for the lines of one kind, which is a log level and an event."""
+"""Maximum number of lines per second of one kind. A kind is a log level and an event."""
 MAX_TRACEBACK_CHARS = 2500
 MAX_LINE_KINDS = 1024
 """Maximum number of kinds of lines that are counted at the same time."""
