--- a/onyxwick/net/delivery.py
+++ b/onyxwick/net/delivery.py
@@ -15,7 +15,7 @@
 MIN_PROGRESS_BYTES = 16_384
 """Acknowledging fewer bytes than this counts as no progress, unless all bytes are acknowledged."""
 END_OF_STREAM_BYTES = 1
-"""The number of bytes that the operating system counts for a written end of stream."""
+"""A written end of stream (half-close) counts as this many unacknowledged bytes in the operating system."""
 
 
 class DeliveryTracker:
--- a/onyxwick/net/feed_race.py
+++ b/onyxwick/net/feed_race.py
@@ -93,7 +93,8 @@
                 await self._start_another()
                 tasks = {attempt.task for attempt in self.attempts}
                 await asyncio.wait(tasks, timeout=CHECK_INTERVAL_S, return_when=asyncio.FIRST_COMPLETED)
-        except BaseException:  # cancelled or failed: a winner would have no reader
+        except BaseException:
+            # The race was cancelled or failed. The caller gets no socket, so even a winner's must be closed.
             await self._stop_all(None)
             raise
         await self._stop_all(winner)
--- a/onyxwick/net/front_connection.py
+++ b/onyxwick/net/front_connection.py
@@ -261,7 +261,11 @@
         self.owner.on_last_answer_written(self)
 
     def answer_open_calls(self, must_answer_all: bool) -> None:
-        """Request final answers for the open calls; see `connection_shutdown.advance`."""
+        """Ask the core to give the open calls their final answers, because the director is shutting down.
+
+        Without `must_answer_all`, calls whose request may have been executed and must not be repeated stay
+        open. `connection_shutdown.advance` decides when this is called.
+        """
         for lifecycle in list(self.open_calls.values()):
             if lifecycle is not None:
                 self.owner.core.release(lifecycle, must_answer_all)
--- a/onyxwick/routing/popularity.py
+++ b/onyxwick/routing/popularity.py
@@ -1,14 +1,15 @@
-"""Popularity: the rank at which a cache keeps an object (the online part of Adapt-L, see
-DESIGN of the deployment).
+"""Popularity: the rank at which a cache keeps an object.
+
+This is the online part of the algorithm Adapt-L; see DESIGN of the deployment.
 
 Input: client reads, one per object and visit; hits and answers of the caches; the mean fill latency
 (microseconds). Output: the retention rank of an object: gold (cached, evicted last), silver (cached, evicted
 first) or bronze (forwarded without being cached).
 
 Rule: reads are counted with exponential decay. Every two seconds the two thresholds are set from the sorted
-counts. The gold threshold admits as many objects as fill a fixed share of one cache. The bronze threshold
-starts at the objects that were read once, and feedback moves it up or down in small steps: when the share
-of hits falls, or fills become slower, more objects are cached.
+counts. The gold threshold admits as many objects as fill a fixed share of one cache. At first, the
+bronze threshold makes those objects bronze that were read only once. Feedback then moves it up or down in
+small steps: when the share of hits falls, or fills become slower, more objects are cached.
 """
 
 from __future__ import annotations
--- a/onyxwick/sites/lifecycle.py
+++ b/onyxwick/sites/lifecycle.py
@@ -17,7 +17,8 @@
 # A suspicion is dropped after this time without a further failure.
 SUSPICION_EXPIRY_US = 10 * MICROSECONDS_PER_SECOND
 PAUSE_PRESSURE = 0.35  # share of late and rejected answers above which a move pauses
-# A return proceeds up to this share of late and rejected answers; above it a return may start early.
+# A share of late and rejected answers. Up to it, a return that has started takes its next step. Above it, the
+# serving sites lack capacity, so a return that has not started may start before the hold time is over.
 RESUME_PRESSURE = 0.2
 MIN_LISTED_SHARE = 0.5  # share of a site's caches that must be listed before traffic returns to it
 FULL_CAPACITY_SHARE = 0.95  # a site with this share of its planned capacity or more counts as complete
--- a/onyxwick/sites/loss_study.py
+++ b/onyxwick/sites/loss_study.py
@@ -81,7 +81,8 @@
 def _pairs(study: LossStudy) -> list[tuple[str, str]]:
     """Return the pairs of sites with overlapping survivors, those with the least spare capacity first.
 
-    Counts the independent and the omitted pairs in the study."""
+    A survivor is a site that may take the load of a lost site. Pairs whose losses do not affect each other
+    (independent pairs) and pairs beyond `MAX_PAIRS` (omitted pairs) are only counted, in the study."""
     topology = study.topology
     survivors = {site: _survivors(topology, site) for site in topology.sites}
     by_spare_capacity = []
--- a/onyxwick/sites/shares.py
+++ b/onyxwick/sites/shares.py
@@ -26,8 +26,8 @@
 # Smallest share of a site's warm caches that other sites' directors may use together, for trials and for load
 # that is not in the plan.
 MIN_GUEST_SHARE = 0.25
-# The limit on load from other sites' clients is the planned load times this, because the load arrives
-# unevenly and the limit must exceed it.
+# The limit on load from other sites' clients is the planned load times this. The load arrives unevenly, so
+# the limit must be above the planned load.
 GUEST_LOAD_FACTOR = 1.5
 MIN_PARENT_SHARE = 1e-3
 
--- a/onyxwick/trace/clocks.py
+++ b/onyxwick/trace/clocks.py
@@ -119,8 +119,8 @@
     slope = _slope(np.asarray(other, np.float64), gaps, seed)
     rest = gaps - slope * (np.asarray(other, np.float64) - origin)
     offset = float(np.median(rest))
-    # Notifications are delayed at random, in the same manner for both directors. The residual consists of
-    # this delay and the uncertainty.
+    # Notifications are delayed at random, with the same distribution for both directors. What the fit leaves
+    # of each gap (`rest - offset`) consists of this delay and the uncertainty of the fit.
     spread = np.abs(rest - offset)
     uncertainty = float(np.quantile(spread, UNCERTAINTY_QUANTILE)) / max(1.0, events**0.5)
     uncertainty = uncertainty * UNCERTAINTY_FACTOR + MIN_UNCERTAINTY_US
