--- a/onyxwick/lab/scale/__init__.py
+++ b/onyxwick/lab/scale/__init__.py
@@ -1,1 +1,1 @@
-"""Capacity at size: measured slopes, a fleet of hollow directors, and the model that puts them together."""
+"""Capacity planning: measured cost slopes, a fleet of hollow directors, and a model that combines them."""
--- a/onyxwick/lab/scale/bounds.py
+++ b/onyxwick/lab/scale/bounds.py
@@ -1,6 +1,7 @@
-"""What must hold of counts, bytes and sizes at any size: pure functions of reports of small runs.
+"""Scaling bounds on counts, bytes and table sizes, checked by pure functions on reports of small runs.
 
-Each finding is a text; no finding, no fault. Two runs that differ in one driver show what grows with it.
+Each check returns a list of texts, one per violated bound; an empty list means that the bound holds. Two
+runs that differ in one driver show which quantities grow with that driver.
 """
 
 from __future__ import annotations
@@ -9,12 +10,15 @@
 from onyxwick.lab.scale.small import SmallReport
 
 SLACK_LINES = 4
-SENT_LINE_BYTES = 400
-"""Most bytes of one event or heartbeat line with a single row or purge."""
+MAX_SENT_LINE_BYTES = 400
+"""Maximum bytes of one event or heartbeat line with a single row or purge."""
 
 
-def lines_per_event(report: SmallReport) -> list[str]:
-    """Each director receives each event once: deliveries grow with directors x events and nothing else."""
+def check_deliveries_per_event(report: SmallReport) -> list[str]:
+    """Check that each director receives each event once.
+
+    Deliveries may grow with directors x events and with nothing else.
+    """
     plan = report.plan
     events = plan.events + (plan.events + 9) // 10
     most = plan.directors * (events + SLACK_LINES)
@@ -25,8 +29,11 @@
     return []
 
 
-def free_of_caches(fewer: SmallReport, more: SmallReport) -> list[str]:
-    """With more caches and all else the same, no more is delivered: nothing grows with directors x caches."""
+def check_independent_of_caches(fewer: SmallReport, more: SmallReport) -> list[str]:
+    """Check that more caches, with all else equal, cause no more deliveries.
+
+    Nothing may grow with directors x caches.
+    """
     if more.lines > fewer.lines + SLACK_LINES * fewer.plan.directors:
         return [
             f"{fewer.lines} deliveries with {fewer.plan.caches} caches, {more.lines} with {more.plan.caches}"
@@ -34,8 +41,8 @@
     return []
 
 
-def free_of_objects(fewer: SmallReport, more: SmallReport) -> list[str]:
-    """With more objects asked for, no table of the control grows."""
+def check_independent_of_objects(fewer: SmallReport, more: SmallReport) -> list[str]:
+    """Check that no control table grows when more objects are requested."""
     return [
         f"table '{name}' has {fewer.tables[name]} entries with {fewer.plan.objects} objects,"
         f" {more.tables[name]} with {more.plan.objects}"
@@ -44,11 +51,14 @@
     ]
 
 
-def queue_bounded(
-    report: SmallReport, limits: FanOutLimits | None = None, line_bytes: int = SENT_LINE_BYTES
+def check_queue_bound(
+    report: SmallReport, limits: FanOutLimits | None = None, line_bytes: int = MAX_SENT_LINE_BYTES
 ) -> list[str]:
-    """What a node holds for a subscriber that reads nothing stays under its high-water mark and one line."""
+    """Check the bytes that a node queues for a subscriber that reads nothing.
+
+    The queue may not exceed the node's high-water mark plus one line.
+    """
     most = (limits or FanOutLimits()).high_water_bytes + line_bytes
     if report.unsent_bytes > most:
-        return [f"{report.unsent_bytes} bytes held for one subscriber, {most} at most"]
+        return [f"{report.unsent_bytes} bytes queued for one subscriber, at most {most} allowed"]
     return []
--- a/onyxwick/lab/scale/fits.py
+++ b/onyxwick/lab/scale/fits.py
@@ -1,4 +1,4 @@
-"""Straight lines through measured points: slope, interval, residuals, and a flag where no line fits."""
+"""Straight-line fits of measured points: slope, interval, residuals, and whether a line fits at all."""
 
 from __future__ import annotations
 
@@ -10,19 +10,26 @@
 from scipy import optimize, stats
 
 CONFIDENCE = 0.95
-MOST_RESIDUAL = 0.2
-"""Largest distance of a mean from the line, over the line's value there, up to which it is said to fit."""
-STEEPER = 1.15
-"""Power of the driver from which a cost is said to grow faster than its driver."""
-LEAST_SIZES = 5
-LEAST_SCALE = 0.02
-"""Of the largest median: what a smaller one is taken for when residuals are set against it."""
+MAX_RESIDUAL = 0.2
+"""Largest residual at which the line counts as fitting the points.
+
+A residual is the distance of a size's median from the line, as a share of that median (see MIN_SCALE)."""
+SUPERLINEAR_POWER = 1.15
+"""Exponent of the driver above which a cost counts as growing faster than its driver."""
+MIN_SIZES = 5
+MIN_SCALE = 0.02
+"""Lower bound of the scale of a residual, as a share of the largest median.
+
+A residual is divided by its median, or by this bound if the median is smaller."""
 
 
 @dataclass(frozen=True, slots=True)
 class SlopeFit:
-    """`y = constant + slope * x`, with the half width of each one's interval; `power`: the exponent of the
-    power law between the two largest thirds of the sizes, where a constant matters least."""
+    """The line `y = constant + slope * x`, with the half width of the interval of each coefficient.
+
+    `power` is the exponent of a power law fitted to the sizes from the median up, where a constant matters
+    least.
+    """
 
     slope: float
     slope_interval: float
@@ -33,33 +40,36 @@
 
     @property
     def is_line(self) -> bool:
-        """Does the line describe the points?"""
-        return self.residual <= MOST_RESIDUAL
+        """Whether the largest residual is small enough for the line to describe the points."""
+        return self.residual <= MAX_RESIDUAL
 
     @property
     def grows_faster(self) -> bool:
-        """Does the cost grow faster than its driver?"""
-        return self.power > STEEPER
+        """Whether the cost grows faster than its driver."""
+        return self.power > SUPERLINEAR_POWER
 
     def at(self, driver: float) -> float:
-        """The line's value for a driver; never under 0."""
+        """Return the line's value at a driver, 0 if it would be negative."""
         return max(0.0, self.constant + self.slope * driver)
 
     def row(self) -> dict[str, Any]:
-        """The fit as JSON."""
+        """Return the fit as a JSON object."""
         return {**asdict(self), "is_line": self.is_line, "grows_faster": self.grows_faster}
 
 
 def fit(points: Sequence[tuple[float, float]]) -> SlopeFit:
-    """The line of least squares, each point weighted by its size's median: a large size counts no more than a
-    small one. ValueError under five sizes."""
+    """Fit a line by least squares.
+
+    Each point is weighted by the median of its size, so that a large size counts no more than a small one.
+    Raises ValueError if there are fewer than five distinct sizes.
+    """
     x = np.array([point[0] for point in points], dtype=float)
     y = np.array([point[1] for point in points], dtype=float)
     sizes = np.unique(x)
-    if len(sizes) < LEAST_SIZES:
-        raise ValueError(f"{len(sizes)} sizes, {LEAST_SIZES} at least")
+    if len(sizes) < MIN_SIZES:
+        raise ValueError(f"{len(sizes)} sizes measured, a fit needs at least {MIN_SIZES}")
     medians = np.array([np.median(y[x == size]) for size in sizes])
-    scale = np.maximum(np.abs(medians), np.abs(medians).max() * LEAST_SCALE)
+    scale = np.maximum(np.abs(medians), np.abs(medians).max() * MIN_SCALE)
     (slope, constant), covariance = optimize.curve_fit(
         _line, x, y, p0=(1.0, 0.0), sigma=scale[np.searchsorted(sizes, x)]
     )
@@ -79,7 +89,7 @@
 
 
 def _power(sizes: Any, medians: Any) -> float:
-    """The exponent over the upper half of the sizes; 0 where the cost does not grow at all."""
+    """Return the exponent over the upper half of the sizes, 0 if any median there is not positive."""
     upper = sizes >= np.median(sizes)
     if np.any(medians[upper] <= 0):
         return 0.0
--- a/onyxwick/lab/scale/fleet.py
+++ b/onyxwick/lab/scale/fleet.py
@@ -32,10 +32,10 @@
 from onyxwick.distribution.tree import TreeLimits, plan_tree
 from onyxwick.lab.faults.relay import LinkDirection
 from onyxwick.lab.faults.relay import LinkRelay as LinkRelay
-from onyxwick.lab.scale.fleet_plan import RELAYS_OF_A_REGION, FleetPlan, check
-from onyxwick.lab.scale.fleet_processes import Child, NodeProcess
+from onyxwick.lab.scale.fleet_plan import RELAYS_PER_REGION, FleetPlan, check
+from onyxwick.lab.scale.fleet_processes import NodeProcess, PipeProcess
 from onyxwick.lab.scale.fleet_results import (
-    Applied,
+    AppliedEvents,
     Published,
     largest,
     machine_busy,
@@ -67,8 +67,8 @@
         self.regions = [f"g{n}" for n in range(fleet_plan.regions)]
         self.ways = {region: LinkDirection(region, "core") for region in self.regions}
         self.links: list[LinkRelay] = []
-        self.hosts: list[Child] = []
-        self.coordinator: Child | None = None
+        self.hosts: list[PipeProcess] = []
+        self.coordinator: PipeProcess | None = None
         self.full: subprocess.Popen[bytes] | None = None
         self.index = 0
         self.witnesses = min(fleet_plan.regions, fleet_plan.directors)
@@ -78,12 +78,12 @@
 
     # ---- setting up -----------------------------------------------------------------------------------
 
-    def _spawn(self, target: Callable[..., None], *arguments: Any) -> Child:
+    def _spawn(self, target: Callable[..., None], *arguments: Any) -> PipeProcess:
         ours, theirs = self.context.Pipe()
         process = self.context.Process(target=target, args=(*arguments, theirs), daemon=True)
         process.start()
         theirs.close()
-        return Child(process, ours)
+        return PipeProcess(process, ours)
 
     def _node(self, name: str, number: int, fields: str) -> NodeProcess:
         listen = (f"{self.base}.1.{number + 1}", 7400)
@@ -113,7 +113,7 @@
         await reachable(root.listen)
         number = 0
         for region in self.regions:
-            for _ in range(RELAYS_OF_A_REGION):
+            for _ in range(RELAYS_PER_REGION):
                 number += 1
                 parents = [await self._uplink(region, number, root.listen)]
                 if number > 1:
@@ -130,8 +130,8 @@
         if self.plan.shape is Shape.SINGLE:
             return {number: (self.feed,) for number in range(self.plan.directors)}
         for place in range(len(self.regions)):
-            first = place * RELAYS_OF_A_REGION + 1
-            relays = [f"relay-{n}" for n in range(first, first + RELAYS_OF_A_REGION)]
+            first = place * RELAYS_PER_REGION + 1
+            relays = [f"relay-{n}" for n in range(first, first + RELAYS_PER_REGION)]
             numbers = range(place, self.plan.directors, len(self.regions))
             names = {f"d{n}": n for n in numbers}
             tree = plan_tree("root", relays, list(names), TreeLimits(max_children=2048))
@@ -341,7 +341,7 @@
         lag = float(np.percentile(self.lags, 99)) if self.lags else 0.0
         starved = busy > STARVED_SHARE or lag > STARVED_LAG_MS
         share = {n: (after[n] - before[n]) / elapsed for n in after if n in before and n != "sent_bytes"}
-        seen = Applied(reports)
+        seen = AppliedEvents(reports)
         grown = sum(r["resident_kb"] - r["empty_kb"] for r in reports) / self.plan.directors
         out: dict[str, Any] = {
             "plan": {**asdict(self.plan), "shape": self.plan.shape.value},
--- a/onyxwick/lab/scale/fleet_plan.py
+++ b/onyxwick/lab/scale/fleet_plan.py
@@ -1,4 +1,4 @@
-"""What a run of a fleet is asked to be, and whether the machine can bear it."""
+"""The parameters of a fleet run, and a check that the machine has enough memory for it."""
 
 from __future__ import annotations
 
@@ -7,16 +7,19 @@
 
 from onyxwick.lab.scale.hollow import Shape
 
-RELAYS_OF_A_REGION = 2
-MOST_PROCESSES, OTHER_PROCESSES = 200, 5
+RELAYS_PER_REGION = 2
+MAX_PROCESSES, OTHER_PROCESSES = 200, 5
 DIRECTOR_KB, PROCESS_KB = 1_000, 80_000
-"""What a hollow director and a process are reckoned at, on the safe side."""
+"""Conservative memory estimates of a hollow director and of a process."""
 
 
 @dataclass(frozen=True, slots=True)
 class FleetPlan:
-    """What is run. `fault` happens at a third of the time; `cut_s`: how long a region is cut, a relay paused
-    or gone."""
+    """The parameters of a run.
+
+    `fault` is injected after a third of the run time. `cut_s` is how long, in seconds, a region is cut off or
+    a relay is paused or down.
+    """
 
     shape: Shape = Shape.TREE
     directors: int = 1000
@@ -37,11 +40,13 @@
 
 
 def check(plan: FleetPlan) -> None:
-    """ValueError where a plan would take more than half of the machine's memory, or 200 processes."""
-    processes = plan.hosts + plan.regions * RELAYS_OF_A_REGION + OTHER_PROCESSES
-    if processes > MOST_PROCESSES:
-        raise ValueError(f"{processes} processes, {MOST_PROCESSES} at most")
+    """Reject a plan that needs over half of the machine's memory or over 200 processes, with ValueError."""
+    processes = plan.hosts + plan.regions * RELAYS_PER_REGION + OTHER_PROCESSES
+    if processes > MAX_PROCESSES:
+        raise ValueError(f"the plan needs {processes} processes, at most {MAX_PROCESSES} are allowed")
     needed = plan.directors * DIRECTOR_KB + processes * PROCESS_KB
     total = int(Path("/proc/meminfo").read_text().split()[1])
     if needed > total // 2:
-        raise ValueError(f"some {needed // 1024} MB needed, half of the machine's {total // 1024} MB at most")
+        raise ValueError(
+            f"the plan needs about {needed // 1024} MB, over half of the machine's {total // 1024} MB"
+        )
--- a/onyxwick/lab/scale/fleet_processes.py
+++ b/onyxwick/lab/scale/fleet_processes.py
@@ -1,4 +1,4 @@
-"""The processes of a fleet's run: nodes of the distribution tree, and the lab's own with a pipe."""
+"""Processes of a fleet run: nodes of the distribution tree, and lab processes commanded through a pipe."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 from onyxwick.config.address import Address
 
-ANSWER_S = 60.0
+ANSWER_TIMEOUT_S = 60.0
 
 
 @dataclass
 class NodeProcess:
-    """A process of the distribution tree."""
+    """A process that runs one node of the distribution tree."""
 
     name: str
     listen: Address
@@ -31,7 +31,7 @@
     process: subprocess.Popen[bytes] | None = None
 
     def start(self) -> None:
-        """Start it, for the first time or again."""
+        """Start or restart the process; output is appended to `out`."""
         with self.out.open("ab") as out:
             self.process = subprocess.Popen(
                 [sys.executable, "-m", "onyxwick", "distribution", "run", str(self.file)],
@@ -40,12 +40,12 @@
             )
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal, if it runs."""
+        """Send a signal if the process is running."""
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(number)
 
     def end(self) -> None:
-        """End it, woken if it was paused; killed where it does not end."""
+        """Terminate the process, resumed first if it was paused; kill it if it has not exited after 15 s."""
         if self.process is None:
             return
         self.signal(signal.SIGCONT)
@@ -57,27 +57,27 @@
             self.process.wait()
 
     def status(self) -> dict[str, Any]:
-        """The last status that it printed."""
+        """Return the last status that the process printed, an empty dict if there is none."""
         lines = [line for line in self.out.read_text().splitlines() if line.startswith('{"name"')]
         return dict(ujson.loads(lines[-1])) if lines else {}
 
 
 @dataclass
-class Child:
-    """A process of the lab with a pipe."""
+class PipeProcess:
+    """A lab process that is commanded through a pipe."""
 
     process: multiprocessing.process.BaseProcess
     pipe: Pipe
 
     async def ask(self, word: str, argument: Any = None) -> Any:
-        """One command and its answer; TimeoutError where none comes."""
+        """Send a command and return its answer. Raises TimeoutError if none arrives within 60 s."""
         self.pipe.send((word, argument))
-        if not await asyncio.to_thread(self.pipe.poll, ANSWER_S):
-            raise TimeoutError(f"no answer to '{word}'")
+        if not await asyncio.to_thread(self.pipe.poll, ANSWER_TIMEOUT_S):
+            raise TimeoutError(f"the lab process did not answer command '{word}'")
         return await asyncio.to_thread(self.pipe.recv)
 
     def end(self) -> None:
-        """Tell it to stop, and end it where it does not."""
+        """Send the stop command; terminate the process if it has not exited after 15 s."""
         with suppress(OSError):
             self.pipe.send(("stop", None))
         self.process.join(15)
--- a/onyxwick/lab/scale/fleet_results.py
+++ b/onyxwick/lab/scale/fleet_results.py
@@ -1,4 +1,4 @@
-"""What came of a fleet's run: delays, losses and sums out of the hosts' reports."""
+"""Results of a fleet run: delays, losses and sums computed from the hosts' reports."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 @dataclass
 class Published:
-    """When each event was published, by the monotonic clock."""
+    """Publication times of all events, in nanoseconds of the monotonic clock."""
 
     purges: list[int] = field(default_factory=list)
     lists: list[int] = field(default_factory=list)
     documents: list[int] = field(default_factory=list)
 
 
-class Applied:
-    """What all directors applied, together."""
+class AppliedEvents:
+    """The events that all directors applied, combined from the hosts' reports."""
 
     def __init__(self, reports: list[dict[str, Any]]) -> None:
         def column(name: str, kind: str) -> Any:
@@ -36,12 +36,15 @@
         started = np.zeros(max(self.since, default=0) + 1, dtype="i8")
         for number, since in self.since.items():
             started[number] = since
-        # What a restarted director loads of the time before its start is not late by that time.
+        # Events published before a restarted director's start are left out of the delays: it loads them when
+        # it starts, so the time since their publication is no delay.
         self.while_up = self.published >= started[self.directors]
 
     def delays(self, kind: ObservationKind, below: int = 1 << 30) -> dict[str, float]:
-        """Quantiles of the time from publication to application, in milliseconds, at directors whose number
-        is below one given."""
+        """Return quantiles of the time from publication to application, in milliseconds.
+
+        Only directors whose number is less than `below` are counted.
+        """
         chosen = self.delay[(self.kinds == kind.value) & (self.directors < below) & self.while_up]
         if not len(chosen):
             return {"count": 0}
@@ -53,7 +56,7 @@
         }
 
     def lost(self, published: list[int]) -> int:
-        """Purges that a director never applied, of those published since its start, over all directors."""
+        """Count purges published since a director's start that it never applied, over all directors."""
         purges = np.array(sorted(published))
         mask = self.kinds == ObservationKind.PURGE.value
         directors, times = self.directors[mask], self.published[mask]
@@ -64,7 +67,7 @@
         return lost
 
     def after_restart(self) -> dict[str, float]:
-        """From each restarted director's start to its first event, in milliseconds."""
+        """Return median and maximum time from a restarted director's start to its first event, in ms."""
         latest = min(self.since.values()) + 5_000_000_000
         chosen = [n for n, since in self.since.items() if since > latest]
         first = []
@@ -79,18 +82,18 @@
 
 
 def short_status(status: dict[str, Any]) -> dict[str, Any]:
-    """A node's status without the list of its documents."""
+    """Return a node's status with its documents replaced by their number."""
     return status | {"documents": len(status.get("documents", {}))}
 
 
 def machine_busy() -> tuple[float, float]:
-    """Processor time in use and in all, in ticks of all cores."""
+    """Return the busy and the total processor time since boot, in ticks summed over all cores."""
     fields = [float(word) for word in Path("/proc/stat").read_text().splitlines()[0].split()[1:9]]
     return sum(fields) - fields[3] - fields[4], sum(fields)
 
 
 def summed(reports: list[dict[str, Any]], name: str) -> dict[str, int]:
-    """The sums of a group of counts over all hosts."""
+    """Sum a group of counts over all hosts."""
     out: dict[str, int] = {}
     for key, value in _pairs(reports, name):
         out[key] = out.get(key, 0) + value
@@ -98,7 +101,7 @@
 
 
 def largest(reports: list[dict[str, Any]]) -> dict[str, int]:
-    """The largest table of each kind at any director."""
+    """Return the size of the largest table of each kind at any director."""
     out: dict[str, int] = {}
     for key, value in _pairs(reports, "largest_tables"):
         out[key] = max(out.get(key, 0), value)
--- a/onyxwick/lab/scale/hollow.py
+++ b/onyxwick/lab/scale/hollow.py
@@ -109,7 +109,7 @@
         self.observations.add(ObservationKind.DOCUMENT, self.number, int(ujson.loads(text)["published_ns"]))
 
 
-class Instant:
+class InstantTransport:
     """A transport whose caches have everything."""
 
     async def run(self, order: AttemptSpec) -> AttemptOutcome:
@@ -134,7 +134,7 @@
     def _begin(self) -> None:
         own = replace(settings(), router_count=1000, zone_router_count=12, router_index=self.number)
         seed = random.Random(self.number).getrandbits(60)
-        self.core = RequestEngine(own, seed, Instant(), EndpointTable(), self.counters)
+        self.core = RequestEngine(own, seed, InstantTransport(), EndpointTable(), self.counters)
         self.intake = ObservedFeed(self.core.context)
         self.intake.observations, self.intake.number = self.observed, self.number
         self.core.feed = self.intake
--- a/onyxwick/lab/scale/slopes.py
+++ b/onyxwick/lab/scale/slopes.py
@@ -16,7 +16,7 @@
 from onyxwick.lab.scale.sweeps import Sweep
 
 ALL: tuple[Sweep, ...] = (*sweeps.SWEEPS, *processes.SWEEPS)
-STARVED = 0.85
+BUSY_SHARE_LIMIT = 0.85
 """Share of the machine's processor time in use by others from which times are no evidence."""
 COLUMNS = 3
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -103,16 +103,16 @@
     caches = small(SmallPlan(caches=MORE, slot=1))
     objects = small(SmallPlan(objects=200, slot=2))
     for report in (base, caches, objects):
-        assert bounds.lines_per_event(report) == []
-        assert bounds.queue_bounded(report) == []
-    assert bounds.free_of_caches(base, caches) == []
-    assert bounds.free_of_objects(base, objects) == []
+        assert bounds.check_deliveries_per_event(report) == []
+        assert bounds.check_queue_bound(report) == []
+    assert bounds.check_independent_of_caches(base, caches) == []
+    assert bounds.check_independent_of_objects(base, objects) == []
 
 
 def test_the_queue_of_a_subscriber_that_reads_nothing_stays_bounded() -> None:
     report = run(SmallPlan(directors=2, events=300, slot=3), use_low_high_water, stuck=True)
     assert report.unsent_bytes > 0, "the sockets were not filled"
-    assert bounds.queue_bounded(report, LOW_HIGH_WATER_LIMITS, MAX_PADDED_EVENT_BYTES) == []
+    assert bounds.check_queue_bound(report, LOW_HIGH_WATER_LIMITS, MAX_PADDED_EVENT_BYTES) == []
 
 
 # ---- planted faults -------------------------------------------------------------------------------------
@@ -129,8 +129,8 @@
 
     plans = SmallPlan(events=20, caches=FEWER, slot=4), SmallPlan(events=20, caches=MORE, slot=5)
     fewer, more = (run(plan, planted) for plan in plans)
-    assert bounds.lines_per_event(more)
-    assert bounds.free_of_caches(fewer, more)
+    assert bounds.check_deliveries_per_event(more)
+    assert bounds.check_independent_of_caches(fewer, more)
 
 
 class RemembersObjects(HollowDirector):
@@ -149,7 +149,7 @@
 
         return asyncio.run(main())
 
-    assert bounds.free_of_objects(planted(20, 6), planted(80, 7))
+    assert bounds.check_independent_of_objects(planted(20, 6), planted(80, 7))
 
 
 def test_a_follower_without_a_bound_on_its_queue_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -162,7 +162,7 @@
     monkeypatch.setattr("onyxwick.net.fanout_server._SubscriberConnection.pause_writing", lambda self: None)
 
     report = run(SmallPlan(directors=2, events=300, slot=8), use_low_high_water, stuck=True)
-    assert bounds.queue_bounded(report, LOW_HIGH_WATER_LIMITS, MAX_PADDED_EVENT_BYTES)
+    assert bounds.check_queue_bound(report, LOW_HIGH_WATER_LIMITS, MAX_PADDED_EVENT_BYTES)
 
 
 def test_a_synthetic_request_is_answered_by_the_real_core() -> None:
