--- a/onyxwick/lab/scale/fleet.py
+++ b/onyxwick/lab/scale/fleet.py
@@ -42,7 +42,14 @@
     short_status,
     summed,
 )
-from onyxwick.lab.scale.hollow import DOCUMENTS, HostSpec, ObservationKind, Shape, coordinator_main, host_main
+from onyxwick.lab.scale.hollow import (
+    DOCUMENT_COUNT,
+    HostSpec,
+    ObservationKind,
+    Shape,
+    coordinator_main,
+    host_main,
+)
 from onyxwick.lab.scale.processes import cpu_s, reachable, resident_kb
 from onyxwick.lab.scale.sweeps import CONFIG, rows
 
@@ -196,7 +203,7 @@
         self.published.documents.append(now)
         head = ujson.dumps({"published_ns": now, "pad": ""})
         text = ujson.dumps({"published_ns": now, "pad": "x" * max(0, self.plan.change_bytes - len(head))})
-        name = f"doc-{len(self.published.documents) % DOCUMENTS}"
+        name = f"doc-{len(self.published.documents) % DOCUMENT_COUNT}"
         for part in split_document(name, len(self.published.documents), text):
             line = encode_event(Cursor(0, 0), part).line
             self._tell({"document": ujson.loads(line)["document"]})
--- a/onyxwick/lab/scale/size.py
+++ b/onyxwick/lab/scale/size.py
@@ -1,4 +1,4 @@
-"""The size that capacity is reckoned for: its drivers, and what follows from them by arithmetic."""
+"""The installation size that capacity is computed for: its drivers, and quantities derived from them."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 DAY_S = 86_400
 COUNT_MEMORY_S = 33.2
-"""How long one read stays counted: counts halve every 10 s and are dropped under 0.1."""
+"""How long a single read stays counted, in seconds: counts halve every 10 s and are dropped below 0.1."""
 P99_NORMAL = 2.326
 
 
 @dataclass(frozen=True, slots=True)
 class Size:
-    """The drivers. Told by the operators unless the name is in `ASSUMED`."""
+    """The drivers of capacity. The operators gave their values, except for the names in `ASSUMED`."""
 
     directors: int = 1000
     sites: int = 83
@@ -47,7 +47,7 @@
     document_bytes: float = 50_000.0
 
     def times(self, factor: float) -> Size:
-        """The same with everything that grows with the business grown by a factor."""
+        """Return this size with every driver that grows with the business multiplied by a factor."""
         grown: dict[str, Any] = {
             name: type(getattr(self, name))(getattr(self, name) * factor) for name in GROWING
         }
@@ -55,12 +55,12 @@
 
     @property
     def directors_at_largest_site(self) -> int:
-        """Of sites whose sizes fall by the power law `site_exponent`; one at least at each."""
+        """Directors at the largest site (at least one); site sizes follow the power law `site_exponent`."""
         return math.ceil(self.directors * self._largest_share)
 
     @property
     def caches_at_largest_site(self) -> int:
-        """As for directors."""
+        """Caches at the largest site, rounded up, by the same power law as for directors."""
         return math.ceil(self.caches * self._largest_share)
 
     @property
@@ -70,23 +70,27 @@
 
     @property
     def requests_per_director(self) -> float:
-        """Mean of all directors, requests a second."""
+        """Mean requests per second of a director."""
         return self.requests_per_s / self.directors
 
     @property
     def p99_over_mean(self) -> float:
-        """Of directors' traffic, where it is spread log-normally by `directors_spread`."""
+        """Ratio of the 99th percentile of directors' traffic to its mean.
+
+        Traffic is distributed log-normally with the sigma `directors_spread`.
+        """
         return math.exp(P99_NORMAL * self.directors_spread - self.directors_spread**2 / 2)
 
     @property
     def request_bytes(self) -> float:
-        """Mean bytes of an answer."""
+        """Mean size of an answer in bytes."""
         return self.bits_per_s / 8 / self.requests_per_s
 
     def objects_counted(self, requests_per_s: float) -> float:
-        """Distinct objects that a director counts at once.
+        """Return the number of distinct objects that a director counts at the same time.
 
-        Expected number of distinct draws out of a Zipf law over all objects, in pieces of its ranks.
+        This is the expected number of distinct draws from a Zipf distribution over all objects, computed over
+        ranges of its ranks.
         """
         draws = requests_per_s * self.counted_share * COUNT_MEMORY_S
         edges = [1.1**k for k in range(int(math.log(self.objects, 1.1)) + 1)] + [self.objects]
@@ -101,13 +105,17 @@
 
     @property
     def list_changes_per_hour(self) -> float:
-        """Rows of the list that change: restarts and failures (gone and back), and a rolling release."""
+        """Rows of the endpoint list that change per hour.
+
+        A restart or a failure changes two rows (removed and added again); a rolling release changes
+        three per cache.
+        """
         daily = 2 * (self.restarts_per_day + self.machine_failures_per_day) / 24
         return daily + 3 * self.caches / self.release_hours
 
     @property
     def changes_per_s_in_burst(self) -> float:
-        """Configuration changes in a burst, spread over the 5 s in which they have to be in force."""
+        """Configuration changes per second in a burst, spread over the 5 s in which they must take effect."""
         return self.changes_in_a_burst / 5
 
 
@@ -139,7 +147,11 @@
 
 
 def read(path: Path) -> Size:
-    """A size from an HCL file: a block `size` with any of the drivers; ConfigError names file and line."""
+    """Read a size from an HCL file with a block `size` that sets any of the drivers.
+
+    Drivers that are left out keep their defaults. Raises ConfigError, which names file and line, if the block
+    is missing or a field is unknown or out of range.
+    """
     top = Fields(hcl.read(path), path.name)
     row = top.single_block("size")
     if row is None:
--- a/onyxwick/lab/scale/slopes.py
+++ b/onyxwick/lab/scale/slopes.py
@@ -1,4 +1,4 @@
-"""All sweeps, alternating over sizes and repeats, with their fits, as JSON and as a plot."""
+"""Run of all sweeps, alternating over sizes and repeats, with their fits, as JSON and as a plot."""
 
 from __future__ import annotations
 
@@ -17,21 +17,24 @@
 
 ALL: tuple[Sweep, ...] = (*sweeps.SWEEPS, *processes.SWEEPS)
 BUSY_SHARE_LIMIT = 0.85
-"""Share of the machine's processor time in use by others from which times are no evidence."""
+"""Share of the machine's processor time used by others above which measured times are not valid."""
 COLUMNS = 3
 
 
 def by_name(names: Sequence[str]) -> list[Sweep]:
-    """The sweeps of these names, all without any; KeyError names one that does not exist."""
+    """Return the sweeps with the given names, or all sweeps if no name is given.
+
+    Raises KeyError, which lists the known names, if a sweep does not exist.
+    """
     known = {sweep.name: sweep for sweep in ALL}
     missing = [name for name in names if name not in known]
     if missing:
-        raise KeyError(f"no sweep '{missing[0]}'; there are: {', '.join(known)}")
+        raise KeyError(f"no sweep is named '{missing[0]}'; known sweeps: {', '.join(known)}")
     return [known[name] for name in names] if names else list(ALL)
 
 
 def run(chosen: Sequence[Sweep], repeats: int | None, progress: Callable[[str], None]) -> dict[str, Any]:
-    """Measure sweeps; each point of each repeat is kept."""
+    """Measure sweeps and return their rows with every point of every repeat."""
     out: dict[str, Any] = {"machine": machine(), "revision": revision(), "sweeps": {}}
     for sweep in chosen:
         points: list[tuple[float, float]] = []
@@ -45,7 +48,7 @@
 
 
 def row_of(sweep: Sweep, points: list[tuple[float, float]]) -> dict[str, Any]:
-    """One sweep's row of the JSON."""
+    """Return the JSON row of one sweep: its points and their fit."""
     return {
         "driver": sweep.driver,
         "unit": sweep.unit,
@@ -55,12 +58,12 @@
 
 
 def fit_of(row: dict[str, Any]) -> SlopeFit:
-    """The fit of a row of the JSON."""
+    """Rebuild the fit from a JSON row."""
     return SlopeFit(**{name: row["fit"][name] for name in SlopeFit.__slots__})
 
 
 def machine() -> dict[str, Any]:
-    """What the figures were taken on; `load` is the load average over the last minute at the beginning."""
+    """Describe the machine; `load` is the load average of the last minute when the measurement starts."""
     return {
         "cores": os.cpu_count(),
         "python": platform.python_version(),
@@ -70,7 +73,7 @@
 
 
 def revision() -> str:
-    """The commit that is measured, with a mark where the tree differs from it."""
+    """Return the measured commit, with a `+` if the working tree differs from it, or "unknown"."""
     try:
         described = subprocess.run(
             ["git", "describe", "--always", "--dirty=+"],
@@ -85,7 +88,7 @@
 
 
 def table(result: dict[str, Any]) -> str:
-    """The fits as a Markdown table."""
+    """Render the fits as a Markdown table."""
     lines = [
         "| figure | driver, range | slope (95%) | constant (95%) | worst residual | power | note |",
         "| --- | --- | --- | --- | --- | --- | --- |",
@@ -106,7 +109,7 @@
 
 
 def plot(result: dict[str, Any], path: Path) -> None:
-    """Points and lines of all sweeps in one picture."""
+    """Plot the points and fitted lines of all sweeps into one image file."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -133,7 +136,7 @@
 
 
 def load(path: Path) -> dict[str, Any]:
-    """A result from its JSON file."""
+    """Read a result from its JSON file."""
     value = json.loads(path.read_text())
     assert isinstance(value, dict)
     return value
--- a/onyxwick/lab/scale/small.py
+++ b/onyxwick/lab/scale/small.py
@@ -1,4 +1,6 @@
-"""A small tree with hollow directors in one event loop: counts, bytes and sizes, in seconds, for CI."""
+"""A small distribution tree with hollow directors in one event loop, for CI.
+
+A run takes seconds and reports counts, bytes and table sizes."""
 
 from __future__ import annotations
 
@@ -19,13 +21,13 @@
 from onyxwick.net.publisher_node import PublisherNode
 from onyxwick.net.relay_node import RelayNode
 
-PATIENCE_S = 20.0
-LOOK_S = 0.01
+CONDITION_TIMEOUT_S = 20.0
+POLL_INTERVAL_S = 0.01
 
 
 @dataclass(frozen=True, slots=True)
 class SmallPlan:
-    """Sizes of a small run: `events` purges, a tenth as many changes of one row, `objects` asked for."""
+    """Sizes of a small run: `events` purges, a tenth as many changes of one row, `objects` requested."""
 
     directors: int = 6
     relays: int = 2
@@ -37,8 +39,12 @@
 
 @dataclass
 class SmallReport:
-    """What was counted. `lines`: delivered events in all; `tables`: the largest of each kind at a director;
-    `unsent_bytes`: most bytes that a node held for one subscriber that read nothing."""
+    """Counts of a small run.
+
+    `lines` is the total of delivered events. `tables` holds the size of the largest table of each kind at any
+    director. `unsent_bytes` is the maximum of bytes that a relay queued for one connection, such as that of a
+    subscriber that reads nothing.
+    """
 
     plan: SmallPlan
     lines: int = 0
@@ -48,14 +54,17 @@
 
 
 def node_config(name: str, role: Role, listen: Address, *parents: Address) -> NodeConfig:
-    """A node's configuration with the defaults of its reader."""
+    """Return a node's configuration with the same defaults as the configuration reader."""
     return NodeConfig(
         name, role, listen, tuple(parents), 256, AdmissionLimits(per_s=1_000), 60_000, 1e6, None, ()
     )
 
 
 class SmallTree:
-    """The tree and its directors; `director` makes one (a planted fault makes another)."""
+    """A distribution tree and its directors.
+
+    `director` is the factory of directors; a test passes another one to plant a fault.
+    """
 
     def __init__(
         self,
@@ -84,47 +93,50 @@
         ]
         self.index = 0
 
-    def tell(self, payload: dict[str, Any]) -> None:
+    def publish_event(self, payload: dict[str, Any]) -> None:
         """Publish one event at the coordinator."""
         self.index += 1
         self.feed.tell(json.dumps({"index": self.index, **payload}).encode() + b"\n")
 
     def purge(self) -> None:
-        """Publish a purge that carries its time."""
-        self.tell({"evict": {"ref": f"{time.monotonic_ns():016x}", "unix_ms": wall_us() // 1000}})
+        """Publish a purge whose object name is its publication time in monotonic nanoseconds."""
+        self.publish_event({"evict": {"ref": f"{time.monotonic_ns():016x}", "unix_ms": wall_us() // 1000}})
 
     def change(self, number: int) -> None:
         """Publish a change of one row."""
         row = rows(self.plan.caches)[2 + number % self.plan.caches] | {"started_ms": number}
         version = time.monotonic_ns() // 1000
-        self.tell({"endpoints": {"version": version, "full": False, "servers": [row]}})
+        self.publish_event({"endpoints": {"version": version, "full": False, "servers": [row]}})
 
-    async def until(self, true: Callable[[], bool]) -> None:
-        """Wait for a condition; TimeoutError after a while."""
-        async with asyncio.timeout(PATIENCE_S):
-            while not true():
-                await asyncio.sleep(LOOK_S)
+    async def wait_until(self, condition: Callable[[], bool]) -> None:
+        """Wait for a condition. Raises TimeoutError if it does not hold within 20 s."""
+        async with asyncio.timeout(CONDITION_TIMEOUT_S):
+            while not condition():
+                await asyncio.sleep(POLL_INTERVAL_S)
 
     def converged(self, events: int) -> bool:
-        """Are all directors at the publisher's cursor, with so many events in it at least?"""
+        """Return whether all directors are at the publisher's cursor, which is at `events` or later."""
         cursor = self.root.replica.cursor
-        return cursor.number >= events and all(d.place == cursor.packed for d in self.directors)
+        return cursor.number >= events and all(d.position == cursor.packed for d in self.directors)
 
     async def run(self, stuck: bool = False) -> SmallReport:
-        """Publish all events, wait until each director has them; with `stuck` a subscriber reads nothing."""
+        """Publish all events and wait until each director has applied them.
+
+        With `stuck`, an additional subscriber reads nothing from its connection.
+        """
         report = SmallReport(self.plan)
         await self.feed.listen()
-        self.tell({"endpoints": {"version": 0, "full": True, "servers": rows(self.plan.caches)}})
+        self.publish_event({"endpoints": {"version": 0, "full": True, "servers": rows(self.plan.caches)}})
         nodes = [asyncio.create_task(self.root.run())]
         nodes += [asyncio.create_task(relay.run()) for relay in self.relays]
         writer: asyncio.StreamWriter | None = None
         try:
-            await self.until(lambda: self.root.replica.cursor.number >= 1)
+            await self.wait_until(lambda: self.root.replica.cursor.number >= 1)
             for director in self.directors:
                 director.start()
-            await self.until(lambda: self.converged(1))
+            await self.wait_until(lambda: self.converged(1))
             if stuck:
-                writer = await self._stuck()
+                writer = await self._connect_stuck_subscriber()
             await self._publish(report)
         finally:
             await self._close(nodes, writer)
@@ -135,10 +147,11 @@
                 report.tables[name] = max(report.tables.get(name, 0), size)
         return report
 
-    async def _stuck(self) -> asyncio.StreamWriter:
+    async def _connect_stuck_subscriber(self) -> asyncio.StreamWriter:
         reader, writer = await asyncio.open_connection(*self.relays[0].config.listen, limit=64)
         writer.write(b"follow 0\n")
-        await reader.readline()  # from here on the stream's own small limit stops reading
+        # After this line, the small limit of the stream reader stops it from reading further.
+        await reader.readline()
         return writer
 
     async def _publish(self, report: SmallReport) -> None:
@@ -149,9 +162,9 @@
             await asyncio.sleep(0)
         for number in range(self.plan.objects):
             for director in self.directors:
-                await director.ask(f"{number:016x}", number)
+                await director.send_request(f"{number:016x}", number)
         total = 1 + self.plan.events + (self.plan.events + 9) // 10
-        await self.until(lambda: self.converged(total))
+        await self.wait_until(lambda: self.converged(total))
         sizes = [c.unsent_bytes() for relay in self.relays for c in relay.server.connections]
         report.unsent_bytes = max(sizes, default=0)
 
@@ -165,8 +178,8 @@
         await self.feed.mute()
 
 
-def small(plan: SmallPlan) -> SmallReport:
-    """One small run in an event loop of its own."""
+def run_small_tree(plan: SmallPlan) -> SmallReport:
+    """Run a small tree in a new event loop and return its report."""
 
     async def main() -> SmallReport:
         return await SmallTree(plan).run()
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -19,7 +19,7 @@
 from onyxwick.lab.scale.fits import fit
 from onyxwick.lab.scale.hollow import HollowDirector
 from onyxwick.lab.scale.size import Size, read
-from onyxwick.lab.scale.small import SmallPlan, SmallReport, SmallTree, small
+from onyxwick.lab.scale.small import SmallPlan, SmallReport, SmallTree, run_small_tree
 
 FEWER, MORE = 12, 48
 
@@ -42,15 +42,15 @@
 
 def use_low_high_water(tree: SmallTree) -> None:
     """Buffer little for each subscriber, and make events large enough to fill the sockets' own buffers."""
-    tell = tree.tell
+    publish_event = tree.publish_event
 
     def padded(payload: dict[str, Any]) -> None:
         if "endpoints" in payload and not payload["endpoints"]["full"]:
             row = payload["endpoints"]["servers"][0]
             payload["endpoints"]["servers"] = [row | {"note": "x" * 400_000}]
-        tell(payload)
+        publish_event(payload)
 
-    tree.tell = padded  # type: ignore[method-assign]
+    tree.publish_event = padded  # type: ignore[method-assign]
     for relay in tree.relays:
         relay.fanout.limits = LOW_HIGH_WATER_LIMITS
 
@@ -99,9 +99,9 @@
 
 
 def test_a_small_fleet_keeps_all_bounds() -> None:
-    base = small(SmallPlan())
-    caches = small(SmallPlan(caches=MORE, slot=1))
-    objects = small(SmallPlan(objects=200, slot=2))
+    base = run_small_tree(SmallPlan())
+    caches = run_small_tree(SmallPlan(caches=MORE, slot=1))
+    objects = run_small_tree(SmallPlan(objects=200, slot=2))
     for report in (base, caches, objects):
         assert bounds.check_deliveries_per_event(report) == []
         assert bounds.check_queue_bound(report) == []
@@ -136,8 +136,8 @@
 class RemembersObjects(HollowDirector):
     """A planted fault: the name of each requested object stays in the endpoint table's purge times."""
 
-    async def ask(self, name: str, number: int) -> None:
-        await super().ask(name, number)
+    async def send_request(self, name: str, number: int) -> None:
+        await super().send_request(name, number)
         self.core.endpoints.purge_times[PurgeScope(None, name)] = ReceivedPurge(self.core.now(), 0)
 
 
