--- a/onyxwick/lab/scale/capacity.py
+++ b/onyxwick/lab/scale/capacity.py
@@ -1,7 +1,7 @@
-"""The capacity model: slopes and fleets' figures put together for a size, as the tables of docs/CAPACITY.md.
+"""The capacity model: combines slopes and fleet figures for a size into the tables of docs/CAPACITY.md.
 
-Each cell is a formula over measured figures and drivers; nothing is read off a run of another size without
-saying so.
+Each cell is a formula over measured figures and drivers. A figure taken from a run of another size is always
+marked as such.
 """
 
 from __future__ import annotations
@@ -22,20 +22,20 @@
 from onyxwick.lab.scale.size import DAY_S, Size
 from onyxwick.lab.scale.slopes import fit_of
 
-CORE_SHARE, CONTROL_MB, CONTROL_BYTES = 0.011, 256.0, 10_000.0
+CONTROL_CORES_BUDGET, CONTROL_MEMORY_BUDGET_MB, CONTROL_BYTES_PER_S_BUDGET = 0.011, 256.0, 10_000.0
 PURGE_S, CHANGE_S = 1.5, 5.0
-COUNTED_MOST = 50_000
-"""The module's own bound on objects counted at once."""
-STEP_TURN_MS = 8.0
-MEASURED_PURGES = 21.0
-EVENT_BYTES = 110.0
-"""Bytes of a purge's line in the tree: a number of 19 digits, an object's name, a time."""
-REGION_CUT_S = 600.0
+MAX_COUNTED_OBJECTS = 50_000
+"""The router's limit on objects that are counted at the same time."""
+LOOP_TURN_BUDGET_MS = 8.0
+MEASURED_PURGES_PER_S = 21.0
+PURGE_LINE_BYTES = 110.0
+"""Bytes of a purge line in the tree: a number of 19 digits, an object name and a time."""
+REGION_CUT_DURATION_S = 600.0
 ROW_KB = 0.15
 
 
-class Mark(Enum):
-    """Where a figure comes from."""
+class FigureOrigin(Enum):
+    """The origin of a figure."""
 
     MEASURED = "measured"
     DERIVED = "derived"
@@ -43,8 +43,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Inputs:
-    """What was measured: fits by name, and the reports of fleets by shape and fault."""
+class CapacityInputs:
+    """The measured inputs: fits and points by sweep name, and fleet reports by shape and fault."""
 
     fits: Mapping[str, SlopeFit]
     points: Mapping[str, Sequence[tuple[float, float]]]
@@ -52,8 +52,11 @@
     revision: str
 
     def at(self, name: str, driver: float) -> float:
-        """A figure for a driver: by its line or, where no line fits, between the medians measured, and past
-        the largest by the power law of the upper half."""
+        """Return a figure at a driver, by its fitted line.
+
+        Where no line fits, interpolate between the measured medians, and extrapolate past the largest size by
+        the power law of the upper half of the sizes.
+        """
         each = self.fits[name]
         if each.is_line:
             return each.at(driver)
@@ -66,23 +69,23 @@
         return float(np.interp(driver, sizes, medians))
 
     def fleet(self, name: str) -> Mapping[str, Any]:
-        """A fleet's report; KeyError where that one was not run."""
+        """Return the report of a fleet. Raises KeyError if that fleet was not run."""
         return self.fleets[name]
 
 
-Formula = Callable[[Size, Inputs], float]
+Formula = Callable[[Size, CapacityInputs], float]
 
 
 @dataclass(frozen=True, slots=True)
 class CapacityCell:
-    """One figure of one role. `budget` None: nobody has set one."""
+    """One figure of one role; a `budget` of None means that no budget is set."""
 
     role: str
     kind: str
     unit: str
     formula: str
     compute: Formula
-    mark: Mark
+    mark: FigureOrigin
     mechanism: str
     budget: float | None = None
 
@@ -92,69 +95,71 @@
 
 
 def _serving(rate: Callable[[Size], float]) -> Formula:
-    def compute(size: Size, got: Inputs) -> float:
-        return rate(size) * got.at("director_request_us", size.request_bytes / 1e3) / 1e6
+    def compute(size: Size, inputs: CapacityInputs) -> float:
+        return rate(size) * inputs.at("director_request_us", size.request_bytes / 1e3) / 1e6
 
     return compute
 
 
 def _counted(size: Size, rate: float) -> float:
-    return min(COUNTED_MOST, size.objects_counted(rate))
+    return min(MAX_COUNTED_OBJECTS, size.objects_counted(rate))
 
 
 def _popularity(rate: Callable[[Size], float]) -> Formula:
-    return lambda size, got: got.at("popularity_ms_per_s", _counted(size, rate(size))) / 1e3
+    return lambda size, inputs: inputs.at("popularity_ms_per_s", _counted(size, rate(size))) / 1e3
 
 
-def _turn(size: Size, got: Inputs) -> float:
-    return got.at("popularity_turn_ms", _counted(size, _p99_rate(size)))
+def _turn(size: Size, inputs: CapacityInputs) -> float:
+    return inputs.at("popularity_turn_ms", _counted(size, _p99_rate(size)))
 
 
-def _feed_share(size: Size, got: Inputs) -> float:
-    return float(got.fleet("tree-quiet")["core_share_a_director"]) * size.purges_per_s / MEASURED_PURGES
+def _feed_share(size: Size, inputs: CapacityInputs) -> float:
+    return (
+        float(inputs.fleet("tree-quiet")["core_share_a_director"]) * size.purges_per_s / MEASURED_PURGES_PER_S
+    )
 
 
-def _list_share(size: Size, got: Inputs) -> float:
-    return size.list_changes_per_hour / 3600 * got.at("list_change_us", size.caches) / 1e6
+def _list_share(size: Size, inputs: CapacityInputs) -> float:
+    return size.list_changes_per_hour / 3600 * inputs.at("list_change_us", size.caches) / 1e6
 
 
-def _purge_share(size: Size, got: Inputs) -> float:
-    return got.at("purge_ms_per_s", size.purges_per_s) / 1e3
+def _purge_share(size: Size, inputs: CapacityInputs) -> float:
+    return inputs.at("purge_ms_per_s", size.purges_per_s) / 1e3
 
 
-def _idle_share(size: Size, got: Inputs) -> float:
-    return got.at("director_idle_ms_per_s", size.caches_at_largest_site) / 1e3
+def _idle_share(size: Size, inputs: CapacityInputs) -> float:
+    return inputs.at("director_idle_ms_per_s", size.caches_at_largest_site) / 1e3
 
 
-def _year_mb(size: Size, _: Inputs) -> float:
+def _year_mb(size: Size, _: CapacityInputs) -> float:
     return size.changes_per_day * 365 * (size.change_bytes + 200) / 1e6
 
 
-def _idle_mb(size: Size, got: Inputs) -> float:
-    return got.at("director_memory_kb", size.caches_at_largest_site) / 1e3
+def _idle_mb(size: Size, inputs: CapacityInputs) -> float:
+    return inputs.at("director_memory_kb", size.caches_at_largest_site) / 1e3
 
 
 def _control(rate: Callable[[Size], float]) -> Formula:
-    def compute(size: Size, got: Inputs) -> float:
-        rest = _popularity(rate)(size, got) + _list_share(size, got)
-        return _feed_share(size, got) + rest + _idle_share(size, got)
+    def compute(size: Size, inputs: CapacityInputs) -> float:
+        rest = _popularity(rate)(size, inputs) + _list_share(size, inputs)
+        return _feed_share(size, inputs) + rest + _idle_share(size, inputs)
 
     return compute
 
 
-def _control_mb(size: Size, got: Inputs) -> float:
-    counted = got.at("counted_kb", _counted(size, _p99_rate(size)))
-    feed = float(got.fleet("tree-quiet")["memory_kb_a_director"])
+def _control_mb(size: Size, inputs: CapacityInputs) -> float:
+    counted = inputs.at("counted_kb", _counted(size, _p99_rate(size)))
+    feed = float(inputs.fleet("tree-quiet")["memory_kb_a_director"])
     return (counted + feed + size.document_bytes / 1e3) / 1e3
 
 
-def _director_bytes(size: Size, got: Inputs) -> float:
-    measured = float(got.fleet("tree-quiet")["bytes_per_s_a_director"])
-    return measured * size.purges_per_s / MEASURED_PURGES
+def _director_bytes(size: Size, inputs: CapacityInputs) -> float:
+    measured = float(inputs.fleet("tree-quiet")["bytes_per_s_a_director"])
+    return measured * size.purges_per_s / MEASURED_PURGES_PER_S
 
 
-def _burst_bytes(size: Size, got: Inputs) -> float:
-    return _director_bytes(size, got) + size.changes_per_s_in_burst * size.change_bytes * 1.1
+def _burst_bytes(size: Size, inputs: CapacityInputs) -> float:
+    return _director_bytes(size, inputs) + size.changes_per_s_in_burst * size.change_bytes * 1.1
 
 
 def _relays(size: Size) -> int:
@@ -170,31 +175,31 @@
 
 
 def _relay_share(lost: int) -> Formula:
-    def compute(size: Size, got: Inputs) -> float:
-        return _events_per_s(size) * got.at("node_ms_per_event", _followers(size, lost)) / 1e3
+    def compute(size: Size, inputs: CapacityInputs) -> float:
+        return _events_per_s(size) * inputs.at("node_ms_per_event", _followers(size, lost)) / 1e3
 
     return compute
 
 
-def _publisher_share(size: Size, got: Inputs) -> float:
+def _publisher_share(size: Size, inputs: CapacityInputs) -> float:
     binding = size.purges_per_s * PURGE_RETENTION_MS / 1e3
-    each = got.at("publish_us", binding) / 1e6 + got.at("node_ms_per_event", _relays(size)) / 1e3
+    each = inputs.at("publish_us", binding) / 1e6 + inputs.at("node_ms_per_event", _relays(size)) / 1e3
     return _events_per_s(size) * each
 
 
-def _single_share(size: Size, got: Inputs) -> float:
-    report = got.fleet("single-none")
+def _single_share(size: Size, inputs: CapacityInputs) -> float:
+    report = inputs.fleet("single-none")
     share = float(report["cores"]["coordinator"])
-    grown = size.directors * size.purges_per_s / (report["plan"]["directors"] * MEASURED_PURGES)
+    grown = size.directors * size.purges_per_s / (report["plan"]["directors"] * MEASURED_PURGES_PER_S)
     return share * float(grown)
 
 
-def _trace_mb_per_s(size: Size, got: Inputs) -> float:
-    return size.requests_per_s * got.fits["trace_bytes"].slope / 1e6
+def _trace_mb_per_s(size: Size, inputs: CapacityInputs) -> float:
+    return size.requests_per_s * inputs.fits["trace_bytes"].slope / 1e6
 
 
-def _snapshot_kb(size: Size, got: Inputs) -> float:
-    binding = got.at("snapshot_kb", size.purges_per_s * PURGE_RETENTION_MS / 1e3)
+def _snapshot_kb(size: Size, inputs: CapacityInputs) -> float:
+    binding = inputs.at("snapshot_kb", size.purges_per_s * PURGE_RETENTION_MS / 1e3)
     return binding + size.caches * ROW_KB + size.document_bytes / 1e3
 
 
@@ -205,7 +210,7 @@
         "cores",
         "requests x director_request_us(kB)",
         _serving(lambda s: s.requests_per_director),
-        Mark.DERIVED,
+        FigureOrigin.DERIVED,
         "net/front, net/caches",
         1.0,
     ),
@@ -215,7 +220,7 @@
         "cores",
         "as above x p99 over mean",
         _serving(_p99_rate),
-        Mark.DERIVED,
+        FigureOrigin.DERIVED,
         "net/front, net/caches; more directors",
         1.0,
     ),
@@ -225,7 +230,7 @@
         "requests/s",
         "requests a second / directors",
         lambda s, _: s.requests_per_director,
-        Mark.DERIVED,
+        FigureOrigin.DERIVED,
         "net/front",
     ),
     CapacityCell(
@@ -234,7 +239,7 @@
         "MB/s",
         "bits / 8 / directors",
         lambda s, _: s.bits_per_s / 8e6 / s.directors,
-        Mark.DERIVED,
+        FigureOrigin.DERIVED,
         "net/front, net/outbox",
     ),
     CapacityCell(
@@ -243,7 +248,7 @@
         "MB",
         "director_memory_kb(caches linked)",
         _idle_mb,
-        Mark.DERIVED,
+        FigureOrigin.DERIVED,
         "net/caches",
     ),
     CapacityCell(
@@ -252,9 +257,9 @@
         "cores",
         "idle + feed + popularity + list",
         _control(lambda s: s.requests_per_director),
-        Mark.DERIVED,
+        FigureOrigin.DERIVED,
         "net/subscription, routing",
-        CORE_SHARE,
+        CONTROL_CORES_BUDGET,
     ),
     CapacityCell(
         "director, control",
@@ -262,9 +267,9 @@
         "cores",
         "as above at the p99 rate",
         _control(_p99_rate),
-        Mark.DERIVED,
+        FigureOrigin.DERIVED,
         "net/subscription, routing",
-        CORE_SHARE,
+        CONTROL_CORES_BUDGET,
     ),
     CapacityCell(
         "director, control",
@@ -272,9 +277,9 @@
         "cores",
         "hollow fleet, x purges",
         _feed_share,
-        Mark.MEASURED,
+        FigureOrigin.MEASURED,
         "net/subscription, net/director_feed",
-        CORE_SHARE,
+        CONTROL_CORES_BUDGET,
     ),
     CapacityCell(
         "director, control",
@@ -282,9 +287,9 @@
         "cores",
         "popularity_ms_per_s(counted)",
         _popularity(lambda s: s.requests_per_director),
-        Mark.DERIVED,
+        FigureOrigin.DERIVED,
         "routing/popularity",
-        CORE_SHARE,
+        CONTROL_CORES_BUDGET,
     ),
     CapacityCell(
         "director, control",
@@ -292,9 +297,9 @@
         "cores",
         "the same at the p99 rate",
         _popularity(_p99_rate),
-        Mark.DERIVED,
+        FigureOrigin.DERIVED,
         "routing/popularity",
-        CORE_SHARE,
+        CONTROL_CORES_BUDGET,
     ),
     CapacityCell(
         "director, control",
@@ -302,9 +307,9 @@
         "cores",
         "director_idle_ms_per_s(caches linked)",
         _idle_share,
-        Mark.MEASURED,
+        FigureOrigin.MEASURED,
         "net/front, net/caches: sweeps",
-        CORE_SHARE,
+        CONTROL_CORES_BUDGET,
     ),
     CapacityCell(
         "director, control",
@@ -312,9 +317,9 @@
         "cores",
         "purge_ms_per_s(purges)",
         _purge_share,
-        Mark.DERIVED,
+        FigureOrigin.DERIVED,
         "core/members, routing/purge",
-        CORE_SHARE,
+        CONTROL_CORES_BUDGET,
     ),
     CapacityCell(
         "director, control",
@@ -322,9 +327,9 @@
         "cores",
         "changes an hour x list_change_us(caches)",
         _list_share,
-        Mark.DERIVED,
+        FigureOrigin.DERIVED,
         "net/coordinator, routing/endpoints",
-        CORE_SHARE,
+        CONTROL_CORES_BUDGET,
     ),
     CapacityCell(
         "director, control",
@@ -332,9 +337,9 @@
         "ms",
         "popularity_turn_ms(objects counted, p99)",
         _turn,
-        Mark.DERIVED,
+        FigureOrigin.DERIVED,
         "routing/popularity",
-        STEP_TURN_MS,
+        LOOP_TURN_BUDGET_MS,
     ),
     CapacityCell(
         "director, control",
@@ -342,9 +347,9 @@
         "MB",
         "counted_kb(objects) + hollow director + documents",
         _control_mb,
-        Mark.DERIVED,
+        FigureOrigin.DERIVED,
         "routing/popularity, net/director_feed",
-        CONTROL_MB,
+        CONTROL_MEMORY_BUDGET_MB,
     ),
     CapacityCell(
         "director, control",
@@ -352,9 +357,9 @@
         "bytes/s",
         "hollow fleet, x purges",
         _director_bytes,
-        Mark.MEASURED,
+        FigureOrigin.MEASURED,
         "distribution/",
-        CONTROL_BYTES,
+        CONTROL_BYTES_PER_S_BUDGET,
     ),
     CapacityCell(
         "director, control",
@@ -362,9 +367,9 @@
         "bytes/s",
         "steady + burst x bytes / 5 s",
         _burst_bytes,
-        Mark.DERIVED,
+        FigureOrigin.DERIVED,
         "distribution/publisher",
-        CONTROL_BYTES,
+        CONTROL_BYTES_PER_S_BUDGET,
     ),
     CapacityCell(
         "feed's publisher",
@@ -372,7 +377,7 @@
         "cores",
         "events x (publish_us + node_ms(relays))",
         _publisher_share,
-        Mark.DERIVED,
+        FigureOrigin.DERIVED,
         "distribution/publisher, durable",
         1.0,
     ),
@@ -382,7 +387,7 @@
         "rows",
         "caches + purges x 60 s + documents",
         lambda s, _: s.caches + s.purges_per_s * 60 + 64,
-        Mark.DERIVED,
+        FigureOrigin.DERIVED,
         "distribution/replica",
     ),
     CapacityCell(
@@ -390,8 +395,8 @@
         "bytes out",
         "kB/s",
         "relays x steady bytes",
-        lambda s, got: _relays(s) * _director_bytes(s, got) / 1e3,
-        Mark.DERIVED,
+        lambda s, inputs: _relays(s) * _director_bytes(s, inputs) / 1e3,
+        FigureOrigin.DERIVED,
         "net/fanout_server",
     ),
     CapacityCell(
@@ -399,8 +404,8 @@
         "snapshot",
         "kB",
         "snapshot_kb(purges x 60 s) + rows + documents",
-        lambda s, got: _snapshot_kb(s, got),
-        Mark.DERIVED,
+        lambda s, inputs: _snapshot_kb(s, inputs),
+        FigureOrigin.DERIVED,
         "distribution/replica",
     ),
     CapacityCell(
@@ -409,7 +414,7 @@
         "cores",
         "single fleet, x directors x purges",
         _single_share,
-        Mark.MEASURED,
+        FigureOrigin.MEASURED,
         "the lab's stand-in",
         1.0,
     ),
@@ -419,7 +424,7 @@
         "connections",
         "directors / (machines - 2)",
         lambda s, _: _followers(s),
-        Mark.DERIVED,
+        FigureOrigin.DERIVED,
         "distribution/tree",
         256.0,
     ),
@@ -429,7 +434,7 @@
         "connections",
         "directors / (machines - 6)",
         lambda s, _: _followers(s, 4),
-        Mark.DERIVED,
+        FigureOrigin.DERIVED,
         "distribution/tree",
         256.0,
     ),
@@ -439,7 +444,7 @@
         "cores",
         "events x node_ms_per_event(followers)",
         _relay_share(0),
-        Mark.DERIVED,
+        FigureOrigin.DERIVED,
         "net/fanout_server",
         1.0,
     ),
@@ -449,7 +454,7 @@
         "cores",
         "the same with four fewer",
         _relay_share(4),
-        Mark.DERIVED,
+        FigureOrigin.DERIVED,
         "net/fanout_server",
         1.0,
     ),
@@ -458,8 +463,8 @@
         "bytes out",
         "kB/s",
         "followers x steady bytes",
-        lambda s, got: _followers(s) * _director_bytes(s, got) / 1e3,
-        Mark.DERIVED,
+        lambda s, inputs: _followers(s) * _director_bytes(s, inputs) / 1e3,
+        FigureOrigin.DERIVED,
         "net/fanout_server",
     ),
     CapacityCell(
@@ -468,7 +473,7 @@
         "1/s",
         "changes a day / 86,400",
         lambda s, _: s.changes_per_day / DAY_S,
-        Mark.DERIVED,
+        FigureOrigin.DERIVED,
         "admin/, store/",
     ),
     CapacityCell(
@@ -477,7 +482,7 @@
         "MB",
         "changes x (bytes + 200)",
         _year_mb,
-        Mark.DERIVED,
+        FigureOrigin.DERIVED,
         "store/: compacted",
     ),
     CapacityCell(
@@ -486,7 +491,7 @@
         "connections",
         "directors x links to one",
         lambda s, _: float(s.directors * s.links_per_cache),
-        Mark.DERIVED,
+        FigureOrigin.DERIVED,
         "net/caches (2 to 8 a director)",
     ),
     CapacityCell(
@@ -495,7 +500,7 @@
         "MB/s",
         "requests x trace_bytes slope",
         _trace_mb_per_s,
-        Mark.DERIVED,
+        FigureOrigin.DERIVED,
         "trace/; collection is missing",
     ),
     CapacityCell(
@@ -503,25 +508,25 @@
         "bytes of a day",
         "TB",
         "the same x 86,400",
-        lambda s, got: _trace_mb_per_s(s, got) * DAY_S / 1e6,
-        Mark.DERIVED,
+        lambda s, inputs: _trace_mb_per_s(s, inputs) * DAY_S / 1e6,
+        FigureOrigin.DERIVED,
         "missing",
     ),
 )
 
 
-def read_inputs(folder: Path) -> Inputs:
-    """The measured figures in a folder: `slopes.json`, and `fleet-SHAPE-FAULT.json` of each fleet."""
+def read_inputs(folder: Path) -> CapacityInputs:
+    """Read the measured figures in a folder: `slopes.json`, and `fleet-SHAPE-FAULT.json` of each fleet."""
     measured = json.loads((folder / "slopes.json").read_text())
     fits = {name: fit_of(row) for name, row in measured["sweeps"].items()}
     fleets = {
         path.stem.removeprefix("fleet-"): json.loads(path.read_text()) for path in folder.glob("fleet-*.json")
     }
     points = {name: [tuple(point) for point in row["points"]] for name, row in measured["sweeps"].items()}
-    return Inputs(fits, points, fleets, str(measured["revision"]))
+    return CapacityInputs(fits, points, fleets, str(measured["revision"]))
 
 
-def _shown(value: float) -> str:
+def _format(value: float) -> str:
     return f"{value:.0f}" if abs(value) >= 1000 else f"{value:.3g}"
 
 
@@ -538,7 +543,7 @@
 
 
 def drivers(size: Size) -> str:
-    """What follows from the size by arithmetic, as a Markdown table."""
+    """Render the quantities derived from the size alone as a Markdown table."""
     rows = [
         ("directors a site, even", f"{size.directors / size.sites:.1f}"),
         ("directors at the largest site", f"{size.directors_at_largest_site}"),
@@ -565,45 +570,49 @@
     )
 
 
-def roles(size: Size, got: Inputs, factor: float = 2.0) -> str:
-    """All cells for a size and for a multiple of it, as a Markdown table. Processor time is told as requests
-    with an answer of 1 kB, too, that a whole director serves in it."""
+def roles(size: Size, inputs: CapacityInputs, factor: float = 2.0) -> str:
+    """Render all cells for a size and a multiple of it as a Markdown table.
+
+    Processor time is also given as the number of requests with a 1 kB answer that a complete director serves
+    in that time.
+    """
     grown = size.times(factor)
-    served = got.at("director_request_us", 1) / 1e6  # cores that one request a second takes
+    # The cores that one request per second takes.
+    served = inputs.at("director_request_us", 1) / 1e6
     lines = [
         f"| role | what | now | {factor:g} times | budget | headroom | formula | mark | mechanism |",
         "| --- | --- | --- | --- | --- | --- | --- | --- | --- |",
     ]
     for cell in CELLS:
-        now, then = cell.compute(size, got), cell.compute(grown, got)
-        budget = "-" if cell.budget is None else _shown(cell.budget)
+        now, then = cell.compute(size, inputs), cell.compute(grown, inputs)
+        budget = "-" if cell.budget is None else _format(cell.budget)
         ratio = f" = {now / served:.0f} requests/s" if cell.unit == "cores" else ""
         lines.append(
-            f"| {cell.role} | {cell.kind} | {_shown(now)} {cell.unit}{ratio} | {_shown(then)} | {budget} |"
+            f"| {cell.role} | {cell.kind} | {_format(now)} {cell.unit}{ratio} | {_format(then)} | {budget} |"
             f" {_headroom(cell, now)} | {cell.formula} | {cell.mark.value} | {cell.mechanism} |"
         )
     return "\n".join(lines)
 
 
-def broken(size: Size, got: Inputs) -> list[tuple[float, CapacityCell]]:
-    """Cells over their budget, with how many times over, worst first."""
-    rows = [(cell.compute(size, got) / cell.budget, cell) for cell in CELLS if cell.budget]
+def cells_over_budget(size: Size, inputs: CapacityInputs) -> list[tuple[float, CapacityCell]]:
+    """Return the cells over their budget, each with its ratio to the budget, largest ratio first."""
+    rows = [(cell.compute(size, inputs) / cell.budget, cell) for cell in CELLS if cell.budget]
     return sorted(((times, cell) for times, cell in rows if times > 1), key=lambda row: -row[0])
 
 
-def faster(got: Inputs) -> Sequence[str]:
-    """Names of figures that grow faster than their driver."""
-    return [name for name, each in got.fits.items() if each.grows_faster]
+def superlinear_figures(inputs: CapacityInputs) -> Sequence[str]:
+    """Return the names of figures that grow faster than their driver."""
+    return [name for name, each in inputs.fits.items() if each.grows_faster]
 
 
-def bad_days(size: Size, got: Inputs) -> str:
-    """Figures of bad days that follow from the model, as a Markdown table."""
+def bad_days(size: Size, inputs: CapacityInputs) -> str:
+    """Render the model's figures for outages and mass restarts as a Markdown table."""
     region = size.directors / size.regions
-    events = REGION_CUT_S * _events_per_s(size)
-    backlog = REGION_CUT_S * (
-        size.purges_per_s * EVENT_BYTES + size.changes_per_day / DAY_S * size.change_bytes * 1.1
+    events = REGION_CUT_DURATION_S * _events_per_s(size)
+    backlog = REGION_CUT_DURATION_S * (
+        size.purges_per_s * PURGE_LINE_BYTES + size.changes_per_day / DAY_S * size.change_bytes * 1.1
     )
-    snapshot = _snapshot_kb(size, got)
+    snapshot = _snapshot_kb(size, inputs)
     per_s = AdmissionLimits().per_s
     rows = [
         ("events missed in a cut of ten minutes", f"{events:.0f}"),
@@ -621,24 +630,24 @@
     )
 
 
-def page(size: Size, got: Inputs) -> str:
-    """All tables of docs/CAPACITY.md that follow from the measured figures."""
+def page(size: Size, inputs: CapacityInputs) -> str:
+    """Render all tables of docs/CAPACITY.md that are computed from the measured figures."""
     over = [
         f"1. {cell.role}, {cell.kind}: {times:.1f} times over ({cell.mechanism})"
-        for times, cell in broken(size, got)
+        for times, cell in cells_over_budget(size, inputs)
     ]
-    grows = [f"- `{name}`: power {got.fits[name].power:.2f}" for name in faster(got)]
+    grows = [f"- `{name}`: power {inputs.fits[name].power:.2f}" for name in superlinear_figures(inputs)]
     parts = [
-        f"Figures of revision {got.revision}.",
+        f"Figures of revision {inputs.revision}.",
         "### Drivers",
         drivers(size),
         "### Roles",
-        roles(size, got),
+        roles(size, inputs),
         "### Budgets broken",
         "\n".join(over) or "None.",
         "### Grows faster than its driver",
         "\n".join(grows) or "Nothing measured.",
         "### Bad days in figures",
-        bad_days(size, got),
+        bad_days(size, inputs),
     ]
     return "\n\n".join(parts)
--- a/onyxwick/lab/scale/fleet_plan.py
+++ b/onyxwick/lab/scale/fleet_plan.py
@@ -39,7 +39,7 @@
     seed: int = 1
 
 
-def check(plan: FleetPlan) -> None:
+def check_plan(plan: FleetPlan) -> None:
     """Reject a plan that needs over half of the machine's memory or over 200 processes, with ValueError."""
     processes = plan.hosts + plan.regions * RELAYS_PER_REGION + OTHER_PROCESSES
     if processes > MAX_PROCESSES:
--- a/onyxwick/lab/scale/fleet_results.py
+++ b/onyxwick/lab/scale/fleet_results.py
@@ -86,13 +86,13 @@
     return status | {"documents": len(status.get("documents", {}))}
 
 
-def machine_busy() -> tuple[float, float]:
+def machine_cpu_ticks() -> tuple[float, float]:
     """Return the busy and the total processor time since boot, in ticks summed over all cores."""
     fields = [float(word) for word in Path("/proc/stat").read_text().splitlines()[0].split()[1:9]]
     return sum(fields) - fields[3] - fields[4], sum(fields)
 
 
-def summed(reports: list[dict[str, Any]], name: str) -> dict[str, int]:
+def sum_counts(reports: list[dict[str, Any]], name: str) -> dict[str, int]:
     """Sum a group of counts over all hosts."""
     out: dict[str, int] = {}
     for key, value in _pairs(reports, name):
@@ -100,7 +100,7 @@
     return out
 
 
-def largest(reports: list[dict[str, Any]]) -> dict[str, int]:
+def largest_table_sizes(reports: list[dict[str, Any]]) -> dict[str, int]:
     """Return the size of the largest table of each kind at any director."""
     out: dict[str, int] = {}
     for key, value in _pairs(reports, "largest_tables"):
--- a/onyxwick/lab/scale/processes.py
+++ b/onyxwick/lab/scale/processes.py
@@ -1,4 +1,4 @@
-"""Whole processes measured over sizes: a real director, and a real node of the distribution tree."""
+"""Sweeps over complete processes: a real director, and a real node of the distribution tree."""
 
 from __future__ import annotations
 
@@ -23,32 +23,35 @@
 from onyxwick.lab.scale.sweeps import CONFIG, Sweep, rows
 from onyxwick.net import resp
 
-READY_S, PATIENCE_S = 20.0, 30.0
-PAGE = os.sysconf("SC_PAGE_SIZE")
-TICK = os.sysconf("SC_CLK_TCK")
-HOST = "127.67.0.1"
+READY_TIMEOUT_S, EXIT_TIMEOUT_S = 20.0, 30.0
+PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
+TICKS_PER_S = os.sysconf("SC_CLK_TCK")
+LISTEN_HOST = "127.67.0.1"
 CACHE_HOST = "127.67.1.1"
-PARALLEL = 16
-LEAST_LINE = 60
+PARALLEL_CONNECTIONS = 16
+MIN_EVENT_LINE_BYTES = 60
 BODIES_KB = (1, 30, 60, 120, 180, 240)
 LINKED_CACHES = (4, 24, 48, 95, 190)
 FOLLOWERS = (25, 50, 100, 200, 400)
 
 
 def cpu_s(pid: int) -> float:
-    """Processor seconds of a process so far."""
+    """Return the processor seconds that a process has used so far."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICK
+    return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
 
 
 def resident_kb(pid: int) -> float:
-    """Resident memory of a process."""
-    return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * PAGE / 1024
+    """Return the resident memory of a process in units of 1024 bytes."""
+    return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * PAGE_BYTES / 1024
 
 
 @contextmanager
 def process(*words: str, **environment: str) -> Iterator[subprocess.Popen[bytes]]:
-    """`python -m onyxwick WORDS`, ended with the block."""
+    """Run `python -m onyxwick WORDS` and terminate it at the end of the block.
+
+    The process is killed if it has not exited after 30 s.
+    """
     running = subprocess.Popen(
         [sys.executable, "-m", "onyxwick", *words],
         env={**os.environ, **environment},
@@ -60,15 +63,15 @@
     finally:
         running.terminate()
         try:
-            running.wait(PATIENCE_S)
+            running.wait(EXIT_TIMEOUT_S)
         except subprocess.TimeoutExpired:
             running.kill()
             running.wait()
 
 
-async def reachable(address: Address) -> None:
-    """Returns once something listens there; TimeoutError after a while."""
-    async with asyncio.timeout(READY_S):
+async def wait_until_reachable(address: Address) -> None:
+    """Return as soon as a connection to an address succeeds. Raises TimeoutError after 20 s."""
+    async with asyncio.timeout(READY_TIMEOUT_S):
         while True:
             try:
                 _, writer = await asyncio.open_connection(*address)
@@ -82,19 +85,20 @@
 # ---- a director -----------------------------------------------------------------------------------------
 
 
-class Emulator(asyncio.Protocol):
-    """A cache that answers each request at once with a body of one size."""
+class FixedBodyCache(asyncio.Protocol):
+    """A cache that answers each request at once with the same body."""
 
     def __init__(self, body: bytes) -> None:
         self.body, self.parser = body, resp.RespParser()
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport for answers."""
-        self.transport = cast("asyncio.Transport", transport)  # uvloop's own does not inherit from it
+        """Store the transport, to which the answers are written."""
+        # uvloop's transport class does not inherit from asyncio.Transport.
+        self.transport = cast("asyncio.Transport", transport)
 
     def data_received(self, data: bytes) -> None:
-        """Answer each whole request."""
+        """Answer each complete request."""
         assert self.transport is not None
         self.parser.buffer.append(data)
         for words in self.parser.messages():
@@ -120,16 +124,17 @@
 
 @asynccontextmanager
 async def _director(caches: int, body: bytes) -> AsyncIterator[tuple[int, Address]]:
-    """A real director before caches that answer at once; its process id and address."""
-    loop, listen, feed = asyncio.get_running_loop(), (HOST, 5050), (HOST, 7070)
+    """Run a real director with caches that answer at once, and yield its process id and address."""
+    loop, listen, feed = asyncio.get_running_loop(), (LISTEN_HOST, 5050), (LISTEN_HOST, 7070)
     coordinator = CoordinatorEmulator(feed, lambda: time.time_ns() // 1000)
-    coordinator.tell(b"{}\n")  # so that the last number is the one that the configuration tells
+    # This line brings the feed's last event number to the one in the configuration.
+    coordinator.tell(b"{}\n")
     await coordinator.listen()
-    server = await loop.create_server(lambda: Emulator(body), CACHE_HOST, 5050)
+    server = await loop.create_server(lambda: FixedBodyCache(body), CACHE_HOST, 5050)
     with tempfile.TemporaryDirectory() as folder:
         path = _configuration(caches, listen, feed, Path(folder))
         with process(RELAY_CONFIG=str(path), ONYXWICK_SERVICE=str(Path(folder) / "none")) as running:
-            await reachable(listen)
+            await wait_until_reachable(listen)
             try:
                 yield running.pid, listen
             finally:
@@ -138,7 +143,7 @@
 
 
 async def _load(listen: Address, requests: int, rng: random.Random) -> None:
-    """Requests one after the other on each of some connections."""
+    """Send requests over parallel connections, on each of them one after another."""
     loop = asyncio.get_running_loop()
 
     async def one(count: int) -> None:
@@ -157,11 +162,11 @@
             await future
         transport.close()
 
-    await asyncio.gather(*(one(requests // PARALLEL) for _ in range(PARALLEL)))
+    await asyncio.gather(*(one(requests // PARALLEL_CONNECTIONS) for _ in range(PARALLEL_CONNECTIONS)))
 
 
 def director_request_us(body_kb: int) -> float:
-    """Processor time of a whole director for one request with an answer of so many kB."""
+    """Return a complete director's processor time per request with an answer of `body_kb` kB."""
 
     async def measured() -> float:
         rng = random.Random(body_kb)
@@ -174,7 +179,7 @@
     return asyncio.run(measured())
 
 
-def _idle(caches: int) -> tuple[float, float]:
+def _measure_idle_director(caches: int) -> tuple[float, float]:
     async def measured() -> tuple[float, float]:
         async with _director(caches, b"x" * 100) as (pid, listen):
             await _load(listen, 32 * caches + 320, random.Random(caches))
@@ -186,20 +191,20 @@
 
 
 def director_memory_kb(caches: int) -> float:
-    """Resident memory of a director with links to so many caches."""
-    return _idle(caches)[0]
+    """Return the resident memory of a director that is connected to `caches` caches."""
+    return _measure_idle_director(caches)[0]
 
 
 def director_idle_ms_per_s(caches: int) -> float:
-    """Processor time a second of a director without requests that has links to so many caches."""
-    return _idle(caches)[1]
+    """Return the processor time per second of an idle director that is connected to `caches` caches."""
+    return _measure_idle_director(caches)[1]
 
 
 # ---- a node of the distribution tree --------------------------------------------------------------------
 
 
-class _Reader(asyncio.Protocol):
-    """A follower that only counts bytes."""
+class _CountingFollower(asyncio.Protocol):
+    """A follower that only counts the received bytes."""
 
     def __init__(self) -> None:
         self.size = 0
@@ -212,8 +217,11 @@
 
 
 def node_ms_per_event(followers: int) -> float:
-    """Processor time of a node for one purge and all its followers, heartbeats included, at 100 a second."""
-    node, feed = (HOST, 7500), (HOST, 7570)
+    """Return a node's processor time to send one purge to all followers.
+
+    Purges are published at 100/s; the time includes heartbeats.
+    """
+    node, feed = (LISTEN_HOST, 7500), (LISTEN_HOST, 7570)
 
     async def measured() -> float:
         loop = asyncio.get_running_loop()
@@ -228,8 +236,8 @@
             path = Path(folder) / "node.hcl"
             path.write_text(text)
             with process("distribution", "run", str(path)) as running:
-                await reachable(node)
-                pairs = [await loop.create_connection(_Reader, *node) for _ in range(followers)]
+                await wait_until_reachable(node)
+                pairs = [await loop.create_connection(_CountingFollower, *node) for _ in range(followers)]
                 await asyncio.sleep(1.0)
                 begin = cpu_s(running.pid)
                 for n in range(300):
@@ -242,8 +250,8 @@
                 for transport, _ in pairs:
                     transport.abort()
         await coordinator.mute()
-        if least < 300 * LEAST_LINE:
-            raise RuntimeError(f"a follower was sent {least} bytes for 300 events")
+        if least < 300 * MIN_EVENT_LINE_BYTES:
+            raise RuntimeError(f"a follower received only {least} bytes for 300 events")
         return spent / 300 * 1e3
 
     return asyncio.run(measured())
--- a/onyxwick/lab/scale/sweeps.py
+++ b/onyxwick/lab/scale/sweeps.py
@@ -1,7 +1,7 @@
-"""What is measured over five sizes and more: the cost of one thing as its driver grows, in this process.
+"""In-process sweeps: the cost of one operation as its driver grows, measured over five or more sizes.
 
-Each function sets up one case of a size and returns the figure for it. Clocks are made up; processor time and
-memory are real. Whole processes are measured in `processes.py`.
+Each function sets up a case of one size and returns its figure. Clocks are simulated; processor time and
+memory are real. Complete processes are measured in `processes.py`.
 """
 
 from __future__ import annotations
@@ -44,17 +44,20 @@
 from onyxwick.store.engine import StoreEngine
 from onyxwick.store.files import DiskFiles
 
-S = 1_000_000
-START = 1_800_000_000 * S
+SECOND_US = 1_000_000
+START_US = 1_800_000_000 * SECOND_US
 CONFIG = Path(__file__).parents[3] / "examples" / "config.json"
-REQUESTS = 2_000
-OPEN = 40
+MEASURED_REQUESTS = 2_000
+MAX_OPEN_REQUESTS = 40
 POPULARITY_PERIODS = 2
 
 
 @dataclass(frozen=True, slots=True)
 class Sweep:
-    """`driver` and `unit` of the figure in words; `measure` gives the figure for one size of the driver."""
+    """A measurement over sizes of a driver.
+
+    `driver` and `unit` describe the figure in words; `measure` returns the figure for one size of the driver.
+    """
 
     name: str
     driver: str
@@ -65,44 +68,44 @@
 
 
 class SweepClock:
-    """A made-up clock in Unix microseconds."""
+    """A simulated clock in Unix microseconds."""
 
     def __init__(self) -> None:
-        self.now = START
+        self.now = START_US
 
     def __call__(self) -> int:
-        """The time now."""
+        """Return the simulated time."""
         return self.now
 
 
 class NoTransport:
-    """Carries nothing out: for cores that get no requests."""
+    """A transport for cores that receive no requests; it performs no attempts."""
 
     async def run(self, order: AttemptSpec) -> AttemptOutcome:
-        """Never called."""
-        raise RuntimeError("this core has no caches")
+        """Raise RuntimeError; a core without requests makes no attempts."""
+        raise RuntimeError("a sweep without requests made an attempt, but its core has no caches")
 
 
-class EventsOnly(RequestEngine):
-    """A core that is given events outside an event loop: timers are driven by hand."""
+class SynchronousEngine(RequestEngine):
+    """A core that receives events outside an event loop, with timers fired explicitly."""
 
     def handle(self, *events: Event) -> None:
-        """Hand events to the module; it is given its timers at the next event."""
+        """Pass events to the router, which processes due timers at the next event."""
         self.router.handle(self.now(), list(events))
 
 
 def settings() -> RouterSettings:
-    """The example's settings."""
+    """Return the router settings of the example configuration."""
     return read_settings(SettingValues.from_json(ujson.loads(CONFIG.read_text())["settings"]))
 
 
-def core(clock: Callable[[], int]) -> RequestEngine:
-    """A director's core without clients or caches."""
-    return EventsOnly(settings(), 7, NoTransport(), EndpointTable(), Counters(), clock)
+def director_core(clock: Callable[[], int]) -> RequestEngine:
+    """Return a director's core without clients or caches."""
+    return SynchronousEngine(settings(), 7, NoTransport(), EndpointTable(), Counters(), clock)
 
 
 def rows(caches: int, zone: str = "edge-1") -> list[dict[str, Any]]:
-    """Rows of a list of so many caches, with a parent and an origin, as the coordinator tells them."""
+    """Return endpoint list rows of `caches` caches, a parent and an origin, as a coordinator sends them."""
 
     def row(name: str, kind: str, where: str, number: int) -> dict[str, Any]:
         return {
@@ -132,34 +135,36 @@
 
 
 def served_request_us(caches: int) -> float:
-    """Processor time of the module for one request, with so many caches in the director's zone."""
-    router = Router(settings(), 7, START)
+    """Return the router's processor time per request with `caches` caches in the director's zone."""
+    router = Router(settings(), 7, START_US)
     members = [Member(f"c{n}", "edge-1", "box", 0, MemberState.READY, 1.0, 0) for n in range(caches)]
     members += [
         Member("p0", "hub", "parent", 0, MemberState.READY, 1.0, 0),
         Member("o0", "hub", "origin", 0, MemberState.READY, 1.0, 0),
     ]
-    router.handle(START, [EndpointsChanged(EndpointListKind.SNAPSHOT, tuple(members))])
+    router.handle(START_US, [EndpointsChanged(EndpointListKind.SNAPSHOT, tuple(members))])
     out: list[tuple[str, str]] = []
-    now, begin = START, time.process_time()
-    for n in range(REQUESTS):
+    now, begin = START_US, time.process_time()
+    for n in range(MEASURED_REQUESTS):
         now += 1_000
-        ask = RequestArrived(f"r{n}", "site-video", f"o{n * 7919 % 5000}", 3 * S, object_group=1)
+        ask = RequestArrived(f"r{n}", "site-video", f"o{n * 7919 % 5000}", 3 * SECOND_US, object_group=1)
         for action in router.handle(now, [ask]):
             if isinstance(action, ForwardRequest | ForwardWithFill):
                 out.append((action.request_id, action.member))
-        if len(out) > OPEN:
+        if len(out) > MAX_OPEN_REQUESTS:
             request, member = out.pop(0)
-            end = AttemptEnded(request, 0, member, AttemptStatus.OK, OPEN * 1_000, True, AnswerDetail.HIT)
+            end = AttemptEnded(
+                request, 0, member, AttemptStatus.OK, MAX_OPEN_REQUESTS * 1_000, True, AnswerDetail.HIT
+            )
             router.handle(now, [end])
-    return (time.process_time() - begin) / REQUESTS * 1e6
+    return (time.process_time() - begin) / MEASURED_REQUESTS * 1e6
 
 
 def purge_ms_per_s(rate: int) -> float:
-    """Processor time a second for so many purges a second, once the tables of recent ones are full."""
+    """Return the processor time per second at `rate` purges/s, once the tables of recent purges are full."""
     clock = SweepClock()
-    director = core(clock)
-    step = S // rate
+    director = director_core(clock)
+    step = SECOND_US // rate
     for n in range(12 * rate):
         clock.now += step
         director.feed.apply_purge(-1, f"{n:016x}", clock.now)
@@ -172,8 +177,8 @@
 
 
 def list_change_us(caches: int) -> float:
-    """Processor time of a change of one row in a list of so many caches."""
-    director, listed = _listed(caches)
+    """Return the processor time of a change of one row in a list of `caches` caches."""
+    director, listed = _feed_with_list(caches)
     begin = time.process_time()
     for n in range(50):
         director.apply(_list_event(2 + n, [listed[2 + n % caches] | {"started_ms": n}], False))
@@ -181,46 +186,50 @@
 
 
 def list_full_ms(caches: int) -> float:
-    """Processor time of a whole list of so many caches."""
-    director, listed = _listed(caches)
+    """Return the processor time of a complete list of `caches` caches."""
+    director, listed = _feed_with_list(caches)
     begin = time.process_time()
     for n in range(10):
         director.apply(_list_event(2 + n, listed, True))
     return (time.process_time() - begin) / 10 * 1e3
 
 
-def _listed(caches: int) -> tuple[CoordinatorFeed, list[dict[str, Any]]]:
+def _feed_with_list(caches: int) -> tuple[CoordinatorFeed, list[dict[str, Any]]]:
     clock = SweepClock()
-    director = CoordinatorFeed(core(clock), Counters())
+    director = CoordinatorFeed(director_core(clock), Counters())
     listed = rows(caches)
     director.apply(_list_event(1, listed, True))
     return director, listed
 
 
 def known_ms(events: int) -> float:
-    """Processor time to take in so many events that the configuration tells at a start: one list, then
-    purges and one change of the list in ten."""
+    """Return the processor time to load `events` events from the configuration at a start.
+
+    The events are one list, then purges, with a list change as every tenth event.
+    """
     clock = SweepClock()
-    director = CoordinatorFeed(core(clock), Counters())
+    director = CoordinatorFeed(director_core(clock), Counters())
     listed = rows(190)
     updates = [_list_event(1, listed, True)]
     for n in range(2, events + 1):
         change = _list_event(n, [listed[2 + n % 190] | {"started_ms": n}], False)
-        updates.append(change if n % 10 == 0 else _purge_event(n, START))
+        updates.append(change if n % 10 == 0 else _purge_event(n, START_US))
     begin = time.process_time()
     director.load_configured({"index": events, "updates": updates})
     return (time.process_time() - begin) * 1e3
 
 
-def _popularity(objects: int) -> tuple[float, float]:
-    """Processor seconds of two periods of the popularity step with so many objects counted, and of its
-    longest turn."""
+def _measure_popularity(objects: int) -> tuple[float, float]:
+    """Measure the popularity step with `objects` objects counted, over two of its periods.
+
+    Return the processor seconds per period and those of the longest turn of the event loop.
+    """
     rng = random.Random(objects)
-    router = Router(settings(), 7, START)
+    router = Router(settings(), 7, START_US)
     for n in range(objects):
-        router.popularity.record_read(f"{n:016x}", START, rng.paretovariate(1.1))
-    now, spent, longest = START, 0.0, 0.0
-    end = START + POPULARITY_PERIODS * 2 * S
+        router.popularity.record_read(f"{n:016x}", START_US, rng.paretovariate(1.1))
+    now, spent, longest = START_US, 0.0, 0.0
+    end = START_US + POPULARITY_PERIODS * 2 * SECOND_US
     while now < end:
         begin = time.process_time()
         router.handle(now, [TimerFired("due")])
@@ -231,24 +240,24 @@
 
 
 def popularity_ms_per_s(objects: int) -> float:
-    """Processor time a second of the popularity step."""
-    return _popularity(objects)[0] / 2 * 1e3
+    """Return the processor time per second of the popularity step."""
+    return _measure_popularity(objects)[0] / 2 * 1e3
 
 
 def popularity_turn_ms(objects: int) -> float:
-    """Processor time of the longest turn of the event loop that the popularity step takes."""
-    return _popularity(objects)[1] * 1e3
+    """Return the processor time of the popularity step's longest turn of the event loop."""
+    return _measure_popularity(objects)[1] * 1e3
 
 
 def counted_kb(objects: int) -> float:
-    """Memory of the module's counts of so many objects."""
+    """Return the memory of the router's read counts of `objects` objects."""
     import tracemalloc
 
-    router = Router(settings(), 7, START)
+    router = Router(settings(), 7, START_US)
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     for n in range(objects):
-        router.popularity.record_read(f"{n:016x}", START)
+        router.popularity.record_read(f"{n:016x}", START_US)
     grown = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
     return grown / 1e3
@@ -257,73 +266,73 @@
 # ---- the distribution tree ------------------------------------------------------------------------------
 
 
-def _with_purges(count: int) -> Replica:
+def _replica_with_purges(count: int) -> Replica:
     replica = Replica()
     replica.log.restart(Cursor(1, 0))
     for n in range(1, count + 1):
-        purge = PurgeEvent(PurgeKey(f"{n:016x}", None), START // 1000)
-        replica.apply(encode_event(Cursor(1, n), purge), START // 1000)
+        purge = PurgeEvent(PurgeKey(f"{n:016x}", None), START_US // 1000)
+        replica.apply(encode_event(Cursor(1, n), purge), START_US // 1000)
     return replica
 
 
 def snapshot_ms(purges: int) -> float:
-    """Processor time to make a snapshot with so many binding purges."""
-    replica = _with_purges(purges)
+    """Return the processor time to make a snapshot with `purges` purges within their retention."""
+    replica = _replica_with_purges(purges)
     begin = time.process_time()
-    replica.snapshot_lines(START // 1000)
+    replica.snapshot_lines(START_US // 1000)
     return (time.process_time() - begin) * 1e3
 
 
 def snapshot_kb(purges: int) -> float:
-    """Its size."""
-    return sum(map(len, _with_purges(purges).snapshot_lines(START // 1000)[1])) / 1e3
+    """Return the size of a snapshot with `purges` purges within their retention."""
+    return sum(map(len, _replica_with_purges(purges).snapshot_lines(START_US // 1000)[1])) / 1e3
 
 
 def publish_us(purges: int) -> float:
-    """Processor time to make one purge durable at the publisher, with so many in its store."""
+    """Return the processor time to make a purge durable at the publisher, with `purges` in its store."""
     replica = Replica()
     with tempfile.TemporaryDirectory() as folder:
         feed = DurableFeed(StoreEngine(DiskFiles(Path(folder))))
         feed.load(replica, 1)
         events = [
-            encode_event(Cursor(1, n), PurgeEvent(PurgeKey(f"{n:016x}", None), START // 1000))
+            encode_event(Cursor(1, n), PurgeEvent(PurgeKey(f"{n:016x}", None), START_US // 1000))
             for n in range(1, purges + 101)
         ]
         for at in range(0, purges, 500):
-            feed.save(events[at : min(at + 500, purges)], Cursor(0, 0), replica.state, START)
+            feed.save(events[at : min(at + 500, purges)], Cursor(0, 0), replica.state, START_US)
         begin = time.process_time()
         for event in events[purges:]:
-            feed.save([event], Cursor(0, 0), replica.state, START)
+            feed.save([event], Cursor(0, 0), replica.state, START_US)
         spent = time.process_time() - begin
         feed.engine.close()
     return spent / 100 * 1e6
 
 
 def trace_bytes(requests: int) -> float:
-    """Bytes of a trace of so many requests."""
+    """Return the bytes of a trace of `requests` requests."""
     from onyxwick.lab.traces import make
 
     with tempfile.TemporaryDirectory() as folder:
-        stand = make(Path(folder), 1, 200.0, max(1, requests // 200), 1)
-        return float(sum(path.stat().st_size for path in stand.paths))
+        traces = make(Path(folder), 1, 200.0, max(1, requests // 200), 1)
+        return float(sum(path.stat().st_size for path in traces.paths))
 
 
-LISTED = (24, 48, 95, 190, 380, 760)
-COUNTED = (3_000, 6_000, 12_000, 24_000, 30_000, 36_000, 48_000)
-BINDING = (200, 400, 800, 1_600, 3_200)
+CACHE_COUNTS = (24, 48, 95, 190, 380, 760)
+OBJECT_COUNTS = (3_000, 6_000, 12_000, 24_000, 30_000, 36_000, 48_000)
+PURGE_COUNTS = (200, 400, 800, 1_600, 3_200)
 SWEEPS = (
     Sweep(
         "served_request_us", "caches in the zone", "us a request", (2, 4, 8, 16, 32, 64), served_request_us
     ),
     Sweep("purge_ms_per_s", "purges a second", "ms a second", (5, 21, 42, 84, 168, 336), purge_ms_per_s),
-    Sweep("list_change_us", "caches in the list", "us a change", LISTED, list_change_us),
-    Sweep("list_full_ms", "caches in the list", "ms a list", LISTED, list_full_ms),
+    Sweep("list_change_us", "caches in the list", "us a change", CACHE_COUNTS, list_change_us),
+    Sweep("list_full_ms", "caches in the list", "ms a list", CACHE_COUNTS, list_full_ms),
     Sweep("known_ms", "events at the start", "ms", (250, 500, 1000, 2000, 4000), known_ms, 3),
-    Sweep("popularity_ms_per_s", "objects counted", "ms a second", COUNTED, popularity_ms_per_s),
-    Sweep("popularity_turn_ms", "objects counted", "ms", COUNTED, popularity_turn_ms),
-    Sweep("counted_kb", "objects counted", "kB", COUNTED, counted_kb, 2),
-    Sweep("snapshot_ms", "binding purges", "ms", BINDING, snapshot_ms),
-    Sweep("snapshot_kb", "binding purges", "kB", BINDING, snapshot_kb, 2),
+    Sweep("popularity_ms_per_s", "objects counted", "ms a second", OBJECT_COUNTS, popularity_ms_per_s),
+    Sweep("popularity_turn_ms", "objects counted", "ms", OBJECT_COUNTS, popularity_turn_ms),
+    Sweep("counted_kb", "objects counted", "kB", OBJECT_COUNTS, counted_kb, 2),
+    Sweep("snapshot_ms", "binding purges", "ms", PURGE_COUNTS, snapshot_ms),
+    Sweep("snapshot_kb", "binding purges", "kB", PURGE_COUNTS, snapshot_kb, 2),
     Sweep("publish_us", "binding purges stored", "us a purge", (100, 300, 900, 2_700, 8_100), publish_us, 3),
     Sweep("trace_bytes", "requests", "bytes", (2_000, 4_000, 8_000, 16_000, 32_000), trace_bytes, 2),
 )
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -30,7 +30,7 @@
 from onyxwick.lab.faults.relay import LinkRelay as LinkRelay
 from onyxwick.lab.machines import CoordinatorEmulator
 from onyxwick.lab.programs import Program
-from onyxwick.lab.scale.processes import reachable
+from onyxwick.lab.scale.processes import wait_until_reachable
 from onyxwick.lab.scale.sweeps import CONFIG, rows
 from onyxwick.net.subscription import ReconnectDelays, Subscription
 
@@ -135,7 +135,7 @@
         self.directors.append(program)
         self.admins.append(admin)
         await program.start()
-        await reachable(admin)
+        await wait_until_reachable(admin)
 
     async def api(self, admin: Address, path: str) -> dict[str, Any]:
         reader, writer = await asyncio.open_connection(*admin)
