--- a/onyxwick/lab/scale/fleet.py
+++ b/onyxwick/lab/scale/fleet.py
@@ -42,18 +42,11 @@
     short_status,
     sum_counts,
 )
-from onyxwick.lab.scale.hollow import (
-    DOCUMENT_COUNT,
-    HostSpec,
-    ObservationKind,
-    Shape,
-    coordinator_main,
-    host_main,
-)
+from onyxwick.lab.scale.hollow import DOC_COUNT, HostSpec, ObservationKind, Shape, coordinator_main, host_main
 from onyxwick.lab.scale.processes import cpu_s, resident_kb, wait_until_reachable
 from onyxwick.lab.scale.sweeps import CONFIG, rows
 
-SETTLE_TIMEOUT_S = 20.0
+SETTLE_S = 20.0
 STATUS_WAIT_S = 0.2
 START_TIMEOUT_S = 60.0
 STARVED_BUSY_SHARE, STARVED_TIMER_LAG_MS = 0.92, 100.0
@@ -148,11 +141,8 @@
         return out
 
     def _start_hosts(self) -> None:
-        """Start the host processes.
-
-        The witnesses, one director of each region, have a separate process, so that their delays do not
-        include the work of hundreds of other directors in the same process.
-        """
+        """Start the host processes. The witnesses, one director per region, have a separate process, so that
+        the work of hundreds of other directors in the same process does not lengthen their delays."""
         parents = self._parents()
         others = [n for n in parents if n >= self.witnesses]
         groups = [list(range(self.witnesses))]
@@ -191,23 +181,23 @@
         line = ujson.dumps({"index": self.index, **payload}, escape_forward_slashes=False)
         self.coordinator.pipe.send(("tell", line.encode() + b"\n"))
 
-    def _publish_purge(self) -> None:
+    def _purge(self) -> None:
         now = time.monotonic_ns()
         self.published.purges.append(now)
         self._publish_event({"evict": {"ref": f"{now:016x}", "unix_ms": time.time_ns() // 1_000_000}})
 
-    def _publish_list_change(self) -> None:
+    def _change_list(self) -> None:
         now = time.monotonic_ns() // 1000 * 1000
         self.published.lists.append(now)
         row = self.rng.choice(rows(self.plan.caches)[2:]) | {"started_ms": time.time_ns() // 1_000_000}
         self._publish_event({"endpoints": {"version": now // 1000, "full": False, "servers": [row]}})
 
-    def _publish_document_change(self) -> None:
+    def _change_document(self) -> None:
         now = time.monotonic_ns()
         self.published.documents.append(now)
         head = ujson.dumps({"published_ns": now, "pad": ""})
         text = ujson.dumps({"published_ns": now, "pad": "x" * max(0, self.plan.change_bytes - len(head))})
-        name = f"doc-{len(self.published.documents) % DOCUMENT_COUNT}"
+        name = f"doc-{len(self.published.documents) % DOC_COUNT}"
         for part in split_document(name, len(self.published.documents), text):
             line = encode_event(Cursor(0, 0), part).line
             self._publish_event({"document": ujson.loads(line)["document"]})
@@ -215,10 +205,7 @@
     async def _publish(self, seconds: float) -> None:
         """Publish purges and list changes at random times, and documents in bursts."""
         begin = time.monotonic()
-        kinds = [
-            (self.plan.purges_per_s, self._publish_purge),
-            (self.plan.list_changes_per_s, self._publish_list_change),
-        ]
+        kinds = [(self.plan.purges_per_s, self._purge), (self.plan.list_changes_per_s, self._change_list)]
         due = [(self.rng.expovariate(rate), rate, act) for rate, act in kinds if rate > 0]
         bursts = [(n + 0.5) * seconds / self.plan.bursts for n in range(self.plan.bursts)]
         changes = self.plan.changes // max(1, self.plan.bursts) if self.plan.shape is Shape.TREE else 0
@@ -229,7 +216,7 @@
             while bursts and now >= bursts[0]:
                 bursts.pop(0)
                 for _ in range(changes):
-                    self._publish_document_change()
+                    self._change_document()
             for index, (at, rate, act) in enumerate(due):
                 if now >= at:
                     act()
@@ -283,10 +270,7 @@
         return [position for row in rows_of_hosts for position in row]
 
     async def _wait_converged(self, seconds: float, numbers: int) -> float | None:
-        """Return the seconds until all directors are at the same position with at least `numbers` events.
-
-        None means that they did not converge within `seconds`.
-        """
+        """Return the seconds until all directors share a position with `numbers` events, else None."""
         begin = time.monotonic()
         while time.monotonic() - begin < seconds:
             positions = await self._positions()
@@ -296,10 +280,7 @@
         return None
 
     async def run(self) -> dict[str, Any]:
-        """Set up, publish, inject the fault, wait for convergence and return the report.
-
-        All started processes have ended when it returns.
-        """
+        """Run the fleet and return the report; all started processes have ended when it returns."""
         try:
             return await self._run()
         finally:
@@ -326,9 +307,7 @@
         after, busy = await self._resource_usage(), machine_cpu_ticks()
         elapsed = time.monotonic() - begin
         await fault
-        settled = await self._wait_converged(
-            SETTLE_TIMEOUT_S, self.index if self.plan.shape is Shape.SINGLE else 1
-        )
+        settled = await self._wait_converged(SETTLE_S, self.index if self.plan.shape is Shape.SINGLE else 1)
         reports = [await host.ask("report") for host in self.hosts]
         return self._build_report(
             reports, before, after, elapsed, (busy[0] - used[0]) / (busy[1] - used[1]), settled
@@ -402,10 +381,7 @@
         return out
 
     def _sent_bytes(self) -> int:
-        """Return the bytes that all relays have sent by their last status.
-
-        A relay that was killed counts from its restart.
-        """
+        """Return the bytes all relays sent by their last status; a killed one counts from its restart."""
         sent = 0
         for node in self.nodes.values():
             status = node.status()
--- a/onyxwick/lab/scale/hollow.py
+++ b/onyxwick/lab/scale/hollow.py
@@ -38,7 +38,7 @@
 from onyxwick.net.subscription import ReconnectDelays, Subscription
 from onyxwick.routing import Router
 
-DOCUMENT_COUNT = 64
+DOC_COUNT = 64
 """Number of document names that a fleet run publishes: `doc-0`, `doc-1` and so on."""
 
 
@@ -157,7 +157,7 @@
             self.coordinator.set_address(self.parents[0])
             return
         follower = Follower(len(self.parents), ReconnectDelays(seed, steady_us()))
-        documents = {f"doc-{n}": self.intake.document for n in range(DOCUMENT_COUNT)}
+        documents = {f"doc-{n}": self.intake.document for n in range(DOC_COUNT)}
         self.feed = DirectorFeed(self.core, self.counters, documents)
         self.subscription = Subscription(follower, self.parents, self.feed, self.counters)
 
