--- a/onyxwick/lab/faults/acts.py
+++ b/onyxwick/lab/faults/acts.py
@@ -220,7 +220,7 @@
     def _directors_named(self, name: str) -> list[FleetDirector]:
         found = [d for d in self.harness.directors if name in (d.name, d.site, "all")]
         if not found:
-            raise ValueError(f"no director '{name}'")
+            raise ValueError(f"no director is named or located at '{name}'")
         return found
 
     def _stop(self, fault: InjectedFault) -> Undo:
--- a/onyxwick/lab/faults/paths.py
+++ b/onyxwick/lab/faults/paths.py
@@ -123,8 +123,8 @@
         off."""
         if not self.reaches(one, other):
             await asyncio.sleep(LOST_FILL_S)
-            raise UnreachedEventError(f"{other} from {one}")
+            raise UnreachedEventError(f"{other} cannot be reached from {one}")
         if one != other:
             await self.path(one, other).transfer(work_us)
             if not self.reaches(one, other):
-                raise UnreachedEventError(f"{other} from {one}")
+                raise UnreachedEventError(f"{other} cannot be reached from {one}")
--- a/onyxwick/lab/faults/sweep.py
+++ b/onyxwick/lab/faults/sweep.py
@@ -50,7 +50,9 @@
         try:
             report = json.loads(done.stdout.splitlines()[-1])
         except (IndexError, ValueError):
-            raise RuntimeError(f"{self.path.name}, seed {seed}, {variant}: {done.stderr[-2000:]}") from None
+            raise RuntimeError(
+                f"{self.path.name}, seed {seed}, {variant}: no report, stderr: {done.stderr[-2000:]}"
+            ) from None
         assert isinstance(report, dict)
         report["variant"] = variant
         return report
