--- a/onyxwick/cells/migration.py
+++ b/onyxwick/cells/migration.py
@@ -3,7 +3,7 @@
 Takes the time (microseconds) and the health of both sides, and returns the phase and the share (0 to 1) of
 the objects that the target cells serve. A director does not store the state of a migration: after a restart
 the migration starts again with nothing moved. This is safe in every phase, as both sides may serve the tenant
-until the plan names only the target cells.
+until the plan names only the target cells. The cut-over is the moment at which the share reaches 1.
 """
 
 from __future__ import annotations
--- a/onyxwick/cells/router.py
+++ b/onyxwick/cells/router.py
@@ -92,7 +92,7 @@
         return super().handle(now, events)
 
     def _on_other_event(self, event: Event) -> None:
-        """Dispatch a load report to the cells that use the member.
+        """Dispatch a member's load report to the cells that use this member.
 
         Other events are ignored, as directors with cells do not send messages to each other."""
         if isinstance(event, LoadReportReceived):
@@ -115,8 +115,8 @@
                 self._record_parent_demand(subrouter, source)
             case RejectRequest(request_id=request_id) | FailRequest(request_id=request_id):
                 if owner := self.requests.get(request_id):
-                    # The gate adapts as well, so that it holds each tenant to its fair share before the
-                    # cell's router has to reject requests regardless of their tenant.
+                    # The cell's admission gate adapts as well, so that it holds each tenant to its fair share
+                    # before the cell's router has to reject requests regardless of their tenant.
                     subrouter.record_rejection()
                     self.admission.record_outcome(self.now, subrouter, owner.request_class, True)
                     self._finish(request_id, owner)
@@ -212,7 +212,7 @@
         cell = self.cells[owner.assigned_to]
         self._record_outcome(cell, owner, event)
         self._dispatch(cell, [event])
-        # The final attempt may end without an answer from the cell's router.
+        # A final attempt gave the client its answer, even if the cell's router emitted no action for it.
         owner.answered |= event.is_final
         self._forget_if_ended(event.request_id, owner)
 
@@ -268,8 +268,8 @@
 
     def _create_cell(self, index: int, name: str, weight: float) -> ActiveCell:
         """Create a cell and its router, with the cell's share of the director's retry budget."""
-        # The index is unique among the cells of all directors. They use it to take turns in trying cold
-        # members.
+        # The index is unique among the cells of all directors. The cells' routers use it to take turns in
+        # trying cold members.
         router_index = self.settings.router_index * len(self.plan.cells) + index
         settings = replace(self.settings, router_index=router_index)
         if settings.weight_source == WeightSource.NONE and settings.zone_link_kb_per_s:
--- a/onyxwick/distribution/codec.py
+++ b/onyxwick/distribution/codec.py
@@ -163,7 +163,9 @@
 
 
 def encode_freshness(cursor: Cursor, published_ms: int) -> bytes:
-    """Encode a freshness line, which a plain reader treats as an event that it already has."""
+    """Encode a freshness line: when the publisher was reached, and the cursor of its last event then.
+
+    A plain reader treats the line as an event that it already has."""
     return _encode_line({"index": cursor.packed, "published_ms": published_ms})
 
 
--- a/onyxwick/distribution/follower_actions.py
+++ b/onyxwick/distribution/follower_actions.py
@@ -14,11 +14,11 @@
     """Limits and timeouts of a follower.
 
     A follower disconnects from a parent that sends no line for `silence_timeout_us`, and from a parent that
-    forwards no freshness for `stale_after_us` (None for a plain coordinator, which sends no freshness). The
-    latter time grows to at most `max_stale_after_us` while all parents are stale. `return_to_first_after_us`
-    is how long a follower stays with a parent other than the first. If a tick is more than `late_tick_us`
-    late, this process was suspended rather than its parent, and the lines buffered in the socket get
-    `grace_us` to be read.
+    forwards no freshness (the time at which the publisher was reached) for `stale_after_us` (None for a plain
+    coordinator, which sends no freshness). `stale_after_us` grows to at most `max_stale_after_us` while all
+    parents are stale. `return_to_first_after_us` is how long a follower stays with a parent other than the
+    first. If a tick is more than `late_tick_us` late, this process was suspended rather than its parent, and
+    the lines buffered in the socket get `grace_us` to be read.
     """
 
     connect_timeout_us: int = 500_000
--- a/onyxwick/sites/fairness.py
+++ b/onyxwick/sites/fairness.py
@@ -28,8 +28,8 @@
 def reject_evenly(program: LossProgram, rates: np.ndarray) -> np.ndarray:
     """Return rates of nearly the same value, with rejections evened out between all demands.
 
-    Classes with nearly the same value for their work are treated alike, and no class is rejected entirely to
-    gain one percent more value."""
+    Classes with nearly the same value per unit of work are treated alike, and no class is rejected entirely
+    to gain one percent more value."""
     served = program.demand_matrix @ rates
     if float(np.sum(program.rates - served)) <= NEGLIGIBLE:
         return rates
@@ -49,7 +49,9 @@
 
 @dataclass(frozen=True, slots=True)
 class _Filling:
-    """The rates of one round, and the lowest served share among the free demands."""
+    """The rates of one round, and the lowest served share among the free demands.
+
+    A demand is free until a round fixes its rate."""
 
     rates: np.ndarray
     lowest_share: float
--- a/onyxwick/sites/lifecycle.py
+++ b/onyxwick/sites/lifecycle.py
@@ -91,14 +91,16 @@
     answered_us: int = 0
     # When something was last received from outside this place and the local site.
     outside_received_us: int = 0
-    cut_off: bool = False  # this director is isolated
+    cut_off: bool = False  # this director is isolated: it receives nothing from outside its own site
     has_demand: bool = False  # requests of its clients arrive here, or it is a hub or the local site
     is_unobserved: bool = False  # its clients' requests arrive here, but it has not answered recently
     listed_share: float = 1.0  # share of its caches that are listed as ready
     list_loaded: bool = True  # an endpoint list has been received
     capacity_share: float = 1.0  # share of its planned capacity that the listed caches have when warm
     warm_share: float = 1.0  # share of its planned capacity that the listed caches can provide now
-    healthy_since_us: int = 0  # since when all trials have been answered; 0: they are not answered
+    # Since when all trials (requests sent to it although it may be unreachable) have been answered; 0: they
+    # are not answered.
+    healthy_since_us: int = 0
     pressure: float = 0.0  # share of late and rejected answers at the sites that serve its objects
     cause: str = ""
 
--- a/onyxwick/sites/load_shedding.py
+++ b/onyxwick/sites/load_shedding.py
@@ -4,8 +4,8 @@
 3), the reason to reject a request, and a Retry-After. A level is entered at a given share of late and
 rejected answers at the site, and left more slowly: (1) no hedged requests, fewer further attempts, and stale
 copies are not served while they are revalidated; (2) clients' retries are rejected; (3) the classes with the
-lowest priority weight for their work are rejected first. Within the learned limit of the site no tenant of a
-class is preferred: a tenant over its max-min fair share is rejected, and a tenant under its reserve is
+lowest priority weight per unit of work are rejected first. Within the learned limit of the site no tenant of
+a class is preferred: a tenant over its max-min fair share is rejected, and a tenant under its reserve is
 admitted.
 
 Further attempts and clients' retries are work caused by an earlier rejection. They are rejected before all
@@ -111,7 +111,7 @@
         """Return why a request is not admitted; None if it is admitted. `priority`: the priority of its
         class, 0 to 1."""
         if request_class.is_write or request_class.idempotency is Idempotency.NON_IDEMPOTENT:
-            return None  # such requests are shed last of all, by the limits of the origin
+            return None  # writes and non-idempotent requests are shed last, by the origin's limits
         if self.level < RETRY_SHEDDING_LEVEL:
             return None  # below this level nothing is rejected here; the limits of the site's router suffice
         if is_retry:
--- a/onyxwick/sites/monitor.py
+++ b/onyxwick/sites/monitor.py
@@ -72,7 +72,7 @@
         # By site, since when enough of its caches are listed; 0: they are not.
         self.listed_since_us: dict[str, int] = {}
         self.all_steady = True
-        self.is_cut_off = False  # this director is isolated
+        self.is_cut_off = False  # this director is isolated (see `Evidence.is_cut_off`)
         self.started = False  # the first endpoint list has been received
         self.last_tick_us = now
 
@@ -176,7 +176,7 @@
         return route
 
     def lacks_observation(self, now: int, site: str) -> bool:
-        """Return whether another site is in the steady phase although it has not answered recently."""
+        """Return whether `site` is a remote site that is steady although it has not answered recently."""
         is_remote = site != self.local_site
         is_steady = self.lifecycles[site].phase is SitePhase.STEADY
         return is_remote and is_steady and not self._has_answered_recently(now, site)
--- a/onyxwick/sites/site_pool.py
+++ b/onyxwick/sites/site_pool.py
@@ -92,7 +92,8 @@
     def _rebalance_parents(self) -> None:
         """Divide the parents' budget among the sites in use by their demand."""
         self.arbiter.set_weights(self.now, {name: self._weight(site) for name, site in self.sites.items()})
-        # The budget that `set_weights` frees is available to this second rebalancing.
+        # `set_weights` has already rebalanced once. The shares that it took away are reserved for 0 us here,
+        # so this second rebalancing can distribute them.
         self._dispatch_fleet_shares(self.arbiter.rebalance(self.now))
 
     def _weight(self, site: ActiveSite) -> float:
--- a/onyxwick/sites/traffic_slices.py
+++ b/onyxwick/sites/traffic_slices.py
@@ -1,5 +1,7 @@
-"""Maps objects to slices and slices to the sites that serve them, identically at every director with the same
-plan.
+"""Maps objects to slices, and slices to the sites that serve them.
+
+A slice is one of 1,024 groups into which objects are hashed. The mapping is identical at every director with
+the same plan.
 
 Uses weighted rendezvous hashing (Thaler and Ravishankar 1998, with weights as in Schindelhauer and
 Schomaker 2005): a slice is served by the site with the smallest exponential draw divided by its weight. If
--- a/onyxwick/store/durable_state.py
+++ b/onyxwick/store/durable_state.py
@@ -1,4 +1,8 @@
-"""A director's state in its store: tenants, the plan of cells, drains, purges, intents, commands and calls.
+"""A director's state in its store.
+
+It consists of tenants, the plan of cells, drains, purges, the last received number of the feed, operators'
+commands for sites, the outcomes of idempotent API calls, and write-ahead intents (non-idempotent requests
+that were about to be sent).
 
 Rows are read as typed records and changed by write operations that this module builds and commits. A change
 that a caller is promised is committed before the call is answered; a change that the coordinator can send
--- a/onyxwick/subrouters/admission_gate.py
+++ b/onyxwick/subrouters/admission_gate.py
@@ -1,7 +1,8 @@
 """Admission control with an adaptive concurrency limit, fair shares between owners and class priorities.
 
-Takes the outcome of each request (late or in time) and each request to admit, with its owner and the priority
-of its class (0 to 1). Returns the reason to reject the request, or None.
+Takes the outcome of each request (late or in time) and each request to admit, with its owner (the tenant or
+cell that the request counts towards) and the priority of its class (0 to 1). Returns the reason to reject the
+request, or None.
 """
 
 from __future__ import annotations
--- a/onyxwick/subrouters/rejection.py
+++ b/onyxwick/subrouters/rejection.py
@@ -15,7 +15,7 @@
 
     # Cells and sites: the admission gate.
     LIMIT_REACHED = "full"  # the concurrency limit for the priority of the request's class is reached
-    FAIR_SHARE_EXCEEDED = "fair"  # the owner has more than its fair share of a busy limit
+    FAIR_SHARE_EXCEEDED = "fair"  # the tenant has more than its fair share of a busy limit
 
     # Cells.
     TENANT_RATE = "rate"  # the tenant exceeds its limit of requests per second
--- a/onyxwick/subrouters/share_arbiter.py
+++ b/onyxwick/subrouters/share_arbiter.py
@@ -1,9 +1,10 @@
 """Divides one director's budget at the parents among its subrouters, so that all shares add up to at most 1.
 
 Takes each subrouter's weight and its demand, which is the number of fills through a parent that it decided,
-and returns its share, 0 to 1. A subrouter may have used a share within the parents' overload window before
-the share is taken from it. The share is therefore reserved for that long before another subrouter gets it:
-over any window, the largest shares add up to at most 1.
+and returns its share, 0 to 1. The overload window is the time for which a parent withstands too much load
+before it fails. A subrouter may have used a share within the parents' overload window before the share is
+taken from it. The share is therefore reserved for that long before another subrouter gets it: over any
+window, the largest shares add up to at most 1.
 """
 
 from __future__ import annotations
--- a/onyxwick/trace/clocks.py
+++ b/onyxwick/trace/clocks.py
@@ -82,7 +82,7 @@
     events: int = 0
     retries: int = 0
     """Number of retries that the fit was checked against."""
-    violated_retries: int = 0  # Number of these retries that contradict the fit.
+    violated_retries: int = 0  # Number of the checked retries that contradict the fit.
 
     def to_first(self, times: Column) -> Column:
         """Convert times of this director to the first director's clock."""
--- a/onyxwick/trace/decision_reason.py
+++ b/onyxwick/trace/decision_reason.py
@@ -62,7 +62,9 @@
 def _passed_over_reason(
     router: Router, request: RequestState, before: list[MemberRecord]
 ) -> DecisionReason | None:
-    """Return why the caches before the chosen one were skipped; None if each could have been chosen."""
+    """Return why the caches that precede the chosen one in the request's order were skipped.
+
+    None if each of them could have been chosen."""
     tried = [attempt.member for attempt in request.attempts[:-1] if not attempt.missed]
     if any(cache in tried for cache in before):
         return DecisionReason.OTHERS_TRIED
--- a/onyxwick/trace/decision_tracer.py
+++ b/onyxwick/trace/decision_tracer.py
@@ -223,7 +223,7 @@
         recorded = self.recorder.open_requests.get(action.request_id)
         if deciding is None or recorded is None:
             return
-        # The router drops its state at the final answer, but the reason is derived from it then.
+        # The router drops a request's state at the final answer, whose reason is derived from that state.
         recorded.state = deciding.requests.get(action.request_id)
         estimate = decision_reason.member_estimate(deciding, action)
         self.recorder.on_attempt_started(now_us, action, estimate)
--- a/onyxwick/trace/member_history.py
+++ b/onyxwick/trace/member_history.py
@@ -1,4 +1,6 @@
-"""Reconstructs the member states that each director knew over time, from the lists and starts in a trace.
+"""Reconstructs the member states that each director knew over time.
+
+The sources are the endpoint lists and the starts of members in a trace.
 
 The module takes notifications and returns, by director and member, the times at which the member's state
 changed for that director, on the director's clock in Unix microseconds.
--- a/onyxwick/trace/plots.py
+++ b/onyxwick/trace/plots.py
@@ -28,7 +28,7 @@
 
 
 def _service(summary: Summary) -> Figure:
-    """Plot requested and served weight per second and mark the worst ten seconds."""
+    """Plot requested and served priority weight per second and mark the worst ten seconds."""
     figure, axis = plt.subplots(figsize=(9, 3.2))
     begin = min(summary.seconds, default=0)
     times = np.array(sorted(summary.seconds)) - begin
--- a/onyxwick/trace/summary.py
+++ b/onyxwick/trace/summary.py
@@ -112,7 +112,10 @@
         return figures
 
     def of(self, table: Table) -> Weights:
-        """Return the weights of each request. A later answer is credited with the late share of its class."""
+        """Return the weights of each request.
+
+        An answer after the latency objective and grace time of its class is credited with the late share of
+        the class."""
         weight = self.column(table, "worth", 1.0)
         late_share = self.column(table, "late_worth", 0.0)
         limit_us = self.column(table, "aim_us", np.inf) + self.column(table, "grace_us", 0.0)
--- a/onyxwick/trace/warm_up_audit.py
+++ b/onyxwick/trace/warm_up_audit.py
@@ -2,8 +2,9 @@
 
 The module takes the starts of members from the endpoint lists, and all attempts. It reports a finding if the
 work sent to a member within an overload window exceeds a multiple of the member's capacity at that time. The
-work of an attempt is the transfer time of its class, taken from the header or from the faster hits in the
-trace. Times are in microseconds.
+work of an attempt is the transfer time of its class, taken from the header or estimated as the first quartile
+of the latencies of hits in the trace. An overload window is the time for which the load must be too high
+until the member fails. Times are in microseconds.
 """
 
 from __future__ import annotations
