--- a/onyxwick/distribution/publisher.py
+++ b/onyxwick/distribution/publisher.py
@@ -33,9 +33,9 @@
 class PublisherLimits:
     """Limits of a publisher.
 
-    `bulk_bytes_per_s` is the rate at which each follower is sent documents; `max_purges` is the number of
-    purges in effect at the same time; `max_future_ms` is how far ahead of the publisher's clock a purge may
-    be dated.
+    `bulk_bytes_per_s` is the rate at which each follower is sent documents; `max_purges` is how many
+    purges may be in effect at the same time; `max_future_ms` is how far ahead of the publisher's clock a
+    purge may be dated.
     """
 
     bulk_bytes_per_s: float = 8_000.0
--- a/onyxwick/distribution/replica.py
+++ b/onyxwick/distribution/replica.py
@@ -35,7 +35,7 @@
 PURGE_RETENTION_MS = 60_000
 """How long a purge is part of snapshots; this is longer than caches need to execute a purge."""
 MAX_PURGES = 131_072
-"""Maximum number of purges in a table, to limit memory. The publisher rejects purges above half of it."""
+"""Maximum number of purges in a table, to limit memory. By default, the publisher accepts half as many."""
 
 
 class PurgeTable:
--- a/onyxwick/trace/audit.py
+++ b/onyxwick/trace/audit.py
@@ -95,7 +95,7 @@
         self.ids: list[Column] = []
         self.arrivals: list[Column] = []
         self.non_idempotent: dict[int, list[NonIdempotentRun]] = {}
-        """Runs by request id."""
+        """By request id, the attempts of each director for a non-idempotent request."""
         self.announced_sends: dict[int, list[int]] = {}
         """By request id, the times at which a non-idempotent write was announced as sent."""
         for kind, at_us, data in notifications:
--- a/onyxwick/trace/model.py
+++ b/onyxwick/trace/model.py
@@ -81,7 +81,7 @@
     RecordedVerdict.FAILED: "failed",
     RecordedVerdict.CLIENT_LEFT: "left",
 }
-"""The words that commands and exports print."""
+"""The words that commands and exports print for verdicts."""
 REASON_WORDS = {
     DecisionReason.UNKNOWN: "unknown",
     DecisionReason.HOME_CACHE: "home",
@@ -102,7 +102,7 @@
     DecisionReason.LOAD_SHED: "shed",
     DecisionReason.CLIENT_LEFT: "client_left",
 }
-"""The words that commands and exports print."""
+"""The words that commands and exports print for reasons."""
 _VERDICT_WORD_BY_NUMBER = {int(verdict): word for verdict, word in VERDICT_WORDS.items()}
 _REASON_WORD_BY_NUMBER = {int(reason): word for reason, word in REASON_WORDS.items()}
 
--- a/onyxwick/trace/summary.py
+++ b/onyxwick/trace/summary.py
@@ -133,7 +133,7 @@
             kind: {} for kind in ("class", "tenant", "cell", "member")
         }
         self.seconds: dict[int, list[float]] = {}
-        """[requested, served] weight by Unix second."""
+        """[requested, served] priority weight by Unix second."""
         self.sources: dict[str, int] = {}
         """Number of served requests by the source of the answer."""
         self.origin_bytes: dict[str, int] = {}
