--- a/onyxwick/trace/summary.py
+++ b/onyxwick/trace/summary.py
@@ -112,7 +112,10 @@
         return figures
 
     def of(self, table: Table) -> Weights:
-        """Return the weights of each request. A later answer is credited with the late share of its class."""
+        """Return the weights of each request.
+
+        An answer after the latency objective and grace time of its class is credited with the late share of
+        the class."""
         weight = self.column(table, "worth", 1.0)
         late_share = self.column(table, "late_worth", 0.0)
         limit_us = self.column(table, "aim_us", np.inf) + self.column(table, "grace_us", 0.0)
@@ -130,7 +133,7 @@
             kind: {} for kind in ("class", "tenant", "cell", "member")
         }
         self.seconds: dict[int, list[float]] = {}
-        """[requested, served] weight by Unix second."""
+        """[requested, served] priority weight by Unix second."""
         self.sources: dict[str, int] = {}
         """Number of served requests by the source of the answer."""
         self.origin_bytes: dict[str, int] = {}
