--- a/onyxwick/admin/http_server.py
+++ b/onyxwick/admin/http_server.py
@@ -114,7 +114,7 @@
                 if self.one_call_per_connection:
                     requests = requests[:1]
                 responses = [await self._respond(request) for request in requests]
-                # After the last response no further input is processed, so a rejection of it is not answered.
+                # After the last response no further input is processed, and no rejection of it is sent.
                 is_last = self.one_call_per_connection and bool(responses)
                 if rejection is not None and not is_last:
                     error = {"error": rejection.text}
--- a/onyxwick/config/fields.py
+++ b/onyxwick/config/fields.py
@@ -50,7 +50,7 @@
         return self.block.line
 
     def error(self, field: str, text: str, line: int | None = None) -> ConfigError:
-        """Create the error for a field, by default at the field's line, or the block's if it is not set."""
+        """Create the error for a field, by default at its line, or the block's if the field is unset."""
         value = self.block.attributes.get(field)
         at_line = line or (value.line if value else self.line)
         path = f"{self.path}.{field}" if self.path else field
@@ -234,7 +234,7 @@
         self.requested_fields.update(dict.fromkeys(names))
 
     def reject_unknown(self) -> None:
-        """Raise ConfigError for a field or block that was not requested: a misspelled one has no effect."""
+        """Raise ConfigError for a field or block not requested, as a misspelled one would have no effect."""
         for name, value in self.block.attributes.items():
             if name not in self.requested_fields:
                 hint = suggestion(name, self.requested_fields)
--- a/onyxwick/config/service.py
+++ b/onyxwick/config/service.py
@@ -180,7 +180,7 @@
 
 
 def _read_cells(top: Fields, config: ServiceConfig) -> Callable[[Fields], CellTenant] | None:
-    """Read the cell plan, if there is one, and return the reader of a tenant's cell fields; None without."""
+    """Read the cell plan, if there is one, and return the reader of a tenant's cell fields; else None."""
     if not any(block.type in CELL_BLOCKS for block in top.block.blocks):
         return None
     from onyxwick.config.cells import read_plan, read_tenant
--- a/onyxwick/core/clock.py
+++ b/onyxwick/core/clock.py
@@ -60,8 +60,8 @@
     start, the feed's at any time. A converted time may be too late, which costs freshness or slows a ramp. It
     is never too early, which would admit an outdated copy or too many requests. The rules are:
 
-    - The newest timestamp known at the start is converted to the time of the start: the clocks cannot differ
-      by more.
+    - The newest timestamp known at the start is converted to the time of the start: this clock cannot be
+      further ahead of the feed's clock than that conversion assumes.
     - The least of the last few delays between a timestamp and its receipt is added to each timestamp.
     - An event of a live feed is no older than the last heartbeat at which no event was outstanding.
     - No event lies in the future.
--- a/onyxwick/core/request_runner.py
+++ b/onyxwick/core/request_runner.py
@@ -80,8 +80,8 @@
     async def _final_answer(self, lifecycle: RequestLifecycle) -> FinalAnswer | None:
         """Return the final answer to a request, or None if its client has disconnected."""
         if lifecycle.client_departed:
-            # The router is not notified of a request that was cancelled at once, because it would count
-            # towards the popularity of its object.
+            # The router is not notified of a request that was cancelled at once, because the request
+            # would count towards the popularity of its object.
             return None
         try:
             return await self._decide(lifecycle)
--- a/onyxwick/core/shutdown.py
+++ b/onyxwick/core/shutdown.py
@@ -43,7 +43,9 @@
 MAX_ACCEPT_S = 0.75
 """Longest time after SIGTERM for which new connections are accepted."""
 GUARANTEED_UNTIL_S = 0.7
-"""A request that arrives later than this after SIGTERM must be answered before SIGKILL."""
+"""Without a successor, and if the longest deadline is over 0.6 s, a termination rejects no new request before
+this long after SIGTERM. The deadline of a request that arrives later may be after SIGKILL; such a request too
+must be answered before SIGKILL."""
 FINAL_FLUSH_S = 0.1
 """Time from the last stage to the exit of the process, in which the last written bytes are sent."""
 
--- a/onyxwick/dns/lookup.py
+++ b/onyxwick/dns/lookup.py
@@ -36,7 +36,7 @@
 
 
 def _exists(zone: TenantZone, name: dns.name.Name) -> bool:
-    """Return whether a name exists, which it also does if only names below it have records."""
+    """Return whether a name exists. A name also exists if only names below it have records."""
     return any(other.is_subdomain(name) for other in zone.data.nodes)
 
 
--- a/onyxwick/dns/naming.py
+++ b/onyxwick/dns/naming.py
@@ -36,7 +36,7 @@
     """
 
     async def run(self, order: AttemptSpec) -> AttemptOutcome:
-        """Return the attempt's outcome immediately: NOT_SENT if the order is no longer valid, else OK."""
+        """Return the attempt's outcome immediately: NOT_SENT if `order` is no longer valid, else OK."""
         if not order.is_still_valid():
             return AttemptOutcome(AttemptStatus.NOT_SENT)
         return AttemptOutcome(AttemptStatus.OK, unobserved=True)
--- a/onyxwick/dns/routed_names.py
+++ b/onyxwick/dns/routed_names.py
@@ -19,7 +19,8 @@
 from onyxwick.tenants import TenantZone
 
 CACHE_TTL_S = 0
-"""TTL of the answers: a drained cache must get no requests after 500 ms, and a TTL has whole seconds."""
+"""TTL of the answers in seconds; 0, because a drained cache must get no requests after 500 ms, and a TTL is a
+whole number of seconds."""
 
 
 class RoutedNames:
--- a/onyxwick/former_log_events.py
+++ b/onyxwick/former_log_events.py
@@ -71,7 +71,7 @@
     "trace started": "trace begun",
     "trace stopped after an internal error": "the trace ends for an error of its own",
 }
-"""Present text: former text."""
+"""Maps the present text of each renamed log event to its former text."""
 
 
 def add_former_event(logger: Any, method: str, event: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
--- a/onyxwick/interface/settings.py
+++ b/onyxwick/interface/settings.py
@@ -107,7 +107,7 @@
     parent_warm_up_us: int
     parent_overload_multiple: float
     purge_grace_us: int
-    """From this time after a purge on, no copy that is older than the purge may be served."""
+    """From this long after a purge, a copy that is older than the purge must not be served."""
     purge_retention_us: int
     """This long after a purge, no copy that is older than the purge exists anywhere."""
     origin_overload_multiple: float = 0.0
--- a/onyxwick/lifecycle.py
+++ b/onyxwick/lifecycle.py
@@ -237,7 +237,7 @@
         if self.phase not in (DirectorPhase.SERVING, DirectorPhase.DRAINED):
             return  # `_begin_serving` applies it after the start; a shutdown closes connections anyway
         phase = DirectorPhase.DRAINED if commands.is_drained else DirectorPhase.SERVING
-        if phase is not self.phase:  # the same after a start, or after two drains in one event loop iteration
+        if phase is not self.phase:  # unchanged after a start, or after two drains in one loop iteration
             self._enter(phase)
         if commands.is_drained:
             self._begin_drain(commands)
--- a/onyxwick/logs.py
+++ b/onyxwick/logs.py
@@ -90,8 +90,8 @@
     """An output for lines that never blocks the program.
 
     A line that cannot be written immediately, because the disk is full or the pipe is closed or not read, is
-    dropped and counted. Lines bypass the stream's own buffer: its content would be written again at exit, and
-    that write would fail.
+    dropped and counted. Lines bypass the stream's own buffer: the buffer's content would be written again at
+    exit, and that write would fail.
     """
 
     def __init__(self, stream: TextIO) -> None:
--- a/onyxwick/net/arrival_clock.py
+++ b/onyxwick/net/arrival_clock.py
@@ -29,7 +29,7 @@
         """Record after a read that bytes are still unread, or that reading pauses, so that bytes may wait.
 
         Their wait counts from the time of this call. Once all bytes that were unread then have been read, any
-        bytes still unread arrived after this call, and their wait too counts from it.
+        bytes still unread arrived after this call, and their wait also counts from this call.
         """
         now_s = time.monotonic()
         unread = unread_bytes(self.sock)
--- a/onyxwick/net/feed_race.py
+++ b/onyxwick/net/feed_race.py
@@ -1,10 +1,11 @@
 """Establishes a connection to the feed by racing several: a slow connection continues while others are tried.
 
 A connection that is never established, or on which nothing is ever sent, costs only the wait until the next
-connection is started, and a slow connection is not abandoned because of this. Times are monotonic seconds.
+connection is started. A slow connection is not abandoned when the next one is started. Times are monotonic
+seconds.
 
-The alternative is to try one connection after the other with increasing time limits. It would abandon each
-slow connection once, and would wait longer for a dead connection each time.
+The alternative is to try one connection after the other with increasing time limits. That would abandon
+each slow connection once, and would wait longer for a dead connection each time.
 """
 
 from __future__ import annotations
@@ -55,7 +56,7 @@
         self.received = True
 
     async def stop(self, winner: socket.socket | None) -> None:
-        """Stop the attempt and close its socket, unless that is the winner's."""
+        """Stop the attempt and close its socket, unless that socket is `winner`."""
         self.task.cancel()
         await asyncio.gather(self.task, return_exceptions=True)
         if self.sock is not None and self.sock is not winner:
--- a/onyxwick/net/feed_wire.py
+++ b/onyxwick/net/feed_wire.py
@@ -149,7 +149,7 @@
 def newest_timestamp_us(events: Iterable[object], latest_us: int) -> int:
     """Return the newest timestamp in the events, in microseconds of the feed's clock; 0 if there is none.
 
-    Timestamps after `latest_us` are ignored, as a clock that was merely stepped would not show them.
+    Timestamps after `latest_us` are ignored, as a mere step of a clock does not give such timestamps.
     """
     newest_us = 0
     for event in events:
--- a/onyxwick/net/front.py
+++ b/onyxwick/net/front.py
@@ -165,7 +165,7 @@
         """Check the invariant on connections that are still open, once in each drain.
 
         The check waits `STAGE_SETTLE_S` after the start of a stage, as after a stall of the process the
-        connections must first be closed, and skips connections that were opened less than that ago.
+        connections must first be closed, and skips connections opened less than `STAGE_SETTLE_S` ago.
         """
         if self._held_checked or now_s - self._stage_since_s < STAGE_SETTLE_S:
             return
--- a/onyxwick/net/publisher_node.py
+++ b/onyxwick/net/publisher_node.py
@@ -65,13 +65,13 @@
         self.publisher = Publisher(self.replica, steady_us(), bulk_limits)
         self.subscription = self._subscribe(upstream)
         self._assembler = DocumentAssembler()
-        # Not advanced while documents are queued: events after it are read again.
+        # Cursor not advanced while documents are queued: the coordinator's events after it are read again.
         self._saved_upstream = upstream
         self._flush_timer: asyncio.TimerHandle | asyncio.Handle | None = None
         self._store_failure: asyncio.Future[None]
 
     def _open_store(self) -> Cursor:
-        """Load the durable state, and return the coordinator's cursor up to which it was read."""
+        """Load the durable state, and return the cursor up to which the coordinator was read."""
         now_s = int(time.time())
         if self.config.store is None:
             self.replica.log.restart(Cursor(now_s, 0))
--- a/onyxwick/net/socket_state.py
+++ b/onyxwick/net/socket_state.py
@@ -15,9 +15,9 @@
 TCP_INFO_BYTES = 60
 """The length of Linux's struct tcp_info up to and including the fields used here."""
 LAST_DATA_SENT = slice(44, 48)
-"""The bytes of tcpi_last_data_sent, in milliseconds."""
+"""Where struct tcp_info holds tcpi_last_data_sent, a number of milliseconds."""
 LAST_DATA_RECEIVED = slice(52, 56)
-"""The bytes of tcpi_last_data_recv, in milliseconds."""
+"""Where struct tcp_info holds tcpi_last_data_recv, a number of milliseconds."""
 PEER_GONE_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 """The poll events of a socket whose peer has closed or reset the connection."""
 INT_BYTES = 4
--- a/onyxwick/operations/operator_commands.py
+++ b/onyxwick/operations/operator_commands.py
@@ -99,8 +99,8 @@
 def is_new_drain_state(before: OperatorCommands, after: OperatorCommands) -> bool:
     """Return whether a drain has started or ended, or a second drain has started after the end of the first.
 
-    A drain that was requested from another process has no request time here. It counts as the same drain if
-    this process is already drained.
+    A drain that was requested from another process has no request time here. Such a drain counts as the same
+    drain if this process is already drained.
     """
     if before.is_drained is not after.is_drained:
         return True
--- a/onyxwick/routing/capacity.py
+++ b/onyxwick/routing/capacity.py
@@ -23,7 +23,7 @@
 ZONE_LINK_PER_CACHE_CAPACITY = 0.38
 """Ratio of a zone's link capacity to that of its caches: a quarter of answers are fills, plus headroom."""
 REFERENCE_CACHE_COUNT = 6
-"""A zone with fewer caches has a link wider by the square root of (this number / its cache count)."""
+"""A zone with fewer caches than this has a link wider by the square root of (this / its cache count)."""
 PARENT_CAPACITY_PER_ZONE_LINK = 3.9
 """Ratio of a parent's capacity to a zone link's: it serves the fills of four zones at full load."""
 INFERRED_CAPACITY_SHARE = 0.6
--- a/onyxwick/routing/outlier_detection.py
+++ b/onyxwick/routing/outlier_detection.py
@@ -132,7 +132,7 @@
         )
 
     def unresponsive_member(self, attempt: Attempt) -> MemberRecord | None:
-        """Return which of an attempt's member and fill source is unresponsive since its start, or None."""
+        """Return the attempt's member or fill source if unresponsive since the attempt's start, or None."""
         if self.is_unresponsive(attempt.member, attempt.started_us):
             return attempt.member
         source = attempt.fill_source
--- a/onyxwick/routing/popularity.py
+++ b/onyxwick/routing/popularity.py
@@ -27,7 +27,7 @@
 """The ranks have the values of the wire protocol, whose rank 2 is not used."""
 
 HALF_LIFE_US = 10 * US_PER_S
-"""Read counts halve in this time. The objects hit at a cache within it are taken as the cache's content."""
+"""Read counts halve in this time. A cache's content is taken to be the objects hit there within this time."""
 RECOMPUTE_INTERVAL_US = 2 * US_PER_S
 GOLD_SHARE = 0.2
 """The gold objects are this share of the objects that fit into one cache, if the zone has one router."""
--- a/onyxwick/service.py
+++ b/onyxwick/service.py
@@ -85,8 +85,8 @@
 
         With a store, a director follows the feed after a delay drawn from its seed and opens its connections
         to caches gradually; meanwhile it serves from the recovered state. With sites, its request rate to
-        parents increases at the same rate: its popularity counts are empty, so without this limit requests
-        for all rare objects would reach the parents at the same time.
+        parents increases at the same rate: the director's popularity counts are empty, so without this limit
+        requests for all rare objects would reach the parents at the same time.
         """
         sites = self.routers.sites
         if sites is not None:
