--- a/onyxwick/cells/router.py
+++ b/onyxwick/cells/router.py
@@ -131,7 +131,8 @@
 
     def _dispatch_shares(self, shares: Mapping[str, float]) -> None:
         for name, share in shares.items():
-            if share > 0:  # a new cell keeps its initial share until its own is available
+            # A new cell keeps its initial share of the parents' budget until the arbiter has some free.
+            if share > 0:
                 self._dispatch(self.cells[name], [FleetShareChanged(share)])
 
     # ---- requests ------------------------------------------------------------------------------------
--- a/onyxwick/lab/scale/capacity.py
+++ b/onyxwick/lab/scale/capacity.py
@@ -29,7 +29,7 @@
 LOOP_TURN_BUDGET_MS = 8.0
 MEASURED_PURGES_PER_S = 21.0
 PURGE_LINE_BYTES = 110.0
-"""Bytes of a purge line in the tree: a number of 19 digits, an object name and a time."""
+"""Bytes of a purge line in the distribution tree: a number of 19 digits, an object name and a time."""
 REGION_CUT_DURATION_S = 600.0
 ROW_KB = 0.15
 
--- a/onyxwick/lab/scale/size.py
+++ b/onyxwick/lab/scale/size.py
@@ -60,7 +60,7 @@
 
     @property
     def caches_at_largest_site(self) -> int:
-        """Caches at the largest site, rounded up, by the same power law as for directors."""
+        """Caches at the largest site, rounded up; site sizes follow the power law `site_exponent`."""
         return math.ceil(self.caches * self._largest_share)
 
     @property
--- a/onyxwick/lab/scale/sweeps.py
+++ b/onyxwick/lab/scale/sweeps.py
@@ -240,7 +240,7 @@
 
 
 def popularity_ms_per_s(objects: int) -> float:
-    """Return the processor time per second of the popularity step."""
+    """Return the processor ms per second that the router's periodic step over its read counts takes."""
     return _measure_popularity(objects)[0] / 2 * 1e3
 
 
--- a/onyxwick/net/coordinator_feed.py
+++ b/onyxwick/net/coordinator_feed.py
@@ -94,7 +94,7 @@
     # ---- events ------------------------------------------------------------------------------------------
 
     def load_configured(self, known: dict[str, Any]) -> None:
-        """Apply the events from before the start, which the configuration contains."""
+        """Apply the feed's events from before this director's start, which the configuration contains."""
         events = known.get(CONFIGURED_EVENTS) or ()
         now_us = self.core.now()
         if newest_us := newest_timestamp_us(events, now_us + MAX_CLOCK_STEP_US):
--- a/onyxwick/net/front_connection.py
+++ b/onyxwick/net/front_connection.py
@@ -142,10 +142,8 @@
         return self.writes.pending_bytes > PAUSE_READING_ABOVE_BYTES
 
     def is_awaited(self, number: int) -> bool:
-        """Return whether the client still waits for the answer to a call, by the state of the socket now.
-
-        Since the last event loop iteration the client may have closed, or sent an abort that is still unread.
-        """
+        """Return whether the client still waits for the answer to a call, by the state of the socket now:
+        since the last event loop iteration the client may have closed or sent an abort not read yet."""
         if number not in self.open_calls or self.sock.fileno() < 0:
             return False
         if self._poll is None:
--- a/onyxwick/net/publisher_node.py
+++ b/onyxwick/net/publisher_node.py
@@ -65,7 +65,8 @@
         self.publisher = Publisher(self.replica, steady_us(), bulk_limits)
         self.subscription = self._subscribe(upstream)
         self._assembler = DocumentAssembler()
-        # Cursor not advanced while documents are queued: the coordinator's events after it are read again.
+        # The coordinator's cursor to save. It does not advance while documents wait to be published, so that
+        # after a restart the coordinator's events after it, which carry them, are read again.
         self._saved_upstream = upstream
         self._flush_timer: asyncio.TimerHandle | asyncio.Handle | None = None
         self._store_failure: asyncio.Future[None]
--- a/onyxwick/sites/member_evidence.py
+++ b/onyxwick/sites/member_evidence.py
@@ -64,8 +64,8 @@
     waiting_since_us: int = 0
     attempts_in_flight: int = 0
     failure_score: float = 0.0  # sum of the evidence weights of the failures since the last answer
-    failed_us: int = 0  # time of the last of these failures
-    first_failed_us: int = 0  # time of the first of these failures
+    failed_us: int = 0  # time of the last failure since the last answer
+    first_failed_us: int = 0  # time of the first failure since the last answer
     evidence: AttemptEvidence = AttemptEvidence.ANSWERED  # from the last ended attempt
 
     @property
